--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -212,12 +212,14 @@
     })
 }
 
-/// The names by which a deployment calls its locations, kinds of machine and categories, in their order.
+/// The names by which a deployment calls its locations, kinds of machine, categories and customers, in their
+/// order.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub categories: Vec<String>,
+    pub customers: Vec<String>,
 }
 
 pub fn names(options: &Fields) -> Result<Names, String> {
@@ -228,11 +230,14 @@
             .map(|v| v.as_str().map(str::to_owned).ok_or_else(wrong))
             .collect::<Result<_, String>>()
     };
-    let categories = objects(options, "Classes")?;
-    let categories = categories.iter().map(|class| text(class, "Name").map(str::to_owned));
+    let called = |name: &str| {
+        let all = objects(options, name)?;
+        all.iter().map(|one| text(one, "Name").map(str::to_owned)).collect::<Result<_, String>>()
+    };
     Ok(Names {
         zones: texts("Zones")?,
         kinds: texts("Kinds")?,
-        categories: categories.collect::<Result<_, _>>()?,
+        categories: called("Classes")?,
+        customers: called("Tenants")?,
     })
 }
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -26,6 +26,8 @@
 /// No access waits for longer, whatever its client says: its timers would pile up.
 const WAIT_MOST: Duration = Duration::from_secs(60);
 const GROUP_MOST: u64 = 255;
+/// Bytes of an idempotency key, of which 32 are usual.
+const KEY_MOST: usize = 64;
 /// A connection that takes no byte of its answers for this long is closed.
 const STUCK: Duration = Duration::from_secs(6);
 /// Clients close their idle connections after 4 s; those who keep them for good hold descriptors for nothing.
@@ -41,11 +43,22 @@
 /// What all clients share: how the categories are called, how long one may take.
 pub struct Door {
     pub categories: Vec<String>,
+    pub tenants: Vec<String>,
     /// Top pace of one answer, in KB a second; 0: not told.
     pub kb_per_s: f64,
     pub clock: Clock,
 }
 
+impl Door {
+    /// By its name in the settings; by its number where they name none.
+    fn tenant(&self, name: &[u8]) -> Option<usize> {
+        match &self.tenants[..] {
+            [] => number(name).map(|n| n as usize),
+            named => named.iter().position(|tenant| tenant.as_bytes() == name),
+        }
+    }
+}
+
 pub struct Client {
     pub door: Rc<Door>,
     pub decider: mpsc::Sender<Message>,
@@ -299,13 +312,14 @@
                         return Err("a group that is none");
                     }
                 }
-                b"t" => arrival.customer = digits()? as usize,
+                b"t" => arrival.customer = self.door.tenant(&value).ok_or("unknown tenant")?,
                 b"r" => arrival.repeated = &value[..] == b"1",
                 b"m" => {
                     let kb = std::str::from_utf8(&value).ok().and_then(|v| v.parse::<f64>().ok());
                     arrival.kb = kb.filter(|kb| (0.0..=kb_most).contains(kb)).ok_or("a size that is none")?;
                 }
                 b"ver" => passed.have = Some(value).filter(|tag| hex(tag).is_ok()),
+                b"k" => passed.idempotency_key = Some(key(value)?),
                 _ => {}
             }
         }
@@ -332,6 +346,13 @@
     std::str::from_utf8(value).ok().filter(|_| fine).map(Id::from).ok_or("an id that is not 16 hex digits")
 }
 
+/// An idempotency key, of what can't end the field or the line that it goes on in.
+fn key(value: Bytes) -> Result<Bytes, &'static str> {
+    let plain = |b: &u8| b.is_ascii_alphanumeric() || b"-_.:".contains(b);
+    let fine = (1..=KEY_MOST).contains(&value.len()) && value.iter().all(plain);
+    fine.then_some(value).ok_or("a key that is none")
+}
+
 /// Words an access's final answer, unless the client has given it up.
 fn say(reply: Reply, open: &mut HashMap<u64, Id>, unwritten: &mut Unwritten) {
     let Reply { tag, id, last } = reply;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -136,6 +136,7 @@
     let most = told.limits.sockets / 3;
     let door = Rc::new(Door {
         categories: told.categories.clone(),
+        tenants: told.tenants.clone(),
         kb_per_s: told.deployment.client_kb_per_s,
         clock,
     });
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/lines.rs
@@ -19,6 +19,8 @@
     pub part: Bytes,
     /// The tag of the client's copy.
     pub have: Option<Bytes>,
+    /// By it servers know the repeats of a deduplicated request.
+    pub idempotency_key: Option<Bytes>,
     pub body: Bytes,
 }
 
@@ -57,6 +59,9 @@
     if let Some(have) = &passed.have {
         let _ = write!(line, ",have={}", text(have));
     }
+    if let Some(key) = &passed.idempotency_key {
+        let _ = write!(line, ",nonce={}", text(key));
+    }
     let _ = write!(line, " {}\r\n", passed.body.len());
     BytesMut::from(line.as_str())
 }
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -280,7 +280,7 @@
                 object: copy.object,
                 part: copy.part.to_string().into(),
                 have: Some(copy.tag),
-                body: Bytes::new(),
+                ..Passed::default()
             };
             Some((arrival, passed))
         });
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -27,6 +27,7 @@
     pub places: Places,
     pub deployment: Deployment,
     pub categories: Vec<String>,
+    pub tenants: Vec<String>,
     pub limits: Limits,
     /// How many answers at a client's pace its own link carries at once; none: not told.
     pub own_link: Option<f64>,
@@ -119,6 +120,7 @@
         places,
         deployment,
         categories: names.categories,
+        tenants: names.customers,
         limits: limits(file, settings)?,
         own_link: own_link(file)?,
         peers: peers(file, settings)?,
--- /dev/null
+++ b/crates/router/tests/program/customers.rs
@@ -0,0 +1,110 @@
+//! Settings of other customers than the first: those of the sites in `deploy/sites`, in small.
+
+use crate::stand_ins::*;
+use serde_json::{Value, json};
+
+/// A category with its limits in milliseconds.
+fn limited(name: &str, effect: &str, soft: u64, hard: u64, window: u64) -> Value {
+    let mut class = class(name, effect);
+    for (key, ms) in [("Aim", soft), ("HardLimit", hard), ("Window", window)] {
+        class[key] = json!(ms);
+    }
+    class
+}
+
+/// As `kiosk-vouchers`: short limits, a window shorter than they are, most of it not to be run twice, few
+/// descriptors and little memory, connections that do not last.
+pub fn hasty() -> World {
+    let mut world = World::new();
+    world.file["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 96});
+    let settings = &mut world.file["settings"];
+    settings["Classes"] = json!([
+        limited("seat-plan", "pure", 700, 900, 600),
+        limited("hold-seat", "token", 300, 800, 600),
+        limited("pay-voucher", "side_effect", 400, 1000, 600),
+    ]);
+    let family = &mut settings["FamilyInfo"];
+    (family["ClassFresh"], family["ClassWrite"]) = (json!([4000, 0, 0]), json!([false, true, true]));
+    (family["ObeyAfter"], family["PurgeDone"], family["ClientKbPerS"]) = (json!(250), json!(4000), json!(20));
+    settings["Limits"] = json!({"ConnectTimeout": 150, "IdleClose": 3000, "MaxAttempts": 3, "MaxOpen": 200,
+        "MaxRetryAfter": 300, "MayCancel": true, "RetryAfter": true, "StreamsPerConn": 8});
+    settings["Obligations"]["DrainGrace"] = json!(200);
+    settings["Tenants"] = json!([]);
+    world
+}
+
+/// As `museum-loans`: tenants, categories of all effects, long limits, slow connections, nothing called off.
+pub fn wide() -> World {
+    let mut world = World::new();
+    let settings = &mut world.file["settings"];
+    settings["Classes"] = json!([
+        limited("picture", "pure", 900, 9000, 0),
+        limited("catalogue-card", "pure", 400, 5000, 0),
+        limited("condition-report", "token", 700, 8000, 3000),
+        limited("loan-request", "token", 900, 6000, 4000),
+        limited("loan-signature", "side_effect", 900, 6000, 0),
+    ]);
+    let family = &mut settings["FamilyInfo"];
+    family["ClassFresh"] = json!([0, 15000, 0, 0, 0]);
+    family["ClassWrite"] = json!([false, false, true, true, true]);
+    (family["ObeyAfter"], family["PurgeDone"]) = (json!(700), json!(8000));
+    settings["Limits"] = json!({"ConnectTimeout": 800, "IdleClose": 20000, "MaxAttempts": 5, "MaxOpen": 20000,
+        "MaxRetryAfter": 2000, "MayCancel": false, "RetryAfter": true, "StreamsPerConn": 16});
+    settings["Obligations"]["DrainGrace"] = json!(1000);
+    let tenant = |name: &str, share: f64| json!({"Name": name, "QuotaPerS": 50, "Share": share});
+    settings["Tenants"] =
+        json!([tenant("city-museum", 0.5), tenant("harbour-museum", 0.3), tenant("archive", 0.2)]);
+    world
+}
+
+/// By it servers know a repeat: without it an attempt after one that may have run could have its effect twice.
+#[test]
+fn a_key_against_repeats_goes_along_with_every_attempt() {
+    for (mut world, category) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
+        let program = world.start();
+        let mut client = program.client();
+        let key = "f1ff6cd8ff9b0f19bc938ad4212f62a0";
+        let tenant = if category == "hold-seat" { "" } else { ",t=archive" };
+        client.ask(1, category, &format!("d=700,k={key}{tenant}"), b"row 4");
+        let mut origin = world.server("o1").accept();
+        let asked = origin.asked();
+        assert_eq!((asked.get("cls"), asked.get("nonce"), &asked.body[..]), (category, key, &b"row 4"[..]));
+        origin.answer(&asked, "ERR", "-", b"");
+        let mut server = world.server("c1").accept();
+        let again = server.asked();
+        assert_eq!((again.get("nonce"), &again.body[..]), (key, &b"row 4"[..]));
+        server.answer(&again, "OK", "tell=via_origin", b"done");
+        assert_eq!(client.word(), "ACK");
+    }
+}
+
+#[test]
+fn tenants_are_known_by_their_names() {
+    let mut world = wide();
+    let program = world.start();
+    let mut client = program.client();
+    for (tag, tenant) in [(1, "city-museum"), (2, "archive")] {
+        client.ask(tag, "picture", &format!("t={tenant}"), b"");
+        let mut server = world.server("c1").accept();
+        server.serve(b"x");
+        assert_eq!(client.word(), "ACK", "{tenant}");
+        drop(server);
+    }
+    for (tag, tenant) in [(3, "nobody"), (4, "0"), (5, "")] {
+        client.ask(tag, "picture", &format!("t={tenant}"), b"");
+        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{tenant}");
+    }
+}
+
+#[test]
+fn keys_that_could_break_a_line_are_refused() {
+    let mut world = hasty();
+    let program = world.start();
+    let mut client = program.client();
+    let long = "a".repeat(65);
+    for (tag, key) in (1..).zip(["", "a b", "a\r\nQUIT", "a=b", "\u{e9}", &long]) {
+        client.ask(tag, "hold-seat", &format!("k={key}"), b"");
+        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{key:?}");
+        assert!(world.server("o1").try_accept().is_none(), "sent on: {key:?}");
+    }
+}
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -1,6 +1,7 @@
 //! The program on loopback, between stand-ins for all it talks to.
 
 mod cells;
+mod customers;
 mod fleet;
 mod own;
 mod soak;
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -275,6 +275,12 @@
     }
 }
 
+/// A category of the settings, with long limits.
+pub fn class(name: &str, effect: &str) -> Value {
+    json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": 3000, "AimStretch": 2,
+        "HardLimit": 5000, "Worth": 1, "LateWorth": 0.1, "Stream": false})
+}
+
 /// What the program is told; a test changes it before the start.
 pub struct World {
     pub board: Board,
@@ -301,10 +307,6 @@
             format!("chalkhall-router-{}-{}", std::process::id(), LAST.fetch_add(1, Ordering::Relaxed));
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
-        let class = |name: &str, effect: &str| {
-            json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": 3000, "AimStretch": 2,
-                "HardLimit": 5000, "Worth": 1, "LateWorth": 0.1, "Stream": false})
-        };
         // At this pace a part takes a second, so that no execution is looked into while a test is held up.
         let settings = json!({
             "Classes": [class("page", "pure"), class("confirm", "side_effect")],
