--- a/crates/router/src/board.rs
+++ b/crates/router/src/board.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
-use tokio::net::TcpStream;
+use tokio::net::TcpSocket;
 use tokio::sync::mpsc;
-use tokio::time::{sleep, timeout};
+use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// The board says its last number each second: after this long without it the connection is dead. What a
 /// silent board holds back counts as told 4 s after it stopped.
@@ -28,6 +28,16 @@
     pub places: Places,
     pub clock: Clock,
     pub decider: mpsc::Sender<Notice>,
+    /// Spreads the tries of a whole fleet that lost its board in one moment.
+    pub chance: fastrand::Rng,
+    /// The descriptor of the next connection, held from before the first client on: when idle ones have taken
+    /// all others, the list would else be followed only after they have gone.
+    pub spare: Option<TcpSocket>,
+}
+
+/// A descriptor to connect to an address with.
+pub fn socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
+    if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
 }
 
 /// What a configuration read anew says of the board.
@@ -44,12 +54,18 @@
             let what = tokio::select! {
                 biased;
                 // Whatever the old board is at: it tells nothing more, perhaps without saying so.
-                Some(anew) = anew.recv() => {
+                Some(anew) = anew.recv() => Err(anew),
+                what = self.follow(&mut pause) => Ok(what.err().unwrap_or_default()),
+            };
+            // Its descriptor is taken again before anybody else has a turn.
+            self.spare = socket(self.address).ok();
+            let what = match what {
+                Ok(what) => what,
+                Err(anew) => {
                     self.take(anew).await;
                     pause = PAUSE;
                     continue;
                 }
-                what = self.follow(&mut pause) => what.err().unwrap_or_default(),
             };
             // While it is down each try fails alike: said once.
             let level = if self.last > before || what != said { log::Level::Info } else { log::Level::Debug };
@@ -61,13 +77,21 @@
             tokio::select! {
                 biased;
                 Some(anew) = anew.recv() => self.take(anew).await,
-                () = sleep(pause) => {}
+                () = sleep(self.spread(pause)) => {}
             }
             pause = (pause * 2).min(PAUSE_MOST);
         }
     }
 
+    /// At most so long, and at least half of it: each router by its own seed.
+    fn spread(&mut self, pause: Duration) -> Duration {
+        pause.mul_f64(1.0 - self.chance.f64() / 2.0)
+    }
+
     async fn take(&mut self, anew: Anew) {
+        if self.address.is_ipv4() != anew.address.is_ipv4() {
+            self.spare = socket(anew.address).ok();
+        }
         self.address = anew.address;
         for (number, notice) in anew.known {
             // Past a gap the board itself tells what is between.
@@ -89,38 +113,50 @@
     }
 
     async fn follow(&mut self, pause: &mut Duration) -> Result<(), String> {
-        let connecting = timeout(CONNECT, TcpStream::connect(self.address));
-        let mut stream = connecting.await.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
-        stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        stream.write_all(format!("watch {}\n", self.last).as_bytes()).await.map_err(|e| e.to_string())?;
-        let mut lines = BufReader::new(stream);
+        let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
+        let watch = async {
+            let mut stream = socket.connect(self.address).await?;
+            stream.set_nodelay(true)?;
+            stream.write_all(format!("watch {}\n", self.last).as_bytes()).await?;
+            std::io::Result::Ok(stream)
+        };
+        let stream = timeout(CONNECT, watch).await.map_err(|_| "no connection in time")?;
+        let mut lines = BufReader::new(stream.map_err(|e| e.to_string())?);
         let mut line = Vec::new();
+        // Only what shows that nothing newer is held back counts: a board that stays behind, or goes on with
+        // what it told before, tells as little as a silent one.
+        let mut heard = Instant::now();
         loop {
             line.clear();
             let mut bounded = (&mut lines).take(LINE_MOST);
-            let read = timeout(SILENCE, bounded.read_until(b'\n', &mut line)).await;
-            read.map_err(|_| "silent")?.map_err(|e| e.to_string())?;
+            let read = timeout_at(heard + SILENCE, bounded.read_until(b'\n', &mut line)).await;
+            read.map_err(|_| "silent, or nothing new")?.map_err(|e| e.to_string())?;
             if line.last() != Some(&b'\n') {
                 return Err("closed, or a line too long".into());
             }
-            self.line(&line).await?;
-            *pause = PAUSE;
+            if self.line(&line).await? {
+                (heard, *pause) = (Instant::now(), PAUSE);
+            }
         }
     }
 
-    async fn line(&mut self, line: &[u8]) -> Result<(), String> {
+    /// Whether it shows that the board is not behind this router.
+    async fn line(&mut self, line: &[u8]) -> Result<bool, String> {
         let value: Value = serde_json::from_slice(line).map_err(|e| format!("not JSON: {e}"))?;
         if let Some(number) = value.as_u64() {
             if number > self.last {
                 return Err(format!("at {number}, {} came last", self.last));
             }
+            if number < self.last {
+                return Ok(false);
+            }
             // Where it finds no place the next one will.
             let _ = self.decider.try_send(Notice::Heard);
-            return Ok(());
+            return Ok(true);
         }
         let number = value.get("rev").and_then(Value::as_u64).ok_or("an event without a number")?;
         if number <= self.last {
-            return Ok(());
+            return Ok(false);
         }
         if number > self.last + 1 {
             return Err(format!("event {number} after {}", self.last));
@@ -136,6 +172,9 @@
                 return Err(what);
             }
         };
-        self.pass(number, notice).await
+        self.pass(number, notice).await.map(|()| true)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -35,6 +35,7 @@
 use notices::Notice;
 use own::Own;
 use phase::Phase;
+use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -127,7 +128,10 @@
     let (anew, told_anew) = mpsc::channel(1);
     let (address, last, places) = (told.board, told.last_event, told.places.clone());
     let cells = noticed.clone();
-    spawn_local(Board { address, last, faulty: None, places, clock, decider: noticed }.run(told_anew));
+    let chance = fastrand::Rng::with_seed(told.deployment.seed);
+    let held = board::socket(address).ok();
+    let board = Board { address, last, faulty: None, places, clock, decider: noticed, chance, spare: held };
+    spawn_local(board.run(told_anew));
     spawn_local(heed(stop, decider.clone()));
     serving.send_replace(Phase::Serving);
     drop(serving);
@@ -148,7 +152,7 @@
         spawn_local(control_socket::run(questions, decider.clone()));
     }
     let name = told.name.clone();
-    let again = Again { told, file, clock, board: anew, cells };
+    let again = Again { told, file, clock, board: anew, cells, spare: Cell::new(spare()) };
     spawn_local(again.run(reload));
     listener::run(socket, most, door, decider, phase).await;
     // Without decisions nothing can be answered: better to be started anew than to go on.
@@ -182,6 +186,12 @@
     clock: Clock,
     board: mpsc::Sender<Anew>,
     cells: mpsc::Sender<Notice>,
+    spare: Cell<Option<std::fs::File>>,
+}
+
+/// Any descriptor that is there to be given up.
+fn spare() -> Option<std::fs::File> {
+    std::fs::File::open("/dev/null").ok()
 }
 
 impl Again {
@@ -193,7 +203,11 @@
     }
 
     async fn configuration(&self) {
-        let anew = match read(&self.clock) {
+        // A descriptor to read the file with, where clients have taken all others.
+        drop(self.spare.take());
+        let anew = read(&self.clock);
+        self.spare.set(spare());
+        let anew = match anew {
             Ok(anew) => anew,
             Err(what) => return log::warn!("the new configuration is not taken over: {what}"),
         };
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -45,7 +45,17 @@
 }
 
 /// What a running router does not take over.
-const FIXED: [&str; 4] = ["name", "listen", "limits", "settings"];
+const FIXED: [&str; 9] = [
+    "name",
+    "listen",
+    "limits",
+    "settings",
+    "peer_listen",
+    "peers",
+    "peers_all",
+    "flow_bytes_per_s",
+    "link_bytes_per_s",
+];
 
 impl Told {
     /// The keys in which another configuration differs where only a restart takes it over.
