--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -456,7 +456,7 @@
         let by_server = execution.server.is_some();
         desk.out -= 1;
         let took = desk.now.saturating_sub(execution.sent);
-        let unasked = taken.passed.have.is_none();
+        let have = taken.passed.have.clone();
         let mut told = interface::Ended {
             outcome,
             remark: interface::Remark::None,
@@ -467,9 +467,10 @@
         };
         if let Some(answer) = answer {
             (told.remark, told.first_byte, told.load) = (answer.remark, answer.first_byte, answer.load);
-            if answer.same && unasked {
+            // That a copy holds is passed on only of the very one that the server names.
+            if answer.same && (have.is_none() || have != answer.etag) {
                 self.nonsense.log("a server says that a copy holds which nobody named");
-                told.outcome = Outcome::Error;
+                (told.outcome, told.remark) = (Outcome::Error, interface::Remark::None);
             }
             if told.outcome == Outcome::Honoured {
                 desk.object += (answer.body.len() as f64 - desk.object) * OBJECT_MOVES;
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -22,6 +22,25 @@
     world
 }
 
+/// That a client's copy holds is passed on only of the copy that the server names.
+#[test]
+fn a_copy_that_the_server_does_not_name_is_not_called_current() {
+    for fields in ["tell=hit,etag=1111111111111111", "tell=hit"] {
+        let mut world = World::new();
+        let program = world.start();
+        let mut client = program.client();
+        client.ask(1, "page", "ver=4be0c1927d55a6f3", b"");
+        let mut server = world.server("c1").accept();
+        let asked = server.asked();
+        server.answer(&asked, "SAME", fields, b"");
+        // As after any error it goes another way.
+        let mut parent = world.server("p1").accept();
+        parent.serve(b"whole");
+        let (_, word, told, body) = client.answer();
+        assert!(word == "ACK" && !told.contains("unchanged") && body == b"whole", "{word} {told}");
+    }
+}
+
 /// Numbers that stay behind, events that were told before, half lines: a board that goes on like this holds
 /// back as much as a silent one.
 #[test]
