--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -3,6 +3,7 @@
 
 use crate::brief::Brief;
 use crate::client::{Client, Door};
+use crate::link::at;
 use crate::messages::{Message, Place, Word};
 use crate::phase::Phase;
 use std::collections::{BTreeMap, HashMap};
@@ -12,7 +13,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
-use tokio::time::{sleep, timeout};
+use tokio::time::{Instant, timeout};
 
 const WAITING_TO_BE_TAKEN: u32 = 1024;
 /// After an accept failed, for want of descriptors perhaps.
@@ -110,25 +111,22 @@
 ) {
     let (mut clients, mut places) = (JoinSet::new(), Places::default());
     let (says, mut words) = mpsc::channel(WORDS_MOST);
-    let (mut numbers, mut refused) = (HashMap::new(), Brief::default());
+    let (mut numbers, mut refused, phase_of) = (HashMap::new(), Brief::default(), phase.clone());
+    // After a failed accept: none before then. Clients' words are heard meanwhile, lest they wait with theirs.
+    let mut pause = None;
+    let client =
+        |place| Client { door: door.clone(), decider: decider.clone(), phase: phase_of.clone(), place };
     loop {
-        let ended = phase.clone();
         let full = places.staying() >= most || places.held.len() >= most + LEAVING_MOST;
         tokio::select! {
-            taken = listener.accept(), if !full => match taken {
-                Ok((stream, _)) => {
-                    let place = places.take(says.clone());
-                    let number = place.number;
-                    let client = Client { door: door.clone(), decider: decider.clone(), phase: ended, place };
-                    numbers.insert(clients.spawn_local(client.run(stream)).id(), number);
-                }
-                Err(what) => {
-                    refused.log(&format!("no connection could be taken: {what}"));
-                    (0..LEAVING_MOST).for_each(|_| places.make_room());
-                    sleep(PAUSE).await;
+            biased;
+            _ = phase.wait_for(|phase| *phase == Phase::Ended) => break,
+            Some(word) = words.recv() => {
+                places.note(word);
+                while let Ok(word) = words.try_recv() {
+                    places.note(word);
                 }
-            },
-            Some(word) = words.recv() => places.note(word),
+            }
             Some(gone) = clients.join_next_with_id() => {
                 let task = match gone {
                     Ok((task, ())) => task,
@@ -139,7 +137,19 @@
                 };
                 numbers.remove(&task).into_iter().for_each(|number| places.gone(number));
             }
-            _ = phase.wait_for(|phase| *phase == Phase::Ended) => break,
+            () = at(pause), if pause.is_some() => pause = None,
+            taken = listener.accept(), if !full && pause.is_none() => match taken {
+                Ok((stream, _)) => {
+                    let place = places.take(says.clone());
+                    let number = place.number;
+                    numbers.insert(clients.spawn_local(client(place).run(stream)).id(), number);
+                }
+                Err(what) => {
+                    refused.log(&format!("no connection could be taken: {what}"));
+                    (0..LEAVING_MOST).for_each(|_| places.make_room());
+                    pause = Some(Instant::now() + PAUSE);
+                }
+            },
         }
         // One place is kept free for who comes next.
         if places.staying() >= most && places.leaving < LEAVING_MOST {
@@ -152,36 +162,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn who_never_asked_goes_first_but_the_newest_then_who_stood_idle_longest() {
-        let (says, _words) = mpsc::channel(8);
-        let mut places = Places::default();
-        let mut taken: Vec<Place> = (0..4 + NEWEST).map(|_| places.take(says.clone())).collect();
-        let say = |places: &mut Places, at: usize, idle| {
-            places.note(Word { number: taken[at].number, idle, asked: true });
-        };
-        say(&mut places, 0, false);
-        say(&mut places, 1, false);
-        say(&mut places, 1, true);
-        say(&mut places, 0, true);
-        say(&mut places, 2, false);
-        let mut left = Vec::new();
-        for _ in 0..4 {
-            places.make_room();
-            left.extend((0..taken.len()).filter(|at| taken[*at].leave.try_recv().is_ok()));
-        }
-        assert_eq!(left, [3, 1, 0, 4], "the newest only when nobody else is idle");
-        assert_eq!(places.staying(), NEWEST, "who has something open stays");
-        // Words that crossed ours make nobody else go.
-        for idle in [false, true] {
-            places.note(Word { number: taken[1].number, idle, asked: true });
-            assert_eq!(places.staying(), NEWEST);
-        }
-        taken.iter().for_each(|place| places.gone(place.number));
-        assert_eq!((places.held.len(), places.idle[0].len(), places.idle[1].len()), (0, 0, 0));
-        assert_eq!(places.leaving, 0);
-    }
-}
+mod tests;
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -97,6 +97,32 @@
     drop(crowd);
 }
 
+/// After a failed accept nobody is kept from saying what he has to: accesses on open connections go on at
+/// their pace.
+#[test]
+fn accesses_go_on_while_no_connection_can_be_taken() {
+    let mut world = declining();
+    world.file["limits"]["sockets"] = json!(1024);
+    let program = world.spawn("ulimit -n 48;");
+    until("GREEN", || program.connect().is_some_and(|mut client| client.health() == "GREEN"));
+    let mut busy = program.client();
+    busy.ask(1, "page", "", b"");
+    assert_eq!(busy.word(), "NAK");
+    let crowd = Crowd::of(300, program.address(), false);
+    until("no descriptor left", || crowd.held() >= 200);
+    let mut took: Vec<Duration> = Vec::new();
+    for tag in 2..=400 {
+        let asked = Instant::now();
+        busy.ask(tag, "page", "", b"");
+        assert_eq!(busy.word(), "NAK");
+        took.push(asked.elapsed());
+    }
+    // That long it is waited after an accept that failed: by the connections that come, by nobody else.
+    let held_up = took.iter().filter(|took| **took >= 19 * MS).count();
+    assert!(held_up < 10, "{held_up} of {} were held up", took.len());
+    drop(crowd);
+}
+
 /// Nothing of an old file's board remains after a new one: not its connection, nor what it still says.
 #[test]
 fn an_old_board_is_not_heard_any_more() {
