--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::lines::Passed;
 use crate::link::at;
-use crate::messages::{Last, Message, New, Place, Reply, Word};
+use crate::messages::{Last, Message, New, Place, Reply, Wanted, Word};
 use crate::phase::Phase;
 use crate::resp::{END, Frames, Nonsense, answer, fields, number};
 use bytes::{Buf, Bytes, BytesMut};
@@ -123,21 +123,32 @@
     }
 }
 
+/// An access of this connection, until its final answer or its client's leaving.
+struct Open {
+    id: Id,
+    wanted: Wanted,
+}
+
 impl Client {
     pub async fn run(mut self, mut stream: TcpStream) {
         let mut open = HashMap::new();
         let mut unwritten = Unwritten::default();
         let (replies, mut mailbox) = mpsc::channel(REPLIES_MOST);
-        match self.serve(&mut stream, &replies, &mut mailbox, &mut open, &mut unwritten).await {
+        let how = self.serve(&mut stream, &replies, &mut mailbox, &mut open, &mut unwritten).await;
+        // Before anybody is told, lest a link begins one meanwhile.
+        open.values().for_each(|open: &Open| open.wanted.end());
+        if let Err(End::Nonsense(_)) = how {
+            // Answered here, once: whatever comes for them from now on finds them closed.
+            open.keys().for_each(|tag| unwritten.line(*tag, "FAIL", ""));
+        }
+        for (tag, open) in open.drain() {
+            let _ = self.decider.send(Message::Left(open.id, tag, replies.clone())).await;
+        }
+        match how {
             Ok(()) => {}
             Err(End::Gone(what)) => log::debug!("client: {what}"),
             Err(End::Nonsense(what)) => {
                 log::debug!("client: {what}");
-                // Answered here, once: whatever comes for them from now on finds them closed.
-                for (tag, id) in open.drain() {
-                    let _ = self.decider.send(Message::Left(id, tag, replies.clone())).await;
-                    unwritten.line(tag, "FAIL", "");
-                }
                 let last = async {
                     while !unwritten.pieces.is_empty() && unwritten.write(&mut stream).await.is_ok() {}
                 };
@@ -145,14 +156,13 @@
             }
         }
         drop(stream);
-        // Bodies that nobody will read take no place any more.
+        // Bodies that nobody will read take no place any more. All places for answers come back: the decider
+        // has been told that nobody waits for them.
+        drop(replies);
         mailbox.close();
         while let Some(reply) = mailbox.recv().await {
             say(reply, &mut open, &mut unwritten);
         }
-        for (tag, id) in open {
-            let _ = self.decider.send(Message::Left(id, tag, replies.clone())).await;
-        }
         let _ = self.decider.send(Message::Written(unwritten.object)).await;
     }
 
@@ -161,7 +171,7 @@
         stream: &mut TcpStream,
         replies: &mpsc::Sender<Reply>,
         mailbox: &mut mpsc::Receiver<Reply>,
-        open: &mut HashMap<u64, Id>,
+        open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) -> Result<(), End> {
         stream.set_nodelay(true)?;
@@ -215,7 +225,7 @@
                     let read_at = self.door.clock.now();
                     while let Some(frame) = frames.next(&mut buffer)? {
                         (moved, asked, begun) = (Instant::now(), true, None);
-                        self.frame(frame, read_at, replies, open, unwritten).await?;
+                        self.frame(frame, read_at, replies, mailbox, open, unwritten).await?;
                     }
                     let partly = frames.begun() || !buffer.is_empty();
                     begun = partly.then(|| begun.unwrap_or_else(Instant::now));
@@ -237,12 +247,32 @@
         }
     }
 
+    /// A place for an answer. There are more than may be open: of those that the client has called off they come
+    /// back as soon as the decider has heard of it.
+    async fn place(
+        replies: &mpsc::Sender<Reply>,
+        mailbox: &mut mpsc::Receiver<Reply>,
+        open: &mut HashMap<u64, Open>,
+        unwritten: &mut Unwritten,
+    ) -> Result<mpsc::OwnedPermit<Reply>, End> {
+        loop {
+            tokio::select! {
+                biased;
+                Some(reply) = mailbox.recv() => say(reply, open, unwritten),
+                place = replies.clone().reserve_owned() => {
+                    return place.map_err(|_| End::Gone("the router has ended".into()));
+                }
+            }
+        }
+    }
+
     async fn frame(
         &mut self,
         frame: Vec<Bytes>,
         read_at: Duration,
         replies: &mpsc::Sender<Reply>,
-        open: &mut HashMap<u64, Id>,
+        mailbox: &mut mpsc::Receiver<Reply>,
+        open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) -> Result<(), End> {
         let mut parts = frame.into_iter();
@@ -259,7 +289,8 @@
                 unwritten.line(tag, if ready { "GREEN" } else { "RED" }, "");
             }
             b"ABORT" => {
-                if let Some(id) = open.remove(&tag) {
+                if let Some(Open { id, wanted }) = open.remove(&tag) {
+                    wanted.end();
                     let _ = self.decider.send(Message::Left(id, tag, replies.clone())).await;
                 }
             }
@@ -270,9 +301,10 @@
                 let crowded = open.len() >= OPEN_MOST;
                 match read.and_then(|read| if crowded { Err("too many open") } else { Ok(read) }) {
                     Ok((arrival, passed)) => {
-                        open.insert(tag, arrival.id.clone());
-                        let client = replies.clone();
-                        let new = New { arrival, passed, read_at, tag, client };
+                        let client = Self::place(replies, mailbox, open, unwritten).await?;
+                        let wanted = Wanted::default();
+                        open.insert(tag, Open { id: arrival.id.clone(), wanted: wanted.clone() });
+                        let new = New { arrival, passed, read_at, tag, client, wanted };
                         let sent = self.decider.send(Message::Access(Box::new(new))).await;
                         sent.map_err(|_| End::Gone("the router has ended".into()))?;
                     }
@@ -354,9 +386,9 @@
 }
 
 /// Words an access's final answer, unless the client has given it up.
-fn say(reply: Reply, open: &mut HashMap<u64, Id>, unwritten: &mut Unwritten) {
+fn say(reply: Reply, open: &mut HashMap<u64, Open>, unwritten: &mut Unwritten) {
     let Reply { tag, id, last } = reply;
-    if open.get(&tag) != Some(&id) {
+    if open.get(&tag).is_none_or(|open| open.id != id) {
         if let Last::Honoured { body, .. } = last {
             unwritten.object += body.len();
         }
@@ -377,3 +409,6 @@
         Last::GivenUp => unwritten.line(tag, "FAIL", ""),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::confined::Confined;
 use crate::lines::{Answer, Passed, ask};
-use crate::messages::{Ask, Ended, Last, Message, New, Order, Question, Reply};
+use crate::messages::{Ask, Ended, Last, Message, New, Order, Question, Reply, Wanted};
 use crate::notices::Notice;
 use crate::own::{Got, Own};
 use crate::peers::Saying;
@@ -43,7 +43,7 @@
 
 /// Who waits for a final answer: a client, or the store, which is told by other ways.
 enum To {
-    Client(mpsc::Sender<Reply>),
+    Client(mpsc::OwnedPermit<Reply>),
     Store,
 }
 
@@ -51,6 +51,7 @@
 struct Taken {
     client: Option<To>,
     tag: u64,
+    wanted: Wanted,
     arrival: Arrival,
     passed: Passed,
     /// It must not run twice.
@@ -112,12 +113,9 @@
             let honoured = matches!(last, Last::Honoured { .. } | Last::Unchanged { .. });
             self.finals.push((taken.arrival.category, taken.begun, honoured));
         }
-        // A client has no more accesses open than its mailbox holds; where it fails, the client has gone.
-        let reply =
-            |client: mpsc::Sender<Reply>| client.try_send(Reply { tag: taken.tag, id: id.clone(), last });
-        if let To::Client(client) = to
-            && reply(client).is_ok()
-        {
+        taken.wanted.end();
+        if let To::Client(client) = to {
+            client.send(Reply { tag: taken.tag, id: id.clone(), last });
             self.in_hand += bytes;
         }
         self.answered.push(id.clone());
@@ -143,6 +141,7 @@
             passed: taken.passed.clone(),
             line: ask(&taken.passed, server, limit, fill),
             once: taken.once,
+            wanted: taken.wanted.clone(),
             due: self.clock.instant(self.now + limit),
             leave_by: self.clock.instant(self.now + self.leave_within),
         });
@@ -297,9 +296,7 @@
             self.wake();
             self.tick(self.desk.now.saturating_sub(due_at));
             let phase = *self.phase.borrow();
-            let waits = |taken: &&Taken| matches!(taken.client, Some(To::Client(_)));
-            let open = || self.desk.accesses.values().filter(waits).count();
-            if phase.at(self.desk.now, open) == Phase::Ended {
+            if phase.at(self.desk.now, || self.open()) == Phase::Ended {
                 return self.finish();
             }
             let due = self.desk.timers.peek().map(|Reverse((at, _))| *at);
@@ -342,6 +339,12 @@
         }
     }
 
+    /// What clients wait for.
+    fn open(&self) -> usize {
+        let waits = |taken: &&Taken| matches!(taken.client, Some(To::Client(_)));
+        self.desk.accesses.values().filter(waits).count()
+    }
+
     /// What is still open when time has run out is given up: an end without an answer would lose it.
     fn finish(&mut self) {
         let open: Vec<Id> = self.desk.accesses.keys().cloned().collect();
@@ -373,9 +376,10 @@
                 // Another's access may bear the same id: it is not this client's to end.
                 let own = |taken: &&mut Taken| {
                     taken.tag == tag
-                        && matches!(&taken.client, Some(To::Client(c)) if c.same_channel(&client))
+                        && matches!(&taken.client, Some(To::Client(c)) if c.same_channel_as_sender(&client))
                 };
                 if let Some(taken) = self.desk.accesses.get_mut(&id).filter(own) {
+                    taken.wanted.end();
                     taken.client = None;
                     self.desk.answered.push(id.clone());
                     self.router.left(self.desk.now, &id, &mut self.desk);
@@ -410,14 +414,18 @@
     }
 
     fn access(&mut self, new: New) {
-        let New { mut arrival, passed, read_at, tag, client } = new;
+        let New { mut arrival, passed, read_at, tag, client, wanted } = new;
         let refused = arrival.id.clone();
-        let refuse = |last| {
-            let _ = client.try_send(Reply { tag, id: refused, last });
+        if !wanted.still() {
+            // It left before it was looked at.
+            return;
+        }
+        let refuse = |client: mpsc::OwnedPermit<Reply>, last| {
+            client.send(Reply { tag, id: refused, last });
         };
         if self.desk.accesses.contains_key(&arrival.id) {
             self.nonsense.log("an access with an id that is in use");
-            return refuse(Last::GivenUp);
+            return refuse(client, Last::GivenUp);
         }
         // Rather an early decline than being killed for memory or losing count of what is open.
         let bodies = self.desk.in_hand as f64 + (self.desk.out + 1) as f64 * self.desk.object;
@@ -425,7 +433,7 @@
             own.beside(bodies);
         }
         if bodies > self.bodies_most || self.desk.accesses.len() >= self.limits.open_accesses {
-            return refuse(Last::Declined(self.router.advice));
+            return refuse(client, Last::Declined(self.router.advice));
         }
         arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(read_at));
         let once = self.once.get(arrival.category) == Some(&true);
@@ -433,16 +441,17 @@
             && let Err(wait) = confined.access(self.desk.now, &mut arrival, once)
         {
             // The client is told to come back when its tenant may, as far as it heeds that.
-            return refuse(Last::Declined(self.longest_advice.map(|longest| wait.min(longest))));
+            return refuse(client, Last::Declined(self.longest_advice.map(|longest| wait.min(longest))));
         }
         if let Some(abroad) = &mut self.abroad
             && abroad.access(self.desk.now, &mut arrival).is_err()
         {
-            return refuse(Last::Declined(self.router.advice));
+            return refuse(client, Last::Declined(self.router.advice));
         }
         let (executions, kept) = (Vec::new(), arrival.clone());
         let client = Some(To::Client(client));
-        let taken = Taken { client, tag, arrival: kept, passed, once, begun: self.desk.now, executions };
+        let begun = self.desk.now;
+        let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, executions };
         self.desk.accesses.insert(arrival.id.clone(), taken);
         self.router.access(self.desk.now, arrival, &mut self.desk);
     }
@@ -494,7 +503,8 @@
         if let (true, Some(confined), Some(taken)) = (by_server, &mut self.confined, desk.accesses.get(&id)) {
             confined.ended(desk.now, &taken.arrival, told.outcome, told.remark);
         }
-        told.over = desk.accesses.get(&id).is_some_and(|taken| taken.client.is_none());
+        told.over =
+            desk.accesses.get(&id).is_some_and(|taken| taken.client.is_none() || !taken.wanted.still());
         if let (true, Some(abroad), Some(taken)) = (by_server, &mut self.abroad, desk.accesses.get(&id)) {
             let server = taken.executions.get(n).and_then(|execution| self.router.member(&execution.at));
             abroad.ended(desk.now, server, told.outcome, told.remark);
@@ -571,7 +581,8 @@
         for (arrival, passed) in own.asks() {
             let (client, kept, executions) = (Some(To::Store), arrival.clone(), Vec::new());
             let begun = self.desk.now;
-            let taken = Taken { client, tag: 0, arrival: kept, passed, once: false, begun, executions };
+            let (tag, wanted, once) = (0, Wanted::default(), false);
+            let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, executions };
             self.desk.accesses.insert(arrival.id.clone(), taken);
             self.router.access(self.desk.now, arrival, &mut self.desk);
             self.settle();
@@ -684,3 +695,6 @@
     let graces = [deployment.drain_grace, deployment.purge_grace].into_iter().filter(|g| !g.is_zero());
     graces.min().unwrap_or(Duration::from_millis(500))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -11,7 +11,7 @@
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncReadExt;
 use tokio::net::{TcpStream, tcp::ReadHalf};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
@@ -42,6 +42,8 @@
     /// By the id as the server sees it.
     out: HashMap<Bytes, Out>,
     writing: BytesMut,
+    /// The execution whose first byte is the next to be written.
+    beginning: Option<Box<Ask>>,
     quits: VecDeque<Bytes>,
     ended: VecDeque<(Key, Outcome, Option<Box<Answer>>, bool)>,
     heard: Option<Instant>,
@@ -53,17 +55,26 @@
         match order {
             LinkOrder::Ask(ask) => self.unwritten.push_back(ask),
             LinkOrder::Quit(key) => {
-                if let Some(at) = self.unwritten.iter().position(|ask| ask.key == key) {
-                    self.unwritten.remove(at);
-                    self.ended.push_back((key, Outcome::NeverSent, None, false));
-                } else if let Some(id) = self.out.iter().find(|(_, o)| o.key == key).map(|(id, _)| id.clone())
-                {
+                self.withdraw(|ask| ask.key == key);
+                if let Some(id) = self.out.iter().find(|(_, o)| o.key == key).map(|(id, _)| id.clone()) {
                     self.abandon(id, Outcome::Cancelled);
                 }
             }
         }
     }
 
+    /// Takes back executions of which not a byte has gone.
+    fn withdraw(&mut self, which: impl Fn(&Ask) -> bool) {
+        if let Some(ask) = self.beginning.take_if(|ask| which(ask)) {
+            self.writing.clear();
+            self.ended.push_back((ask.key, Outcome::NeverSent, None, false));
+        }
+        while let Some(at) = self.unwritten.iter().position(|ask| which(ask)) {
+            let ask = self.unwritten.remove(at);
+            self.ended.extend(ask.map(|ask| (ask.key, Outcome::NeverSent, None, false)));
+        }
+    }
+
     /// Gives up one that may have run. Where nothing was heard since it went out, for as long as a new
     /// connection may take to come up, this one may be dead.
     fn abandon(&mut self, id: Bytes, outcome: Outcome) {
@@ -74,24 +85,22 @@
     }
 
     fn next_due(&self) -> Option<Instant> {
-        let unwritten = self.unwritten.iter().map(|ask| ask.due.min(ask.leave_by));
+        let unwritten = self.beginning.iter().chain(&self.unwritten);
+        let unwritten = unwritten.map(|ask| ask.due.min(ask.leave_by));
         unwritten.chain(self.out.values().map(|o| o.due)).min()
     }
 
     fn expire(&mut self, now: Instant) {
-        // Sent later than this it could reach a server after the grace of a drain or a purge told meanwhile.
-        let late = |ask: &Ask| now >= ask.due.min(ask.leave_by);
-        while let Some(at) = self.unwritten.iter().position(|ask| late(ask)) {
-            let ask = self.unwritten.remove(at);
-            self.ended.extend(ask.map(|ask| (ask.key, Outcome::NeverSent, None, false)));
-        }
+        // Sent later than this it could reach a server after the grace of a drain or a purge told meanwhile, or
+        // run for a client that has left or has its answer.
+        self.withdraw(|ask| now >= ask.due.min(ask.leave_by) || !ask.wanted.still());
         while let Some(id) = self.out.iter().find(|(_, o)| now >= o.due).map(|(id, _)| id.clone()) {
             self.abandon(id, Outcome::TimedOut);
         }
     }
 
     /// Takes the next thing to write, when all before it has gone.
-    fn fill(&mut self, now: Instant) {
+    fn fill(&mut self) {
         if !self.writing.is_empty() {
             return;
         }
@@ -102,10 +111,20 @@
         if !self.writing.is_empty() {
             return;
         }
-        if let Some(ask) = self.unwritten.pop_front() {
-            self.writing = ask.line;
+        if let Some(mut ask) = self.unwritten.pop_front() {
+            self.writing = std::mem::take(&mut ask.line);
             self.writing.extend_from_slice(&ask.passed.body);
             self.writing.extend_from_slice(b"\r\n");
+            self.beginning = Some(ask);
+        }
+    }
+
+    /// So many bytes have gone to the system: from the first on an execution may run. To a server that hangs
+    /// the socket may be full for long before.
+    fn gone(&mut self, now: Instant, bytes: usize) {
+        self.writing.advance(bytes);
+        if let Some(ask) = self.beginning.take_if(|_| bytes > 0) {
+            let ask = *ask;
             self.out.insert(ask.passed.id, Out { key: ask.key, due: ask.due, sent: now });
         }
     }
@@ -118,7 +137,8 @@
 
     /// The connection is gone: what was written of may have run, the rest did not.
     fn broken(&mut self, unwritten: Outcome) {
-        self.ended.extend(self.unwritten.drain(..).map(|ask| (ask.key, unwritten, None, false)));
+        let not_begun = self.beginning.take().into_iter().chain(self.unwritten.drain(..));
+        self.ended.extend(not_begun.map(|ask| (ask.key, unwritten, None, false)));
         self.ended.extend(self.out.drain().map(|(_, out)| (out.key, Outcome::Broken, None, false)));
     }
 }
@@ -179,14 +199,13 @@
     }
 
     async fn serve(&mut self, mut stream: TcpStream, state: &mut State) -> Result<(), String> {
-        let (mut reader, mut writer) = stream.split();
+        let (mut reader, writer) = stream.split();
         let (mut buffer, mut answers) = (BytesMut::new(), Answers::default());
         // When an answer that is not whole yet began to come.
         let mut begun: Option<Instant> = None;
         loop {
-            let now = Instant::now();
-            state.expire(now);
-            state.fill(now);
+            state.expire(Instant::now());
+            state.fill();
             self.tell(state).await;
             let due = state.next_due();
             // One that stops short holds up all behind it, and one that nobody wants any more may trickle for
@@ -196,8 +215,18 @@
             let stops = begun.and(last).map(|last| last + self.connect_timeout);
             tokio::select! {
                 biased;
-                wrote = writer.write(&state.writing), if !state.writing.is_empty() => {
-                    state.writing.advance(wrote.map_err(|e| e.to_string())?);
+                ready = writer.writable(), if !state.writing.is_empty() => {
+                    ready.map_err(|e| e.to_string())?;
+                    // Looked at again here: the socket may have been full for long, or the program held up.
+                    let now = Instant::now();
+                    state.expire(now);
+                    if !state.writing.is_empty() {
+                        match writer.try_write(&state.writing) {
+                            Ok(bytes) => state.gone(now, bytes),
+                            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+                            Err(e) => return Err(e.to_string()),
+                        }
+                    }
                 }
                 order = self.orders.recv() => match order {
                     Some(order) => state.take(order),
@@ -252,55 +281,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::lines::Passed;
-
-    fn ask(id: &'static str, due: Duration, leave_by: Duration) -> Box<Ask> {
-        let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
-        let now = Instant::now();
-        let line = BytesMut::from("ASK");
-        Box::new(Ask {
-            key: (id.into(), 0),
-            passed,
-            line,
-            once: false,
-            due: now + due,
-            leave_by: now + leave_by,
-        })
-    }
-
-    fn ends(state: &mut State) -> Vec<(String, Outcome)> {
-        state.ended.drain(..).map(|(key, outcome, _, _)| (key.0.to_string(), outcome)).collect()
-    }
-
-    #[test]
-    fn a_server_is_not_blamed_for_our_descriptors() {
-        assert_eq!(not_connected(&io::Error::from_raw_os_error(EMFILE)), Outcome::NeverSent);
-        assert_eq!(not_connected(&io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
-        assert_eq!(not_connected(&io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
-    }
-
-    #[test]
-    fn only_what_was_written_may_have_run() {
-        let (long, none) = (Duration::from_secs(60), Duration::ZERO);
-        let mut state = State::default();
-        for (id, due, leave_by) in
-            [("a", long, long), ("b", long, long), ("c", long, none), ("d", none, long)]
-        {
-            state.take(LinkOrder::Ask(ask(id, due, leave_by)));
-        }
-        state.fill(Instant::now());
-        state.take(LinkOrder::Quit(("a".into(), 0)));
-        state.take(LinkOrder::Quit(("b".into(), 0)));
-        state.expire(Instant::now());
-        let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
-        assert_eq!(ends(&mut state), [("a".into(), Outcome::Cancelled), never("b"), never("c"), never("d")]);
-        state.take(LinkOrder::Ask(ask("e", long, long)));
-        state.writing.clear();
-        state.fill(Instant::now());
-        assert_eq!(state.writing, "QUIT a\r\n", "before what comes later");
-        state.broken(Outcome::NeverSent);
-        assert_eq!(ends(&mut state), [never("e")]);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/router/src/link/tests.rs
@@ -0,0 +1,104 @@
+use super::*;
+use crate::lines::Passed;
+use crate::messages::Wanted;
+
+fn ask(id: &'static str, due: Duration, leave_by: Duration) -> Box<Ask> {
+    let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
+    let now = Instant::now();
+    let line = BytesMut::from("ASK");
+    Box::new(Ask {
+        key: (id.into(), 0),
+        passed,
+        line,
+        once: false,
+        wanted: Wanted::default(),
+        due: now + due,
+        leave_by: now + leave_by,
+    })
+}
+
+fn ends(state: &mut State) -> Vec<(String, Outcome)> {
+    state.ended.drain(..).map(|(key, outcome, _, _)| (key.0.to_string(), outcome)).collect()
+}
+
+#[test]
+fn a_server_is_not_blamed_for_our_descriptors() {
+    assert_eq!(not_connected(&io::Error::from_raw_os_error(EMFILE)), Outcome::NeverSent);
+    assert_eq!(not_connected(&io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
+    assert_eq!(not_connected(&io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
+}
+
+#[test]
+fn only_what_was_written_may_have_run() {
+    let (long, none) = (Duration::from_secs(60), Duration::ZERO);
+    let mut state = State::default();
+    for (id, due, leave_by) in [("a", long, long), ("b", long, long), ("c", long, none), ("d", none, long)] {
+        state.take(LinkOrder::Ask(ask(id, due, leave_by)));
+    }
+    state.fill();
+    state.gone(Instant::now(), 1);
+    state.take(LinkOrder::Quit(("a".into(), 0)));
+    state.take(LinkOrder::Quit(("b".into(), 0)));
+    state.expire(Instant::now());
+    let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
+    assert_eq!(ends(&mut state), [("a".into(), Outcome::Cancelled), never("b"), never("c"), never("d")]);
+    state.take(LinkOrder::Ask(ask("e", long, long)));
+    state.writing.clear();
+    state.fill();
+    assert_eq!(state.writing, "QUIT a\r\n", "before what comes later");
+    state.broken(Outcome::NeverSent);
+    assert_eq!(ends(&mut state), [never("e")]);
+}
+
+/// The system takes nothing while a server hangs: for as long it has not begun, whatever ends it meanwhile.
+#[test]
+fn what_waits_behind_a_full_socket_has_not_begun() {
+    let (long, none) = (Duration::from_secs(60), Duration::ZERO);
+    let never = [("a".to_owned(), Outcome::NeverSent)];
+    let front = |leave_by| {
+        let (mut state, ask) = (State::default(), ask("a", long, leave_by));
+        let wanted = ask.wanted.clone();
+        state.take(LinkOrder::Ask(ask));
+        state.fill();
+        assert!(!state.writing.is_empty() && state.next_due().is_some());
+        (state, wanted)
+    };
+    // Its client leaves, or has its answer; the grace passes; it is called off; the connection breaks.
+    let (mut left, wanted) = front(long);
+    wanted.end();
+    left.expire(Instant::now());
+    let (mut late, _) = front(none);
+    late.expire(Instant::now());
+    let (mut off, _) = front(long);
+    off.take(LinkOrder::Quit(("a".into(), 0)));
+    let (mut broken, _) = front(long);
+    broken.broken(Outcome::NeverSent);
+    broken.writing.clear();
+    for mut state in [left, late, off, broken] {
+        assert_eq!(ends(&mut state), never);
+        state.fill();
+        assert!(state.writing.is_empty() && state.quits.is_empty(), "nothing of it goes out any more");
+    }
+    // From its first byte on it may have run.
+    let (mut state, wanted) = front(none);
+    state.gone(Instant::now(), 1);
+    wanted.end();
+    state.expire(Instant::now());
+    assert!(ends(&mut state).is_empty());
+    state.broken(Outcome::NeverSent);
+    assert_eq!(ends(&mut state), [("a".to_owned(), Outcome::Broken)]);
+}
+
+/// Also where it may not be called off: what waits for a connection goes nowhere once its client has left.
+#[test]
+fn what_waits_for_a_connection_ends_with_its_client() {
+    let long = Duration::from_secs(60);
+    let (mut state, asks) = (State::default(), [ask("a", long, long), ask("b", long, long)]);
+    let wanted = asks[0].wanted.clone();
+    asks.into_iter().for_each(|ask| state.take(LinkOrder::Ask(ask)));
+    wanted.end();
+    state.expire(Instant::now());
+    assert_eq!(ends(&mut state), [("a".to_owned(), Outcome::NeverSent)]);
+    state.fill();
+    assert_eq!(state.beginning.map(|ask| ask.key.0.to_string()).as_deref(), Some("b"));
+}
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -5,7 +5,9 @@
 use chalkhall::interface::{Arrival, Id, Outcome};
 use chalkhall_store::threads::End;
 use serde_json::Value;
+use std::cell::Cell;
 use std::net::SocketAddr;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -35,7 +37,31 @@
     pub passed: Passed,
     pub read_at: Duration,
     pub tag: u64,
-    pub client: mpsc::Sender<Reply>,
+    /// A place for its final answer, which so can't be lost for want of one.
+    pub client: mpsc::OwnedPermit<Reply>,
+    pub wanted: Wanted,
+}
+
+/// Whether an access still waits for its final answer. Its client's connection and the decider end it; a link
+/// asks it where the first byte of an execution leaves. The one thing that tasks share: by way of the mailboxes
+/// between them a leaving could come behind the byte, or nowhere where one of them is full.
+#[derive(Clone, Debug)]
+pub struct Wanted(Rc<Cell<bool>>);
+
+impl Default for Wanted {
+    fn default() -> Wanted {
+        Wanted(Rc::new(Cell::new(true)))
+    }
+}
+
+impl Wanted {
+    pub fn end(&self) {
+        self.0.set(false);
+    }
+
+    pub fn still(&self) -> bool {
+        self.0.get()
+    }
 }
 
 pub struct Ended {
@@ -100,6 +126,7 @@
     pub line: BytesMut,
     /// It must not run twice: where its connection breaks, it has failed.
     pub once: bool,
+    pub wanted: Wanted,
     /// When it has taken too long, and when its first byte must have left.
     pub due: Instant,
     pub leave_by: Instant,
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -22,6 +22,79 @@
     world
 }
 
+/// More called off in one go than there are places for answers, each answered before it was: the one that is
+/// wanted is answered too.
+#[test]
+fn an_answer_finds_a_place_whatever_was_called_off_before() {
+    let mut world = declining();
+    let program = world.start();
+    let mut client = program.client();
+    let mut bytes = Vec::new();
+    for tag in 1..=400u64 {
+        bytes.extend(frame(&[b"REQ", tag.to_string().as_bytes(), b"page", &fields(tag), b""]));
+        bytes.extend(frame(&[b"ABORT", tag.to_string().as_bytes()]));
+    }
+    bytes.extend(frame(&[b"REQ", b"1000", b"page", &fields(1000), b""]));
+    // All of it is there when the router reads: in one piece, as far as that goes.
+    program.signal("STOP");
+    until("the pause", || program.is_stopped());
+    client.write(&bytes);
+    program.signal("CONT");
+    let mut last = client.answer();
+    while last.0 != 1000 {
+        // Answers that crossed their calling off.
+        last = client.answer();
+    }
+    assert_eq!(last.1, "NAK");
+    assert_eq!(client.health(), "GREEN");
+}
+
+/// One tag called off and used again at once, and both are answered.
+#[test]
+fn a_tag_that_is_used_again_at_once_has_its_own_answer() {
+    let mut world = World::new();
+    let program = world.start();
+    let mut client = program.client();
+    client.ask(1, "page", "", b"");
+    let mut server = world.server("c1").accept();
+    let first = server.asked();
+    client.send(&[b"ABORT", b"1"]);
+    client.ask(1, "page", "", b"");
+    assert_eq!(server.line(), format!("QUIT {}", first.id));
+    let second = server.asked();
+    // It crossed the QUIT.
+    server.answer(&first, "OK", HIT, b"first");
+    server.answer(&second, "OK", HIT, b"second");
+    assert_eq!(client.answer().3, b"second");
+    assert_eq!(client.health(), "GREEN", "and no other");
+}
+
+/// A client that shuts its side has gone, as has one that resets: what is out is called off at once.
+#[test]
+fn half_closed_and_reset_clients_have_gone() {
+    let mut world = World::new();
+    let program = world.start();
+    for reset in [false, true] {
+        let mut client = program.client();
+        let id = client.ask(1, "page", "", b"");
+        let mut server = world.server("c1").accept();
+        server.asked();
+        let left = Instant::now();
+        if reset {
+            client.reset();
+        } else {
+            client.half_close();
+            assert_eq!(server.line(), format!("QUIT {id}"));
+            assert!(client.parted());
+        }
+        if reset {
+            assert_eq!(server.line(), format!("QUIT {id}"));
+        }
+        assert!(left.elapsed() < 100 * MS, "{:?}", left.elapsed());
+        world.server("c1").close_all(&program, server);
+    }
+}
+
 /// That a client's copy holds is passed on only of the copy that the server names.
 #[test]
 fn a_copy_that_the_server_does_not_name_is_not_called_current() {
@@ -41,6 +114,27 @@
     }
 }
 
+/// Half a line of a server that says no more: the connection is let go of, and what is asked meanwhile is
+/// answered all the same.
+#[test]
+fn half_a_line_at_rest_harms_nobody() {
+    let mut world = World::new();
+    world.file["settings"]["Limits"]["ConnectTimeout"] = json!(200);
+    let program = world.start();
+    let mut client = program.client();
+    client.ask(1, "page", "", b"");
+    let mut server = world.server("c1").accept();
+    server.serve(b"x");
+    assert_eq!(client.word(), "ACK");
+    server.say("00ff OK tell=hit");
+    let said = Instant::now();
+    assert_eq!(server.line(), "", "let go of");
+    assert!(said.elapsed() < 1000 * MS, "{:?}", said.elapsed());
+    client.ask(2, "page", "", b"");
+    world.server("c1").accept().serve(b"y");
+    assert_eq!(client.word(), "ACK");
+}
+
 /// Numbers that stay behind, events that were told before, half lines: a board that goes on like this holds
 /// back as much as a silent one.
 #[test]
@@ -196,3 +290,7 @@
     assert_eq!(world.board.accept().1, 1);
     assert!(back.elapsed() < 1000 * MS, "{:?}", back.elapsed());
 }
+
+fn fields(tag: u64) -> Vec<u8> {
+    format!("i={:016x},o={tag:016x},lot=1,m=1,d=4000", 0xabc_0000 + tag).into_bytes()
+}
