--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -9,13 +9,14 @@
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::{Arrival, Id};
 use std::collections::{HashMap, VecDeque};
+use std::convert::Infallible;
 use std::io::{self, IoSlice};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, tcp::ReadHalf};
 use tokio::sync::{mpsc, watch};
-use tokio::time::{Instant, timeout};
+use tokio::time::{Instant, timeout, timeout_at};
 
 /// A connection carries up to 32 open requests.
 const OPEN_MOST: usize = 32;
@@ -37,6 +38,15 @@
 const WHOLE: Duration = Duration::from_secs(2);
 /// For what a client whose stream cannot be read is told at last.
 const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Before a close it is looked once more whether something has come: for so long, which gives the system a turn;
+/// and at the end of the router, for as long in all.
+const LAST_LOOK: Duration = Duration::from_millis(2);
+const LAST_LOOKS: Duration = Duration::from_millis(40);
+/// What crosses a close within this is sent again by its client: so long, and for so many bytes, what still
+/// comes is read and dropped. A close over bytes that nobody read would reset the connection, and take answers
+/// along that are still on their way.
+const CROSSING: Duration = Duration::from_millis(50);
+const CROSSING_BYTES: usize = 1 << 20;
 /// Memory kept for what a client sends.
 const READ_AT_ONCE: usize = 8 * 1024;
 
@@ -46,6 +56,8 @@
     pub tenants: Vec<String>,
     /// Top pace of one answer, in KB a second; 0: not told.
     pub kb_per_s: f64,
+    /// What a client is advised whose access came as the router ended.
+    pub advice: Option<Duration>,
     pub clock: Clock,
 }
 
@@ -68,8 +80,10 @@
 
 /// Why a connection ends.
 enum End {
-    /// It broke, or was closed by either side with nothing open.
+    /// It broke, or its client closed it.
     Gone(String),
+    /// With nothing open on it, by this side; or the router has ended.
+    Idle(&'static str),
     /// What came cannot be read or must not come: no more is read, and what is open is answered as failed.
     Nonsense(&'static str),
 }
@@ -98,6 +112,10 @@
         self.push(answer(tag, word, fields, 0), Bytes::new());
     }
 
+    fn declined(&mut self, tag: u64, advice: Option<Duration>) {
+        self.line(tag, "NAK", &advice.map_or(String::new(), |advice| format!("w={}", advice.as_millis())));
+    }
+
     fn push(&mut self, head: Bytes, body: Bytes) {
         self.object += body.len();
         self.pieces
@@ -134,10 +152,10 @@
         let mut open = HashMap::new();
         let mut unwritten = Unwritten::default();
         let (replies, mut mailbox) = mpsc::channel(REPLIES_MOST);
-        let how = self.serve(&mut stream, &replies, &mut mailbox, &mut open, &mut unwritten).await;
+        let Err(how) = self.serve(&mut stream, &replies, &mut mailbox, &mut open, &mut unwritten).await;
         // Before anybody is told, lest a link begins one meanwhile.
         open.values().for_each(|open: &Open| open.wanted.end());
-        if let Err(End::Nonsense(_)) = how {
+        if let End::Nonsense(_) = how {
             // Answered here, once: whatever comes for them from now on finds them closed.
             open.keys().for_each(|tag| unwritten.line(*tag, "FAIL", ""));
         }
@@ -145,17 +163,20 @@
             let _ = self.decider.send(Message::Left(open.id, tag, replies.clone())).await;
         }
         match how {
-            Ok(()) => {}
-            Err(End::Gone(what)) => log::debug!("client: {what}"),
-            Err(End::Nonsense(what)) => {
+            End::Gone(what) => log::debug!("client: {what}"),
+            End::Idle(what) => {
+                log::debug!("client: {what}");
+                part(stream).await;
+            }
+            End::Nonsense(what) => {
                 log::debug!("client: {what}");
                 let last = async {
                     while !unwritten.pieces.is_empty() && unwritten.write(&mut stream).await.is_ok() {}
                 };
                 let _ = timeout(LAST_WORDS, last).await;
+                part(stream).await;
             }
         }
-        drop(stream);
         // Bodies that nobody will read take no place any more. All places for answers come back: the decider
         // has been told that nobody waits for them.
         drop(replies);
@@ -173,20 +194,34 @@
         mailbox: &mut mpsc::Receiver<Reply>,
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
-    ) -> Result<(), End> {
+    ) -> Result<Infallible, End> {
         stream.set_nodelay(true)?;
         let (mut reader, mut writer) = stream.split();
         let (mut buffer, mut frames) = (BytesMut::new(), Frames::default());
         let (mut moved, mut phase) = (Instant::now(), self.phase.clone());
         let (mut begun, mut asked, mut said) = (None, false, (true, false));
-        let mut ended = *self.phase.borrow() == Phase::Ended;
+        // It was asked for its place.
+        let mut leaves = false;
+        // Once the router has ended: until when what came before the end is still looked for.
+        let mut ended = None;
         loop {
-            if ended {
+            if ended.is_none() && *self.phase.borrow() == Phase::Ended {
+                ended = Some(Instant::now() + LAST_LOOKS);
+            }
+            if let Some(until) = ended {
                 while let Ok(reply) = mailbox.try_recv() {
                     say(reply, open, unwritten);
                 }
                 if unwritten.pieces.is_empty() {
-                    return Ok(());
+                    let until = until.min(Instant::now() + LAST_LOOK);
+                    match timeout_at(until, read(&mut reader, &mut buffer)).await {
+                        Ok(Ok(bytes)) if bytes > 0 => {}
+                        _ => return Err(End::Idle("the router has ended")),
+                    }
+                    while let Some(frame) = frames.next(&mut buffer)? {
+                        self.too_late(frame, unwritten);
+                    }
+                    continue;
                 }
             }
             let idle = open.is_empty() && unwritten.pieces.is_empty() && begun.is_none();
@@ -195,6 +230,9 @@
                 let word = Word { number: self.place.number, idle, asked };
                 let _ = self.place.says.send(word).await;
             }
+            if idle && leaves && timeout(LAST_LOOK, reader.readable()).await.is_err() {
+                return Err(End::Idle("idle, and its place is needed"));
+            }
             // What has come is read before anything is held against a client: the program itself may be late.
             let wait = match begun {
                 _ if !unwritten.pieces.is_empty() => Some(moved + STUCK),
@@ -207,18 +245,20 @@
                 wrote = unwritten.write(&mut writer), if !unwritten.pieces.is_empty() => {
                     wrote?;
                     moved = Instant::now();
-                    if unwritten.pieces.is_empty() && unwritten.object > 0 {
-                        let _ = self.decider.send(Message::Written(std::mem::take(&mut unwritten.object))).await;
-                    }
+                    self.written(unwritten).await;
                 }
                 Some(reply) = mailbox.recv() => {
                     if unwritten.pieces.is_empty() {
                         moved = Instant::now();
                     }
                     say(reply, open, unwritten);
+                    // One for an access that its client has called off leaves nothing to write.
+                    self.written(unwritten).await;
                 }
-                _ = phase.wait_for(|phase| *phase == Phase::Ended), if !ended => ended = true,
-                read = read(&mut reader, &mut buffer), if !ended && unwritten.pieces.len() < UNWRITTEN_MOST => {
+                _ = phase.wait_for(|phase| *phase == Phase::Ended), if ended.is_none() => {}
+                read = read(&mut reader, &mut buffer),
+                    if ended.is_none() && unwritten.pieces.len() < UNWRITTEN_MOST =>
+                {
                     if read? == 0 {
                         return Err(End::Gone("closed".into()));
                     }
@@ -234,19 +274,39 @@
                         buffer = BytesMut::new();
                     }
                 }
-                Some(()) = self.place.leave.recv(), if idle => {
-                    return Err(End::Gone("idle, and its place is needed".into()));
-                }
+                // What it has just asked for is answered first.
+                Some(()) = self.place.leave.recv(), if idle => leaves = true,
                 () = at(wait) => {
                     return Err(match begun {
-                        Some(_) if unwritten.pieces.is_empty() => End::Nonsense("no whole message in time"),
-                        _ => End::Gone("idle, or takes no answers".into()),
+                        _ if !unwritten.pieces.is_empty() => End::Gone("takes no answers".into()),
+                        Some(_) => End::Nonsense("no whole message in time"),
+                        None if timeout(LAST_LOOK, reader.readable()).await.is_ok() => continue,
+                        None => End::Idle("idle"),
                     });
                 }
             }
         }
     }
 
+    /// Tells the decider of bodies that take no place any more.
+    async fn written(&self, unwritten: &mut Unwritten) {
+        if unwritten.pieces.is_empty() && unwritten.object > 0 {
+            let _ = self.decider.send(Message::Written(std::mem::take(&mut unwritten.object))).await;
+        }
+    }
+
+    /// What had come as the router ended: it never ran.
+    fn too_late(&self, frame: Vec<Bytes>, unwritten: &mut Unwritten) {
+        let tag = frame.get(1).and_then(|tag| number(tag)).filter(|tag| *tag > 0);
+        let (Some(verb), Some(tag)) = (frame.first(), tag) else { return };
+        match &verb[..] {
+            b"ABORT" => {}
+            b"REQ" => unwritten.declined(tag, self.door.advice),
+            b"HEALTH" => unwritten.line(tag, "RED", ""),
+            _ => unwritten.line(tag, "FAIL", ""),
+        }
+    }
+
     /// A place for an answer. There are more than may be open: of those that the client has called off they come
     /// back as soon as the decider has heard of it.
     async fn place(
@@ -305,8 +365,11 @@
                         let wanted = Wanted::default();
                         open.insert(tag, Open { id: arrival.id.clone(), wanted: wanted.clone() });
                         let new = New { arrival, passed, read_at, tag, client, wanted };
-                        let sent = self.decider.send(Message::Access(Box::new(new))).await;
-                        sent.map_err(|_| End::Gone("the router has ended".into()))?;
+                        if self.decider.send(Message::Access(Box::new(new))).await.is_err() {
+                            // The router has ended meanwhile.
+                            open.remove(&tag);
+                            unwritten.declined(tag, self.door.advice);
+                        }
                     }
                     Err(what) => {
                         log::debug!("client: {what}");
@@ -362,6 +425,23 @@
     }
 }
 
+/// Ends a connection so that all that was written arrives: nothing more is said, and what still comes is dropped
+/// for a while.
+async fn part(mut stream: TcpStream) {
+    if stream.shutdown().await.is_err() {
+        return;
+    }
+    let (end, mut left) = (Instant::now() + CROSSING, CROSSING_BYTES);
+    let mut dropped = Vec::with_capacity(READ_AT_ONCE);
+    while left > 0 {
+        dropped.clear();
+        match timeout_at(end, stream.read_buf(&mut dropped)).await {
+            Ok(Ok(bytes)) if bytes > 0 => left = left.saturating_sub(bytes),
+            _ => return,
+        }
+    }
+}
+
 /// Waits until something has come before it takes memory for it: most connections say nothing most of the
 /// time.
 async fn read(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) -> io::Result<usize> {
@@ -404,8 +484,7 @@
             unwritten.push(answer(tag, "ACK", &version(etag, ""), body.len()), body);
         }
         Last::Unchanged { etag } => unwritten.line(tag, "ACK", &version(etag, "unchanged=1,")),
-        Last::Declined(Some(advice)) => unwritten.line(tag, "NAK", &format!("w={}", advice.as_millis())),
-        Last::Declined(None) => unwritten.line(tag, "NAK", ""),
+        Last::Declined(advice) => unwritten.declined(tag, advice),
         Last::GivenUp => unwritten.line(tag, "FAIL", ""),
     }
 }
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -23,8 +23,13 @@
     let (phase, phase_of) = watch::channel(phase);
     let (leave, told) = mpsc::channel(1);
     let (says, words) = mpsc::channel(4096);
-    let door =
-        Door { categories: vec!["page".into()], tenants: Vec::new(), kb_per_s: 0.0, clock: Clock::start() };
+    let door = Door {
+        categories: vec!["page".into()],
+        tenants: Vec::new(),
+        kb_per_s: 0.0,
+        advice: Some(Duration::from_millis(70)),
+        clock: Clock::start(),
+    };
     let place = Place { number: 1, leave: told, says };
     let client = Client { door: Rc::new(door), decider, phase: phase_of, place };
     spawn_local(client.run(stream));
@@ -59,6 +64,52 @@
     (tag.to_string(), word.to_owned())
 }
 
+/// The router ends while two requests and half of a third lie unread on the connection.
+#[tokio::test(flavor = "current_thread")]
+async fn what_lies_unread_as_the_router_ends_is_declined_and_the_connection_closed_in_order() {
+    let inside = async {
+        let come = [request(1), request(2), b"*5\r\n$3\r\nREQ".to_vec()].concat();
+        let mut rig = rig(Phase::Ended, &come).await;
+        assert_eq!(rig.rest().await.unwrap(), [told(1, "NAK w=70"), told(2, "NAK w=70")]);
+        assert!(rig.messages.try_recv().is_err_and(|_| true), "nothing was sent on");
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// The decider has ended, and the connection has not heard of it yet: what is read then never ran.
+#[tokio::test(flavor = "current_thread")]
+async fn what_finds_no_decider_any_more_is_declined() {
+    let inside = async {
+        let mut rig = rig(Phase::Serving, b"").await;
+        rig.messages.close();
+        rig.peer.write_all(&request(1)).await.unwrap();
+        let mut byte = [0];
+        assert_eq!(rig.peer.peek(&mut byte).await.unwrap(), 1);
+        rig.phase.send_replace(Phase::Ended);
+        assert_eq!(rig.rest().await.unwrap(), [told(1, "NAK w=70")]);
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// It is asked for its place, as idle, in the moment in which a request of its client has come: that is heard.
+#[tokio::test(flavor = "current_thread")]
+async fn a_request_that_meets_a_wish_for_its_place_is_answered_first() {
+    let inside = async {
+        let mut rig = rig(Phase::Serving, b"").await;
+        rig.peer.write_all(&message(&["HEALTH", "1", ""])).await.unwrap();
+        assert_eq!(rig.peer.peek(&mut [0]).await.unwrap(), 1);
+        // Both are there before the connection has its next turn.
+        rig.leave.try_send(()).unwrap();
+        assert!(rig.peer.try_write(&request(2)).unwrap() > 0);
+        let Some(Message::Access(new)) = rig.messages.recv().await else { panic!("not heard") };
+        let last = Last::Declined(None);
+        drop(new.client.send(Reply { tag: 2, id: new.arrival.id, last }));
+        let said = rig.rest().await.unwrap();
+        assert!(said.contains(&told(2, "NAK")), "{said:?}");
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
 /// Called off in one go, more than there are places for answers; then one that is wanted. The decider answers all
 /// of them, late: before it has heard that they were called off.
 #[tokio::test(flavor = "current_thread")]
@@ -118,3 +169,16 @@
     };
     LocalSet::new().run_until(inside).await;
 }
+
+/// A close over bytes that nobody has read yet takes nothing along that was said before.
+#[tokio::test(flavor = "current_thread")]
+async fn nonsense_with_much_behind_it_reads_its_last_word() {
+    let inside = async {
+        let mut rig = rig(Phase::Serving, &request(1)).await;
+        let Some(Message::Access(_new)) = rig.messages.recv().await else { panic!("not heard") };
+        rig.peer.write_all(b"*99\r\n").await.unwrap();
+        rig.peer.write_all(&[b'x'; 60_000]).await.unwrap();
+        assert_eq!(rig.rest().await.unwrap(), [told(1, "FAIL")]);
+    };
+    LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -236,6 +236,11 @@
 }
 
 impl Decider {
+    /// The wait that a declined client is advised.
+    pub fn advice(&self) -> Option<Duration> {
+        self.router.advice
+    }
+
     pub fn start(
         clock: Clock,
         deployment: &Deployment,
@@ -297,7 +302,7 @@
             self.tick(self.desk.now.saturating_sub(due_at));
             let phase = *self.phase.borrow();
             if phase.at(self.desk.now, || self.open()) == Phase::Ended {
-                return self.finish();
+                return self.finish(mailbox);
             }
             let due = self.desk.timers.peek().map(|Reverse((at, _))| *at);
             let own = self.desk.own.as_ref().and_then(|own| own.next_look(self.desk.now));
@@ -332,21 +337,28 @@
             for message in waiting {
                 match message {
                     Some(Some(message)) => self.take(message),
-                    Some(None) => return self.finish(),
+                    Some(None) => return self.finish(mailbox),
                     None => {}
                 }
             }
         }
     }
 
-    /// What clients wait for.
+    /// What clients wait for: accesses, and whether a slow reader has not taken all of its answers yet.
     fn open(&self) -> usize {
         let waits = |taken: &&Taken| matches!(taken.client, Some(To::Client(_)));
-        self.desk.accesses.values().filter(waits).count()
+        self.desk.accesses.values().filter(waits).count() + usize::from(self.desk.in_hand > 0)
     }
 
     /// What is still open when time has run out is given up: an end without an answer would lose it.
-    fn finish(&mut self) {
+    fn finish(&mut self, mut mailbox: mpsc::Receiver<Message>) {
+        // Nobody looks into the mailbox any more: what still lies in it never ran.
+        mailbox.close();
+        while let Ok(message) = mailbox.try_recv() {
+            let Message::Access(new) = message else { continue };
+            let last = Last::Declined(self.router.advice);
+            new.client.send(Reply { tag: new.tag, id: new.arrival.id, last });
+        }
         let open: Vec<Id> = self.desk.accesses.keys().cloned().collect();
         for id in open {
             if self.desk.reply(&id, Last::GivenUp) {
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -38,6 +38,27 @@
     }
 }
 
+/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of them is lost.
+#[tokio::test(flavor = "current_thread")]
+async fn what_lies_in_the_mailbox_as_the_router_ends_is_declined() {
+    let (decider, _messages, phase) =
+        decider(Phase::Draining { since: Duration::ZERO, until: Duration::from_secs(1) });
+    let (to_decider, mailbox) = mpsc::channel(8);
+    let (_noticed, notices) = mpsc::channel(1);
+    let (client, mut answers) = mpsc::channel(8);
+    for tag in 1..=3 {
+        to_decider.try_send(Message::Access(Box::new(new(tag, &client)))).unwrap_or_else(|_| panic!("full"));
+    }
+    tokio::task::LocalSet::new().run_until(decider.run(mailbox, notices)).await;
+    assert_eq!(*phase.borrow(), Phase::Ended);
+    for tag in 1..=3 {
+        let reply = answers.try_recv().expect("an answer");
+        assert_eq!(reply.tag, tag);
+        assert!(matches!(reply.last, Last::Declined(Some(wait)) if wait == Duration::from_millis(90)));
+    }
+    assert!(to_decider.try_send(Message::Stop).is_err(), "it takes nothing more");
+}
+
 /// One that left before it was looked at goes nowhere, and its place comes back.
 #[tokio::test(flavor = "current_thread")]
 async fn one_that_left_before_it_was_looked_at_goes_nowhere() {
@@ -49,3 +70,14 @@
     decider.take(Message::Access(Box::new(left)));
     assert_eq!((decider.desk.accesses.len(), client.capacity()), (0, 1));
 }
+
+/// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is up.
+#[tokio::test(flavor = "current_thread")]
+async fn the_end_waits_for_what_is_not_written_yet() {
+    let (mut decider, _messages, _phase) = decider(Phase::Serving);
+    assert_eq!(decider.open(), 0);
+    decider.desk.in_hand = 1;
+    assert_eq!(decider.open(), 1);
+    decider.take(Message::Written(1));
+    assert_eq!(decider.open(), 0);
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -114,6 +114,7 @@
     };
     let beside = Beside { own, confined, talk, abroad };
     let mut decisions = Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
+    let advice = decisions.advice();
     // The list comes before the first access.
     let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
     known.for_each(|notice| decisions.notice(notice));
@@ -142,6 +143,7 @@
         categories: told.categories.clone(),
         tenants: told.tenants.clone(),
         kb_per_s: told.deployment.client_kb_per_s,
+        advice,
         clock,
     });
     if let Some((socket, peers)) = socket_of_peers.zip(told.peers.clone()) {
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -18,6 +18,8 @@
 const WAITING_TO_BE_TAKEN: u32 = 1024;
 /// After an accept failed, for want of descriptors perhaps.
 const PAUSE: Duration = Duration::from_millis(20);
+/// Within this a connection that the system has taken is there to be accepted.
+const LAST_LOOK: Duration = Duration::from_millis(1);
 /// For the last answers to be written.
 const LAST_WORDS: Duration = Duration::from_millis(200);
 /// So many of those who never asked may have come just now.
@@ -157,6 +159,12 @@
         }
     }
     drop(words);
+    // The system has taken connections that wait here: what came on them is owed an end too.
+    for _ in 0..WAITING_TO_BE_TAKEN {
+        let Ok(Ok((stream, _))) = timeout(LAST_LOOK, listener.accept()).await else { break };
+        clients.spawn_local(client(places.take(says.clone())).run(stream));
+    }
+    drop(listener);
     let all = async { while clients.join_next().await.is_some() {} };
     let _ = timeout(LAST_WORDS, all).await;
 }
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -29,3 +29,33 @@
     assert_eq!((places.held.len(), places.idle[0].len(), places.idle[1].len()), (0, 0, 0));
     assert_eq!(places.leaving, 0);
 }
+
+/// The router ends while connections wait for it to accept them, with requests on them: each is answered.
+#[tokio::test(flavor = "current_thread")]
+async fn connections_that_wait_as_the_router_ends_are_answered() {
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    let inside = async {
+        let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let at = listener.local_addr().unwrap();
+        let (_phase, phase_of) = watch::channel(Phase::Ended);
+        let (decider, _mailbox) = mpsc::channel(8);
+        let clock = crate::clock::Clock::start();
+        let (categories, tenants) = (vec!["page".to_owned()], Vec::new());
+        let door = Rc::new(Door { categories, tenants, kb_per_s: 0.0, advice: None, clock });
+        let request = "*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$4\r\npage\r\n$48\r\n\
+            i=00000000000000a1,d=1500,o=00000000000000b1,m=9\r\n$0\r\n\r\n";
+        let mut waiting = Vec::new();
+        for _ in 0..3 {
+            let mut client = tokio::net::TcpStream::connect(at).await.unwrap();
+            client.write_all(request.as_bytes()).await.unwrap();
+            waiting.push(client);
+        }
+        run(listener, 100, door, decider, phase_of).await;
+        for mut client in waiting {
+            let mut said = String::new();
+            client.read_to_string(&mut said).await.expect("no reset");
+            assert_eq!(said, "*4\r\n$1\r\n1\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n");
+        }
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -22,6 +22,86 @@
     world
 }
 
+/// The program is held up while its time to end comes: it wakes with requests unread on a connection that
+/// rests, on one that nobody has accepted yet, and half of one on a third. Each whole one is answered, and no
+/// connection is reset over bytes that nobody read.
+#[test]
+fn what_came_before_the_end_is_answered_and_nobody_is_reset() {
+    let mut world = declining();
+    let mut program = world.start();
+    let (mut resting, mut half) = (program.client(), program.client());
+    assert_eq!((resting.health(), half.health()), ("GREEN".into(), "GREEN".into()));
+    program.terminate();
+    until("RED", || resting.health() == "RED");
+    program.signal("STOP");
+    until("the pause", || program.is_stopped());
+    pass(900 * MS);
+    resting.ask(1, "page", "", b"");
+    resting.ask(2, "confirm", "", b"write");
+    half.write(b"*5\r\n$3\r\nREQ\r\n$1\r\n7");
+    let mut waiting: Vec<Client> = (0..3).map(|_| program.client()).collect();
+    waiting.iter_mut().for_each(|client| drop(client.ask(1, "page", "", b"")));
+    program.signal("CONT");
+    let declined = ("NAK".to_owned(), "w=200".to_owned());
+    for tag in [1, 2] {
+        let (of, word, fields, _) = resting.answer();
+        assert_eq!((of, (word, fields)), (tag, declined.clone()));
+    }
+    for client in &mut waiting {
+        let (of, word, fields, _) = client.answer();
+        assert_eq!((of, (word, fields)), (1, declined.clone()));
+    }
+    for client in waiting.iter_mut().chain([&mut resting, &mut half]) {
+        assert!(client.parted(), "reset");
+    }
+    assert!(program.ended().0.success());
+}
+
+/// What comes after the router has shut its side is read, and neither sent on nor answered.
+#[test]
+fn what_crosses_the_shutdown_is_dropped() {
+    let mut world = World::new();
+    let mut program = world.start();
+    let mut resting = program.client();
+    assert_eq!(resting.health(), "GREEN");
+    program.terminate();
+    assert!(resting.parted(), "its end of the connection");
+    // The system still takes this: the router reads on for a while.
+    resting.ask(1, "page", "", b"");
+    let (status, log) = program.ended();
+    assert!(status.success(), "{log}");
+    assert!(world.servers.iter().all(|server| server.try_accept().is_none()), "sent on");
+}
+
+/// Answers that a slow reader has not taken yet are waited for, while there is time.
+#[test]
+fn a_slow_reader_gets_all_of_its_answers_at_the_end() {
+    let mut world = World::new();
+    let mut program = world.start();
+    let mut slow = program.client();
+    slow.ask(1, "page", "", b"");
+    let mut server = world.server("c1").accept();
+    let object = vec![7; 240_000];
+    for tag in 1..=32 {
+        server.serve(&object);
+        if tag < 32 {
+            slow.ask(tag + 1, "page", "", b"");
+        }
+    }
+    // The router has them all, and the last lies in no system's buffer.
+    let mut other = program.client();
+    other.ask(1, "page", "", b"");
+    server.serve(b"x");
+    assert_eq!(other.word(), "ACK");
+    program.terminate();
+    pass(1300 * MS);
+    for tag in 1..=32 {
+        let (of, word, _, body) = slow.answer();
+        assert!((of, word.as_str(), body.len()) == (tag, "ACK", 240_000), "answer {tag}");
+    }
+    assert!(program.ended().0.success());
+}
+
 /// More called off in one go than there are places for answers, each answered before it was: the one that is
 /// wanted is answered too.
 #[test]
