--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -22,8 +22,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep_until;
 
@@ -34,6 +35,9 @@
 const OBJECT_MOST: f64 = 240_000.0;
 const OBJECT_MOVES: f64 = 1.0 / 64.0;
 const CONNECTIONS_MOST: usize = 8;
+/// Descriptors beside clients' within their third and servers': clients on their way out, board, listener,
+/// peers, signals, log and the like.
+const DESCRIPTORS_BESIDE: usize = 32;
 /// The decider looks up this often at least; where it comes later than that by so much, the program was held
 /// up.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
@@ -230,8 +234,9 @@
     phase: watch::Sender<Phase>,
     longest_hard_limit: Duration,
     longest_advice: Option<Duration>,
-    /// For the servers' actors to answer to.
+    /// For the servers' actors to answer to, and the places of their connections.
     messages: mpsc::Sender<Message>,
+    places_of_links: Arc<Semaphore>,
     nonsense: Brief,
 }
 
@@ -252,6 +257,8 @@
         let Beside { own, confined, talk, abroad } = beside;
         let now = clock.now();
         let places = own.as_ref().map(Own::members).unwrap_or_default();
+        // What clients may hold, and some of each kind on their way out, is theirs.
+        let links_most = limits.sockets.saturating_sub(limits.sockets / 3 + DESCRIPTORS_BESIDE);
         let mut desk = Desk {
             now,
             clock,
@@ -286,6 +293,7 @@
             phase,
             longest_hard_limit: deployment.categories.iter().map(|c| c.hard_limit).max().unwrap_or_default(),
             longest_advice: deployment.longest_advice,
+            places_of_links: Arc::new(Semaphore::new(links_most)),
             messages,
             nonsense: Brief::default(),
         }
@@ -696,6 +704,7 @@
             orders: receiver,
             orders_of_links,
             decider: self.messages.clone(),
+            places: self.places_of_links.clone(),
         };
         spawn_local(server.run(from_links));
         self.desk.posts.insert(member.server.clone(), Post { orders, dial, started: member.started });
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpStream, tcp::ReadHalf};
-use tokio::sync::mpsc;
+use tokio::sync::{OwnedSemaphorePermit, mpsc};
 use tokio::time::{Instant, sleep_until, timeout};
 
 const READ_AT_ONCE: usize = 16 * 1024;
@@ -28,6 +28,8 @@
     pub connect_timeout: Duration,
     pub orders: mpsc::Receiver<LinkOrder>,
     pub server: mpsc::Sender<Order>,
+    /// Held for as long as its descriptor may be.
+    pub _place: OwnedSemaphorePermit,
 }
 
 struct Out {
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,15 +1,16 @@
 //! A cache server, a parent or the origin: shares a few connections among the executions sent to it.
 
 use crate::lines::Answer;
-use crate::link::Link;
+use crate::link::{Link, at};
 use crate::messages::{Ask, Ended, Key, LinkOrder, Message, Order, Report};
 use chalkhall::interface::{Id, Outcome};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::mpsc;
+use tokio::sync::{Semaphore, mpsc};
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep};
+use tokio::time::Instant;
 
 /// A second connection is opened where the least busy one carries this many.
 const SHARED_FROM: usize = 4;
@@ -46,6 +47,8 @@
     pub orders: mpsc::Receiver<Order>,
     pub orders_of_links: mpsc::Sender<Order>,
     pub decider: mpsc::Sender<Message>,
+    /// A place for each connection to any server: with the clients' they are the descriptors that there are.
+    pub places: Arc<Semaphore>,
 }
 
 #[derive(Default)]
@@ -55,27 +58,38 @@
     out: HashMap<Key, u64>,
 }
 
+impl Hands {
+    fn next_idle(&self, idle: Duration) -> Option<Instant> {
+        self.links.iter().filter(|l| l.open == 0).map(|l| l.used + idle).min()
+    }
+}
+
 impl Server {
     /// Runs until the decider has let go of it and all that is out has ended.
     pub async fn run(mut self, mut from_links: mpsc::Receiver<Order>) {
         let mut hands = Hands::default();
         let mut wanted = true;
         while wanted || !hands.out.is_empty() {
+            let next_idle = hands.next_idle(self.idle);
             tokio::select! {
                 order = self.orders.recv(), if wanted => match order {
                     Some(order) => self.order(&mut hands, order).await,
                     None => wanted = false,
                 },
                 Some(order) = from_links.recv() => self.order(&mut hands, order).await,
-                () = sleep(self.idle / 4), if !hands.links.is_empty() => {}
+                () = at(next_idle) => {}
             }
-            let now = Instant::now();
-            // Closed before the other side does it: a request that crosses a close may have run.
-            hands.links.iter_mut().for_each(|l| l.retired |= l.open == 0 && now >= l.used + self.idle);
-            hands.links.retain(|l| !(l.retired && l.open == 0));
+            self.retire(&mut hands);
         }
     }
 
+    /// Closed before the other side does it: a request that crosses a close may have run.
+    fn retire(&self, hands: &mut Hands) {
+        let now = Instant::now();
+        hands.links.iter_mut().for_each(|l| l.retired |= l.open == 0 && now >= l.used + self.idle);
+        hands.links.retain(|l| !(l.retired && l.open == 0));
+    }
+
     async fn end(&self, key: Key, outcome: Outcome, answer: Option<Box<Answer>>) {
         let _ = self.decider.send(Message::Ended(Ended { key, outcome, answer })).await;
     }
@@ -127,6 +141,8 @@
 
     /// Hands an execution to the least busy connection that may take it. False: there is none.
     fn pass(&mut self, hands: &mut Hands, mut ask: Box<Ask>) -> bool {
+        // None of those that have stood idle for too long, also where this order comes before the time for it.
+        self.retire(hands);
         let (key, once, now) = (ask.key.clone(), ask.once, Instant::now());
         let fresh = |l: &Held| l.open > 0 || now < l.used + FRESH;
         // A connection that broke a moment ago takes no orders; the next one may.
@@ -170,7 +186,9 @@
         false
     }
 
+    /// Opens one more, if there is a descriptor for it.
     fn open(&self, hands: &mut Hands) {
+        let Ok(place) = self.places.clone().try_acquire_owned() else { return };
         hands.last += 1;
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
         let now = Instant::now();
@@ -191,6 +209,7 @@
             connect_timeout: self.connect_timeout,
             orders: receiver,
             server: self.orders_of_links.clone(),
+            _place: place,
         };
         log::debug!("{}: connection {number} to {}", self.name, self.dial);
         spawn_local(link.run());
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -5,8 +5,8 @@
 
 const WAIT: Duration = Duration::from_secs(1);
 
-/// A server that is never reached, and what its mailboxes hang on.
-fn server() -> (Server, impl Sized) {
+/// A server that is never reached, with so many places for connections; and what its mailboxes hang on.
+fn server(places: usize) -> (Server, impl Sized) {
     let (orders_of_links, from_links) = mpsc::channel(8);
     let (sender, orders) = mpsc::channel(8);
     let (decider, messages) = mpsc::channel(8);
@@ -20,6 +20,7 @@
         orders,
         orders_of_links,
         decider,
+        places: Arc::new(Semaphore::new(places)),
     };
     (server, (from_links, sender, messages))
 }
@@ -40,7 +41,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn an_id_that_was_out_does_not_come_again_on_its_connection() {
     let inside = async {
-        let ((mut server, _kept), mut hands) = (server(), Hands::default());
+        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
         server.open(&mut hands);
         hands.links[0].up = true;
         assert!(server.pass(&mut hands, ask("a")));
@@ -52,3 +53,42 @@
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
+
+/// The order comes in the very moment in which the connection has stood idle for long enough, before the timer
+/// that lets go of it: it may cross the server's close.
+#[tokio::test(flavor = "current_thread")]
+async fn a_connection_that_stood_idle_for_too_long_takes_nothing_though_nobody_let_go_of_it() {
+    let inside = async {
+        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        assert!(server.pass(&mut hands, ask("a")));
+        hands.links[0].up = true;
+        ended(&mut server, &mut hands, 1, "a").await;
+        assert_eq!(hands.next_idle(WAIT), Some(hands.links[0].used + WAIT), "the timer is exact");
+        hands.links[0].used = Instant::now() - WAIT;
+        assert!(server.pass(&mut hands, ask("b")));
+        let open: Vec<(u64, usize)> = hands.links.iter().map(|link| (link.number, link.open)).collect();
+        assert_eq!(open, [(2, 1)]);
+        // One that carries something is in use, however long ago the last was passed to it.
+        hands.links[0].used = Instant::now() - WAIT;
+        assert!(server.pass(&mut hands, ask("c")));
+        assert_eq!(hands.links[0].open, 2);
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
+
+/// All servers' connections together stay within their part of the descriptors; what finds none never ran.
+#[tokio::test(flavor = "current_thread")]
+async fn no_connection_is_opened_past_the_descriptors() {
+    let inside = async {
+        let ((mut one, _kept), mut hands) = (server(2), Hands::default());
+        let (mut other, _also_kept) = server(2);
+        other.places = one.places.clone();
+        let mut others = Hands::default();
+        assert!(one.pass(&mut hands, ask("a")) && other.pass(&mut others, ask("b")));
+        assert!(one.pass(&mut hands, ask("c")), "shared");
+        one.streams = 2;
+        assert!(!one.pass(&mut hands, ask("d")), "there is no place, and no connection that takes it");
+        assert_eq!((hands.links.len(), hands.out.len()), (1, 2));
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
