--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -97,6 +97,11 @@
         self.leaving += usize::from(held.leaving);
     }
 
+    /// As many as may be on their way out at once: those that are and hold their descriptors still count.
+    fn make_much_room(&mut self) {
+        (self.leaving..LEAVING_MOST).for_each(|_| self.make_room());
+    }
+
     fn staying(&self) -> usize {
         self.held.len() - self.leaving
     }
@@ -148,7 +153,7 @@
                 }
                 Err(what) => {
                     refused.log(&format!("no connection could be taken: {what}"));
-                    (0..LEAVING_MOST).for_each(|_| places.make_room());
+                    places.make_much_room();
                     pause = Some(Instant::now() + PAUSE);
                 }
             },
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -30,6 +30,20 @@
     assert_eq!(places.leaving, 0);
 }
 
+/// Accepts go on failing until those who were asked to leave have gone: nobody else has to go for that.
+#[test]
+fn failing_accepts_let_go_of_no_more_than_may_be_on_their_way_out() {
+    let (says, _words) = mpsc::channel(8);
+    let mut places = Places::default();
+    let taken: Vec<Place> = (0..60).map(|_| places.take(says.clone())).collect();
+    places.note(Word { number: taken[0].number, idle: true, asked: true });
+    (0..3).for_each(|_| places.make_much_room());
+    assert_eq!((places.leaving, places.staying()), (LEAVING_MOST, 60 - LEAVING_MOST));
+    places.gone(taken[1].number);
+    places.make_much_room();
+    assert_eq!((places.leaving, places.staying()), (LEAVING_MOST, 60 - LEAVING_MOST - 1));
+}
+
 /// The router ends while connections wait for it to accept them, with requests on them: each is answered.
 #[tokio::test(flavor = "current_thread")]
 async fn connections_that_wait_as_the_router_ends_are_answered() {
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -277,7 +277,8 @@
 fn accesses_go_on_while_no_connection_can_be_taken() {
     let mut world = declining();
     world.file["limits"]["sockets"] = json!(1024);
-    let program = world.spawn("ulimit -n 48;");
+    // More rest than are let go of at once: who has asked for something stays.
+    let program = world.spawn("ulimit -n 96;");
     until("GREEN", || program.connect().is_some_and(|mut client| client.health() == "GREEN"));
     let mut busy = program.client();
     busy.ask(1, "page", "", b"");
