--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -4,6 +4,7 @@
 mod crossings;
 mod customers;
 mod fleet;
+mod moments;
 mod own;
 mod soak;
 mod stand_ins;
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -242,6 +242,26 @@
     }
 
     /// Says no more, and reads on.
+    pub fn at(address: SocketAddr) -> Option<Client> {
+        let stream = TcpStream::connect(address).ok()?;
+        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_nodelay(true).unwrap();
+        Some(Client { reader: BufReader::new(stream) })
+    }
+
+    /// A whole answer; none: the connection has ended without one.
+    pub fn try_answer(&mut self) -> Option<Answer> {
+        let ended = self.reader.fill_buf().is_ok_and(<[u8]>::is_empty);
+        (!ended).then(|| self.answer())
+    }
+
+    /// Its word, unless the connection ends first.
+    pub fn try_health(&mut self) -> Option<String> {
+        self.reader.get_mut().write_all(&frame(&[b"HEALTH", b"1000", b""])).ok()?;
+        let come = self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
+        come.then(|| self.word())
+    }
+
     pub fn half_close(&self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
@@ -526,10 +546,7 @@
     }
 
     pub fn connect(&self) -> Option<Client> {
-        let stream = TcpStream::connect(self.listen).ok()?;
-        stream.set_read_timeout(Some(LONG)).unwrap();
-        stream.set_nodelay(true).unwrap();
-        Some(Client { reader: BufReader::new(stream) })
+        Client::at(self.listen)
     }
 
     pub fn client(&self) -> Client {
