--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -38,13 +38,13 @@
 const WHOLE: Duration = Duration::from_secs(2);
 /// For what a client whose stream cannot be read is told at last.
 const LAST_WORDS: Duration = Duration::from_millis(200);
-/// Before a close it is looked once more whether something has come: for so long, which gives the system a turn;
-/// and at the end of the router, for as long in all.
+/// Before a close it is looked once more whether something has come: for so long, which gives the system a
+/// turn; and at the end of the router, for as long in all.
 const LAST_LOOK: Duration = Duration::from_millis(2);
 const LAST_LOOKS: Duration = Duration::from_millis(40);
 /// What crosses a close within this is sent again by its client: so long, and for so many bytes, what still
-/// comes is read and dropped. A close over bytes that nobody read would reset the connection, and take answers
-/// along that are still on their way.
+/// comes is read and dropped. A close over bytes that nobody read would reset the connection, and take
+/// answers along that are still on their way.
 const CROSSING: Duration = Duration::from_millis(50);
 const CROSSING_BYTES: usize = 1 << 20;
 /// Memory kept for what a client sends.
@@ -307,8 +307,8 @@
         }
     }
 
-    /// A place for an answer. There are more than may be open: of those that the client has called off they come
-    /// back as soon as the decider has heard of it.
+    /// A place for an answer. There are more than may be open: of those that the client has called off they
+    /// come back as soon as the decider has heard of it.
     async fn place(
         replies: &mpsc::Sender<Reply>,
         mailbox: &mut mpsc::Receiver<Reply>,
@@ -425,8 +425,8 @@
     }
 }
 
-/// Ends a connection so that all that was written arrives: nothing more is said, and what still comes is dropped
-/// for a while.
+/// Ends a connection so that all that was written arrives: nothing more is said, and what still comes is
+/// dropped for a while.
 async fn part(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -91,7 +91,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// It is asked for its place, as idle, in the moment in which a request of its client has come: that is heard.
+/// It is asked for its place, as idle, in the moment in which a request of its client has come: that is
+/// heard.
 #[tokio::test(flavor = "current_thread")]
 async fn a_request_that_meets_a_wish_for_its_place_is_answered_first() {
     let inside = async {
@@ -110,8 +111,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Called off in one go, more than there are places for answers; then one that is wanted. The decider answers all
-/// of them, late: before it has heard that they were called off.
+/// Called off in one go, more than there are places for answers; then one that is wanted. The decider answers
+/// all of them, late: before it has heard that they were called off.
 #[tokio::test(flavor = "current_thread")]
 async fn each_answer_has_its_place_before_its_request_goes_on() {
     let inside = async {
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of them is lost.
+/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of them is
+/// lost.
 #[tokio::test(flavor = "current_thread")]
 async fn what_lies_in_the_mailbox_as_the_router_ends_is_declined() {
     let (decider, _messages, phase) =
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -93,8 +93,8 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        // Sent later than this it could reach a server after the grace of a drain or a purge told meanwhile, or
-        // run for a client that has left or has its answer.
+        // Sent later than this it could reach a server after the grace of a drain or a purge told meanwhile,
+        // or run for a client that has left or has its answer.
         self.withdraw(|ask| now >= ask.due.min(ask.leave_by) || !ask.wanted.still());
         while let Some(id) = self.out.iter().find(|(_, o)| now >= o.due).map(|(id, _)| id.clone()) {
             self.abandon(id, Outcome::TimedOut);
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -119,7 +119,8 @@
     let (mut clients, mut places) = (JoinSet::new(), Places::default());
     let (says, mut words) = mpsc::channel(WORDS_MOST);
     let (mut numbers, mut refused, phase_of) = (HashMap::new(), Brief::default(), phase.clone());
-    // After a failed accept: none before then. Clients' words are heard meanwhile, lest they wait with theirs.
+    // After a failed accept: none before then. Clients' words are heard meanwhile, lest they wait with
+    // theirs.
     let mut pause = None;
     let client =
         |place| Client { door: door.clone(), decider: decider.clone(), phase: phase_of.clone(), place };
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -43,8 +43,8 @@
 }
 
 /// Whether an access still waits for its final answer. Its client's connection and the decider end it; a link
-/// asks it where the first byte of an execution leaves. The one thing that tasks share: by way of the mailboxes
-/// between them a leaving could come behind the byte, or nowhere where one of them is full.
+/// asks it where the first byte of an execution leaves. The one thing that tasks share: by way of the
+/// mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
 pub struct Wanted(Rc<Cell<bool>>);
 
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -141,7 +141,8 @@
 
     /// Hands an execution to the least busy connection that may take it. False: there is none.
     fn pass(&mut self, hands: &mut Hands, mut ask: Box<Ask>) -> bool {
-        // None of those that have stood idle for too long, also where this order comes before the time for it.
+        // None of those that have stood idle for too long, also where this order comes before the time for
+        // it.
         self.retire(hands);
         let (key, once, now) = (ask.key.clone(), ask.once, Instant::now());
         let fresh = |l: &Held| l.open > 0 || now < l.used + FRESH;
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -54,8 +54,8 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// The order comes in the very moment in which the connection has stood idle for long enough, before the timer
-/// that lets go of it: it may cross the server's close.
+/// The order comes in the very moment in which the connection has stood idle for long enough, before the
+/// timer that lets go of it: it may cross the server's close.
 #[tokio::test(flavor = "current_thread")]
 async fn a_connection_that_stood_idle_for_too_long_takes_nothing_though_nobody_let_go_of_it() {
     let inside = async {
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -235,8 +235,8 @@
     }
 }
 
-/// Clients that rest take every descriptor while the board is down: it is followed again within a second of its
-/// return, and who has something open is served meanwhile.
+/// Clients that rest take every descriptor while the board is down: it is followed again within a second of
+/// its return, and who has something open is served meanwhile.
 #[test]
 fn a_board_that_comes_back_is_followed_though_no_descriptor_is_left() {
     let mut world = World::new();
--- a/crates/router/tests/program/customers.rs
+++ b/crates/router/tests/program/customers.rs
@@ -57,7 +57,8 @@
     world
 }
 
-/// By it servers know a repeat: without it an attempt after one that may have run could have its effect twice.
+/// By it servers know a repeat: without it an attempt after one that may have run could have its effect
+/// twice.
 #[test]
 fn a_key_against_repeats_goes_along_with_every_attempt() {
     for (mut world, category) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
--- a/crates/router/tests/program/moments.rs
+++ b/crates/router/tests/program/moments.rs
@@ -1,8 +1,8 @@
-//! What the operators' bench is to show later, on processes of the program: clients that leave at every stage, cold
-//! servers before a fleet, restarts under load and all at once, large requests under strain.
+//! What the operators' bench is to show later, on processes of the program: clients that leave at every
+//! stage, cold servers before a fleet, restarts under load and all at once, large requests under strain.
 //!
-//! `make test` plays it in small; `make proof-moments` in full, with any `SEED`. The figures are of the stand-ins on
-//! this machine.
+//! `make test` plays it in small; `make proof-moments` in full, with any `SEED`. The figures are of the
+//! stand-ins on this machine.
 
 use crate::customers::wide;
 use crate::stand_ins::*;
@@ -191,7 +191,8 @@
         let at = |id: &str| all.into_iter().find(|station| station.has(id));
         for n in 0..each {
             let how = LEAVINGS[n % LEAVINGS.len()];
-            // While its first attempt is out, and while it is being repeated: the answer would allow one more.
+            // While its first attempt is out, and while it is being repeated: the answer would allow one
+            // more.
             for attempts in [1, 2] {
                 let mut client = Some(program.client());
                 let id = client.as_mut().unwrap().ask(1, "catalogue-card", "t=archive", b"");
@@ -302,9 +303,9 @@
     }
 }
 
-/// A cold cache and a cold parent before so many processes that may not talk, with uneven traffic, a quarter of
-/// them killed and started anew in the middle. The greatest share of what a window allows that came in one, and
-/// how much.
+/// A cold cache and a cold parent before so many processes that may not talk, with uneven traffic, a quarter
+/// of them killed and started anew in the middle. The greatest share of what a window allows that came in
+/// one, and how much.
 fn cold(processes: usize, seed: u64) -> (f64, f64, usize) {
     let (c1, c2) = (Server::new("c1", "cache"), Server::new("c2", "cache"));
     let (p1, o1) = (Server::new("p1", "parent"), Server::new("o1", "origin"));
@@ -378,8 +379,8 @@
     (at_cache, used(fills, 20.0, 0.3), asked)
 }
 
-/// All started at once, their boards down for so long at first and then slow to speak, while idle clients come
-/// back to each. How long until ready: half of them, nine in ten, the last.
+/// All started at once, their boards down for so long at first and then slow to speak, while idle clients
+/// come back to each. How long until ready: half of them, nine in ten, the last.
 fn all_at_once(processes: usize, down: Duration, clients: usize) -> [Duration; 3] {
     let mut worlds: Vec<World> = (0..processes).map(|_| World::new()).collect();
     let boards: Vec<SocketAddr> = worlds
@@ -471,7 +472,8 @@
     Pace,
 }
 
-/// One class's requests of all sizes, twenty at once: of the largest tenth, how many are answered, and of all.
+/// One class's requests of all sizes, twenty at once: of the largest tenth, how many are answered, and of
+/// all.
 fn sizes(asked: usize, short: Short, seed: u64) -> (f64, f64) {
     let server = Server::new("c1", "cache");
     let listener = server.listener.try_clone().unwrap();
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -477,8 +477,8 @@
     listen: SocketAddr,
 }
 
-/// Clients that rest: each says nothing, or nothing after it has asked once how the router is, and comes again when
-/// it is let go of.
+/// Clients that rest: each says nothing, or nothing after it has asked once how the router is, and comes
+/// again when it is let go of.
 pub struct Crowd {
     held: Arc<AtomicU32>,
     refused: Arc<AtomicU32>,
