--- a/crates/router/tests/program/moments.rs
+++ b/crates/router/tests/program/moments.rs
@@ -607,10 +607,12 @@
     }
     let [(memory_large, memory), (pace_large, pace)] = strained;
     println!(
-        "proof-moments: ok seed={seed} leavings={left} late={late} cold_processes={fleets:?} cold_cache={at_cache:.3} \
-        cold_parent={at_parent:.3} ready_processes={at_once} ready_p50_ms={} ready_p90_ms={} ready_last_ms={} \
-        restarts_asked={asked} restarts_lost={lost} quiet_largest={quiet_large:.3} quiet_all={quiet:.3} \
-        memory_largest={memory_large:.3} memory_all={memory:.3} pace_largest={pace_large:.3} pace_all={pace:.3}",
+        "proof-moments: ok seed={seed} leavings={left} late={late} cold_processes={fleets:?} \
+        cold_cache={at_cache:.3} cold_parent={at_parent:.3} ready_processes={at_once} \
+        ready_p50_ms={} ready_p90_ms={} ready_last_ms={} restarts_asked={asked} \
+        restarts_lost={lost} quiet_largest={quiet_large:.3} quiet_all={quiet:.3} \
+        memory_largest={memory_large:.3} memory_all={memory:.3} pace_largest={pace_large:.3} \
+        pace_all={pace:.3}",
         half.as_millis(),
         nine.as_millis(),
         last.as_millis(),
