--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -22,7 +22,7 @@
 /// What the sketch remembers halves in this time.
 const FADES: Duration = Duration::from_secs(10);
 
-/// Retries for each access of a tenant that was honoured, and how many may be saved up: a fifth more work at
+/// Retries for each request of a tenant that was honoured, and how many may be saved up: a fifth more work at
 /// the most once all fails, and enough for a short break.
 const RETRIES: f64 = 0.2;
 const RETRIES_MOST: f64 = 20.0;
@@ -33,10 +33,10 @@
 /// What a tenant may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowed {
-    /// Accesses a second, and how many at once after a pause.
+    /// Requests a second, and how many at once after a pause.
     pub rate: f64,
     pub burst: f64,
-    /// Retries for each access honoured, and how many may be saved up.
+    /// Retries for each request honoured, and how many may be saved up.
     pub retries: f64,
     pub retries_most: f64,
 }
@@ -48,13 +48,13 @@
     }
 }
 
-/// Whose access it is: the customer's where the settings name customers, else all who ask for its group of
+/// Whose request it is: the customer's where the settings name customers, else all who ask for its group of
 /// objects, who are then limited together.
 pub fn tenant(arrival: &Arrival, by_customer: bool) -> [u8; 8] {
     if by_customer { (arrival.customer as u64).to_le_bytes() } else { arrival.group.to_le_bytes() }
 }
 
-/// What becomes of an access at the door.
+/// What becomes of a request at the door.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     Taken,
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Column {
     at: Duration,
-    /// Accesses lately, and how many of them were honoured.
+    /// Requests lately, and how many of them were honoured.
     asked: f64,
     honoured: f64,
 }
@@ -116,8 +116,8 @@
         })
     }
 
-    /// An access of a tenant comes; `again`: it is known to be a retry.
-    pub fn access(&mut self, now: Duration, tenant: &[u8], again: bool) -> Verdict {
+    /// A request of a tenant comes; `again`: it is known to be a retry.
+    pub fn request(&mut self, now: Duration, tenant: &[u8], again: bool) -> Verdict {
         let (key, allowed) = (self.key(tenant), self.allowed);
         if let Some(row) = self.rows.peek_mut(&key) {
             row.fill(now, &allowed);
@@ -147,7 +147,7 @@
         Verdict::Taken
     }
 
-    /// An access of a tenant was honoured.
+    /// A request of a tenant was honoured.
     pub fn honoured(&mut self, now: Duration, tenant: &[u8]) {
         let (key, allowed) = (self.key(tenant), self.allowed);
         if let Some(row) = self.rows.get_mut(&key) {
@@ -194,7 +194,7 @@
     fn steady(tenants: &mut Tenants, name: &str, from: f64, count: usize) -> usize {
         let taken = (0..count).filter(|n| {
             let now = s(from + *n as f64 * 0.2);
-            let taken = tenants.access(now, name.as_bytes(), false) == Verdict::Taken;
+            let taken = tenants.request(now, name.as_bytes(), false) == Verdict::Taken;
             if taken {
                 tenants.honoured(now, name.as_bytes());
             }
@@ -212,16 +212,16 @@
         let mut now = s(10.0);
         for _ in 0..200 {
             now += s(0.005);
-            if let Verdict::Late(wait) = tenants.access(now, b"loud", false) {
+            if let Verdict::Late(wait) = tenants.request(now, b"loud", false) {
                 assert!(wait <= s(0.1), "{wait:?}");
                 now += wait;
-                assert_eq!(tenants.access(now, b"loud", false), Verdict::Taken);
+                assert_eq!(tenants.request(now, b"loud", false), Verdict::Taken);
             }
         }
         let mut tenants = Tenants::new(ALLOWED, 7);
         steady(&mut tenants, "loud", 0.0, 50);
         let taken = (0..2000)
-            .filter(|n| tenants.access(s(10.0 + f64::from(*n) * 0.005), b"loud", false) == Verdict::Taken);
+            .filter(|n| tenants.request(s(10.0 + f64::from(*n) * 0.005), b"loud", false) == Verdict::Taken);
         let taken = taken.count();
         assert!((100..=121).contains(&taken), "{taken} in ten seconds at 10 a second and a burst of 20");
     }
@@ -235,7 +235,7 @@
         assert_eq!(tenants.known(), 100);
         for n in 0..200_000u32 {
             let (now, name) = (s(4.0 + f64::from(n) * 0.00005), format!("new-{n}"));
-            if tenants.access(now, name.as_bytes(), false) == Verdict::Taken && n % 3 == 0 {
+            if tenants.request(now, name.as_bytes(), false) == Verdict::Taken && n % 3 == 0 {
                 tenants.honoured(now, name.as_bytes());
             }
         }
@@ -249,7 +249,7 @@
     fn retries_are_paid_for_by_what_was_honoured() {
         let mut tenants = Tenants::new(Allowed { rate: 1000.0, burst: 1000.0, ..ALLOWED }, 7);
         steady(&mut tenants, "a", 0.0, 45);
-        let retries = (0..10).filter(|_| tenants.access(s(20.0), b"a", true) == Verdict::Taken).count();
+        let retries = (0..10).filter(|_| tenants.request(s(20.0), b"a", true) == Verdict::Taken).count();
         assert_eq!(retries, 3, "one for ten honoured");
     }
 
@@ -262,7 +262,7 @@
             let (mut now, mut taken) = (s(4.0), 0.0);
             for step in &steps {
                 now += Duration::from_millis(*step);
-                taken += f64::from(u8::from(tenants.access(now, b"t", false) == Verdict::Taken));
+                taken += f64::from(u8::from(tenants.request(now, b"t", false) == Verdict::Taken));
             }
             prop_assert!(taken <= ALLOWED.burst + ALLOWED.rate * (now - s(4.0)).as_secs_f64() + 1.0);
         }
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -1,4 +1,4 @@
-//! The cell map: which cache servers are in which cells, and which cell an access belongs to.
+//! The cell map: which cache servers are in which cells, and which cell a request belongs to.
 //!
 //! Every router draws the same map from the same directives and the same list of servers, whatever the order
 //! in which it heard of them; a server that comes or goes moves as few others as can be (rendezvous hashing:
@@ -41,7 +41,7 @@
 }
 
 impl What {
-    /// An access is of this.
+    /// A request is of this.
     pub fn covers(&self, arrival: &Arrival) -> bool {
         match self {
             What::Prefix(prefix) => arrival.object.starts_with(prefix.as_str()),
@@ -180,7 +180,7 @@
         self.told.cells.is_empty()
     }
 
-    /// The cell that an access belongs to: by its object, its group, its customer, its category, in this
+    /// The cell that a request belongs to: by its object, its group, its customer, its category, in this
     /// order.
     pub fn cell_of(&self, arrival: &Arrival) -> Option<Cell> {
         let by_object = self.prefixes.iter().find(|(prefix, _)| arrival.object.starts_with(prefix.as_str()));
@@ -289,7 +289,7 @@
             }
         }
         if nowhere > 0 && self.otherwise.is_some() {
-            faults.push(format!("{nowhere} servers are in no cell, and every access belongs to one"));
+            faults.push(format!("{nowhere} servers are in no cell, and every request belongs to one"));
         }
         faults
     }
@@ -332,7 +332,7 @@
     }
 
     #[test]
-    fn an_access_belongs_by_what_says_most_of_it() {
+    fn an_request_belongs_by_what_says_most_of_it() {
         let cells = ["a", "b", "c", "d", "e"].map(|name| (name.to_owned(), Members::Shuffle(1)));
         let bind = |what, name: &str| (what, name.to_owned());
         let bindings = vec![
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -4,7 +4,7 @@
 //! objects, chosen by hash, goes to the new cell. The share doubles when what was sent there is answered from
 //! copies about as often as in the old cell, so it follows the warmth of the new cell and not the clock. Two
 //! routers at different shares break nothing: either cell may serve any of its objects, and rule 4 is kept
-//! where every send passes. An access keeps the cell that it was given when it came, for all its executions.
+//! where every send passes. A request keeps the cell that it was given when it came, for all its executions.
 
 use crate::map::Cell;
 use chalkhall::control::Judged;
@@ -56,7 +56,7 @@
 }
 
 impl Move {
-    /// `settle`: the longest that an access, or what remembers its repeats, lasts.
+    /// `settle`: the longest that a request, or what remembers its repeats, lasts.
     pub fn new(from: Cell, to: Cell, settle: Duration) -> Move {
         let (state, share, paused) = (State::Prepared, 0.0, false);
         let (seen, hits, old, record) = (0.0, 0.0, None, Judged::default());
@@ -76,7 +76,7 @@
         self.paused
     }
 
-    /// The cell of an access that comes now. For one share always the same by object; more of it goes over as
+    /// The cell of a request that comes now. For one share always the same by object; more of it goes over as
     /// the share grows and none comes back but by a roll-back.
     pub fn cell(&self, object: u64) -> Cell {
         // As many bits as a number of this kind holds: rounded up, the last objects would stay behind for
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Whether an access was honoured, and from a copy there.
+    /// Whether a request was honoured, and from a copy there.
     fn told(&mut self, now: Duration, cell: Cell, honoured: bool, hit: bool) {
         use State::*;
         if cell == self.from {
@@ -154,7 +154,7 @@
         if cell != self.to || !matches!(self.state, Warming | Shifting | Settling) {
             return;
         }
-        // A new cell that fails its accesses is no place to move to, by the same test as any server.
+        // A new cell that fails its requests is no place to move to, by the same test as any server.
         self.record.judge(now, !honoured, 1.0);
         if self.record.is_aside() {
             return self.stand(RolledBack, 0.0);
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -57,7 +57,7 @@
     /// Peers: what a live router tells its mates, and hears
     #[command(subcommand)]
     Peers(Peers),
-    /// Regions: how a live router's location and the others are, and where its accesses go
+    /// Regions: how a live router's location and the others are, and where its requests go
     #[command(subcommand)]
     Regions(Regions),
     /// Cells: what a map makes of a list of servers, before a router takes it over
--- a/crates/cli/src/bin/proof-regions/main.rs
+++ b/crates/cli/src/bin/proof-regions/main.rs
@@ -9,7 +9,7 @@
 use clap::Parser;
 use std::process::ExitCode;
 
-/// Proves where accesses go when places are down, over 160 processes
+/// Proves where requests go when places are down, over 160 processes
 #[derive(Parser)]
 struct Arguments {
     /// Any seed must hold
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -1,10 +1,10 @@
-//! Days of accesses through the real decisions and the real store, on a disk in memory, beside two baselines
+//! Days of requests through the real decisions and the real store, on a disk in memory, beside two baselines
 //! with the same bytes. Simulated: time is counted, and a fill takes none.
 //!
 //! Popularity falls off as a power (Breslau and others, "Web caching and Zipf-like distributions", INFOCOM
 //! 1999) and moves on slowly; two thirds of the objects are pages of one part, one third clips of 8 to 20
 //! parts that are asked for one after another; one start in twenty is for something that nobody asks for
-//! again. On a day with a scan, in its middle third, half as many accesses again are for large parts that are
+//! again. On a day with a scan, in its middle third, half as many requests again are for large parts that are
 //! wanted once.
 
 use bytes::Bytes;
@@ -21,8 +21,8 @@
 
 const OBJECTS: usize = 3000;
 const EXPONENT: f64 = 0.95;
-const ACCESSES: usize = 160_000;
-/// Accesses from this share of the day on count; the scan lasts from one share to another.
+const REQUESTS: usize = 160_000;
+/// Requests from this share of the day on count; the scan lasts from one share to another.
 const WARM: f64 = 0.4;
 const SCAN: [f64; 2] = [0.45, 0.75];
 const MEMORY: u64 = 3 << 20;
@@ -33,7 +33,7 @@
 const ONCE: u64 = 1 << 40;
 const SCANNED: u64 = 1 << 41;
 
-/// Shares from 0 to 1: of useful accesses, and of all bytes, that were answered from own copies.
+/// Shares from 0 to 1: of useful requests, and of all bytes, that were answered from own copies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rates {
     pub useful: f64,
@@ -50,13 +50,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Access {
+struct Request {
     object: u64,
     part: u64,
     bytes: usize,
 }
 
-impl Access {
+impl Request {
     fn is_useful(self) -> bool {
         self.object < ONCE
     }
@@ -76,8 +76,8 @@
     (least + (most - least) * draw(object, 3).powi(2)) as usize
 }
 
-/// The day's accesses in their order. Useful ones are the same with a scan and without.
-fn accesses(seed: u64, scan: bool) -> Vec<Access> {
+/// The day's requests in their order. Useful ones are the same with a scan and without.
+fn requests(seed: u64, scan: bool) -> Vec<Request> {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut scanner = fastrand::Rng::with_seed(seed ^ 0x5ca9);
     let weights: Vec<f64> = (1..=OBJECTS).map(|rank| (rank as f64).powf(-EXPONENT)).collect();
@@ -94,7 +94,7 @@
     let mut playing: Vec<(u64, u64, u64)> = Vec::new();
     let mut day = Vec::new();
     let mut useful = 0;
-    while useful < ACCESSES {
+    while useful < REQUESTS {
         if useful % 200 == 0 {
             ranked[chance.usize(..OBJECTS)] = next;
             next += 1;
@@ -115,11 +115,11 @@
         if part + 1 < parts && chance.u8(..12) != 0 {
             playing.push((object, part + 1, parts));
         }
-        day.push(Access { object, part, bytes: bytes_of(object, parts) });
-        let share = useful as f64 / ACCESSES as f64;
+        day.push(Request { object, part, bytes: bytes_of(object, parts) });
+        let share = useful as f64 / REQUESTS as f64;
         if scan && (SCAN[0]..SCAN[1]).contains(&share) && scanner.bool() {
             let object = SCANNED + day.len() as u64;
-            day.push(Access { object, part: 0, bytes: 60_000 + scanner.usize(..60_000) });
+            day.push(Request { object, part: 0, bytes: 60_000 + scanner.usize(..60_000) });
         }
         useful += 1;
     }
@@ -133,13 +133,13 @@
 }
 
 impl Tally {
-    fn note(&mut self, access: Access, hit: bool) {
-        if access.is_useful() {
+    fn note(&mut self, request: Request, hit: bool) {
+        if request.is_useful() {
             self.useful.0 += u64::from(hit);
             self.useful.1 += 1;
         }
-        self.bytes.0 += if hit { access.bytes as u64 } else { 0 };
-        self.bytes.1 += access.bytes as u64;
+        self.bytes.0 += if hit { request.bytes as u64 } else { 0 };
+        self.bytes.1 += request.bytes as u64;
     }
 
     fn rates(&self) -> Rates {
@@ -152,17 +152,17 @@
     format!("{object:016x}")
 }
 
-fn copy_of(access: Access, made: u64, body: &Bytes) -> Copy {
+fn copy_of(request: Request, made: u64, body: &Bytes) -> Copy {
     Copy {
-        object: name(access.object).into(),
-        part: access.part,
+        object: name(request.object).into(),
+        part: request.part,
         group: 0,
         category: Bytes::from_static(b"clip"),
         made,
-        kb: access.bytes as f64 / 1000.0,
+        kb: request.bytes as f64 / 1000.0,
         in_parts: true,
         tag: Bytes::from_static(b"4be0c1927d55a6f3"),
-        body: body.slice(..access.bytes),
+        body: body.slice(..request.bytes),
         ..Copy::default()
     }
 }
@@ -183,7 +183,7 @@
 struct World {
     driver: Driver,
     body: Bytes,
-    access: Access,
+    request: Request,
     executed: usize,
     ends: VecDeque<(usize, Outcome, Remark)>,
     wakes: Vec<(Duration, u64)>,
@@ -192,11 +192,11 @@
 }
 
 impl Outlet for World {
-    fn execute(&mut self, _access: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
+    fn execute(&mut self, _request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         let own = server.starts_with('m');
         let found = own.then(|| {
-            let object = name(self.access.object);
-            let part = Part { object: object.as_bytes(), part: self.access.part, group: 0 };
+            let object = name(self.request.object);
+            let part = Part { object: object.as_bytes(), part: self.request.part, group: 0 };
             self.driver.get(part).is_some()
         });
         let (outcome, remark) = match found {
@@ -208,33 +208,33 @@
         self.ends.push_back((self.executed, outcome, remark));
         self.executed += 1;
     }
-    fn decline(&mut self, _access: &Id, _advice: Option<Duration>) {
+    fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {
         self.ended = true;
     }
-    fn give_up(&mut self, _access: &Id) {
+    fn give_up(&mut self, _request: &Id) {
         self.ended = true;
     }
-    fn cancel(&mut self, _access: &Id, _execution: usize) {}
+    fn cancel(&mut self, _request: &Id, _execution: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.push((at, mark));
     }
     fn watch_list(&mut self) {}
-    fn held(&mut self, _access: &Id) -> Option<Held> {
-        let object = name(self.access.object);
-        let part = Part { object: object.as_bytes(), part: self.access.part, group: 0 };
+    fn held(&mut self, _request: &Id) -> Option<Held> {
+        let object = name(self.request.object);
+        let part = Part { object: object.as_bytes(), part: self.request.part, group: 0 };
         let found = self.driver.store.find(part, None)?;
         let age = Duration::from_millis(self.driver.unix_ms() - found.made);
         let place = if found.place == Place::Memory { "m1" } else { "m2" };
         Some(Held { place: place.into(), made: self.driver.now - age, same: false })
     }
-    fn keep(&mut self, _access: &Id, rank: u8) {
+    fn keep(&mut self, _request: &Id, rank: u8) {
         if self.hit {
-            let object = name(self.access.object);
+            let object = name(self.request.object);
             self.driver
                 .store
-                .rank(Part { object: object.as_bytes(), part: self.access.part, group: 0 }, rank);
+                .rank(Part { object: object.as_bytes(), part: self.request.part, group: 0 }, rank);
         } else {
-            let copy = copy_of(self.access, self.driver.unix_ms(), &self.body);
+            let copy = copy_of(self.request, self.driver.unix_ms(), &self.body);
             self.driver.keep(copy, rank);
         }
     }
@@ -288,46 +288,46 @@
     }
 }
 
-fn own(day: &[Access], body: &Bytes) -> (Rates, f64, f64) {
+fn own(day: &[Request], body: &Bytes) -> (Rates, f64, f64) {
     let driver = Driver::start(Arc::new(Disk::new()), MEMORY, wanted(false), START);
-    let access = day[0];
+    let request = day[0];
     let (ends, wakes, body) = (VecDeque::new(), Vec::new(), body.clone());
-    let mut world = World { driver, body, access, executed: 0, ends, wakes, hit: false, ended: false };
+    let mut world = World { driver, body, request, executed: 0, ends, wakes, hit: false, ended: false };
     let mut router = Router::start(world.driver.now, &deployment(), &mut world);
     router.list(world.driver.now, ListKind::Whole, &members(), &mut world);
     let mut tally = Tally::default();
-    for (n, access) in day.iter().enumerate() {
+    for (n, request) in day.iter().enumerate() {
         world.driver.now += STEP;
         let now = world.driver.now;
         if n % 10 == 0 {
             world.driver.store.tick(now, &mut world.driver.orders);
             world.driver.settle();
         }
-        (world.access, world.executed, world.hit, world.ended) = (*access, 0, false, false);
+        (world.request, world.executed, world.hit, world.ended) = (*request, 0, false, false);
         let id: Id = n.to_string().into();
         let arrival = Arrival {
             id: id.clone(),
-            object: name(access.object).into(),
-            part: access.part,
-            kb: access.bytes as f64 / 1000.0,
+            object: name(request.object).into(),
+            part: request.part,
+            kb: request.bytes as f64 / 1000.0,
             left: Duration::from_secs(5),
             ..Arrival::default()
         };
-        router.access(now, arrival, &mut world);
+        router.request(now, arrival, &mut world);
         while let Some((execution, outcome, remark)) = world.ends.pop_front() {
             // What it costs to fetch an object: its source is near or far.
-            let wait = Duration::from_secs_f64(0.01 + 0.05 * draw(access.object, 4));
+            let wait = Duration::from_secs_f64(0.01 + 0.05 * draw(request.object, 4));
             let first_byte = (remark == Remark::Filled).then_some(wait);
             let over = outcome == Outcome::Honoured;
             let took = Duration::from_millis(1);
             let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
             router.result(now, &id, execution, &ended, &mut world);
         }
-        assert!(!world.ended, "an access was declined");
-        // Timers are of accesses long over: what they would do is nothing.
+        assert!(!world.ended, "a request was declined");
+        // Timers are of requests long over: what they would do is nothing.
         world.wakes.clear();
         if n as f64 >= WARM * day.len() as f64 {
-            tally.note(*access, world.hit);
+            tally.note(*request, world.hit);
         }
     }
     let disk = world.driver.store.disk().expect("it has a disk");
@@ -337,55 +337,55 @@
 }
 
 /// All that comes is kept, at one rank, in the same store.
-fn all(day: &[Access], body: &Bytes) -> Rates {
+fn all(day: &[Request], body: &Bytes) -> Rates {
     let mut driver = Driver::start(Arc::new(Disk::new()), MEMORY, wanted(true), START);
     let mut tally = Tally::default();
-    for (n, access) in day.iter().enumerate() {
+    for (n, request) in day.iter().enumerate() {
         driver.now += STEP;
         if n % 10 == 0 {
             driver.store.tick(driver.now, &mut driver.orders);
             driver.settle();
         }
-        let object = name(access.object);
-        let hit = driver.get(Part { object: object.as_bytes(), part: access.part, group: 0 }).is_some();
+        let object = name(request.object);
+        let hit = driver.get(Part { object: object.as_bytes(), part: request.part, group: 0 }).is_some();
         if !hit {
-            let copy = copy_of(*access, driver.unix_ms(), body);
+            let copy = copy_of(*request, driver.unix_ms(), body);
             driver.keep(copy, 1);
         }
         if n as f64 >= WARM * day.len() as f64 {
-            tally.note(*access, hit);
+            tally.note(*request, hit);
         }
     }
     tally.rates()
 }
 
 /// Least recently used, by bodies alone: no overhead is counted against it.
-fn lru(day: &[Access]) -> Rates {
+fn lru(day: &[Request]) -> Rates {
     let mut held: LruCache<(u64, u64), usize> = LruCache::unbounded();
     let (mut bytes, mut tally) = (0, Tally::default());
-    for (n, access) in day.iter().enumerate() {
-        let key = (access.object, access.part);
+    for (n, request) in day.iter().enumerate() {
+        let key = (request.object, request.part);
         let hit = held.get(&key).is_some();
         if !hit {
-            held.put(key, access.bytes);
-            bytes += access.bytes;
+            held.put(key, request.bytes);
+            bytes += request.bytes;
             while bytes as u64 > MEMORY + DISK {
                 bytes -= held.pop_lru().map_or(0, |(_, gone)| gone);
             }
         }
         if n as f64 >= WARM * day.len() as f64 {
-            tally.note(*access, hit);
+            tally.note(*request, hit);
         }
     }
     tally.rates()
 }
 
 pub fn play(seed: u64, scan: bool) -> Played {
-    let day = accesses(seed, scan);
+    let day = requests(seed, scan);
     let distinct: HashMap<(u64, u64), usize> = day.iter().map(|a| ((a.object, a.part), a.bytes)).collect();
     let all_bytes: usize = distinct.values().sum();
     println!(
-        "day {}: {} accesses, {} parts, {} MB",
+        "day {}: {} requests, {} parts, {} MB",
         if scan { "with a scan" } else { "without" },
         day.len(),
         distinct.len(),
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -150,7 +150,7 @@
     Ok(median(ratios))
 }
 
-/// What an access goes through, with its answer from memory: the decisions, and the store.
+/// What a request goes through, with its answer from memory: the decisions, and the store.
 struct Desk {
     router: Option<Router>,
     rig: Rig,
@@ -169,8 +169,8 @@
         desk
     }
 
-    /// One access, from its coming to its end.
-    fn access(&mut self, n: u64, piece: Piece, name: &Bytes) -> Result<Duration, String> {
+    /// One request, from its coming to its end.
+    fn request(&mut self, n: u64, piece: Piece, name: &Bytes) -> Result<Duration, String> {
         let id: Id = n.to_string().into();
         let object = std::str::from_utf8(name).map_err(|e| e.to_string())?;
         let (kb, left) = (2.0, Duration::from_secs(5));
@@ -186,7 +186,7 @@
         let mut router = self.router.take().ok_or("no decisions")?;
         let begun = Instant::now();
         let now = self.rig.now();
-        router.access(now, arrival, self);
+        router.request(now, arrival, self);
         let (outcome, remark, over) = (Outcome::Honoured, Remark::Hit, true);
         let (took, load) = (Duration::ZERO, Load::default());
         router.result(now, &id, 0, &Ended { outcome, remark, took, first_byte: None, over, load }, self);
@@ -201,32 +201,32 @@
 }
 
 impl Outlet for Desk {
-    fn execute(&mut self, _access: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
+    fn execute(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
         let now = self.rig.now();
         let part = Part { object: &self.name, part: 0, group: 0 };
         self.got = self.rig.store.take(now, part);
     }
-    fn decline(&mut self, _access: &Id, _advice: Option<Duration>) {}
-    fn give_up(&mut self, _access: &Id) {}
-    fn cancel(&mut self, _access: &Id, _execution: usize) {}
+    fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn give_up(&mut self, _request: &Id) {}
+    fn cancel(&mut self, _request: &Id, _execution: usize) {}
     fn wake_at(&mut self, _at: Duration, mark: u64) {
         self.wakes.push(mark);
     }
     fn watch_list(&mut self) {}
-    fn held(&mut self, _access: &Id) -> Option<Held> {
+    fn held(&mut self, _request: &Id) -> Option<Held> {
         let part = Part { object: &self.name, part: 0, group: 0 };
         let found = self.rig.store.find(part, None)?;
         // Made long ago: nothing expires here.
         Some(Held { place: "m1".into(), made: Duration::ZERO, same: false })
             .filter(|_| found.place == Place::Memory)
     }
-    fn keep(&mut self, _access: &Id, rank: u8) {
+    fn keep(&mut self, _request: &Id, rank: u8) {
         let name = self.name.clone();
         self.rig.store.rank(Part { object: &name, part: 0, group: 0 }, rank);
     }
 }
 
-/// The 99th percentile of accesses answered from memory while the disk hangs with all its mailboxes full,
+/// The 99th percentile of requests answered from memory while the disk hangs with all its mailboxes full,
 /// over the same with no disk: the median of many rounds, each one beside the other, over stores made anew:
 /// where a table happens to lie in memory makes a tenth of difference.
 pub fn hung_ratio(seed: u64) -> Result<f64, String> {
@@ -276,7 +276,7 @@
                     desk.rig.turn();
                 }
                 count += 1;
-                let took = desk.access(count, pieces[at], &names[at])?;
+                let took = desk.request(count, pieces[at], &names[at])?;
                 times.record(took.as_nanos() as u64).map_err(|e| e.to_string())?;
             }
             p99[which] = times.value_at_quantile(0.99) as f64;
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// What an access for a part is answered with.
+    /// What a request for a part is answered with.
     pub fn get(&mut self, part: Part) -> Option<Rc<Copy>> {
         match self.store.find(part, None)?.place {
             Place::Memory => self.store.take(self.now(), part),
--- a/crates/directives/src/words.rs
+++ b/crates/directives/src/words.rs
@@ -24,7 +24,7 @@
     pub in_common: bool,
     /// Measures the ways to other locations' caches.
     pub measure: bool,
-    /// Accesses may go to other locations' caches when their own are down.
+    /// Requests may go to other locations' caches when their own are down.
     pub abroad: bool,
     /// Names of regions, and the locations of each.
     pub regions: Vec<(String, Vec<String>)>,
@@ -68,7 +68,7 @@
     pub moves: Vec<(Bound, String)>,
     pub otherwise: Option<String>,
     pub overlap: Option<usize>,
-    /// Accesses a second of one tenant, and how many at once.
+    /// Requests a second of one tenant, and how many at once.
     pub tenant: Option<(f64, f64)>,
 }
 
@@ -424,7 +424,7 @@
             "regions",
             "in-common",
             "on|off",
-            "decides with all routers where accesses go when a place is down",
+            "decides with all routers where requests go when a place is down",
             |told, words| {
                 told.regions.in_common = on_or_off(words[0])?;
                 Ok(())
@@ -444,7 +444,7 @@
             "regions",
             "abroad",
             "on|off",
-            "with in-common: accesses may go to other locations' caches",
+            "with in-common: requests may go to other locations' caches",
             |told, words| {
                 told.regions.abroad = on_or_off(words[0])?;
                 Ok(())
@@ -496,7 +496,7 @@
             takes: "RATE BURST",
             count: 2..=2,
             many: false,
-            says: "accesses a second of one tenant, and how many at once",
+            says: "requests a second of one tenant, and how many at once",
             set: |told, words| {
                 let rate = at(0, values::whole(words[0], 1, 1_000_000))? as f64;
                 told.cells.tenant = Some((rate, at(1, values::whole(words[1], 1, 1_000_000))? as f64));
--- a/crates/fleet/src/even.rs
+++ b/crates/fleet/src/even.rs
@@ -13,7 +13,7 @@
 //! | `swing` | servers that went from over 1.5 x the mean to under 0.5 x and back within 5 s |
 //! | `herd` | after an event: the most routers that send next to one server, over that of the hash |
 //!
-//! Windows in which a location was sent less than [`LEAST`] accesses a server say nothing and are left out:
+//! Windows in which a location was sent less than [`LEAST`] requests a server say nothing and are left out:
 //! of a handful, chance alone makes one the busiest by far.
 
 use crate::copies::Key;
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Accesses a server, on average, from which a window counts.
+/// Requests a server, on average, from which a window counts.
 const LEAST: f64 = 8.0;
 
 /// A cache as the list and the truth have it: its location, when it is there, and what it can do by time.
@@ -81,7 +81,7 @@
     pub windows: usize,
 }
 
-/// Loads by location and window: server, work over capacity, and how many accesses.
+/// Loads by location and window: server, work over capacity, and how many requests.
 type Windows = BTreeMap<(usize, u64), Vec<(usize, f64, usize)>>;
 
 fn windows(sent: &[Sent], places: &[Place], from: Duration, to: Duration, width: Duration) -> Windows {
@@ -167,8 +167,8 @@
     by_server.values().filter(|turns| back(turns)).count()
 }
 
-/// Over the routers of the location, the largest share whose first access after `at`, within a second, went
-/// to the same server; over the same for where the hash would have sent those accesses. None: hardly anybody
+/// Over the routers of the location, the largest share whose first request after `at`, within a second, went
+/// to the same server; over the same for where the hash would have sent those requests. None: hardly anybody
 /// sent.
 pub fn herd(sent: &[Sent], places: &[Place], location: usize, at: Duration) -> Option<f64> {
     let until = at + Duration::from_secs(1);
@@ -210,7 +210,7 @@
     SeesAll,
 }
 
-/// The same accesses, sent where a rule sends them. An access counts as under way for its work's time.
+/// The same requests, sent where a rule sends them. A request counts as under way for its work's time.
 pub fn deal(sent: &[Sent], places: &[Place], rule: Rule, from: Duration, width: Duration) -> Vec<Sent> {
     let mut out: HashMap<(usize, usize), VecDeque<Duration>> = HashMap::new();
     // What each server of a location was given in this window, and what the location is asked for in all of
@@ -283,7 +283,7 @@
         (0..count).map(place).collect()
     }
 
-    /// So many accesses a second for ten seconds, each to the server that a rule names.
+    /// So many requests a second for ten seconds, each to the server that a rule names.
     fn sent(rate: usize, to: impl Fn(usize) -> usize) -> Vec<Sent> {
         let one = |n: usize| Sent {
             at: Duration::from_secs_f64(n as f64 / rate as f64),
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/places.rs
@@ -1,11 +1,11 @@
-//! What became of each location's accesses: served, and where; measured from outside on what was truly sent.
+//! What became of each location's requests: served, and where; measured from outside on what was truly sent.
 //!
 //! | figure | what |
 //! | --- | --- |
 //! | `lost_service` | of what lost locations asked for, earned: from the loss until 5 s after the return |
 //! | `lost_limit` | the same for one that sees all: what home and others' true room could serve |
-//! | `plan_s` | from a loss until four in five of its accesses at caches go to other locations, the worst |
-//! | `needless` | share of accesses that left a location whose caches were all there and warm |
+//! | `plan_s` | from a loss until four in five of its requests at caches go to other locations, the worst |
+//! | `needless` | share of requests that left a location whose caches were all there and warm |
 //! | `toppled` | seconds in which a location not lost earned under half of what it asked for |
 
 use crate::even::Place;
@@ -16,17 +16,17 @@
 
 /// After a return, this long is counted in.
 const AFTER: Duration = Duration::from_secs(5);
-/// From here on accesses count as going elsewhere, and over this span.
+/// From here on requests count as going elsewhere, and over this span.
 const ELSEWHERE: f64 = 0.8;
 const WINDOW: Duration = Duration::from_millis(300);
-/// Accesses in a window that say something.
+/// Requests in a window that say something.
 const LEAST: usize = 5;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Places {
     pub lost_service: f64,
     pub lost_limit: f64,
-    /// None: no location was lost, or its accesses never went elsewhere.
+    /// None: no location was lost, or its requests never went elsewhere.
     pub plan: Option<Duration>,
     pub abroad: f64,
     pub needless: f64,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Share of a location's accesses that what is there could serve: its own caches, and of others' what they
+/// Share of a location's requests that what is there could serve: its own caches, and of others' what they
 /// have over their own clients' work, divided among all that are lost.
 fn seen_by_one_that_sees_all(
     play: &Play,
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -161,7 +161,7 @@
     pub lasts: Duration,
     /// What is measured begins after this.
     pub lead: Duration,
-    /// Accesses a second, over all.
+    /// Requests a second, over all.
     pub rate: f64,
     /// The busiest router's rate over the mean.
     pub uneven: f64,
@@ -170,7 +170,7 @@
     pub popularity: f64,
     /// Mean KB of an object; sizes are drawn from an exponential, bounded at six times.
     pub kb: f64,
-    /// Share of accesses that must not run twice.
+    /// Share of requests that must not run twice.
     pub writes: f64,
     pub patience: Duration,
     pub soft: Duration,
@@ -191,9 +191,9 @@
     pub swing: Option<f64>,
     /// Of what the locations that were lost asked for, from then until five seconds after their return.
     pub lost_service: Option<f64>,
-    /// From a location's loss until four in five of its accesses go elsewhere.
+    /// From a location's loss until four in five of its requests go elsewhere.
     pub plan: Option<Duration>,
-    /// Share of accesses that left their location without need.
+    /// Share of requests that left their location without need.
     pub needless: Option<f64>,
     /// When the last fault is over, what is measured again begins after this.
     pub after: Option<Duration>,
@@ -535,7 +535,7 @@
             p.work.lead = at(0, values::span(w[0]))?;
             Ok(())
         }),
-        one("work", "rate", "NUMBER", "accesses a second over all", |p, w| {
+        one("work", "rate", "NUMBER", "requests a second over all", |p, w| {
             p.work.rate = number(w[0], 1.0, 50_000.0)?;
             Ok(())
         }),
@@ -555,7 +555,7 @@
             p.work.kb = number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
-        one("work", "writes", "SHARE", "of accesses that must not run twice", |p, w| {
+        one("work", "writes", "SHARE", "of requests that must not run twice", |p, w| {
             p.work.writes = at(0, values::share(w[0]))?;
             Ok(())
         }),
@@ -622,11 +622,11 @@
             p.must.lost_service = Some(at(0, values::share(w[0]))?);
             Ok(())
         }),
-        one("must", "plan", "SPAN", "from a loss until accesses go elsewhere, at most", |p, w| {
+        one("must", "plan", "SPAN", "from a loss until requests go elsewhere, at most", |p, w| {
             p.must.plan = Some(at(0, values::span(w[0]))?);
             Ok(())
         }),
-        one("must", "needless", "SHARE", "of accesses that left without need, at most", |p, w| {
+        one("must", "needless", "SHARE", "of requests that left without need, at most", |p, w| {
             p.must.needless = Some(at(0, values::share(w[0]))?);
             Ok(())
         }),
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -216,7 +216,7 @@
     let _ = write!(page, "<h1>{}</h1><p>{}</p>", escaped(name), escaped(&verdict));
     let _ = write!(
         page,
-        "<p>{} routers, {} servers, {} accesses a second for {:?}, seed {}.</p><table>",
+        "<p>{} routers, {} servers, {} requests a second for {:?}, seed {}.</p><table>",
         shown.routers, shown.servers, play.work.rate, play.work.lasts, shown.seed
     );
     for (name, value) in figures(shown) {
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -51,7 +51,7 @@
     pub progress: bool,
 }
 
-/// What came of an access, second by second.
+/// What came of a request, second by second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
     pub asked: f64,
@@ -92,7 +92,7 @@
     pub events: Vec<(Duration, String)>,
     pub retries: u64,
     pub measured_from: Duration,
-    /// What became of the locations' accesses.
+    /// What became of the locations' requests.
     pub of_places: Places,
     /// From the first router's start to the end.
     pub lasted: Duration,
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the five rules and that every access has one end, over all routers together, by what the world
+//! Watches the five rules and that every request has one end, over all routers together, by what the world
 //! around them knows. It decides nothing and stops nothing: it counts, and keeps the first breaks in words.
 //!
 //! Clocks: a break counts from when a message was read here, which on a busy machine may be a while after it
@@ -16,7 +16,7 @@
 /// So many breaks are told in words.
 const WORDS_MOST: usize = 12;
 
-/// An access as the clients' side knows it.
+/// A request as the clients' side knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct Life {
     pub router: usize,
@@ -37,7 +37,7 @@
     }
 }
 
-/// How an access ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Final {
     /// With a copy of that key which the origin gave out at that Unix millisecond.
@@ -64,7 +64,7 @@
     pub cold: u64,
     /// Rule 5: answered from a copy older than a purge allows.
     pub stale: u64,
-    /// An execution of no access that there is.
+    /// An execution of no request that there is.
     pub strange: u64,
 }
 
@@ -137,7 +137,7 @@
         Some(router)
     }
 
-    /// The effect of an access has taken place.
+    /// The effect of a request has taken place.
     pub fn runs(&mut self, now: Duration, id: u64) {
         let Some(life) = self.lives.get_mut(&id) else { return };
         life.runs += 1;
@@ -241,7 +241,7 @@
 
     const KEY: Key = (7, 0);
 
-    /// One access through a router that does all that it owes, but for what a test takes away.
+    /// One request through a router that does all that it owes, but for what a test takes away.
     fn sound() -> Watch {
         let mut watch = Watch::default();
         watch.begins(1, Life::new(3, true, KEY, ms(1000), ms(2000)));
--- a/crates/members/src/codec.rs
+++ b/crates/members/src/codec.rs
@@ -17,7 +17,7 @@
 //! | 1 | 0xC2: this format |
 //! | 1 | 0 |
 //! | 2 | the sender's location |
-//! | 4 each | loads, to the end: 1 byte of a cache's mark, 2 of work sent in ms, 1 of how many accesses |
+//! | 4 each | loads, to the end: 1 byte of a cache's mark, 2 of work sent in ms, 1 of how many requests |
 
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/members/src/lean.rs
+++ b/crates/members/src/lean.rs
@@ -23,7 +23,7 @@
 pub const GAIN: f64 = 0.08;
 /// A weight is at most this multiple of the capacity, and at least one through it.
 pub const MOST: f64 = 2.0;
-/// Accesses remembered a cache, of all that are heard, from which anything is concluded.
+/// Requests remembered a cache, of all that are heard, from which anything is concluded.
 const LEAST_SEEN: f64 = 10.0;
 
 /// Takes the weights.
@@ -36,7 +36,7 @@
 struct Cache {
     name: Id,
     capacity: f64,
-    /// Work remembered, in seconds at a client's pace, and how many accesses it was.
+    /// Work remembered, in seconds at a client's pace, and how many requests it was.
     work: f64,
     seen: f64,
     by: f64,
@@ -46,7 +46,7 @@
 pub struct Lean {
     /// By mark; none where two caches have the same: those keep their own weights.
     caches: BTreeMap<u8, Option<Cache>>,
-    /// Sent by this router since the last period: work and accesses.
+    /// Sent by this router since the last period: work and requests.
     sent: BTreeMap<u8, (f64, f64)>,
 }
 
--- a/crates/members/tests/play.rs
+++ b/crates/members/tests/play.rs
@@ -23,7 +23,7 @@
     assert!(hits(&talking) > hits(&alone), "{:.3} hits after {:.3}", hits(&talking), hits(&alone));
     assert!(
         share(talking.bytes, talking.asked) < 64.0,
-        "{} bytes an access",
+        "{} bytes a request",
         share(talking.bytes, talking.asked)
     );
     assert_eq!(alone.bytes, 0);
@@ -57,7 +57,7 @@
     let day =
         Day { seed: seed(), talk: true, killed: true, hot: true, lost: 0.3, spoilt: true, ..Day::default() };
     let seen = World::play(day);
-    // That every access of a living router is answered once, in its time, is watched on the way.
+    // That every request of a living router is answered once, in its time, is watched on the way.
     assert!(seen.strangers > 0, "no forged datagram came");
     let whole = World::play(Day { killed: false, lost: 0.0, spoilt: false, ..day });
     let (served, before) = (share(seen.in_time, seen.asked), share(whole.in_time, whole.asked));
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -35,7 +35,7 @@
     /// Seven in ten routers die at 6 s and start anew at 8 s; from 5 to 7 s a cache in four takes and never
     /// answers.
     pub killed: bool,
-    /// One access in seven is for the latest part of one film, four of which come a second.
+    /// One request in seven is for the latest part of one film, four of which come a second.
     pub hot: bool,
     /// Every cache that is the first of its location takes four times as long, and says nothing of it.
     pub slow: bool,
@@ -47,7 +47,7 @@
     pub in_time: usize,
     pub declined: usize,
     pub fills: usize,
-    /// Accesses that were honoured by what a cache had.
+    /// Requests that were honoured by what a cache had.
     pub hits: usize,
     pub by_parent: BTreeMap<String, usize>,
     pub by_first: usize,
@@ -62,7 +62,7 @@
     End {
         router: usize,
         life: u32,
-        access: Id,
+        request: Id,
         execution: usize,
         hit: bool,
         ends: [Option<Id>; 2],
@@ -93,17 +93,17 @@
 }
 
 impl Outlet for Orders {
-    fn execute(&mut self, access: &Id, server: &Id, _limit: Duration, fill: &Fill) {
-        self.executions.push((access.clone(), server.clone(), fill.clone()));
+    fn execute(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
+        self.executions.push((request.clone(), server.clone(), fill.clone()));
     }
-    fn decline(&mut self, access: &Id, _advice: Option<Duration>) {
-        self.answers.push((access.clone(), true));
+    fn decline(&mut self, request: &Id, _advice: Option<Duration>) {
+        self.answers.push((request.clone(), true));
     }
-    fn give_up(&mut self, access: &Id) {
-        self.answers.push((access.clone(), false));
+    fn give_up(&mut self, request: &Id) {
+        self.answers.push((request.clone(), false));
     }
-    fn cancel(&mut self, access: &Id, execution: usize) {
-        self.cancels.push((access.clone(), execution));
+    fn cancel(&mut self, request: &Id, execution: usize) {
+        self.cancels.push((request.clone(), execution));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.push((at, mark));
@@ -123,7 +123,7 @@
     }
 }
 
-/// An access that a living router has taken: when it came, its soft limit and its own time.
+/// A request that a living router has taken: when it came, its soft limit and its own time.
 struct Taken {
     arrival: Arrival,
     key: u64,
@@ -267,7 +267,7 @@
             self.nodes[number].talk.iter_mut().for_each(|talk| talk.found(part, &cache));
         }
         for (id, declined) in orders.answers {
-            let taken = self.nodes[number].taken.get_mut(&id).expect("an access that was taken");
+            let taken = self.nodes[number].taken.get_mut(&id).expect("a request that was taken");
             assert!(std::mem::replace(&mut taken.open, false), "a second answer for {id}");
             self.seen.declined += usize::from(declined);
         }
@@ -285,7 +285,7 @@
     }
 
     fn execute(&mut self, number: usize, id: Id, server: Id, fill: Fill) {
-        let taken = self.nodes[number].taken.get_mut(&id).expect("an access that was taken");
+        let taken = self.nodes[number].taken.get_mut(&id).expect("a request that was taken");
         assert!(taken.executions.iter().all(Option::is_none), "two executions of {id} at once");
         taken.executions.push(Some(self.now));
         let (execution, key) = (taken.executions.len() - 1, taken.key);
@@ -313,7 +313,7 @@
         let mute = self.day.killed && (ms(5000)..ms(7000)).contains(&self.now) && server.ends_with("-1");
         // What a mute cache says reaches nobody: no life has this number.
         let life = if mute && server.starts_with("cache") { u32::MAX } else { life };
-        self.later(took, Event::End { router: number, life, access: id, execution, hit, ends, keep });
+        self.later(took, Event::End { router: number, life, request: id, execution, hit, ends, keep });
     }
 
     fn ended(
@@ -362,7 +362,7 @@
         let life = self.nodes[number].life;
         self.nodes[number].taken.insert(id.clone(), taken);
         self.later(left, Event::Due(number, life, id));
-        self.call(number, |router, now, orders| router.access(now, arrival, orders));
+        self.call(number, |router, now, orders| router.request(now, arrival, orders));
     }
 
     fn tick(&mut self, number: usize) {
@@ -422,7 +422,7 @@
                         world.call(number, |router, now, orders| router.wake(now, mark, orders));
                     }
                 }
-                Event::End { router, life, access, execution, hit, ends, keep } => {
+                Event::End { router, life, request, execution, hit, ends, keep } => {
                     for end in ends.iter().flatten() {
                         world.servers.get_mut(end).expect("listed").busy -= 1;
                     }
@@ -431,12 +431,12 @@
                     }
                     let node = &mut world.nodes[router];
                     let out =
-                        node.taken.get_mut(&access).and_then(|taken| taken.executions.get_mut(execution));
+                        node.taken.get_mut(&request).and_then(|taken| taken.executions.get_mut(execution));
                     if node.life == life
                         && let Some(sent) = out.and_then(Option::take)
                     {
                         let remark = if hit { Remark::Hit } else { Remark::Filled };
-                        world.ended(router, &access, execution, Outcome::Honoured, remark, at - sent);
+                        world.ended(router, &request, execution, Outcome::Honoured, remark, at - sent);
                     }
                 }
                 Event::Due(number, life, id) => {
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -1,11 +1,11 @@
-//! The plan of a location, and where an access goes by it.
+//! The plan of a location, and where a request goes by it.
 //!
 //! **Who decides.** The router with the least number of those of the location that gave a sign of life lately
 //! speaks for it: it works out who takes what and tells the plan under a number that only grows. All others
 //! act on the plan with the greatest number that is younger than [`PLAN_LASTS`]; where there is none, all
 //! stays at home, as ever. A speaker that dies is followed by the next, which goes on from the plan that it
 //! acted on. In a split each half has its own speaker and decides for what it reaches: no safety hangs on
-//! there being one, since a plan only says among whom to draw, for accesses that may run anywhere.
+//! there being one, since a plan only says among whom to draw, for requests that may run anywhere.
 //!
 //! **When.** The location's caches are held for bad by pooled outcomes ([`Health`]), or the operator drains
 //! it, or they are cold and take less than is asked for. Where more than half of the locations that are
@@ -16,7 +16,7 @@
 //! so that together they do not topple it. In the order of the ways from here, by rate-limited steps
 //! (`chalkhall_latency::steer`).
 //!
-//! **Way back.** Once words come back from it again a few accesses try home ([`TRIAL`]); the evidence for
+//! **Way back.** Once words come back from it again a few requests try home ([`TRIAL`]); the evidence for
 //! good needs more than that for bad, and what goes home at first is what its cold caches bear.
 
 use crate::evidence::{Counted, Health};
@@ -47,23 +47,23 @@
 /// Own words are told so often, and at once when the place turns bad or good.
 const TELL_EVERY: Duration = Duration::from_millis(500);
 const TURN_EVERY: Duration = Duration::from_millis(250);
-/// Share of its capacity up to which a location takes others' accesses.
+/// Share of its capacity up to which a location takes others' requests.
 const FULL: f64 = 0.85;
 /// A plan in which no share moves by more than this is the same.
 const MOVED: f64 = 0.01;
 /// One in which a share moves by more than this is told in a hurry.
 const MUCH: f64 = 0.1;
-/// Share of accesses that try a bad home: where words come back from it again, and where nobody has asked.
+/// Share of requests that try a bad home: where words come back from it again, and where nobody has asked.
 const TRIAL: f64 = 1.0 / 8.0;
 const TRIAL_BLIND: f64 = 1.0 / 32.0;
 /// Of its capacity a location's room grows by so much in a second at most; it shrinks at once. What comes
 /// anew shows in its strain only a second later, and parts that go to and fro are fetched each time.
 const ROOM_GROWS: f64 = 0.15;
-/// Over this share of accesses not honoured in time a location has no room at all.
+/// Over this share of requests not honoured in time a location has no room at all.
 const STRAIN_MOST: f64 = 0.10;
 /// What a router asks for is averaged over this.
 const DEMAND_OVER: Duration = Duration::from_secs(2);
-/// Recent accesses by which the least worth are known.
+/// Recent requests by which the least worth are known.
 const WORTHS: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
@@ -74,7 +74,7 @@
     pub places: usize,
     pub incarnation: u32,
     pub seed: u64,
-    /// Accesses may go to other locations' caches. Otherwise all is only told and shown.
+    /// Requests may go to other locations' caches. Otherwise all is only told and shown.
     pub abroad: bool,
 }
 
@@ -88,7 +88,7 @@
     pub warm: f64,
 }
 
-/// Among whose caches an access is to be drawn.
+/// Among whose caches a request is to be drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Where {
     Home,
@@ -116,7 +116,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Edge {
     pub edge: usize,
-    /// Of this location's accesses, by the plan in force.
+    /// Of this location's requests, by the plan in force.
     pub share: f64,
     /// In transfers, for this location.
     pub room: f64,
@@ -219,7 +219,7 @@
         self.urgent |= !self.health.is_bad() && !before && self.seen.says_bad(now);
     }
 
-    /// An access has come, of so much work in seconds at a client's pace.
+    /// A request has come, of so much work in seconds at a client's pace.
     pub fn asked(&mut self, now: Duration, work: f64) {
         let demand = self.asks(now);
         self.demand = (demand + work / DEMAND_OVER.as_secs_f64(), now);
@@ -229,7 +229,7 @@
         self.demand.0 * (-now.saturating_sub(self.demand.1).div_duration_f64(DEMAND_OVER)).exp()
     }
 
-    /// An access of this location's clients has its final answer, in time or not.
+    /// A request of this location's clients has its final answer, in time or not.
     pub fn answered(&mut self, now: Duration, in_time: bool) {
         self.strain.saw(now, in_time, 1.0);
     }
@@ -277,7 +277,7 @@
     }
 
     fn judge(&mut self, now: Duration) {
-        // No router counts for more than four accesses: one that is itself broken is outvoted.
+        // No router counts for more than four requests: one that is itself broken is outvoted.
         let (good, bad, mates) = self.loads(now).fold((0.0, 0.0, 0), |(good, bad, mates), (_, load)| {
             let scale = (4.0 / (load.good + load.bad).max(4.0)).min(1.0);
             (good + load.good * scale, bad + load.bad * scale, mates + 1)
@@ -475,10 +475,10 @@
         self.rumours.say(now, PLAN, self.about.place, plan.encode(), urgent || much);
     }
 
-    /// Where an access goes. `at`: from 0 to 1, the same for the same part, so that few move as shares do.
+    /// Where a request goes. `at`: from 0 to 1, the same for the same part, so that few move as shares do.
     /// `may_leave`: it may run again anywhere and leaves no mark. `worth`: what it earns for its work; where
     /// not all can be taken the least of it is turned away.
-    pub fn access(&mut self, at: f64, may_leave: bool, worth: f64) -> Where {
+    pub fn request(&mut self, at: f64, may_leave: bool, worth: f64) -> Where {
         self.worths.note(worth);
         let own = usize::from(self.about.place);
         let Some((plan, _)) = self.plan.as_ref().filter(|_| may_leave && self.about.abroad) else {
--- a/crates/regions/src/decide/tests.rs
+++ b/crates/regions/src/decide/tests.rs
@@ -31,7 +31,7 @@
     cut: Vec<Vec<bool>>,
     loses: f64,
     chance: fastrand::Rng,
-    /// Every access goes to the next location when its own is down, whatever that has room for.
+    /// Every request goes to the next location when its own is down, whatever that has room for.
     naive: bool,
     /// By location and turn of 50 ms: asked, honoured, sent abroad, sent abroad while home could have.
     shown: Vec<Vec<[f64; 4]>>,
@@ -102,7 +102,7 @@
                     Place { capacity: self.capacity, present, warm }
                 })
                 .collect();
-            // Who sends where: ten accesses a router and turn, each a tenth of what it asks for.
+            // Who sends where: ten requests a router and turn, each a tenth of what it asks for.
             let mut sent = vec![vec![0.0; self.places]; self.places];
             let mut went: Vec<Vec<(usize, f64)>> = vec![Vec::new(); self.routers.len()];
             let mut nowhere = vec![0.0; self.places];
@@ -116,7 +116,7 @@
                 for k in 0..10 {
                     regions.asked(ms(now), work * 0.05);
                     let at = (k as f64 + self.chance.f64()) / 10.0;
-                    let to = match regions.access(at, true, self.chance.f64()) {
+                    let to = match regions.request(at, true, self.chance.f64()) {
                         Where::Home if self.naive => naive_to.flatten().unwrap_or(place),
                         Where::Home => place,
                         Where::Abroad(to) if !self.naive => to,
@@ -333,7 +333,7 @@
     world.until(3000, 9000);
     let [honoured, abroad, _] = world.shares(2, 7000, 9000);
     assert!(honoured > 0.97 && abroad > 0.95, "{honoured} {abroad}");
-    assert!(world.shares(2, 3000, 9000)[0] > 0.97, "without a lost access on the way");
+    assert!(world.shares(2, 3000, 9000)[0] > 0.97, "without a lost request on the way");
     world.routers.iter_mut().flatten().for_each(|r| r.drain(&[]));
     world.until(9000, 16_000);
     assert!(world.shares(2, 14_000, 16_000)[1] < 0.01);
@@ -350,10 +350,10 @@
     world.lose(1);
     world.until(0, 5000);
     let regions = world.routers[1].as_mut().expect("there");
-    assert!((0..100).all(|n| regions.access(f64::from(n) / 100.0, false, 1.0) == Where::Home));
+    assert!((0..100).all(|n| regions.request(f64::from(n) / 100.0, false, 1.0) == Where::Home));
     assert!(
         (0..100)
-            .filter(|n| matches!(regions.access(f64::from(*n) / 100.0, true, 1.0), Where::Abroad(_)))
+            .filter(|n| matches!(regions.request(f64::from(*n) / 100.0, true, 1.0), Where::Abroad(_)))
             .count()
             > 80
     );
@@ -377,7 +377,7 @@
             regions.heard(ms(10), u64::from(teller), &encode(place, &[word]));
             regions.tick(ms(10 + n as u64 * 60), &mut Said::default());
             for at in [0.0, 0.3, 0.99] {
-                let _ = regions.access(at, true, 1.0);
+                let _ = regions.request(at, true, 1.0);
             }
         }
         let _ = regions.report(ms(5000));
--- a/crates/regions/src/evidence.rs
+++ b/crates/regions/src/evidence.rs
@@ -150,7 +150,7 @@
         for n in 0..10 {
             seen.saw(ms(n * 2000), false, 1.0);
             let (good, bad) = seen.now(ms(n * 2000));
-            assert!(!health.judge(ms(n * 2000), good, bad), "one router alone, one access in two seconds");
+            assert!(!health.judge(ms(n * 2000), good, bad), "one router alone, one request in two seconds");
         }
     }
 
--- a/crates/regions/src/words.rs
+++ b/crates/regions/src/words.rs
@@ -49,7 +49,7 @@
     pub bad: bool,
     pub drained: bool,
     pub demand: f64,
-    /// Share of its own accesses that it could not honour in time.
+    /// Share of its own requests that it could not honour in time.
     pub strain: f64,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Who takes a location's accesses, by a number that only grows.
+/// Who takes a location's requests, by a number that only grows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub number: u32,
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -1,5 +1,5 @@
 //! What is decided in common with the routers of all locations, as the decider uses it: the list as places,
-//! an access's location, what outcomes say of the own caches, words and probes. Nothing is decided here.
+//! a request's location, what outcomes say of the own caches, words and probes. Nothing is decided here.
 
 use crate::peers::Saying;
 use crate::probes::Probe;
@@ -129,7 +129,7 @@
 
     pub fn way(&mut self, now: Duration, edge: usize, way: Option<Duration>) {
         self.regions.model().saw(now, edge, way);
-        // From the own caches nothing came back: so silence shows, where accesses only grow late.
+        // From the own caches nothing came back: so silence shows, where requests only grow late.
         if edge == self.location && way.is_none() {
             self.regions.saw(now, false);
         }
@@ -180,15 +180,15 @@
         self.regions.plan_shares().iter().map(|(edge, share)| (name(*edge), *share)).collect()
     }
 
-    /// An access comes: its location is set. Err: there is no room for it anywhere.
-    pub fn access(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
+    /// A request comes: its location is set. Err: there is no room for it anywhere.
+    pub fn request(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
         let work = arrival.kb / self.pace;
         self.regions.asked(now, work);
         let (may, _, benefit) = self.categories.get(arrival.category).copied().unwrap_or_default();
         // A cell is of caches of this location: what belongs to one stays.
         let may = may && arrival.cell.is_none();
         let at = xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
-        match self.regions.access(at, may, benefit / work.max(1e-6)) {
+        match self.regions.request(at, may, benefit / work.max(1e-6)) {
             Where::Home => {}
             Where::Abroad(place) => arrival.at = Some(place),
             // Parents may still have it; where they take no executions nobody has.
@@ -216,7 +216,7 @@
         }
     }
 
-    /// An access has its final answer.
+    /// A request has its final answer.
     pub fn answered(&mut self, now: Duration, category: usize, begun: Duration, honoured: bool) {
         let soft = self.categories.get(category).map_or(Duration::ZERO, |(_, soft, _)| *soft);
         self.regions.answered(now, honoured && now.saturating_sub(begun) <= soft);
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection: reads its accesses, writes their answers in the order in which they come.
+//! One client's connection: reads its requests, writes their answers in the order in which they come.
 
 use crate::clock::Clock;
 use crate::lines::Passed;
@@ -22,9 +22,9 @@
 const OPEN_MOST: usize = 32;
 /// Answers to one connection that wait to be written; nothing more is read from it while there are more.
 const UNWRITTEN_MOST: usize = 2 * OPEN_MOST;
-/// A mailbox that holds an answer to each open access, and to those given up while it was not looked into.
+/// A mailbox that holds an answer to each open request, and to those given up while it was not looked into.
 const REPLIES_MOST: usize = 4 * OPEN_MOST;
-/// No access waits for longer, whatever its client says: its timers would pile up.
+/// No request waits for longer, whatever its client says: its timers would pile up.
 const WAIT_MOST: Duration = Duration::from_secs(60);
 const GROUP_MOST: u64 = 255;
 /// Bytes of an idempotency key, of which 32 are usual.
@@ -56,7 +56,7 @@
     pub tenants: Vec<String>,
     /// Top pace of one answer, in KB a second; 0: not told.
     pub kb_per_s: f64,
-    /// What a client is advised whose access came as the router ended.
+    /// What a client is advised whose request came as the router ended.
     pub advice: Option<Duration>,
     pub clock: Clock,
 }
@@ -141,7 +141,7 @@
     }
 }
 
-/// An access of this connection, until its final answer or its client's leaving.
+/// A request of this connection, until its final answer or its client's leaving.
 struct Open {
     id: Id,
     wanted: Wanted,
@@ -252,7 +252,7 @@
                         moved = Instant::now();
                     }
                     say(reply, open, unwritten);
-                    // One for an access that its client has called off leaves nothing to write.
+                    // One for a request that its client has called off leaves nothing to write.
                     self.written(unwritten).await;
                 }
                 _ = phase.wait_for(|phase| *phase == Phase::Ended), if ended.is_none() => {}
@@ -357,7 +357,7 @@
             b"REQ" => {
                 let (category, list, body) = (parts.next(), parts.next(), parts.next());
                 let (category, list) = (category.unwrap_or_default(), list.unwrap_or_default());
-                let read = self.access(category, &list, body.unwrap_or_default());
+                let read = self.request(category, &list, body.unwrap_or_default());
                 let crowded = open.len() >= OPEN_MOST;
                 match read.and_then(|read| if crowded { Err("too many open") } else { Ok(read) }) {
                     Ok((arrival, passed)) => {
@@ -365,7 +365,7 @@
                         let wanted = Wanted::default();
                         open.insert(tag, Open { id: arrival.id.clone(), wanted: wanted.clone() });
                         let new = New { arrival, passed, read_at, tag, client, wanted };
-                        if self.decider.send(Message::Access(Box::new(new))).await.is_err() {
+                        if self.decider.send(Message::Request(Box::new(new))).await.is_err() {
                             // The router has ended meanwhile.
                             open.remove(&tag);
                             unwritten.declined(tag, self.door.advice);
@@ -382,7 +382,7 @@
         Ok(())
     }
 
-    fn access(&self, category: Bytes, list: &Bytes, body: Bytes) -> Result<(Arrival, Passed), &'static str> {
+    fn request(&self, category: Bytes, list: &Bytes, body: Bytes) -> Result<(Arrival, Passed), &'static str> {
         let at = self.door.categories.iter().position(|name| name.as_bytes() == category);
         let mut arrival = Arrival { category: at.ok_or("unknown category")?, ..Arrival::default() };
         let mut passed = Passed { category, body, part: Bytes::from_static(b"0"), ..Passed::default() };
@@ -465,7 +465,7 @@
     fine.then_some(value).ok_or("a key that is none")
 }
 
-/// Words an access's final answer, unless the client has given it up.
+/// Words a request's final answer, unless the client has given it up.
 fn say(reply: Reply, open: &mut HashMap<u64, Open>, unwritten: &mut Unwritten) {
     let Reply { tag, id, last } = reply;
     if open.get(&tag).is_none_or(|open| open.id != id) {
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -102,7 +102,7 @@
         // Both are there before the connection has its next turn.
         rig.leave.try_send(()).unwrap();
         assert!(rig.peer.try_write(&request(2)).unwrap() > 0);
-        let Some(Message::Access(new)) = rig.messages.recv().await else { panic!("not heard") };
+        let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("not heard") };
         let last = Last::Declined(None);
         drop(new.client.send(Reply { tag: 2, id: new.arrival.id, last }));
         let said = rig.rest().await.unwrap();
@@ -133,7 +133,7 @@
             let mut first = Some(rig.messages.recv().await.unwrap());
             while let Some(message) = first.take().or_else(|| rig.messages.try_recv().ok()) {
                 match message {
-                    Message::Access(new) => {
+                    Message::Request(new) => {
                         answered += 1;
                         let last = Last::Declined(None);
                         drop(new.client.send(Reply { tag: new.tag, id: new.arrival.id, last }));
@@ -157,7 +157,7 @@
     let inside = async {
         for called_off in [true, false] {
             let mut rig = rig(Phase::Serving, &request(1)).await;
-            let Some(Message::Access(new)) = rig.messages.recv().await else { panic!("not heard") };
+            let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("not heard") };
             assert!(new.wanted.still());
             if called_off {
                 rig.peer.write_all(&message(&["ABORT", "1"])).await.unwrap();
@@ -176,7 +176,7 @@
 async fn nonsense_with_much_behind_it_reads_its_last_word() {
     let inside = async {
         let mut rig = rig(Phase::Serving, &request(1)).await;
-        let Some(Message::Access(_new)) = rig.messages.recv().await else { panic!("not heard") };
+        let Some(Message::Request(_new)) = rig.messages.recv().await else { panic!("not heard") };
         rig.peer.write_all(b"*99\r\n").await.unwrap();
         rig.peer.write_all(&[b'x'; 60_000]).await.unwrap();
         assert_eq!(rig.rest().await.unwrap(), [told(1, "FAIL")]);
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -1,4 +1,4 @@
-//! Cells as the decider uses them: the map drawn over the list, an access's cell, a tenant's limit at the
+//! Cells as the decider uses them: the map drawn over the list, a request's cell, a tenant's limit at the
 //! door.
 
 use chalkhall::interface::{Arrival, Id, Member, Outcome, Remark, Standing, Tier};
@@ -222,8 +222,8 @@
         json!({"epoch": self.map.epoch(), "cells": cells, "moves": moves})
     }
 
-    /// An access comes: its cell is set. Err: its tenant asks for too much, and may come back after so long.
-    pub fn access(&mut self, now: Duration, arrival: &mut Arrival, once: bool) -> Result<(), Duration> {
+    /// A request comes: its cell is set. Err: its tenant asks for too much, and may come back after so long.
+    pub fn request(&mut self, now: Duration, arrival: &mut Arrival, once: bool) -> Result<(), Duration> {
         arrival.cell = self.map.cell_of(arrival);
         let moved =
             self.moves.iter().find(|(what, moved)| arrival.cell == Some(moved.from) && what.covers(arrival));
@@ -232,7 +232,7 @@
         }
         let tenant = tenant(arrival, self.by_customer);
         // What must not run twice is the last to be turned away: no tenant's rate does it.
-        match self.tenants.as_mut().filter(|_| !once).map(|t| t.access(now, &tenant, arrival.repeated)) {
+        match self.tenants.as_mut().filter(|_| !once).map(|t| t.request(now, &tenant, arrival.repeated)) {
             Some(Verdict::Late(wait)) => Err(wait),
             _ => Ok(()),
         }
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -51,7 +51,7 @@
     Store,
 }
 
-/// Of an access: to whom its final answer goes, until it has gone, and its executions.
+/// Of a request: to whom its final answer goes, until it has gone, and its executions.
 struct Taken {
     client: Option<To>,
     tag: u64,
@@ -82,19 +82,19 @@
 struct Desk {
     now: Duration,
     clock: Clock,
-    accesses: HashMap<Id, Taken>,
+    requests: HashMap<Id, Taken>,
     posts: HashMap<Id, Post>,
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    /// Executions that ended here: not handed on, or answered from an own copy; and accesses to be forgotten
+    /// Executions that ended here: not handed on, or answered from an own copy; and requests to be forgotten
     /// when all is back.
     ends: VecDeque<Ended>,
     answered: Vec<Id>,
-    /// Of clients' accesses: category, when it came, and whether it was honoured.
+    /// Of clients' requests: category, when it came, and whether it was honoured.
     finals: Vec<(usize, Duration, bool)>,
     own: Option<Own>,
     /// What is told to the other routers of the location, and how it gets to them.
     talk: Option<(Talk, Saying)>,
-    /// What an access is being honoured with.
+    /// What a request is being honoured with.
     brought: Option<(Id, Box<Answer>)>,
     /// A first byte leaves this soon after its decision, or not at all.
     leave_within: Duration,
@@ -110,7 +110,7 @@
 
 impl Desk {
     fn reply(&mut self, id: &Id, last: Last) -> bool {
-        let Some(taken) = self.accesses.get_mut(id) else { return false };
+        let Some(taken) = self.requests.get_mut(id) else { return false };
         let Some(to) = taken.client.take() else { return false };
         let bytes = if let Last::Honoured { body, .. } = &last { body.len() } else { 0 };
         if let To::Client(_) = to {
@@ -128,9 +128,9 @@
 }
 
 impl Outlet for Desk {
-    fn execute(&mut self, access: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        let Some(taken) = self.accesses.get_mut(access) else { return };
-        let key = (access.clone(), taken.executions.len());
+    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+        let Some(taken) = self.requests.get_mut(request) else { return };
+        let key = (request.clone(), taken.executions.len());
         if let Some(own) = self.own.as_mut().filter(|own| own.is_place(server)) {
             let got = own.execute(&key, server, &taken.arrival, taken.passed.have.as_ref());
             if let Some((outcome, answer)) = got {
@@ -161,24 +161,24 @@
         self.out += 1;
     }
 
-    fn decline(&mut self, access: &Id, advice: Option<Duration>) {
-        self.reply(access, Last::Declined(advice));
+    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
+        self.reply(request, Last::Declined(advice));
     }
 
-    fn give_up(&mut self, access: &Id) {
-        self.reply(access, Last::GivenUp);
+    fn give_up(&mut self, request: &Id) {
+        self.reply(request, Last::GivenUp);
     }
 
-    fn cancel(&mut self, access: &Id, execution: usize) {
-        let key = (access.clone(), execution);
+    fn cancel(&mut self, request: &Id, execution: usize) {
+        let key = (request.clone(), execution);
         if self.own.as_mut().is_some_and(|own| own.cancel(&key)) {
             return self.ends.push_back(Ended { key, outcome: Outcome::Cancelled, answer: None });
         }
-        let executions = self.accesses.get(access).map(|taken| &taken.executions);
+        let executions = self.requests.get(request).map(|taken| &taken.executions);
         let out = executions.and_then(|e| e.get(execution)).filter(|e| e.open);
         if let Some(server) = out.and_then(|out| out.server.as_ref()) {
             // Where this fails the execution ends by its own time.
-            let _ = server.try_send(Order::Quit((access.clone(), execution)));
+            let _ = server.try_send(Order::Quit((request.clone(), execution)));
         }
     }
 
@@ -190,8 +190,8 @@
         // The notice board tells every router unasked.
     }
 
-    fn held(&mut self, access: &Id) -> Option<Held> {
-        let taken = self.accesses.get(access)?;
+    fn held(&mut self, request: &Id) -> Option<Held> {
+        let taken = self.requests.get(request)?;
         self.own.as_mut()?.held(&taken.arrival, taken.passed.have.as_ref())
     }
 
@@ -199,9 +199,9 @@
         self.talk.iter_mut().for_each(|(talk, _)| talk.found(part, cache));
     }
 
-    fn keep(&mut self, access: &Id, rank: u8) {
-        let (Some(own), Some(taken)) = (&mut self.own, self.accesses.get(access)) else { return };
-        match self.brought.take_if(|(id, _)| id == access) {
+    fn keep(&mut self, request: &Id, rank: u8) {
+        let (Some(own), Some(taken)) = (&mut self.own, self.requests.get(request)) else { return };
+        match self.brought.take_if(|(id, _)| id == request) {
             Some((_, answer)) => own.keep(&taken.arrival, &answer, rank),
             None => own.rank(&taken.arrival, rank),
         }
@@ -226,9 +226,9 @@
     abroad: Option<Abroad>,
     warm_within: Duration,
     limits: Limits,
-    /// By category: whether its accesses must not run twice.
+    /// By category: whether its requests must not run twice.
     once: Vec<bool>,
-    /// Bodies in hand, present and to come, past which new accesses are declined at the door.
+    /// Bodies in hand, present and to come, past which new requests are declined at the door.
     bodies_most: f64,
     idle: Duration,
     phase: watch::Sender<Phase>,
@@ -262,7 +262,7 @@
         let mut desk = Desk {
             now,
             clock,
-            accesses: HashMap::new(),
+            requests: HashMap::new(),
             posts: HashMap::new(),
             timers: BinaryHeap::new(),
             ends: VecDeque::new(),
@@ -300,7 +300,7 @@
     }
 
     /// What the notice board tells goes before all else: after a pause of the whole program, as on a machine
-    /// that others share, a drain or a purge may wait unread for longer than its grace, behind accesses and
+    /// that others share, a drain or a purge may wait unread for longer than its grace, behind requests and
     /// timers.
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<Message>, mut notices: mpsc::Receiver<Notice>) {
         let mut due_at = self.desk.now;
@@ -352,10 +352,10 @@
         }
     }
 
-    /// What clients wait for: accesses, and whether a slow reader has not taken all of its answers yet.
+    /// What clients wait for: requests, and whether a slow reader has not taken all of its answers yet.
     fn open(&self) -> usize {
         let waits = |taken: &&Taken| matches!(taken.client, Some(To::Client(_)));
-        self.desk.accesses.values().filter(waits).count() + usize::from(self.desk.in_hand > 0)
+        self.desk.requests.values().filter(waits).count() + usize::from(self.desk.in_hand > 0)
     }
 
     /// What is still open when time has run out is given up: an end without an answer would lose it.
@@ -363,11 +363,11 @@
         // Nobody looks into the mailbox any more: what still lies in it never ran.
         mailbox.close();
         while let Ok(message) = mailbox.try_recv() {
-            let Message::Access(new) = message else { continue };
+            let Message::Request(new) = message else { continue };
             let last = Last::Declined(self.router.advice);
             new.client.send(Reply { tag: new.tag, id: new.arrival.id, last });
         }
-        let open: Vec<Id> = self.desk.accesses.keys().cloned().collect();
+        let open: Vec<Id> = self.desk.requests.keys().cloned().collect();
         for id in open {
             if self.desk.reply(&id, Last::GivenUp) {
                 self.router.left(self.desk.now, &id, &mut self.desk);
@@ -391,14 +391,14 @@
     fn take(&mut self, message: Message) {
         self.desk.now = self.desk.clock.now();
         match message {
-            Message::Access(new) => self.access(*new),
+            Message::Request(new) => self.request(*new),
             Message::Left(id, tag, client) => {
-                // Another's access may bear the same id: it is not this client's to end.
+                // Another's request may bear the same id: it is not this client's to end.
                 let own = |taken: &&mut Taken| {
                     taken.tag == tag
                         && matches!(&taken.client, Some(To::Client(c)) if c.same_channel_as_sender(&client))
                 };
-                if let Some(taken) = self.desk.accesses.get_mut(&id).filter(own) {
+                if let Some(taken) = self.desk.requests.get_mut(&id).filter(own) {
                     taken.wanted.end();
                     taken.client = None;
                     self.desk.answered.push(id.clone());
@@ -426,14 +426,14 @@
             }
             Message::Stop => {
                 let phase = *self.phase.borrow();
-                log::info!("asked to stop, with {} accesses open", self.desk.accesses.len());
+                log::info!("asked to stop, with {} requests open", self.desk.requests.len());
                 self.phase.send_replace(phase.asked_to_stop(self.desk.now, self.longest_hard_limit));
             }
         }
         self.settle();
     }
 
-    fn access(&mut self, new: New) {
+    fn request(&mut self, new: New) {
         let New { mut arrival, passed, read_at, tag, client, wanted } = new;
         let refused = arrival.id.clone();
         if !wanted.still() {
@@ -443,8 +443,8 @@
         let refuse = |client: mpsc::OwnedPermit<Reply>, last| {
             client.send(Reply { tag, id: refused, last });
         };
-        if self.desk.accesses.contains_key(&arrival.id) {
-            self.nonsense.log("an access with an id that is in use");
+        if self.desk.requests.contains_key(&arrival.id) {
+            self.nonsense.log("a request with an id that is in use");
             return refuse(client, Last::GivenUp);
         }
         // Rather an early decline than being killed for memory or losing count of what is open.
@@ -452,19 +452,19 @@
         if let Some(own) = &mut self.desk.own {
             own.beside(bodies);
         }
-        if bodies > self.bodies_most || self.desk.accesses.len() >= self.limits.open_accesses {
+        if bodies > self.bodies_most || self.desk.requests.len() >= self.limits.open_requests {
             return refuse(client, Last::Declined(self.router.advice));
         }
         arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(read_at));
         let once = self.once.get(arrival.category) == Some(&true);
         if let Some(confined) = &mut self.confined
-            && let Err(wait) = confined.access(self.desk.now, &mut arrival, once)
+            && let Err(wait) = confined.request(self.desk.now, &mut arrival, once)
         {
             // The client is told to come back when its tenant may, as far as it heeds that.
             return refuse(client, Last::Declined(self.longest_advice.map(|longest| wait.min(longest))));
         }
         if let Some(abroad) = &mut self.abroad
-            && abroad.access(self.desk.now, &mut arrival).is_err()
+            && abroad.request(self.desk.now, &mut arrival).is_err()
         {
             return refuse(client, Last::Declined(self.router.advice));
         }
@@ -472,14 +472,14 @@
         let client = Some(To::Client(client));
         let begun = self.desk.now;
         let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, executions };
-        self.desk.accesses.insert(arrival.id.clone(), taken);
-        self.router.access(self.desk.now, arrival, &mut self.desk);
+        self.desk.requests.insert(arrival.id.clone(), taken);
+        self.router.request(self.desk.now, arrival, &mut self.desk);
     }
 
     fn ended(&mut self, ended: Ended) {
         let Ended { key: (id, n), outcome, answer } = ended;
         let desk = &mut self.desk;
-        let Some(taken) = desk.accesses.get_mut(&id) else { return };
+        let Some(taken) = desk.requests.get_mut(&id) else { return };
         let Some(execution) = taken.executions.get_mut(n).filter(|e| e.open) else { return };
         execution.open = false;
         let by_server = execution.server.is_some();
@@ -511,21 +511,21 @@
                     Last::Honoured { etag, body: answer.body.clone() }
                 };
                 desk.reply(&id, last);
-                if let (Some(confined), Some(taken)) = (&mut self.confined, desk.accesses.get(&id)) {
+                if let (Some(confined), Some(taken)) = (&mut self.confined, desk.requests.get(&id)) {
                     confined.honoured(desk.now, &taken.arrival);
                 }
-                if let (true, Some(own), Some(taken)) = (by_server, &mut desk.own, desk.accesses.get(&id)) {
+                if let (true, Some(own), Some(taken)) = (by_server, &mut desk.own, desk.requests.get(&id)) {
                     own.answered(&taken.arrival, &answer, taken.passed.have.as_ref());
                 }
                 desk.brought = (by_server && !answer.same).then(|| (id.clone(), answer));
             }
         }
-        if let (true, Some(confined), Some(taken)) = (by_server, &mut self.confined, desk.accesses.get(&id)) {
+        if let (true, Some(confined), Some(taken)) = (by_server, &mut self.confined, desk.requests.get(&id)) {
             confined.ended(desk.now, &taken.arrival, told.outcome, told.remark);
         }
         told.over =
-            desk.accesses.get(&id).is_some_and(|taken| taken.client.is_none() || !taken.wanted.still());
-        if let (true, Some(abroad), Some(taken)) = (by_server, &mut self.abroad, desk.accesses.get(&id)) {
+            desk.requests.get(&id).is_some_and(|taken| taken.client.is_none() || !taken.wanted.still());
+        if let (true, Some(abroad), Some(taken)) = (by_server, &mut self.abroad, desk.requests.get(&id)) {
             let server = taken.executions.get(n).and_then(|execution| self.router.member(&execution.at));
             abroad.ended(desk.now, server, told.outcome, told.remark);
         }
@@ -540,7 +540,7 @@
         own.ended(end);
         let got = own.got();
         for (key, fetched) in got {
-            let (Some(own), Some(taken)) = (&self.desk.own, self.desk.accesses.get(&key.0)) else { continue };
+            let (Some(own), Some(taken)) = (&self.desk.own, self.desk.requests.get(&key.0)) else { continue };
             let (outcome, answer): Got =
                 own.answer_from(&fetched, &taken.arrival, taken.passed.have.as_ref());
             self.desk.ends.push_back(Ended { key, outcome, answer });
@@ -585,7 +585,7 @@
         }
     }
 
-    /// Background work of own copies, and the accesses by which unproven ones are asked about.
+    /// Background work of own copies, and the requests by which unproven ones are asked about.
     fn tick(&mut self, late: Duration) {
         if let Some((talk, saying)) = &mut self.desk.talk
             && self.desk.now >= talk.next()
@@ -603,13 +603,13 @@
             let begun = self.desk.now;
             let (tag, wanted, once) = (0, Wanted::default(), false);
             let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, executions };
-            self.desk.accesses.insert(arrival.id.clone(), taken);
-            self.router.access(self.desk.now, arrival, &mut self.desk);
+            self.desk.requests.insert(arrival.id.clone(), taken);
+            self.router.request(self.desk.now, arrival, &mut self.desk);
             self.settle();
         }
     }
 
-    /// Tells the decisions of what could not be sent, and forgets accesses that are answered and all back.
+    /// Tells the decisions of what could not be sent, and forgets requests that are answered and all back.
     fn settle(&mut self) {
         while let Some(ended) = self.desk.ends.pop_front() {
             self.ended(ended);
@@ -619,8 +619,8 @@
         }
         for id in std::mem::take(&mut self.desk.answered) {
             let over = |taken: &Taken| taken.client.is_none() && taken.executions.iter().all(|e| !e.open);
-            if self.desk.accesses.get(&id).is_some_and(over) {
-                self.desk.accesses.remove(&id);
+            if self.desk.requests.get(&id).is_some_and(over) {
+                self.desk.requests.remove(&id);
             }
         }
     }
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -11,7 +11,7 @@
         connect_timeout: Duration::from_millis(400),
         idle_close: Duration::from_secs(30),
         streams: 100,
-        open_accesses: 100,
+        open_requests: 100,
     };
     let deployment = Deployment {
         categories: vec![Default::default()],
@@ -48,7 +48,7 @@
     let (_noticed, notices) = mpsc::channel(1);
     let (client, mut answers) = mpsc::channel(8);
     for tag in 1..=3 {
-        to_decider.try_send(Message::Access(Box::new(new(tag, &client)))).unwrap_or_else(|_| panic!("full"));
+        to_decider.try_send(Message::Request(Box::new(new(tag, &client)))).unwrap_or_else(|_| panic!("full"));
     }
     tokio::task::LocalSet::new().run_until(decider.run(mailbox, notices)).await;
     assert_eq!(*phase.borrow(), Phase::Ended);
@@ -68,8 +68,8 @@
     let left = new(1, &client);
     left.wanted.end();
     assert_eq!(client.capacity(), 0);
-    decider.take(Message::Access(Box::new(left)));
-    assert_eq!((decider.desk.accesses.len(), client.capacity()), (0, 1));
+    decider.take(Message::Request(Box::new(left)));
+    assert_eq!((decider.desk.requests.len(), client.capacity()), (0, 1));
 }
 
 /// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is up.
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -80,7 +80,7 @@
     let (own, disk) = Own::open(&directives.store, &told, clock)?.unzip();
     let disk = disk.flatten().map(|ends| spawn_local(pass_on(ends, decider.clone())));
     let deployment = &told.deployment;
-    // The longest that an access, or what remembers its repeats, lasts.
+    // The longest that a request, or what remembers its repeats, lasts.
     let lasts = deployment.categories.iter().map(|category| category.hard_limit.max(category.window));
     let settle = lasts.max().unwrap_or_default();
     let (location, by_customer) = (deployment.location, !deployment.customers.is_empty());
@@ -115,7 +115,7 @@
     let beside = Beside { own, confined, talk, abroad };
     let mut decisions = Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
     let advice = decisions.advice();
-    // The list comes before the first access.
+    // The list comes before the first request.
     let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
     known.for_each(|notice| decisions.notice(notice));
     let socket = listener::bind(told.listen).map_err(|e| format!("listen: {}: {e}", told.listen))?;
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/lines.rs
@@ -10,7 +10,7 @@
 const BODY_MOST: usize = 256_000;
 const LINE_MOST: usize = 2_048;
 
-/// What a request passes on of an access as it came.
+/// What a line to a server passes on of a request as it came.
 #[derive(Clone, Debug, Default)]
 pub struct Passed {
     pub id: Bytes,
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -14,7 +14,7 @@
 
 /// To the decider.
 pub enum Message {
-    Access(Box<New>),
+    Request(Box<New>),
     /// The client of this connection has given up what it asked under this tag, or is gone.
     Left(Id, u64, mpsc::Sender<Reply>),
     /// So many bytes of bodies have been written to a client, or dropped.
@@ -31,7 +31,7 @@
     Stop,
 }
 
-/// An access as a client's connection read it.
+/// A request as a client's connection read it.
 pub struct New {
     pub arrival: Arrival,
     pub passed: Passed,
@@ -42,7 +42,7 @@
     pub wanted: Wanted,
 }
 
-/// Whether an access still waits for its final answer. Its client's connection and the decider end it; a link
+/// Whether a request still waits for its final answer. Its client's connection and the decider end it; a link
 /// asks it where the first byte of an execution leaves. The one thing that tasks share: by way of the
 /// mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
     pub answer: Option<Box<Answer>>,
 }
 
-/// The final answer of an access, for its client.
+/// The final answer of a request, for its client.
 #[derive(Debug)]
 pub struct Reply {
     pub tag: u64,
@@ -115,7 +115,7 @@
     pub asked: bool,
 }
 
-/// An execution of an access: the access's id and its number within it.
+/// An execution of a request: the request's id and its number within it.
 pub type Key = (Id, usize);
 
 /// One execution on its way to a server.
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -40,7 +40,7 @@
     usable: u64,
     link: f64,
     chance: fastrand::Rng,
-    /// Reads that accesses wait for.
+    /// Reads that requests wait for.
     waiting: HashMap<u64, Key>,
 }
 
@@ -93,7 +93,7 @@
         Ok(Some((own, ends)))
     }
 
-    /// The places that an access can go to, for the decisions' list.
+    /// The places that a request can go to, for the decisions' list.
     pub fn members(&self) -> Vec<Member> {
         let places = self.places.iter().take(1 + usize::from(self.store.disk().is_some()));
         let member = |server: &Id| Member {
@@ -254,7 +254,7 @@
         self.store.disk()?.next_look(now)
     }
 
-    /// Accesses of the router itself, by which unproven copies are asked about.
+    /// Requests of the router itself, by which unproven copies are asked about.
     pub fn asks(&mut self) -> Vec<(Arrival, Passed)> {
         let unproven = std::mem::take(&mut self.shelf.unproven);
         let asks = unproven.into_iter().filter_map(|copy| {
--- a/crates/router/src/phase.rs
+++ b/crates/router/src/phase.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// After a request to stop, connections and accesses go on coming for up to this long.
+/// After a request to stop, connections and requests go on coming for up to this long.
 const STILL_COMING: Duration = Duration::from_millis(800);
 /// What is killed comes no sooner than the longest hard limit, this at most, and this much more after it.
 const LONGEST: Duration = Duration::from_millis(3000);
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -75,7 +75,7 @@
     pub idle_close: Duration,
     /// Executions on one connection at a time.
     pub streams: usize,
-    pub open_accesses: usize,
+    pub open_requests: usize,
 }
 
 pub fn told(env: impl Fn(&str) -> Option<String>, clock: &Clock) -> Result<Told, String> {
@@ -160,7 +160,7 @@
         connect_timeout: span_or("ConnectTimeout", CONNECT_TIMEOUT)?,
         idle_close: span_or("IdleClose", IDLE_CLOSE)?,
         streams: or(of_site, "StreamsPerConn", 100)? as usize,
-        open_accesses: or(of_site, "MaxOpen", 20_000)? as usize,
+        open_requests: or(of_site, "MaxOpen", 20_000)? as usize,
     })
 }
 
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -27,7 +27,7 @@
         let fields = format!("i={:016x},o={tag:016x},lot={group},m=1,d=4000", tag + 0xcc00);
         client.send(&[b"REQ", tag.to_string().as_bytes(), b"page", fields.as_bytes(), b""]);
     }
-    // Looked at without a rest: a move takes many accesses.
+    // Looked at without a rest: a move takes many requests.
     let (end, mut answered) = (Instant::now() + LONG, 0);
     while answered < 20 {
         assert!(Instant::now() < end, "an answer did not come");
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -271,10 +271,10 @@
     drop(crowd);
 }
 
-/// After a failed accept nobody is kept from saying what he has to: accesses on open connections go on at
+/// After a failed accept nobody is kept from saying what he has to: requests on open connections go on at
 /// their pace.
 #[test]
-fn accesses_go_on_while_no_connection_can_be_taken() {
+fn requests_go_on_while_no_connection_can_be_taken() {
     let mut world = declining();
     world.file["limits"]["sockets"] = json!(1024);
     // More rest than are let go of at once: who has asked for something stays.
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_full_server_passes_the_access_on_and_a_miss_ends_it() {
+fn a_full_server_passes_the_request_on_and_a_miss_ends_it() {
     let (world, _program, mut client) = started();
     client.ask(1, "confirm", "", b"");
     let mut origin = world.server("o1").accept();
@@ -298,7 +298,7 @@
     let gone = world.server("c1").entry("left");
     world.servers[0].name = "c2".into();
     board.say(list(2, &[gone, world.server("c2").entry("active")]));
-    // Told once an access of the same object comes on a connection of its own.
+    // Told once a request of the same object comes on a connection of its own.
     let (mut tag, mut new) = (10, None);
     world.server("c2").listener.set_nonblocking(true).unwrap();
     until("a connection to the new server", || {
@@ -545,7 +545,7 @@
     let asked = server.asked();
     client.send(&[b"REQ", b"21", b"page", format!("i={id},o={id},d=900").as_bytes(), b""]);
     assert_eq!(client.answer().1, "FAIL");
-    // Nor is one client's access ended by another that names its id and goes.
+    // Nor is one client's request ended by another that names its id and goes.
     let mut other = program.client();
     other.send(&[b"REQ", b"20", b"page", format!("i={id},o={id},d=900").as_bytes(), b""]);
     other.send(&[b"ABORT", b"20"]);
--- a/crates/router/tests/program/own.rs
+++ b/crates/router/tests/program/own.rs
@@ -60,7 +60,7 @@
     let mut server = keep_after(&world, &mut client);
     let flush = json!({"rev": 2, "flush": {"collection": 1, "ms": unix_ms()}});
     board.say(format!("{flush}\n"));
-    // Told when the next access of another object carries the bound.
+    // Told when the next request of another object carries the bound.
     let mut tag = 100;
     until("the purge", || {
         tag += 1;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn accesses_for_one_part_share_a_fill() {
+fn requests_for_one_part_share_a_fill() {
     let (world, _program, mut client) = started("store {\n memory 10MB\n}\n");
     let ids: Vec<String> = (1..=5)
         .map(|tag| {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn own_copies_give_way_before_an_access_is_declined() {
+fn own_copies_give_way_before_an_request_is_declined() {
     let mut world = World::new();
     // Bodies in hand may take 5 MB, together with own copies 1.5 MB past what the router takes itself.
     world.file["limits"]["memory_mb"] = json!(10);
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -80,7 +80,7 @@
     for quarter in 0..4 {
         let until = begun + Duration::from_secs(seconds) * (quarter + 1) / 4;
         while Instant::now() < until {
-            // A client of its own for each 16 accesses, all for objects that nobody asked for before.
+            // A client of its own for each 16 requests, all for objects that nobody asked for before.
             let mut client = program.client();
             (0..16).for_each(|n| drop(client.ask(asked * 16 + n + 1, "page", "", b"")));
             (0..16).for_each(|_| *words.entry(client.word()).or_default() += 1);
--- a/crates/store/src/copy.rs
+++ b/crates/store/src/copy.rs
@@ -14,7 +14,7 @@
     pub made: u64,
     /// For how long it is fresh from then, in milliseconds; 0: until it is purged.
     pub fresh: u64,
-    /// Its size as accesses tell it.
+    /// Its size as requests tell it.
     pub kb: f64,
     /// One of several parts of its object.
     pub in_parts: bool,
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -264,7 +264,7 @@
     index: Index,
     segments: Segments,
     admission: Admission,
-    /// Of writes and syncs. Reads that accesses wait for are judged where accesses are decided.
+    /// Of writes and syncs. Reads that requests wait for are judged where requests are decided.
     writes: Judged,
     counts: Counts,
     tickets: u64,
--- a/crates/store/src/decide/disk/serve.rs
+++ b/crates/store/src/decide/disk/serve.rs
@@ -1,4 +1,4 @@
-//! What is found and read for accesses, and what is read ahead.
+//! What is found and read for requests, and what is read ahead.
 
 use super::*;
 
@@ -17,7 +17,7 @@
         (sound && spot.proven).then_some(spot)
     }
 
-    /// Reads a part for an access; ends in `Outlet::fetched`. None: not taken.
+    /// Reads a part for a request; ends in `Outlet::fetched`. None: not taken.
     pub fn fetch(
         &mut self,
         key: Key,
--- a/crates/store/src/decide/disk/work.rs
+++ b/crates/store/src/decide/disk/work.rs
@@ -26,7 +26,7 @@
             self.say_heard(now, out);
         }
         self.offer(now);
-        // No more at a turn than accesses can wait for.
+        // No more at a turn than requests can wait for.
         for _ in 0..64 {
             let Some(kind) = self.work.next(now) else { break };
             self.go(kind, now, purges, in_memory, out);
--- a/crates/store/src/decide/mod.rs
+++ b/crates/store/src/decide/mod.rs
@@ -34,7 +34,7 @@
     pub same: bool,
 }
 
-/// A part, as an access names it.
+/// A part, as a request names it.
 #[derive(Clone, Copy, Debug)]
 pub struct Part<'a> {
     pub object: &'a [u8],
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -176,7 +176,7 @@
         ms
     }
 
-    /// What an access for a part is answered with, and from where.
+    /// What a request for a part is answered with, and from where.
     pub fn get(&mut self, part: Part) -> Option<(Place, Copy)> {
         let found = self.store.find(part, None)?;
         match found.place {
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -34,12 +34,12 @@
 }
 
 impl<W: Write> Outlet for Lines<'_, W> {
-    fn execute(&mut self, access: &Id, server: &Id, limit: Duration, fill: &Fill) {
+    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let manner = u8::from(fill.join)
             | u8::from(fill.only_held) << 1
             | u8::from(!fill.parent_keeps) << 2
             | u8::from(fill.renew) << 3;
-        let mut fields = json!({"OpId": &**access, "Server": &**server, "GiveUpAfter": ms(limit)});
+        let mut fields = json!({"OpId": &**request, "Server": &**server, "GiveUpAfter": ms(limit)});
         fields["Source"] = (*fill.source).into();
         fields["Rank"] = fill.rank.into();
         fields["Manner"] = manner.into();
@@ -49,16 +49,16 @@
         self.put("ServeOrFill", fields);
     }
 
-    fn decline(&mut self, access: &Id, advice: Option<Duration>) {
-        self.put("Refuse", json!({"OpId": &**access, "HoldOff": advice.map_or(0.0, ms)}));
+    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
+        self.put("Refuse", json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}));
     }
 
-    fn give_up(&mut self, access: &Id) {
-        self.put("FinishError", json!({"OpId": &**access}));
+    fn give_up(&mut self, request: &Id) {
+        self.put("FinishError", json!({"OpId": &**request}));
     }
 
-    fn cancel(&mut self, access: &Id, execution: usize) {
-        self.put("CallOff", json!({"OpId": &**access, "N": execution}));
+    fn cancel(&mut self, request: &Id, execution: usize) {
+        self.put("CallOff", json!({"OpId": &**request, "N": execution}));
     }
 
     fn wake_at(&mut self, at: Duration, mark: u64) {
@@ -240,7 +240,7 @@
                 if arrival.category >= hosted.classes {
                     return Err(format!("Priority {} names no class", arrival.category));
                 }
-                hosted.router.access(now, arrival, out);
+                hosted.router.request(now, arrival, out);
             }
             "Result" => {
                 let ended = hosted.ended(f)?;
--- a/src/control.rs
+++ b/src/control.rs
@@ -4,7 +4,7 @@
 
 use crate::interface::*;
 pub use crate::state::part_of;
-use crate::state::{Access as Taken, Route, Seen};
+use crate::state::{Request as Taken, Route, Seen};
 use chalkhall_structures::{Recent, Window, draw};
 use lru::LruCache;
 use std::collections::{BTreeMap, HashMap};
@@ -60,7 +60,7 @@
 
 struct IdList {
     seen: LruCache<u32, Seen>,
-    accesses: u64,
+    requests: u64,
     scores: Recent,
     values: Recent,
 }
@@ -68,15 +68,15 @@
 impl Default for IdList {
     fn default() -> IdList {
         let (scores, values) = (Recent::new(RECENT), Recent::new(RECENT));
-        IdList { seen: LruCache::new(ID_LIST), accesses: 0, scores, values }
+        IdList { seen: LruCache::new(ID_LIST), requests: 0, scores, values }
     }
 }
 
 impl IdList {
     /// The rank at which a copy is kept; 0: passed unkept. `shared`: a first sighting is taken for a repeat.
     fn sight(&mut self, now: Duration, arrival: &Arrival, fresh: Option<Duration>, shared: bool) -> u8 {
-        self.accesses += 1;
-        let (key, count) = (part_of(arrival), self.accesses);
+        self.requests += 1;
+        let (key, count) = (part_of(arrival), self.requests);
         let Some(seen) = self.seen.get_mut(&key) else {
             self.seen.put(key, Seen { count, at: now, rank: u8::from(shared), ..Seen::default() });
             return u8::from(shared);
@@ -176,7 +176,7 @@
     placed: bool, // among the fills
 }
 
-type Access = Taken<Execution>;
+type Request = Taken<Execution>;
 
 #[derive(Default)]
 pub struct Router {
@@ -203,7 +203,7 @@
     /// Share of first sightings lately that were hits: of what others of the location asked to keep.
     shared: f64,
     chance: fastrand::Rng,
-    accesses: HashMap<Id, Access>,
+    requests: HashMap<Id, Request>,
     thens: HashMap<u64, Then>,
     last_mark: u64,
     purges: HashMap<Result<Id, u64>, Duration>,
@@ -275,8 +275,8 @@
         self.own = own.map(|s| s.member.capacity).fold(0.0, f64::max);
     }
 
-    /// An access comes in: it gets its one final answer by `due` whatever else happens.
-    pub fn access(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Outlet) {
+    /// A request comes in: it gets its one final answer by `due` whatever else happens.
+    pub fn request(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Outlet) {
         let turn = &mut Turn { now, out };
         let category = &self.categories[arrival.category];
         let first = category.cacheable && self.ids.known(&arrival).is_none();
@@ -289,27 +289,27 @@
         let due = now + arrival.left.saturating_sub(self.margin);
         let soft = now + category.soft_limit + work.mul_f64(category.soft_stretch);
         let (id, late) = (arrival.id.clone(), arrival.id.clone());
-        let access = Access::new(arrival, rank, first, work, soft, due);
-        self.accesses.insert(id.clone(), access);
+        let request = Request::new(arrival, rank, first, work, soft, due);
+        self.requests.insert(id.clone(), request);
         self.after(turn, due.saturating_sub(now), Box::new(move |router, turn| router.end(turn, &late)));
         self.advance(turn, &id);
     }
 
     pub fn left(&mut self, now: Duration, id: &Id, out: &mut dyn Outlet) {
-        self.accesses.get_mut(id).into_iter().for_each(|access| access.ended = true);
+        self.requests.get_mut(id).into_iter().for_each(|request| request.ended = true);
         self.close(&mut Turn { now, out }, id);
     }
 
     /// A streamed answer has begun: it belongs to the client, and nothing more is owed.
     pub fn begun(&mut self, id: &Id) {
-        self.accesses.get_mut(id).into_iter().for_each(|access| access.ended = true);
+        self.requests.get_mut(id).into_iter().for_each(|request| request.ended = true);
     }
 
     pub fn result(&mut self, now: Duration, id: &Id, execution: usize, ended: &Ended, out: &mut dyn Outlet) {
-        let Some(access) = self.accesses.get_mut(id) else { return };
-        let Some(next) = access.executions.get_mut(execution).and_then(|e| e.next.take()) else { return };
-        access.open -= 1;
-        access.ended |= ended.over;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(next) = request.executions.get_mut(execution).and_then(|e| e.next.take()) else { return };
+        request.open -= 1;
+        request.ended |= ended.over;
         let turn = &mut Turn { now, out };
         next(self, turn, ended);
         self.close(turn, id);
@@ -324,7 +324,7 @@
     /// Another router of the location has found a part at a cache, or had it keep it: here it is a repeat
     /// then, and no likely fill.
     pub fn told(&mut self, now: Duration, part: u32, cache: Id) {
-        let count = self.ids.accesses;
+        let count = self.ids.requests;
         let seen = self.ids.seen.get_or_insert_mut(part, || Seen { count, at: now, ..Seen::default() });
         seen.held = Some((cache, now));
     }
@@ -364,7 +364,7 @@
     }
 
     fn advance(&mut self, turn: &mut Turn, id: &Id) {
-        let over = self.accesses.get(id).is_none_or(|a| a.ended || a.open > 0);
+        let over = self.requests.get(id).is_none_or(|a| a.ended || a.open > 0);
         if over || self.own(turn, id, Duration::ZERO) {
             return;
         }
@@ -378,35 +378,35 @@
             }
         }
         let sent = route.is_some_and(|route| self.send(turn, id, route));
-        if !sent && self.accesses.get(id).is_some_and(|a| a.open == 0) {
+        if !sent && self.requests.get(id).is_some_and(|a| a.open == 0) {
             self.end(turn, id);
         }
     }
 
     /// The cache is not known to hold it, or it was purged since: it would take a fill through the link.
     fn likely_fill(&mut self, id: &Id, route: &Route) -> bool {
-        let Some(access) = self.accesses.get(id) else { return false };
-        let purged = self.last_purge(access);
-        let held = self.ids.known(&access.arrival).and_then(|seen| seen.held.as_ref());
+        let Some(request) = self.requests.get(id) else { return false };
+        let purged = self.last_purge(request);
+        let held = self.ids.known(&request.arrival).and_then(|seen| seen.held.as_ref());
         let held = held.is_some_and(|(at, when)| *at == route.server && purged.is_none_or(|p| p < *when));
-        self.categories[access.arrival.category].cacheable && route.source != route.server && !held
+        self.categories[request.arrival.category].cacheable && route.source != route.server && !held
     }
 
     /// Answers from an own copy, if its place is sound and this router's link has it out in time. `past`: so
     /// long past its fresh time it will do.
     fn own(&mut self, turn: &mut Turn, id: &Id, past: Duration) -> bool {
-        let Some(access) = self.accesses.get(id) else { return false };
-        if self.own <= 0.0 || !self.categories[access.arrival.category].cacheable {
+        let Some(request) = self.requests.get(id) else { return false };
+        if self.own <= 0.0 || !self.categories[request.arrival.category].cacheable {
             return false;
         }
         let Some(Held { place, made, same }) = turn.out.held(id) else { return false };
         let sound = self.servers.get(&place).is_some_and(|s| s.record.sound(turn.now));
         // One answer runs at a client's pace at most, all share the link in turn; that a copy holds is soon
         // said.
-        let work = if same { access.work / 20 } else { access.work };
+        let work = if same { request.work / 20 } else { request.work };
         let free = self.link_free.max(turn.now) + work.div_f64(self.own.max(0.01));
-        let latest = if past.is_zero() { access.soft.min(access.due) } else { access.due };
-        let fit = sound && !access.failed.contains(&place) && free.max(turn.now + work) <= latest;
+        let latest = if past.is_zero() { request.soft.min(request.due) } else { request.due };
+        let fit = sound && !request.failed.contains(&place) && free.max(turn.now + work) <= latest;
         let to = Route { server: place.clone(), source: place, made: Some(made), past };
         let sent = fit && self.send(turn, id, to);
         self.link_free = if sent { free } else { self.link_free };
@@ -416,10 +416,10 @@
     /// Waits for the fill of the same part that is under way, which a second one would only crowd; once, and
     /// not for longer than leaves time for one of its own: what it waits for may be lost.
     fn join(&mut self, turn: &mut Turn, id: &Id) -> bool {
-        let Some(access) = self.accesses.get_mut(id) else { return false };
-        let latest = access.soft.min(access.due).saturating_sub(OVERHEAD + access.work);
-        let Some((_, followers)) = self.filled.get_mut(&part_of(&access.arrival)) else { return false };
-        if latest <= turn.now || std::mem::replace(&mut access.joined, true) {
+        let Some(request) = self.requests.get_mut(id) else { return false };
+        let latest = request.soft.min(request.due).saturating_sub(OVERHEAD + request.work);
+        let Some((_, followers)) = self.filled.get_mut(&part_of(&request.arrival)) else { return false };
+        if latest <= turn.now || std::mem::replace(&mut request.joined, true) {
             return false;
         }
         followers.push(id.clone());
@@ -428,14 +428,14 @@
         true
     }
 
-    /// The execution of an access has ended: an own copy of what it brought, and on with who waited for it.
+    /// The execution of a request has ended: an own copy of what it brought, and on with who waited for it.
     fn pass_on(&mut self, turn: &mut Turn, id: &Id, honoured: bool) {
-        let Some(access) = self.accesses.get(id) else { return };
-        let part = part_of(&access.arrival);
+        let Some(request) = self.requests.get(id) else { return };
+        let part = part_of(&request.arrival);
         let leads = self.filled.get(&part).is_some_and(|(leader, _)| leader == id);
         let followers = if leads { self.filled.remove(&part).unwrap_or_default().1 } else { Vec::new() };
-        let rank = access.rank.max(u8::from(!followers.is_empty()));
-        if honoured && rank > 0 && self.categories[access.arrival.category].cacheable {
+        let rank = request.rank.max(u8::from(!followers.is_empty()));
+        if honoured && rank > 0 && self.categories[request.arrival.category].cacheable {
             turn.out.keep(id, rank);
         }
         for id in followers {
@@ -446,8 +446,8 @@
     /// More fills than links and sources end in time make all of them late, and what times out has used them
     /// for nothing. So a fill too many waits, as long as it could still be in time after.
     fn hold(&mut self, turn: &mut Turn, id: &Id) {
-        let Some(access) = self.accesses.get_mut(id) else { return };
-        let latest = access.soft.min(access.due).saturating_sub(OVERHEAD + access.work);
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let latest = request.soft.min(request.due).saturating_sub(OVERHEAD + request.work);
         if turn.now >= latest {
             return self.end(turn, id);
         }
@@ -486,11 +486,11 @@
     /// Places are free: who waits for one goes, most benefit for the work first.
     fn fill_next(&mut self, turn: &mut Turn) {
         while self.fills_out < self.fills_most {
-            let (accesses, categories) = (&self.accesses, &self.categories);
-            self.waiting.retain(|id| accesses.get(id).is_some_and(|a| !a.ended));
+            let (requests, categories) = (&self.requests, &self.categories);
+            self.waiting.retain(|id| requests.get(id).is_some_and(|a| !a.ended));
             let gain = |place: &usize| {
-                let access = &accesses[&self.waiting[*place]];
-                categories[access.arrival.category].benefit / (OVERHEAD + access.work).as_secs_f64()
+                let request = &requests[&self.waiting[*place]];
+                categories[request.arrival.category].benefit / (OVERHEAD + request.work).as_secs_f64()
             };
             let places = 0..self.waiting.len();
             let Some(best) = places.max_by(|a, b| gain(a).total_cmp(&gain(b))) else { return };
@@ -501,15 +501,15 @@
 
     /// The first that the hash prefers, moving on when one fails, is full or is crowded; `any`: also one set
     /// aside. Each member draws its own number for a part: one that fails moves its own parts only.
-    fn pick(&self, now: Duration, tier: Tier, any: bool, access: &Access) -> Option<&Server> {
-        let part = access.arrival.part;
+    fn pick(&self, now: Duration, tier: Tier, any: bool, request: &Request) -> Option<&Server> {
+        let part = request.arrival.part;
         let weight = |s: &Server| s.member.capacity * s.lean.exp();
-        let draw = |s: &Server| draw(&s.member.server, &access.arrival.object, part, weight(s));
-        let of_cell = |s: &Server| access.arrival.cell.is_none_or(|cell| s.member.cells.contains(&cell));
-        let at = access.arrival.at.unwrap_or(self.location);
+        let draw = |s: &Server| draw(&s.member.server, &request.arrival.object, part, weight(s));
+        let of_cell = |s: &Server| request.arrival.cell.is_none_or(|cell| s.member.cells.contains(&cell));
+        let at = request.arrival.at.unwrap_or(self.location);
         let here = |s: &Server| s.member.location == at && of_cell(s);
         let near = |s: &Server| s.member.tier == tier && (tier != Tier::Cache || here(s));
-        let members = self.servers.values().filter(|s| near(s) && self.may_take(now, s, access));
+        let members = self.servers.values().filter(|s| near(s) && self.may_take(now, s, request));
         let mut open: Vec<_> = members.map(|s| (draw(s), s)).collect();
         open.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Of two, none ever holds over twice the average of both: the others' average counts.
@@ -517,7 +517,7 @@
         let others = |s: &Server| (all - s.kb_under_way) / (n - 1.0).max(1.0);
         let few = (FEW / self.routers_here).max(1.0);
         let crowded = |s: &Server| f64::from(s.out) > few && s.kb_under_way > CROWDED * others(s);
-        let fit = |s: &&Server| !access.failed.contains(&s.member.server) && (any || s.record.sound(now));
+        let fit = |s: &&Server| !request.failed.contains(&s.member.server) && (any || s.record.sound(now));
         let mut left = open.iter().map(|(_, s)| *s).filter(fit);
         left.clone().find(|s| !crowded(s)).or(left.next())
     }
@@ -529,20 +529,20 @@
 
     /// How long past its fresh time a copy will do: where one renewed first would hardly be in time, what its
     /// category allows. It is served and renewed behind.
-    fn past(&self, now: Duration, access: &Access) -> Duration {
+    fn past(&self, now: Duration, request: &Request) -> Duration {
         let strained = self.fills_out >= self.fills_most || self.origin_fails(now);
-        let again = !access.executions.is_empty();
-        let allowed = self.categories[access.arrival.category].stale_for;
+        let again = !request.executions.is_empty();
+        let allowed = self.categories[request.arrival.category].stale_for;
         if strained || again { allowed } else { Duration::ZERO }
     }
 
     fn route(&self, now: Duration, id: &Id) -> Option<Route> {
-        let access = self.accesses.get(id)?;
+        let request = self.requests.get(id)?;
         let name = |s: &Server| s.member.server.clone();
-        let past = self.past(now, access);
+        let past = self.past(now, request);
         let to = |s: &Server, source| Route { server: name(s), source, made: None, past };
         let straight = |s: &Server| to(s, name(s));
-        let pick = |tier, any| self.pick(now, tier, any, access);
+        let pick = |tier, any| self.pick(now, tier, any, request);
         // Where no parent is sound, nor the origin, the trouble is the origin's: parents have what they hold.
         let source = || {
             let sound = pick(Tier::Parent, false).or_else(|| pick(Tier::Origin, false));
@@ -551,7 +551,7 @@
 
         // What no cache may keep runs at the origin: caches and parents on the way could only fail it. One
         // that could not be reached perhaps can be from elsewhere; set aside, it would fail parents too.
-        let runs = !self.categories[access.arrival.category].cacheable;
+        let runs = !self.categories[request.arrival.category].cacheable;
         let cache = || pick(Tier::Cache, false).or_else(|| pick(Tier::Cache, true));
         match pick(Tier::Origin, true).filter(|_| runs) {
             Some(origin) if self.pass_through => return Some(straight(origin)),
@@ -569,7 +569,7 @@
 
     /// Rules 3 and 4, for a server or a source: nothing new once told that it drains or is gone; while it is
     /// cold, no more in any span than this router's share of what it bears, lest all together push it over.
-    fn may_take(&self, now: Duration, server: &Server, access: &Access) -> bool {
+    fn may_take(&self, now: Duration, server: &Server, request: &Request) -> bool {
         if server.member.standing != Standing::Active {
             return false;
         }
@@ -582,7 +582,7 @@
         let warm = (age.as_secs_f64() / cold.warm_within.as_secs_f64()).min(1.0);
         let present = server.member.capacity * (cold.from + (1.0 - cold.from) * warm);
         let bears = COLD_MARGIN * cold.multiple * present * cold.span.as_secs_f64();
-        let (share, weight) = (bears / sharing, self.weight(server, access));
+        let (share, weight) = (bears / sharing, self.weight(server, request));
         let sent = server.sent.sum(now, cold.span);
         // Of many routers none has a share that one transfer fits in: in each span a few, drawn by hash, may
         // send one. The sum expected is the same, and of eight transfers or more it hardly strays to twice.
@@ -594,15 +594,15 @@
         age >= cold.warm_within + cold.span || known && !elsewhere && (sent + weight <= share || drawn())
     }
 
-    fn weight(&self, server: &Server, access: &Access) -> f64 {
-        let mean = self.mean_work[access.arrival.category].0;
-        if server.member.tier == Tier::Cache { mean } else { access.work.as_secs_f64() }
+    fn weight(&self, server: &Server, request: &Request) -> f64 {
+        let mean = self.mean_work[request.arrival.category].0;
+        if server.member.tier == Tier::Cache { mean } else { request.work.as_secs_f64() }
     }
 
-    /// Rule 2: may this access run again, there, or (nowhere named) be declined as safe to repeat?
-    fn may_repeat(&self, now: Duration, access: &Access, at: Option<&Server>) -> bool {
-        let Some((sent, first)) = &access.ran else { return true };
-        let category = &self.categories[access.arrival.category];
+    /// Rule 2: may this request run again, there, or (nowhere named) be declined as safe to repeat?
+    fn may_repeat(&self, now: Duration, request: &Request, at: Option<&Server>) -> bool {
+        let Some((sent, first)) = &request.ran else { return true };
+        let category = &self.categories[request.arrival.category];
         let remembered = now + self.margin < *sent + category.window;
         let same = |of: fn(&Member) -> u64| {
             remembered && at.zip(self.servers.get(first)).is_some_and(|(a, b)| of(&a.member) == of(&b.member))
@@ -616,15 +616,15 @@
         }
     }
 
-    fn last_purge(&self, access: &Access) -> Option<Duration> {
-        let object = self.purges.get(&Ok(access.arrival.object.clone()));
-        object.max(self.purges.get(&Err(access.arrival.group))).copied()
+    fn last_purge(&self, request: &Request) -> Option<Duration> {
+        let object = self.purges.get(&Ok(request.arrival.object.clone()));
+        object.max(self.purges.get(&Err(request.arrival.group))).copied()
     }
 
     /// Rule 5: the oldest copy that will do, counted from the purge, and never zero: that would mean any age.
-    fn oldest(&self, now: Duration, access: &Access, past: Duration) -> Option<Duration> {
-        let fresh = self.categories[access.arrival.category].fresh.map(|fresh| fresh + past);
-        let current = self.last_purge(access).filter(|at| now < *at + self.purge_done + self.margin);
+    fn oldest(&self, now: Duration, request: &Request, past: Duration) -> Option<Duration> {
+        let fresh = self.categories[request.arrival.category].fresh.map(|fresh| fresh + past);
+        let current = self.last_purge(request).filter(|at| now < *at + self.purge_done + self.margin);
         let since = current.map(|at| now.saturating_sub(at).max(Duration::from_micros(1)));
         since.into_iter().chain(fresh).min()
     }
@@ -633,25 +633,25 @@
     fn send(&mut self, turn: &mut Turn, id: &Id, route: Route) -> bool {
         let now = turn.now;
         let filling = self.likely_fill(id, &route);
-        let Some(access) = self.accesses.get(id) else { return false };
+        let Some(request) = self.requests.get(id) else { return false };
         let Some(server) = self.servers.get(&route.server) else { return false };
         let source = self.servers.get(&route.source).unwrap_or(server);
-        let category = &self.categories[access.arrival.category];
-        let oldest = self.oldest(now, access, route.past);
-        let lawful = !access.ended
-            && now < access.due
-            && access.executions.len() < self.most_executions
-            && access.open == 0
-            && self.may_repeat(now, access, Some(server))
-            && self.may_take(now, server, access)
-            && self.may_take(now, source, access)
+        let category = &self.categories[request.arrival.category];
+        let oldest = self.oldest(now, request, route.past);
+        let lawful = !request.ended
+            && now < request.due
+            && request.executions.len() < self.most_executions
+            && request.open == 0
+            && self.may_repeat(now, request, Some(server))
+            && self.may_take(now, server, request)
+            && self.may_take(now, source, request)
             && route.made.zip(oldest).is_none_or(|(made, oldest)| now.saturating_sub(made) < oldest);
         if !lawful {
             return false;
         }
         let fill = Fill {
             source: route.source.clone(),
-            rank: if server.member.tier == Tier::Cache { access.rank } else { 0 },
+            rank: if server.member.tier == Tier::Cache { request.rank } else { 0 },
             oldest,
             join: self.joins,
             // While the origin fails, what a parent fetches from it only holds up what it has.
@@ -660,9 +660,9 @@
             renew: route.made.is_none() && !route.past.is_zero(),
         };
         let watched = category.effect == Effect::Idempotent && self.may_cancel && !category.streamed;
-        let wait = (OVERHEAD + access.work).mul_f64(self.patience);
-        let (kb, limit) = (access.arrival.kb, access.due - now);
-        let weights = [server, source].map(|s| self.weight(s, access));
+        let wait = (OVERHEAD + request.work).mul_f64(self.patience);
+        let (kb, limit) = (request.arrival.kb, request.due - now);
+        let weights = [server, source].map(|s| self.weight(s, request));
         let span = self.cold[0].0.span.max(self.cold[1].0.span);
         for (name, weight) in route.ends().zip(weights) {
             let Some(server) = self.servers.get_mut(name) else { continue };
@@ -674,14 +674,14 @@
         turn.out.execute(id, &route.server, limit, &fill);
         self.fills_out += f64::from(filling);
         if filling && self.own > 0.0 {
-            self.filled.entry(part_of(&access.arrival)).or_insert_with(|| (id.clone(), Vec::new()));
+            self.filled.entry(part_of(&request.arrival)).or_insert_with(|| (id.clone(), Vec::new()));
         }
-        let Some(access) = self.accesses.get_mut(id) else { return false };
-        access.open += 1;
-        let n = access.executions.len();
+        let Some(request) = self.requests.get_mut(id) else { return false };
+        request.open += 1;
+        let n = request.executions.len();
         let (id, looked) = (id.clone(), (id.clone(), route.clone()));
         let next: Next = Box::new(move |router, turn, ended| router.follow(turn, &id, n, &route, now, ended));
-        access.executions.push(Execution { next: Some(next), filling, placed: filling });
+        request.executions.push(Execution { next: Some(next), filling, placed: filling });
         if watched {
             let (id, route) = looked;
             self.after(turn, wait, Box::new(move |r, turn| r.look_into(turn, &id, n, &route, now)));
@@ -693,8 +693,8 @@
     /// others is slow: anew would double the load. After as long again its answer is lost, and would hold a
     /// fill's place.
     fn look_into(&mut self, turn: &mut Turn, id: &Id, n: usize, route: &Route, sent: Duration) {
-        let Some(access) = self.accesses.get_mut(id).filter(|a| !a.ended) else { return };
-        let Some(execution) = access.executions.get_mut(n).filter(|e| e.next.is_some()) else { return };
+        let Some(request) = self.requests.get_mut(id).filter(|a| !a.ended) else { return };
+        let Some(execution) = request.executions.get_mut(n).filter(|e| e.next.is_some()) else { return };
         // A copy would have been sent by now: it is being filled after all. Nothing fills an own one.
         let own = route.made.is_some();
         let filling = !own && std::mem::replace(&mut execution.filling, true);
@@ -704,7 +704,7 @@
         // Whoever says nothing to anybody uses no link: a place among the fills would be held for nothing.
         let placed = std::mem::replace(&mut execution.placed, !own && silent.is_empty());
         self.fills_out += f64::from(execution.placed) - f64::from(placed);
-        let usual = (OVERHEAD + access.work).mul_f64(self.patience);
+        let usual = (OVERHEAD + request.work).mul_f64(self.patience);
         let (all, mut doubt) = (silent.iter().map(|(_, unseen)| unseen).sum::<f64>(), 0.0);
         for (name, unseen) in &silent {
             let Some(server) = self.servers.get_mut(name) else { continue };
@@ -722,15 +722,15 @@
             return self.fill_next(turn);
         }
         let answered = silent.is_empty().then(|| route.server.clone());
-        access.failed.extend(silent.into_iter().map(|(name, _)| name).chain(answered));
+        request.failed.extend(silent.into_iter().map(|(name, _)| name).chain(answered));
         self.patience = if own { self.patience } else { (self.patience * PATIENCE_GROWS).min(PATIENCE_MOST) };
         turn.out.cancel(id, n)
     }
 
     fn learn(&mut self, now: Duration, id: &Id, route: &Route, filling: bool, late: bool, ended: &Ended) {
         use Outcome::*;
-        let Some(access) = self.accesses.get_mut(id) else { return };
-        let (kb, rank, work) = (access.arrival.kb, access.rank, access.work);
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let (kb, rank, work) = (request.arrival.kb, request.rank, request.work);
         let hit = ended.outcome == Honoured && matches!(ended.remark, Remark::Hit | Remark::Stale);
         // A late fill is laid to an end by how seldom the best of its tier is late (a full link delays all),
         // and to one cache at a time: with one set aside after the other, the last would have to bear it all.
@@ -746,10 +746,10 @@
             (Honoured, _) => (1.0, telling[1]),
             (Broken, _) => (0.5, 0.0),
             (_, Remark::SourceUnreached) => (0.0, 1.0),
-            // Perhaps the access's own fault: laid to them once another one has honoured it.
+            // Perhaps the request's own fault: laid to them once another one has honoured it.
             (Error, Remark::None) => {
                 let blamed = route.ends().take(1 + usize::from(filling));
-                access.erred.extend(blamed.map(|name| (name.clone(), if filling { 0.5 } else { 1.0 })));
+                request.erred.extend(blamed.map(|name| (name.clone(), if filling { 0.5 } else { 1.0 })));
                 (0.0, 0.0)
             }
             (TimedOut, Remark::None) if filling => (0.5, 0.5),
@@ -778,7 +778,7 @@
         }
         // Behind a parent the origin is judged by how long it kept a fill waiting.
         if matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
-            let slow = ended.first_byte > Some(self.categories[access.arrival.category].soft_limit);
+            let slow = ended.first_byte > Some(self.categories[request.arrival.category].soft_limit);
             let origins = self.servers.values_mut().filter(|s| s.member.tier == Tier::Origin);
             origins.for_each(|origin| origin.record.judge(now, failed || slow, 1.0));
         }
@@ -786,14 +786,14 @@
         if failed || route.made.is_some() {
             return;
         }
-        for (name, weight) in std::mem::take(&mut access.erred) {
+        for (name, weight) in std::mem::take(&mut request.erred) {
             self.servers.get_mut(&name).into_iter().for_each(|server| server.record.judge(now, true, weight));
         }
         self.patience = (self.patience * PATIENCE_FALLS).max(PATIENCE);
-        if access.first {
+        if request.first {
             self.shared += (f64::from(hit) - self.shared) / SIGHTINGS_BEFORE_GATE as f64;
         }
-        if let Some(seen) = self.ids.known(&access.arrival) {
+        if let Some(seen) = self.ids.known(&request.arrival) {
             seen.held = (hit || rank > 0).then(|| (route.server.clone(), now));
             seen.cost = ended.first_byte.map(|wait| (wait.as_secs_f64() * 1e3).max(1.0)).or(seen.cost);
         }
@@ -801,11 +801,11 @@
 
     fn follow(&mut self, turn: &mut Turn, id: &Id, n: usize, route: &Route, sent: Duration, ended: &Ended) {
         use Outcome::*;
-        let Some(access) = self.accesses.get(id) else { return };
-        let Execution { filling, placed, .. } = access.executions[n];
+        let Some(request) = self.requests.get(id) else { return };
+        let Execution { filling, placed, .. } = request.executions[n];
         self.fills_out -= f64::from(placed);
-        let soft = access.soft.max(sent + (OVERHEAD + access.work) * 2);
-        let (part, before) = (part_of(&access.arrival), self.held(part_of(&access.arrival)));
+        let soft = request.soft.max(sent + (OVERHEAD + request.work) * 2);
+        let (part, before) = (part_of(&request.arrival), self.held(part_of(&request.arrival)));
         self.learn(turn.now, id, route, filling, turn.now > soft, ended);
         if let Some(held) = self.held(part).filter(|held| before.as_ref() != Some(held)) {
             turn.out.found(part, &held);
@@ -819,50 +819,50 @@
             self.fill_ended(turn, (!dead).then_some(ended.outcome == Honoured && turn.now <= soft));
         }
         self.pass_on(turn, id, ended.outcome == Honoured);
-        let Some(access) = self.accesses.get_mut(id) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let own = route.made.is_some();
-        if matches!(ended.outcome, Error | TimedOut | Broken | Cancelled) && access.ran.is_none() && !own {
-            access.ran = Some((sent, route.server.clone()));
+        if matches!(ended.outcome, Error | TimedOut | Broken | Cancelled) && request.ran.is_none() && !own {
+            request.ran = Some((sent, route.server.clone()));
         }
-        if access.ended || ended.outcome == Missing && !own {
+        if request.ended || ended.outcome == Missing && !own {
             return self.end(turn, id);
         }
         // Where the source alone failed the cache is asked again, with another.
         let source_failed = !matches!(ended.remark, Remark::None | Remark::NoFillPlace | Remark::Joined);
         let either = usize::from(ended.outcome == Full && ended.remark == Remark::None);
         let blamed = route.ends().skip(usize::from(source_failed)).take(1 + either);
-        access.failed.extend(blamed.filter(|_| ended.outcome != Cancelled).cloned());
+        request.failed.extend(blamed.filter(|_| ended.outcome != Cancelled).cloned());
         self.advance(turn, id);
     }
 
     /// The final answer where none was honoured: a decline where a retry is safe, else a give-up.
     fn end(&mut self, turn: &mut Turn, id: &Id) {
-        let Some(access) = self.accesses.get(id).filter(|a| !a.ended) else { return };
+        let Some(request) = self.requests.get(id).filter(|a| !a.ended) else { return };
         // Better than none: an own copy past its fresh time, within what its category allows.
-        let stale_for = self.categories[access.arrival.category].stale_for;
-        if !stale_for.is_zero() && access.open == 0 && self.own(turn, id, stale_for) {
+        let stale_for = self.categories[request.arrival.category].stale_for;
+        if !stale_for.is_zero() && request.open == 0 && self.own(turn, id, stale_for) {
             return;
         }
-        let Some(access) = self.accesses.get(id) else { return };
-        self.ids.known(&access.arrival).into_iter().for_each(|seen| seen.unmet = true);
-        let effect = self.categories[access.arrival.category].effect;
-        let certain = access.open == 0 || effect == Effect::Idempotent;
-        if certain && self.may_repeat(turn.now, access, None) {
+        let Some(request) = self.requests.get(id) else { return };
+        self.ids.known(&request.arrival).into_iter().for_each(|seen| seen.unmet = true);
+        let effect = self.categories[request.arrival.category].effect;
+        let certain = request.open == 0 || effect == Effect::Idempotent;
+        if certain && self.may_repeat(turn.now, request, None) {
             turn.out.decline(id, self.advice);
         } else {
             turn.out.give_up(id);
         }
-        self.accesses.get_mut(id).into_iter().for_each(|access| access.ended = true);
+        self.requests.get_mut(id).into_iter().for_each(|request| request.ended = true);
         self.close(turn, id);
     }
 
-    /// Once an access is over what is still out for it is called off, and it is forgotten when all is back.
+    /// Once a request is over what is still out for it is called off, and it is forgotten when all is back.
     fn close(&mut self, turn: &mut Turn, id: &Id) {
-        let Some(access) = self.accesses.get(id).filter(|a| a.ended) else { return };
-        let out = access.executions.iter().enumerate().filter(|(_, e)| e.next.is_some() && self.may_cancel);
+        let Some(request) = self.requests.get(id).filter(|a| a.ended) else { return };
+        let out = request.executions.iter().enumerate().filter(|(_, e)| e.next.is_some() && self.may_cancel);
         out.for_each(|(n, _)| turn.out.cancel(id, n));
-        if access.open == 0 {
-            self.accesses.remove(id);
+        if request.open == 0 {
+            self.requests.remove(id);
         }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An id as the outside gave it: of an access, a cache server or an object.
+/// An id as the outside gave it: of a request, a cache server or an object.
 pub type Id = Rc<str>;
 
-/// What running an access twice would do.
+/// What running a request twice would do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     /// It may run again.
@@ -18,7 +18,7 @@
     Unrepeatable,
 }
 
-/// Which cache servers drop the repeats of a deduplicated access that one of them has seen.
+/// Which cache servers drop the repeats of a deduplicated request that one of them has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Group {
     #[default]
@@ -27,7 +27,7 @@
     Cohort,
 }
 
-/// One category of accesses.
+/// One category of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Category {
     pub effect: Effect,
@@ -35,7 +35,7 @@
     /// How long repeats are recognised, from the first execution that may have run.
     pub window: Duration,
     pub soft_limit: Duration,
-    /// The soft limit grows by this multiple of the access's own sending time.
+    /// The soft limit grows by this multiple of the request's own sending time.
     pub soft_stretch: f64,
     pub hard_limit: Duration,
     pub benefit: f64,
@@ -46,7 +46,7 @@
     /// How long past that a copy may still be served, and the share of the benefit it then earns.
     pub stale_for: Duration,
     pub stale_benefit: f64,
-    /// False where accesses run at the origin and leave no copy.
+    /// False where requests run at the origin and leave no copy.
     pub cacheable: bool,
     /// Objects come in parts, asked for in turn.
     pub in_parts: bool,
@@ -186,7 +186,7 @@
     Failed,
 }
 
-/// An access as it comes in.
+/// A request as it comes in.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     pub id: Id,
@@ -198,7 +198,8 @@
     pub kb: f64,
     /// The cell it belongs to: only caches of that cell are asked for it; none: all are.
     pub cell: Option<u32>,
-    /// The location among whose caches it is drawn; none: the router's own. It keeps it for all its executions.
+    /// The location among whose caches it is drawn; none: the router's own. It keeps it for all its
+    /// executions.
     pub at: Option<usize>,
     /// The client's own time.
     pub left: Duration,
@@ -260,7 +261,7 @@
     pub took: Duration,
     /// Time to the source's first byte, or to its failure, where told.
     pub first_byte: Option<Duration>,
-    /// The access is over: nothing is owed for it any more.
+    /// The request is over: nothing is owed for it any more.
     pub over: bool,
     pub load: Load,
 }
@@ -280,7 +281,7 @@
     pub renew: bool,
 }
 
-/// An own copy of what an access asks for.
+/// An own copy of what a request asks for.
 #[derive(Clone, Debug)]
 pub struct Held {
     /// Which member of tier `Own` has it.
@@ -294,22 +295,22 @@
 /// Through this a router acts. Each call takes effect at once, in the order made.
 pub trait Outlet {
     /// One execution, for at most `limit`; with no fill, the server is asked for what it holds.
-    fn execute(&mut self, access: &Id, server: &Id, limit: Duration, fill: &Fill);
+    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
     /// Final answer: declined. Assures the client that trying again is safe.
-    fn decline(&mut self, access: &Id, advice: Option<Duration>);
+    fn decline(&mut self, request: &Id, advice: Option<Duration>);
     /// Final answer: given up. Assures nothing.
-    fn give_up(&mut self, access: &Id);
-    fn cancel(&mut self, access: &Id, execution: usize);
+    fn give_up(&mut self, request: &Id);
+    fn cancel(&mut self, request: &Id, execution: usize);
     /// Asks for a call of `wake` with this mark at or after `at`.
     fn wake_at(&mut self, at: Duration, mark: u64);
     /// Asks for the changes of the list, where they come only to those who ask.
     fn watch_list(&mut self);
-    /// The own copy of what this access asks for, none where it is not known to be free of purges told.
-    fn held(&mut self, _access: &Id) -> Option<Held> {
+    /// The own copy of what this request asks for, none where it is not known to be free of purges told.
+    fn held(&mut self, _request: &Id) -> Option<Held> {
         None
     }
     /// A cache was found to hold a part, by its key, or was told to keep it, which was not known before.
     fn found(&mut self, _part: u32, _cache: &Id) {}
-    /// What this access has just been honoured with is to be an own copy at this rank, from 1 to 3.
-    fn keep(&mut self, _access: &Id, _rank: u8) {}
+    /// What this request has just been honoured with is to be an own copy at this rank, from 1 to 3.
+    fn keep(&mut self, _request: &Id, _rank: u8) {}
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! chalkhall decides, access by access, how a two-tier cache answers: which cache server, filled from where,
-//! kept or not and at which rank, and what to do when something fails.
+//! chalkhall decides, request by request, how a two-tier cache answers: which cache server, filled from
+//! where, kept or not and at which rank, and what to do when something fails.
 //!
 //! [`control::Router`] holds every decision. [`interface`] holds the plain types it is called with and
 //! [`interface::Outlet`], through which it acts. Any front end can drive it; `crates/wirehost` is one.
@@ -13,16 +13,16 @@
 //! struct Printer(Vec<String>);
 //!
 //! impl Outlet for Printer {
-//!     fn execute(&mut self, access: &Id, server: &Id, _limit: Duration, fill: &Fill) {
-//!         self.0.push(format!("{access}: {server}, filled from {}", fill.source));
+//!     fn execute(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
+//!         self.0.push(format!("{request}: {server}, filled from {}", fill.source));
 //!     }
-//!     fn decline(&mut self, access: &Id, _advice: Option<Duration>) {
-//!         self.0.push(format!("{access}: declined"));
+//!     fn decline(&mut self, request: &Id, _advice: Option<Duration>) {
+//!         self.0.push(format!("{request}: declined"));
 //!     }
-//!     fn give_up(&mut self, access: &Id) {
-//!         self.0.push(format!("{access}: given up"));
+//!     fn give_up(&mut self, request: &Id) {
+//!         self.0.push(format!("{request}: given up"));
 //!     }
-//!     fn cancel(&mut self, _access: &Id, _execution: usize) {}
+//!     fn cancel(&mut self, _request: &Id, _execution: usize) {}
 //!     fn wake_at(&mut self, _at: Duration, _mark: u64) {}
 //!     fn watch_list(&mut self) {}
 //! }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! The plain state of one access and of one part of an object. Nothing is decided here.
+//! The plain state of one request and of one part of an object. Nothing is decided here.
 
 use crate::interface::{Arrival, Id};
 use std::time::Duration;
@@ -9,7 +9,7 @@
     (xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) >> 33) as u32
 }
 
-/// What the id list holds of one part of an object: stamps in accesses and in time, and the access cost.
+/// What the id list holds of one part of an object: stamps in requests and in time, and the access cost.
 #[derive(Default)]
 pub struct Seen {
     pub count: u64,
@@ -37,8 +37,8 @@
     }
 }
 
-/// An access between its coming in and the end of its last execution; `E`: what is kept of an execution.
-pub struct Access<E> {
+/// A request between its coming in and the end of its last execution; `E`: what is kept of an execution.
+pub struct Request<E> {
     pub arrival: Arrival,
     pub rank: u8,
     pub first: bool,
@@ -56,7 +56,7 @@
     pub erred: Vec<(Id, f64)>,
 }
 
-impl<E> Access<E> {
+impl<E> Request<E> {
     pub fn new(
         arrival: Arrival,
         rank: u8,
@@ -67,6 +67,6 @@
     ) -> Self {
         let (executions, open, ended, joined, ran) = (Vec::new(), 0, false, false, None);
         let (failed, erred) = (Vec::new(), Vec::new());
-        Access { arrival, rank, first, work, soft, due, executions, open, ended, joined, ran, failed, erred }
+        Request { arrival, rank, first, work, soft, due, executions, open, ended, joined, ran, failed, erred }
     }
 }
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -14,20 +14,20 @@
 }
 
 impl Outlet for World {
-    fn execute(&mut self, access: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        self.orders.push(format!("execute {access} {server} {limit:?} {fill:?}"));
-        let n = self.executions.entry(access.clone()).or_default();
-        self.ends.push_back((access.clone(), *n));
+    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+        self.orders.push(format!("execute {request} {server} {limit:?} {fill:?}"));
+        let n = self.executions.entry(request.clone()).or_default();
+        self.ends.push_back((request.clone(), *n));
         *n += 1;
     }
-    fn decline(&mut self, access: &Id, advice: Option<Duration>) {
-        self.orders.push(format!("decline {access} {advice:?}"));
+    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
+        self.orders.push(format!("decline {request} {advice:?}"));
     }
-    fn give_up(&mut self, access: &Id) {
-        self.orders.push(format!("give up {access}"));
+    fn give_up(&mut self, request: &Id) {
+        self.orders.push(format!("give up {request}"));
     }
-    fn cancel(&mut self, access: &Id, execution: usize) {
-        self.orders.push(format!("cancel {access} {execution}"));
+    fn cancel(&mut self, request: &Id, execution: usize) {
+        self.orders.push(format!("cancel {request} {execution}"));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
@@ -114,7 +114,7 @@
                     cell,
                     ..Arrival::default()
                 };
-                router.access(now, arrival, &mut world);
+                router.request(now, arrival, &mut world);
             }
             _ => {
                 let Some((id, execution)) = world.ends.pop_front() else { continue };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -17,12 +17,12 @@
 }
 
 impl Outlet for Orders {
-    fn execute(&mut self, access: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
-        self.executions.push((access.clone(), fill.source.clone()));
+    fn execute(&mut self, request: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
+        self.executions.push((request.clone(), fill.source.clone()));
     }
-    fn decline(&mut self, _access: &Id, _advice: Option<Duration>) {}
-    fn give_up(&mut self, _access: &Id) {}
-    fn cancel(&mut self, _access: &Id, _execution: usize) {}
+    fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn give_up(&mut self, _request: &Id) {}
+    fn cancel(&mut self, _request: &Id, _execution: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
     }
@@ -69,7 +69,7 @@
     Member { server: server.into(), location, tier, capacity, started, ..Member::default() }
 }
 
-/// 300 routers, each with an access of 0.2 s three times a second, before two parents of which one has just
+/// 300 routers, each with a request of 0.2 s three times a second, before two parents of which one has just
 /// started. Each share of the cold one is under a hundredth of a transfer at first.
 #[test]
 fn a_cold_parent_is_warmed_by_a_few_in_turn_and_never_pushed_over() {
@@ -102,7 +102,7 @@
             let id: Id = format!("{number}-{n}").into();
             let arrival =
                 Arrival { id: id.clone(), object: id, kb: 200.0, left: ms(9000), ..Arrival::default() };
-            router.access(now, arrival, &mut orders);
+            router.request(now, arrival, &mut orders);
             for (id, source) in std::mem::take(&mut orders.executions) {
                 if *source == *"cold" {
                     sent.push((now, 0.2));
@@ -136,7 +136,7 @@
         most = most.max(within / present(*at));
     }
     assert!(most < 2.0, "in some second it was sent {most:.2} times what it could do");
-    // Accesses for 180 s of sending come a second, half of them for the cold one, which has 24 s on the mean.
+    // Requests for 180 s of sending come a second, half of them for the cold one, which has 24 s on the mean.
     let work: f64 = sent.iter().map(|(_, w)| w).sum();
     assert!(work > 20.0 * 0.25 * 22.0, "only {work:.0} s of sending went to the cold parent");
 }
@@ -144,7 +144,7 @@
 /// What takes more than an eighth of what the cold parent bears in a span waits until it bears more: few such
 /// would stray too far from the mean.
 #[test]
-fn a_large_access_is_not_drawn_for_a_cold_parent() {
+fn a_large_request_is_not_drawn_for_a_cold_parent() {
     let list = [
         member("c", Tier::Cache, 40.0, None),
         member("warm", Tier::Parent, 1.0, None),
@@ -158,7 +158,7 @@
             let id: Id = format!("{number}-{second}").into();
             let arrival =
                 Arrival { id: id.clone(), object: id, kb: 2000.0, left: ms(9000), ..Arrival::default() };
-            router.access(ms(10_000 + second * 1000), arrival, &mut orders);
+            router.request(ms(10_000 + second * 1000), arrival, &mut orders);
         }
         assert!(orders.executions.iter().all(|(_, source)| **source != *"cold"), "router {number}");
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -5,15 +5,15 @@
 //!   at MS                         time passes, and what was asked to wake does
 //!   list SERVER[=STATE]..         changes; STATE: draining, gone, or the time of a start in ms
 //!   whole SERVER..                the whole list
-//!   access ID [category=0 object=ID part=0 group=0 kb=100 left=4000 repeated=0]
-//!   accesses COUNT ID [..]        many at once: ID0, ID1.., each for an object of its own unless named
+//!   request ID [category=0 object=ID part=0 group=0 kb=100 left=4000 repeated=0]
+//!   requests COUNT ID [..]        many at once: ID0, ID1.., each for an object of its own unless named
 //!   result ID N OUTCOME [REMARK] [over] [waited=MS] [took=MS]      results COUNT ID N ..  for ID0, ID1..
 //!   left ID      begun ID      purge [object=X group=0 ago=0]      told SERVER object=X [part=0]
 //! What must follow, among the actions since the start or the last `clear`:
 //!   expect PATTERN                one that matches, after those expected before; `*` is any word or the
 //!                                 rest, $X binds a word at first and stands for it afterwards
 //!   never PATTERN                 none      count PATTERN MIN MAX      so many
-//! A server's cohort stands behind ~, as in c1~2, its cells behind @, as in c1@0,2; an access's as cell=2.
+//! A server's cohort stands behind ~, as in c1~2, its cells behind @, as in c1@0,2; a request's as cell=2.
 //! Servers are named by a letter and a number: c caches, p parents, o the origin, m own copies (m1 in memory,
 //! m2 on a disk), of a link that carries two answers. What they hold is set by
 //!   own m1 object=X [part=0] [age=0] [same=0]      own gone object=X
@@ -33,31 +33,31 @@
 struct Record {
     lines: Vec<String>,
     wakes: BTreeMap<(Duration, u64), ()>,
-    /// What accesses ask for, and own copies: where, when made, whether the client has it.
+    /// What requests ask for, and own copies: where, when made, whether the client has it.
     asked: HashMap<Id, (String, u64)>,
     own: HashMap<(String, u64), Held>,
 }
 
 impl Outlet for Record {
-    fn execute(&mut self, access: &Id, server: &Id, limit: Duration, fill: &Fill) {
+    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let oldest = fill.oldest.map_or("-".into(), |o| o.as_micros().to_string());
         let (source, rank, limit) = (&fill.source, fill.rank, limit.as_millis());
         let held = if fill.only_held { "held" } else { "any" };
         let join = if fill.join { "join" } else { "alone" };
         let renew = if fill.renew { " renew" } else { "" };
-        let line = format!("execute {access} {server} from {source} rank {rank} oldest {oldest}");
+        let line = format!("execute {request} {server} from {source} rank {rank} oldest {oldest}");
         let line = format!("{line} {held} limit {limit} {join}{renew}");
         self.lines.push(line);
     }
-    fn decline(&mut self, access: &Id, advice: Option<Duration>) {
+    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
         let advice = advice.map_or("none".into(), |advice| advice.as_millis().to_string());
-        self.lines.push(format!("decline {access} advice {advice}"));
+        self.lines.push(format!("decline {request} advice {advice}"));
     }
-    fn give_up(&mut self, access: &Id) {
-        self.lines.push(format!("give-up {access}"));
+    fn give_up(&mut self, request: &Id) {
+        self.lines.push(format!("give-up {request}"));
     }
-    fn cancel(&mut self, access: &Id, execution: usize) {
-        self.lines.push(format!("cancel {access} {execution}"));
+    fn cancel(&mut self, request: &Id, execution: usize) {
+        self.lines.push(format!("cancel {request} {execution}"));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
@@ -65,11 +65,11 @@
     fn watch_list(&mut self) {
         self.lines.push("watch".into());
     }
-    fn held(&mut self, access: &Id) -> Option<Held> {
-        self.own.get(self.asked.get(access)?).cloned()
+    fn held(&mut self, request: &Id) -> Option<Held> {
+        self.own.get(self.asked.get(request)?).cloned()
     }
-    fn keep(&mut self, access: &Id, rank: u8) {
-        self.lines.push(format!("keep {access} rank {rank}"));
+    fn keep(&mut self, request: &Id, rank: u8) {
+        self.lines.push(format!("keep {request} rank {rank}"));
     }
     fn found(&mut self, _part: u32, cache: &Id) {
         self.lines.push(format!("found {cache}"));
@@ -252,7 +252,7 @@
                         repeated: field("repeated", 0) == 1,
                     };
                     record.asked.insert(id.as_str().into(), (object.to_owned(), arrival.part));
-                    router.access(now, arrival, &mut record);
+                    router.request(now, arrival, &mut record);
                 }
             }
             "result" | "results" => {
