--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -4,7 +4,7 @@
 //! objects, chosen by hash, goes to the new cell. The share doubles when what was sent there is answered from
 //! copies about as often as in the old cell, so it follows the warmth of the new cell and not the clock. Two
 //! routers at different shares break nothing: either cell may serve any of its objects, and rule 4 is kept
-//! where every send passes. A request keeps the cell that it was given when it came, for all its executions.
+//! where every send passes. A request keeps the cell that it was given when it came, for all its attempts.
 
 use crate::map::Cell;
 use chalkhall::control::Judged;
@@ -131,7 +131,7 @@
         self.settles_at = now + self.settle;
     }
 
-    /// An execution for the tenant has ended: at which cell, and how. What was refused, called off, never
+    /// An attempt for the tenant has ended: at which cell, and how. What was refused, called off, never
     /// sent or not there says nothing of a cell.
     pub fn ended(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
         use Outcome::{Broken, Error, Honoured, TimedOut, Unreachable};
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -184,7 +184,7 @@
     driver: Driver,
     body: Bytes,
     request: Request,
-    executed: usize,
+    attempted: usize,
     ends: VecDeque<(usize, Outcome, Remark)>,
     wakes: Vec<(Duration, u64)>,
     hit: bool,
@@ -192,7 +192,7 @@
 }
 
 impl Outlet for World {
-    fn execute(&mut self, _request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
+    fn attempt(&mut self, _request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         let own = server.starts_with('m');
         let found = own.then(|| {
             let object = name(self.request.object);
@@ -205,8 +205,8 @@
             None => (Outcome::Honoured, Remark::Filled),
         };
         self.hit = found == Some(true);
-        self.ends.push_back((self.executed, outcome, remark));
-        self.executed += 1;
+        self.ends.push_back((self.attempted, outcome, remark));
+        self.attempted += 1;
     }
     fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {
         self.ended = true;
@@ -214,7 +214,7 @@
     fn give_up(&mut self, _request: &Id) {
         self.ended = true;
     }
-    fn cancel(&mut self, _request: &Id, _execution: usize) {}
+    fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.push((at, mark));
     }
@@ -276,7 +276,7 @@
         }],
         tick: Duration::from_millis(2),
         client_kb_per_s: 10_000.0,
-        max_executions: 8,
+        max_attempts: 8,
         may_cancel: true,
         cold_cache: cold,
         cold_parent: cold,
@@ -292,7 +292,7 @@
     let driver = Driver::start(Arc::new(Disk::new()), MEMORY, wanted(false), START);
     let request = day[0];
     let (ends, wakes, body) = (VecDeque::new(), Vec::new(), body.clone());
-    let mut world = World { driver, body, request, executed: 0, ends, wakes, hit: false, ended: false };
+    let mut world = World { driver, body, request, attempted: 0, ends, wakes, hit: false, ended: false };
     let mut router = Router::start(world.driver.now, &deployment(), &mut world);
     router.list(world.driver.now, ListKind::Whole, &members(), &mut world);
     let mut tally = Tally::default();
@@ -303,7 +303,7 @@
             world.driver.store.tick(now, &mut world.driver.orders);
             world.driver.settle();
         }
-        (world.request, world.executed, world.hit, world.ended) = (*request, 0, false, false);
+        (world.request, world.attempted, world.hit, world.ended) = (*request, 0, false, false);
         let id: Id = n.to_string().into();
         let arrival = Arrival {
             id: id.clone(),
@@ -314,14 +314,14 @@
             ..Arrival::default()
         };
         router.request(now, arrival, &mut world);
-        while let Some((execution, outcome, remark)) = world.ends.pop_front() {
+        while let Some((attempt, outcome, remark)) = world.ends.pop_front() {
             // What it costs to fetch an object: its source is near or far.
             let wait = Duration::from_secs_f64(0.01 + 0.05 * draw(request.object, 4));
             let first_byte = (remark == Remark::Filled).then_some(wait);
             let over = outcome == Outcome::Honoured;
             let took = Duration::from_millis(1);
             let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
-            router.result(now, &id, execution, &ended, &mut world);
+            router.result(now, &id, attempt, &ended, &mut world);
         }
         assert!(!world.ended, "a request was declined");
         // Timers are of requests long over: what they would do is nothing.
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -201,14 +201,14 @@
 }
 
 impl Outlet for Desk {
-    fn execute(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
+    fn attempt(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
         let now = self.rig.now();
         let part = Part { object: &self.name, part: 0, group: 0 };
         self.got = self.rig.store.take(now, part);
     }
     fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {}
     fn give_up(&mut self, _request: &Id) {}
-    fn cancel(&mut self, _request: &Id, _execution: usize) {}
+    fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, _at: Duration, mark: u64) {
         self.wakes.push(mark);
     }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -167,7 +167,7 @@
         tick: span_of(options, "Granularity")?,
 
         client_kb_per_s: number(&family, "ClientKbPerS")?,
-        max_executions: whole(&limits, "MaxAttempts")? as usize,
+        max_attempts: whole(&limits, "MaxAttempts")? as usize,
         second_copies: flag(&limits, "SecondCopies")?,
         may_cancel: flag(&limits, "MayCancel")?,
         longest_advice: flag(&limits, "RetryAfter")?
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -137,7 +137,7 @@
     pub far: Duration,
     /// It takes up to this share more.
     pub jitter: f64,
-    /// Parents and origin take executions too.
+    /// Parents and origin take attempts too.
     pub pass_through: bool,
 }
 
@@ -491,7 +491,7 @@
                 Ok(())
             },
         ),
-        one("fleet", "pass-through", "on|off", "parents and origin take executions too", |p, w| {
+        one("fleet", "pass-through", "on|off", "parents and origin take attempts too", |p, w| {
             p.fleet.pass_through = match w[0] {
                 "on" => true,
                 "off" => false,
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -102,7 +102,7 @@
         .iter()
         .map(|s| {
             json!({"asked": s.asked, "earned": s.earned, "declined": s.declined, "failed": s.failed,
-                "opened": s.opened, "executions": s.executions, "fills": s.fills})
+                "opened": s.opened, "executions": s.attempts, "fills": s.fills})
         })
         .collect();
     let events: Vec<Value> =
@@ -197,10 +197,10 @@
         let declined = ("declined", of(&|s| s.declined as f64), RED);
         let failed = ("given up", of(&|s| s.failed as f64), MAGENTA);
         series(shown, "final answers that honoured nothing, a second", &[declined, failed], &mut plots[1])?;
-        let sent = ("executions", of(&|s| s.executions as f64), BLUE);
+        let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
         let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
         let opened = ("connections opened", of(&|s| s.opened as f64), RED);
-        series(shown, "executions and connections opened, a second", &[sent, fills, opened], &mut plots[2])?;
+        series(shown, "attempts and connections opened, a second", &[sent, fills, opened], &mut plots[2])?;
         heat(shown, &mut plots[3])
     };
     draw(&mut plots).map_err(|what| format!("the plots: {what}"))?;
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -60,7 +60,7 @@
     pub declined: u64,
     pub failed: u64,
     pub opened: u64,
-    pub executions: u64,
+    pub attempts: u64,
     pub fills: u64,
 }
 
@@ -840,7 +840,7 @@
         }
         let source = source.flatten();
         let Some(router) = self.truth.watch.comes(now, asked.id, server, source) else { return };
-        self.second(now).executions += 1;
+        self.second(now).attempts += 1;
         self.second(now).fills += u64::from(source.is_some());
         let at = &self.truth.servers[server];
         if at.down || at.silent || at.apart.get(group) == Some(&true) {
--- a/crates/fleet/src/truth.rs
+++ b/crates/fleet/src/truth.rs
@@ -1,4 +1,4 @@
-//! The servers as they truly are: caches by location, parents, the origin. No I/O: executions come in,
+//! The servers as they truly are: caches by location, parents, the origin. No I/O: attempts come in,
 //! answers come out, time is handed in. What it models, and how plainly:
 //!
 //! - a transfer runs at a client's pace at most; a server's transfers share its capacity ([`Station`]);
@@ -114,7 +114,7 @@
     }
 }
 
-/// An execution as it comes.
+/// An attempt as it comes.
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub connection: u64,
@@ -150,7 +150,7 @@
     }
 }
 
-/// What a server says to an execution.
+/// What a server says to an attempt.
 #[derive(Clone, Debug)]
 pub struct Said {
     pub connection: u64,
@@ -188,7 +188,7 @@
     filling: bool,
 }
 
-/// One accepted execution at a cache, for what is measured of load.
+/// One accepted attempt at a cache, for what is measured of load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub at: Duration,
@@ -265,7 +265,7 @@
         self.servers.len() - 1
     }
 
-    /// A server's process is gone: what is open there breaks. Returns whose executions, for their
+    /// A server's process is gone: what is open there breaks. Returns whose attempts, for their
     /// connections.
     pub fn lose(&mut self, now: Duration, server: usize) {
         self.go(now);
@@ -372,7 +372,7 @@
         }
     }
 
-    /// An execution comes to a server, which listens and is not silent towards it.
+    /// An attempt comes to a server, which listens and is not silent towards it.
     pub fn ask(&mut self, now: Duration, server: usize, ask: Ask) {
         self.go(now);
         let work = self.work(ask.kb);
@@ -719,7 +719,7 @@
     }
 
     #[test]
-    fn what_a_lost_server_held_is_gone_and_its_executions_with_it() {
+    fn what_a_lost_server_held_is_gone_and_its_attempts_with_it() {
         let mut truth = truth();
         truth.servers[0].holds((7, 0), Copy { kb: 100.0, made: 999_999 });
         truth.ask(ms(0), 0, ask(1, 7));
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -64,7 +64,7 @@
     pub cold: u64,
     /// Rule 5: answered from a copy older than a purge allows.
     pub stale: u64,
-    /// An execution of no request that there is.
+    /// An attempt of no request that there is.
     pub strange: u64,
 }
 
@@ -119,11 +119,11 @@
         self.lives.get(&id)
     }
 
-    /// An execution has come to a server, with that source for its fill. Returns of which router it is.
+    /// An attempt has come to a server, with that source for its fill. Returns of which router it is.
     pub fn comes(&mut self, now: Duration, id: u64, server: usize, source: Option<usize>) -> Option<usize> {
         let Some(life) = self.lives.get(&id) else {
             self.breaks.strange += 1;
-            self.say(|| format!("{now:?}: an execution of {id:016x}, which nobody asked for"));
+            self.say(|| format!("{now:?}: an attempt of {id:016x}, which nobody asked for"));
             return None;
         };
         let router = life.router;
--- a/crates/members/tests/play.rs
+++ b/crates/members/tests/play.rs
@@ -48,7 +48,7 @@
         Day { slow: true, seed: seed(), talk: true, ..Day::default() },
     );
     let (sound, slow) = (World::play(sound), World::play(slow));
-    let (before, after) = (share(sound.by_first, sound.executions), share(slow.by_first, slow.executions));
+    let (before, after) = (share(sound.by_first, sound.attempts), share(slow.by_first, slow.attempts));
     assert!(after < 0.5 * before, "it still gets {after:.2} of all, {before:.2} where it is sound");
 }
 
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -51,7 +51,7 @@
     pub hits: usize,
     pub by_parent: BTreeMap<String, usize>,
     pub by_first: usize,
-    pub executions: usize,
+    pub attempts: usize,
     pub bytes: usize,
     pub strangers: u64,
 }
@@ -63,7 +63,7 @@
         router: usize,
         life: u32,
         request: Id,
-        execution: usize,
+        attempt: usize,
         hit: bool,
         ends: [Option<Id>; 2],
         keep: Option<u64>,
@@ -85,7 +85,7 @@
 /// What a router orders in one call.
 #[derive(Default)]
 struct Orders {
-    executions: Vec<(Id, Id, Fill)>,
+    attempts: Vec<(Id, Id, Fill)>,
     answers: Vec<(Id, bool)>,
     cancels: Vec<(Id, usize)>,
     wakes: Vec<(Duration, u64)>,
@@ -93,8 +93,8 @@
 }
 
 impl Outlet for Orders {
-    fn execute(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
-        self.executions.push((request.clone(), server.clone(), fill.clone()));
+    fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
+        self.attempts.push((request.clone(), server.clone(), fill.clone()));
     }
     fn decline(&mut self, request: &Id, _advice: Option<Duration>) {
         self.answers.push((request.clone(), true));
@@ -102,8 +102,8 @@
     fn give_up(&mut self, request: &Id) {
         self.answers.push((request.clone(), false));
     }
-    fn cancel(&mut self, request: &Id, execution: usize) {
-        self.cancels.push((request.clone(), execution));
+    fn cancel(&mut self, request: &Id, attempt: usize) {
+        self.cancels.push((request.clone(), attempt));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.push((at, mark));
@@ -130,7 +130,7 @@
     soft: Duration,
     open: bool,
     /// When each was sent; none: it has ended.
-    executions: Vec<Option<Duration>>,
+    attempts: Vec<Option<Duration>>,
 }
 
 struct Node {
@@ -175,7 +175,7 @@
         categories: vec![page],
         tick: ms(1),
         client_kb_per_s: 5000.0,
-        max_executions: 6,
+        max_attempts: 6,
         may_cancel: true,
         longest_advice: Some(ms(500)),
         cold_cache: cold,
@@ -271,26 +271,25 @@
             assert!(std::mem::replace(&mut taken.open, false), "a second answer for {id}");
             self.seen.declined += usize::from(declined);
         }
-        for (id, server, fill) in orders.executions {
-            self.execute(number, id, server, fill);
+        for (id, server, fill) in orders.attempts {
+            self.attempt(number, id, server, fill);
         }
-        for (id, execution) in orders.cancels {
-            let out =
-                self.nodes[number].taken.get_mut(&id).and_then(|taken| taken.executions.get_mut(execution));
+        for (id, attempt) in orders.cancels {
+            let out = self.nodes[number].taken.get_mut(&id).and_then(|taken| taken.attempts.get_mut(attempt));
             if let Some(sent) = out.and_then(Option::take) {
                 let took = self.now - sent;
-                self.ended(number, &id, execution, Outcome::Cancelled, Remark::None, took);
+                self.ended(number, &id, attempt, Outcome::Cancelled, Remark::None, took);
             }
         }
     }
 
-    fn execute(&mut self, number: usize, id: Id, server: Id, fill: Fill) {
+    fn attempt(&mut self, number: usize, id: Id, server: Id, fill: Fill) {
         let taken = self.nodes[number].taken.get_mut(&id).expect("a request that was taken");
-        assert!(taken.executions.iter().all(Option::is_none), "two executions of {id} at once");
-        taken.executions.push(Some(self.now));
-        let (execution, key) = (taken.executions.len() - 1, taken.key);
+        assert!(taken.attempts.iter().all(Option::is_none), "two attempts of {id} at once");
+        taken.attempts.push(Some(self.now));
+        let (attempt, key) = (taken.attempts.len() - 1, taken.key);
         let work = taken.arrival.kb / 5000.0;
-        self.seen.executions += 1;
+        self.seen.attempts += 1;
         self.seen.by_first += usize::from(server.ends_with("-0") && server.starts_with("cache"));
         let at = self.servers.get_mut(&server).expect("a listed server");
         at.busy += 1;
@@ -313,14 +312,14 @@
         let mute = self.day.killed && (ms(5000)..ms(7000)).contains(&self.now) && server.ends_with("-1");
         // What a mute cache says reaches nobody: no life has this number.
         let life = if mute && server.starts_with("cache") { u32::MAX } else { life };
-        self.later(took, Event::End { router: number, life, request: id, execution, hit, ends, keep });
+        self.later(took, Event::End { router: number, life, request: id, attempt, hit, ends, keep });
     }
 
     fn ended(
         &mut self,
         number: usize,
         id: &Id,
-        execution: usize,
+        attempt: usize,
         outcome: Outcome,
         remark: Remark,
         took: Duration,
@@ -333,7 +332,7 @@
         let over = !taken.open;
         let first_byte = Some(ms(10)).filter(|_| remark == Remark::Filled);
         let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
-        self.call(number, |router, now, orders| router.result(now, id, execution, &ended, orders));
+        self.call(number, |router, now, orders| router.result(now, id, attempt, &ended, orders));
     }
 
     fn ask(&mut self, number: usize) {
@@ -358,7 +357,7 @@
         let left = ms(3000);
         let arrival = Arrival { id: id.clone(), object, part, kb, left, ..Arrival::default() };
         let soft = self.now + ms(500) + Duration::from_secs_f64(2.0 * kb / 5000.0);
-        let taken = Taken { arrival: arrival.clone(), key, soft, open: true, executions: Vec::new() };
+        let taken = Taken { arrival: arrival.clone(), key, soft, open: true, attempts: Vec::new() };
         let life = self.nodes[number].life;
         self.nodes[number].taken.insert(id.clone(), taken);
         self.later(left, Event::Due(number, life, id));
@@ -422,7 +421,7 @@
                         world.call(number, |router, now, orders| router.wake(now, mark, orders));
                     }
                 }
-                Event::End { router, life, request, execution, hit, ends, keep } => {
+                Event::End { router, life, request, attempt, hit, ends, keep } => {
                     for end in ends.iter().flatten() {
                         world.servers.get_mut(end).expect("listed").busy -= 1;
                     }
@@ -430,13 +429,12 @@
                         world.servers.get_mut(cache).expect("listed").held.put(key, ());
                     }
                     let node = &mut world.nodes[router];
-                    let out =
-                        node.taken.get_mut(&request).and_then(|taken| taken.executions.get_mut(execution));
+                    let out = node.taken.get_mut(&request).and_then(|taken| taken.attempts.get_mut(attempt));
                     if node.life == life
                         && let Some(sent) = out.and_then(Option::take)
                     {
                         let remark = if hit { Remark::Hit } else { Remark::Filled };
-                        world.ended(router, &request, execution, Outcome::Honoured, remark, at - sent);
+                        world.ended(router, &request, attempt, Outcome::Honoured, remark, at - sent);
                     }
                 }
                 Event::Due(number, life, id) => {
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -211,7 +211,7 @@
         self.urgent = true;
     }
 
-    /// An execution at caches of this location has ended, in a way that says something of them.
+    /// An attempt at caches of this location has ended, in a way that says something of them.
     pub fn saw(&mut self, now: Duration, good: bool) {
         let before = self.seen.says_bad(now);
         self.seen.saw(now, good, 1.0);
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -191,14 +191,14 @@
         match self.regions.request(at, may, benefit / work.max(1e-6)) {
             Where::Home => {}
             Where::Abroad(place) => arrival.at = Some(place),
-            // Parents may still have it; where they take no executions nobody has.
+            // Parents may still have it; where they take no attempts nobody has.
             Where::Nowhere if self.pass_through => {}
             Where::Nowhere => return Err(()),
         }
         Ok(())
     }
 
-    /// An execution has ended at a server: what that says of the own location's caches.
+    /// An attempt has ended at a server: what that says of the own location's caches.
     pub fn ended(&mut self, now: Duration, server: Option<&Member>, outcome: Outcome, remark: Remark) {
         use Outcome::{Broken, Error, Full, Honoured, Missing, Unreachable};
         let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.location == self.location) else {
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -151,7 +151,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Whoever holds an execution back for a socket sees the leaving in the same moment, not by way of mailboxes.
+/// Whoever holds an attempt back for a socket sees the leaving in the same moment, not by way of mailboxes.
 #[tokio::test(flavor = "current_thread")]
 async fn a_leaving_is_seen_where_the_first_byte_would_go() {
     let inside = async {
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -195,7 +195,7 @@
         }
     }
 
-    /// An execution at a server ended: the moves that it belongs to go by it.
+    /// An attempt at a server ended: the moves that it belongs to go by it.
     pub fn ended(&mut self, now: Duration, arrival: &Arrival, outcome: Outcome, remark: Remark) {
         let Some(cell) = arrival.cell.filter(|_| !self.moves.is_empty()) else { return };
         for at in 0..self.moves.len() {
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -30,7 +30,7 @@
 
 /// Orders on their way to a server's actor, which takes them at once; more are reported never sent.
 const ORDERS_MOST: usize = 1024;
-/// What an execution brings into memory is expected as lately: at first an object's bytes at most, then
+/// What an attempt brings into memory is expected as lately: at first an object's bytes at most, then
 /// moving by this share towards each that came.
 const OBJECT_MOST: f64 = 240_000.0;
 const OBJECT_MOVES: f64 = 1.0 / 64.0;
@@ -51,7 +51,7 @@
     Store,
 }
 
-/// Of a request: to whom its final answer goes, until it has gone, and its executions.
+/// Of a request: to whom its final answer goes, until it has gone, and its attempts.
 struct Taken {
     client: Option<To>,
     tag: u64,
@@ -61,10 +61,10 @@
     /// It must not run twice.
     once: bool,
     begun: Duration,
-    executions: Vec<Execution>,
+    attempts: Vec<Attempt>,
 }
 
-struct Execution {
+struct Attempt {
     /// None: the list does not hold it.
     server: Option<mpsc::Sender<Order>>,
     at: Id,
@@ -85,7 +85,7 @@
     requests: HashMap<Id, Taken>,
     posts: HashMap<Id, Post>,
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    /// Executions that ended here: not handed on, or answered from an own copy; and requests to be forgotten
+    /// Attempts that ended here: not handed on, or answered from an own copy; and requests to be forgotten
     /// when all is back.
     ends: VecDeque<Ended>,
     answered: Vec<Id>,
@@ -98,7 +98,7 @@
     brought: Option<(Id, Box<Answer>)>,
     /// A first byte leaves this soon after its decision, or not at all.
     leave_within: Duration,
-    /// Bytes of bodies on their way to clients, executions that may bring more, and how much each is likely
+    /// Bytes of bodies on their way to clients, attempts that may bring more, and how much each is likely
     /// to.
     in_hand: usize,
     out: usize,
@@ -128,15 +128,15 @@
 }
 
 impl Outlet for Desk {
-    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let Some(taken) = self.requests.get_mut(request) else { return };
-        let key = (request.clone(), taken.executions.len());
+        let key = (request.clone(), taken.attempts.len());
         if let Some(own) = self.own.as_mut().filter(|own| own.is_place(server)) {
-            let got = own.execute(&key, server, &taken.arrival, taken.passed.have.as_ref());
+            let got = own.attempt(&key, server, &taken.arrival, taken.passed.have.as_ref());
             if let Some((outcome, answer)) = got {
                 self.ends.push_back(Ended { key, outcome, answer });
             }
-            taken.executions.push(Execution { server: None, at: server.clone(), sent: self.now, open: true });
+            taken.attempts.push(Attempt { server: None, at: server.clone(), sent: self.now, open: true });
             self.out += 1;
             return;
         }
@@ -154,10 +154,10 @@
         let post = self.posts.get(server).map(|post| post.orders.clone());
         if post.as_ref().is_none_or(|orders| orders.try_send(Order::Ask(ask)).is_err()) {
             self.refused
-                .log(&format!("an execution for {server}, which is not listed or takes no more orders"));
+                .log(&format!("an attempt for {server}, which is not listed or takes no more orders"));
             self.ends.push_back(Ended { key, outcome: Outcome::NeverSent, answer: None });
         }
-        taken.executions.push(Execution { server: post, at: server.clone(), sent: self.now, open: true });
+        taken.attempts.push(Attempt { server: post, at: server.clone(), sent: self.now, open: true });
         self.out += 1;
     }
 
@@ -169,16 +169,16 @@
         self.reply(request, Last::GivenUp);
     }
 
-    fn cancel(&mut self, request: &Id, execution: usize) {
-        let key = (request.clone(), execution);
+    fn cancel(&mut self, request: &Id, attempt: usize) {
+        let key = (request.clone(), attempt);
         if self.own.as_mut().is_some_and(|own| own.cancel(&key)) {
             return self.ends.push_back(Ended { key, outcome: Outcome::Cancelled, answer: None });
         }
-        let executions = self.requests.get(request).map(|taken| &taken.executions);
-        let out = executions.and_then(|e| e.get(execution)).filter(|e| e.open);
+        let attempts = self.requests.get(request).map(|taken| &taken.attempts);
+        let out = attempts.and_then(|e| e.get(attempt)).filter(|e| e.open);
         if let Some(server) = out.and_then(|out| out.server.as_ref()) {
-            // Where this fails the execution ends by its own time.
-            let _ = server.try_send(Order::Quit((request.clone(), execution)));
+            // Where this fails the attempt ends by its own time.
+            let _ = server.try_send(Order::Quit((request.clone(), attempt)));
         }
     }
 
@@ -468,10 +468,10 @@
         {
             return refuse(client, Last::Declined(self.router.advice));
         }
-        let (executions, kept) = (Vec::new(), arrival.clone());
+        let (attempts, kept) = (Vec::new(), arrival.clone());
         let client = Some(To::Client(client));
         let begun = self.desk.now;
-        let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, executions };
+        let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, attempts };
         self.desk.requests.insert(arrival.id.clone(), taken);
         self.router.request(self.desk.now, arrival, &mut self.desk);
     }
@@ -480,11 +480,11 @@
         let Ended { key: (id, n), outcome, answer } = ended;
         let desk = &mut self.desk;
         let Some(taken) = desk.requests.get_mut(&id) else { return };
-        let Some(execution) = taken.executions.get_mut(n).filter(|e| e.open) else { return };
-        execution.open = false;
-        let by_server = execution.server.is_some();
+        let Some(attempt) = taken.attempts.get_mut(n).filter(|e| e.open) else { return };
+        attempt.open = false;
+        let by_server = attempt.server.is_some();
         desk.out -= 1;
-        let took = desk.now.saturating_sub(execution.sent);
+        let took = desk.now.saturating_sub(attempt.sent);
         let have = taken.passed.have.clone();
         let mut told = interface::Ended {
             outcome,
@@ -503,7 +503,7 @@
             }
             if told.outcome == Outcome::Honoured {
                 desk.object += (answer.body.len() as f64 - desk.object) * OBJECT_MOVES;
-                // The first honoured execution is the client's answer.
+                // The first honoured attempt is the client's answer.
                 let etag = answer.etag.clone();
                 let last = if answer.same {
                     Last::Unchanged { etag }
@@ -526,7 +526,7 @@
         told.over =
             desk.requests.get(&id).is_some_and(|taken| taken.client.is_none() || !taken.wanted.still());
         if let (true, Some(abroad), Some(taken)) = (by_server, &mut self.abroad, desk.requests.get(&id)) {
-            let server = taken.executions.get(n).and_then(|execution| self.router.member(&execution.at));
+            let server = taken.attempts.get(n).and_then(|attempt| self.router.member(&attempt.at));
             abroad.ended(desk.now, server, told.outcome, told.remark);
         }
         desk.answered.push(id.clone());
@@ -534,7 +534,7 @@
         desk.brought = None;
     }
 
-    /// An order to the disk has ended: with it perhaps executions that waited for it.
+    /// An order to the disk has ended: with it perhaps attempts that waited for it.
     fn disk(&mut self, end: End) {
         let Some(own) = &mut self.desk.own else { return };
         own.ended(end);
@@ -599,10 +599,10 @@
         let Some(own) = &mut self.desk.own else { return };
         own.tick(late);
         for (arrival, passed) in own.asks() {
-            let (client, kept, executions) = (Some(To::Store), arrival.clone(), Vec::new());
+            let (client, kept, attempts) = (Some(To::Store), arrival.clone(), Vec::new());
             let begun = self.desk.now;
             let (tag, wanted, once) = (0, Wanted::default(), false);
-            let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, executions };
+            let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, attempts };
             self.desk.requests.insert(arrival.id.clone(), taken);
             self.router.request(self.desk.now, arrival, &mut self.desk);
             self.settle();
@@ -618,7 +618,7 @@
             self.abroad.iter_mut().for_each(|a| a.answered(self.desk.now, category, begun, honoured));
         }
         for id in std::mem::take(&mut self.desk.answered) {
-            let over = |taken: &Taken| taken.client.is_none() && taken.executions.iter().all(|e| !e.open);
+            let over = |taken: &Taken| taken.client.is_none() && taken.attempts.iter().all(|e| !e.open);
             if self.desk.requests.get(&id).is_some_and(over) {
                 self.desk.requests.remove(&id);
             }
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -1,6 +1,6 @@
-//! One connection to a server: writes requests, reads answers, watches the time of each execution.
+//! One connection to a server: writes requests, reads answers, watches the time of each attempt.
 //!
-//! An execution waits unwritten until the connection stands and all before it has gone to the system; only
+//! An attempt waits unwritten until the connection stands and all before it has gone to the system; only
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
 use crate::lines::{Answer, Answers, quit};
@@ -44,7 +44,7 @@
     /// By the id as the server sees it.
     out: HashMap<Bytes, Out>,
     writing: BytesMut,
-    /// The execution whose first byte is the next to be written.
+    /// The attempt whose first byte is the next to be written.
     beginning: Option<Box<Ask>>,
     quits: VecDeque<Bytes>,
     ended: VecDeque<(Key, Outcome, Option<Box<Answer>>, bool)>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes back executions of which not a byte has gone.
+    /// Takes back attempts of which not a byte has gone.
     fn withdraw(&mut self, which: impl Fn(&Ask) -> bool) {
         if let Some(ask) = self.beginning.take_if(|ask| which(ask)) {
             self.writing.clear();
@@ -121,7 +121,7 @@
         }
     }
 
-    /// So many bytes have gone to the system: from the first on an execution may run. To a server that hangs
+    /// So many bytes have gone to the system: from the first on an attempt may run. To a server that hangs
     /// the socket may be full for long before.
     fn gone(&mut self, now: Instant, bytes: usize) {
         self.writing.advance(bytes);
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -43,7 +43,7 @@
 }
 
 /// Whether a request still waits for its final answer. Its client's connection and the decider end it; a link
-/// asks it where the first byte of an execution leaves. The one thing that tasks share: by way of the
+/// asks it where the first byte of an attempt leaves. The one thing that tasks share: by way of the
 /// mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
 pub struct Wanted(Rc<Cell<bool>>);
@@ -115,10 +115,10 @@
     pub asked: bool,
 }
 
-/// An execution of a request: the request's id and its number within it.
+/// An attempt of a request: the request's id and its number within it.
 pub type Key = (Id, usize);
 
-/// One execution on its way to a server.
+/// One attempt on its way to a server.
 #[derive(Debug)]
 pub struct Ask {
     pub key: Key,
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -47,7 +47,7 @@
 /// Own copies, and with a disk how its orders end.
 pub type Opened = (Own, Option<mpsc::Receiver<End>>);
 
-/// What became of an execution at an own copy.
+/// What became of an attempt at an own copy.
 pub type Got = (Outcome, Option<Box<Answer>>);
 
 impl Own {
@@ -116,8 +116,8 @@
         Some(Held { place: place.clone(), made: self.clock.at_unix_ms(found.made), same: found.same })
     }
 
-    /// An execution at an own copy: how it ended; none: it will be among the `got` later.
-    pub fn execute(
+    /// An attempt at an own copy: how it ended; none: it will be among the `got` later.
+    pub fn attempt(
         &mut self,
         key: &Key,
         server: &Id,
@@ -139,7 +139,7 @@
         Some(copy.map_or((Outcome::Missing, None), |copy| self.answer(&copy, arrival, have)))
     }
 
-    /// An execution that waits for the disk is called off. False: it does not.
+    /// An attempt that waits for the disk is called off. False: it does not.
     pub fn cancel(&mut self, key: &Key) -> bool {
         let Some(ticket) = self.waiting.iter().find(|(_, k)| *k == key).map(|(ticket, _)| *ticket) else {
             return false;
@@ -149,7 +149,7 @@
         true
     }
 
-    /// The executions that have come back from the disk, and what they brought.
+    /// The attempts that have come back from the disk, and what they brought.
     pub fn got(&mut self) -> Vec<(Key, Fetched)> {
         let fetched = std::mem::take(&mut self.shelf.fetched);
         fetched
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,4 +1,4 @@
-//! A cache server, a parent or the origin: shares a few connections among the executions sent to it.
+//! A cache server, a parent or the origin: shares a few connections among the attempts sent to it.
 
 use crate::lines::Answer;
 use crate::link::{Link, at};
@@ -33,7 +33,7 @@
     retired: bool,
     used: Instant,
     /// An answer to one of these that crossed its QUIT, or a second copy, would pass for that to a later
-    /// execution.
+    /// attempt.
     old: VecDeque<Id>,
 }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Hands an execution to the least busy connection that may take it. False: there is none.
+    /// Hands an attempt to the least busy connection that may take it. False: there is none.
     fn pass(&mut self, hands: &mut Hands, mut ask: Box<Ask>) -> bool {
         // None of those that have stood idle for too long, also where this order comes before the time for
         // it.
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -73,7 +73,7 @@
     pub connect_timeout: Duration,
     /// When servers close a connection that carries nothing.
     pub idle_close: Duration,
-    /// Executions on one connection at a time.
+    /// Attempts on one connection at a time.
     pub streams: usize,
     pub open_requests: usize,
 }
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_executions_along() {
+fn a_client_that_leaves_takes_its_attempts_along() {
     let (world, _program, mut client) = started();
     let id = client.ask(1, "page", "", b"");
     let mut server = world.server("c1").accept();
@@ -120,7 +120,7 @@
     let mut origin = world.server("o1").accept();
     origin.asked();
     drop(origin);
-    assert_eq!(client.word(), "FAIL", "written, then broken: no second execution, no decline");
+    assert_eq!(client.word(), "FAIL", "written, then broken: no second attempt, no decline");
 }
 
 #[test]
@@ -169,7 +169,7 @@
     let asked = [server.asked(), server.asked()];
     let begun = Instant::now();
     server.say(format!("{} OK {HIT} 240000\r\nhalf", asked[0].id));
-    // Both are executed elsewhere, long before their time is up, and the connection is gone.
+    // Both are attempted elsewhere, long before their time is up, and the connection is gone.
     let mut second = world.server(other).accept();
     second.serve(b"x");
     second.serve(b"x");
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -379,7 +379,7 @@
             format!("chalkhall-router-{}-{}", std::process::id(), LAST.fetch_add(1, Ordering::Relaxed));
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
-        // At this pace a part takes a second, so that no execution is looked into while a test is held up.
+        // At this pace a part takes a second, so that no attempt is looked into while a test is held up.
         let settings = json!({
             "Classes": [class("page", "pure"), class("confirm", "side_effect")],
             "FamilyInfo": {"ClassFresh": [12000, 0], "ClassWrite": [false, true], "ClientKbPerS": 10,
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -34,7 +34,7 @@
 }
 
 impl<W: Write> Outlet for Lines<'_, W> {
-    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let manner = u8::from(fill.join)
             | u8::from(fill.only_held) << 1
             | u8::from(!fill.parent_keeps) << 2
@@ -57,8 +57,8 @@
         self.put("FinishError", json!({"OpId": &**request}));
     }
 
-    fn cancel(&mut self, request: &Id, execution: usize) {
-        self.put("CallOff", json!({"OpId": &**request, "N": execution}));
+    fn cancel(&mut self, request: &Id, attempt: usize) {
+        self.put("CallOff", json!({"OpId": &**request, "N": attempt}));
     }
 
     fn wake_at(&mut self, at: Duration, mark: u64) {
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,5 +1,5 @@
 //! Every decision of a router. `Router::start` once, then one method for each thing that happens, each with
-//! the time since the start and the outlet through which the router acts (`interface.rs`). Every execution
+//! the time since the start and the outlet through which the router acts (`interface.rs`). Every attempt
 //! passes `Router::send`, where the rules are enforced, and leaves a closure for its result.
 
 use crate::interface::*;
@@ -25,7 +25,7 @@
 const FAILURE_ADDS: f64 = std::f64::consts::LN_10;
 const SUCCESS_ADDS: f64 = -0.642;
 const BROKEN_AT: f64 = 4.605;
-/// A server set aside gets one execution in this time; halved by each success, doubled by each failure.
+/// A server set aside gets one attempt in this time; halved by each success, doubled by each failure.
 const TRICKLE_FIRST: Duration = Duration::from_millis(1000);
 const TRICKLE_SLOWEST: Duration = Duration::from_millis(4000);
 const TRICKLE_FULL: Duration = Duration::from_millis(50);
@@ -128,7 +128,7 @@
 /// What a sequential test on its outcomes says of a server, or of a disk.
 #[derive(Debug, Default)]
 pub struct Judged {
-    /// Log odds that it is broken; set aside: when the next execution is due, and their distance.
+    /// Log odds that it is broken; set aside: when the next attempt is due, and their distance.
     doubt: f64,
     aside: Option<(Duration, Duration)>,
     /// When something was last sent, and how far apart that usually is.
@@ -170,13 +170,13 @@
     }
 }
 
-struct Execution {
+struct Attempt {
     next: Option<Next>,
     filling: bool,
     placed: bool, // among the fills
 }
 
-type Request = Taken<Execution>;
+type Request = Taken<Attempt>;
 
 #[derive(Default)]
 pub struct Router {
@@ -189,7 +189,7 @@
     /// Of caches and of parents: the bounds of a cold start, and how many routers share what one bears.
     cold: [(ColdStart, f64); 2],
     routers_here: f64,
-    most_executions: usize,
+    most_attempts: usize,
     may_cancel: bool,
     /// The wait that a declined client is advised, at the door too.
     pub advice: Option<Duration>,
@@ -238,7 +238,7 @@
             cold: [(told.cold_cache, routers_here), (told.cold_parent, told.routers.max(1) as f64)],
             number: told.number,
             routers_here,
-            most_executions: told.max_executions.max(1),
+            most_attempts: told.max_attempts.max(1),
             may_cancel: told.may_cancel,
             advice: told.longest_advice.map(|longest| longest.min(ADVICE)),
             purge_done: told.purge_done,
@@ -305,9 +305,9 @@
         self.requests.get_mut(id).into_iter().for_each(|request| request.ended = true);
     }
 
-    pub fn result(&mut self, now: Duration, id: &Id, execution: usize, ended: &Ended, out: &mut dyn Outlet) {
+    pub fn result(&mut self, now: Duration, id: &Id, attempt: usize, ended: &Ended, out: &mut dyn Outlet) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let Some(next) = request.executions.get_mut(execution).and_then(|e| e.next.take()) else { return };
+        let Some(next) = request.attempts.get_mut(attempt).and_then(|e| e.next.take()) else { return };
         request.open -= 1;
         request.ended |= ended.over;
         let turn = &mut Turn { now, out };
@@ -428,7 +428,7 @@
         true
     }
 
-    /// The execution of a request has ended: an own copy of what it brought, and on with who waited for it.
+    /// The attempt of a request has ended: an own copy of what it brought, and on with who waited for it.
     fn pass_on(&mut self, turn: &mut Turn, id: &Id, honoured: bool) {
         let Some(request) = self.requests.get(id) else { return };
         let part = part_of(&request.arrival);
@@ -531,7 +531,7 @@
     /// category allows. It is served and renewed behind.
     fn past(&self, now: Duration, request: &Request) -> Duration {
         let strained = self.fills_out >= self.fills_most || self.origin_fails(now);
-        let again = !request.executions.is_empty();
+        let again = !request.attempts.is_empty();
         let allowed = self.categories[request.arrival.category].stale_for;
         if strained || again { allowed } else { Duration::ZERO }
     }
@@ -629,7 +629,7 @@
         since.into_iter().chain(fresh).min()
     }
 
-    /// The gate: every execution passes here, and each rule is enforced here. False: not sent.
+    /// The gate: every attempt passes here, and each rule is enforced here. False: not sent.
     fn send(&mut self, turn: &mut Turn, id: &Id, route: Route) -> bool {
         let now = turn.now;
         let filling = self.likely_fill(id, &route);
@@ -640,7 +640,7 @@
         let oldest = self.oldest(now, request, route.past);
         let lawful = !request.ended
             && now < request.due
-            && request.executions.len() < self.most_executions
+            && request.attempts.len() < self.most_attempts
             && request.open == 0
             && self.may_repeat(now, request, Some(server))
             && self.may_take(now, server, request)
@@ -671,17 +671,17 @@
             server.out += 1;
             server.record.sent(now);
         }
-        turn.out.execute(id, &route.server, limit, &fill);
+        turn.out.attempt(id, &route.server, limit, &fill);
         self.fills_out += f64::from(filling);
         if filling && self.own > 0.0 {
             self.filled.entry(part_of(&request.arrival)).or_insert_with(|| (id.clone(), Vec::new()));
         }
         let Some(request) = self.requests.get_mut(id) else { return false };
         request.open += 1;
-        let n = request.executions.len();
+        let n = request.attempts.len();
         let (id, looked) = (id.clone(), (id.clone(), route.clone()));
         let next: Next = Box::new(move |router, turn, ended| router.follow(turn, &id, n, &route, now, ended));
-        request.executions.push(Execution { next: Some(next), filling, placed: filling });
+        request.attempts.push(Attempt { next: Some(next), filling, placed: filling });
         if watched {
             let (id, route) = looked;
             self.after(turn, wait, Box::new(move |r, turn| r.look_into(turn, &id, n, &route, now)));
@@ -694,16 +694,16 @@
     /// fill's place.
     fn look_into(&mut self, turn: &mut Turn, id: &Id, n: usize, route: &Route, sent: Duration) {
         let Some(request) = self.requests.get_mut(id).filter(|a| !a.ended) else { return };
-        let Some(execution) = request.executions.get_mut(n).filter(|e| e.next.is_some()) else { return };
+        let Some(attempt) = request.attempts.get_mut(n).filter(|e| e.next.is_some()) else { return };
         // A copy would have been sent by now: it is being filled after all. Nothing fills an own one.
         let own = route.made.is_some();
-        let filling = !own && std::mem::replace(&mut execution.filling, true);
+        let filling = !own && std::mem::replace(&mut attempt.filling, true);
         // How long each end that was not heard of since had not been before: the longer, the likelier.
         let unseen = |n: &Id| Some((n.clone(), sent.checked_sub(self.servers.get(n)?.heard)?.as_secs_f64()));
         let silent: Vec<_> = route.ends().filter_map(unseen).filter(|(_, unseen)| *unseen > 0.0).collect();
         // Whoever says nothing to anybody uses no link: a place among the fills would be held for nothing.
-        let placed = std::mem::replace(&mut execution.placed, !own && silent.is_empty());
-        self.fills_out += f64::from(execution.placed) - f64::from(placed);
+        let placed = std::mem::replace(&mut attempt.placed, !own && silent.is_empty());
+        self.fills_out += f64::from(attempt.placed) - f64::from(placed);
         let usual = (OVERHEAD + request.work).mul_f64(self.patience);
         let (all, mut doubt) = (silent.iter().map(|(_, unseen)| unseen).sum::<f64>(), 0.0);
         for (name, unseen) in &silent {
@@ -802,7 +802,7 @@
     fn follow(&mut self, turn: &mut Turn, id: &Id, n: usize, route: &Route, sent: Duration, ended: &Ended) {
         use Outcome::*;
         let Some(request) = self.requests.get(id) else { return };
-        let Execution { filling, placed, .. } = request.executions[n];
+        let Attempt { filling, placed, .. } = request.attempts[n];
         self.fills_out -= f64::from(placed);
         let soft = request.soft.max(sent + (OVERHEAD + request.work) * 2);
         let (part, before) = (part_of(&request.arrival), self.held(part_of(&request.arrival)));
@@ -859,7 +859,7 @@
     /// Once a request is over what is still out for it is called off, and it is forgotten when all is back.
     fn close(&mut self, turn: &mut Turn, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|a| a.ended) else { return };
-        let out = request.executions.iter().enumerate().filter(|(_, e)| e.next.is_some() && self.may_cancel);
+        let out = request.attempts.iter().enumerate().filter(|(_, e)| e.next.is_some() && self.may_cancel);
         out.for_each(|(n, _)| turn.out.cancel(id, n));
         if request.open == 0 {
             self.requests.remove(id);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -32,7 +32,7 @@
 pub struct Category {
     pub effect: Effect,
     pub group: Group,
-    /// How long repeats are recognised, from the first execution that may have run.
+    /// How long repeats are recognised, from the first attempt that may have run.
     pub window: Duration,
     pub soft_limit: Duration,
     /// The soft limit grows by this multiple of the request's own sending time.
@@ -120,7 +120,7 @@
 
     /// Top pace of one answer: the unit of capacity.
     pub client_kb_per_s: f64,
-    pub max_executions: usize,
+    pub max_attempts: usize,
     pub second_copies: bool,
     pub may_cancel: bool,
     /// The longest wait that clients heed after a decline; none: they are not told.
@@ -131,7 +131,7 @@
     pub purge_grace: Duration,
     /// No older copy is left anywhere after this long.
     pub purge_done: Duration,
-    /// Parents and origin take executions too.
+    /// Parents and origin take attempts too.
     pub pass_through: bool,
     pub joins: bool,
     pub siblings: Siblings,
@@ -199,7 +199,7 @@
     /// The cell it belongs to: only caches of that cell are asked for it; none: all are.
     pub cell: Option<u32>,
     /// The location among whose caches it is drawn; none: the router's own. It keeps it for all its
-    /// executions.
+    /// attempts.
     pub at: Option<usize>,
     /// The client's own time.
     pub left: Duration,
@@ -253,7 +253,7 @@
     pub link: Option<f64>,
 }
 
-/// How an execution ended.
+/// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct Ended {
     pub outcome: Outcome,
@@ -294,13 +294,13 @@
 
 /// Through this a router acts. Each call takes effect at once, in the order made.
 pub trait Outlet {
-    /// One execution, for at most `limit`; with no fill, the server is asked for what it holds.
-    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
+    /// One attempt, for at most `limit`; with no fill, the server is asked for what it holds.
+    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
     /// Final answer: declined. Assures the client that trying again is safe.
     fn decline(&mut self, request: &Id, advice: Option<Duration>);
     /// Final answer: given up. Assures nothing.
     fn give_up(&mut self, request: &Id);
-    fn cancel(&mut self, request: &Id, execution: usize);
+    fn cancel(&mut self, request: &Id, attempt: usize);
     /// Asks for a call of `wake` with this mark at or after `at`.
     fn wake_at(&mut self, at: Duration, mark: u64);
     /// Asks for the changes of the list, where they come only to those who ask.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //! struct Printer(Vec<String>);
 //!
 //! impl Outlet for Printer {
-//!     fn execute(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
+//!     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
 //!         self.0.push(format!("{request}: {server}, filled from {}", fill.source));
 //!     }
 //!     fn decline(&mut self, request: &Id, _advice: Option<Duration>) {
@@ -22,7 +22,7 @@
 //!     fn give_up(&mut self, request: &Id) {
 //!         self.0.push(format!("{request}: given up"));
 //!     }
-//!     fn cancel(&mut self, _request: &Id, _execution: usize) {}
+//!     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
 //!     fn wake_at(&mut self, _at: Duration, _mark: u64) {}
 //!     fn watch_list(&mut self) {}
 //! }
--- a/src/state.rs
+++ b/src/state.rs
@@ -21,7 +21,7 @@
     pub held: Option<(Id, Duration)>,
 }
 
-/// Where an execution goes: a server, and the source of a fill with it; itself: no fill. To an own copy: when
+/// Where an attempt goes: a server, and the source of a fill with it; itself: no fill. To an own copy: when
 /// that was made, and for how long past its fresh time it will do.
 #[derive(Clone)]
 pub struct Route {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request between its coming in and the end of its last execution; `E`: what is kept of an execution.
+/// A request between its coming in and the end of its last attempt; `E`: what is kept of an attempt.
 pub struct Request<E> {
     pub arrival: Arrival,
     pub rank: u8,
@@ -46,7 +46,7 @@
     pub work: Duration,
     pub soft: Duration,
     pub due: Duration,
-    pub executions: Vec<E>,
+    pub attempts: Vec<E>,
     pub open: usize,
     pub ended: bool,
     /// It has waited for another's fill of the same part.
@@ -65,8 +65,8 @@
         soft: Duration,
         due: Duration,
     ) -> Self {
-        let (executions, open, ended, joined, ran) = (Vec::new(), 0, false, false, None);
+        let (attempts, open, ended, joined, ran) = (Vec::new(), 0, false, false, None);
         let (failed, erred) = (Vec::new(), Vec::new());
-        Request { arrival, rank, first, work, soft, due, executions, open, ended, joined, ran, failed, erred }
+        Request { arrival, rank, first, work, soft, due, attempts, open, ended, joined, ran, failed, erred }
     }
 }
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -5,18 +5,18 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Writes down every order, and gives each execution an outcome drawn by its order alone.
+/// Writes down every order, and gives each attempt an outcome drawn by its order alone.
 struct World {
     orders: Vec<String>,
     wakes: BTreeMap<(Duration, u64), ()>,
     ends: VecDeque<(Id, usize)>,
-    executions: BTreeMap<Id, usize>,
+    attempts: BTreeMap<Id, usize>,
 }
 
 impl Outlet for World {
-    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         self.orders.push(format!("execute {request} {server} {limit:?} {fill:?}"));
-        let n = self.executions.entry(request.clone()).or_default();
+        let n = self.attempts.entry(request.clone()).or_default();
         self.ends.push_back((request.clone(), *n));
         *n += 1;
     }
@@ -26,8 +26,8 @@
     fn give_up(&mut self, request: &Id) {
         self.orders.push(format!("give up {request}"));
     }
-    fn cancel(&mut self, request: &Id, execution: usize) {
-        self.orders.push(format!("cancel {request} {execution}"));
+    fn cancel(&mut self, request: &Id, attempt: usize) {
+        self.orders.push(format!("cancel {request} {attempt}"));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
@@ -58,7 +58,7 @@
         categories: vec![category(Effect::Idempotent, true), category(Effect::Unrepeatable, false)],
         tick: ms(2),
         client_kb_per_s: 1000.0,
-        max_executions: 6,
+        max_attempts: 6,
         may_cancel: true,
         longest_advice: Some(ms(1000)),
         cold_cache: cold,
@@ -74,7 +74,7 @@
 fn day(seed: u64, cell: Option<u32>) -> Vec<String> {
     let (mut chance, mut now) = (fastrand::Rng::with_seed(seed), Duration::from_secs(1));
     let (orders, wakes, ends) = (Vec::new(), BTreeMap::new(), VecDeque::new());
-    let mut world = World { orders, wakes, ends, executions: BTreeMap::new() };
+    let mut world = World { orders, wakes, ends, attempts: BTreeMap::new() };
     let mut router = Router::start(now, &deployment(seed), &mut world);
     let member = |name: &str, tier, standing| Member {
         server: name.into(),
@@ -117,7 +117,7 @@
                 router.request(now, arrival, &mut world);
             }
             _ => {
-                let Some((id, execution)) = world.ends.pop_front() else { continue };
+                let Some((id, attempt)) = world.ends.pop_front() else { continue };
                 let outcome = match chance.u8(..12) {
                     0 => Outcome::Error,
                     1 => Outcome::Full,
@@ -130,7 +130,7 @@
                     if over { [Remark::Hit, Remark::Filled][chance.usize(..2)] } else { Remark::None };
                 let (took, load) = (Duration::from_millis(chance.u64(1..400)), Load::default());
                 let ended = Ended { outcome, remark, took, first_byte: None, over, load };
-                router.result(now, &id, execution, &ended, &mut world);
+                router.result(now, &id, attempt, &ended, &mut world);
             }
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,20 +9,20 @@
     Duration::from_millis(ms)
 }
 
-/// What one router orders: executions with their source, and when it wants to be woken.
+/// What one router orders: attempts with their source, and when it wants to be woken.
 #[derive(Default)]
 struct Orders {
-    executions: Vec<(Id, Id)>,
+    attempts: Vec<(Id, Id)>,
     wakes: BTreeMap<(Duration, u64), ()>,
 }
 
 impl Outlet for Orders {
-    fn execute(&mut self, request: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
-        self.executions.push((request.clone(), fill.source.clone()));
+    fn attempt(&mut self, request: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
+        self.attempts.push((request.clone(), fill.source.clone()));
     }
     fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {}
     fn give_up(&mut self, _request: &Id) {}
-    fn cancel(&mut self, _request: &Id, _execution: usize) {}
+    fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
     }
@@ -52,7 +52,7 @@
         }],
         tick: ms(2),
         client_kb_per_s: 1000.0,
-        max_executions: 6,
+        max_attempts: 6,
         may_cancel: true,
         cold_cache: cold,
         cold_parent: cold,
@@ -103,7 +103,7 @@
             let arrival =
                 Arrival { id: id.clone(), object: id, kb: 200.0, left: ms(9000), ..Arrival::default() };
             router.request(now, arrival, &mut orders);
-            for (id, source) in std::mem::take(&mut orders.executions) {
+            for (id, source) in std::mem::take(&mut orders.attempts) {
                 if *source == *"cold" {
                     sent.push((now, 0.2));
                     if now < started + ms(4000) {
@@ -160,7 +160,7 @@
                 Arrival { id: id.clone(), object: id, kb: 2000.0, left: ms(9000), ..Arrival::default() };
             router.request(ms(10_000 + second * 1000), arrival, &mut orders);
         }
-        assert!(orders.executions.iter().all(|(_, source)| **source != *"cold"), "router {number}");
+        assert!(orders.attempts.iter().all(|(_, source)| **source != *"cold"), "router {number}");
     }
 }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -39,7 +39,7 @@
 }
 
 impl Outlet for Record {
-    fn execute(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let oldest = fill.oldest.map_or("-".into(), |o| o.as_micros().to_string());
         let (source, rank, limit) = (&fill.source, fill.rank, limit.as_millis());
         let held = if fill.only_held { "held" } else { "any" };
@@ -56,8 +56,8 @@
     fn give_up(&mut self, request: &Id) {
         self.lines.push(format!("give-up {request}"));
     }
-    fn cancel(&mut self, request: &Id, execution: usize) {
-        self.lines.push(format!("cancel {request} {execution}"));
+    fn cancel(&mut self, request: &Id, attempt: usize) {
+        self.lines.push(format!("cancel {request} {attempt}"));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
@@ -110,7 +110,7 @@
         ],
         tick: ms(2),
         client_kb_per_s: 1000.0,
-        max_executions: 6,
+        max_attempts: 6,
         may_cancel: true,
         longest_advice: Some(ms(1000)),
         cold_cache: cold,
@@ -201,7 +201,7 @@
             found.map_or(usual, |v| v.parse().unwrap_or_else(|_| panic!("{place}: bad number")))
         };
         if *verb == "given" {
-            told.max_executions = field("executions", 6) as usize;
+            told.max_attempts = field("executions", 6) as usize;
             told.joins = field("joins", 0) == 1;
             told.pass_through = field("pass", 1) == 1;
             told.list_on_request = field("ask", 0) == 1;
@@ -272,8 +272,8 @@
                 let ended = Ended { outcome: outcome(rest[2]), remark, took, first_byte, over, load };
                 for n in 0..count {
                     let id = if many { format!("{}{n}", rest[0]) } else { rest[0].to_owned() };
-                    let execution = rest[1].parse().expect("a number");
-                    router.result(now, &id.as_str().into(), execution, &ended, &mut record);
+                    let attempt = rest[1].parse().expect("a number");
+                    router.result(now, &id.as_str().into(), attempt, &ended, &mut record);
                 }
             }
             "told" => {
