--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -1,9 +1,9 @@
 //! What a tenant may ask for: a rate with bursts, and a budget of retries that grows with what it has
-//! honoured. State is bounded however many names come: tenants that were honoured keep theirs, the rest share
+//! served. State is bounded however many names come: tenants that were served keep theirs, the rest share
 //! what a sketch remembers.
 //!
 //! A flood of new names cannot evict an honest tenant's state: a name gets a row of its own only once it has
-//! been honoured so often, and rows leave by when they were last honoured. Before that it is counted in a
+//! been served so often, and rows leave by when they were last served. Before that it is counted in a
 //! count-min sketch (Cormode and Muthukrishnan, "An improved data stream summary", 2005), where names that
 //! meet are taken for one: a new tenant among a flood of new ones is declined with them, an old one is not.
 
@@ -13,16 +13,16 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows of tenants known by name, and how often one must have been honoured to get one.
+/// Rows of tenants known by name, and how often one must have been served to get one.
 const ROWS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
-const HONOURED_FOR_ROW: f64 = 8.0;
+const SERVED_FOR_ROW: f64 = 8.0;
 /// The sketch: rows and columns.
 const DEEP: usize = 4;
 const WIDE: usize = 2048;
 /// What the sketch remembers halves in this time.
 const FADES: Duration = Duration::from_secs(10);
 
-/// Retries for each request of a tenant that was honoured, and how many may be saved up: a fifth more work at
+/// Retries for each request of a tenant that was served, and how many may be saved up: a fifth more work at
 /// the most once all fails, and enough for a short break.
 const RETRIES: f64 = 0.2;
 const RETRIES_MOST: f64 = 20.0;
@@ -36,7 +36,7 @@
     /// Requests a second, and how many at once after a pause.
     pub rate: f64,
     pub burst: f64,
-    /// Retries for each request honoured, and how many may be saved up.
+    /// Retries for each request served, and how many may be saved up.
     pub retries: f64,
     pub retries_most: f64,
 }
@@ -80,15 +80,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Column {
     at: Duration,
-    /// Requests lately, and how many of them were honoured.
+    /// Requests lately, and how many of them were served.
     asked: f64,
-    honoured: f64,
+    served: f64,
 }
 
 impl Column {
     fn fade(&mut self, now: Duration) {
         let fades = (-now.saturating_sub(self.at).div_duration_f64(FADES)).exp2();
-        (self.at, self.asked, self.honoured) = (self.at.max(now), self.asked * fades, self.honoured * fades);
+        (self.at, self.asked, self.served) = (self.at.max(now), self.asked * fades, self.served * fades);
     }
 }
 
@@ -147,8 +147,8 @@
         Verdict::Taken
     }
 
-    /// A request of a tenant was honoured.
-    pub fn honoured(&mut self, now: Duration, tenant: &[u8]) {
+    /// A request of a tenant was served.
+    pub fn served(&mut self, now: Duration, tenant: &[u8]) {
         let (key, allowed) = (self.key(tenant), self.allowed);
         if let Some(row) = self.rows.get_mut(&key) {
             row.retries = (row.retries + allowed.retries).min(allowed.retries_most);
@@ -157,13 +157,13 @@
         let columns = self.columns(key);
         for at in columns {
             self.sketch[at].fade(now);
-            self.sketch[at].honoured += 1.0;
+            self.sketch[at].served += 1.0;
         }
-        let honoured = columns.iter().map(|at| self.sketch[*at].honoured).fold(f64::INFINITY, f64::min);
-        if honoured >= HONOURED_FOR_ROW && self.may_evict(now) {
+        let served = columns.iter().map(|at| self.sketch[*at].served).fold(f64::INFINITY, f64::min);
+        if served >= SERVED_FOR_ROW && self.may_evict(now) {
             let (tokens, retries) = (allowed.burst / 2.0, 0.0);
             self.rows.put(key, Row { at: now, tokens, retries });
-            columns.iter().for_each(|at| self.sketch[*at].honoured = 0.0);
+            columns.iter().for_each(|at| self.sketch[*at].served = 0.0);
         }
     }
 
@@ -190,13 +190,13 @@
         Duration::from_secs_f64(seconds)
     }
 
-    /// A tenant that asks every 200 ms and is honoured whenever it is taken.
+    /// A tenant that asks every 200 ms and is served whenever it is taken.
     fn steady(tenants: &mut Tenants, name: &str, from: f64, count: usize) -> usize {
         let taken = (0..count).filter(|n| {
             let now = s(from + *n as f64 * 0.2);
             let taken = tenants.request(now, name.as_bytes(), false) == Verdict::Taken;
             if taken {
-                tenants.honoured(now, name.as_bytes());
+                tenants.served(now, name.as_bytes());
             }
             taken
         });
@@ -236,7 +236,7 @@
         for n in 0..200_000u32 {
             let (now, name) = (s(4.0 + f64::from(n) * 0.00005), format!("new-{n}"));
             if tenants.request(now, name.as_bytes(), false) == Verdict::Taken && n % 3 == 0 {
-                tenants.honoured(now, name.as_bytes());
+                tenants.served(now, name.as_bytes());
             }
         }
         assert!(tenants.known() <= ROWS.get());
@@ -246,11 +246,11 @@
     }
 
     #[test]
-    fn retries_are_paid_for_by_what_was_honoured() {
+    fn retries_are_paid_for_by_what_was_served() {
         let mut tenants = Tenants::new(Allowed { rate: 1000.0, burst: 1000.0, ..ALLOWED }, 7);
         steady(&mut tenants, "a", 0.0, 45);
         let retries = (0..10).filter(|_| tenants.request(s(20.0), b"a", true) == Verdict::Taken).count();
-        assert_eq!(retries, 3, "one for ten honoured");
+        assert_eq!(retries, 3, "one for ten served");
     }
 
     proptest! {
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -134,18 +134,18 @@
     /// An attempt for the tenant has ended: at which cell, and how. What was refused, called off, never
     /// sent or not there says nothing of a cell.
     pub fn ended(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
-        use Outcome::{Broken, Error, Honoured, TimedOut, Unreachable};
-        if matches!(outcome, Honoured | Error | TimedOut | Broken | Unreachable) {
+        use Outcome::{Broken, Error, Served, TimedOut, Unreachable};
+        if matches!(outcome, Served | Error | TimedOut | Broken | Unreachable) {
             let hit = matches!(remark, Remark::Hit | Remark::Stale);
-            self.told(now, cell, outcome == Honoured, hit);
+            self.told(now, cell, outcome == Served, hit);
         }
     }
 
-    /// Whether a request was honoured, and from a copy there.
-    fn told(&mut self, now: Duration, cell: Cell, honoured: bool, hit: bool) {
+    /// Whether a request was served, and from a copy there.
+    fn told(&mut self, now: Duration, cell: Cell, served: bool, hit: bool) {
         use State::*;
         if cell == self.from {
-            if honoured {
+            if served {
                 let old = self.old.get_or_insert(f64::from(hit));
                 *old += (f64::from(hit) - *old) * MOVES;
             }
@@ -155,11 +155,11 @@
             return;
         }
         // A new cell that fails its requests is no place to move to, by the same test as any server.
-        self.record.judge(now, !honoured, 1.0);
+        self.record.judge(now, !served, 1.0);
         if self.record.is_aside() {
             return self.stand(RolledBack, 0.0);
         }
-        if !honoured || self.paused || self.state == Settling {
+        if !served || self.paused || self.state == Settling {
             return;
         }
         self.seen += 1.0;
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -200,9 +200,9 @@
             self.driver.get(part).is_some()
         });
         let (outcome, remark) = match found {
-            Some(true) => (Outcome::Honoured, Remark::Hit),
+            Some(true) => (Outcome::Served, Remark::Hit),
             Some(false) => (Outcome::Missing, Remark::None),
-            None => (Outcome::Honoured, Remark::Filled),
+            None => (Outcome::Served, Remark::Filled),
         };
         self.hit = found == Some(true);
         self.ends.push_back((self.attempted, outcome, remark));
@@ -318,7 +318,7 @@
             // What it costs to fetch an object: its source is near or far.
             let wait = Duration::from_secs_f64(0.01 + 0.05 * draw(request.object, 4));
             let first_byte = (remark == Remark::Filled).then_some(wait);
-            let over = outcome == Outcome::Honoured;
+            let over = outcome == Outcome::Served;
             let took = Duration::from_millis(1);
             let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
             router.result(now, &id, attempt, &ended, &mut world);
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -187,7 +187,7 @@
         let begun = Instant::now();
         let now = self.rig.now();
         router.request(now, arrival, self);
-        let (outcome, remark, over) = (Outcome::Honoured, Remark::Hit, true);
+        let (outcome, remark, over) = (Outcome::Served, Remark::Hit, true);
         let (took, load) = (Duration::ZERO, Load::default());
         router.result(now, &id, 0, &Ended { outcome, remark, took, first_byte: None, over, load }, self);
         let took = begun.elapsed();
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -196,7 +196,7 @@
         )?;
         let declined = ("declined", of(&|s| s.declined as f64), RED);
         let failed = ("given up", of(&|s| s.failed as f64), MAGENTA);
-        series(shown, "final answers that honoured nothing, a second", &[declined, failed], &mut plots[1])?;
+        series(shown, "final answers that served nothing, a second", &[declined, failed], &mut plots[1])?;
         let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
         let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
         let opened = ("connections opened", of(&|s| s.opened as f64), RED);
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -932,8 +932,8 @@
         let key = self.wants[want].arrival.key;
         let end = match &answer {
             // What a write is answered with says nothing of copies.
-            Answer::Served(_) if write => Final::Honoured(key, u64::MAX),
-            Answer::Served(Some((key, made))) => Final::Honoured(*key, *made),
+            Answer::Served(_) if write => Final::Served(key, u64::MAX),
+            Answer::Served(Some((key, made))) => Final::Served(*key, *made),
             Answer::Served(None) | Answer::Wrong => Final::Wrong,
             Answer::Declined(_) => Final::Declined,
             Answer::Failed => Final::GivenUp,
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Final {
     /// With a copy of that key which the origin gave out at that Unix millisecond.
-    Honoured(Key, u64),
+    Served(Key, u64),
     Declined,
     GivenUp,
     /// What came is no answer, or not what was asked for.
@@ -184,7 +184,7 @@
             return self.say(|| format!("{now:?}: router {router} answered {id:016x} twice"));
         }
         let wrong = matches!(end, Final::Wrong | Final::Nothing)
-            || matches!(end, Final::Honoured(key, _) if key != before.key);
+            || matches!(end, Final::Served(key, _) if key != before.key);
         if wrong || now > before.due + SLACK {
             self.breaks.lost += 1;
             let (begun, due) = (before.begun, before.due);
@@ -196,7 +196,7 @@
             self.breaks.double_runs += 1;
             self.say(|| format!("{now:?}: router {router} declined {id:016x}, which ran"));
         }
-        if let Final::Honoured((object, _), made) = end {
+        if let Final::Served((object, _), made) = end {
             self.answered_from(before.begun, router, object, made);
         }
     }
@@ -247,7 +247,7 @@
         watch.begins(1, Life::new(3, true, KEY, ms(1000), ms(2000)));
         watch.comes(ms(1010), 1, 5, None);
         watch.runs(ms(1020), 1);
-        watch.ends(ms(1030), 1, Final::Honoured(KEY, 900));
+        watch.ends(ms(1030), 1, Final::Served(KEY, 900));
         watch
     }
 
@@ -262,9 +262,9 @@
     fn a_router_that_answers_late_twice_wrongly_or_never_is_caught() {
         let mut watch = Watch::default();
         let ends = [
-            (1, ms(2000) + SLACK + ms(1), Final::Honoured(KEY, 1)),
+            (1, ms(2000) + SLACK + ms(1), Final::Served(KEY, 1)),
             (2, ms(1500), Final::Wrong),
-            (3, ms(1500), Final::Honoured((8, 0), 1)),
+            (3, ms(1500), Final::Served((8, 0), 1)),
             (4, ms(1500), Final::Nothing),
         ];
         for id in 1..=5 {
@@ -316,7 +316,7 @@
         assert_eq!(watch.breaks.all(), 0, "in time, made after, or never told");
         watch.answered_from(ms(9000), 3, 7, 4999);
         watch.begins(1, Life::new(3, false, KEY, ms(8000), ms(9000)));
-        watch.ends(ms(8100), 1, Final::Honoured(KEY, 4999));
+        watch.ends(ms(8100), 1, Final::Served(KEY, 4999));
         assert_eq!(watch.breaks, Breaks { stale: 2, ..Breaks::default() });
     }
 
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -47,7 +47,7 @@
     pub in_time: usize,
     pub declined: usize,
     pub fills: usize,
-    /// Requests that were honoured by what a cache had.
+    /// Requests that were served by what a cache had.
     pub hits: usize,
     pub by_parent: BTreeMap<String, usize>,
     pub by_first: usize,
@@ -325,7 +325,7 @@
         took: Duration,
     ) {
         let Some(taken) = self.nodes[number].taken.get_mut(id) else { return };
-        if outcome == Outcome::Honoured && std::mem::replace(&mut taken.open, false) {
+        if outcome == Outcome::Served && std::mem::replace(&mut taken.open, false) {
             self.seen.in_time += usize::from(self.now <= taken.soft);
             self.seen.hits += usize::from(remark == Remark::Hit);
         }
@@ -434,7 +434,7 @@
                         && let Some(sent) = out.and_then(Option::take)
                     {
                         let remark = if hit { Remark::Hit } else { Remark::Filled };
-                        world.ended(router, &request, attempt, Outcome::Honoured, remark, at - sent);
+                        world.ended(router, &request, attempt, Outcome::Served, remark, at - sent);
                     }
                 }
                 Event::Due(number, life, id) => {
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -59,7 +59,7 @@
 /// Of its capacity a location's room grows by so much in a second at most; it shrinks at once. What comes
 /// anew shows in its strain only a second later, and parts that go to and fro are fetched each time.
 const ROOM_GROWS: f64 = 0.15;
-/// Over this share of requests not honoured in time a location has no room at all.
+/// Over this share of requests not served in time a location has no room at all.
 const STRAIN_MOST: f64 = 0.10;
 /// What a router asks for is averaged over this.
 const DEMAND_OVER: Duration = Duration::from_secs(2);
@@ -131,7 +131,7 @@
     model: Model,
     seen: Counted,
     health: Health,
-    /// What is asked for here, and what of it was not honoured in time.
+    /// What is asked for here, and what of it was not served in time.
     demand: (f64, Duration),
     strain: Counted,
     places: Vec<Place>,
--- a/crates/regions/src/decide/tests.rs
+++ b/crates/regions/src/decide/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// Locations of routers and caches, as a fluid: what a place is sent beyond what it can do is not honoured.
+/// Locations of routers and caches, as a fluid: what a place is sent beyond what it can do is not served.
 struct World {
     places: usize,
     routers: Vec<Option<Regions>>,
@@ -33,7 +33,7 @@
     chance: fastrand::Rng,
     /// Every request goes to the next location when its own is down, whatever that has room for.
     naive: bool,
-    /// By location and turn of 50 ms: asked, honoured, sent abroad, sent abroad while home could have.
+    /// By location and turn of 50 ms: asked, served, sent abroad, sent abroad while home could have.
     shown: Vec<Vec<[f64; 4]>>,
     toppled: Vec<f64>,
     /// Routers of one location acting on different plans, in turns of 50 ms on end; and the longest.
@@ -131,15 +131,15 @@
                 }
             }
             let total: Vec<f64> = (0..self.places).map(|to| sent.iter().map(|row| row[to]).sum()).collect();
-            let honoured: Vec<f64> = (0..self.places)
+            let served: Vec<f64> = (0..self.places)
                 .map(|p| {
-                    // What is asked too much of honours less than it could: it works on what comes too late.
+                    // What is asked too much of serves less than it could: it works on what comes too late.
                     let present = self.present(p, now);
                     let over = total[p] / present.max(1e-9);
                     if over > 1.3 { 0.3 / over } else { (1.0 / over).min(1.0) }
                 })
                 .collect();
-            for (p, share) in honoured.iter().enumerate() {
+            for (p, share) in served.iter().enumerate() {
                 self.toppled[p] +=
                     f64::from(!self.down[p] && *share < 0.5 && self.present(p, now) == self.capacity) * 0.05;
             }
@@ -148,7 +148,7 @@
                 let broken = self.broken == Some(n);
                 let Some(regions) = &mut self.routers[n] else { continue };
                 for (to, _) in went.iter().copied() {
-                    let good = self.chance.f64() < honoured[to];
+                    let good = self.chance.f64() < served[to];
                     if to == place {
                         // What is late says that the place is busy, not that it is down.
                         regions.saw(ms(now), !self.down[place] && !broken);
@@ -163,7 +163,7 @@
             }
             for p in 0..self.places {
                 let asked: f64 = sent[p].iter().sum::<f64>() + nowhere[p];
-                let got: f64 = (0..self.places).map(|to| sent[p][to] * honoured[to]).sum();
+                let got: f64 = (0..self.places).map(|to| sent[p][to] * served[to]).sum();
                 let abroad: f64 = (0..self.places).filter(|to| *to != p).map(|to| sent[p][to]).sum();
                 let needless =
                     if !self.down[p] && self.present(p, now) >= self.demand[p] { abroad } else { 0.0 };
@@ -209,7 +209,7 @@
         (self.down[place], self.back[place]) = (false, Some(now));
     }
 
-    /// Of what was asked for at a location in that time: honoured, sent abroad, sent abroad without need.
+    /// Of what was asked for at a location in that time: served, sent abroad, sent abroad without need.
     fn shares(&self, place: usize, from: u64, to: u64) -> [f64; 3] {
         let turns = &self.shown[place][from as usize / 50..to as usize / 50];
         let sum = |k: usize| turns.iter().map(|t| t[k]).sum::<f64>();
@@ -222,8 +222,8 @@
     for seed in [1, 2, 3] {
         let mut world = World::new(6, 60, 0.5, seed);
         world.until(0, 5000);
-        let [honoured, abroad, _] = world.shares(0, 2000, 5000);
-        assert!(honoured > 0.99 && abroad == 0.0, "calm: {honoured} {abroad}");
+        let [served, abroad, _] = world.shares(0, 2000, 5000);
+        assert!(served > 0.99 && abroad == 0.0, "calm: {served} {abroad}");
         world.lose(1);
         world.until(5000, 10_000);
         let [early, _, _] = world.shares(1, 5000, 7000);
@@ -306,14 +306,14 @@
     world.lose(1);
     world.until(3000, 9000);
     // Only its half takes from it: of the others nothing is heard.
-    let [honoured, abroad, _] = world.shares(1, 7000, 9000);
-    assert!(honoured > 0.85 && abroad > 0.85, "{honoured} {abroad}");
+    let [served, abroad, _] = world.shares(1, 7000, 9000);
+    assert!(served > 0.85 && abroad > 0.85, "{served} {abroad}");
     // Its speaker dies, and the next.
     world.routers[1] = None;
     world.routers[7] = None;
     world.until(9000, 15_000);
-    let [honoured, abroad, _] = world.shares(1, 12_000, 15_000);
-    assert!(honoured > 0.85 && abroad > 0.85, "{honoured} {abroad} after their deaths");
+    let [served, abroad, _] = world.shares(1, 12_000, 15_000);
+    assert!(served > 0.85 && abroad > 0.85, "{served} {abroad} after their deaths");
     world.lives += 1;
     for n in [1, 7] {
         world.routers[n] = Some(router(15_000, n, 6, 60, world.lives, 8));
@@ -321,8 +321,8 @@
     world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
     world.comes_back(1, 15_000);
     world.until(15_000, 28_000);
-    let [honoured, abroad, _] = world.shares(1, 24_000, 28_000);
-    assert!(honoured > 0.98 && abroad < 0.02, "{honoured} {abroad} healed and back");
+    let [served, abroad, _] = world.shares(1, 24_000, 28_000);
+    assert!(served > 0.98 && abroad < 0.02, "{served} {abroad} healed and back");
 }
 
 #[test]
@@ -331,8 +331,8 @@
     world.until(0, 3000);
     world.routers.iter_mut().flatten().for_each(|r| r.drain(&[2]));
     world.until(3000, 9000);
-    let [honoured, abroad, _] = world.shares(2, 7000, 9000);
-    assert!(honoured > 0.97 && abroad > 0.95, "{honoured} {abroad}");
+    let [served, abroad, _] = world.shares(2, 7000, 9000);
+    assert!(served > 0.97 && abroad > 0.95, "{served} {abroad}");
     assert!(world.shares(2, 3000, 9000)[0] > 0.97, "without a lost request on the way");
     world.routers.iter_mut().flatten().for_each(|r| r.drain(&[]));
     world.until(9000, 16_000);
--- a/crates/regions/src/words.rs
+++ b/crates/regions/src/words.rs
@@ -49,7 +49,7 @@
     pub bad: bool,
     pub drained: bool,
     pub demand: f64,
-    /// Share of its own requests that it could not honour in time.
+    /// Share of its own requests that it could not serve in time.
     pub strain: f64,
 }
 
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -200,7 +200,7 @@
 
     /// An attempt has ended at a server: what that says of the own location's caches.
     pub fn ended(&mut self, now: Duration, server: Option<&Member>, outcome: Outcome, remark: Remark) {
-        use Outcome::{Broken, Error, Full, Honoured, Missing, Unreachable};
+        use Outcome::{Broken, Error, Full, Missing, Served, Unreachable};
         let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.location == self.location) else {
             return;
         };
@@ -208,7 +208,7 @@
             return;
         }
         match outcome {
-            Honoured | Missing | Full => self.regions.saw(now, true),
+            Served | Missing | Full => self.regions.saw(now, true),
             Unreachable | Broken => self.regions.saw(now, false),
             Error if remark == Remark::None => self.regions.saw(now, false),
             // What is late or called off may be so by its source.
@@ -217,9 +217,9 @@
     }
 
     /// A request has its final answer.
-    pub fn answered(&mut self, now: Duration, category: usize, begun: Duration, honoured: bool) {
+    pub fn answered(&mut self, now: Duration, category: usize, begun: Duration, served: bool) {
         let soft = self.categories.get(category).map_or(Duration::ZERO, |(_, soft, _)| *soft);
-        self.regions.answered(now, honoured && now.saturating_sub(begun) <= soft);
+        self.regions.answered(now, served && now.saturating_sub(begun) <= soft);
     }
 
     /// `latency observe REGION EDGE MS [COUNT]`: what a front has measured of its clients' way to an edge.
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -469,7 +469,7 @@
 fn say(reply: Reply, open: &mut HashMap<u64, Open>, unwritten: &mut Unwritten) {
     let Reply { tag, id, last } = reply;
     if open.get(&tag).is_none_or(|open| open.id != id) {
-        if let Last::Honoured { body, .. } = last {
+        if let Last::Served { body, .. } = last {
             unwritten.object += body.len();
         }
         return;
@@ -480,7 +480,7 @@
         None => before.trim_end_matches(',').to_owned(),
     };
     match last {
-        Last::Honoured { etag, body } => {
+        Last::Served { etag, body } => {
             unwritten.push(answer(tag, "ACK", &version(etag, ""), body.len()), body);
         }
         Last::Unchanged { etag } => unwritten.line(tag, "ACK", &version(etag, "unchanged=1,")),
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -238,8 +238,8 @@
         }
     }
 
-    pub fn honoured(&mut self, now: Duration, arrival: &Arrival) {
+    pub fn served(&mut self, now: Duration, arrival: &Arrival) {
         let tenant = tenant(arrival, self.by_customer);
-        self.tenants.iter_mut().for_each(|tenants| tenants.honoured(now, &tenant));
+        self.tenants.iter_mut().for_each(|tenants| tenants.served(now, &tenant));
     }
 }
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -89,12 +89,12 @@
     /// when all is back.
     ends: VecDeque<Ended>,
     answered: Vec<Id>,
-    /// Of clients' requests: category, when it came, and whether it was honoured.
+    /// Of clients' requests: category, when it came, and whether it was served.
     finals: Vec<(usize, Duration, bool)>,
     own: Option<Own>,
     /// What is told to the other routers of the location, and how it gets to them.
     talk: Option<(Talk, Saying)>,
-    /// What a request is being honoured with.
+    /// What a request is being served with.
     brought: Option<(Id, Box<Answer>)>,
     /// A first byte leaves this soon after its decision, or not at all.
     leave_within: Duration,
@@ -112,10 +112,10 @@
     fn reply(&mut self, id: &Id, last: Last) -> bool {
         let Some(taken) = self.requests.get_mut(id) else { return false };
         let Some(to) = taken.client.take() else { return false };
-        let bytes = if let Last::Honoured { body, .. } = &last { body.len() } else { 0 };
+        let bytes = if let Last::Served { body, .. } = &last { body.len() } else { 0 };
         if let To::Client(_) = to {
-            let honoured = matches!(last, Last::Honoured { .. } | Last::Unchanged { .. });
-            self.finals.push((taken.arrival.category, taken.begun, honoured));
+            let served = matches!(last, Last::Served { .. } | Last::Unchanged { .. });
+            self.finals.push((taken.arrival.category, taken.begun, served));
         }
         taken.wanted.end();
         if let To::Client(client) = to {
@@ -501,18 +501,18 @@
                 self.nonsense.log("a server says that a copy holds which nobody named");
                 (told.outcome, told.remark) = (Outcome::Error, interface::Remark::None);
             }
-            if told.outcome == Outcome::Honoured {
+            if told.outcome == Outcome::Served {
                 desk.object += (answer.body.len() as f64 - desk.object) * OBJECT_MOVES;
-                // The first honoured attempt is the client's answer.
+                // The first attempt that is served is the client's answer.
                 let etag = answer.etag.clone();
                 let last = if answer.same {
                     Last::Unchanged { etag }
                 } else {
-                    Last::Honoured { etag, body: answer.body.clone() }
+                    Last::Served { etag, body: answer.body.clone() }
                 };
                 desk.reply(&id, last);
                 if let (Some(confined), Some(taken)) = (&mut self.confined, desk.requests.get(&id)) {
-                    confined.honoured(desk.now, &taken.arrival);
+                    confined.served(desk.now, &taken.arrival);
                 }
                 if let (true, Some(own), Some(taken)) = (by_server, &mut desk.own, desk.requests.get(&id)) {
                     own.answered(&taken.arrival, &answer, taken.passed.have.as_ref());
@@ -614,8 +614,8 @@
         while let Some(ended) = self.desk.ends.pop_front() {
             self.ended(ended);
         }
-        for (category, begun, honoured) in self.desk.finals.drain(..) {
-            self.abroad.iter_mut().for_each(|a| a.answered(self.desk.now, category, begun, honoured));
+        for (category, begun, served) in self.desk.finals.drain(..) {
+            self.abroad.iter_mut().for_each(|a| a.answered(self.desk.now, category, begun, served));
         }
         for id in std::mem::take(&mut self.desk.answered) {
             let over = |taken: &Taken| taken.client.is_none() && taken.attempts.iter().all(|e| !e.open);
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/lines.rs
@@ -167,8 +167,8 @@
         return Err(Nonsense("an answer that is not four words"));
     };
     let (outcome, same) = match &word[..] {
-        b"OK" => (Outcome::Honoured, false),
-        b"SAME" => (Outcome::Honoured, true),
+        b"OK" => (Outcome::Served, false),
+        b"SAME" => (Outcome::Served, true),
         b"MISS" => (Outcome::Missing, false),
         b"BUSY" => (Outcome::Full, false),
         b"ERR" => (Outcome::Error, false),
@@ -220,7 +220,7 @@
         let stream = b"a1 OK tell=hit,etag=4be0,made=17,meter=inflight:7;util:0.61 6\r\nx\r\ny\r\n\r\nb2 MISS - 0\r\n\r\nc3 SAME tell=via_origin,ttfb=12.5,etag=q 0\r\n\r\n";
         let whole = all(&mut Answers::default(), &mut BytesMut::from(&stream[..])).unwrap();
         assert_eq!(whole.len(), 3);
-        assert_eq!((whole[0].outcome, whole[0].remark), (Outcome::Honoured, Remark::Hit));
+        assert_eq!((whole[0].outcome, whole[0].remark), (Outcome::Served, Remark::Hit));
         assert_eq!(whole[0].body, &b"x\r\ny\r\n"[..]);
         assert_eq!((whole[0].load.in_hand, whole[0].load.busy), (Some(7.0), Some(0.61)));
         assert_eq!(whole[1].outcome, Outcome::Missing);
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -80,7 +80,7 @@
 
 #[derive(Debug)]
 pub enum Last {
-    Honoured {
+    Served {
         etag: Option<Bytes>,
         body: Bytes,
     },
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -172,7 +172,7 @@
         let same = have.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
         let answer = Answer {
             id: Bytes::new(),
-            outcome: Outcome::Honoured,
+            outcome: Outcome::Served,
             same,
             remark: if fresh.is_some_and(|fresh| age >= fresh) { Remark::Stale } else { Remark::Hit },
             first_byte: None,
@@ -181,7 +181,7 @@
             made: Some(copy.made),
             body: if same { Bytes::new() } else { copy.body.clone() },
         };
-        (Outcome::Honoured, Some(Box::new(answer)))
+        (Outcome::Served, Some(Box::new(answer)))
     }
 
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -34,7 +34,7 @@
 
 async fn ended(server: &mut Server, hands: &mut Hands, link: u64, id: &str) {
     let key: Key = (id.into(), 0);
-    let ended = Report::Ended { key, outcome: Outcome::Honoured, answer: None, silent: false };
+    let ended = Report::Ended { key, outcome: Outcome::Served, answer: None, silent: false };
     server.order(hands, Order::Link(link, ended)).await;
 }
 
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -89,7 +89,7 @@
     let mut world = world("cells {\n tenant-rate 20 40\n}\n");
     let program = world.start();
     let (mut client, mut lines) = (program.client(), Vec::new());
-    // Both are known: honoured before.
+    // Both are known: served before.
     asked(&world, &mut client, &mut lines, 100, 1);
     asked(&world, &mut client, &mut lines, 200, 2);
     let mut declined = 0;
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -108,8 +108,8 @@
     threads.into_iter().for_each(|thread| thread.join().unwrap());
     let counted = (asked * 16, served.load(Ordering::Relaxed), rev, &words);
     eprintln!("soak: {seconds} s, {counted:?} asked, served, lists, answers; KB by quarters {quarters:?}");
-    let honoured = words.get("ACK").copied().unwrap_or(0);
-    assert!(honoured > 1000 && counted.1 > 1000 && rev > 2, "hardly any load: {counted:?}");
+    let served = words.get("ACK").copied().unwrap_or(0);
+    assert!(served > 1000 && counted.1 > 1000 && rev > 2, "hardly any load: {counted:?}");
     // Own copies fill their 16 MB in the first quarter of a long run, later in a short one.
     let (most, grown) = (48 << 10, quarters[3].saturating_sub(quarters[0]));
     assert!(quarters[3] < most, "{quarters:?} KB");
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -94,7 +94,7 @@
 
 fn outcome(code: &str) -> Result<Outcome, String> {
     Ok(match code {
-        "OK" => Outcome::Honoured,
+        "OK" => Outcome::Served,
         "INTERNAL" => Outcome::Error,
         "RESOURCE_EXHAUSTED" => Outcome::Full,
         "DEADLINE_EXCEEDED" => Outcome::TimedOut,
--- a/src/control.rs
+++ b/src/control.rs
@@ -429,13 +429,13 @@
     }
 
     /// The attempt of a request has ended: an own copy of what it brought, and on with who waited for it.
-    fn pass_on(&mut self, turn: &mut Turn, id: &Id, honoured: bool) {
+    fn pass_on(&mut self, turn: &mut Turn, id: &Id, served: bool) {
         let Some(request) = self.requests.get(id) else { return };
         let part = part_of(&request.arrival);
         let leads = self.filled.get(&part).is_some_and(|(leader, _)| leader == id);
         let followers = if leads { self.filled.remove(&part).unwrap_or_default().1 } else { Vec::new() };
         let rank = request.rank.max(u8::from(!followers.is_empty()));
-        if honoured && rank > 0 && self.categories[request.arrival.category].cacheable {
+        if served && rank > 0 && self.categories[request.arrival.category].cacheable {
             turn.out.keep(id, rank);
         }
         for id in followers {
@@ -731,7 +731,7 @@
         use Outcome::*;
         let Some(request) = self.requests.get_mut(id) else { return };
         let (kb, rank, work) = (request.arrival.kb, request.rank, request.work);
-        let hit = ended.outcome == Honoured && matches!(ended.remark, Remark::Hit | Remark::Stale);
+        let hit = ended.outcome == Served && matches!(ended.remark, Remark::Hit | Remark::Stale);
         // A late fill is laid to an end by how seldom the best of its tier is late (a full link delays all),
         // and to one cache at a time: with one set aside after the other, the last would have to bear it all.
         let telling = [Tier::Cache, Tier::Parent].map(|tier| {
@@ -741,12 +741,12 @@
             f64::from(tier == Tier::Parent || !others) * (0.5 / (1.0 - best)).log10().clamp(0.0, 1.0)
         });
         let (at_server, at_source) = match (ended.outcome, ended.remark) {
-            (Honoured, _) if hit => (1.0, 0.0),
-            (Honoured, _) if late && route.source != route.server => (telling[0], telling[1]),
-            (Honoured, _) => (1.0, telling[1]),
+            (Served, _) if hit => (1.0, 0.0),
+            (Served, _) if late && route.source != route.server => (telling[0], telling[1]),
+            (Served, _) => (1.0, telling[1]),
             (Broken, _) => (0.5, 0.0),
             (_, Remark::SourceUnreached) => (0.0, 1.0),
-            // Perhaps the request's own fault: laid to them once another one has honoured it.
+            // Perhaps the request's own fault: laid to them once another one has served it.
             (Error, Remark::None) => {
                 let blamed = route.ends().take(1 + usize::from(filling));
                 request.erred.extend(blamed.map(|name| (name.clone(), if filling { 0.5 } else { 1.0 })));
@@ -756,7 +756,7 @@
             (Unreachable, _) | (TimedOut, Remark::None) => (1.0, 0.0),
             _ => (0.0, 0.0),
         };
-        let failed = ended.outcome != Honoured;
+        let failed = ended.outcome != Served;
         let filled = !failed && !hit;
         // Only the cache itself makes a hit slow: one that ages answers, later and later, until it dies.
         let late_hit = hit && ended.took > (OVERHEAD + work).mul_f64(SLOW_HIT);
@@ -816,9 +816,9 @@
             let dead = matches!(ended.outcome, Cancelled | Missing | Broken | Full)
                 || ended.remark == Remark::SourceUnreached
                 || ends.any(|s| s.record.is_aside() || s.heard < sent && ended.outcome == TimedOut);
-            self.fill_ended(turn, (!dead).then_some(ended.outcome == Honoured && turn.now <= soft));
+            self.fill_ended(turn, (!dead).then_some(ended.outcome == Served && turn.now <= soft));
         }
-        self.pass_on(turn, id, ended.outcome == Honoured);
+        self.pass_on(turn, id, ended.outcome == Served);
         let Some(request) = self.requests.get_mut(id) else { return };
         let own = route.made.is_some();
         if matches!(ended.outcome, Error | TimedOut | Broken | Cancelled) && request.ran.is_none() && !own {
@@ -835,7 +835,7 @@
         self.advance(turn, id);
     }
 
-    /// The final answer where none was honoured: a decline where a retry is safe, else a give-up.
+    /// The final answer where none was served: a decline where a retry is safe, else a give-up.
     fn end(&mut self, turn: &mut Turn, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|a| !a.ended) else { return };
         // Better than none: an own copy past its fresh time, within what its category allows.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -209,7 +209,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    Honoured,
+    Served,
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen, or its source refused: did not run.
@@ -311,6 +311,6 @@
     }
     /// A cache was found to hold a part, by its key, or was told to keep it, which was not known before.
     fn found(&mut self, _part: u32, _cache: &Id) {}
-    /// What this request has just been honoured with is to be an own copy at this rank, from 1 to 3.
+    /// What this request has just been served with is to be an own copy at this rank, from 1 to 3.
     fn keep(&mut self, _request: &Id, _rank: u8) {}
 }
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -123,9 +123,9 @@
                     1 => Outcome::Full,
                     2 => Outcome::Broken,
                     3 => Outcome::Unreachable,
-                    _ => Outcome::Honoured,
+                    _ => Outcome::Served,
                 };
-                let over = outcome == Outcome::Honoured;
+                let over = outcome == Outcome::Served;
                 let remark =
                     if over { [Remark::Hit, Remark::Filled][chance.usize(..2)] } else { Remark::None };
                 let (took, load) = (Duration::from_millis(chance.u64(1..400)), Load::default());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -111,7 +111,7 @@
                     }
                 }
                 let ended = Ended {
-                    outcome: Outcome::Honoured,
+                    outcome: Outcome::Served,
                     remark: Remark::Filled,
                     took: ms(200),
                     first_byte: Some(ms(10)),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -167,7 +167,7 @@
 
 fn outcome(word: &str) -> Outcome {
     match word {
-        "honoured" => Outcome::Honoured,
+        "honoured" => Outcome::Served,
         "error" => Outcome::Error,
         "full" => Outcome::Full,
         "timed-out" => Outcome::TimedOut,
