--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -5,7 +5,7 @@
 //! A flood of new names cannot evict an honest tenant's state: a name gets a row of its own only once it has
 //! been served so often, and rows leave by when they were last served. Before that it is counted in a
 //! count-min sketch (Cormode and Muthukrishnan, "An improved data stream summary", 2005), where names that
-//! meet are taken for one: a new tenant among a flood of new ones is declined with them, an old one is not.
+//! meet are taken for one: a new tenant among a flood of new ones is rejected with them, an old one is not.
 
 use chalkhall::interface::Arrival;
 use lru::LruCache;
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     Taken,
-    /// Declined; a further one is taken after so long at the earliest.
+    /// Rejected; a further one is taken after so long at the earliest.
     Late(Duration),
 }
 
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -208,7 +208,7 @@
         self.ends.push_back((self.attempted, outcome, remark));
         self.attempted += 1;
     }
-    fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {
+    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {
         self.ended = true;
     }
     fn give_up(&mut self, _request: &Id) {
@@ -323,7 +323,7 @@
             let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
             router.result(now, &id, attempt, &ended, &mut world);
         }
-        assert!(!world.ended, "a request was declined");
+        assert!(!world.ended, "a request was rejected");
         // Timers are of requests long over: what they would do is nothing.
         world.wakes.clear();
         if n as f64 >= WARM * day.len() as f64 {
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -206,7 +206,7 @@
         let part = Part { object: &self.name, part: 0, group: 0 };
         self.got = self.rig.store.take(now, part);
     }
-    fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
     fn give_up(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, _at: Duration, mark: u64) {
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -101,7 +101,7 @@
         .seconds
         .iter()
         .map(|s| {
-            json!({"asked": s.asked, "earned": s.earned, "declined": s.declined, "failed": s.failed,
+            json!({"asked": s.asked, "earned": s.earned, "declined": s.rejected, "failed": s.failed,
                 "opened": s.opened, "executions": s.attempts, "fills": s.fills})
         })
         .collect();
@@ -194,9 +194,9 @@
             &[("service", service, BLUE)],
             &mut plots[0],
         )?;
-        let declined = ("declined", of(&|s| s.declined as f64), RED);
+        let rejected = ("rejected", of(&|s| s.rejected as f64), RED);
         let failed = ("given up", of(&|s| s.failed as f64), MAGENTA);
-        series(shown, "final answers that served nothing, a second", &[declined, failed], &mut plots[1])?;
+        series(shown, "final answers that served nothing, a second", &[rejected, failed], &mut plots[1])?;
         let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
         let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
         let opened = ("connections opened", of(&|s| s.opened as f64), RED);
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -57,7 +57,7 @@
     pub asked: f64,
     /// Benefit earned by what began in this second.
     pub earned: f64,
-    pub declined: u64,
+    pub rejected: u64,
     pub failed: u64,
     pub opened: u64,
     pub attempts: u64,
@@ -935,14 +935,14 @@
             Answer::Served(_) if write => Final::Served(key, u64::MAX),
             Answer::Served(Some((key, made))) => Final::Served(*key, *made),
             Answer::Served(None) | Answer::Wrong => Final::Wrong,
-            Answer::Declined(_) => Final::Declined,
+            Answer::Rejected(_) => Final::Rejected,
             Answer::Failed => Final::GivenUp,
         };
         self.truth.watch.ends(now, id, end);
         match answer {
             Answer::Served(_) => self.served(want, now),
-            Answer::Declined(wait) => {
-                self.second(now).declined += 1;
+            Answer::Rejected(wait) => {
+                self.second(now).rejected += 1;
                 self.again(want, now, wait.unwrap_or_default());
             }
             Answer::Failed | Answer::Wrong => {
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -42,7 +42,7 @@
 pub enum Final {
     /// With a copy of that key which the origin gave out at that Unix millisecond.
     Served(Key, u64),
-    Declined,
+    Rejected,
     GivenUp,
     /// What came is no answer, or not what was asked for.
     Wrong,
@@ -56,7 +56,7 @@
     /// Rule 1: no final answer in time, or what cannot be one; and two.
     pub lost: u64,
     pub twice: u64,
-    /// Rule 2: ran twice, or was declined after it ran.
+    /// Rule 2: ran twice, or was rejected after it ran.
     pub double_runs: u64,
     /// Rule 3: sent to who was told to drain.
     pub drain: u64,
@@ -192,9 +192,9 @@
                 format!("{now:?}: {id:016x} of router {router}, {begun:?} to {due:?}, ended by {end:?}")
             });
         }
-        if end == Final::Declined && before.write && before.runs > 0 {
+        if end == Final::Rejected && before.write && before.runs > 0 {
             self.breaks.double_runs += 1;
-            self.say(|| format!("{now:?}: router {router} declined {id:016x}, which ran"));
+            self.say(|| format!("{now:?}: router {router} rejected {id:016x}, which ran"));
         }
         if let Final::Served((object, _), made) = end {
             self.answered_from(before.begun, router, object, made);
@@ -279,14 +279,14 @@
     }
 
     #[test]
-    fn a_router_that_runs_twice_or_declines_what_ran_is_caught() {
+    fn a_router_that_runs_twice_or_rejects_what_ran_is_caught() {
         let mut watch = sound();
         watch.runs(ms(1050), 1);
         assert_eq!(watch.breaks, Breaks { double_runs: 1, ..Breaks::default() });
         let mut watch = Watch::default();
         watch.begins(1, Life::new(0, true, KEY, ms(0), ms(500)));
         watch.runs(ms(10), 1);
-        watch.ends(ms(20), 1, Final::Declined);
+        watch.ends(ms(20), 1, Final::Rejected);
         assert_eq!(watch.breaks, Breaks { double_runs: 1, ..Breaks::default() });
     }
 
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -38,7 +38,7 @@
 pub enum Answer {
     /// What the body says of itself: the part, and when it was made.
     Served(Option<(Key, u64)>),
-    Declined(Option<Duration>),
+    Rejected(Option<Duration>),
     Failed,
     /// Of no word that there is.
     Wrong,
@@ -392,7 +392,7 @@
     };
     let answer = match &word[..] {
         b"ACK" => Answer::Served(says(body)),
-        b"NAK" => Answer::Declined(of("w").and_then(|ms| ms.parse().ok()).map(Duration::from_millis)),
+        b"NAK" => Answer::Rejected(of("w").and_then(|ms| ms.parse().ok()).map(Duration::from_millis)),
         b"" => Answer::Wrong,
         _ => Answer::Failed,
     };
@@ -547,7 +547,7 @@
                 }
             }
             assert_eq!(all[0], (7, Answer::Served(Some(((0xabc, 2), 77)))));
-            assert_eq!(all[1], (8, Answer::Declined(Some(Duration::from_millis(250)))));
+            assert_eq!(all[1], (8, Answer::Rejected(Some(Duration::from_millis(250)))));
         }
     }
 
--- a/crates/latency/src/steer.rs
+++ b/crates/latency/src/steer.rs
@@ -3,7 +3,7 @@
 //! - **Order** by the way's median. One goes before another only where it is better by more than both doubt:
 //!   two estimates that noise could turn round stay as they stand, and no figure for hysteresis is tuned.
 //! - **Target**: in that order each edge takes what it has room for, until all is placed. What is left has
-//!   nowhere to go: it is for its owner to decline early, not to be squeezed in.
+//!   nowhere to go: it is for its owner to reject early, not to be squeezed in.
 //! - **Shares** move towards the target by [`STEP`] a second at most, up and down: two hundred routers that
 //!   read the same table in the same instant must not arrive together, and what they do must show before
 //!   they do more. Away from an edge that takes nothing any more they go at once, for what is sent there is
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -45,7 +45,7 @@
 pub struct Seen {
     pub asked: usize,
     pub in_time: usize,
-    pub declined: usize,
+    pub rejected: usize,
     pub fills: usize,
     /// Requests that were served by what a cache had.
     pub hits: usize,
@@ -96,7 +96,7 @@
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
         self.attempts.push((request.clone(), server.clone(), fill.clone()));
     }
-    fn decline(&mut self, request: &Id, _advice: Option<Duration>) {
+    fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
         self.answers.push((request.clone(), true));
     }
     fn give_up(&mut self, request: &Id) {
@@ -266,10 +266,10 @@
         for (part, cache) in std::mem::take(&mut orders.found) {
             self.nodes[number].talk.iter_mut().for_each(|talk| talk.found(part, &cache));
         }
-        for (id, declined) in orders.answers {
+        for (id, rejected) in orders.answers {
             let taken = self.nodes[number].taken.get_mut(&id).expect("a request that was taken");
             assert!(std::mem::replace(&mut taken.open, false), "a second answer for {id}");
-            self.seen.declined += usize::from(declined);
+            self.seen.rejected += usize::from(rejected);
         }
         for (id, server, fill) in orders.attempts {
             self.attempt(number, id, server, fill);
--- a/crates/regions/src/lib.rs
+++ b/crates/regions/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`words`] | what is told, in bytes |
 //! | [`decide`] | rooms, the plan of the location, where a request goes |
 //!
-//! Nothing here sends, declines or answers: a request is told among which location's caches the decisions are
+//! Nothing here sends, rejects or answers: a request is told among which location's caches the decisions are
 //! to draw, and each rule is kept where every send passes. Only what may run again and leaves no mark goes to
 //! another location: a deduplicated request never leaves the group that knows its mark, and what must not run
 //! twice stays where it was asked for.
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -112,7 +112,7 @@
         self.push(answer(tag, word, fields, 0), Bytes::new());
     }
 
-    fn declined(&mut self, tag: u64, advice: Option<Duration>) {
+    fn rejected(&mut self, tag: u64, advice: Option<Duration>) {
         self.line(tag, "NAK", &advice.map_or(String::new(), |advice| format!("w={}", advice.as_millis())));
     }
 
@@ -301,7 +301,7 @@
         let (Some(verb), Some(tag)) = (frame.first(), tag) else { return };
         match &verb[..] {
             b"ABORT" => {}
-            b"REQ" => unwritten.declined(tag, self.door.advice),
+            b"REQ" => unwritten.rejected(tag, self.door.advice),
             b"HEALTH" => unwritten.line(tag, "RED", ""),
             _ => unwritten.line(tag, "FAIL", ""),
         }
@@ -368,7 +368,7 @@
                         if self.decider.send(Message::Request(Box::new(new))).await.is_err() {
                             // The router has ended meanwhile.
                             open.remove(&tag);
-                            unwritten.declined(tag, self.door.advice);
+                            unwritten.rejected(tag, self.door.advice);
                         }
                     }
                     Err(what) => {
@@ -484,7 +484,7 @@
             unwritten.push(answer(tag, "ACK", &version(etag, ""), body.len()), body);
         }
         Last::Unchanged { etag } => unwritten.line(tag, "ACK", &version(etag, "unchanged=1,")),
-        Last::Declined(advice) => unwritten.declined(tag, advice),
+        Last::Rejected(advice) => unwritten.rejected(tag, advice),
         Last::GivenUp => unwritten.line(tag, "FAIL", ""),
     }
 }
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -66,7 +66,7 @@
 
 /// The router ends while two requests and half of a third lie unread on the connection.
 #[tokio::test(flavor = "current_thread")]
-async fn what_lies_unread_as_the_router_ends_is_declined_and_the_connection_closed_in_order() {
+async fn what_lies_unread_as_the_router_ends_is_rejected_and_the_connection_closed_in_order() {
     let inside = async {
         let come = [request(1), request(2), b"*5\r\n$3\r\nREQ".to_vec()].concat();
         let mut rig = rig(Phase::Ended, &come).await;
@@ -78,7 +78,7 @@
 
 /// The decider has ended, and the connection has not heard of it yet: what is read then never ran.
 #[tokio::test(flavor = "current_thread")]
-async fn what_finds_no_decider_any_more_is_declined() {
+async fn what_finds_no_decider_any_more_is_rejected() {
     let inside = async {
         let mut rig = rig(Phase::Serving, b"").await;
         rig.messages.close();
@@ -103,7 +103,7 @@
         rig.leave.try_send(()).unwrap();
         assert!(rig.peer.try_write(&request(2)).unwrap() > 0);
         let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("not heard") };
-        let last = Last::Declined(None);
+        let last = Last::Rejected(None);
         drop(new.client.send(Reply { tag: 2, id: new.arrival.id, last }));
         let said = rig.rest().await.unwrap();
         assert!(said.contains(&told(2, "NAK")), "{said:?}");
@@ -135,7 +135,7 @@
                 match message {
                     Message::Request(new) => {
                         answered += 1;
-                        let last = Last::Declined(None);
+                        let last = Last::Rejected(None);
                         drop(new.client.send(Reply { tag: new.tag, id: new.arrival.id, last }));
                     }
                     Message::Left(..) => left += 1,
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -161,8 +161,8 @@
         self.out += 1;
     }
 
-    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
-        self.reply(request, Last::Declined(advice));
+    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
+        self.reply(request, Last::Rejected(advice));
     }
 
     fn give_up(&mut self, request: &Id) {
@@ -228,7 +228,7 @@
     limits: Limits,
     /// By category: whether its requests must not run twice.
     once: Vec<bool>,
-    /// Bodies in hand, present and to come, past which new requests are declined at the door.
+    /// Bodies in hand, present and to come, past which new requests are rejected at the door.
     bodies_most: f64,
     idle: Duration,
     phase: watch::Sender<Phase>,
@@ -241,7 +241,7 @@
 }
 
 impl Decider {
-    /// The wait that a declined client is advised.
+    /// The wait that a rejected client is advised.
     pub fn advice(&self) -> Option<Duration> {
         self.router.advice
     }
@@ -364,7 +364,7 @@
         mailbox.close();
         while let Ok(message) = mailbox.try_recv() {
             let Message::Request(new) = message else { continue };
-            let last = Last::Declined(self.router.advice);
+            let last = Last::Rejected(self.router.advice);
             new.client.send(Reply { tag: new.tag, id: new.arrival.id, last });
         }
         let open: Vec<Id> = self.desk.requests.keys().cloned().collect();
@@ -447,13 +447,13 @@
             self.nonsense.log("a request with an id that is in use");
             return refuse(client, Last::GivenUp);
         }
-        // Rather an early decline than being killed for memory or losing count of what is open.
+        // Rather an early rejection than being killed for memory or losing count of what is open.
         let bodies = self.desk.in_hand as f64 + (self.desk.out + 1) as f64 * self.desk.object;
         if let Some(own) = &mut self.desk.own {
             own.beside(bodies);
         }
         if bodies > self.bodies_most || self.desk.requests.len() >= self.limits.open_requests {
-            return refuse(client, Last::Declined(self.router.advice));
+            return refuse(client, Last::Rejected(self.router.advice));
         }
         arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(read_at));
         let once = self.once.get(arrival.category) == Some(&true);
@@ -461,12 +461,12 @@
             && let Err(wait) = confined.request(self.desk.now, &mut arrival, once)
         {
             // The client is told to come back when its tenant may, as far as it heeds that.
-            return refuse(client, Last::Declined(self.longest_advice.map(|longest| wait.min(longest))));
+            return refuse(client, Last::Rejected(self.longest_advice.map(|longest| wait.min(longest))));
         }
         if let Some(abroad) = &mut self.abroad
             && abroad.request(self.desk.now, &mut arrival).is_err()
         {
-            return refuse(client, Last::Declined(self.router.advice));
+            return refuse(client, Last::Rejected(self.router.advice));
         }
         let (attempts, kept) = (Vec::new(), arrival.clone());
         let client = Some(To::Client(client));
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -41,7 +41,7 @@
 /// Time to end has come while requests lie in its mailbox, or none more can be put there: none of them is
 /// lost.
 #[tokio::test(flavor = "current_thread")]
-async fn what_lies_in_the_mailbox_as_the_router_ends_is_declined() {
+async fn what_lies_in_the_mailbox_as_the_router_ends_is_rejected() {
     let (decider, _messages, phase) =
         decider(Phase::Draining { since: Duration::ZERO, until: Duration::from_secs(1) });
     let (to_decider, mailbox) = mpsc::channel(8);
@@ -55,7 +55,7 @@
     for tag in 1..=3 {
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
-        assert!(matches!(reply.last, Last::Declined(Some(wait)) if wait == Duration::from_millis(90)));
+        assert!(matches!(reply.last, Last::Rejected(Some(wait)) if wait == Duration::from_millis(90)));
     }
     assert!(to_decider.try_send(Message::Stop).is_err(), "it takes nothing more");
 }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -88,7 +88,7 @@
     Unchanged {
         etag: Option<Bytes>,
     },
-    Declined(Option<Duration>),
+    Rejected(Option<Duration>),
     GivenUp,
 }
 
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn a_tenant_that_floods_is_declined_and_the_others_are_not() {
+fn a_tenant_that_floods_is_rejected_and_the_others_are_not() {
     let mut world = world("cells {\n tenant-rate 20 40\n}\n");
     let program = world.start();
     let (mut client, mut lines) = (program.client(), Vec::new());
     // Both are known: served before.
     asked(&world, &mut client, &mut lines, 100, 1);
     asked(&world, &mut client, &mut lines, 200, 2);
-    let mut declined = 0;
+    let mut rejected = 0;
     for tag in 1000..1100u64 {
         let fields = format!("i={tag:016x},o={tag:016x},lot=1,m=1,d=4000");
         client.send(&[b"REQ", tag.to_string().as_bytes(), b"page", fields.as_bytes(), b""]);
@@ -107,10 +107,10 @@
         let (_, word, fields, _) = client.answer();
         if word == "NAK" {
             assert!(fields.starts_with("w="), "{fields}");
-            declined += 1;
+            rejected += 1;
         }
     }
-    assert!(declined >= 40, "{declined}");
+    assert!(rejected >= 40, "{rejected}");
     // Another tenant is served, and what must not run twice is not turned away for its tenant's rate.
     let fields = format!("i={:016x},o={:016x},lot=2,m=1,d=4000", 0xeeee, 0xeeee);
     client.send(&[b"REQ", b"5000", b"page", fields.as_bytes(), b""]);
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -13,8 +13,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Nothing can be sent anywhere: whatever is asked is declined at once.
-fn declining() -> World {
+/// Nothing can be sent anywhere: whatever is asked is rejected at once.
+fn rejecting() -> World {
     let mut world = World::new();
     let entries: Vec<_> = world.servers.iter().map(|s| s.entry("leaving")).collect();
     world.file["known"] =
@@ -27,7 +27,7 @@
 /// connection is reset over bytes that nobody read.
 #[test]
 fn what_came_before_the_end_is_answered_and_nobody_is_reset() {
-    let mut world = declining();
+    let mut world = rejecting();
     let mut program = world.start();
     let (mut resting, mut half) = (program.client(), program.client());
     assert_eq!((resting.health(), half.health()), ("GREEN".into(), "GREEN".into()));
@@ -42,14 +42,14 @@
     let mut waiting: Vec<Client> = (0..3).map(|_| program.client()).collect();
     waiting.iter_mut().for_each(|client| drop(client.ask(1, "page", "", b"")));
     program.signal("CONT");
-    let declined = ("NAK".to_owned(), "w=200".to_owned());
+    let rejected = ("NAK".to_owned(), "w=200".to_owned());
     for tag in [1, 2] {
         let (of, word, fields, _) = resting.answer();
-        assert_eq!((of, (word, fields)), (tag, declined.clone()));
+        assert_eq!((of, (word, fields)), (tag, rejected.clone()));
     }
     for client in &mut waiting {
         let (of, word, fields, _) = client.answer();
-        assert_eq!((of, (word, fields)), (1, declined.clone()));
+        assert_eq!((of, (word, fields)), (1, rejected.clone()));
     }
     for client in waiting.iter_mut().chain([&mut resting, &mut half]) {
         assert!(client.parted(), "reset");
@@ -106,7 +106,7 @@
 /// wanted is answered too.
 #[test]
 fn an_answer_finds_a_place_whatever_was_called_off_before() {
-    let mut world = declining();
+    let mut world = rejecting();
     let program = world.start();
     let mut client = program.client();
     let mut bytes = Vec::new();
@@ -275,7 +275,7 @@
 /// their pace.
 #[test]
 fn requests_go_on_while_no_connection_can_be_taken() {
-    let mut world = declining();
+    let mut world = rejecting();
     world.file["limits"]["sockets"] = json!(1024);
     // More rest than are let go of at once: who has asked for something stays.
     let program = world.spawn("ulimit -n 96;");
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -120,7 +120,7 @@
     let mut origin = world.server("o1").accept();
     origin.asked();
     drop(origin);
-    assert_eq!(client.word(), "FAIL", "written, then broken: no second attempt, no decline");
+    assert_eq!(client.word(), "FAIL", "written, then broken: no second attempt, no rejection");
 }
 
 #[test]
@@ -330,7 +330,7 @@
     let old = std::mem::replace(&mut world.servers[0], Server::new("c1", "cache"));
     board.say(list(2, &[world.server("c1").entry("active")]));
     drop(old);
-    // Declined while nobody listens at the old address any more and the new one has not been told.
+    // Rejected while nobody listens at the old address any more and the new one has not been told.
     let mut tag = 1;
     world.server("c1").listener.set_nonblocking(true).unwrap();
     until("a connection to the new address", || {
@@ -584,7 +584,7 @@
 }
 
 #[test]
-fn bodies_past_the_memory_are_declined_at_the_door() {
+fn bodies_past_the_memory_are_rejected_at_the_door() {
     let mut world = World::new();
     world.file["limits"]["memory_mb"] = json!(1);
     let program = world.start();
@@ -601,7 +601,7 @@
     client.ask(4, "page", "", b"");
     server.serve(b"x");
     assert_eq!(client.word(), "ACK", "what has been written takes no place any more");
-    // Where objects are small more may be out: to reckon with the largest would decline half of them.
+    // Where objects are small more may be out: to reckon with the largest would reject half of them.
     for tag in 1..=100 {
         client.ask(tag, "page", "", b"");
         server.serve(b"x");
--- a/crates/router/tests/program/own.rs
+++ b/crates/router/tests/program/own.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn own_copies_give_way_before_an_request_is_declined() {
+fn own_copies_give_way_before_an_request_is_rejected() {
     let mut world = World::new();
     // Bodies in hand may take 5 MB, together with own copies 1.5 MB past what the router takes itself.
     world.file["limits"]["memory_mb"] = json!(10);
@@ -151,7 +151,7 @@
         server.asked();
     }
     ask_first(&mut client);
-    assert_eq!(server.asked().get("item"), "0000000000000007", "its copy has left, and nothing is declined");
+    assert_eq!(server.asked().get("item"), "0000000000000007", "its copy has left, and nothing is rejected");
 }
 
 #[test]
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -49,7 +49,7 @@
         self.put("ServeOrFill", fields);
     }
 
-    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
+    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
         self.put("Refuse", json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}));
     }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -46,7 +46,7 @@
 const FILL_LATE: f64 = 0.03;
 const FILL_CUT_EVERY: Duration = Duration::from_millis(250);
 const FILLS_LEAST: f64 = 1.0;
-/// The wait that a declined client is advised; that before the list is asked for again.
+/// The wait that a rejected client is advised; that before the list is asked for again.
 const ADVICE: Duration = Duration::from_millis(200);
 const LIST_AGAIN: Duration = Duration::from_millis(1000);
 
@@ -191,7 +191,7 @@
     routers_here: f64,
     most_attempts: usize,
     may_cancel: bool,
-    /// The wait that a declined client is advised, at the door too.
+    /// The wait that a rejected client is advised, at the door too.
     pub advice: Option<Duration>,
     purge_done: Duration,
     pass_through: bool,
@@ -599,7 +599,7 @@
         if server.member.tier == Tier::Cache { mean } else { request.work.as_secs_f64() }
     }
 
-    /// Rule 2: may this request run again, there, or (nowhere named) be declined as safe to repeat?
+    /// Rule 2: may this request run again, there, or (nowhere named) be rejected as safe to repeat?
     fn may_repeat(&self, now: Duration, request: &Request, at: Option<&Server>) -> bool {
         let Some((sent, first)) = &request.ran else { return true };
         let category = &self.categories[request.arrival.category];
@@ -835,7 +835,7 @@
         self.advance(turn, id);
     }
 
-    /// The final answer where none was served: a decline where a retry is safe, else a give-up.
+    /// The final answer where none was served: a rejection where a retry is safe, else a give-up.
     fn end(&mut self, turn: &mut Turn, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|a| !a.ended) else { return };
         // Better than none: an own copy past its fresh time, within what its category allows.
@@ -848,7 +848,7 @@
         let effect = self.categories[request.arrival.category].effect;
         let certain = request.open == 0 || effect == Effect::Idempotent;
         if certain && self.may_repeat(turn.now, request, None) {
-            turn.out.decline(id, self.advice);
+            turn.out.reject(id, self.advice);
         } else {
             turn.out.give_up(id);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -123,7 +123,7 @@
     pub max_attempts: usize,
     pub second_copies: bool,
     pub may_cancel: bool,
-    /// The longest wait that clients heed after a decline; none: they are not told.
+    /// The longest wait that clients heed after a rejection; none: they are not told.
     pub longest_advice: Option<Duration>,
     pub cold_cache: ColdStart,
     pub cold_parent: ColdStart,
@@ -296,8 +296,8 @@
 pub trait Outlet {
     /// One attempt, for at most `limit`; with no fill, the server is asked for what it holds.
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
-    /// Final answer: declined. Assures the client that trying again is safe.
-    fn decline(&mut self, request: &Id, advice: Option<Duration>);
+    /// Final answer: rejected. Assures the client that trying again is safe.
+    fn reject(&mut self, request: &Id, advice: Option<Duration>);
     /// Final answer: given up. Assures nothing.
     fn give_up(&mut self, request: &Id);
     fn cancel(&mut self, request: &Id, attempt: usize);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,8 +16,8 @@
 //!     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
 //!         self.0.push(format!("{request}: {server}, filled from {}", fill.source));
 //!     }
-//!     fn decline(&mut self, request: &Id, _advice: Option<Duration>) {
-//!         self.0.push(format!("{request}: declined"));
+//!     fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
+//!         self.0.push(format!("{request}: rejected"));
 //!     }
 //!     fn give_up(&mut self, request: &Id) {
 //!         self.0.push(format!("{request}: given up"));
@@ -28,8 +28,8 @@
 //! }
 //!
 //! let mut out = Printer(Vec::new());
-//! out.decline(&"a1".into(), None);
-//! assert_eq!(out.0, ["a1: declined"]);
+//! out.reject(&"a1".into(), None);
+//! assert_eq!(out.0, ["a1: rejected"]);
 //! ```
 
 pub mod control;
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -20,8 +20,8 @@
         self.ends.push_back((request.clone(), *n));
         *n += 1;
     }
-    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
-        self.orders.push(format!("decline {request} {advice:?}"));
+    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
+        self.orders.push(format!("reject {request} {advice:?}"));
     }
     fn give_up(&mut self, request: &Id) {
         self.orders.push(format!("give up {request}"));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -20,7 +20,7 @@
     fn attempt(&mut self, request: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
         self.attempts.push((request.clone(), fill.source.clone()));
     }
-    fn decline(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
     fn give_up(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -49,9 +49,9 @@
         let line = format!("{line} {held} limit {limit} {join}{renew}");
         self.lines.push(line);
     }
-    fn decline(&mut self, request: &Id, advice: Option<Duration>) {
+    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
         let advice = advice.map_or("none".into(), |advice| advice.as_millis().to_string());
-        self.lines.push(format!("decline {request} advice {advice}"));
+        self.lines.push(format!("reject {request} advice {advice}"));
     }
     fn give_up(&mut self, request: &Id) {
         self.lines.push(format!("give-up {request}"));
