--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -211,7 +211,7 @@
     fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {
         self.ended = true;
     }
-    fn give_up(&mut self, _request: &Id) {
+    fn fail(&mut self, _request: &Id) {
         self.ended = true;
     }
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -207,7 +207,7 @@
         self.got = self.rig.store.take(now, part);
     }
     fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
-    fn give_up(&mut self, _request: &Id) {}
+    fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, _at: Duration, mark: u64) {
         self.wakes.push(mark);
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -195,7 +195,7 @@
             &mut plots[0],
         )?;
         let rejected = ("rejected", of(&|s| s.rejected as f64), RED);
-        let failed = ("given up", of(&|s| s.failed as f64), MAGENTA);
+        let failed = ("failed", of(&|s| s.failed as f64), MAGENTA);
         series(shown, "final answers that served nothing, a second", &[rejected, failed], &mut plots[1])?;
         let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
         let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -936,7 +936,7 @@
             Answer::Served(Some((key, made))) => Final::Served(*key, *made),
             Answer::Served(None) | Answer::Wrong => Final::Wrong,
             Answer::Rejected(_) => Final::Rejected,
-            Answer::Failed => Final::GivenUp,
+            Answer::Failed => Final::Failed,
         };
         self.truth.watch.ends(now, id, end);
         match answer {
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -43,7 +43,7 @@
     /// With a copy of that key which the origin gave out at that Unix millisecond.
     Served(Key, u64),
     Rejected,
-    GivenUp,
+    Failed,
     /// What came is no answer, or not what was asked for.
     Wrong,
     /// The connection ended without one.
@@ -274,7 +274,7 @@
         watch.close(ms(9000));
         assert_eq!(watch.breaks, Breaks { lost: 5, ..Breaks::default() });
         let mut watch = sound();
-        watch.ends(ms(1040), 1, Final::GivenUp);
+        watch.ends(ms(1040), 1, Final::Failed);
         assert_eq!(watch.breaks, Breaks { twice: 1, ..Breaks::default() });
     }
 
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -99,7 +99,7 @@
     fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
         self.answers.push((request.clone(), true));
     }
-    fn give_up(&mut self, request: &Id) {
+    fn fail(&mut self, request: &Id) {
         self.answers.push((request.clone(), false));
     }
     fn cancel(&mut self, request: &Id, attempt: usize) {
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -485,7 +485,7 @@
         }
         Last::Unchanged { etag } => unwritten.line(tag, "ACK", &version(etag, "unchanged=1,")),
         Last::Rejected(advice) => unwritten.rejected(tag, advice),
-        Last::GivenUp => unwritten.line(tag, "FAIL", ""),
+        Last::Failed => unwritten.line(tag, "FAIL", ""),
     }
 }
 
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -165,8 +165,8 @@
         self.reply(request, Last::Rejected(advice));
     }
 
-    fn give_up(&mut self, request: &Id) {
-        self.reply(request, Last::GivenUp);
+    fn fail(&mut self, request: &Id) {
+        self.reply(request, Last::Failed);
     }
 
     fn cancel(&mut self, request: &Id, attempt: usize) {
@@ -358,7 +358,7 @@
         self.desk.requests.values().filter(waits).count() + usize::from(self.desk.in_hand > 0)
     }
 
-    /// What is still open when time has run out is given up: an end without an answer would lose it.
+    /// What is still open when time has run out fails: an end without an answer would lose it.
     fn finish(&mut self, mut mailbox: mpsc::Receiver<Message>) {
         // Nobody looks into the mailbox any more: what still lies in it never ran.
         mailbox.close();
@@ -369,7 +369,7 @@
         }
         let open: Vec<Id> = self.desk.requests.keys().cloned().collect();
         for id in open {
-            if self.desk.reply(&id, Last::GivenUp) {
+            if self.desk.reply(&id, Last::Failed) {
                 self.router.left(self.desk.now, &id, &mut self.desk);
             }
         }
@@ -445,7 +445,7 @@
         };
         if self.desk.requests.contains_key(&arrival.id) {
             self.nonsense.log("a request with an id that is in use");
-            return refuse(client, Last::GivenUp);
+            return refuse(client, Last::Failed);
         }
         // Rather an early rejection than being killed for memory or losing count of what is open.
         let bodies = self.desk.in_hand as f64 + (self.desk.out + 1) as f64 * self.desk.object;
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -89,7 +89,7 @@
         etag: Option<Bytes>,
     },
     Rejected(Option<Duration>),
-    GivenUp,
+    Failed,
 }
 
 /// A question from an operator, and where its answer goes.
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn what_is_open_when_time_runs_out_is_given_up() {
+fn what_is_open_when_time_runs_out_fails() {
     let mut world = World::new();
     let mut program = world.start();
     let mut client = program.client();
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -53,7 +53,7 @@
         self.put("Refuse", json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}));
     }
 
-    fn give_up(&mut self, request: &Id) {
+    fn fail(&mut self, request: &Id) {
         self.put("FinishError", json!({"OpId": &**request}));
     }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -835,7 +835,7 @@
         self.advance(turn, id);
     }
 
-    /// The final answer where none was served: a rejection where a retry is safe, else a give-up.
+    /// The final answer where none was served: a rejection where a retry is safe, else a failure.
     fn end(&mut self, turn: &mut Turn, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|a| !a.ended) else { return };
         // Better than none: an own copy past its fresh time, within what its category allows.
@@ -850,7 +850,7 @@
         if certain && self.may_repeat(turn.now, request, None) {
             turn.out.reject(id, self.advice);
         } else {
-            turn.out.give_up(id);
+            turn.out.fail(id);
         }
         self.requests.get_mut(id).into_iter().for_each(|request| request.ended = true);
         self.close(turn, id);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -298,8 +298,8 @@
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
     /// Final answer: rejected. Assures the client that trying again is safe.
     fn reject(&mut self, request: &Id, advice: Option<Duration>);
-    /// Final answer: given up. Assures nothing.
-    fn give_up(&mut self, request: &Id);
+    /// Final answer: failed. Assures nothing.
+    fn fail(&mut self, request: &Id);
     fn cancel(&mut self, request: &Id, attempt: usize);
     /// Asks for a call of `wake` with this mark at or after `at`.
     fn wake_at(&mut self, at: Duration, mark: u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -19,8 +19,8 @@
 //!     fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
 //!         self.0.push(format!("{request}: rejected"));
 //!     }
-//!     fn give_up(&mut self, request: &Id) {
-//!         self.0.push(format!("{request}: given up"));
+//!     fn fail(&mut self, request: &Id) {
+//!         self.0.push(format!("{request}: failed"));
 //!     }
 //!     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
 //!     fn wake_at(&mut self, _at: Duration, _mark: u64) {}
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -15,7 +15,7 @@
 
 impl Outlet for World {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        self.orders.push(format!("execute {request} {server} {limit:?} {fill:?}"));
+        self.orders.push(format!("attempt {request} {server} {limit:?} {fill:?}"));
         let n = self.attempts.entry(request.clone()).or_default();
         self.ends.push_back((request.clone(), *n));
         *n += 1;
@@ -23,8 +23,8 @@
     fn reject(&mut self, request: &Id, advice: Option<Duration>) {
         self.orders.push(format!("reject {request} {advice:?}"));
     }
-    fn give_up(&mut self, request: &Id) {
-        self.orders.push(format!("give up {request}"));
+    fn fail(&mut self, request: &Id) {
+        self.orders.push(format!("fail {request}"));
     }
     fn cancel(&mut self, request: &Id, attempt: usize) {
         self.orders.push(format!("cancel {request} {attempt}"));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -21,7 +21,7 @@
         self.attempts.push((request.clone(), fill.source.clone()));
     }
     fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
-    fn give_up(&mut self, _request: &Id) {}
+    fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.wakes.insert((at, mark), ());
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -45,7 +45,7 @@
         let held = if fill.only_held { "held" } else { "any" };
         let join = if fill.join { "join" } else { "alone" };
         let renew = if fill.renew { " renew" } else { "" };
-        let line = format!("execute {request} {server} from {source} rank {rank} oldest {oldest}");
+        let line = format!("attempt {request} {server} from {source} rank {rank} oldest {oldest}");
         let line = format!("{line} {held} limit {limit} {join}{renew}");
         self.lines.push(line);
     }
@@ -53,8 +53,8 @@
         let advice = advice.map_or("none".into(), |advice| advice.as_millis().to_string());
         self.lines.push(format!("reject {request} advice {advice}"));
     }
-    fn give_up(&mut self, request: &Id) {
-        self.lines.push(format!("give-up {request}"));
+    fn fail(&mut self, request: &Id) {
+        self.lines.push(format!("fail {request}"));
     }
     fn cancel(&mut self, request: &Id, attempt: usize) {
         self.lines.push(format!("cancel {request} {attempt}"));
@@ -148,6 +148,9 @@
     }
 }
 
+/// What the record's lines begin with: a pattern of another word would never match, and `never` always hold.
+const ACTIONS: [&str; 7] = ["attempt", "reject", "fail", "cancel", "watch", "keep", "found"];
+
 /// Does the line match, word by word? Names bound on the way are kept only if it does.
 fn matches(line: &str, pattern: &str, bound: &mut HashMap<String, String>) -> bool {
     let (mut found, mut words) = (bound.clone(), line.split(' '));
@@ -167,7 +170,7 @@
 
 fn outcome(word: &str) -> Outcome {
     match word {
-        "honoured" => Outcome::Served,
+        "served" => Outcome::Served,
         "error" => Outcome::Error,
         "full" => Outcome::Full,
         "timed-out" => Outcome::TimedOut,
@@ -201,7 +204,7 @@
             found.map_or(usual, |v| v.parse().unwrap_or_else(|_| panic!("{place}: bad number")))
         };
         if *verb == "given" {
-            told.max_attempts = field("executions", 6) as usize;
+            told.max_attempts = field("attempts", 6) as usize;
             told.joins = field("joins", 0) == 1;
             told.pass_through = field("pass", 1) == 1;
             told.list_on_request = field("ask", 0) == 1;
@@ -213,6 +216,9 @@
         }
         let router = router.get_or_insert_with(|| Router::start(now, &told, &mut record));
         let pattern = rest.join(" ");
+        if ["expect", "never", "count"].contains(verb) {
+            assert!(ACTIONS.contains(&rest[0]), "{place}: no such action");
+        }
         match *verb {
             "at" => {
                 let then = ms(1000 + rest[0].parse::<u64>().expect("a time"));
@@ -232,8 +238,8 @@
                 router.list(now, kind, &members, &mut record);
             }
             "list-failed" => router.list(now, ListKind::Failed, &[], &mut record),
-            "access" | "accesses" => {
-                let many = *verb == "accesses";
+            "request" | "requests" => {
+                let many = *verb == "requests";
                 let count = if many { rest[0].parse().expect("a count") } else { 1 };
                 for n in 0..count {
                     let id = if many { format!("{}{n}", rest[1]) } else { rest[0].to_owned() };
@@ -266,7 +272,7 @@
                     "unreached" => Remark::SourceUnreached,
                     _ => Remark::None,
                 };
-                let over = rest[2] == "honoured" || rest.contains(&"over");
+                let over = rest[2] == "served" || rest.contains(&"over");
                 let first_byte = Some(field("waited", 0)).filter(|w| *w > 0).map(ms);
                 let (load, took) = (Load::default(), ms(field("took", 10)));
                 let ended = Ended { outcome: outcome(rest[2]), remark, took, first_byte, over, load };
