--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -115,7 +115,7 @@
         effect: match text(class, "Effect")? {
             "pure" => Effect::Idempotent,
             "token" => Effect::Deduplicated,
-            "side_effect" => Effect::Unrepeatable,
+            "side_effect" => Effect::NonIdempotent,
             other => return Err(format!("unknown Effect {other:?}")),
         },
         group: match text(class, "Group")? {
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -285,7 +285,7 @@
             confined,
             abroad,
             warm_within: deployment.cold_cache.warm_within,
-            once: deployment.categories.iter().map(|c| c.effect == Effect::Unrepeatable).collect(),
+            once: deployment.categories.iter().map(|c| c.effect == Effect::NonIdempotent).collect(),
             bodies_most: limits.memory as f64 / 2.0,
             // Idle connections are closed before the other side does.
             idle: limits.idle_close.mul_f64(0.8),
--- a/src/control.rs
+++ b/src/control.rs
@@ -609,7 +609,7 @@
         };
         match (category.effect, category.group) {
             (Effect::Idempotent, _) => true,
-            (Effect::Unrepeatable, _) => false,
+            (Effect::NonIdempotent, _) => false,
             (Effect::Deduplicated, Group::All) => at.is_none() || remembered,
             (Effect::Deduplicated, Group::Location) => same(|m| m.location as u64),
             (Effect::Deduplicated, Group::Cohort) => same(|m| m.cohort),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -15,7 +15,7 @@
     /// It carries a mark by which a group of cache servers drops its repeats, for a while.
     Deduplicated,
     /// It must never run twice.
-    Unrepeatable,
+    NonIdempotent,
 }
 
 /// Which cache servers drop the repeats of a deduplicated request that one of them has seen.
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -55,7 +55,7 @@
         routers: 2,
         location: 1,
         routers_at: vec![0, 2],
-        categories: vec![category(Effect::Idempotent, true), category(Effect::Unrepeatable, false)],
+        categories: vec![category(Effect::Idempotent, true), category(Effect::NonIdempotent, false)],
         tick: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: 6,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Categories: 0 kept until purged, 1 fresh for 5 s, 2 unrepeatable, 3 deduplicated, 4 the same by cohort and
-/// kept.
+/// Categories: 0 kept until purged, 1 fresh for 5 s, 2 non-idempotent, 3 deduplicated, 4 the same by cohort
+/// and kept.
 fn deployment() -> Deployment {
     let cold = ColdStart { from: 0.25, warm_within: ms(10_000), multiple: 2.0, span: ms(1000) };
     Deployment {
@@ -104,7 +104,7 @@
         categories: vec![
             category(Effect::Idempotent, None, true),
             category(Effect::Idempotent, Some(ms(5000)), true),
-            category(Effect::Unrepeatable, None, false),
+            category(Effect::NonIdempotent, None, false),
             category(Effect::Deduplicated, None, false),
             Category { group: Group::Cohort, ..category(Effect::Deduplicated, None, true) },
         ],
