--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -265,9 +265,9 @@
         hub_of: vec![0],
         categories: vec![Category {
             window: Duration::from_secs(2),
-            soft_limit: Duration::from_secs(2),
+            soft_deadline: Duration::from_secs(2),
             soft_stretch: 2.0,
-            hard_limit: Duration::from_secs(5),
+            deadline: Duration::from_secs(5),
             benefit: 1.0,
             late_benefit: 0.2,
             cacheable: true,
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -34,7 +34,7 @@
 const FRONT_LOOKS: Duration = Duration::from_millis(300);
 /// A client that is not told when, or does not heed it, comes back after up to this.
 const BACK_WITHIN: Duration = Duration::from_millis(300);
-/// The benefit of an answer after the soft limit.
+/// The benefit of an answer after the soft deadline.
 const LATE_BENEFIT: f64 = 0.2;
 const BOARD_BEAT: Duration = Duration::from_secs(1);
 /// What a client asks of the widest router it may ask.
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// A request that a living router has taken: when it came, its soft limit and its own time.
+/// A request that a living router has taken: when it came, its soft deadline and its own time.
 struct Taken {
     arrival: Arrival,
     key: u64,
@@ -157,9 +157,9 @@
     let cold = ColdStart { from: 0.3, warm_within: ms(10_000), multiple: 2.0, span: ms(1000) };
     let page = Category {
         window: ms(2000),
-        soft_limit: ms(500),
+        soft_deadline: ms(500),
         soft_stretch: 2.0,
-        hard_limit: ms(3000),
+        deadline: ms(3000),
         benefit: 1.0,
         late_benefit: 0.2,
         cacheable: true,
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -31,7 +31,7 @@
     cold: ColdStart,
     pass_through: bool,
     pace: f64,
-    /// By category: it may go elsewhere, its soft limit, what it is worth.
+    /// By category: it may go elsewhere, its soft deadline, what it is worth.
     categories: Vec<(bool, Duration, f64)>,
     /// The plan's number that was logged last, and whether home was bad.
     logged: (u32, bool),
@@ -96,7 +96,7 @@
         regions.drain(&drained);
         // What may run again, and what a cache answers.
         let may = |c: &chalkhall::interface::Category| c.effect == Effect::Idempotent && c.cacheable;
-        let categories = deployment.categories.iter().map(|c| (may(c), c.soft_limit, c.benefit)).collect();
+        let categories = deployment.categories.iter().map(|c| (may(c), c.soft_deadline, c.benefit)).collect();
         let (abroad, measure) = (wishes.abroad, wishes.measure);
         log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
         Ok(Some(Abroad {
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -232,7 +232,7 @@
     bodies_most: f64,
     idle: Duration,
     phase: watch::Sender<Phase>,
-    longest_hard_limit: Duration,
+    longest_deadline: Duration,
     longest_advice: Option<Duration>,
     /// For the servers' actors to answer to, and the places of their connections.
     messages: mpsc::Sender<Message>,
@@ -291,7 +291,7 @@
             idle: limits.idle_close.mul_f64(0.8),
             limits,
             phase,
-            longest_hard_limit: deployment.categories.iter().map(|c| c.hard_limit).max().unwrap_or_default(),
+            longest_deadline: deployment.categories.iter().map(|c| c.deadline).max().unwrap_or_default(),
             longest_advice: deployment.longest_advice,
             places_of_links: Arc::new(Semaphore::new(links_most)),
             messages,
@@ -427,7 +427,7 @@
             Message::Stop => {
                 let phase = *self.phase.borrow();
                 log::info!("asked to stop, with {} requests open", self.desk.requests.len());
-                self.phase.send_replace(phase.asked_to_stop(self.desk.now, self.longest_hard_limit));
+                self.phase.send_replace(phase.asked_to_stop(self.desk.now, self.longest_deadline));
             }
         }
         self.settle();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -81,7 +81,7 @@
     let disk = disk.flatten().map(|ends| spawn_local(pass_on(ends, decider.clone())));
     let deployment = &told.deployment;
     // The longest that a request, or what remembers its repeats, lasts.
-    let lasts = deployment.categories.iter().map(|category| category.hard_limit.max(category.window));
+    let lasts = deployment.categories.iter().map(|category| category.deadline.max(category.window));
     let settle = lasts.max().unwrap_or_default();
     let (location, by_customer) = (deployment.location, !deployment.customers.is_empty());
     let confined =
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -271,7 +271,7 @@
                 kb: copy.kb,
                 at: None,
                 cell: None,
-                left: self.categories[category].1.hard_limit,
+                left: self.categories[category].1.deadline,
                 repeated: true,
             };
             let passed = Passed {
--- a/crates/router/src/phase.rs
+++ b/crates/router/src/phase.rs
@@ -4,7 +4,7 @@
 
 /// After a request to stop, connections and requests go on coming for up to this long.
 const STILL_COMING: Duration = Duration::from_millis(800);
-/// What is killed comes no sooner than the longest hard limit, this at most, and this much more after it.
+/// What is killed comes no sooner than the longest deadline, this at most, and this much more after it.
 const LONGEST: Duration = Duration::from_millis(3000);
 const AFTER_LONGEST: Duration = Duration::from_millis(700);
 /// Held back from that for the last answers to be written.
@@ -29,10 +29,10 @@
     }
 
     #[must_use]
-    pub fn asked_to_stop(self, now: Duration, longest_hard_limit: Duration) -> Phase {
+    pub fn asked_to_stop(self, now: Duration, longest_deadline: Duration) -> Phase {
         match self {
             Phase::Starting | Phase::Serving => {
-                let until = now + longest_hard_limit.min(LONGEST) + AFTER_LONGEST - LAST_WORDS;
+                let until = now + longest_deadline.min(LONGEST) + AFTER_LONGEST - LAST_WORDS;
                 Phase::Draining { since: now, until }
             }
             later => later,
--- a/src/control.rs
+++ b/src/control.rs
@@ -287,7 +287,7 @@
         *of = (*of + 1.0).min(256.0);
         *mean += (work.as_secs_f64() - *mean) / *of;
         let due = now + arrival.left.saturating_sub(self.margin);
-        let soft = now + category.soft_limit + work.mul_f64(category.soft_stretch);
+        let soft = now + category.soft_deadline + work.mul_f64(category.soft_stretch);
         let (id, late) = (arrival.id.clone(), arrival.id.clone());
         let request = Request::new(arrival, rank, first, work, soft, due);
         self.requests.insert(id.clone(), request);
@@ -778,7 +778,7 @@
         }
         // Behind a parent the origin is judged by how long it kept a fill waiting.
         if matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
-            let slow = ended.first_byte > Some(self.categories[request.arrival.category].soft_limit);
+            let slow = ended.first_byte > Some(self.categories[request.arrival.category].soft_deadline);
             let origins = self.servers.values_mut().filter(|s| s.member.tier == Tier::Origin);
             origins.for_each(|origin| origin.record.judge(now, failed || slow, 1.0));
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -34,12 +34,12 @@
     pub group: Group,
     /// How long repeats are recognised, from the first attempt that may have run.
     pub window: Duration,
-    pub soft_limit: Duration,
-    /// The soft limit grows by this multiple of the request's own sending time.
+    pub soft_deadline: Duration,
+    /// The soft deadline grows by this multiple of the request's own sending time.
     pub soft_stretch: f64,
-    pub hard_limit: Duration,
+    pub deadline: Duration,
     pub benefit: f64,
-    /// Share of the benefit that an answer after the soft limit earns.
+    /// Share of the benefit that an answer after the soft deadline earns.
     pub late_benefit: f64,
     /// How long a copy is fresh; none: until it is purged.
     pub fresh: Option<Duration>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -42,7 +42,8 @@
     pub arrival: Arrival,
     pub rank: u8,
     pub first: bool,
-    /// Its sending time at the client's pace, its soft limit, and when its final answer is out at the latest.
+    /// Its sending time at the client's pace, its soft deadline, and when its final answer is out at the
+    /// latest.
     pub work: Duration,
     pub soft: Duration,
     pub due: Duration,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -42,9 +42,9 @@
         routers_at: vec![0, 1],
         categories: vec![Category {
             window: ms(2000),
-            soft_limit: ms(5000),
+            soft_deadline: ms(5000),
             soft_stretch: 2.0,
-            hard_limit: ms(9000),
+            deadline: ms(9000),
             benefit: 1.0,
             late_benefit: 0.2,
             cacheable: true,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -80,9 +80,9 @@
     Category {
         effect,
         window: ms(2000),
-        soft_limit: ms(500),
+        soft_deadline: ms(500),
         soft_stretch: 2.0,
-        hard_limit: ms(4000),
+        deadline: ms(4000),
         benefit: 1.0,
         late_benefit: 0.2,
         fresh,
