--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -268,8 +268,8 @@
             soft_deadline: Duration::from_secs(2),
             soft_stretch: 2.0,
             deadline: Duration::from_secs(5),
-            benefit: 1.0,
-            late_benefit: 0.2,
+            value: 1.0,
+            late_value: 0.2,
             cacheable: true,
             in_parts: true,
             ..Category::default()
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -563,7 +563,7 @@
             p.work.patience = at(0, values::span(w[0]))?;
             Ok(())
         }),
-        one("work", "soft", "SPAN", "within which an answer earns all of its benefit", |p, w| {
+        one("work", "soft", "SPAN", "within which an answer earns all of its value", |p, w| {
             p.work.soft = at(0, values::span(w[0]))?;
             Ok(())
         }),
@@ -592,7 +592,7 @@
                 Ok(())
             },
         },
-        one("must", "service", "SHARE", "of the benefit asked for, at least", |p, w| {
+        one("must", "service", "SHARE", "of the value asked for, at least", |p, w| {
             p.must.service = Some(at(0, values::share(w[0]))?);
             Ok(())
         }),
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -188,12 +188,7 @@
     let service = of(&|s| if s.asked > 0.0 { s.earned / s.asked } else { 0.0 });
     let mut plots = vec![String::new(); 4];
     let draw = |plots: &mut [String]| -> Drawn {
-        series(
-            shown,
-            "service (benefit earned over asked for)",
-            &[("service", service, BLUE)],
-            &mut plots[0],
-        )?;
+        series(shown, "service (value earned over asked for)", &[("service", service, BLUE)], &mut plots[0])?;
         let rejected = ("rejected", of(&|s| s.rejected as f64), RED);
         let failed = ("failed", of(&|s| s.failed as f64), MAGENTA);
         series(shown, "final answers that served nothing, a second", &[rejected, failed], &mut plots[1])?;
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -34,8 +34,8 @@
 const FRONT_LOOKS: Duration = Duration::from_millis(300);
 /// A client that is not told when, or does not heed it, comes back after up to this.
 const BACK_WITHIN: Duration = Duration::from_millis(300);
-/// The benefit of an answer after the soft deadline.
-const LATE_BENEFIT: f64 = 0.2;
+/// The value of an answer after the soft deadline.
+const LATE_VALUE: f64 = 0.2;
 const BOARD_BEAT: Duration = Duration::from_secs(1);
 /// What a client asks of the widest router it may ask.
 const OPEN_MOST: usize = 30;
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
     pub asked: f64,
-    /// Benefit earned by what began in this second.
+    /// Value earned by what began in this second.
     pub earned: f64,
     pub rejected: u64,
     pub failed: u64,
@@ -71,7 +71,7 @@
     pub routers: usize,
     pub servers: usize,
     pub seconds: Vec<Second>,
-    /// Benefit earned over benefit asked for, from the lead on.
+    /// Value earned over value asked for, from the lead on.
     pub service: f64,
     /// The same from when it is measured again after the last fault.
     pub service_after: f64,
@@ -958,7 +958,7 @@
         let earned = if now <= at + soft {
             1.0
         } else if now <= due {
-            LATE_BENEFIT
+            LATE_VALUE
         } else {
             0.0
         };
@@ -1452,7 +1452,7 @@
     let class = |name: &str, effect: &str, worth: f64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": ms(work.soft),
             "AimStretch": 0,
-            "HardLimit": ms(work.patience), "Worth": worth, "LateWorth": LATE_BENEFIT, "Stream": false})
+            "HardLimit": ms(work.patience), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
     };
     let zones =
         (0..fleet.locations).map(|n| format!("z{n}")).chain(["hub".to_owned()]).collect::<Vec<String>>();
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -96,7 +96,7 @@
         regions.drain(&drained);
         // What may run again, and what a cache answers.
         let may = |c: &chalkhall::interface::Category| c.effect == Effect::Idempotent && c.cacheable;
-        let categories = deployment.categories.iter().map(|c| (may(c), c.soft_deadline, c.benefit)).collect();
+        let categories = deployment.categories.iter().map(|c| (may(c), c.soft_deadline, c.value)).collect();
         let (abroad, measure) = (wishes.abroad, wishes.measure);
         log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
         Ok(Some(Abroad {
@@ -184,11 +184,11 @@
     pub fn request(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
         let work = arrival.kb / self.pace;
         self.regions.asked(now, work);
-        let (may, _, benefit) = self.categories.get(arrival.category).copied().unwrap_or_default();
+        let (may, _, value) = self.categories.get(arrival.category).copied().unwrap_or_default();
         // A cell is of caches of this location: what belongs to one stays.
         let may = may && arrival.cell.is_none();
         let at = xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
-        match self.regions.request(at, may, benefit / work.max(1e-6)) {
+        match self.regions.request(at, may, value / work.max(1e-6)) {
             Where::Home => {}
             Where::Abroad(place) => arrival.at = Some(place),
             // Parents may still have it; where they take no attempts nobody has.
--- a/src/control.rs
+++ b/src/control.rs
@@ -483,14 +483,14 @@
         self.fill_next(turn);
     }
 
-    /// Places are free: who waits for one goes, most benefit for the work first.
+    /// Places are free: who waits for one goes, most value for the work first.
     fn fill_next(&mut self, turn: &mut Turn) {
         while self.fills_out < self.fills_most {
             let (requests, categories) = (&self.requests, &self.categories);
             self.waiting.retain(|id| requests.get(id).is_some_and(|a| !a.ended));
             let gain = |place: &usize| {
                 let request = &requests[&self.waiting[*place]];
-                categories[request.arrival.category].benefit / (OVERHEAD + request.work).as_secs_f64()
+                categories[request.arrival.category].value / (OVERHEAD + request.work).as_secs_f64()
             };
             let places = 0..self.waiting.len();
             let Some(best) = places.max_by(|a, b| gain(a).total_cmp(&gain(b))) else { return };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -38,14 +38,14 @@
     /// The soft deadline grows by this multiple of the request's own sending time.
     pub soft_stretch: f64,
     pub deadline: Duration,
-    pub benefit: f64,
-    /// Share of the benefit that an answer after the soft deadline earns.
-    pub late_benefit: f64,
+    pub value: f64,
+    /// Share of the value that an answer after the soft deadline earns.
+    pub late_value: f64,
     /// How long a copy is fresh; none: until it is purged.
     pub fresh: Option<Duration>,
-    /// How long past that a copy may still be served, and the share of the benefit it then earns.
+    /// How long past that a copy may still be served, and the share of the value it then earns.
     pub stale_for: Duration,
-    pub stale_benefit: f64,
+    pub stale_value: f64,
     /// False where requests run at the origin and leave no copy.
     pub cacheable: bool,
     /// Objects come in parts, asked for in turn.
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -44,8 +44,8 @@
         soft_deadline: ms(500),
         soft_stretch: 2.0,
         deadline: ms(4000),
-        benefit: 1.0,
-        late_benefit: 0.2,
+        value: 1.0,
+        late_value: 0.2,
         cacheable,
         ..Category::default()
     };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -45,8 +45,8 @@
             soft_deadline: ms(5000),
             soft_stretch: 2.0,
             deadline: ms(9000),
-            benefit: 1.0,
-            late_benefit: 0.2,
+            value: 1.0,
+            late_value: 0.2,
             cacheable: true,
             ..Category::default()
         }],
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -83,8 +83,8 @@
         soft_deadline: ms(500),
         soft_stretch: 2.0,
         deadline: ms(4000),
-        benefit: 1.0,
-        late_benefit: 0.2,
+        value: 1.0,
+        late_value: 0.2,
         fresh,
         cacheable,
         ..Category::default()
