--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -36,8 +36,8 @@
     Prefix(String),
     Groups(RangeInclusive<u64>),
     Customer(usize),
-    /// A category by its place in the settings.
-    Category(usize),
+    /// A class by its place in the settings.
+    Class(usize),
 }
 
 impl What {
@@ -47,7 +47,7 @@
             What::Prefix(prefix) => arrival.object.starts_with(prefix.as_str()),
             What::Groups(range) => range.contains(&arrival.group),
             What::Customer(n) => arrival.customer == *n,
-            What::Category(n) => arrival.category == *n,
+            What::Class(n) => arrival.class == *n,
         }
     }
 }
@@ -74,7 +74,7 @@
     prefixes: Vec<(String, Cell)>,
     groups: Vec<(RangeInclusive<u64>, Cell)>,
     customers: BTreeMap<usize, Cell>,
-    categories: BTreeMap<usize, Cell>,
+    classes: BTreeMap<usize, Cell>,
     otherwise: Option<Cell>,
     /// By server; those in no cell take nothing that belongs to one.
     placed: BTreeMap<Id, Rc<[Cell]>>,
@@ -123,7 +123,7 @@
             found.unwrap_or(0)
         };
         let (mut prefixes, mut groups) = (Vec::new(), Vec::new());
-        let (mut customers, mut categories) = (BTreeMap::new(), BTreeMap::new());
+        let (mut customers, mut classes) = (BTreeMap::new(), BTreeMap::new());
         for (what, name) in &told.bindings {
             let cell = cell(name, &mut faults);
             let twice = match what {
@@ -141,7 +141,7 @@
                     twice
                 }
                 What::Customer(n) => customers.insert(*n, cell).is_some(),
-                What::Category(n) => categories.insert(*n, cell).is_some(),
+                What::Class(n) => classes.insert(*n, cell).is_some(),
             };
             if twice {
                 faults.push(format!("{what:?} is bound twice, or to nothing"));
@@ -161,7 +161,7 @@
         }
         // The longest prefix says most.
         prefixes.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
-        Ok(Map { told, prefixes, groups, customers, categories, otherwise, placed: BTreeMap::new() })
+        Ok(Map { told, prefixes, groups, customers, classes, otherwise, placed: BTreeMap::new() })
     }
 
     pub fn epoch(&self) -> u64 {
@@ -180,7 +180,7 @@
         self.told.cells.is_empty()
     }
 
-    /// The cell that a request belongs to: by its object, its group, its customer, its category, in this
+    /// The cell that a request belongs to: by its object, its group, its customer, its class, in this
     /// order.
     pub fn cell_of(&self, arrival: &Arrival) -> Option<Cell> {
         let by_object = self.prefixes.iter().find(|(prefix, _)| arrival.object.starts_with(prefix.as_str()));
@@ -190,7 +190,7 @@
             .map(|(_, cell)| *cell)
             .or_else(by_group)
             .or_else(|| self.customers.get(&arrival.customer).copied())
-            .or_else(|| self.categories.get(&arrival.category).copied())
+            .or_else(|| self.classes.get(&arrival.class).copied())
             .or(self.otherwise)
     }
 
@@ -340,12 +340,12 @@
             bind(What::Prefix("7f3a".into()), "b"),
             bind(What::Groups(3..=5), "c"),
             bind(What::Customer(2), "d"),
-            bind(What::Category(1), "e"),
+            bind(What::Class(1), "e"),
         ];
         let otherwise = Some("a".to_owned());
         let map = Map::new(Told { cells: cells.to_vec(), bindings, otherwise, ..Told::default() }).unwrap();
-        let cell = |object: &str, group, customer, category| {
-            let arrival = Arrival { object: object.into(), group, customer, category, ..Arrival::default() };
+        let cell = |object: &str, group, customer, class| {
+            let arrival = Arrival { object: object.into(), group, customer, class, ..Arrival::default() };
             map.cell_of(&arrival).map(|cell| map.name(cell).to_owned()).unwrap()
         };
         assert_eq!(cell("7f3a00", 4, 2, 1), "b");
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -178,7 +178,7 @@
         /// A cache server to draw over; may be given more than once
         #[arg(long = "server", value_name = "NAME")]
         servers: Vec<String>,
-        /// A router's configuration: its caches and the names of its categories
+        /// A router's configuration: its caches and the names of its classes
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
         /// JSON in place of text
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -157,7 +157,7 @@
         object: name(request.object).into(),
         part: request.part,
         group: 0,
-        category: Bytes::from_static(b"clip"),
+        class: Bytes::from_static(b"clip"),
         made,
         kb: request.bytes as f64 / 1000.0,
         in_parts: true,
@@ -263,7 +263,7 @@
         location: 0,
         routers_at: vec![1],
         hub_of: vec![0],
-        categories: vec![Category {
+        classes: vec![Class {
             window: Duration::from_secs(2),
             soft_deadline: Duration::from_secs(2),
             soft_stretch: 2.0,
@@ -272,7 +272,7 @@
             late_value: 0.2,
             cacheable: true,
             in_parts: true,
-            ..Category::default()
+            ..Class::default()
         }],
         tick: Duration::from_millis(2),
         client_kb_per_s: 10_000.0,
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The caches of the router's location that its configuration knows, and the names of its categories.
+/// The caches of the router's location that its configuration knows, and the names of its classes.
 fn known(config: &Path) -> Result<(BTreeSet<Id>, Vec<String>), Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", config.display()));
     let text = std::fs::read_to_string(config).map_err(|e| fail(&e))?;
@@ -34,7 +34,7 @@
             servers.remove(name);
         }
     }
-    Ok((servers, names.categories))
+    Ok((servers, names.classes))
 }
 
 /// Prints each cell with its servers, and every fault.
@@ -44,22 +44,22 @@
         faults.iter().for_each(|fault| eprintln!("{fault}"));
         return Err(Failure::new(format!("{} faults", faults.len())));
     }
-    let (mut caches, mut categories) = config.map(known).transpose()?.unwrap_or_default();
+    let (mut caches, mut classes) = config.map(known).transpose()?.unwrap_or_default();
     caches.extend(servers.iter().map(|name| Id::from(name.as_str())));
     if config.is_none() {
-        // Without the settings every category's name may be right.
-        categories = told
+        // Without the settings every class's name may be right.
+        classes = told
             .cells
             .bindings
             .iter()
             .filter_map(|(bound, _)| match bound {
-                chalkhall_directives::Bound::Category(name) => Some(name.clone()),
+                chalkhall_directives::Bound::Class(name) => Some(name.clone()),
                 _ => None,
             })
             .collect();
-        categories.dedup();
+        classes.dedup();
     }
-    let mut map = plan(&told.cells, &categories).map_err(Failure::new)?.map;
+    let mut map = plan(&told.cells, &classes).map_err(Failure::new)?.map;
     map.place(&caches);
     let faults = map.faults();
     if as_json {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -174,7 +174,7 @@
         let (at, length) = (found.entry.at, copy.body.len());
         let line = if as_json {
             json!({"object": text(&copy.object), "part": copy.part, "group": copy.group, "rank": rank,
-                "bytes": length, "made": copy.made, "tag": text(&copy.tag), "category": text(&copy.category),
+                "bytes": length, "made": copy.made, "tag": text(&copy.tag), "category": text(&copy.class),
                 "segment": found.segment, "at": at, "purged": found.purged, "older": found.older})
             .to_string()
         } else {
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -212,7 +212,7 @@
     let few = chalkhall(&["cells", "check", path, "--server", "s1"]);
     assert_eq!(few.status.code(), Some(1));
     assert!(text(&few).contains("cell a has 1 of 2 servers") && text(&few).contains("cell b has 0 of 2"));
-    // Over a router's configuration: its own caches, and only categories that it has.
+    // Over a router's configuration: its own caches, and only classes that it has.
     let config = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/example.json");
     let config = config.to_str().unwrap();
     std::fs::write(&file, "cells {\n cell a list c1\n bind category page a\n}\n").unwrap();
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -14,9 +14,7 @@
 //! assert!(what.contains("Effect"));
 //! ```
 
-use chalkhall::interface::{
-    Category, ColdStart, Customer, Deployment, Effect, Group, Hints, Siblings, Telling,
-};
+use chalkhall::interface::{Class, ColdStart, Customer, Deployment, Effect, Group, Hints, Siblings, Telling};
 use serde_json::{Map, Value};
 use std::time::Duration;
 
@@ -107,11 +105,11 @@
     names.into_iter().flatten().map(|v| v.as_str().unwrap_or("").to_owned()).collect()
 }
 
-fn category(i: usize, class: &Fields, family: &Fields) -> Result<Category, String> {
+fn class_of(i: usize, class: &Fields, family: &Fields) -> Result<Class, String> {
     let by_class = |name| Ok::<_, String>(numbers(family, name)?.get(i).copied().unwrap_or(0.0));
     let marked = |name| list(family, name).map(|l| l.get(i).and_then(Value::as_bool).unwrap_or(false));
     let fresh = by_class("ClassFresh")?;
-    Ok(Category {
+    Ok(Class {
         effect: match text(class, "Effect")? {
             "pure" => Effect::Idempotent,
             "token" => Effect::Deduplicated,
@@ -155,10 +153,10 @@
         routers_at: count_all("CrewByZone")?,
         hub_of: count_all("HomeHub")?,
         link_kb_per_s: numbers(&family, "PipeKbPerS")?,
-        categories: classes
+        classes: classes
             .iter()
             .enumerate()
-            .map(|(i, class)| category(i, class, &family))
+            .map(|(i, class)| class_of(i, class, &family))
             .collect::<Result<_, _>>()?,
         customers: objects(options, "Tenants")?
             .iter()
@@ -212,13 +210,13 @@
     })
 }
 
-/// The names by which a deployment calls its locations, kinds of machine, categories and customers, in their
+/// The names by which a deployment calls its locations, kinds of machine, classes and customers, in their
 /// order.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    pub categories: Vec<String>,
+    pub classes: Vec<String>,
     pub customers: Vec<String>,
 }
 
@@ -237,7 +235,7 @@
     Ok(Names {
         zones: texts("Zones")?,
         kinds: texts("Kinds")?,
-        categories: called("Classes")?,
+        classes: called("Classes")?,
         customers: called("Tenants")?,
     })
 }
--- a/crates/directives/src/words.rs
+++ b/crates/directives/src/words.rs
@@ -55,7 +55,7 @@
     Prefix(String),
     Groups(RangeInclusive<u64>),
     Customer(usize),
-    Category(String),
+    Class(String),
 }
 
 /// Parts of the fleet, and what is confined to them. Without a cell, nothing is.
@@ -209,7 +209,7 @@
     }
 }
 
-/// `prefix ID`, `group FROM-TO`, `customer NUMBER` or `category NAME`.
+/// `prefix ID`, `group FROM-TO`, `customer NUMBER` or `class NAME`.
 fn bound(words: &[&str]) -> Result<Bound, (usize, String)> {
     match words[0] {
         "prefix" => Ok(Bound::Prefix(words[1].to_owned())),
@@ -219,7 +219,7 @@
             Ok(Bound::Groups(from?..=to?))
         }
         "customer" => Ok(Bound::Customer(at(1, values::whole(words[1], 0, 1 << 32))? as usize)),
-        "category" => Ok(Bound::Category(words[1].to_owned())),
+        "category" => Ok(Bound::Class(words[1].to_owned())),
         other => Err((0, format!("{other:?} is not prefix, group, customer or category"))),
     }
 }
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -860,7 +860,7 @@
                 id: asked.id,
                 key: asked.key,
                 kb: work::size(asked.key.0, self.play.work.kb),
-                write: asked.category == "confirm",
+                write: asked.class == "confirm",
                 source,
                 keep: asked.keep,
                 oldest: Duration::from_millis(asked.oldest_ms.unwrap_or(fresh)),
@@ -910,11 +910,11 @@
             key.0 % 256,
             arrival.kb
         );
-        let category = if write { "confirm" } else { "page" };
+        let class = if write { "confirm" } else { "page" };
         let body = if write { Bytes::from_static(b"confirmed") } else { Bytes::new() };
         let process = &mut self.routers[router];
         process.turn = (process.turn + 1) % process.links.len();
-        if process.links[process.turn].try_send(Request { id, category, fields, body }).is_err() {
+        if process.links[process.turn].try_send(Request { id, class, fields, body }).is_err() {
             return self.again(want, now, Duration::ZERO);
         }
         process.open += 1;
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Asked {
     pub id: u64,
-    pub category: String,
+    pub class: String,
     pub key: Key,
     pub source: Option<String>,
     pub keep: usize,
@@ -127,7 +127,7 @@
             let mut asked = Asked { id: hex(id)?, parent_keeps: true, ..Asked::default() };
             for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
                 match name {
-                    "cls" => asked.category = value.to_owned(),
+                    "cls" => asked.class = value.to_owned(),
                     "item" => asked.key.0 = hex(value)?,
                     "chunk" => asked.key.1 = value.parse().ok().or(value.is_empty().then_some(0))?,
                     "src" => asked.source = Some(value.to_owned()),
@@ -319,7 +319,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: u64,
-    pub category: &'static str,
+    pub class: &'static str,
     pub fields: String,
     pub body: Bytes,
 }
@@ -484,8 +484,8 @@
         if let Some((request, once)) = next {
             tag += 1;
             let number = tag.to_string();
-            let (category, fields) = (request.category.as_bytes(), request.fields.as_bytes());
-            let bytes = array(&[b"REQ", number.as_bytes(), category, fields, &request.body]);
+            let (class, fields) = (request.class.as_bytes(), request.fields.as_bytes());
+            let bytes = array(&[b"REQ", number.as_bytes(), class, fields, &request.body]);
             open.insert(tag, (request, Instant::now(), once));
             if writer.write_all(&bytes).await.is_err() {
                 return true;
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -155,7 +155,7 @@
 
 fn told(number: usize, seed: u64) -> Deployment {
     let cold = ColdStart { from: 0.3, warm_within: ms(10_000), multiple: 2.0, span: ms(1000) };
-    let page = Category {
+    let page = Class {
         window: ms(2000),
         soft_deadline: ms(500),
         soft_stretch: 2.0,
@@ -164,7 +164,7 @@
         late_value: 0.2,
         cacheable: true,
         in_parts: true,
-        ..Category::default()
+        ..Class::default()
     };
     Deployment {
         number: number as u64,
@@ -172,7 +172,7 @@
         routers: ROUTERS,
         location: number / ROUTERS_HERE,
         routers_at: vec![ROUTERS_HERE; LOCATIONS],
-        categories: vec![page],
+        classes: vec![page],
         tick: ms(1),
         client_kb_per_s: 5000.0,
         max_attempts: 6,
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -31,8 +31,8 @@
     cold: ColdStart,
     pass_through: bool,
     pace: f64,
-    /// By category: it may go elsewhere, its soft deadline, what it is worth.
-    categories: Vec<(bool, Duration, f64)>,
+    /// By class: it may go elsewhere, its soft deadline, what it is worth.
+    classes: Vec<(bool, Duration, f64)>,
     /// The plan's number that was logged last, and whether home was bad.
     logged: (u32, bool),
 }
@@ -95,8 +95,8 @@
         };
         regions.drain(&drained);
         // What may run again, and what a cache answers.
-        let may = |c: &chalkhall::interface::Category| c.effect == Effect::Idempotent && c.cacheable;
-        let categories = deployment.categories.iter().map(|c| (may(c), c.soft_deadline, c.value)).collect();
+        let may = |c: &chalkhall::interface::Class| c.effect == Effect::Idempotent && c.cacheable;
+        let classes = deployment.classes.iter().map(|c| (may(c), c.soft_deadline, c.value)).collect();
         let (abroad, measure) = (wishes.abroad, wishes.measure);
         log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
         Ok(Some(Abroad {
@@ -110,7 +110,7 @@
             cold: deployment.cold_cache,
             pass_through: deployment.pass_through,
             pace: deployment.client_kb_per_s.max(1e-9),
-            categories,
+            classes,
             logged: (0, false),
         }))
     }
@@ -184,7 +184,7 @@
     pub fn request(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
         let work = arrival.kb / self.pace;
         self.regions.asked(now, work);
-        let (may, _, value) = self.categories.get(arrival.category).copied().unwrap_or_default();
+        let (may, _, value) = self.classes.get(arrival.class).copied().unwrap_or_default();
         // A cell is of caches of this location: what belongs to one stays.
         let may = may && arrival.cell.is_none();
         let at = xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
@@ -217,8 +217,8 @@
     }
 
     /// A request has its final answer.
-    pub fn answered(&mut self, now: Duration, category: usize, begun: Duration, served: bool) {
-        let soft = self.categories.get(category).map_or(Duration::ZERO, |(_, soft, _)| *soft);
+    pub fn answered(&mut self, now: Duration, class: usize, begun: Duration, served: bool) {
+        let soft = self.classes.get(class).map_or(Duration::ZERO, |(_, soft, _)| *soft);
         self.regions.answered(now, served && now.saturating_sub(begun) <= soft);
     }
 
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -50,9 +50,9 @@
 /// Memory kept for what a client sends.
 const READ_AT_ONCE: usize = 8 * 1024;
 
-/// What all clients share: how the categories are called, how long one may take.
+/// What all clients share: how the classes are called, how long one may take.
 pub struct Door {
-    pub categories: Vec<String>,
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     /// Top pace of one answer, in KB a second; 0: not told.
     pub kb_per_s: f64,
@@ -355,9 +355,9 @@
                 }
             }
             b"REQ" => {
-                let (category, list, body) = (parts.next(), parts.next(), parts.next());
-                let (category, list) = (category.unwrap_or_default(), list.unwrap_or_default());
-                let read = self.request(category, &list, body.unwrap_or_default());
+                let (class, list, body) = (parts.next(), parts.next(), parts.next());
+                let (class, list) = (class.unwrap_or_default(), list.unwrap_or_default());
+                let read = self.request(class, &list, body.unwrap_or_default());
                 let crowded = open.len() >= OPEN_MOST;
                 match read.and_then(|read| if crowded { Err("too many open") } else { Ok(read) }) {
                     Ok((arrival, passed)) => {
@@ -382,11 +382,11 @@
         Ok(())
     }
 
-    fn request(&self, category: Bytes, list: &Bytes, body: Bytes) -> Result<(Arrival, Passed), &'static str> {
-        let at = self.door.categories.iter().position(|name| name.as_bytes() == category);
-        let mut arrival = Arrival { category: at.ok_or("unknown category")?, ..Arrival::default() };
-        let mut passed = Passed { category, body, part: Bytes::from_static(b"0"), ..Passed::default() };
-        // What could not be sent while any client waits would bend what is known of its category.
+    fn request(&self, class: Bytes, list: &Bytes, body: Bytes) -> Result<(Arrival, Passed), &'static str> {
+        let at = self.door.classes.iter().position(|name| name.as_bytes() == class);
+        let mut arrival = Arrival { class: at.ok_or("unknown category")?, ..Arrival::default() };
+        let mut passed = Passed { class, body, part: Bytes::from_static(b"0"), ..Passed::default() };
+        // What could not be sent while any client waits would bend what is known of its class.
         let kb_most =
             if self.door.kb_per_s > 0.0 { self.door.kb_per_s * WAIT_MOST.as_secs_f64() } else { 1e9 };
         let mut names = Vec::with_capacity(8);
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -24,7 +24,7 @@
     let (leave, told) = mpsc::channel(1);
     let (says, words) = mpsc::channel(4096);
     let door = Door {
-        categories: vec!["page".into()],
+        classes: vec!["page".into()],
         tenants: Vec::new(),
         kb_per_s: 0.0,
         advice: Some(Duration::from_millis(70)),
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -36,22 +36,22 @@
     }
 }
 
-/// Reads what is told of cells, by the settings' names of categories.
+/// Reads what is told of cells, by the settings' names of classes.
 ///
 /// # Errors
 /// Every fault of it.
-pub fn plan(wishes: &Wishes, categories: &[String]) -> Result<Plan, String> {
+pub fn plan(wishes: &Wishes, classes: &[String]) -> Result<Plan, String> {
     let mut faults = Vec::new();
     let mut what = |bound: &Bound| match bound {
         Bound::Prefix(prefix) => What::Prefix(prefix.clone()),
         Bound::Groups(range) => What::Groups(range.clone()),
         Bound::Customer(n) => What::Customer(*n),
-        Bound::Category(name) => {
-            let found = categories.iter().position(|c| c == name);
+        Bound::Class(name) => {
+            let found = classes.iter().position(|c| c == name);
             if found.is_none() {
                 faults.push(format!("{name} is not a category"));
             }
-            What::Category(found.unwrap_or(usize::MAX))
+            What::Class(found.unwrap_or(usize::MAX))
         }
     };
     let bindings = wishes.bindings.iter().map(|(bound, cell)| (what(bound), cell.clone())).collect();
@@ -93,7 +93,7 @@
     /// The map makes no sense, and why.
     pub fn new(
         wishes: &Wishes,
-        categories: &[String],
+        classes: &[String],
         location: usize,
         by_customer: bool,
         settle: Duration,
@@ -102,7 +102,7 @@
         if wishes.cells.is_empty() && wishes.tenant.is_none() {
             return Ok(None);
         }
-        let Plan { map, moves } = plan(wishes, categories).map_err(|what| format!("cells: {what}"))?;
+        let Plan { map, moves } = plan(wishes, classes).map_err(|what| format!("cells: {what}"))?;
         let tenants = wishes.tenant.map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
         log::info!(cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some(); "cells");
         let moves = moves.into_iter().map(|(what, from, to)| (what, Move::new(from, to, settle))).collect();
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -89,7 +89,7 @@
     /// when all is back.
     ends: VecDeque<Ended>,
     answered: Vec<Id>,
-    /// Of clients' requests: category, when it came, and whether it was served.
+    /// Of clients' requests: class, when it came, and whether it was served.
     finals: Vec<(usize, Duration, bool)>,
     own: Option<Own>,
     /// What is told to the other routers of the location, and how it gets to them.
@@ -115,7 +115,7 @@
         let bytes = if let Last::Served { body, .. } = &last { body.len() } else { 0 };
         if let To::Client(_) = to {
             let served = matches!(last, Last::Served { .. } | Last::Unchanged { .. });
-            self.finals.push((taken.arrival.category, taken.begun, served));
+            self.finals.push((taken.arrival.class, taken.begun, served));
         }
         taken.wanted.end();
         if let To::Client(client) = to {
@@ -226,7 +226,7 @@
     abroad: Option<Abroad>,
     warm_within: Duration,
     limits: Limits,
-    /// By category: whether its requests must not run twice.
+    /// By class: whether its requests must not run twice.
     once: Vec<bool>,
     /// Bodies in hand, present and to come, past which new requests are rejected at the door.
     bodies_most: f64,
@@ -285,13 +285,13 @@
             confined,
             abroad,
             warm_within: deployment.cold_cache.warm_within,
-            once: deployment.categories.iter().map(|c| c.effect == Effect::NonIdempotent).collect(),
+            once: deployment.classes.iter().map(|c| c.effect == Effect::NonIdempotent).collect(),
             bodies_most: limits.memory as f64 / 2.0,
             // Idle connections are closed before the other side does.
             idle: limits.idle_close.mul_f64(0.8),
             limits,
             phase,
-            longest_deadline: deployment.categories.iter().map(|c| c.deadline).max().unwrap_or_default(),
+            longest_deadline: deployment.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
             longest_advice: deployment.longest_advice,
             places_of_links: Arc::new(Semaphore::new(links_most)),
             messages,
@@ -456,7 +456,7 @@
             return refuse(client, Last::Rejected(self.router.advice));
         }
         arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(read_at));
-        let once = self.once.get(arrival.category) == Some(&true);
+        let once = self.once.get(arrival.class) == Some(&true);
         if let Some(confined) = &mut self.confined
             && let Err(wait) = confined.request(self.desk.now, &mut arrival, once)
         {
@@ -614,8 +614,8 @@
         while let Some(ended) = self.desk.ends.pop_front() {
             self.ended(ended);
         }
-        for (category, begun, served) in self.desk.finals.drain(..) {
-            self.abroad.iter_mut().for_each(|a| a.answered(self.desk.now, category, begun, served));
+        for (class, begun, served) in self.desk.finals.drain(..) {
+            self.abroad.iter_mut().for_each(|a| a.answered(self.desk.now, class, begun, served));
         }
         for id in std::mem::take(&mut self.desk.answered) {
             let over = |taken: &Taken| taken.client.is_none() && taken.attempts.iter().all(|e| !e.open);
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -14,7 +14,7 @@
         open_requests: 100,
     };
     let deployment = Deployment {
-        categories: vec![Default::default()],
+        classes: vec![Default::default()],
         longest_advice: Some(Duration::from_millis(90)),
         ..Deployment::default()
     };
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -81,11 +81,11 @@
     let disk = disk.flatten().map(|ends| spawn_local(pass_on(ends, decider.clone())));
     let deployment = &told.deployment;
     // The longest that a request, or what remembers its repeats, lasts.
-    let lasts = deployment.categories.iter().map(|category| category.deadline.max(category.window));
+    let lasts = deployment.classes.iter().map(|class| class.deadline.max(class.window));
     let settle = lasts.max().unwrap_or_default();
     let (location, by_customer) = (deployment.location, !deployment.customers.is_empty());
     let confined =
-        Confined::new(&directives.cells, &told.categories, location, by_customer, settle, deployment.seed)?;
+        Confined::new(&directives.cells, &told.classes, location, by_customer, settle, deployment.seed)?;
     let talk = told.peers.as_ref().filter(|_| directives.peers.tell).and_then(|_| {
         let here = deployment.routers_at.get(location).copied().unwrap_or(0);
         let (number, routers, seed) = (deployment.number, deployment.routers, deployment.seed);
@@ -140,7 +140,7 @@
     // Clients hold a third of the descriptors at most; a few more may be on their way out.
     let most = told.limits.sockets / 3;
     let door = Rc::new(Door {
-        categories: told.categories.clone(),
+        classes: told.classes.clone(),
         tenants: told.tenants.clone(),
         kb_per_s: told.deployment.client_kb_per_s,
         advice,
@@ -237,7 +237,7 @@
         if directives.cells.cells.is_empty() {
             return;
         }
-        match confined::plan(&directives.cells, &self.told.categories) {
+        match confined::plan(&directives.cells, &self.told.classes) {
             Ok(plan) => drop(self.cells.send(Notice::Cells(Box::new(plan))).await),
             Err(what) => log::warn!("the map of cells is not taken over: {what}"),
         }
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/lines.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Passed {
     pub id: Bytes,
-    pub category: Bytes,
+    pub class: Bytes,
     pub object: Bytes,
     pub part: Bytes,
     /// The tag of the client's copy.
@@ -30,7 +30,7 @@
     let mut line = format!(
         "ASK {} cls={},item={},chunk={},limit={}",
         text(&passed.id),
-        text(&passed.category),
+        text(&passed.class),
         text(&passed.object),
         text(&passed.part),
         limit.as_millis().max(1)
@@ -256,7 +256,7 @@
     fn a_request_says_what_was_ordered() {
         let bytes = Bytes::from_static;
         let mut passed =
-            Passed { id: bytes(b"a1"), category: bytes(b"page"), object: bytes(b"o1"), ..Passed::default() };
+            Passed { id: bytes(b"a1"), class: bytes(b"page"), object: bytes(b"o1"), ..Passed::default() };
         passed.part = bytes(b"3");
         let mut fill = Fill {
             source: "p1".into(),
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -54,8 +54,8 @@
         let (_phase, phase_of) = watch::channel(Phase::Ended);
         let (decider, _mailbox) = mpsc::channel(8);
         let clock = crate::clock::Clock::start();
-        let (categories, tenants) = (vec!["page".to_owned()], Vec::new());
-        let door = Rc::new(Door { categories, tenants, kb_per_s: 0.0, advice: None, clock });
+        let (classes, tenants) = (vec!["page".to_owned()], Vec::new());
+        let door = Rc::new(Door { classes, tenants, kb_per_s: 0.0, advice: None, clock });
         let request = "*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$4\r\npage\r\n$48\r\n\
             i=00000000000000a1,d=1500,o=00000000000000b1,m=9\r\n$0\r\n\r\n";
         let mut waiting = Vec::new();
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -6,7 +6,7 @@
 use crate::messages::Key;
 use crate::told::Told;
 use bytes::Bytes;
-use chalkhall::interface::{Arrival, Category, Held, Id, Load, Member, Outcome, Remark, Standing, Tier};
+use chalkhall::interface::{Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier};
 use chalkhall_directives::Store as Wishes;
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, SEGMENTS_LEAST, Wanted};
@@ -34,7 +34,7 @@
     store: Store,
     shelf: Shelf,
     clock: Clock,
-    categories: Vec<(Bytes, Category)>,
+    classes: Vec<(Bytes, Class)>,
     places: [Id; 2],
     /// Bytes that bodies and own copies may fill together.
     usable: u64,
@@ -78,12 +78,12 @@
             disk = Some(Disk::new(wanted, clock.now(), clock.unix_ms(clock.now())));
         }
         log::info!(memory_bytes = most, disk_bytes = wishes.disk.as_ref().map_or(0, |d| d.1); "own copies");
-        let names = told.categories.iter().map(|name| Bytes::copy_from_slice(name.as_bytes()));
+        let names = told.classes.iter().map(|name| Bytes::copy_from_slice(name.as_bytes()));
         let own = Own {
             store: Store::new(most, disk),
             shelf,
             clock,
-            categories: names.zip(told.deployment.categories.iter().cloned()).collect(),
+            classes: names.zip(told.deployment.classes.iter().cloned()).collect(),
             places: [MEMORY.into(), DISK.into()],
             usable,
             link: told.own_link.unwrap_or(f64::INFINITY),
@@ -168,7 +168,7 @@
 
     fn answer(&self, copy: &Rc<Copy>, arrival: &Arrival, have: Option<&Bytes>) -> Got {
         let age = self.clock.now().saturating_sub(self.clock.at_unix_ms(copy.made));
-        let fresh = self.categories.get(arrival.category).and_then(|(_, category)| category.fresh);
+        let fresh = self.classes.get(arrival.class).and_then(|(_, class)| class.fresh);
         let same = have.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
         let answer = Answer {
             id: Bytes::new(),
@@ -187,7 +187,7 @@
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
     pub fn keep(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
         let Some(made) = answer.made.filter(|made| *made > 0) else { return };
-        let Some((category, told)) = self.categories.get(arrival.category) else { return };
+        let Some((class, told)) = self.classes.get(arrival.class) else { return };
         // Texts and bodies are parts of larger buffers as they came: kept as they are, they would keep all of
         // those.
         let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
@@ -195,7 +195,7 @@
             object: own(arrival.object.as_bytes()),
             part: arrival.part,
             group: arrival.group,
-            category: category.clone(),
+            class: class.clone(),
             made,
             fresh: told.fresh.map_or(0, |fresh| fresh.as_millis() as u64),
             kb: arrival.kb,
@@ -258,12 +258,12 @@
     pub fn asks(&mut self) -> Vec<(Arrival, Passed)> {
         let unproven = std::mem::take(&mut self.shelf.unproven);
         let asks = unproven.into_iter().filter_map(|copy| {
-            let category = self.categories.iter().position(|(name, _)| *name == copy.category)?;
+            let class = self.classes.iter().position(|(name, _)| *name == copy.class)?;
             let object = std::str::from_utf8(&copy.object).ok()?;
             let id = format!("{:016x}", self.chance.u64(..));
             let arrival = Arrival {
                 id: id.as_str().into(),
-                category,
+                class,
                 customer: 0,
                 object: object.into(),
                 part: copy.part,
@@ -271,12 +271,12 @@
                 kb: copy.kb,
                 at: None,
                 cell: None,
-                left: self.categories[category].1.deadline,
+                left: self.classes[class].1.deadline,
                 repeated: true,
             };
             let passed = Passed {
                 id: id.into(),
-                category: copy.category,
+                class: copy.class,
                 object: copy.object,
                 part: copy.part.to_string().into(),
                 have: Some(copy.tag),
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// The parts of the protocol's longest array, and the longest that each may be: verb, tag, category, fields,
+/// The parts of the protocol's longest array, and the longest that each may be: verb, tag, class, fields,
 /// and a body, of which a write brings up to 48,000 bytes. What is longer is nonsense, refused before it
 /// takes memory.
 const PARTS_MOST: [usize; 5] = [16, 20, 64, 1_024, 64_000];
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -26,7 +26,7 @@
     pub known: Vec<(u64, Option<Notice>)>,
     pub places: Places,
     pub deployment: Deployment,
-    pub categories: Vec<String>,
+    pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub limits: Limits,
     /// How many answers at a client's pace its own link carries at once; none: not told.
@@ -109,7 +109,7 @@
     let within = |what: String| format!("settings: {what}");
     let deployment = deployment::deployment(seed, settings).map_err(within)?;
     let names = deployment::names(settings).map_err(within)?;
-    if deployment.categories.is_empty() {
+    if deployment.classes.is_empty() {
         return Err("settings: Classes is empty".into());
     }
     let [parent, origin] = deployment::parent_and_origin(settings);
@@ -129,7 +129,7 @@
         known: events,
         places,
         deployment,
-        categories: names.categories,
+        classes: names.classes,
         tenants: names.customers,
         limits: limits(file, settings)?,
         own_link: own_link(file)?,
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -321,10 +321,10 @@
         new.say("2\n");
         drop(new);
         assert_eq!(world.board.accept().1, 2);
-        let category = world.file["settings"]["Classes"][0]["Name"].as_str().unwrap().to_owned();
+        let class = world.file["settings"]["Classes"][0]["Name"].as_str().unwrap().to_owned();
         let mut client = program.client();
         for tag in 1..=4 {
-            client.ask(tag, &category, if category == "picture" { "t=archive" } else { "d=800" }, b"");
+            client.ask(tag, &class, if class == "picture" { "t=archive" } else { "d=800" }, b"");
         }
         let mut server = world.server("c1").accept();
         for _ in 1..=4 {
--- a/crates/router/tests/program/customers.rs
+++ b/crates/router/tests/program/customers.rs
@@ -3,7 +3,7 @@
 use crate::stand_ins::*;
 use serde_json::{Value, json};
 
-/// A category with its limits in milliseconds.
+/// A class with its limits in milliseconds.
 fn limited(name: &str, effect: &str, soft: u64, hard: u64, window: u64) -> Value {
     let mut class = class(name, effect);
     for (key, ms) in [("Aim", soft), ("HardLimit", hard), ("Window", window)] {
@@ -33,7 +33,7 @@
     world
 }
 
-/// As `museum-loans`: tenants, categories of all effects, long limits, slow connections, nothing called off.
+/// As `museum-loans`: tenants, classes of all effects, long limits, slow connections, nothing called off.
 pub fn wide() -> World {
     let mut world = World::new();
     let settings = &mut world.file["settings"];
@@ -61,15 +61,15 @@
 /// twice.
 #[test]
 fn a_key_against_repeats_goes_along_with_every_attempt() {
-    for (mut world, category) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
+    for (mut world, class) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
         let program = world.start();
         let mut client = program.client();
         let key = "f1ff6cd8ff9b0f19bc938ad4212f62a0";
-        let tenant = if category == "hold-seat" { "" } else { ",t=archive" };
-        client.ask(1, category, &format!("d=700,k={key}{tenant}"), b"row 4");
+        let tenant = if class == "hold-seat" { "" } else { ",t=archive" };
+        client.ask(1, class, &format!("d=700,k={key}{tenant}"), b"row 4");
         let mut origin = world.server("o1").accept();
         let asked = origin.asked();
-        assert_eq!((asked.get("cls"), asked.get("nonce"), &asked.body[..]), (category, key, &b"row 4"[..]));
+        assert_eq!((asked.get("cls"), asked.get("nonce"), &asked.body[..]), (class, key, &b"row 4"[..]));
         origin.answer(&asked, "ERR", "-", b"");
         let mut server = world.server("c1").accept();
         let again = server.asked();
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -521,9 +521,9 @@
         ("page", format!("i={id},o={id},d=900,lot=256")),
         ("page", format!("i={id},o={id},d=900,d=900")),
     ];
-    for (tag, (category, fields)) in (1..).zip(&faulty) {
-        client.send(&[b"REQ", tag.to_string().as_bytes(), category.as_bytes(), fields.as_bytes(), b""]);
-        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{category} {fields}");
+    for (tag, (class, fields)) in (1..).zip(&faulty) {
+        client.send(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), b""]);
+        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{class} {fields}");
     }
     client.send(&[b"WHAT", b"18"]);
     assert_eq!(client.word(), "FAIL");
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -282,13 +282,13 @@
     }
 
     /// Asks for the object of the same number as the tag.
-    pub fn ask(&mut self, tag: u64, category: &str, more: &str, body: &[u8]) -> String {
+    pub fn ask(&mut self, tag: u64, class: &str, more: &str, body: &[u8]) -> String {
         static LAST: AtomicU32 = AtomicU32::new(0);
         let id = format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed));
         let fields =
             format!("i={id},o={tag:016x},lot=1,m=10.5{}{more}", if more.is_empty() { "" } else { "," });
         let fields = if more.contains("d=") { fields } else { format!("{fields},d=4000") };
-        self.send(&[b"REQ", tag.to_string().as_bytes(), category.as_bytes(), fields.as_bytes(), body]);
+        self.send(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), body]);
         id
     }
 
@@ -347,7 +347,7 @@
     }
 }
 
-/// A category of the settings, with long limits.
+/// A class of the settings, with long limits.
 pub fn class(name: &str, effect: &str) -> Value {
     json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": 3000, "AimStretch": 2,
         "HardLimit": 5000, "Worth": 1, "LateWorth": 0.1, "Stream": false})
--- a/crates/store/src/copy.rs
+++ b/crates/store/src/copy.rs
@@ -8,8 +8,8 @@
     pub object: Bytes,
     pub part: u64,
     pub group: u64,
-    /// How its category is called.
-    pub category: Bytes,
+    /// How its class is called.
+    pub class: Bytes,
     /// When the origin gave it out.
     pub made: u64,
     /// For how long it is fresh from then, in milliseconds; 0: until it is purged.
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -144,12 +144,12 @@
 }
 
 fn head_length(copy: &Copy) -> usize {
-    RECORD_HEAD_LEAST + padded(copy.object.len() + copy.tag.len() + copy.category.len())
+    RECORD_HEAD_LEAST + padded(copy.object.len() + copy.tag.len() + copy.class.len())
 }
 
 /// A copy whose texts or body are too long for a record cannot be written.
 pub fn fits(copy: &Copy) -> bool {
-    let texts = [&copy.object, &copy.tag, &copy.category];
+    let texts = [&copy.object, &copy.tag, &copy.class];
     texts.iter().all(|text| text.len() <= 255) && copy.body.len() <= BODY_MOST
 }
 
@@ -161,7 +161,7 @@
     out.extend_from_slice(&(length as u16).to_le_bytes());
     out.extend_from_slice(&[rank, u8::from(copy.in_parts)]);
     out.extend_from_slice(&(copy.body.len() as u32).to_le_bytes());
-    let texts = [&copy.object, &copy.tag, &copy.category];
+    let texts = [&copy.object, &copy.tag, &copy.class];
     out.extend(texts.iter().map(|text| text.len() as u8));
     out.push(0);
     for number in [copy.part, copy.group, copy.made, copy.fresh, copy.kb.to_bits()] {
@@ -197,13 +197,13 @@
         return Err(Wrong::Damaged);
     }
     let mut at = 64;
-    let [object, tag, category] = texts.map(|length| {
+    let [object, tag, class] = texts.map(|length| {
         at += length;
         Bytes::copy_from_slice(&head[at - length..at])
     });
     let [part, group, made, fresh] = [16, 24, 32, 40].map(|at| u64_at(head, at));
     let (in_parts, body_none) = (head[7] & 1 == 1, Bytes::new());
-    let copy = Copy { object, part, group, category, made, fresh, kb, in_parts, tag, body: body_none };
+    let copy = Copy { object, part, group, class, made, fresh, kb, in_parts, tag, body: body_none };
     Ok(Head { length, body, rank: head[6], copy, body_sum: u64_at(head, 56) })
 }
 
@@ -319,9 +319,9 @@
         let text = || prop::collection::vec(any::<u8>(), 0..40).prop_map(Bytes::from);
         let body = prop::collection::vec(any::<u8>(), 0..3000).prop_map(Bytes::from);
         let numbers = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>(), 0.0f64..1e6, any::<bool>());
-        (text(), text(), text(), body, numbers).prop_map(|(object, tag, category, body, numbers)| {
+        (text(), text(), text(), body, numbers).prop_map(|(object, tag, class, body, numbers)| {
             let (part, group, made, fresh, kb, in_parts) = numbers;
-            Copy { object, part, group, category, made, fresh, kb, in_parts, tag, body }
+            Copy { object, part, group, class, made, fresh, kb, in_parts, tag, body }
         })
     }
 
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -238,7 +238,7 @@
             object: self.name(),
             part: self.part,
             group: self.group(),
-            category: Bytes::from_static(b"clip"),
+            class: Bytes::from_static(b"clip"),
             made,
             kb: bytes as f64 / 1000.0,
             in_parts: true,
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -278,8 +278,8 @@
     fn revalidate(&mut self, copy: &Copy) {
         // Its body is not needed, and would keep the whole record.
         let own = |bytes: &Bytes| Bytes::copy_from_slice(bytes);
-        let (object, tag, category) = (own(&copy.object), own(&copy.tag), own(&copy.category));
-        self.unproven.push(Copy { object, tag, category, body: Bytes::new(), ..copy.clone() });
+        let (object, tag, class) = (own(&copy.object), own(&copy.tag), own(&copy.class));
+        self.unproven.push(Copy { object, tag, class, body: Bytes::new(), ..copy.clone() });
     }
     fn outlives(&mut self, key: Key, made: u64) {
         self.said.iter_mut().for_each(|said| said.push((key, Some(made))));
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -188,7 +188,7 @@
             let options = f.get("Options").and_then(Value::as_object).ok_or("Options is not an object")?;
             let told = deployment::deployment(whole(f, "Salt")?, options)?;
             let router = Router::start(now, &told, out);
-            let (report, classes) = (deployment::report_fields(options), told.categories.len());
+            let (report, classes) = (deployment::report_fields(options), told.classes.len());
             let parent_and_origin = deployment::parent_and_origin(options);
             self.routers.insert(number_of, Hosted { router, report, classes, parent_and_origin });
             return out.failed.take().map_or(Ok(()), Err);
@@ -226,7 +226,7 @@
             "Accept" => {
                 let arrival = Arrival {
                     id: id(f, "OpId")?,
-                    category: whole(f, "Priority")? as usize,
+                    class: whole(f, "Priority")? as usize,
                     customer: whole(f, "Customer")? as usize,
                     object: text(f, "Item")?.into(),
                     part: whole(f, "Segment")?,
@@ -237,8 +237,8 @@
                     repeated: flag(f, "Repeat")?,
                     cell: None,
                 };
-                if arrival.category >= hosted.classes {
-                    return Err(format!("Priority {} names no class", arrival.category));
+                if arrival.class >= hosted.classes {
+                    return Err(format!("Priority {} names no class", arrival.class));
                 }
                 hosted.router.request(now, arrival, out);
             }
--- a/src/control.rs
+++ b/src/control.rs
@@ -181,7 +181,7 @@
 #[derive(Default)]
 pub struct Router {
     location: usize,
-    categories: Vec<Category>,
+    classes: Vec<Class>,
     margin: Duration,
     kb_per_s: f64,
 
@@ -231,7 +231,7 @@
         }
         Router {
             location: told.location,
-            categories: told.categories.clone(),
+            classes: told.classes.clone(),
             margin: told.tick * 2,
             kb_per_s: if told.client_kb_per_s > 0.0 { told.client_kb_per_s } else { f64::INFINITY },
 
@@ -248,7 +248,7 @@
             started: now,
             fills_most: f64::INFINITY,
             patience: PATIENCE,
-            mean_work: vec![(0.0, 0.0); told.categories.len()],
+            mean_work: vec![(0.0, 0.0); told.classes.len()],
             ..Router::default()
         }
     }
@@ -278,16 +278,16 @@
     /// A request comes in: it gets its one final answer by `due` whatever else happens.
     pub fn request(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Outlet) {
         let turn = &mut Turn { now, out };
-        let category = &self.categories[arrival.category];
-        let first = category.cacheable && self.ids.known(&arrival).is_none();
+        let class = &self.classes[arrival.class];
+        let first = class.cacheable && self.ids.known(&arrival).is_none();
         let shared = self.chance.f64() < self.shared.max(1.0 - 1.0 / self.routers_here);
-        let rank = if category.cacheable { self.ids.sight(now, &arrival, category.fresh, shared) } else { 0 };
+        let rank = if class.cacheable { self.ids.sight(now, &arrival, class.fresh, shared) } else { 0 };
         let work = Duration::from_secs_f64((arrival.kb / self.kb_per_s).clamp(0.0, 1e6));
-        let (mean, of) = &mut self.mean_work[arrival.category];
+        let (mean, of) = &mut self.mean_work[arrival.class];
         *of = (*of + 1.0).min(256.0);
         *mean += (work.as_secs_f64() - *mean) / *of;
         let due = now + arrival.left.saturating_sub(self.margin);
-        let soft = now + category.soft_deadline + work.mul_f64(category.soft_stretch);
+        let soft = now + class.soft_deadline + work.mul_f64(class.soft_stretch);
         let (id, late) = (arrival.id.clone(), arrival.id.clone());
         let request = Request::new(arrival, rank, first, work, soft, due);
         self.requests.insert(id.clone(), request);
@@ -389,14 +389,14 @@
         let purged = self.last_purge(request);
         let held = self.ids.known(&request.arrival).and_then(|seen| seen.held.as_ref());
         let held = held.is_some_and(|(at, when)| *at == route.server && purged.is_none_or(|p| p < *when));
-        self.categories[request.arrival.category].cacheable && route.source != route.server && !held
+        self.classes[request.arrival.class].cacheable && route.source != route.server && !held
     }
 
     /// Answers from an own copy, if its place is sound and this router's link has it out in time. `past`: so
     /// long past its fresh time it will do.
     fn own(&mut self, turn: &mut Turn, id: &Id, past: Duration) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
-        if self.own <= 0.0 || !self.categories[request.arrival.category].cacheable {
+        if self.own <= 0.0 || !self.classes[request.arrival.class].cacheable {
             return false;
         }
         let Some(Held { place, made, same }) = turn.out.held(id) else { return false };
@@ -435,7 +435,7 @@
         let leads = self.filled.get(&part).is_some_and(|(leader, _)| leader == id);
         let followers = if leads { self.filled.remove(&part).unwrap_or_default().1 } else { Vec::new() };
         let rank = request.rank.max(u8::from(!followers.is_empty()));
-        if served && rank > 0 && self.categories[request.arrival.category].cacheable {
+        if served && rank > 0 && self.classes[request.arrival.class].cacheable {
             turn.out.keep(id, rank);
         }
         for id in followers {
@@ -486,11 +486,11 @@
     /// Places are free: who waits for one goes, most value for the work first.
     fn fill_next(&mut self, turn: &mut Turn) {
         while self.fills_out < self.fills_most {
-            let (requests, categories) = (&self.requests, &self.categories);
+            let (requests, classes) = (&self.requests, &self.classes);
             self.waiting.retain(|id| requests.get(id).is_some_and(|a| !a.ended));
             let gain = |place: &usize| {
                 let request = &requests[&self.waiting[*place]];
-                categories[request.arrival.category].value / (OVERHEAD + request.work).as_secs_f64()
+                classes[request.arrival.class].value / (OVERHEAD + request.work).as_secs_f64()
             };
             let places = 0..self.waiting.len();
             let Some(best) = places.max_by(|a, b| gain(a).total_cmp(&gain(b))) else { return };
@@ -528,11 +528,11 @@
     }
 
     /// How long past its fresh time a copy will do: where one renewed first would hardly be in time, what its
-    /// category allows. It is served and renewed behind.
+    /// class allows. It is served and renewed behind.
     fn past(&self, now: Duration, request: &Request) -> Duration {
         let strained = self.fills_out >= self.fills_most || self.origin_fails(now);
         let again = !request.attempts.is_empty();
-        let allowed = self.categories[request.arrival.category].stale_for;
+        let allowed = self.classes[request.arrival.class].stale_for;
         if strained || again { allowed } else { Duration::ZERO }
     }
 
@@ -551,7 +551,7 @@
 
         // What no cache may keep runs at the origin: caches and parents on the way could only fail it. One
         // that could not be reached perhaps can be from elsewhere; set aside, it would fail parents too.
-        let runs = !self.categories[request.arrival.category].cacheable;
+        let runs = !self.classes[request.arrival.class].cacheable;
         let cache = || pick(Tier::Cache, false).or_else(|| pick(Tier::Cache, true));
         match pick(Tier::Origin, true).filter(|_| runs) {
             Some(origin) if self.pass_through => return Some(straight(origin)),
@@ -595,19 +595,19 @@
     }
 
     fn weight(&self, server: &Server, request: &Request) -> f64 {
-        let mean = self.mean_work[request.arrival.category].0;
+        let mean = self.mean_work[request.arrival.class].0;
         if server.member.tier == Tier::Cache { mean } else { request.work.as_secs_f64() }
     }
 
     /// Rule 2: may this request run again, there, or (nowhere named) be rejected as safe to repeat?
     fn may_repeat(&self, now: Duration, request: &Request, at: Option<&Server>) -> bool {
         let Some((sent, first)) = &request.ran else { return true };
-        let category = &self.categories[request.arrival.category];
-        let remembered = now + self.margin < *sent + category.window;
+        let class = &self.classes[request.arrival.class];
+        let remembered = now + self.margin < *sent + class.window;
         let same = |of: fn(&Member) -> u64| {
             remembered && at.zip(self.servers.get(first)).is_some_and(|(a, b)| of(&a.member) == of(&b.member))
         };
-        match (category.effect, category.group) {
+        match (class.effect, class.group) {
             (Effect::Idempotent, _) => true,
             (Effect::NonIdempotent, _) => false,
             (Effect::Deduplicated, Group::All) => at.is_none() || remembered,
@@ -623,7 +623,7 @@
 
     /// Rule 5: the oldest copy that will do, counted from the purge, and never zero: that would mean any age.
     fn oldest(&self, now: Duration, request: &Request, past: Duration) -> Option<Duration> {
-        let fresh = self.categories[request.arrival.category].fresh.map(|fresh| fresh + past);
+        let fresh = self.classes[request.arrival.class].fresh.map(|fresh| fresh + past);
         let current = self.last_purge(request).filter(|at| now < *at + self.purge_done + self.margin);
         let since = current.map(|at| now.saturating_sub(at).max(Duration::from_micros(1)));
         since.into_iter().chain(fresh).min()
@@ -636,7 +636,7 @@
         let Some(request) = self.requests.get(id) else { return false };
         let Some(server) = self.servers.get(&route.server) else { return false };
         let source = self.servers.get(&route.source).unwrap_or(server);
-        let category = &self.categories[request.arrival.category];
+        let class = &self.classes[request.arrival.class];
         let oldest = self.oldest(now, request, route.past);
         let lawful = !request.ended
             && now < request.due
@@ -655,11 +655,11 @@
             oldest,
             join: self.joins,
             // While the origin fails, what a parent fetches from it only holds up what it has.
-            only_held: source.member.tier == Tier::Parent && category.cacheable && self.origin_fails(now),
+            only_held: source.member.tier == Tier::Parent && class.cacheable && self.origin_fails(now),
             parent_keeps: true,
             renew: route.made.is_none() && !route.past.is_zero(),
         };
-        let watched = category.effect == Effect::Idempotent && self.may_cancel && !category.streamed;
+        let watched = class.effect == Effect::Idempotent && self.may_cancel && !class.streamed;
         let wait = (OVERHEAD + request.work).mul_f64(self.patience);
         let (kb, limit) = (request.arrival.kb, request.due - now);
         let weights = [server, source].map(|s| self.weight(s, request));
@@ -778,7 +778,7 @@
         }
         // Behind a parent the origin is judged by how long it kept a fill waiting.
         if matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
-            let slow = ended.first_byte > Some(self.categories[request.arrival.category].soft_deadline);
+            let slow = ended.first_byte > Some(self.classes[request.arrival.class].soft_deadline);
             let origins = self.servers.values_mut().filter(|s| s.member.tier == Tier::Origin);
             origins.for_each(|origin| origin.record.judge(now, failed || slow, 1.0));
         }
@@ -838,14 +838,14 @@
     /// The final answer where none was served: a rejection where a retry is safe, else a failure.
     fn end(&mut self, turn: &mut Turn, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|a| !a.ended) else { return };
-        // Better than none: an own copy past its fresh time, within what its category allows.
-        let stale_for = self.categories[request.arrival.category].stale_for;
+        // Better than none: an own copy past its fresh time, within what its class allows.
+        let stale_for = self.classes[request.arrival.class].stale_for;
         if !stale_for.is_zero() && request.open == 0 && self.own(turn, id, stale_for) {
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
         self.ids.known(&request.arrival).into_iter().for_each(|seen| seen.unmet = true);
-        let effect = self.categories[request.arrival.category].effect;
+        let effect = self.classes[request.arrival.class].effect;
         let certain = request.open == 0 || effect == Effect::Idempotent;
         if certain && self.may_repeat(turn.now, request, None) {
             turn.out.reject(id, self.advice);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,9 +27,9 @@
     Cohort,
 }
 
-/// One category of requests.
+/// One class of requests.
 #[derive(Clone, Debug, Default)]
-pub struct Category {
+pub struct Class {
     pub effect: Effect,
     pub group: Group,
     /// How long repeats are recognised, from the first attempt that may have run.
@@ -113,7 +113,7 @@
     pub routers_at: Vec<usize>,
     pub hub_of: Vec<usize>,
     pub link_kb_per_s: Vec<f64>,
-    pub categories: Vec<Category>,
+    pub classes: Vec<Class>,
     pub customers: Vec<Customer>,
     /// Least time between two calls.
     pub tick: Duration,
@@ -190,7 +190,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     pub id: Id,
-    pub category: usize,
+    pub class: usize,
     pub customer: usize,
     pub object: Id,
     pub part: u64,
@@ -272,7 +272,7 @@
     pub source: Id,
     /// 0: no copy, no change; 1 to 3: the rank at which a copy is kept.
     pub rank: u8,
-    /// Oldest copy that will do; none: as fresh as the category wants it. Never zero.
+    /// Oldest copy that will do; none: as fresh as the class wants it. Never zero.
     pub oldest: Option<Duration>,
     pub join: bool,
     /// The source gives only what it holds.
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -38,7 +38,7 @@
 fn deployment(seed: u64) -> Deployment {
     let ms = Duration::from_millis;
     let cold = ColdStart { from: 0.25, warm_within: ms(10_000), multiple: 2.0, span: ms(1000) };
-    let category = |effect, cacheable| Category {
+    let class = |effect, cacheable| Class {
         effect,
         window: ms(2000),
         soft_deadline: ms(500),
@@ -47,7 +47,7 @@
         value: 1.0,
         late_value: 0.2,
         cacheable,
-        ..Category::default()
+        ..Class::default()
     };
     Deployment {
         number: 0,
@@ -55,7 +55,7 @@
         routers: 2,
         location: 1,
         routers_at: vec![0, 2],
-        categories: vec![category(Effect::Idempotent, true), category(Effect::NonIdempotent, false)],
+        classes: vec![class(Effect::Idempotent, true), class(Effect::NonIdempotent, false)],
         tick: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: 6,
@@ -107,7 +107,7 @@
             2..=19 => {
                 let arrival = Arrival {
                     id: format!("a{n}").as_str().into(),
-                    category: usize::from(chance.u8(..10) == 0),
+                    class: usize::from(chance.u8(..10) == 0),
                     object: format!("x{}", chance.u8(..50)).as_str().into(),
                     kb: 20.0 + f64::from(chance.u8(..200)),
                     left: Duration::from_millis(4000),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -40,7 +40,7 @@
         routers: ROUTERS as usize,
         location: 1,
         routers_at: vec![0, 1],
-        categories: vec![Category {
+        classes: vec![Class {
             window: ms(2000),
             soft_deadline: ms(5000),
             soft_stretch: 2.0,
@@ -48,7 +48,7 @@
             value: 1.0,
             late_value: 0.2,
             cacheable: true,
-            ..Category::default()
+            ..Class::default()
         }],
         tick: ms(2),
         client_kb_per_s: 1000.0,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -5,7 +5,7 @@
 //!   at MS                         time passes, and what was asked to wake does
 //!   list SERVER[=STATE]..         changes; STATE: draining, gone, or the time of a start in ms
 //!   whole SERVER..                the whole list
-//!   request ID [category=0 object=ID part=0 group=0 kb=100 left=4000 repeated=0]
+//!   request ID [class=0 object=ID part=0 group=0 kb=100 left=4000 repeated=0]
 //!   requests COUNT ID [..]        many at once: ID0, ID1.., each for an object of its own unless named
 //!   result ID N OUTCOME [REMARK] [over] [waited=MS] [took=MS]      results COUNT ID N ..  for ID0, ID1..
 //!   left ID      begun ID      purge [object=X group=0 ago=0]      told SERVER object=X [part=0]
@@ -76,8 +76,8 @@
     }
 }
 
-fn category(effect: Effect, fresh: Option<Duration>, cacheable: bool) -> Category {
-    Category {
+fn class(effect: Effect, fresh: Option<Duration>, cacheable: bool) -> Class {
+    Class {
         effect,
         window: ms(2000),
         soft_deadline: ms(500),
@@ -87,11 +87,11 @@
         late_value: 0.2,
         fresh,
         cacheable,
-        ..Category::default()
+        ..Class::default()
     }
 }
 
-/// Categories: 0 kept until purged, 1 fresh for 5 s, 2 non-idempotent, 3 deduplicated, 4 the same by cohort
+/// Classes: 0 kept until purged, 1 fresh for 5 s, 2 non-idempotent, 3 deduplicated, 4 the same by cohort
 /// and kept.
 fn deployment() -> Deployment {
     let cold = ColdStart { from: 0.25, warm_within: ms(10_000), multiple: 2.0, span: ms(1000) };
@@ -101,12 +101,12 @@
         routers: 2,
         location: 1,
         routers_at: vec![0, 1, 1],
-        categories: vec![
-            category(Effect::Idempotent, None, true),
-            category(Effect::Idempotent, Some(ms(5000)), true),
-            category(Effect::NonIdempotent, None, false),
-            category(Effect::Deduplicated, None, false),
-            Category { group: Group::Cohort, ..category(Effect::Deduplicated, None, true) },
+        classes: vec![
+            class(Effect::Idempotent, None, true),
+            class(Effect::Idempotent, Some(ms(5000)), true),
+            class(Effect::NonIdempotent, None, false),
+            class(Effect::Deduplicated, None, false),
+            Class { group: Group::Cohort, ..class(Effect::Deduplicated, None, true) },
         ],
         tick: ms(2),
         client_kb_per_s: 1000.0,
@@ -148,6 +148,12 @@
     }
 }
 
+/// What a line may set: a key that nobody reads would be passed over, and its line mean something else.
+const KEYS: [&str; 21] = [
+    "attempts", "joins", "pass", "ask", "stale", "here", "cancel", "span", "class", "object", "part",
+    "group", "kb", "left", "repeated", "cell", "waited", "took", "ago", "age", "same",
+];
+
 /// What the record's lines begin with: a pattern of another word would never match, and `never` always hold.
 const ACTIONS: [&str; 7] = ["attempt", "reject", "fail", "cancel", "watch", "keep", "found"];
 
@@ -208,7 +214,7 @@
             told.joins = field("joins", 0) == 1;
             told.pass_through = field("pass", 1) == 1;
             told.list_on_request = field("ask", 0) == 1;
-            told.categories[1].stale_for = ms(field("stale", 0));
+            told.classes[1].stale_for = ms(field("stale", 0));
             told.routers_at[1] = field("here", 1) as usize;
             told.may_cancel = field("cancel", 1) == 1;
             told.cold_cache.span = ms(field("span", 1000));
@@ -216,6 +222,10 @@
         }
         let router = router.get_or_insert_with(|| Router::start(now, &told, &mut record));
         let pattern = rest.join(" ");
+        let keys = rest.iter().filter_map(|word| Some(word.split_once('=')?.0));
+        if !["list", "whole"].contains(verb) {
+            keys.for_each(|key| assert!(KEYS.contains(&key), "{place}: no such key"));
+        }
         if ["expect", "never", "count"].contains(verb) {
             assert!(ACTIONS.contains(&rest[0]), "{place}: no such action");
         }
@@ -246,7 +256,7 @@
                     let object = rest.iter().find_map(|w| w.strip_prefix("object=")).unwrap_or(&id);
                     let arrival = Arrival {
                         id: id.as_str().into(),
-                        category: field("category", 0) as usize,
+                        class: field("class", 0) as usize,
                         customer: 0,
                         object: object.into(),
                         part: field("part", 0),
