--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -57,7 +57,7 @@
     /// Peers: what a live router tells its mates, and hears
     #[command(subcommand)]
     Peers(Peers),
-    /// Regions: how a live router's location and the others are, and where its requests go
+    /// Regions: how a live router's zone and the others are, and where its requests go
     #[command(subcommand)]
     Regions(Regions),
     /// Cells: what a map makes of a list of servers, before a router takes it over
@@ -98,7 +98,7 @@
 
 #[derive(Subcommand)]
 pub enum Regions {
-    /// Tells what is held of each location, and the plan in force
+    /// Tells what is held of each zone, and the plan in force
     #[command(after_help = "Exit codes: 0 done; 1 the router does not answer, or regions in common are off.
 
 Example: chalkhall regions stat --socket /run/chalkhall/control.sock")]
@@ -120,9 +120,9 @@
     /// Tells a router what a front has measured of its clients' way to an edge
     #[command(after_help = "Example: chalkhall regions observe north oslo 41.5 20 --socket control.sock")]
     Observe {
-        /// The router's own region or location
+        /// The router's own region or zone
         region: String,
-        /// The location to which it was measured
+        /// The zone to which it was measured
         edge: String,
         ms: f64,
         /// How many measurements it stands for
--- a/crates/cli/src/bin/proof-regions/main.rs
+++ b/crates/cli/src/bin/proof-regions/main.rs
@@ -1,4 +1,4 @@
-//! Proves what regions in common do over 160 real routers with a network between them: plays locations lost,
+//! Proves what regions in common do over 160 real routers with a network between them: plays zones lost,
 //! flapping and cut off, and ends on one line of measured figures; non-zero where one falls short, with its
 //! name. A play that is void, because the machine was busy, is played once more.
 
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -260,7 +260,7 @@
         number: 0,
         seed: 1,
         routers: 1,
-        location: 0,
+        zone: 0,
         routers_at: vec![1],
         hub_of: vec![0],
         classes: vec![Class {
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The caches of the router's location that its configuration knows, and the names of its classes.
+/// The caches of the router's zone that its configuration knows, and the names of its classes.
 fn known(config: &Path) -> Result<(BTreeSet<Id>, Vec<String>), Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", config.display()));
     let text = std::fs::read_to_string(config).map_err(|e| fail(&e))?;
@@ -17,7 +17,7 @@
     let settings =
         file.get("settings").and_then(Value::as_object).ok_or_else(|| fail(&"settings is missing"))?;
     let names = deployment::names(settings).map_err(|e| fail(&e))?;
-    let location = deployment::whole(settings, "Locality").map_err(|e| fail(&e))? as usize;
+    let zone = deployment::whole(settings, "Locality").map_err(|e| fail(&e))? as usize;
     let not_caches = deployment::parent_and_origin(settings);
     let events = file["known"]["notices"].as_array().cloned().unwrap_or_default();
     let mut servers = BTreeSet::new();
@@ -27,8 +27,7 @@
         let kind = at("class", &names.kinds).map(|kind| kind as u64);
         let is_cache = kind.is_some() && !not_caches.contains(&kind);
         let Some(name) = host["host"].as_str() else { continue };
-        if is_cache && at("site", &names.zones) == Some(location) && host["health"].as_str() == Some("active")
-        {
+        if is_cache && at("site", &names.zones) == Some(zone) && host["health"].as_str() == Some("active") {
             servers.insert(Id::from(name));
         } else {
             servers.remove(name);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -106,8 +106,8 @@
     assert!(told["events"].as_array().is_some_and(|events| events.len() > 15), "{told}");
 }
 
-/// Two regions of two locations, of which one is lost for 3 s while ways between the regions lose a fifth.
-fn location_lost(in_common: &str) -> Value {
+/// Two regions of two zones, of which one is lost for 3 s while ways between the regions lose a fifth.
+fn zone_lost(in_common: &str) -> Value {
     let play_text = format!(
         "fleet {{
     routers 40
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn a_lost_location_is_served_elsewhere_by_common_decision_and_nobody_else_leaves_home() {
-    let (with, without) = (location_lost("on"), location_lost("off"));
+fn a_lost_zone_is_served_elsewhere_by_common_decision_and_nobody_else_leaves_home() {
+    let (with, without) = (zone_lost("on"), zone_lost("off"));
     let figure = |of: &Value, name: &str| of[name].as_f64().unwrap_or_else(|| panic!("no {name}: {of}"));
     let (served, today) = (figure(&with, "lost_service"), figure(&without, "lost_service"));
     let limit = figure(&with, "lost_limit");
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -117,7 +117,7 @@
             other => return Err(format!("unknown Effect {other:?}")),
         },
         group: match text(class, "Group")? {
-            "zone" => Group::Location,
+            "zone" => Group::Zone,
             "cell" => Group::Cohort,
             "all" | "" => Group::All,
             other => return Err(format!("unknown Group {other:?}")),
@@ -149,7 +149,7 @@
         number: whole(options, "MyNumber")?,
         seed,
         routers: whole(options, "PeersTotal")? as usize,
-        location: whole(options, "Locality")? as usize,
+        zone: whole(options, "Locality")? as usize,
         routers_at: count_all("CrewByZone")?,
         hub_of: count_all("HomeHub")?,
         link_kb_per_s: numbers(&family, "PipeKbPerS")?,
@@ -190,7 +190,7 @@
         pass_through: flag(&family, "PassThroughOk")?,
         joins: flag(&family, "SharesFills")?,
         siblings: match text(&family, "Neighbours")? {
-            "location" => Siblings::Location,
+            "location" => Siblings::Zone,
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
@@ -210,7 +210,7 @@
     })
 }
 
-/// The names by which a deployment calls its locations, kinds of machine, classes and customers, in their
+/// The names by which a deployment calls its zones, kinds of machine, classes and customers, in their
 /// order.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
--- a/crates/directives/src/words.rs
+++ b/crates/directives/src/words.rs
@@ -17,27 +17,27 @@
     pub regions: Regions,
 }
 
-/// What the routers of all locations decide in common. All is off unless given.
+/// What the routers of all zones decide in common. All is off unless given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Regions {
-    /// Tells all routers how this location is, and heeds what they tell.
+    /// Tells all routers how this zone is, and heeds what they tell.
     pub in_common: bool,
-    /// Measures the ways to other locations' caches.
+    /// Measures the ways to other zones' caches.
     pub measure: bool,
-    /// Requests may go to other locations' caches when their own are down.
+    /// Requests may go to other zones' caches when their own are down.
     pub abroad: bool,
-    /// Names of regions, and the locations of each.
+    /// Names of regions, and the zones of each.
     pub regions: Vec<(String, Vec<String>)>,
-    /// Locations that are emptied, and take nothing.
+    /// Zones that are emptied, and take nothing.
     pub drained: Vec<String>,
 }
 
-/// Talk among the routers of a location. Without it each decides by its own traffic alone.
+/// Talk among the routers of a zone. Without it each decides by its own traffic alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// Tells the other routers of the location what it sights and has under way, and heeds what they tell.
+    /// Tells the other routers of the zone what it sights and has under way, and heeds what they tell.
     pub tell: bool,
-    /// Evens out the load of the location's caches with the mates.
+    /// Evens out the load of the zone's caches with the mates.
     pub even_load: bool,
 }
 
@@ -434,7 +434,7 @@
             "regions",
             "measure",
             "on|off",
-            "with in-common: measures the ways to other locations",
+            "with in-common: measures the ways to other zones",
             |told, words| {
                 told.regions.measure = on_or_off(words[0])?;
                 Ok(())
@@ -444,7 +444,7 @@
             "regions",
             "abroad",
             "on|off",
-            "with in-common: requests may go to other locations' caches",
+            "with in-common: requests may go to other zones' caches",
             |told, words| {
                 told.regions.abroad = on_or_off(words[0])?;
                 Ok(())
@@ -453,20 +453,20 @@
         Entry {
             section: "regions",
             name: "region",
-            takes: "NAME LOCATION..",
+            takes: "NAME ZONE..",
             count: 2..=64,
             many: true,
-            says: "locations that are near one another",
+            says: "zones that are near one another",
             set: |told, words| {
                 if told.regions.regions.iter().any(|(name, _)| name == words[0]) {
                     return Err((0, format!("region {} is told twice", words[0])));
                 }
-                let locations: Vec<String> = words[1..].iter().map(|w| (*w).to_owned()).collect();
+                let zones: Vec<String> = words[1..].iter().map(|w| (*w).to_owned()).collect();
                 let taken = |at: &String| told.regions.regions.iter().any(|(_, all)| all.contains(at));
-                if let Some(place) = locations.iter().position(taken) {
+                if let Some(place) = zones.iter().position(taken) {
                     return Err((place + 1, format!("{} is in a region already", words[place + 1])));
                 }
-                told.regions.regions.push((words[0].to_owned(), locations));
+                told.regions.regions.push((words[0].to_owned(), zones));
                 Ok(())
             },
         },
@@ -476,13 +476,13 @@
             takes: "LOCATION",
             count: 1..=1,
             many: true,
-            says: "empties a location, as fast as others can take it",
+            says: "empties a zone, as fast as others can take it",
             set: |told, words| {
                 told.regions.drained.push(words[0].to_owned());
                 Ok(())
             },
         },
-        one("peers", "tell", "on|off", "tells the routers of the location what it sights", |told, words| {
+        one("peers", "tell", "on|off", "tells the routers of the zone what it sights", |told, words| {
             told.peers.tell = on_or_off(words[0])?;
             Ok(())
         }),
--- a/crates/fleet/src/even.rs
+++ b/crates/fleet/src/even.rs
@@ -1,19 +1,19 @@
 //! How even load lies on the caches, measured from outside on what was truly sent; and the same work dealt
 //! out by other rules, from the plain hash to one that sees all.
 //!
-//! All by location and window: a server's load is the work sent to it (seconds at a client's pace) over what
+//! All by zone and window: a server's load is the work sent to it (seconds at a client's pace) over what
 //! it could do (capacity x warmth at that instant).
 //!
 //! | figure | what |
 //! | --- | --- |
-//! | `peak` | busiest over mean, averaged over locations and windows |
+//! | `peak` | busiest over mean, averaged over zones and windows |
 //! | `worst` | the worst of those |
 //! | `idle` | share of server-windows, warm and in the list, under a quarter of the mean |
 //! | `jain` | Jain's index of fairness (1984), averaged: 1 is even, 1/n all on one |
 //! | `swing` | servers that went from over 1.5 x the mean to under 0.5 x and back within 5 s |
 //! | `herd` | after an event: the most routers that send next to one server, over that of the hash |
 //!
-//! Windows in which a location was sent less than [`LEAST`] requests a server say nothing and are left out:
+//! Windows in which a zone was sent less than [`LEAST`] requests a server say nothing and are left out:
 //! of a handful, chance alone makes one the busiest by far.
 
 use crate::copies::Key;
@@ -25,11 +25,11 @@
 /// Requests a server, on average, from which a window counts.
 const LEAST: f64 = 8.0;
 
-/// A cache as the list and the truth have it: its location, when it is there, and what it can do by time.
+/// A cache as the list and the truth have it: its zone, when it is there, and what it can do by time.
 #[derive(Clone, Debug)]
 pub struct Place {
     pub name: String,
-    pub location: usize,
+    pub zone: usize,
     pub capacity: f64,
     pub started: Option<Duration>,
     /// From when and until when it is in the list and runs; more than one stretch where it was away.
@@ -81,7 +81,7 @@
     pub windows: usize,
 }
 
-/// Loads by location and window: server, work over capacity, and how many requests.
+/// Loads by zone and window: server, work over capacity, and how many requests.
 type Windows = BTreeMap<(usize, u64), Vec<(usize, f64, usize)>>;
 
 fn windows(sent: &[Sent], places: &[Place], from: Duration, to: Duration, width: Duration) -> Windows {
@@ -97,7 +97,7 @@
         for (server, place) in places.iter().enumerate().filter(|(_, p)| p.all_of(begin, end)) {
             let (work, count) = sums.get(&(server, window)).copied().unwrap_or_default();
             let could = place.present(begin + width / 2) * width.as_secs_f64();
-            found.entry((place.location, window)).or_default().push((server, work / could.max(1e-9), count));
+            found.entry((place.zone, window)).or_default().push((server, work / could.max(1e-9), count));
         }
     }
     found.retain(|_, loads| {
@@ -167,13 +167,13 @@
     by_server.values().filter(|turns| back(turns)).count()
 }
 
-/// Over the routers of the location, the largest share whose first request after `at`, within a second, went
+/// Over the routers of the zone, the largest share whose first request after `at`, within a second, went
 /// to the same server; over the same for where the hash would have sent those requests. None: hardly anybody
 /// sent.
-pub fn herd(sent: &[Sent], places: &[Place], location: usize, at: Duration) -> Option<f64> {
+pub fn herd(sent: &[Sent], places: &[Place], zone: usize, at: Duration) -> Option<f64> {
     let until = at + Duration::from_secs(1);
     let mut first: BTreeMap<usize, &Sent> = BTreeMap::new();
-    for one in sent.iter().filter(|s| s.location == location && (at..until).contains(&s.at)) {
+    for one in sent.iter().filter(|s| s.zone == zone && (at..until).contains(&s.at)) {
         first.entry(one.router).or_insert(one);
     }
     if first.len() < 6 {
@@ -186,14 +186,14 @@
     };
     let real = share(&mut first.values().map(|s| s.server));
     let hashed =
-        share(&mut first.values().filter_map(|s| prefers(places, s.location, s.key, s.at).first().copied()));
+        share(&mut first.values().filter_map(|s| prefers(places, s.zone, s.key, s.at).first().copied()));
     (hashed > 0.0).then(|| real / hashed)
 }
 
-/// Servers of a location that are there, in the order in which the hash prefers them for a part.
-pub fn prefers(places: &[Place], location: usize, key: Key, at: Duration) -> Vec<usize> {
+/// Servers of a zone that are there, in the order in which the hash prefers them for a part.
+pub fn prefers(places: &[Place], zone: usize, key: Key, at: Duration) -> Vec<usize> {
     let name = object(key);
-    let here = places.iter().enumerate().filter(|(_, p)| p.location == location && p.is_there(at));
+    let here = places.iter().enumerate().filter(|(_, p)| p.zone == zone && p.is_there(at));
     let mut drawn: Vec<(f64, usize)> = here.map(|(n, p)| (draw(&p.name, &name, p.capacity), n)).collect();
     drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
     drawn.into_iter().map(|(_, server)| server).collect()
@@ -213,7 +213,7 @@
 /// The same requests, sent where a rule sends them. A request counts as under way for its work's time.
 pub fn deal(sent: &[Sent], places: &[Place], rule: Rule, from: Duration, width: Duration) -> Vec<Sent> {
     let mut out: HashMap<(usize, usize), VecDeque<Duration>> = HashMap::new();
-    // What each server of a location was given in this window, and what the location is asked for in all of
+    // What each server of a zone was given in this window, and what the zone is asked for in all of
     // it. What came before the first window is dealt out like the rest, and measured by nobody.
     let mut given: HashMap<(usize, Option<u64>), f64> = HashMap::new();
     let mut asked: HashMap<(usize, Option<u64>), f64> = HashMap::new();
@@ -223,11 +223,11 @@
         (places[server].present(middle) * width.as_secs_f64()).max(1e-9)
     };
     for one in sent {
-        *asked.entry((one.location, window(one.at))).or_default() += one.work;
+        *asked.entry((one.zone, window(one.at))).or_default() += one.work;
     }
     let mut dealt = Vec::with_capacity(sent.len());
     for one in sent {
-        let order = prefers(places, one.location, one.key, one.at);
+        let order = prefers(places, one.zone, one.key, one.at);
         let number = window(one.at);
         let chosen = match rule {
             Rule::Hash => order.first().copied(),
@@ -243,7 +243,7 @@
             }
             Rule::SeesAll => {
                 let all: f64 = order.iter().map(|s| could(*s, number)).sum();
-                let mean = asked[&(one.location, number)] / all.max(1e-9);
+                let mean = asked[&(one.zone, number)] / all.max(1e-9);
                 let load = |s: &usize| {
                     let given = given.get(&(*s, number)).copied().unwrap_or(0.0);
                     (given + one.work) / could(*s, number)
@@ -273,7 +273,7 @@
     fn places(count: usize) -> Vec<Place> {
         let place = |n: usize| Place {
             name: format!("c{n}"),
-            location: 0,
+            zone: 0,
             capacity: 4.0,
             started: None,
             there: vec![(Duration::ZERO, Duration::from_secs(100))],
@@ -288,7 +288,7 @@
         let one = |n: usize| Sent {
             at: Duration::from_secs_f64(n as f64 / rate as f64),
             server: to(n),
-            location: 0,
+            zone: 0,
             router: n % 10,
             key: (n as u64 * 7919, 0),
             work: 0.05,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,8 +8,8 @@
 //! | [`work`] | who asks for what and when, drawn from the seed |
 //! | [`truth`], [`station`], [`copies`] | the servers as they are; no I/O |
 //! | [`watch`] | the five rules and conservation, over all routers together; no I/O |
-//! | [`ways`] | the network between locations; no I/O |
-//! | [`places`] | what became of each location's requests; no I/O |
+//! | [`ways`] | the network between zones; no I/O |
+//! | [`places`] | what became of each zone's requests; no I/O |
 //! | [`even`] | how even load lies, and how it would under other rules; no I/O |
 //! | [`children`], [`net`], [`wire`] | processes, datagrams, connections |
 //! | [`run`] | plays it |
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -24,9 +24,9 @@
     pub deaf: Vec<bool>,
     /// Where its chance starts from.
     pub seed: u64,
-    /// What it takes between locations, and by router at which it stands.
+    /// What it takes between zones, and by router at which it stands.
     pub ways: Option<Rc<Ways>>,
-    pub locations: usize,
+    pub zones: usize,
 }
 
 /// A datagram held back so long comes after the next one of its sender.
@@ -92,10 +92,10 @@
     }
 
     /// A word within the format, in the name of a router, that nobody has found out: parts that are nowhere.
-    pub fn lie(&self, liar: usize, location: usize, mates: &[usize], chance: &mut fastrand::Rng) {
+    pub fn lie(&self, liar: usize, zone: usize, mates: &[usize], chance: &mut fastrand::Rng) {
         let finding = |_| Finding { part: chance.u32(..1 << KEY_BITS), cache: chance.u8(1..) };
         let findings = (0..50).map(finding).collect();
-        let bytes = Datagram { looking: chance.bool(), location: location as u16, findings }.encode();
+        let bytes = Datagram { looking: chance.bool(), zone: zone as u16, findings }.encode();
         for mate in mates.iter().filter(|mate| **mate != liar) {
             let _ = self.sockets[liar].try_send_to(&bytes, self.routers[*mate]);
         }
@@ -116,7 +116,7 @@
     let copies = 1 + usize::from(chance.f64() < weather.doubled);
     for _ in 0..copies {
         let way = weather.ways.as_ref().map(|ways| {
-            let place = |router: usize| router % weather.locations.max(1);
+            let place = |router: usize| router % weather.zones.max(1);
             ways.datagram(place(sender), place(receiver), chance)
         });
         let Some(way) = way.unwrap_or(Some(Duration::ZERO)) else { continue };
--- a/crates/fleet/src/places.rs
+++ b/crates/fleet/src/places.rs
@@ -1,12 +1,12 @@
-//! What became of each location's requests: served, and where; measured from outside on what was truly sent.
+//! What became of each zone's requests: served, and where; measured from outside on what was truly sent.
 //!
 //! | figure | what |
 //! | --- | --- |
-//! | `lost_service` | of what lost locations asked for, earned: from the loss until 5 s after the return |
+//! | `lost_service` | of what lost zones asked for, earned: from the loss until 5 s after the return |
 //! | `lost_limit` | the same for one that sees all: what home and others' true room could serve |
-//! | `plan_s` | from a loss until four in five of its requests at caches go to other locations, the worst |
-//! | `needless` | share of requests that left a location whose caches were all there and warm |
-//! | `toppled` | seconds in which a location not lost earned under half of what it asked for |
+//! | `plan_s` | from a loss until four in five of its requests at caches go to other zones, the worst |
+//! | `needless` | share of requests that left a zone whose caches were all there and warm |
+//! | `toppled` | seconds in which a zone not lost earned under half of what it asked for |
 
 use crate::even::Place;
 use crate::play::{Play, What, Whom};
@@ -26,53 +26,53 @@
 pub struct Places {
     pub lost_service: f64,
     pub lost_limit: f64,
-    /// None: no location was lost, or its requests never went elsewhere.
+    /// None: no zone was lost, or its requests never went elsewhere.
     pub plan: Option<Duration>,
     pub abroad: f64,
     pub needless: f64,
     pub toppled: u64,
 }
 
-/// By location and second: asked for and earned.
+/// By zone and second: asked for and earned.
 pub struct Kept(Vec<Vec<(f64, f64)>>);
 
 impl Kept {
-    pub fn new(locations: usize, seconds: usize) -> Kept {
-        Kept(vec![vec![(0.0, 0.0); seconds]; locations])
+    pub fn new(zones: usize, seconds: usize) -> Kept {
+        Kept(vec![vec![(0.0, 0.0); seconds]; zones])
     }
 
-    fn of(&mut self, location: usize, at: Duration) -> Option<&mut (f64, f64)> {
-        self.0.get_mut(location)?.get_mut(at.as_secs() as usize)
+    fn of(&mut self, zone: usize, at: Duration) -> Option<&mut (f64, f64)> {
+        self.0.get_mut(zone)?.get_mut(at.as_secs() as usize)
     }
 
-    pub fn asked(&mut self, location: usize, at: Duration) {
-        self.of(location, at).into_iter().for_each(|of| of.0 += 1.0);
+    pub fn asked(&mut self, zone: usize, at: Duration) {
+        self.of(zone, at).into_iter().for_each(|of| of.0 += 1.0);
     }
 
-    pub fn earned(&mut self, location: usize, at: Duration, worth: f64) {
-        self.of(location, at).into_iter().for_each(|of| of.1 += worth);
+    pub fn earned(&mut self, zone: usize, at: Duration, worth: f64) {
+        self.of(zone, at).into_iter().for_each(|of| of.1 += worth);
     }
 
-    fn sum(&self, location: usize, from: Duration, to: Duration) -> (f64, f64) {
-        let seconds = self.0[location].iter().enumerate();
+    fn sum(&self, zone: usize, from: Duration, to: Duration) -> (f64, f64) {
+        let seconds = self.0[zone].iter().enumerate();
         let within = seconds.filter(|(n, _)| (from..to).contains(&Duration::from_secs(*n as u64)));
         within.fold((0.0, 0.0), |(a, e), (_, (asked, earned))| (a + asked, e + earned))
     }
 
     pub fn measure(&self, play: &Play, sent: &[Sent], places: &[Place]) -> Places {
-        let locations = play.fleet.locations;
+        let zones = play.fleet.zones;
         let mut losses: Vec<(usize, Duration, Duration)> = Vec::new();
         for fault in &play.faults {
             let of: Vec<usize> = match fault.what {
-                What::Lose(Whom::Location(at)) => vec![at],
+                What::Lose(Whom::Zone(at)) => vec![at],
                 What::LoseRegion(region) => {
-                    (0..locations).filter(|at| ways::region(*at, &play.fleet) == region).collect()
+                    (0..zones).filter(|at| ways::region(*at, &play.fleet) == region).collect()
                 }
                 _ => Vec::new(),
             };
             losses.extend(of.into_iter().map(|at| (at, fault.at, fault.at + fault.lasts)));
         }
-        let home = |one: &Sent| one.router % locations;
+        let home = |one: &Sent| one.router % zones;
         let (mut asked, mut earned, mut limit, mut plan) = (0.0, 0.0, 0.0, Duration::ZERO);
         let (mut went, lasts) = (true, play.work.lasts);
         for (at, from, to) in &losses {
@@ -84,7 +84,7 @@
             let tries: Vec<&Sent> = sent.iter().filter(of).collect();
             let first = tries.iter().enumerate().find(|(n, one)| {
                 let window = || tries[*n..].iter().take_while(|other| other.at < one.at + WINDOW);
-                let elsewhere = window().filter(|other| other.location != *at).count();
+                let elsewhere = window().filter(|other| other.zone != *at).count();
                 window().count() >= LEAST && elsewhere as f64 >= ELSEWHERE * window().count() as f64
             });
             match first {
@@ -94,16 +94,16 @@
         }
         let lead = play.work.lead;
         let counted = || sent.iter().filter(|one| one.at >= lead && one.at < lasts);
-        let whole = |location: usize, now: Duration| {
+        let whole = |zone: usize, now: Duration| {
             let warm = |place: &Place| {
                 place.is_there(now)
                     && place.started.is_none_or(|at| at > now || at + place.warm_within <= now)
             };
-            places.iter().filter(|place| place.location == location).all(warm)
+            places.iter().filter(|place| place.zone == zone).all(warm)
         };
-        let abroad = counted().filter(|one| home(one) != one.location).count();
-        let needless = counted().filter(|one| home(one) != one.location && whole(home(one), one.at)).count();
-        let toppled = (0..locations).filter(|at| losses.iter().all(|(lost, ..)| lost != at)).map(|at| {
+        let abroad = counted().filter(|one| home(one) != one.zone).count();
+        let needless = counted().filter(|one| home(one) != one.zone && whole(home(one), one.at)).count();
+        let toppled = (0..zones).filter(|at| losses.iter().all(|(lost, ..)| lost != at)).map(|at| {
             let seconds = lead.as_secs()..lasts.as_secs();
             let second = |n: u64| self.sum(at, Duration::from_secs(n), Duration::from_secs(n + 1));
             seconds.map(second).filter(|(asked, earned)| *asked >= 20.0 && earned * 2.0 < *asked).count()
@@ -121,7 +121,7 @@
     }
 }
 
-/// Share of a location's requests that what is there could serve: its own caches, and of others' what they
+/// Share of a zone's requests that what is there could serve: its own caches, and of others' what they
 /// have over their own clients' work, divided among all that are lost.
 fn seen_by_one_that_sees_all(
     play: &Play,
@@ -131,15 +131,15 @@
     from: Duration,
     to: Duration,
 ) -> f64 {
-    let work = play.work.rate / play.fleet.locations as f64 * play.work.kb / play.fleet.pace;
-    let can = |location: usize, now: Duration| {
-        let there = places.iter().filter(|p| p.location == location && p.is_there(now));
+    let work = play.work.rate / play.fleet.zones as f64 * play.work.kb / play.fleet.pace;
+    let can = |zone: usize, now: Duration| {
+        let there = places.iter().filter(|p| p.zone == zone && p.is_there(now));
         there.map(|p| p.present(now)).sum::<f64>()
     };
     let (mut sum, mut steps, mut now) = (0.0, 0.0, from);
     while now < to {
         let lost = losses.iter().filter(|(_, a, b)| (*a..*b).contains(&now)).count().max(1) as f64;
-        let others = (0..play.fleet.locations).filter(|other| *other != at);
+        let others = (0..play.fleet.zones).filter(|other| *other != at);
         let spare: f64 = others.map(|other| (can(other, now) - work).max(0.0)).sum();
         sum += ((can(at, now) + spare / lost) / work).min(1.0);
         steps += 1.0;
@@ -160,13 +160,13 @@
         play.work.lasts = s(10);
         play.work.lead = s(0);
         play.work.rate = 60.0;
-        play.faults.push(Fault { at: s(2), lasts: s(2), what: What::Lose(Whom::Location(1)) });
-        let place = |location: usize| Place {
-            name: format!("c{location}"),
-            location,
+        play.faults.push(Fault { at: s(2), lasts: s(2), what: What::Lose(Whom::Zone(1)) });
+        let place = |zone: usize| Place {
+            name: format!("c{zone}"),
+            zone,
             capacity: 4.0,
             started: None,
-            there: if location == 1 { vec![(s(0), s(2)), (s(4), s(99))] } else { vec![(s(0), s(99))] },
+            there: if zone == 1 { vec![(s(0), s(2)), (s(4), s(99))] } else { vec![(s(0), s(99))] },
             cold_from: 0.3,
             warm_within: s(2),
         };
@@ -180,8 +180,8 @@
             if away || !(s(2)..s(4)).contains(&at) {
                 kept.earned(1, at, 1.0);
             }
-            let location = if away || n == 900 { 2 } else { 1 };
-            sent.push(Sent { at, server: 0, location, router: 5, key: (1, 0), work: 0.1, hit: true });
+            let zone = if away || n == 900 { 2 } else { 1 };
+            sent.push(Sent { at, server: 0, zone, router: 5, key: (1, 0), work: 0.1, hit: true });
         }
         let found = kept.measure(&play, &sent, &places);
         assert!((found.lost_service - 6.0 / 7.0).abs() < 1e-9, "{found:?}");
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -40,8 +40,8 @@
     Caches(Part),
     Parents(Part),
     Routers(Part),
-    /// All caches of a location.
-    Location(usize),
+    /// All caches of a zone.
+    Zone(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -89,11 +89,11 @@
     Lie(Whom),
     /// This share of the work is for one object; another one each second.
     Hot(f64),
-    /// All work of one location comes to another one.
+    /// All work of one zone comes to another one.
     Shift(usize, usize),
-    /// All caches of a region's locations are gone, as `Lose`.
+    /// All caches of a region's zones are gone, as `Lose`.
     LoseRegion(usize),
-    /// Ways between locations, from and to (none: all): so many times as slow, cut, or losing a share.
+    /// Ways between zones, from and to (none: all): so many times as slow, cut, or losing a share.
     WaysSlow(Option<usize>, Option<usize>, f64),
     WaysCut(Option<usize>, Option<usize>),
     WaysLose(Option<usize>, Option<usize>, f64),
@@ -110,14 +110,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetOf {
     pub routers: usize,
-    pub locations: usize,
+    pub zones: usize,
     pub caches: usize,
     pub parents: usize,
     /// In transfers at a client's pace.
     pub cache_capacity: f64,
     pub parent_capacity: f64,
     pub origin_capacity: f64,
-    /// What fills of one location share, in transfers.
+    /// What fills of one zone share, in transfers.
     pub link: f64,
     /// KB that a cache holds.
     pub memory_kb: f64,
@@ -127,12 +127,12 @@
     pub warm_within: Duration,
     /// Lines of the operators' file that every router is started with.
     pub directives: Vec<(String, String)>,
-    /// Addresses by which a server is reached differ by so many groups of routers; by location, where ways
-    /// between locations take time.
+    /// Addresses by which a server is reached differ by so many groups of routers; by zone, where ways
+    /// between zones take time.
     pub groups: usize,
-    /// Among which the locations lie, in blocks.
+    /// Among which the zones lie, in blocks.
     pub regions: usize,
-    /// What a word takes one way between locations of a region, and of two; nothing: no time at all.
+    /// What a word takes one way between zones of a region, and of two; nothing: no time at all.
     pub near: Duration,
     pub far: Duration,
     /// It takes up to this share more.
@@ -144,14 +144,14 @@
 impl FleetOf {
     /// Groups of routers by address.
     pub fn doors(&self) -> usize {
-        if self.near.is_zero() && self.far.is_zero() { self.groups } else { self.locations }
+        if self.near.is_zero() && self.far.is_zero() { self.groups } else { self.zones }
     }
 
     pub fn group(&self, router: usize) -> usize {
         if self.doors() == self.groups && self.near.is_zero() && self.far.is_zero() {
-            (router / self.locations) % self.groups
+            (router / self.zones) % self.groups
         } else {
-            router % self.locations
+            router % self.zones
         }
     }
 }
@@ -189,11 +189,11 @@
     pub idle: Option<f64>,
     pub herd: Option<f64>,
     pub swing: Option<f64>,
-    /// Of what the locations that were lost asked for, from then until five seconds after their return.
+    /// Of what the zones that were lost asked for, from then until five seconds after their return.
     pub lost_service: Option<f64>,
-    /// From a location's loss until four in five of its requests go elsewhere.
+    /// From a zone's loss until four in five of its requests go elsewhere.
     pub plan: Option<Duration>,
-    /// Share of requests that left their location without need.
+    /// Share of requests that left their zone without need.
     pub needless: Option<f64>,
     /// When the last fault is over, what is measured again begins after this.
     pub after: Option<Duration>,
@@ -213,7 +213,7 @@
         Play {
             fleet: FleetOf {
                 routers: 40,
-                locations: 4,
+                zones: 4,
                 caches: 16,
                 parents: 4,
                 cache_capacity: 4.0,
@@ -271,25 +271,23 @@
     pub fn faults_of_sense(&self) -> Vec<String> {
         let (fleet, mut found) = (&self.fleet, Vec::new());
         let mut wrong = |is: bool, what: String| found.extend(is.then_some(what));
-        wrong(fleet.routers < fleet.locations, format!("{} locations need as many routers", fleet.locations));
-        wrong(fleet.caches < fleet.locations, format!("{} locations need as many caches", fleet.locations));
+        wrong(fleet.routers < fleet.zones, format!("{} zones need as many routers", fleet.zones));
+        wrong(fleet.caches < fleet.zones, format!("{} zones need as many caches", fleet.zones));
         wrong(self.work.lead >= self.work.lasts, "lead: nothing is left to be measured".into());
         for fault in &self.faults {
             wrong(fault.at > self.work.lasts, format!("a fault at {:?} comes after the end", fault.at));
-            let locations: Vec<usize> = match fault.what {
+            let zones: Vec<usize> = match fault.what {
                 What::Shift(from, to) => vec![from, to],
                 What::WaysSlow(a, b, _) | What::WaysCut(a, b) | What::WaysLose(a, b, _) => {
                     let no_time = fleet.near.is_zero() && fleet.far.is_zero();
                     wrong(no_time, "ways break only where near or far is told".into());
                     a.into_iter().chain(b).collect()
                 }
-                What::Slow(Whom::Location(at), _) | What::Lose(Whom::Location(at)) => vec![at],
+                What::Slow(Whom::Zone(at), _) | What::Lose(Whom::Zone(at)) => vec![at],
                 _ => Vec::new(),
             };
-            let beyond = locations.into_iter().filter(|at| *at >= fleet.locations);
-            beyond.for_each(|at| {
-                wrong(true, format!("location {at}: they count from 0 to {}", fleet.locations - 1))
-            });
+            let beyond = zones.into_iter().filter(|at| *at >= fleet.zones);
+            beyond.for_each(|at| wrong(true, format!("zone {at}: they count from 0 to {}", fleet.zones - 1)));
         }
         found
     }
@@ -328,7 +326,7 @@
         .map_err(|_| format!("{word:?} is not a part, such as 1/8, 30% or 3"))
 }
 
-/// `caches 1/8`, `parents 1`, `routers 70%`, `location 2`.
+/// `caches 1/8`, `parents 1`, `routers 70%`, `zone 2`.
 fn whom(place: usize, words: &[&str]) -> Result<Whom, Fails> {
     let [kind, of] = words else {
         return Err((place, "whom? caches, parents or routers PART, or location N".into()));
@@ -338,7 +336,7 @@
         "caches" => Ok(Whom::Caches(of_all?)),
         "parents" => Ok(Whom::Parents(of_all?)),
         "routers" => Ok(Whom::Routers(of_all?)),
-        "location" => Ok(Whom::Location(at(place + 1, values::whole(of, 0, 10_000))? as usize)),
+        "location" => Ok(Whom::Zone(at(place + 1, values::whole(of, 0, 10_000))? as usize)),
         other => Err((place, format!("{other:?} is not caches, parents, routers or location"))),
     }
 }
@@ -438,14 +436,14 @@
             Ok(())
         }),
         one("fleet", "locations", "COUNT", "among which routers and caches are dealt out", |p, w| {
-            p.fleet.locations = whole(w[0], 1, 100)?;
+            p.fleet.zones = whole(w[0], 1, 100)?;
             Ok(())
         }),
-        one("fleet", "caches", "COUNT", "cache servers of all locations", |p, w| {
+        one("fleet", "caches", "COUNT", "cache servers of all zones", |p, w| {
             p.fleet.caches = whole(w[0], 1, 500)?;
             Ok(())
         }),
-        one("fleet", "parents", "COUNT", "parents of all locations", |p, w| {
+        one("fleet", "parents", "COUNT", "parents of all zones", |p, w| {
             p.fleet.parents = whole(w[0], 1, 100)?;
             Ok(())
         }),
@@ -461,7 +459,7 @@
             p.fleet.origin_capacity = number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
-        one("fleet", "link", "NUMBER", "transfers that fills of one location share", |p, w| {
+        one("fleet", "link", "NUMBER", "transfers that fills of one zone share", |p, w| {
             p.fleet.link = number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
@@ -499,11 +497,11 @@
             };
             Ok(())
         }),
-        one("fleet", "regions", "COUNT", "among which the locations lie, in blocks", |p, w| {
+        one("fleet", "regions", "COUNT", "among which the zones lie, in blocks", |p, w| {
             p.fleet.regions = whole(w[0], 1, 100)?;
             Ok(())
         }),
-        one("fleet", "near", "SPAN", "what a word takes one way between locations of a region", |p, w| {
+        one("fleet", "near", "SPAN", "what a word takes one way between zones of a region", |p, w| {
             p.fleet.near = at(0, values::span(w[0]))?;
             Ok(())
         }),
@@ -618,7 +616,7 @@
             p.must.swing = Some(number(w[0], 0.0, 1000.0)?);
             Ok(())
         }),
-        one("must", "lost-service", "SHARE", "of what lost locations asked for, at least", |p, w| {
+        one("must", "lost-service", "SHARE", "of what lost zones asked for, at least", |p, w| {
             p.must.lost_service = Some(at(0, values::share(w[0]))?);
             Ok(())
         }),
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -147,13 +147,13 @@
 /// Load of every cache by second: white is idle, red more than it can do.
 fn heat(shown: &Shown, text: &mut String) -> Drawn {
     let mut rows: Vec<usize> =
-        (0..shown.places.len()).filter(|n| shown.places[*n].location != usize::MAX).collect();
-    rows.sort_by_key(|n| (shown.places[*n].location, *n));
+        (0..shown.places.len()).filter(|n| shown.places[*n].zone != usize::MAX).collect();
+    rows.sort_by_key(|n| (shown.places[*n].zone, *n));
     let seconds = shown.loads.first().map_or(1, Vec::len).max(1);
     let area = SVGBackend::with_string(text, (SIZE.0, 60 + 9 * rows.len() as u32)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("load of each cache, by location (over what it can do)", ("sans-serif", 16))
+        .caption("load of each cache, by zone (over what it can do)", ("sans-serif", 16))
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(48)
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -92,7 +92,7 @@
     pub events: Vec<(Duration, String)>,
     pub retries: u64,
     pub measured_from: Duration,
-    /// What became of the locations' requests.
+    /// What became of the zones' requests.
     pub of_places: Places,
     /// From the first router's start to the end.
     pub lasted: Duration,
@@ -106,7 +106,7 @@
 }
 
 struct Process {
-    location: usize,
+    zone: usize,
     group: usize,
     listen: SocketAddr,
     child: Option<Router>,
@@ -281,7 +281,7 @@
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         let fleet = play.fleet.clone();
         let warmth = Warmth { from: fleet.cold_from, within: fleet.warm_within };
-        let truth = Truth::new(Vec::new(), fleet.locations, fleet.link, fleet.pace, warmth, unix_ms);
+        let truth = Truth::new(Vec::new(), fleet.zones, fleet.link, fleet.pace, warmth, unix_ms);
         let listen =
             |i: usize, port| SocketAddr::from(([127, block, 1 + (i / 250) as u8, 1 + (i % 250) as u8], port));
         let peers: Vec<SocketAddr> = (0..fleet.routers).map(|i| listen(i, 7946)).collect();
@@ -292,7 +292,7 @@
             deaf: vec![false; fleet.routers],
             seed: setup.seed,
             ways: ways.clone().map(Rc::new),
-            locations: fleet.locations,
+            zones: fleet.zones,
             ..Weather::default()
         };
         let arrivals = work::arrivals(&play, setup.seed);
@@ -300,7 +300,7 @@
         let routers = (0..fleet.routers).map(|i| {
             let links = 1 + (shares[i] * fleet.routers as f64).round() as usize;
             Process {
-                location: work::location(i, &play),
+                zone: work::zone(i, &play),
                 group: fleet.group(i),
                 listen: listen(i, 5050),
                 child: None,
@@ -332,7 +332,7 @@
             net,
             ways,
             lately: HashMap::new(),
-            kept: Kept::new(fleet.locations, seconds),
+            kept: Kept::new(fleet.zones, seconds),
             weather: watch::channel(weather).0,
             noted: Vec::new(),
             lists_late: Duration::ZERO,
@@ -363,7 +363,7 @@
             play,
         };
         for n in 0..fleet.caches {
-            world.server(format!("c{n}"), Tier::Cache(n % fleet.locations))?;
+            world.server(format!("c{n}"), Tier::Cache(n % fleet.zones))?;
         }
         (0..fleet.parents).try_for_each(|n| world.server(format!("p{n}"), Tier::Parent).map(drop))?;
         world.server("o0".into(), Tier::Origin)?;
@@ -391,10 +391,10 @@
             .collect::<Result<Vec<Door>, String>>()?;
         self.doors.push(doors);
         self.names.insert(name.clone(), number);
-        let location = if let Tier::Cache(at) = tier { at } else { usize::MAX };
+        let zone = if let Tier::Cache(at) = tier { at } else { usize::MAX };
         self.places.push(Place {
             name,
-            location,
+            zone,
             capacity,
             started: None,
             there: vec![(Duration::ZERO, Duration::MAX)],
@@ -413,9 +413,8 @@
             let object = work::object(self.setup.seed, place);
             let (key, kb) = ((object, 0), work::size(object, self.play.work.kb));
             let copy = Copy { kb, made: unix.saturating_sub(1000) };
-            for location in 0..self.play.fleet.locations {
-                let Some(server) =
-                    even::prefers(&self.places, location, key, Duration::ZERO).first().copied()
+            for zone in 0..self.play.fleet.zones {
+                let Some(server) = even::prefers(&self.places, zone, key, Duration::ZERO).first().copied()
                 else {
                     continue;
                 };
@@ -449,7 +448,7 @@
     fn entry(&self, server: usize, standing: Standing, started: Option<Duration>, group: usize) -> Value {
         let at = &self.truth.servers[server];
         let (site, class) = match at.tier {
-            Tier::Cache(location) => (format!("z{location}"), "cache"),
+            Tier::Cache(zone) => (format!("z{zone}"), "cache"),
             Tier::Parent => ("hub".to_owned(), "parent"),
             Tier::Origin => ("hub".to_owned(), "origin"),
         };
@@ -549,7 +548,7 @@
         (process.board, process.told) = (None, notices.len());
         (process.since, process.gone) = (if process.life > 1 { now } else { Duration::ZERO }, None);
         let mut settings = self.settings.clone();
-        settings["Locality"] = json!(process.location);
+        settings["Locality"] = json!(process.zone);
         settings["MyNumber"] = json!(router);
         let life = u64::from(process.life);
         let seed = self.setup.seed.wrapping_mul(7919) ^ (router as u64) << 8 ^ life;
@@ -706,7 +705,7 @@
 
     /// Where a server stands, among the ways.
     fn place(&self, server: usize) -> usize {
-        if let Tier::Cache(at) = self.truth.servers[server].tier { at } else { self.play.fleet.locations }
+        if let Tier::Cache(at) = self.truth.servers[server].tier { at } else { self.play.fleet.zones }
     }
 
     /// When bytes that leave now come: not before those that left before. A cut holds them.
@@ -725,7 +724,7 @@
         Some(at)
     }
 
-    /// Bytes from a server go over the way to its router's location.
+    /// Bytes from a server go over the way to its router's zone.
     fn over(&mut self, now: Duration, connection: u64, server: usize, group: usize, bytes: Bytes) {
         let from = self.place(server);
         if let Some(at) = self.comes(now, connection, true, from, group) {
@@ -758,7 +757,7 @@
         &mut self.seconds[(at.as_secs() as usize).min(last)]
     }
 
-    /// What comes to a server from another location takes the time of its way.
+    /// What comes to a server from another zone takes the time of its way.
     fn take(&mut self, event: Event) {
         let now = self.now();
         let (connection, server, group) = match &event {
@@ -885,9 +884,9 @@
             return self.failed(want);
         }
         let home = arrival.router;
-        let location = self.routers[home].location;
-        let locations = self.play.fleet.locations;
-        let here = (0..self.routers.len()).filter(|r| r % locations == location && self.routers[*r].up);
+        let zone = self.routers[home].zone;
+        let zones = self.play.fleet.zones;
+        let here = (0..self.routers.len()).filter(|r| r % zones == zone && self.routers[*r].up);
         let chosen = if self.routers[home].up {
             Some(home)
         } else {
@@ -964,8 +963,8 @@
         };
         let _ = self.answers.record(now.saturating_sub(at).as_millis().max(1) as u64);
         self.second(at).earned += earned;
-        let location = self.play.fleet.locations;
-        self.kept.earned(self.wants[want].arrival.router % location, at, earned);
+        let zone = self.play.fleet.zones;
+        self.kept.earned(self.wants[want].arrival.router % zone, at, earned);
     }
 
     /// The client has what it will get: nothing.
@@ -1017,7 +1016,7 @@
                     self.after(next.at, Timer::Arrive(n + 1));
                 }
                 self.second(arrival.at).asked += 1.0;
-                self.kept.asked(arrival.router % self.play.fleet.locations, arrival.at);
+                self.kept.asked(arrival.router % self.play.fleet.zones, arrival.at);
                 let due = arrival.at + self.play.work.patience;
                 self.wants.push(Want { arrival, due, tries: 0, done: false });
                 self.try_it(self.wants.len() - 1);
@@ -1081,10 +1080,10 @@
             Timer::Lie(n) => {
                 let Fault { at, lasts, .. } = self.play.faults[n];
                 for liar in self.struck.get(&n).cloned().unwrap_or_default() {
-                    let location = self.routers[liar].location;
+                    let zone = self.routers[liar].zone;
                     let mates: Vec<usize> =
-                        (0..self.routers.len()).filter(|r| self.routers[*r].location == location).collect();
-                    self.net.lie(liar, location, &mates, &mut self.chance);
+                        (0..self.routers.len()).filter(|r| self.routers[*r].zone == zone).collect();
+                    self.net.lie(liar, zone, &mates, &mut self.chance);
                 }
                 if now < at + lasts {
                     self.after(now + Duration::from_millis(250), Timer::Lie(n));
@@ -1104,7 +1103,7 @@
             Whom::Parents(part) => {
                 (servers.filter(|(_, s)| s.tier == Tier::Parent).map(|(n, _)| n).collect(), part)
             }
-            Whom::Location(at) => (
+            Whom::Zone(at) => (
                 servers.filter(|(_, s)| s.tier == Tier::Cache(at)).map(|(n, _)| n).collect(),
                 Part::Share(1.0),
             ),
@@ -1137,9 +1136,9 @@
             | What::Deaf(whom)
             | What::Lie(whom) => self.whom(whom),
             What::LoseRegion(region) => {
-                let all = 0..self.play.fleet.locations;
+                let all = 0..self.play.fleet.zones;
                 let of: Vec<usize> = all.filter(|at| ways::region(*at, &self.play.fleet) == region).collect();
-                of.into_iter().flat_map(|at| self.whom(Whom::Location(at))).collect()
+                of.into_iter().flat_map(|at| self.whom(Whom::Zone(at))).collect()
             }
             _ => Vec::new(),
         };
@@ -1174,7 +1173,7 @@
             What::Join(count) => {
                 let first = self.spare;
                 let joined: Vec<usize> =
-                    (0..count).filter_map(|k| self.fresh((first + k) % self.play.fleet.locations)).collect();
+                    (0..count).filter_map(|k| self.fresh((first + k) % self.play.fleet.zones)).collect();
                 self.note(Notice::Servers(joined));
             }
             What::Kill(_) => {
@@ -1295,11 +1294,11 @@
         }
     }
 
-    /// A new cache of a location, empty and cold.
-    fn fresh(&mut self, location: usize) -> Option<usize> {
+    /// A new cache of a zone, empty and cold.
+    fn fresh(&mut self, zone: usize) -> Option<usize> {
         let now = self.now();
         self.spare += 1;
-        let number = self.server(format!("s{}", self.spare), Tier::Cache(location)).ok()?;
+        let number = self.server(format!("s{}", self.spare), Tier::Cache(zone)).ok()?;
         self.truth.back(now, number);
         let place = &mut self.places[number];
         (place.started, place.there) = (Some(now), vec![(now, Duration::MAX)]);
@@ -1314,10 +1313,10 @@
         let Some(next) = left.pop() else { return };
         match what {
             What::Replace(_) => {
-                let Tier::Cache(location) = self.truth.servers[next].tier else { return };
+                let Tier::Cache(zone) = self.truth.servers[next].tier else { return };
                 self.truth.servers[next].standing = Standing::Draining;
                 self.there(next, false);
-                let changed = std::iter::once(next).chain(self.fresh(location)).collect();
+                let changed = std::iter::once(next).chain(self.fresh(zone)).collect();
                 self.note(Notice::Servers(changed));
             }
             What::Restart(_) => {
@@ -1396,7 +1395,7 @@
         let herds = self
             .joined
             .iter()
-            .filter_map(|(at, server)| even::herd(sent, &self.places, self.places[*server].location, *at));
+            .filter_map(|(at, server)| even::herd(sent, &self.places, self.places[*server].zone, *at));
         let herds: Vec<f64> = herds.collect();
         let herd = if herds.is_empty() { 1.0 } else { herds.iter().sum::<f64>() / herds.len() as f64 };
         let mut loads = vec![vec![0.0; lasts.as_secs() as usize]; self.places.len()];
@@ -1454,15 +1453,14 @@
             "AimStretch": 0,
             "HardLimit": ms(work.patience), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
     };
-    let zones =
-        (0..fleet.locations).map(|n| format!("z{n}")).chain(["hub".to_owned()]).collect::<Vec<String>>();
-    let here = |at: usize| (0..fleet.routers).filter(|r| r % fleet.locations == at).count();
-    let crews: Vec<usize> = (0..fleet.locations).map(here).chain([0]).collect();
+    let zones = (0..fleet.zones).map(|n| format!("z{n}")).chain(["hub".to_owned()]).collect::<Vec<String>>();
+    let here = |at: usize| (0..fleet.routers).filter(|r| r % fleet.zones == at).count();
+    let crews: Vec<usize> = (0..fleet.zones).map(here).chain([0]).collect();
     json!({
         "Classes": [class("page", "pure", 1.0), class("confirm", "side_effect", 1.0)],
         "FamilyInfo": {"ClassFresh": [ms(work.fresh), 0], "ClassWrite": [false, true],
             "ClientKbPerS": fleet.pace,
-            "CrewByZone": crews, "HomeHub": vec![0; fleet.locations + 1], "ObeyAfter": 500,
+            "CrewByZone": crews, "HomeHub": vec![0; fleet.zones + 1], "ObeyAfter": 500,
             "PassThroughOk": fleet.pass_through,
             "ParentFloor": fleet.cold_from, "ParentRamp": ms(fleet.warm_within), "ParentFallMultiple": 2,
             "PurgeDone": 6000, "Says": "all", "ShieldKind": 1, "SourceKind": 2},
--- a/crates/fleet/src/truth.rs
+++ b/crates/fleet/src/truth.rs
@@ -1,8 +1,8 @@
-//! The servers as they truly are: caches by location, parents, the origin. No I/O: attempts come in,
+//! The servers as they truly are: caches by zone, parents, the origin. No I/O: attempts come in,
 //! answers come out, time is handed in. What it models, and how plainly:
 //!
 //! - a transfer runs at a client's pace at most; a server's transfers share its capacity ([`Station`]);
-//! - a fill has its transfer at the parent, then one of half the work on its location's link, then half a
+//! - a fill has its transfer at the parent, then one of half the work on its zone's link, then half a
 //!   transfer at the cache; a parent that lacks the object has it from the origin before, after
 //!   [`ORIGIN_WAIT`];
 //! - copies are held by rank and bytes ([`Copies`]); parents know no ranks;
@@ -193,7 +193,7 @@
 pub struct Sent {
     pub at: Duration,
     pub server: usize,
-    pub location: usize,
+    pub zone: usize,
     pub router: usize,
     pub key: Key,
     /// Seconds at a client's pace.
@@ -225,7 +225,7 @@
 impl Truth {
     pub fn new(
         servers: Vec<Server>,
-        locations: usize,
+        zones: usize,
         link: f64,
         pace: f64,
         warmth: Warmth,
@@ -238,7 +238,7 @@
             sent: Vec::new(),
             pace,
             unix_ms,
-            links: (0..locations).map(|_| Station::new(link)).collect(),
+            links: (0..zones).map(|_| Station::new(link)).collect(),
             flights: HashMap::new(),
             last: 0,
             delays: BinaryHeap::new(),
@@ -359,8 +359,8 @@
                 self.servers[parent].station.add(now, number, full * slow);
             }
             Stage::Link => {
-                if let Tier::Cache(location) = self.servers[server].tier {
-                    self.links[location].add(now, number, full / 2.0);
+                if let Tier::Cache(zone) = self.servers[server].tier {
+                    self.links[zone].add(now, number, full / 2.0);
                 }
             }
             Stage::Last => {
@@ -405,9 +405,9 @@
         let at = &mut self.servers[server];
         let held =
             at.copies.hit(&flight.ask.key, flight.ask.keep).filter(|copy| young(copy, flight.ask.oldest));
-        if let Tier::Cache(location) = tier {
+        if let Tier::Cache(zone) = tier {
             let (router, key) = (flight.ask.router, flight.ask.key);
-            self.sent.push(Sent { at: now, server, location, router, key, work, hit: held.is_some() });
+            self.sent.push(Sent { at: now, server, zone, router, key, work, hit: held.is_some() });
         }
         if let Some(copy) = held {
             (flight.made, flight.tell) = (copy.made, "hit");
--- a/crates/fleet/src/ways.rs
+++ b/crates/fleet/src/ways.rs
@@ -1,9 +1,9 @@
-//! The network between locations as it truly is: what a word takes from one to another, whether it comes at
+//! The network between zones as it truly is: what a word takes from one to another, whether it comes at
 //! all, changing as a play says. Each way by itself, both directions apart. No I/O.
 //!
 //! Bytes on a connection are never lost: a loss costs them [`AGAIN`], as a segment that is sent again, and a
 //! cut holds them until it is over. Datagrams are lost. The parents and the origin stand at a place of their
-//! own, as near to each location as locations of one region are.
+//! own, as near to each zone as zones of one region are.
 
 use crate::play::FleetOf;
 use std::time::Duration;
@@ -22,9 +22,9 @@
     jitter: f64,
 }
 
-/// The region of a location: they lie in blocks.
-pub fn region(location: usize, fleet: &FleetOf) -> usize {
-    location * fleet.regions / fleet.locations
+/// The region of a zone: they lie in blocks.
+pub fn region(zone: usize, fleet: &FleetOf) -> usize {
+    zone * fleet.regions / fleet.zones
 }
 
 impl Ways {
@@ -33,13 +33,13 @@
         if fleet.near.is_zero() && fleet.far.is_zero() {
             return None;
         }
-        // One more than there are locations: the hub.
-        let places = fleet.locations + 1;
+        // One more than there are zones: the hub.
+        let places = fleet.zones + 1;
         let usual = |from: usize, to: usize| {
             if from == to {
                 return fleet.near / 4;
             }
-            let hub = from == fleet.locations || to == fleet.locations;
+            let hub = from == fleet.zones || to == fleet.zones;
             if hub || region(from, fleet) == region(to, fleet) {
                 return fleet.near;
             }
@@ -110,7 +110,7 @@
 
     fn fleet() -> FleetOf {
         let (near, far) = (Duration::from_millis(3), Duration::from_millis(30));
-        FleetOf { locations: 6, regions: 2, near, far, jitter: 0.2, ..Play::default().fleet }
+        FleetOf { zones: 6, regions: 2, near, far, jitter: 0.2, ..Play::default().fleet }
     }
 
     #[test]
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -68,8 +68,8 @@
 }
 
 /// Where a router stands: they are dealt out in turn.
-pub fn location(router: usize, play: &Play) -> usize {
-    router % play.fleet.locations
+pub fn zone(router: usize, play: &Play) -> usize {
+    router % play.fleet.zones
 }
 
 /// All that comes, in order.
@@ -91,7 +91,7 @@
         for fault in play.faults.iter().filter(|f| (f.at..f.at + f.lasts).contains(&at)) {
             match fault.what {
                 What::Hot(share) if lot < share => place = work.objects + at.as_secs() as usize,
-                What::Shift(from, to) if location(router, play) == from => {
+                What::Shift(from, to) if zone(router, play) == from => {
                     router = (router - from + to).min(fleet.routers - 1);
                 }
                 _ => {}
@@ -143,7 +143,7 @@
         let hot: Vec<u64> = (3..6).map(|second| object(3, play.work.objects + second)).collect();
         let share = within.iter().filter(|a| hot.contains(&a.key.0)).count() as f64 / within.len() as f64;
         assert!((0.33..0.47).contains(&share), "{share}");
-        assert!(within.iter().all(|a| location(a.router, &play) != 0));
-        assert!(all.iter().any(|a| a.at > Duration::from_secs(7) && location(a.router, &play) == 0));
+        assert!(within.iter().all(|a| zone(a.router, &play) != 0));
+        assert!(all.iter().any(|a| a.at > Duration::from_secs(7) && zone(a.router, &play) == 0));
     }
 }
--- a/crates/latency/src/lib.rs
+++ b/crates/latency/src/lib.rs
@@ -1,4 +1,4 @@
-//! What each way between locations costs: one model of the whole fleet, measured by few, told to all,
+//! What each way between zones costs: one model of the whole fleet, measured by few, told to all,
 //! forgotten with time. No I/O. `docs/latency.md` has the ways weighed.
 //!
 //! | module | what |
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -1,14 +1,14 @@
 //! Who measures which way and when, what of it is told, and what is believed. No I/O.
 //!
-//! Two legs: from the routers of a location to an edge (a location's caches, or a hub's parents), measured by
+//! Two legs: from the routers of a zone to an edge (a zone's caches, or a hub's parents), measured by
 //! the routers; and from a region's clients to an edge, as fronts have measured it and tell over a control
-//! socket. Each router sketches what it has seen itself and tells its location (kinds [`WAYS`], [`LEGS`]);
-//! what a location believes is told to all in four bytes an edge (kind [`MATRIX`]), three tellers a location,
+//! socket. Each router sketches what it has seen itself and tells its zone (kinds [`WAYS`], [`LEGS`]);
+//! what a zone believes is told to all in four bytes an edge (kind [`MATRIX`]), three tellers a zone,
 //! so that everybody knows the whole matrix and no single one can bend it.
 //!
-//! **Explored within a budget.** A way is measured by the [`MEASURERS`] routers of the location that draw the
+//! **Explored within a budget.** A way is measured by the [`MEASURERS`] routers of the zone that draw the
 //! least number for it by hash, of those that gave a sign of life lately, each at [`EVERY`]: what it costs
-//! does not grow with the location, and nobody has to be told who measures. Who hears nobody measures all.
+//! does not grow with the zone, and nobody has to be told who measures. Who hears nobody measures all.
 //! Drawn anew by time (tried first) a way was now and then measured by none for seconds, and those who had
 //! just ceased told what had been.
 
@@ -32,9 +32,9 @@
     Lane { kind: LEGS, near: true, first: false, keep: 5, lasts: LASTS },
     Lane { kind: MATRIX, near: false, first: false, keep: 3, lasts: LASTS },
 ];
-/// Edges there may be: numbers of locations, then of hubs.
+/// Edges there may be: numbers of zones, then of hubs.
 pub const EDGES_MOST: usize = 64;
-/// Of a location, at one way: so many measure, so often; who gave no sign of life for so long is not one.
+/// Of a zone, at one way: so many measure, so often; who gave no sign of life for so long is not one.
 pub const MEASURERS: usize = 5;
 pub const EVERY: Duration = Duration::from_millis(500);
 pub const MATRIX_EVERY: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
 const CHUNK: usize = 32;
 const CELL: usize = 4;
 
-/// A way of the matrix, as a location believes it.
+/// A way of the matrix, as a zone believes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
     pub p50: Option<Duration>,
@@ -229,7 +229,7 @@
         merge(&all)
     }
 
-    /// What the tellers of a location say of its way to an edge, and how young the youngest word is: the
+    /// What the tellers of a zone say of its way to an edge, and how young the youngest word is: the
     /// middle of them at each figure. And how many they are.
     fn heard(&self, now: Duration, rumours: &Rumours, from: u8, edge: usize) -> Option<(Cell, usize)> {
         let of = |(topic, word): (Topic, &chalkhall_members::rumours::Word)| {
@@ -278,7 +278,7 @@
         self.estimate(now, rumours, LEGS, &self.legs, edge)
     }
 
-    /// What location `from` believes of its way to an edge.
+    /// What zone `from` believes of its way to an edge.
     pub fn matrix(&self, now: Duration, rumours: &Rumours, from: u8, edge: usize) -> Option<Cell> {
         if from != self.place {
             return self.heard(now, rumours, from, edge).map(|(cell, _)| cell);
@@ -314,7 +314,7 @@
         Duration::from_millis(ms)
     }
 
-    /// Routers of some locations with ways between them of known truth, in simulated time.
+    /// Routers of some zones with ways between them of known truth, in simulated time.
     struct World {
         places: usize,
         routers: Vec<(Model, Rumours)>,
@@ -387,7 +387,7 @@
         }
 
         /// Errors of p50 and p90 of every way against the truth, over all its honest routers: means. And how
-        /// far routers of one location lie apart in p50, as the mean deviation from their mean.
+        /// far routers of one zone lie apart in p50, as the mean deviation from their mean.
         fn errors(&self, now: u64) -> (f64, f64, f64) {
             let (mut e50, mut e90, mut spread, mut count, mut ways) = (0.0, 0.0, 0.0, 0.0, 0.0);
             for place in 0..self.places {
@@ -450,17 +450,17 @@
         world.until(6000, 11_000);
         let (e50, e90, spread) = world.errors(11_000);
         assert!(e50 <= 0.10 && e90 <= 0.20 && spread <= 0.05, "{e50} {e90} {spread}");
-        // The matrix, as another location hears of it.
+        // The matrix, as another zone hears of it.
         let (model, rumours) = &world.routers[0];
         for edge in 0..6 {
             let cell = model.matrix(ms(11_000), rumours, 1, edge).expect("told");
             let error = (cell.p50.expect("back").as_secs_f64() * 1e3 / world.truth[1][edge] - 1.0).abs();
-            assert!(error <= 0.25, "{edge}: {error}, of the liar's location");
+            assert!(error <= 0.25, "{edge}: {error}, of the liar's zone");
         }
     }
 
     #[test]
-    fn what_is_measured_costs_the_same_for_two_routers_a_location_and_two_hundred() {
+    fn what_is_measured_costs_the_same_for_two_routers_a_zone_and_two_hundred() {
         let count = |here: usize| {
             let mut all: Vec<_> = (0..here).map(|n| router(n * 6, 6, here * 6, 1)).collect();
             for (_, rumours) in &mut all {
--- a/crates/members/src/codec.rs
+++ b/crates/members/src/codec.rs
@@ -5,7 +5,7 @@
 //! | --- | --- |
 //! | 1 | 0xC1: this format |
 //! | 1 | bit 0: the sender is looking for mates; all others 0 |
-//! | 2 | the sender's location |
+//! | 2 | the sender's zone |
 //! | 5 each | findings, to the end: 4 bytes of a part's key (31 bits), 1 of the mark of its cache |
 //!
 //! Numbers have their high byte first. A cache's mark is a byte of its name's hash; 0 is none's.
@@ -16,7 +16,7 @@
 //! | --- | --- |
 //! | 1 | 0xC2: this format |
 //! | 1 | 0 |
-//! | 2 | the sender's location |
+//! | 2 | the sender's zone |
 //! | 4 each | loads, to the end: 1 byte of a cache's mark, 2 of work sent in ms, 1 of how many requests |
 
 use xxhash_rust::xxh3::xxh3_64;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Datagram {
     pub looking: bool,
-    pub location: u16,
+    pub zone: u16,
     pub findings: Vec<Finding>,
 }
 
@@ -83,10 +83,10 @@
 }
 
 /// The datagram of these loads; those past what fits are left out.
-pub fn encode_loads(location: u16, loads: &[Load]) -> Vec<u8> {
+pub fn encode_loads(zone: u16, loads: &[Load]) -> Vec<u8> {
     let loads = &loads[..loads.len().min((MOST_BYTES - HEAD) / LOAD)];
     let mut bytes = vec![LOADS, 0];
-    bytes.extend(location.to_be_bytes());
+    bytes.extend(zone.to_be_bytes());
     for Load { cache, work_ms, count } in loads {
         bytes.push(*cache);
         bytes.extend(work_ms.to_be_bytes());
@@ -95,7 +95,7 @@
     bytes
 }
 
-/// The location and the loads of a datagram; none where it is not one of loads.
+/// The zone and the loads of a datagram; none where it is not one of loads.
 ///
 /// # Errors
 /// Says what is wrong; of such a datagram nothing counts.
@@ -126,7 +126,7 @@
         let findings = &self.findings[..self.findings.len().min(FINDINGS_MOST)];
         let mut bytes = Vec::with_capacity(HEAD + findings.len() * FINDING);
         bytes.extend([FORMAT, if self.looking { LOOKING } else { 0 }]);
-        bytes.extend(self.location.to_be_bytes());
+        bytes.extend(self.zone.to_be_bytes());
         for finding in findings {
             bytes.extend(finding.part.to_be_bytes());
             bytes.push(finding.cache);
@@ -149,7 +149,7 @@
         if findings.iter().any(|f| f.part >> KEY_BITS != 0 || f.cache == 0) {
             return Err(Fault::Value);
         }
-        Ok(Datagram { looking: marks & LOOKING != 0, location: u16::from_be_bytes([*high, *low]), findings })
+        Ok(Datagram { looking: marks & LOOKING != 0, zone: u16::from_be_bytes([*high, *low]), findings })
     }
 }
 
@@ -161,7 +161,7 @@
     fn datagrams() -> impl Strategy<Value = Datagram> {
         let finding = (0u32..1 << KEY_BITS, 1u8..).prop_map(|(part, cache)| Finding { part, cache });
         let all = (any::<bool>(), any::<u16>(), prop::collection::vec(finding, 0..70));
-        all.prop_map(|(looking, location, findings)| Datagram { looking, location, findings })
+        all.prop_map(|(looking, zone, findings)| Datagram { looking, zone, findings })
     }
 
     proptest! {
@@ -170,7 +170,7 @@
             let bytes = told.encode();
             prop_assert!(bytes.len() <= MOST_BYTES);
             let back = Datagram::decode(&bytes).expect("own bytes");
-            prop_assert_eq!((back.looking, back.location), (told.looking, told.location));
+            prop_assert_eq!((back.looking, back.zone), (told.looking, told.zone));
             prop_assert_eq!(&back.findings[..], &told.findings[..told.findings.len().min(FINDINGS_MOST)]);
         }
 
@@ -188,18 +188,18 @@
 
         #[test]
         fn loads_come_back_and_any_bytes_are_read_whole_or_refused(
-            told in prop::collection::vec((1u8.., any::<u16>(), any::<u8>()), 0..80), location: u16,
+            told in prop::collection::vec((1u8.., any::<u16>(), any::<u8>()), 0..80), zone: u16,
             bytes in prop::collection::vec(any::<u8>(), 0..270),
         ) {
             let load = |(cache, work_ms, count)| Load { cache, work_ms, count };
             let told: Vec<Load> = told.into_iter().map(load).collect();
-            let sent = encode_loads(location, &told);
+            let sent = encode_loads(zone, &told);
             prop_assert!(sent.len() <= MOST_BYTES);
             let back = decode_loads(&sent).expect("loads").expect("own bytes");
-            prop_assert_eq!(back, (location, told[..told.len().min(63)].to_vec()));
+            prop_assert_eq!(back, (zone, told[..told.len().min(63)].to_vec()));
             prop_assert!(Datagram::decode(&sent).is_err(), "who does not know them takes nothing from them");
-            if let Some(Ok((location, loads))) = decode_loads(&bytes) {
-                prop_assert_eq!(encode_loads(location, &loads), bytes);
+            if let Some(Ok((zone, loads))) = decode_loads(&bytes) {
+                prop_assert_eq!(encode_loads(zone, &loads), bytes);
             }
         }
 
--- a/crates/members/src/lean.rs
+++ b/crates/members/src/lean.rs
@@ -1,4 +1,4 @@
-//! How much more or less than its capacity each cache of the location is to draw from the hash, so that load
+//! How much more or less than its capacity each cache of the zone is to draw from the hash, so that load
 //! lies even. The hash shares out objects, not work: what is wanted most lies where it falls, and one cache
 //! of four has a third more than the others for good. One router of twenty sees too little to tell that from
 //! chance; together they see it.
@@ -51,7 +51,7 @@
 }
 
 impl Lean {
-    /// The caches to be evened out, anew, with their capacities: those of the location that are there and
+    /// The caches to be evened out, anew, with their capacities: those of the zone that are there and
     /// warm.
     pub fn caches(&mut self, caches: impl Iterator<Item = (Id, f64)>) {
         let mut before = std::mem::take(&mut self.caches);
@@ -110,7 +110,7 @@
         told
     }
 
-    /// What a mate sent in its last period. No more of it counts than the location could have done in ten.
+    /// What a mate sent in its last period. No more of it counts than the zone could have done in ten.
     pub fn heard(&mut self, loads: &[Load], period: f64) {
         let capacity: f64 = self.caches.values().flatten().map(|cache| cache.capacity).sum();
         let most = 10.0 * period * capacity;
@@ -161,7 +161,7 @@
         (0..count).min_by(|a, b| draw(*a).total_cmp(&draw(*b))).expect("caches")
     }
 
-    /// Routers that share a location and its work, all popular objects included; datagrams may be lost. The
+    /// Routers that share a zone and its work, all popular objects included; datagrams may be lost. The
     /// busiest cache over the mean in the last ten seconds, with the weights at work and without.
     fn peaks(routers: usize, loses: f64, seed: u64, liar: bool) -> (f64, f64, Vec<f64>) {
         let mut chance = fastrand::Rng::with_seed(seed);
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the routers of one location tell one another in small datagrams, and how far it is believed: which
+//! What the routers of one zone tell one another in small datagrams, and how far it is believed: which
 //! cache has which part of an object, as one of them has found or ordered.
 //!
 //! All of it is hints. Nothing here sends, rejects or answers a request; what a mate tells only goes where
--- a/crates/members/src/rumours.rs
+++ b/crates/members/src/rumours.rs
@@ -1,4 +1,4 @@
-//! Words that all routers are to hear, or all of a location, in bytes that do not grow with the fleet: an
+//! Words that all routers are to hear, or all of a zone, in bytes that do not grow with the fleet: an
 //! epidemic (Demers and others, "Epidemic algorithms for replicated database maintenance", 1987). No I/O.
 //!
 //! A word has a topic (its kind, a part of it, its teller) and a version; of two of one topic the newer
@@ -7,7 +7,7 @@
 //! to while it holds it, so no clocks are compared; past the span of its lane it is as if it had never been
 //! told. A datagram's own time on the way is not in the age.
 //!
-//! Each period a router sends two datagrams to mates of its location and one to any router of the fleet, with
+//! Each period a router sends two datagrams to mates of its zone and one to any router of the fleet, with
 //! what it has told least; a word is told on so many times as spreads it to all (log2 of the fleet, and a few
 //! for loss) and no more. A word in a hurry is told on at once, within a bound a second. Of a part told from
 //! one place only the freshest few tellers are kept: enough to outvote one that lies, and no table grows with
@@ -25,7 +25,7 @@
 
 /// Between two rounds of telling.
 pub const PERIOD: Duration = Duration::from_millis(250);
-/// Mates of the location that are told something in each; beside them one of all routers.
+/// Mates of the zone that are told something in each; beside them one of all routers.
 const MATES_TOLD: usize = 2;
 /// Words in a hurry go in rounds so soon after one another, to so many mates and to as many of all routers;
 /// and so many times a second at most.
@@ -81,7 +81,7 @@
 /// A word as it is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// The location of its teller.
+    /// The zone of its teller.
     pub place: u8,
     pub version: Version,
     pub body: Vec<u8>,
@@ -190,7 +190,7 @@
     pub old: u64,
 }
 
-/// Rounds that are still to be told at once, from when, and whether anything of them is for other locations
+/// Rounds that are still to be told at once, from when, and whether anything of them is for other zones
 /// too.
 #[derive(Clone, Copy, Debug)]
 struct Hurry {
--- a/crates/members/src/talk.rs
+++ b/crates/members/src/talk.rs
@@ -1,8 +1,8 @@
-//! Who there is at this location, what is said to whom and when, and what is believed. No I/O: calls in,
+//! Who there is at this zone, what is said to whom and when, and what is believed. No I/O: calls in,
 //! datagrams out through a [`Mouth`], what is believed through an [`Ear`].
 //!
 //! Mates find one another by a datagram to all routers, which says where its sender stands: every router of
-//! the same location takes it for a mate and tells it what it tells the others. It is said again, after twice
+//! the same zone takes it for a mate and tells it what it tells the others. It is said again, after twice
 //! as long each time, while some were never heard; never again once all were, whoever is silent: a datagram
 //! to all costs as much as a minute of talk. A mate that is silent for [`SILENT`] gets a sign of life now and
 //! then, so that both sides of a split find back without asking all.
@@ -65,8 +65,8 @@
 pub struct About {
     pub number: u64,
     pub routers: usize,
-    pub location: usize,
-    /// How many routers the location has, this one among them.
+    pub zone: usize,
+    /// How many routers the zone has, this one among them.
     pub routers_here: usize,
     pub seed: u64,
 }
@@ -74,7 +74,7 @@
 /// How often what came was dropped, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// From nobody that there is, or from more than the location has.
+    /// From nobody that there is, or from more than the zone has.
     pub strangers: u64,
     /// Of another format, cut or too long, or with values out of bounds.
     pub faulty: u64,
@@ -96,7 +96,7 @@
     about: About,
     /// By mark; none where two caches have the same: of those nothing is told or believed.
     caches: BTreeMap<u8, Option<Id>>,
-    /// When each router of the location was last heard; no more than there are.
+    /// When each router of the zone was last heard; no more than there are.
     mates: BTreeMap<u64, Mate>,
     queue: VecDeque<Finding>,
     next: Duration,
@@ -111,7 +111,7 @@
 impl Talk {
     /// None where there is nobody to talk to.
     pub fn start(now: Duration, about: About) -> Option<Talk> {
-        let alone = about.routers_here <= 1 || about.routers <= 1 || about.location > usize::from(u16::MAX);
+        let alone = about.routers_here <= 1 || about.routers <= 1 || about.zone > usize::from(u16::MAX);
         // Routers that start together do not all speak in the same instant.
         let lag = PERIOD.mul_f64(fastrand::Rng::with_seed(about.seed).f64());
         (!alone).then(|| Talk {
@@ -128,7 +128,7 @@
         })
     }
 
-    /// From now on the location's load is evened out with the mates.
+    /// From now on the zone's load is evened out with the mates.
     pub fn even_load(&mut self) {
         self.lean = Some(Lean::default());
     }
@@ -156,13 +156,13 @@
         else {
             return;
         };
-        let bytes = encode_loads(self.about.location as u16, &loads);
+        let bytes = encode_loads(self.about.zone as u16, &loads);
         for (number, _) in self.mates.iter().filter(|(_, mate)| now < mate.heard + SILENT) {
             mouth.say(To::One(*number), &bytes);
         }
     }
 
-    /// The caches of this location, anew.
+    /// The caches of this zone, anew.
     pub fn caches<'a>(&mut self, names: impl Iterator<Item = &'a Id>) {
         self.caches.clear();
         for name in names {
@@ -211,9 +211,9 @@
         // After a pause no periods are made up for.
         self.next = now + PERIOD;
         self.tell_loads(now, mouth, ear);
-        let location = self.about.location as u16;
+        let zone = self.about.zone as u16;
         if now >= self.ask && self.mates.len() + 1 < self.about.routers_here {
-            mouth.say(To::All, &Datagram { looking: true, location, findings: Vec::new() }.encode());
+            mouth.say(To::All, &Datagram { looking: true, zone, findings: Vec::new() }.encode());
             self.ask = now + self.ask_again;
             self.ask_again = (self.ask_again * 2).min(ASK_MOST);
         }
@@ -224,7 +224,7 @@
                 break;
             }
             let findings = self.queue.drain(..self.queue.len().min(FINDINGS_MOST)).collect();
-            let bytes = Datagram { looking: false, location, findings }.encode();
+            let bytes = Datagram { looking: false, zone, findings }.encode();
             // Whoever is away is only shown a sign of life.
             let (short, signs) = (&bytes[..HEAD], alive && n == 0);
             for (number, mate) in &self.mates {
@@ -241,14 +241,14 @@
     /// A datagram has come from the router of this number.
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8], ear: &mut dyn Ear) {
         let there_is = from < self.about.routers as u64 && from != self.about.number;
-        // More than the location has are not mates, whoever they are.
+        // More than the zone has are not mates, whoever they are.
         let full = || self.mates.len() + 1 >= self.about.routers_here && !self.mates.contains_key(&from);
         if let Some(loads) = decode_loads(bytes) {
             match (loads, &mut self.lean) {
                 (Err(_), _) => self.dropped.faulty += 1,
                 // Only of who was heard as a mate: loads make nobody one.
-                (Ok((location, loads)), Some(lean))
-                    if self.mates.contains_key(&from) && usize::from(location) == self.about.location =>
+                (Ok((zone, loads)), Some(lean))
+                    if self.mates.contains_key(&from) && usize::from(zone) == self.about.zone =>
                 {
                     lean.heard(&loads, PERIOD.as_secs_f64());
                 }
@@ -260,7 +260,7 @@
             self.dropped.faulty += 1;
             return;
         };
-        if there_is && usize::from(datagram.location) != self.about.location {
+        if there_is && usize::from(datagram.zone) != self.about.zone {
             return;
         }
         if !there_is || full() {
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Six routers of location 1 and six of location 2, in a net that may lose what it carries.
+    /// Six routers of zone 1 and six of zone 2, in a net that may lose what it carries.
     struct Net {
         talks: Vec<Option<Talk>>,
         heard: Vec<Heard>,
@@ -331,7 +331,7 @@
     }
 
     fn about(number: u64) -> About {
-        About { number, routers: 12, location: 1 + number as usize / 6, routers_here: 6, seed: number }
+        About { number, routers: 12, zone: 1 + number as usize / 6, routers_here: 6, seed: number }
     }
 
     fn talk(now: u64, number: u64) -> Talk {
@@ -388,7 +388,7 @@
         for number in 1..6 {
             assert_eq!(net.heard[number].0, [(77, "c2".into())]);
         }
-        assert!(net.heard[6..].iter().all(|heard| heard.0.is_empty()), "another location");
+        assert!(net.heard[6..].iter().all(|heard| heard.0.is_empty()), "another zone");
     }
 
     #[test]
@@ -434,7 +434,7 @@
     #[test]
     fn strangers_nonsense_and_floods_change_nothing() {
         let (mut talk, mut ear) = (talk(0, 0), Heard::default());
-        let sound = Datagram { location: 1, ..Datagram::default() }.encode();
+        let sound = Datagram { zone: 1, ..Datagram::default() }.encode();
         for from in [0, 12, u64::MAX] {
             talk.heard(ms(1), from, &sound, &mut ear);
         }
@@ -458,7 +458,7 @@
     fn a_mate_that_floods_is_believed_as_far_as_one_may_tell() {
         let (mut talk, mut ear) = (talk(0, 0), Heard::default());
         let findings: Vec<_> = (0..50).map(|part| Finding { part, cache: mark("c1") }).collect();
-        let told = Datagram { location: 1, findings, ..Datagram::default() }.encode();
+        let told = Datagram { zone: 1, findings, ..Datagram::default() }.encode();
         (0..1000).for_each(|_| talk.heard(ms(100), 1, &told, &mut ear));
         assert_eq!((ear.0.len(), talk.dropped.flood), (BELIEVED_MOST, 50_000 - BELIEVED_MOST as u64));
         // Another mate is not made to pay for it, and it is heard again later.
@@ -478,7 +478,7 @@
         talk.found(1, twin);
         assert!(talk.queue.is_empty());
         let findings = vec![Finding { part: 3, cache: mark(twin) }];
-        talk.heard(ms(1), 1, &Datagram { location: 1, findings, ..Datagram::default() }.encode(), &mut ear);
+        talk.heard(ms(1), 1, &Datagram { zone: 1, findings, ..Datagram::default() }.encode(), &mut ear);
         assert!(ear.0.is_empty());
     }
 
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/members/tests/stand_ins/mod.rs
@@ -12,11 +12,11 @@
 use std::num::NonZeroUsize;
 use std::time::Duration;
 
-const LOCATIONS: usize = 40;
+const ZONES: usize = 40;
 const ROUTERS_HERE: usize = 5;
 const CACHES_HERE: usize = 4;
 pub const PARENTS: usize = 10;
-const ROUTERS: usize = LOCATIONS * ROUTERS_HERE;
+const ROUTERS: usize = ZONES * ROUTERS_HERE;
 const END: Duration = Duration::from_secs(16);
 const PARTS: u64 = 16;
 
@@ -37,7 +37,7 @@
     pub killed: bool,
     /// One request in seven is for the latest part of one film, four of which come a second.
     pub hot: bool,
-    /// Every cache that is the first of its location takes four times as long, and says nothing of it.
+    /// Every cache that is the first of its zone takes four times as long, and says nothing of it.
     pub slow: bool,
 }
 
@@ -170,8 +170,8 @@
         number: number as u64,
         seed,
         routers: ROUTERS,
-        location: number / ROUTERS_HERE,
-        routers_at: vec![ROUTERS_HERE; LOCATIONS],
+        zone: number / ROUTERS_HERE,
+        routers_at: vec![ROUTERS_HERE; ZONES],
         classes: vec![page],
         tick: ms(1),
         client_kb_per_s: 5000.0,
@@ -192,17 +192,17 @@
     fn new(day: Day) -> World {
         let mut list = Vec::new();
         let mut servers = BTreeMap::new();
-        let mut add = |name: String, tier: Tier, location: usize, capacity: f64, holds: usize, pace: f64| {
+        let mut add = |name: String, tier: Tier, zone: usize, capacity: f64, holds: usize, pace: f64| {
             let server: Id = name.as_str().into();
-            let member = Member { server: server.clone(), tier, location, capacity, ..Member::default() };
+            let member = Member { server: server.clone(), tier, zone, capacity, ..Member::default() };
             list.push(member);
             let held = LruCache::new(NonZeroUsize::new(holds).expect("some"));
             servers.insert(server, Served { capacity, pace, busy: 0, held });
         };
-        for location in 0..LOCATIONS {
+        for zone in 0..ZONES {
             for n in 0..CACHES_HERE {
                 let pace = if day.slow && n == 0 { 4.0 } else { 1.0 };
-                add(format!("cache-{location}-{n}"), Tier::Cache, location, 4.0, 80, pace);
+                add(format!("cache-{zone}-{n}"), Tier::Cache, zone, 4.0, 80, pace);
             }
         }
         (0..PARENTS).for_each(|n| add(format!("parent-{n}"), Tier::Parent, 999, 34.0, 20_000, 1.0));
@@ -244,8 +244,8 @@
         let mut orders = Orders::default();
         let mut router = Router::start(self.now, &about, &mut orders);
         router.list(self.now, ListKind::Whole, &self.list, &mut orders);
-        let (routers, location, number_of) = (ROUTERS, about.location, number as u64);
-        let stands = About { number: number_of, routers, location, routers_here: ROUTERS_HERE, seed };
+        let (routers, zone, number_of) = (ROUTERS, about.zone, number as u64);
+        let stands = About { number: number_of, routers, zone, routers_here: ROUTERS_HERE, seed };
         let mut talk = self.day.talk.then(|| Talk::start(self.now, stands)).flatten();
         talk.iter_mut().for_each(|talk| talk.caches(router.caches().map(|m| &m.server)));
         let wait = talk.as_ref().map_or(END, |talk| talk.next().saturating_sub(self.now));
@@ -342,7 +342,7 @@
         if self.nodes[number].router.is_none() {
             return;
         }
-        // Popularity falls with the place; a third of the objects is wanted at one location only.
+        // Popularity falls with the place; a third of the objects is wanted at one zone only.
         let place = (300f64.powf(self.chance.f64()) - 1.0) as u64;
         let local = if place.is_multiple_of(3) { 1 + number as u64 / ROUTERS_HERE as u64 } else { 0 };
         let hot = self.day.hot && self.chance.u64(0..7) == 0;
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -1,18 +1,18 @@
-//! The plan of a location, and where a request goes by it.
+//! The plan of a zone, and where a request goes by it.
 //!
-//! **Who decides.** The router with the least number of those of the location that gave a sign of life lately
+//! **Who decides.** The router with the least number of those of the zone that gave a sign of life lately
 //! speaks for it: it works out who takes what and tells the plan under a number that only grows. All others
 //! act on the plan with the greatest number that is younger than [`PLAN_LASTS`]; where there is none, all
 //! stays at home, as ever. A speaker that dies is followed by the next, which goes on from the plan that it
 //! acted on. In a split each half has its own speaker and decides for what it reaches: no safety hangs on
 //! there being one, since a plan only says among whom to draw, for requests that may run anywhere.
 //!
-//! **When.** The location's caches are held for bad by pooled outcomes ([`Health`]), or the operator drains
-//! it, or they are cold and take less than is asked for. Where more than half of the locations that are
+//! **When.** The zone's caches are held for bad by pooled outcomes ([`Health`]), or the operator drains
+//! it, or they are cold and take less than is asked for. Where more than half of the zones that are
 //! heard of are bad at once, it is no place's fault: nobody goes anywhere.
 //!
-//! **Where to.** What another location has room for is its capacity, warm caches only, at [`FULL`], less
-//! what its own clients ask for, less when it is strained; shared among all locations that are bad just now,
+//! **Where to.** What another zone has room for is its capacity, warm caches only, at [`FULL`], less
+//! what its own clients ask for, less when it is strained; shared among all zones that are bad just now,
 //! so that together they do not topple it. In the order of the ways from here, by rate-limited steps
 //! (`chalkhall_latency::steer`).
 //!
@@ -28,7 +28,7 @@
 use std::time::Duration;
 
 const LASTS: Duration = Duration::from_millis(2500);
-/// Tellers of a location that are kept elsewhere: one may lie.
+/// Tellers of a zone that are kept elsewhere: one may lie.
 const HOME_TELLERS: usize = 3;
 pub const PLAN_LASTS: Duration = Duration::from_millis(2000);
 /// All kinds that a router's rumours carry here, those of the latency model among them.
@@ -47,7 +47,7 @@
 /// Own words are told so often, and at once when the place turns bad or good.
 const TELL_EVERY: Duration = Duration::from_millis(500);
 const TURN_EVERY: Duration = Duration::from_millis(250);
-/// Share of its capacity up to which a location takes others' requests.
+/// Share of its capacity up to which a zone takes others' requests.
 const FULL: f64 = 0.85;
 /// A plan in which no share moves by more than this is the same.
 const MOVED: f64 = 0.01;
@@ -56,10 +56,10 @@
 /// Share of requests that try a bad home: where words come back from it again, and where nobody has asked.
 const TRIAL: f64 = 1.0 / 8.0;
 const TRIAL_BLIND: f64 = 1.0 / 32.0;
-/// Of its capacity a location's room grows by so much in a second at most; it shrinks at once. What comes
+/// Of its capacity a zone's room grows by so much in a second at most; it shrinks at once. What comes
 /// anew shows in its strain only a second later, and parts that go to and fro are fetched each time.
 const ROOM_GROWS: f64 = 0.15;
-/// Over this share of requests not served in time a location has no room at all.
+/// Over this share of requests not served in time a zone has no room at all.
 const STRAIN_MOST: f64 = 0.10;
 /// What a router asks for is averaged over this.
 const DEMAND_OVER: Duration = Duration::from_secs(2);
@@ -74,11 +74,11 @@
     pub places: usize,
     pub incarnation: u32,
     pub seed: u64,
-    /// Requests may go to other locations' caches. Otherwise all is only told and shown.
+    /// Requests may go to other zones' caches. Otherwise all is only told and shown.
     pub abroad: bool,
 }
 
-/// What the list tells of a location's caches together.
+/// What the list tells of a zone's caches together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Place {
     /// Active caches' capacity, in transfers; and of that what their warmth leaves.
@@ -108,7 +108,7 @@
     pub plan: Option<(Plan, u16)>,
     pub demand: f64,
     pub mates: usize,
-    /// By location: bad, drained, demand, room for this one.
+    /// By zone: bad, drained, demand, room for this one.
     pub places: Vec<(bool, bool, f64, f64)>,
 }
 
@@ -116,9 +116,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Edge {
     pub edge: usize,
-    /// Of this location's requests, by the plan in force.
+    /// Of this zone's requests, by the plan in force.
     pub share: f64,
-    /// In transfers, for this location.
+    /// In transfers, for this zone.
     pub room: f64,
     pub bad: bool,
     pub way: Option<Estimate>,
@@ -200,18 +200,18 @@
         &self.rumours
     }
 
-    /// The list tells of caches anew, by location. More locations than there are are not known.
+    /// The list tells of caches anew, by zone. More zones than there are are not known.
     pub fn list(&mut self, places: &[Place]) {
         self.places.iter_mut().zip(places).for_each(|(known, told)| *known = *told);
     }
 
-    /// The operator empties these locations, or takes them into use again.
+    /// The operator empties these zones, or takes them into use again.
     pub fn drain(&mut self, places: &[usize]) {
         self.drained.iter_mut().enumerate().for_each(|(place, drained)| *drained = places.contains(&place));
         self.urgent = true;
     }
 
-    /// An attempt at caches of this location has ended, in a way that says something of them.
+    /// An attempt at caches of this zone has ended, in a way that says something of them.
     pub fn saw(&mut self, now: Duration, good: bool) {
         let before = self.seen.says_bad(now);
         self.seen.saw(now, good, 1.0);
@@ -229,7 +229,7 @@
         self.demand.0 * (-now.saturating_sub(self.demand.1).div_duration_f64(DEMAND_OVER)).exp()
     }
 
-    /// A request of this location's clients has its final answer, in time or not.
+    /// A request of this zone's clients has its final answer, in time or not.
     pub fn answered(&mut self, now: Duration, in_time: bool) {
         self.strain.saw(now, in_time, 1.0);
     }
@@ -261,7 +261,7 @@
         ours
     }
 
-    /// The loads of the location's routers that are heard of, this one's among them.
+    /// The loads of the zone's routers that are heard of, this one's among them.
     fn loads(&self, now: Duration) -> impl Iterator<Item = (u16, Load)> {
         let (good, bad) = self.seen.now(now);
         let own = (self.about.number, Load { demand: self.asks(now), good, bad });
@@ -288,7 +288,7 @@
         }
     }
 
-    /// What a location tells of itself: by most of its tellers, and by the middle of them.
+    /// What a zone tells of itself: by most of its tellers, and by the middle of them.
     pub fn home(&self, now: Duration, place: usize) -> Option<Home> {
         if place == usize::from(self.about.place) {
             return Some(self.own_home(now));
@@ -305,7 +305,7 @@
         Some(Home { bad, drained, demand: middle(|home| home.demand)?, strain: middle(|home| home.strain)? })
     }
 
-    /// What the location asks for: what is heard of, and for each mate that lives but of whose load nothing
+    /// What the zone asks for: what is heard of, and for each mate that lives but of whose load nothing
     /// is known just now as much as the others ask for on average. Too little told would overfill this place.
     fn demand_here(&self, now: Duration) -> f64 {
         let (sum, known) =
@@ -324,19 +324,19 @@
         }
     }
 
-    /// The router that speaks for the location, as far as this one hears.
+    /// The router that speaks for the zone, as far as this one hears.
     pub fn speaker(&self, now: Duration) -> u16 {
         self.loads(now).map(|(number, _)| number).min().unwrap_or(self.about.number)
     }
 
-    /// More than half of the locations heard of are bad.
+    /// More than half of the zones heard of are bad.
     fn all_bad(&self, homes: &[Option<Home>]) -> bool {
         let heard = homes.iter().flatten().count();
         let bad = homes.iter().flatten().filter(|home| home.bad).count();
         bad * 2 > heard
     }
 
-    /// What this location may send to each, itself among them.
+    /// What this zone may send to each, itself among them.
     fn offers(&self, now: Duration, homes: &[Option<Home>]) -> (Vec<Offer>, Vec<f64>) {
         let since = self.reckoned.map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
         let mut rooms = vec![0.0; self.places.len()];
@@ -394,7 +394,7 @@
         self.plan = best;
     }
 
-    /// Tells and is told; decides, where this router speaks for its location.
+    /// Tells and is told; decides, where this router speaks for its zone.
     pub fn tick(&mut self, now: Duration, mouth: &mut dyn Mouth) {
         if self.urgent || now >= self.turned + TURN_EVERY {
             self.turned = now;
@@ -412,7 +412,7 @@
                 let load = Load { demand: self.asks(now), good, bad };
                 self.rumours.say(now, LOAD, 0, load.encode(), urgent);
                 let home = self.own_home(now);
-                // All locations hear at once only of what turns, and of no more tellers than are kept: a word
+                // All zones hear at once only of what turns, and of no more tellers than are kept: a word
                 // in a hurry costs the whole fleet some datagrams each.
                 let now_of = (home.bad, home.drained);
                 let turned = std::mem::replace(&mut self.told_of, now_of) != now_of;
--- a/crates/regions/src/decide/tests.rs
+++ b/crates/regions/src/decide/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// Locations of routers and caches, as a fluid: what a place is sent beyond what it can do is not served.
+/// Zones of routers and caches, as a fluid: what a place is sent beyond what it can do is not served.
 struct World {
     places: usize,
     routers: Vec<Option<Regions>>,
@@ -25,18 +25,18 @@
     /// Down; and since when it is back, from nothing.
     down: Vec<bool>,
     back: Vec<Option<u64>>,
-    /// What each location's clients ask for, in transfers.
+    /// What each zone's clients ask for, in transfers.
     demand: Vec<f64>,
-    /// Datagrams from one location to another are lost.
+    /// Datagrams from one zone to another are lost.
     cut: Vec<Vec<bool>>,
     loses: f64,
     chance: fastrand::Rng,
-    /// Every request goes to the next location when its own is down, whatever that has room for.
+    /// Every request goes to the next zone when its own is down, whatever that has room for.
     naive: bool,
-    /// By location and turn of 50 ms: asked, served, sent abroad, sent abroad while home could have.
+    /// By zone and turn of 50 ms: asked, served, sent abroad, sent abroad while home could have.
     shown: Vec<Vec<[f64; 4]>>,
     toppled: Vec<f64>,
-    /// Routers of one location acting on different plans, in turns of 50 ms on end; and the longest.
+    /// Routers of one zone acting on different plans, in turns of 50 ms on end; and the longest.
     apart: Vec<u64>,
     apart_most: u64,
     /// A broken router sees only failures.
@@ -209,7 +209,7 @@
         (self.down[place], self.back[place]) = (false, Some(now));
     }
 
-    /// Of what was asked for at a location in that time: served, sent abroad, sent abroad without need.
+    /// Of what was asked for at a zone in that time: served, sent abroad, sent abroad without need.
     fn shares(&self, place: usize, from: u64, to: u64) -> [f64; 3] {
         let turns = &self.shown[place][from as usize / 50..to as usize / 50];
         let sum = |k: usize| turns.iter().map(|t| t[k]).sum::<f64>();
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_lost_location_is_taken_over_within_two_seconds_and_goes_home_as_it_warms() {
+fn a_lost_zone_is_taken_over_within_two_seconds_and_goes_home_as_it_warms() {
     for seed in [1, 2, 3] {
         let mut world = World::new(6, 60, 0.5, seed);
         world.until(0, 5000);
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_drained_location_empties_without_a_fault_and_takes_nothing() {
+fn a_drained_zone_empties_without_a_fault_and_takes_nothing() {
     let mut world = World::new(6, 60, 0.5, 9);
     world.until(0, 3000);
     world.routers.iter_mut().flatten().for_each(|r| r.drain(&[2]));
--- a/crates/regions/src/evidence.rs
+++ b/crates/regions/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What the routers of a location see of its caches. One router of twenty sees a few outcomes a second;
+//! What the routers of a zone see of its caches. One router of twenty sees a few outcomes a second;
 //! pooled they tell within a part of a second whether the place is down, and one router that is itself
 //! broken is outvoted by the rest.
 
--- a/crates/regions/src/words.rs
+++ b/crates/regions/src/words.rs
@@ -1,19 +1,19 @@
-//! What is told of a location, in bytes: pure functions, both ways. What makes no sense is no word.
+//! What is told of a zone, in bytes: pure functions, both ways. What makes no sense is no word.
 //!
 //! | kind | to whom | bytes |
 //! | --- | --- | --- |
-//! | [`LOAD`] | its location | demand in 1/100 of a transfer (2), good and bad outcomes in quarters (1, 1) |
+//! | [`LOAD`] | its zone | demand in 1/100 of a transfer (2), good and bad outcomes in quarters (1, 1) |
 //! | [`HOME`] | all | bit 0: bad, bit 1: drained (1), demand in tenths (2), strain in 1/255 (1) |
-//! | [`PLAN`] | its location | number (4), then an edge and its share in 1/255 (2), at most [`TAKERS_MOST`] |
+//! | [`PLAN`] | its zone | number (4), then an edge and its share in 1/255 (2), at most [`TAKERS_MOST`] |
 
 /// Kinds of words; those before are the latency model's.
 pub const LOAD: u8 = 8;
 pub const HOME: u8 = 9;
 pub const PLAN: u8 = 10;
-/// Locations that a plan names.
+/// Zones that a plan names.
 pub const TAKERS_MOST: usize = 16;
 
-/// What one router asks for, and what it saw of the location's caches lately.
+/// What one router asks for, and what it saw of the zone's caches lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Transfers at a client's pace at once.
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a location tells of itself.
+/// What a zone tells of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Home {
     pub bad: bool,
@@ -67,11 +67,11 @@
     }
 }
 
-/// Who takes a location's requests, by a number that only grows.
+/// Who takes a zone's requests, by a number that only grows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub number: u32,
-    /// Locations in order, the preferred first, and their shares: together 1 at most.
+    /// Zones in order, the preferred first, and their shares: together 1 at most.
     pub shares: Vec<(usize, f64)>,
 }
 
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -1,5 +1,5 @@
-//! What is decided in common with the routers of all locations, as the decider uses it: the list as places,
-//! a request's location, what outcomes say of the own caches, words and probes. Nothing is decided here.
+//! What is decided in common with the routers of all zones, as the decider uses it: the list as places,
+//! a request's zone, what outcomes say of the own caches, words and probes. Nothing is decided here.
 
 use crate::peers::Saying;
 use crate::probes::Probe;
@@ -24,9 +24,9 @@
     saying: Saying,
     probes: Option<mpsc::Sender<Probe>>,
     names: Vec<String>,
-    /// By location: the name of its region.
+    /// By zone: the name of its region.
     region_of: Vec<Option<String>>,
-    location: usize,
+    zone: usize,
     number: u64,
     cold: ColdStart,
     pass_through: bool,
@@ -37,16 +37,13 @@
     logged: (u32, bool),
 }
 
-/// Which of the named locations there are.
+/// Which of the named zones there are.
 ///
 /// # Errors
 /// Names one that there is not.
 pub fn places(names: &[String], wished: &[String]) -> Result<Vec<usize>, String> {
     let place = |name: &String| {
-        names
-            .iter()
-            .position(|known| known == name)
-            .ok_or_else(|| format!("regions: {name} is not a location"))
+        names.iter().position(|known| known == name).ok_or_else(|| format!("regions: {name} is not a zone"))
     };
     wished.iter().map(place).collect()
 }
@@ -69,14 +66,14 @@
         }
         let drained = places(names, &wishes.drained)?;
         let mut region_of = vec![None; names.len()];
-        for (region, locations) in &wishes.regions {
-            for place in places(names, locations)? {
+        for (region, zones) in &wishes.regions {
+            for place in places(names, zones)? {
                 region_of[place] = Some(region.clone());
             }
         }
-        let (Ok(number), Ok(place)) = (u16::try_from(deployment.number), u8::try_from(deployment.location))
+        let (Ok(number), Ok(place)) = (u16::try_from(deployment.number), u8::try_from(deployment.zone))
         else {
-            log::warn!("regions: this router's number or location does not fit; it decides alone");
+            log::warn!("regions: this router's number or zone does not fit; it decides alone");
             return Ok(None);
         };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -105,7 +102,7 @@
             probes: wishes.measure.then_some(probes),
             names: names.to_vec(),
             region_of,
-            location: deployment.location,
+            zone: deployment.zone,
             number: deployment.number,
             cold: deployment.cold_cache,
             pass_through: deployment.pass_through,
@@ -130,7 +127,7 @@
     pub fn way(&mut self, now: Duration, edge: usize, way: Option<Duration>) {
         self.regions.model().saw(now, edge, way);
         // From the own caches nothing came back: so silence shows, where requests only grow late.
-        if edge == self.location && way.is_none() {
+        if edge == self.zone && way.is_none() {
             self.regions.saw(now, false);
         }
     }
@@ -140,14 +137,14 @@
         let mut places = vec![Place::default(); self.names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
         for member in router.members().filter(|m| m.tier == Tier::Cache && m.standing == Standing::Active) {
-            let Some(place) = places.get_mut(member.location) else { continue };
+            let Some(place) = places.get_mut(member.zone) else { continue };
             let age = member.started.map(|at| now.saturating_sub(at).as_secs_f64());
             let within = self.cold.warm_within.as_secs_f64().max(1e-9);
             let warmth = age.map_or(1.0, |age| (age / within).min(1.0));
             place.capacity += member.capacity;
             place.present += member.capacity * (self.cold.from + (1.0 - self.cold.from) * warmth);
             place.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
-            caches.entry(member.location).or_default().push(member);
+            caches.entry(member.zone).or_default().push(member);
         }
         self.regions.list(&places);
         self.regions.tick(now, &mut self.saying);
@@ -180,12 +177,12 @@
         self.regions.plan_shares().iter().map(|(edge, share)| (name(*edge), *share)).collect()
     }
 
-    /// A request comes: its location is set. Err: there is no room for it anywhere.
+    /// A request comes: its zone is set. Err: there is no room for it anywhere.
     pub fn request(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
         let work = arrival.kb / self.pace;
         self.regions.asked(now, work);
         let (may, _, value) = self.classes.get(arrival.class).copied().unwrap_or_default();
-        // A cell is of caches of this location: what belongs to one stays.
+        // A cell is of caches of this zone: what belongs to one stays.
         let may = may && arrival.cell.is_none();
         let at = xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
         match self.regions.request(at, may, value / work.max(1e-6)) {
@@ -198,10 +195,10 @@
         Ok(())
     }
 
-    /// An attempt has ended at a server: what that says of the own location's caches.
+    /// An attempt has ended at a server: what that says of the own zone's caches.
     pub fn ended(&mut self, now: Duration, server: Option<&Member>, outcome: Outcome, remark: Remark) {
         use Outcome::{Broken, Error, Full, Missing, Served, Unreachable};
-        let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.location == self.location) else {
+        let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.zone == self.zone) else {
             return;
         };
         if member.standing != Standing::Active {
@@ -228,13 +225,13 @@
         let ([region, edge, ms] | [region, edge, ms, _]) = *words else {
             return wrong("latency observe is written: latency observe REGION EDGE MS [COUNT]".into());
         };
-        let own = self.names.get(self.location).is_some_and(|name| name == region)
-            || self.region_of.get(self.location).and_then(Option::as_deref) == Some(region);
+        let own = self.names.get(self.zone).is_some_and(|name| name == region)
+            || self.region_of.get(self.zone).and_then(Option::as_deref) == Some(region);
         if !own {
-            return wrong(format!("{region} is not this router's region or location"));
+            return wrong(format!("{region} is not this router's region or zone"));
         }
         let Some(edge) = self.names.iter().position(|name| name == edge) else {
-            return wrong(format!("{edge} is not a location"));
+            return wrong(format!("{edge} is not a zone"));
         };
         let ms = ms.parse::<f64>().ok().filter(|ms| (0.0..=60_000.0).contains(ms));
         let count = words
@@ -258,8 +255,8 @@
                 "clients_ms": edge.leg.and_then(|w| ms(w.p50)), "doubt": edge.way.map(|w| w.doubt)})
         });
         let edges: Vec<Value> = edges.collect();
-        let (location, region) = (self.names.get(self.location), self.region_of.get(self.location));
-        json!({"location": location, "region": region, "edges": edges})
+        let (zone, region) = (self.names.get(self.zone), self.region_of.get(self.zone));
+        json!({"location": zone, "region": region, "edges": edges})
     }
 
     /// `regions stat`.
@@ -272,7 +269,7 @@
         let share = |(edge, share): &(usize, f64)| json!([self.names.get(*edge), share]);
         let dropped = self.regions.rumours().dropped();
         json!({
-            "location": self.names.get(self.location), "bad": report.bad, "drained": report.drained,
+            "location": self.names.get(self.zone), "bad": report.bad, "drained": report.drained,
             "flaps": report.flaps, "speaks": report.speaker, "mates": report.mates, "demand": report.demand,
             "plan": report.plan.map(|(plan, teller)| json!({
                 "number": plan.number, "teller": teller,
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -20,7 +20,7 @@
     tenants: Option<Tenants>,
     /// Tenants are the settings' customers, or groups of objects where they name none.
     by_customer: bool,
-    location: usize,
+    zone: usize,
 }
 
 /// A map, and what is on its way within it: from where it is bound to another cell.
@@ -94,7 +94,7 @@
     pub fn new(
         wishes: &Wishes,
         classes: &[String],
-        location: usize,
+        zone: usize,
         by_customer: bool,
         settle: Duration,
         seed: u64,
@@ -107,7 +107,7 @@
         log::info!(cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some(); "cells");
         let moves = moves.into_iter().map(|(what, from, to)| (what, Move::new(from, to, settle))).collect();
         let members = BTreeMap::new();
-        Ok(Some(Confined { map, moves, settle, members, tenants, by_customer, location }))
+        Ok(Some(Confined { map, moves, settle, members, tenants, by_customer, zone }))
     }
 
     /// Takes over another map; a move that both tell goes on from where it stands. None: it is older than the
@@ -155,11 +155,9 @@
         out
     }
 
-    /// Draws the map over the caches of this location; who is in other cells now.
+    /// Draws the map over the caches of this zone; who is in other cells now.
     fn draw(&mut self, now: Duration) -> Vec<Member> {
-        let here = |m: &&Member| {
-            m.tier == Tier::Cache && m.location == self.location && m.standing != Standing::Gone
-        };
+        let here = |m: &&Member| m.tier == Tier::Cache && m.zone == self.zone && m.standing != Standing::Gone;
         let servers = self.members.values().filter(here).map(|m| m.server.clone()).collect();
         self.map.place(&servers);
         let mut moved = Vec::new();
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -92,7 +92,7 @@
     /// Of clients' requests: class, when it came, and whether it was served.
     finals: Vec<(usize, Duration, bool)>,
     own: Option<Own>,
-    /// What is told to the other routers of the location, and how it gets to them.
+    /// What is told to the other routers of the zone, and how it gets to them.
     talk: Option<(Talk, Saying)>,
     /// What a request is being served with.
     brought: Option<(Id, Box<Answer>)>,
@@ -222,7 +222,7 @@
     /// Places of own copies, until they have gone to the decisions with the first list.
     places: Vec<Member>,
     confined: Option<Confined>,
-    /// What is decided in common with the routers of all locations.
+    /// What is decided in common with the routers of all zones.
     abroad: Option<Abroad>,
     warm_within: Duration,
     limits: Limits,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -83,14 +83,13 @@
     // The longest that a request, or what remembers its repeats, lasts.
     let lasts = deployment.classes.iter().map(|class| class.deadline.max(class.window));
     let settle = lasts.max().unwrap_or_default();
-    let (location, by_customer) = (deployment.location, !deployment.customers.is_empty());
+    let (zone, by_customer) = (deployment.zone, !deployment.customers.is_empty());
     let confined =
-        Confined::new(&directives.cells, &told.classes, location, by_customer, settle, deployment.seed)?;
+        Confined::new(&directives.cells, &told.classes, zone, by_customer, settle, deployment.seed)?;
     let talk = told.peers.as_ref().filter(|_| directives.peers.tell).and_then(|_| {
-        let here = deployment.routers_at.get(location).copied().unwrap_or(0);
+        let here = deployment.routers_at.get(zone).copied().unwrap_or(0);
         let (number, routers, seed) = (deployment.number, deployment.routers, deployment.seed);
-        let mut talk =
-            Talk::start(clock.now(), About { number, routers, location, routers_here: here, seed })?;
+        let mut talk = Talk::start(clock.now(), About { number, routers, zone, routers_here: here, seed })?;
         if directives.peers.even_load {
             talk.even_load();
         }
@@ -108,7 +107,7 @@
     let (probes, to_probe) = mpsc::channel(probes::PROBES_MOST);
     let abroad = match socket_of_peers {
         Some(_) => {
-            Abroad::new(clock.now(), &directives.regions, deployment, &told.places.locations, saying, probes)?
+            Abroad::new(clock.now(), &directives.regions, deployment, &told.places.zones, saying, probes)?
         }
         None => None,
     };
@@ -222,7 +221,7 @@
         let _ = self.board.send(Anew { address: anew.board, known }).await;
     }
 
-    /// Of the operator's file the map of cells and the drained locations are taken over; all else needs a
+    /// Of the operator's file the map of cells and the drained zones are taken over; all else needs a
     /// restart.
     async fn directives(&self) {
         let Some(file) = &self.file else { return };
@@ -230,7 +229,7 @@
         if let Some(fault) = faults.first() {
             return log::warn!("the operator's file is not taken over: {fault} ({} faults)", faults.len());
         }
-        match abroad::places(&self.told.places.locations, &directives.regions.drained) {
+        match abroad::places(&self.told.places.zones, &directives.regions.drained) {
             Ok(drained) => drop(self.cells.send(Notice::Drained(drained)).await),
             Err(what) => log::warn!("the operator's file is not taken over: {what}"),
         }
--- a/crates/router/src/notices.rs
+++ b/crates/router/src/notices.rs
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The names by which the board calls locations and kinds, from the settings.
+/// The names by which the board calls zones and kinds, from the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Places {
-    pub locations: Vec<String>,
+    pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub parent: Option<u64>,
     pub origin: Option<u64>,
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 pub enum Notice {
-    /// By SIGHUP: these locations are emptied.
+    /// By SIGHUP: these zones are emptied.
     Drained(Vec<usize>),
     List {
         whole: bool,
@@ -69,7 +69,7 @@
     let dial = text("dial")?;
     let member = Member {
         server: text("host")?.into(),
-        location: place(&places.locations, "site")?,
+        zone: place(&places.zones, "site")?,
         tier: match kind {
             kind if kind == places.parent => Tier::Parent,
             kind if kind == places.origin => Tier::Origin,
@@ -95,8 +95,8 @@
 
     fn places() -> Places {
         let named = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-        let (locations, kinds) = (named(&["west", "east"]), named(&["std", "parent", "origin"]));
-        Places { locations, kinds, parent: Some(1), origin: Some(2) }
+        let (zones, kinds) = (named(&["west", "east"]), named(&["std", "parent", "origin"]));
+        Places { zones, kinds, parent: Some(1), origin: Some(2) }
     }
 
     fn read(text: &str) -> Result<(u64, Option<Notice>), String> {
@@ -111,7 +111,7 @@
         let (number, Some(Notice::List { whole, members })) = read(HOST).unwrap() else { panic!("no list") };
         assert_eq!((number, whole, members.len()), (41, true, 1));
         let (member, dial) = &members[0];
-        assert_eq!((member.location, member.tier, member.standing), (1, Tier::Parent, Standing::Draining));
+        assert_eq!((member.zone, member.tier, member.standing), (1, Tier::Parent, Standing::Draining));
         assert_eq!((member.started, dial.port(), member.capacity), (None, 5050, 4.0));
         let (_, Some(Notice::Purge { object, group, ms })) =
             read(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#).unwrap()
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -113,7 +113,7 @@
         return Err("settings: Classes is empty".into());
     }
     let [parent, origin] = deployment::parent_and_origin(settings);
-    let places = Places { locations: names.zones, kinds: names.kinds, parent, origin };
+    let places = Places { zones: names.zones, kinds: names.kinds, parent, origin };
 
     let known = object(file, "known")?;
     let last_event = deployment::whole(known, "rev").map_err(|e| format!("known: {e}"))?;
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -72,7 +72,7 @@
     assert_eq!(program.ended().0.code(), Some(0));
 }
 
-/// A router of two at its location, and what is told to it of the other.
+/// A router of two at its zone, and what is told to it of the other.
 fn with_a_mate(tell: &str) -> (World, UdpSocket, UdpSocket) {
     let mut world = World::new();
     let socket = || {
@@ -103,7 +103,7 @@
     let (mut world, mate, all) = with_a_mate("on");
     let program = world.start();
     let (looking, router) = heard(&all);
-    assert_eq!(looking, [0xC1, 1, 0, 0], "its format, looking for mates, at location 0");
+    assert_eq!(looking, [0xC1, 1, 0, 0], "its format, looking for mates, at zone 0");
     // Nonsense, and a stranger's word, change nothing: the router goes on, and tells its mate.
     mate.send_to(&[0xC1, 0xFF, 0, 0, 1], router).unwrap();
     all.send_to(&[0xC1, 0, 0, 0], router).unwrap();
@@ -167,7 +167,7 @@
     let program = world.start();
     for (words, what) in [
         ("latency observe z1 z2 5", "not this router's region"),
-        ("latency observe north zz 5", "zz is not a location"),
+        ("latency observe north zz 5", "zz is not a zone"),
         ("latency observe north z2 -5", "MS is from 0"),
         ("latency observe north z2 5 0", "COUNT from 1"),
         ("latency observe north", "is written"),
@@ -202,5 +202,5 @@
     let (mut world, _mate, _all) = with_a_mate("off");
     world.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
     let (status, log) = world.spawn("").ended();
-    assert!(!status.success() && log.contains("atlantis is not a location"), "{log}");
+    assert!(!status.success() && log.contains("atlantis is not a zone"), "{log}");
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -76,7 +76,7 @@
     let started = number(f, "LastStart")?;
     let member = Member {
         server: id(f, "Server")?,
-        location: whole(f, "Area")? as usize,
+        zone: whole(f, "Area")? as usize,
         tier: Tier::Cache,
         cohort: whole(f, "Cohort")?,
         standing: match text(f, "Mode")? {
--- a/src/control.rs
+++ b/src/control.rs
@@ -16,7 +16,7 @@
 const SIGHTINGS_BEFORE_GATE: usize = 64;
 const SCORES_BEFORE_RANKS: usize = 256;
 const RECENT: usize = 1024;
-/// A member holding over this multiple of the others' average bytes, in more than a few of the location's
+/// A member holding over this multiple of the others' average bytes, in more than a few of the zone's
 /// transfers, is passed over.
 const CROWDED: f64 = 2.0;
 const FEW: f64 = 4.0;
@@ -180,7 +180,7 @@
 
 #[derive(Default)]
 pub struct Router {
-    location: usize,
+    zone: usize,
     classes: Vec<Class>,
     margin: Duration,
     kb_per_s: f64,
@@ -200,7 +200,7 @@
     started: Duration,
     servers: BTreeMap<Id, Server>,
     ids: IdList,
-    /// Share of first sightings lately that were hits: of what others of the location asked to keep.
+    /// Share of first sightings lately that were hits: of what others of the zone asked to keep.
     shared: f64,
     chance: fastrand::Rng,
     requests: HashMap<Id, Request>,
@@ -225,12 +225,12 @@
 
 impl Router {
     pub fn start(now: Duration, told: &Deployment, out: &mut dyn Outlet) -> Router {
-        let routers_here = told.routers_at.get(told.location).copied().unwrap_or(told.routers).max(1) as f64;
+        let routers_here = told.routers_at.get(told.zone).copied().unwrap_or(told.routers).max(1) as f64;
         if told.list_on_request {
             out.watch_list();
         }
         Router {
-            location: told.location,
+            zone: told.zone,
             classes: told.classes.clone(),
             margin: told.tick * 2,
             kb_per_s: if told.client_kb_per_s > 0.0 { told.client_kb_per_s } else { f64::INFINITY },
@@ -321,7 +321,7 @@
         self.purges.entry(object.ok_or(group)).and_modify(|latest| *latest = at.max(*latest)).or_insert(at);
     }
 
-    /// Another router of the location has found a part at a cache, or had it keep it: here it is a repeat
+    /// Another router of the zone has found a part at a cache, or had it keep it: here it is a repeat
     /// then, and no likely fill.
     pub fn told(&mut self, now: Duration, part: u32, cache: Id) {
         let count = self.ids.requests;
@@ -338,12 +338,12 @@
         self.servers.get(server).map(|s| &s.member)
     }
 
-    /// The caches of its location that are not gone.
+    /// The caches of its zone that are not gone.
     pub fn caches(&self) -> impl Iterator<Item = &Member> {
-        self.members().filter(|m| m.tier == Tier::Cache && m.location == self.location)
+        self.members().filter(|m| m.tier == Tier::Cache && m.zone == self.zone)
     }
 
-    /// A cache is to draw that much more or less, as its location's routers agree.
+    /// A cache is to draw that much more or less, as its zone's routers agree.
     pub fn lean(&mut self, cache: &Id, by: f64) {
         self.servers.get_mut(cache).into_iter().for_each(|server| server.lean = by);
     }
@@ -506,8 +506,8 @@
         let weight = |s: &Server| s.member.capacity * s.lean.exp();
         let draw = |s: &Server| draw(&s.member.server, &request.arrival.object, part, weight(s));
         let of_cell = |s: &Server| request.arrival.cell.is_none_or(|cell| s.member.cells.contains(&cell));
-        let at = request.arrival.at.unwrap_or(self.location);
-        let here = |s: &Server| s.member.location == at && of_cell(s);
+        let at = request.arrival.at.unwrap_or(self.zone);
+        let here = |s: &Server| s.member.zone == at && of_cell(s);
         let near = |s: &Server| s.member.tier == tier && (tier != Tier::Cache || here(s));
         let members = self.servers.values().filter(|s| near(s) && self.may_take(now, s, request));
         let mut open: Vec<_> = members.map(|s| (draw(s), s)).collect();
@@ -575,8 +575,8 @@
         }
         let Some((cold, sharing)) = self.cold.get(server.member.tier as usize) else { return true };
         let Some(age) = server.member.started.map(|at| now.saturating_sub(at)) else { return true };
-        // What its own location's routers send to a cold cache elsewhere is not known here.
-        let elsewhere = server.member.tier == Tier::Cache && server.member.location != self.location;
+        // What its own zone's routers send to a cold cache elsewhere is not known here.
+        let elsewhere = server.member.tier == Tier::Cache && server.member.zone != self.zone;
         // What an earlier life of this router sent is not known to it.
         let known = now >= self.started + cold.span;
         let warm = (age.as_secs_f64() / cold.warm_within.as_secs_f64()).min(1.0);
@@ -611,7 +611,7 @@
             (Effect::Idempotent, _) => true,
             (Effect::NonIdempotent, _) => false,
             (Effect::Deduplicated, Group::All) => at.is_none() || remembered,
-            (Effect::Deduplicated, Group::Location) => same(|m| m.location as u64),
+            (Effect::Deduplicated, Group::Zone) => same(|m| m.zone as u64),
             (Effect::Deduplicated, Group::Cohort) => same(|m| m.cohort),
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -23,7 +23,7 @@
 pub enum Group {
     #[default]
     All,
-    Location,
+    Zone,
     Cohort,
 }
 
@@ -87,7 +87,7 @@
 pub enum Siblings {
     #[default]
     None,
-    Location,
+    Zone,
     Any,
 }
 
@@ -108,8 +108,8 @@
     /// Where chance starts from.
     pub seed: u64,
     pub routers: usize,
-    pub location: usize,
-    /// By location: how many routers serve it; the hub it is tied to; what its link carries (0: not told).
+    pub zone: usize,
+    /// By zone: how many routers serve it; the hub it is tied to; what its link carries (0: not told).
     pub routers_at: Vec<usize>,
     pub hub_of: Vec<usize>,
     pub link_kb_per_s: Vec<f64>,
@@ -150,7 +150,7 @@
     Gone,
 }
 
-/// What a server is: a cache of a location, a parent of all locations, the origin, or this router's own
+/// What a server is: a cache of a zone, a parent of all zones, the origin, or this router's own
 /// copies in memory or on disk, of which the list never tells: who has such adds them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Tier {
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Member {
     pub server: Id,
-    pub location: usize,
+    pub zone: usize,
     pub tier: Tier,
     pub cohort: u64,
     pub standing: Standing,
@@ -198,7 +198,7 @@
     pub kb: f64,
     /// The cell it belongs to: only caches of that cell are asked for it; none: all are.
     pub cell: Option<u32>,
-    /// The location among whose caches it is drawn; none: the router's own. It keeps it for all its
+    /// The zone among whose caches it is drawn; none: the router's own. It keeps it for all its
     /// attempts.
     pub at: Option<usize>,
     /// The client's own time.
@@ -249,7 +249,7 @@
     pub queued: Option<f64>,
     pub busy: Option<f64>,
     pub hit_share: Option<f64>,
-    /// At a cache: how full its location's link is; at a parent: fetches out.
+    /// At a cache: how full its zone's link is; at a parent: fetches out.
     pub link: Option<f64>,
 }
 
--- a/tests/confined.rs
+++ b/tests/confined.rs
@@ -53,7 +53,7 @@
         number: 0,
         seed,
         routers: 2,
-        location: 1,
+        zone: 1,
         routers_at: vec![0, 2],
         classes: vec![class(Effect::Idempotent, true), class(Effect::NonIdempotent, false)],
         tick: ms(2),
@@ -78,7 +78,7 @@
     let mut router = Router::start(now, &deployment(seed), &mut world);
     let member = |name: &str, tier, standing| Member {
         server: name.into(),
-        location: 1,
+        zone: 1,
         tier,
         capacity: 4.0,
         standing,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -38,7 +38,7 @@
         number,
         seed: number,
         routers: ROUTERS as usize,
-        location: 1,
+        zone: 1,
         routers_at: vec![0, 1],
         classes: vec![Class {
             window: ms(2000),
@@ -65,8 +65,8 @@
 }
 
 fn member(server: &str, tier: Tier, capacity: f64, started: Option<Duration>) -> Member {
-    let location = usize::from(tier == Tier::Cache);
-    Member { server: server.into(), location, tier, capacity, started, ..Member::default() }
+    let zone = usize::from(tier == Tier::Cache);
+    Member { server: server.into(), zone, tier, capacity, started, ..Member::default() }
 }
 
 /// 300 routers, each with a request of 0.2 s three times a second, before two parents of which one has just
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -99,7 +99,7 @@
         number: 0,
         seed: 1,
         routers: 2,
-        location: 1,
+        zone: 1,
         routers_at: vec![0, 1, 1],
         classes: vec![
             class(Effect::Idempotent, None, true),
@@ -129,7 +129,7 @@
     let (name, state) = word.split_once('=').unwrap_or((word, ""));
     Member {
         server: name.into(),
-        location: if name.starts_with('c') { 1 } else { 0 },
+        zone: if name.starts_with('c') { 1 } else { 0 },
         tier: match &name[..1] {
             "c" => Tier::Cache,
             "p" => Tier::Parent,
