--- a/Makefile
+++ b/Makefile
@@ -53,7 +53,7 @@
 	cargo build --release --locked -p chalkhall-cli
 	cargo run --release --locked -p chalkhall-cli --bin proof-regions -- --seed $(SEED)
 
-# Clients that leave at every stage, cold servers before 20 and 30 processes, 30 started at once without a board, ten restarts under
+# Clients that leave at every stage, cold servers before 20 and 30 processes, 30 started at once without discovery, ten restarts under
 # load, large requests under strain. Ends on one line. Any SEED must hold. A short form is part of make test.
 proof-moments:
 	MOMENTS=whole SEED=$(SEED) cargo test --release --locked -p chalkhall-router --test program moments -- --nocapture
--- a/crates/cli/src/torture.rs
+++ b/crates/cli/src/torture.rs
@@ -19,7 +19,7 @@
 const PARTS: u64 = 4;
 const LARGEST: usize = 60_000;
 const MEMORY: u64 = 1 << 20;
-/// The board names every purge of this long before a start: here all.
+/// Discovery names every purge of this long before a start: here all.
 const KNOWN: Duration = Duration::from_secs(100_000);
 
 fn wanted() -> Wanted {
--- a/crates/directives/src/words.rs
+++ b/crates/directives/src/words.rs
@@ -108,7 +108,7 @@
     /// Written bytes are synced after so long, or so many.
     pub sync_after: Duration,
     pub sync_bytes: u64,
-    /// The notice board's first list names every purge of this long before a start. 0: nothing is known of
+    /// Discovery's first list names every purge of this long before a start. 0: nothing is known of
     /// them.
     pub known_purges: Duration,
     /// Copies from before a start that are asked for again in a second; 0: they are dropped.
@@ -329,7 +329,7 @@
             "store",
             "known-purges",
             "SPAN",
-            "the board's first list names all purges of so long",
+            "discovery's first list names all purges of so long",
             |told, words| {
                 told.store.known_purges = at(0, values::span(words[0]))?;
                 Ok(())
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -73,7 +73,7 @@
     Reload(Whom),
     /// The most wanted objects are purged, so many of them.
     Purge(usize),
-    /// The board tells so much later; tells everything twice; breaks its connections.
+    /// Discovery tells so much later; tells everything twice; breaks its connections.
     ListsLate(Duration),
     ListsDoubled,
     ListsCut,
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -36,7 +36,7 @@
 const BACK_WITHIN: Duration = Duration::from_millis(300);
 /// The value of an answer after the soft deadline.
 const LATE_VALUE: f64 = 0.2;
-const BOARD_BEAT: Duration = Duration::from_secs(1);
+const DISCOVERY_BEAT: Duration = Duration::from_secs(1);
 /// What a client asks of the widest router it may ask.
 const OPEN_MOST: usize = 30;
 
@@ -115,7 +115,7 @@
     links: Vec<mpsc::Sender<Request>>,
     open: usize,
     turn: usize,
-    board: Option<mpsc::Sender<Bytes>>,
+    discovery: Option<mpsc::Sender<Bytes>>,
     /// Events told, and when the next is due.
     told: usize,
     life: u32,
@@ -135,7 +135,7 @@
     }
 }
 
-/// An event of the notice board: what changed.
+/// An event of discovery: what changed.
 enum Notice {
     Servers(Vec<usize>),
     Purge(u64, u64),
@@ -308,7 +308,7 @@
                 links: (0..links.min(8)).map(|_| wire::client(listen(i, 5050), i, events.clone())).collect(),
                 open: 0,
                 turn: 0,
-                board: None,
+                discovery: None,
                 told: 0,
                 life: 0,
                 since: Duration::ZERO,
@@ -481,7 +481,7 @@
         }
     }
 
-    /// The board has something new.
+    /// Discovery has something new.
     fn note(&mut self, notice: Notice) {
         let servers = if let Notice::Servers(servers) = &notice { servers.clone() } else { Vec::new() };
         let standings = servers.into_iter().map(|s| {
@@ -499,21 +499,21 @@
                 self.after(at + wait, Timer::Tell(router));
             }
             if self.lists_cut {
-                self.routers[router].board = None;
+                self.routers[router].discovery = None;
             }
         }
     }
 
-    /// Tells a router's board connection what it has not told yet, as far as it is due.
+    /// Tells a router's discovery connection what it has not told yet, as far as it is due.
     fn tell_router(&mut self, router: usize) {
         let (now, group) = (self.now(), self.routers[router].group);
         while self.routers[router].told < self.noted.len() {
-            let Some(board) = self.routers[router].board.clone() else { return };
+            let Some(discovery) = self.routers[router].discovery.clone() else { return };
             let number = self.routers[router].told;
             let line = Bytes::from(format!("{}\n", self.event(number, group)));
             let copies = 1 + usize::from(self.lists_doubled);
-            if (0..copies).any(|_| board.try_send(line.clone()).is_err()) {
-                self.routers[router].board = None;
+            if (0..copies).any(|_| discovery.try_send(line.clone()).is_err()) {
+                self.routers[router].discovery = None;
                 return;
             }
             self.routers[router].told += 1;
@@ -537,15 +537,15 @@
         }
     }
 
-    /// Starts a router's process with all that the board has told up to now.
+    /// Starts a router's process with all that discovery has told up to now.
     fn start(&mut self, router: usize) -> Result<(), String> {
         let (now, group) = (self.now(), self.routers[router].group);
         let notices: Vec<Value> = (0..self.noted.len()).map(|n| self.event(n, group)).collect();
         let (peers, all) = self.net.told();
-        let board = wire::board(&self.at, router, self.events.clone())?;
+        let discovery = wire::discovery(&self.at, router, self.events.clone())?;
         let process = &mut self.routers[router];
         process.life += 1;
-        (process.board, process.told) = (None, notices.len());
+        (process.discovery, process.told) = (None, notices.len());
         (process.since, process.gone) = (if process.life > 1 { now } else { Duration::ZERO }, None);
         let mut settings = self.settings.clone();
         settings["Locality"] = json!(process.zone);
@@ -556,7 +556,7 @@
         let own = SocketAddr::new(listen.ip(), 7946);
         let file = json!({"name": format!("n{router}"), "listen": listen.to_string(),
             "seed": format!("{seed:016x}"),
-            "limits": {"cores": 1, "memory_mb": 64, "sockets": 1024}, "board": board.to_string(),
+            "limits": {"cores": 1, "memory_mb": 64, "sockets": 1024}, "board": discovery.to_string(),
             "peer_listen": own.to_string(), "peers": peers, "peers_all": all,
             "flow_bytes_per_s": 1_000_000, "link_bytes_per_s": 8_000_000,
             "known": {"rev": notices.len(), "notices": notices}, "settings": settings});
@@ -649,7 +649,7 @@
         if !self.arrivals.is_empty() {
             self.after(self.arrivals[0].at, Timer::Arrive(0));
         }
-        self.after(BOARD_BEAT, Timer::Beat);
+        self.after(DISCOVERY_BEAT, Timer::Beat);
         let end = self.play.work.lasts + self.play.work.patience + Duration::from_millis(500);
         let bar = self.bar("playing", end.as_secs() as usize);
         loop {
@@ -812,7 +812,7 @@
             }
             Event::Watching { router, after, out } => {
                 // Told events stay told; what was lost with the last connection is told again.
-                self.routers[router].board = Some(out);
+                self.routers[router].discovery = Some(out);
                 self.routers[router].told = self.routers[router].told.min(after as usize);
                 if self.lists_late.is_zero() {
                     self.tell_router(router);
@@ -1028,7 +1028,7 @@
             Timer::Beat => {
                 let line = Bytes::from(format!("{}\n", self.noted.len()));
                 for process in self.routers.iter().filter(|p| p.told == self.noted.len()) {
-                    process.board.iter().for_each(|board| drop(board.try_send(line.clone())));
+                    process.discovery.iter().for_each(|discovery| drop(discovery.try_send(line.clone())));
                 }
                 for router in &mut self.routers {
                     if router.child.as_mut().is_some_and(|child| child.ended().is_some()) {
@@ -1037,7 +1037,7 @@
                         self.crashed += 1;
                     }
                 }
-                self.after(now + BOARD_BEAT, Timer::Beat);
+                self.after(now + DISCOVERY_BEAT, Timer::Beat);
             }
             Timer::Look(router) => {
                 let listen = self.routers[router].listen;
@@ -1182,7 +1182,7 @@
                         self.starter.kill(child);
                         self.truth.watch.killed(router);
                         self.routers[router].gone = Some((now, true));
-                        self.routers[router].board = None;
+                        self.routers[router].discovery = None;
                         self.after(now + lasts, Timer::Start(router));
                     }
                 }
@@ -1325,7 +1325,7 @@
                     child.terminate();
                     self.routers[next].up = false;
                     self.routers[next].gone = Some((now, false));
-                    self.routers[next].board = None;
+                    self.routers[next].discovery = None;
                     let waits = Duration::from_millis(900);
                     // Its process is waited for by being dropped when the next one starts.
                     self.ending(child);
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' ends of the routers' connections: cache servers, parents and origin, notice boards,
+//! The stand-ins' ends of the routers' connections: cache servers, parents and origin, discovery services,
 //! clients. Each connection is a task that reads whole messages, hands them to the world, and writes what the
 //! world says. Nothing is known here of what is true.
 
@@ -268,11 +268,11 @@
     let _ = events.send(Event::Closed { connection }).await;
 }
 
-/// The notice board of one router.
+/// Discovery of one router.
 ///
 /// # Errors
 /// Of the system, in words.
-pub fn board(at: &str, router: usize, events: Events) -> Result<SocketAddr, String> {
+pub fn discovery(at: &str, router: usize, events: Events) -> Result<SocketAddr, String> {
     let listener = bind(&format!("{at}:0"))?;
     let at = listener.local_addr().map_err(|e| e.to_string())?;
     spawn_local(async move {
@@ -294,7 +294,7 @@
         }
     };
     let Some(after) = watch.strip_prefix("watch ").and_then(|n| n.parse().ok()) else {
-        let _ = events.send(Event::Nonsense { what: format!("to the board: {watch}") }).await;
+        let _ = events.send(Event::Nonsense { what: format!("to discovery: {watch}") }).await;
         return;
     };
     let (out, mut outs) = mpsc::channel::<Bytes>(OUT_MOST);
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -35,8 +35,8 @@
 const OBJECT_MOST: f64 = 240_000.0;
 const OBJECT_MOVES: f64 = 1.0 / 64.0;
 const CONNECTIONS_MOST: usize = 8;
-/// Descriptors beside clients' within their third and servers': clients on their way out, board, listener,
-/// peers, signals, log and the like.
+/// Descriptors beside clients' within their third and servers': clients on their way out, discovery,
+/// listener, peers, signals, log and the like.
 const DESCRIPTORS_BESIDE: usize = 32;
 /// The decider looks up this often at least; where it comes later than that by so much, the program was held
 /// up.
@@ -187,7 +187,7 @@
     }
 
     fn watch_list(&mut self) {
-        // The notice board tells every router unasked.
+        // Discovery tells every router unasked.
     }
 
     fn held(&mut self, request: &Id) -> Option<Held> {
@@ -299,7 +299,7 @@
         }
     }
 
-    /// What the notice board tells goes before all else: after a pause of the whole program, as on a machine
+    /// What discovery tells goes before all else: after a pause of the whole program, as on a machine
     /// that others share, a drain or a purge may wait unread for longer than its grace, behind requests and
     /// timers.
     pub async fn run(mut self, mut mailbox: mpsc::Receiver<Message>, mut notices: mpsc::Receiver<Notice>) {
@@ -330,7 +330,7 @@
             };
             let mut waiting = VecDeque::from([message]);
             if self.desk.clock.now() >= self.desk.now + LOOK_EVERY + PAUSE {
-                // The other tasks have their turns first: the board's, and those of the links, lest answers
+                // The other tasks have their turns first: discovery's, and those of the links, lest answers
                 // that came during the pause pass for silence of their servers. No more can come than is out.
                 for _ in 0..HOPS {
                     yield_now().await;
--- a/crates/router/src/board.rs
+++ b/crates/router/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the notice board: events in order, none twice, none left out.
+//! Follows discovery: events in order, none twice, none left out.
 
 use crate::clock::Clock;
 use crate::notices::{Notice, Places, numbered};
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// The board says its last number each second: after this long without it the connection is dead. What a
-/// silent board holds back counts as told 4 s after it stopped.
+/// Discovery says its last number each second: after this long without it the connection is dead. What a
+/// silent discovery service holds back counts as told 4 s after it stopped.
 const SILENCE: Duration = Duration::from_millis(1800);
 const CONNECT: Duration = Duration::from_millis(500);
 /// Between tries to connect anew; doubled from the first to the second.
@@ -20,7 +20,7 @@
 /// A list of all servers fits well into this.
 const LINE_MOST: u64 = 1 << 20;
 
-pub struct Board {
+pub struct Discovery {
     pub address: SocketAddr,
     pub last: u64,
     /// An event that could not be read: watched for once more, then passed over, lest it hide all after it.
@@ -28,7 +28,7 @@
     pub places: Places,
     pub clock: Clock,
     pub decider: mpsc::Sender<Notice>,
-    /// Spreads the tries of a whole fleet that lost its board in one moment.
+    /// Spreads the tries of a whole fleet that lost its discovery service in one moment.
     pub chance: fastrand::Rng,
     /// The descriptor of the next connection, held from before the first client on: when idle ones have taken
     /// all others, the list would else be followed only after they have gone.
@@ -40,20 +40,20 @@
     if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
 }
 
-/// What a configuration read anew says of the board.
+/// What a configuration read anew says of discovery.
 pub struct Anew {
     pub address: SocketAddr,
     pub known: Vec<(u64, Option<Notice>)>,
 }
 
-impl Board {
+impl Discovery {
     pub async fn run(mut self, mut anew: mpsc::Receiver<Anew>) {
         let (mut pause, mut said) = (PAUSE, String::new());
         while !self.decider.is_closed() {
             let before = self.last;
             let what = tokio::select! {
                 biased;
-                // Whatever the old board is at: it tells nothing more, perhaps without saying so.
+                // Whatever the old discovery service is at: it tells nothing more, perhaps without saying so.
                 Some(anew) = anew.recv() => Err(anew),
                 what = self.follow(&mut pause) => Ok(what.err().unwrap_or_default()),
             };
@@ -69,7 +69,7 @@
             };
             // While it is down each try fails alike: said once.
             let level = if self.last > before || what != said { log::Level::Info } else { log::Level::Debug };
-            log::log!(level, "notice board: {what}; watching anew from {}", self.last);
+            log::log!(level, "discovery: {what}; watching anew from {}", self.last);
             said = what;
             if self.last > before {
                 pause = PAUSE;
@@ -94,12 +94,12 @@
         }
         self.address = anew.address;
         for (number, notice) in anew.known {
-            // Past a gap the board itself tells what is between.
+            // Past a gap discovery itself tells what is between.
             if number == self.last + 1 && self.pass(number, notice).await.is_err() {
                 return;
             }
         }
-        log::info!("notice board: {} from now on, from {}", self.address, self.last);
+        log::info!("discovery: {} from now on, from {}", self.address, self.last);
     }
 
     /// Given up while it waits, it has passed nothing and counts nothing.
@@ -123,8 +123,8 @@
         let stream = timeout(CONNECT, watch).await.map_err(|_| "no connection in time")?;
         let mut lines = BufReader::new(stream.map_err(|e| e.to_string())?);
         let mut line = Vec::new();
-        // Only what shows that nothing newer is held back counts: a board that stays behind, or goes on with
-        // what it told before, tells as little as a silent one.
+        // Only what shows that nothing newer is held back counts: a discovery service that stays behind, or
+        // goes on with what it told before, tells as little as a silent one.
         let mut heard = Instant::now();
         loop {
             line.clear();
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Whether it shows that the board is not behind this router.
+    /// Whether it shows that discovery is not behind this router.
     async fn line(&mut self, line: &[u8]) -> Result<bool, String> {
         let value: Value = serde_json::from_slice(line).map_err(|e| format!("not JSON: {e}"))?;
         if let Some(number) = value.as_u64() {
@@ -164,7 +164,7 @@
         let notice = match numbered(&value, &self.places, &self.clock) {
             Ok((_, notice)) => notice,
             Err(what) if self.faulty == Some(number) => {
-                log::warn!("notice board: event {number} is passed over: {what}");
+                log::warn!("discovery: event {number} is passed over: {what}");
                 None
             }
             Err(what) => {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,13 +1,13 @@
 //! One router on real sockets. Every decision is `chalkhall::control`'s; `serve` runs it.
 
 mod abroad;
-mod board;
 mod brief;
 mod client;
 mod clock;
 pub mod confined;
 mod control_socket;
 mod decider;
+mod discovery;
 mod lines;
 mod link;
 mod listener;
@@ -23,7 +23,6 @@
 mod told;
 
 use abroad::Abroad;
-use board::{Anew, Board};
 use chalkhall_directives::Told as Directives;
 use chalkhall_members::{About, Talk};
 use chalkhall_store::threads::End;
@@ -31,6 +30,7 @@
 use clock::Clock;
 use confined::Confined;
 use decider::{Beside, Decider};
+use discovery::{Anew, Discovery};
 use messages::Message;
 use notices::Notice;
 use own::Own;
@@ -47,7 +47,7 @@
 
 /// Messages waiting for the decisions. Who brings more waits, and reads nothing meanwhile.
 const MESSAGES_MOST: usize = 256;
-/// Events of the notice board, which go before them; the board is read no further meanwhile.
+/// Events of discovery, which go before them; discovery is read no further meanwhile.
 const NOTICES_MOST: usize = 64;
 
 /// Runs a router until it has ended, told by its environment and an operator's file, which is read anew with
@@ -126,12 +126,13 @@
     let deciding = spawn_local(decisions.run(mailbox, notices));
 
     let (anew, told_anew) = mpsc::channel(1);
-    let (address, last, places) = (told.board, told.last_event, told.places.clone());
+    let (address, last, places) = (told.discovery, told.last_event, told.places.clone());
     let cells = noticed.clone();
     let chance = fastrand::Rng::with_seed(told.deployment.seed);
-    let held = board::socket(address).ok();
-    let board = Board { address, last, faulty: None, places, clock, decider: noticed, chance, spare: held };
-    spawn_local(board.run(told_anew));
+    let held = discovery::socket(address).ok();
+    let discovery =
+        Discovery { address, last, faulty: None, places, clock, decider: noticed, chance, spare: held };
+    spawn_local(discovery.run(told_anew));
     spawn_local(heed(stop, decider.clone()));
     serving.send_replace(Phase::Serving);
     drop(serving);
@@ -153,7 +154,7 @@
         spawn_local(control_socket::run(questions, decider.clone()));
     }
     let name = told.name.clone();
-    let again = Again { told, file, clock, board: anew, cells, spare: Cell::new(spare()) };
+    let again = Again { told, file, clock, discovery: anew, cells, spare: Cell::new(spare()) };
     spawn_local(again.run(reload));
     listener::run(socket, most, door, decider, phase).await;
     // Without decisions nothing can be answered: better to be started anew than to go on.
@@ -185,7 +186,7 @@
     told: Told,
     file: Option<PathBuf>,
     clock: Clock,
-    board: mpsc::Sender<Anew>,
+    discovery: mpsc::Sender<Anew>,
     cells: mpsc::Sender<Notice>,
     spare: Cell<Option<std::fs::File>>,
 }
@@ -218,7 +219,7 @@
         }
         // Its events are read by the names in its settings, which are not those that the router runs with.
         let known = if otherwise.contains(&"settings") { Vec::new() } else { anew.known };
-        let _ = self.board.send(Anew { address: anew.board, known }).await;
+        let _ = self.discovery.send(Anew { address: anew.discovery, known }).await;
     }
 
     /// Of the operator's file the map of cells and the drained zones are taken over; all else needs a
--- a/crates/router/src/notices.rs
+++ b/crates/router/src/notices.rs
@@ -1,4 +1,4 @@
-//! What the notice board tells: changes of the list of servers, and purges. Pure: no I/O.
+//! What discovery tells: changes of the list of servers, and purges. Pure: no I/O.
 
 use crate::clock::Clock;
 use crate::confined::Plan;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The names by which the board calls zones and kinds, from the settings.
+/// The names by which discovery calls zones and kinds, from the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Places {
     pub zones: Vec<String>,
@@ -28,9 +28,9 @@
         group: u64,
         ms: u64,
     },
-    /// The board has nothing newer than what it told.
+    /// Discovery has nothing newer than what it told.
     Heard,
-    /// Not of the board: the operator has told another map of cells.
+    /// Not of discovery: the operator has told another map of cells.
     Cells(Box<Plan>),
 }
 
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -27,7 +27,7 @@
 /// How the places are called; no listed server's name begins with a colon.
 const MEMORY: &str = ":memory";
 const DISK: &str = ":disk";
-/// A purge made before is told by now: the board says nothing of what it has not been told itself.
+/// A purge made before is told by now: discovery says nothing of what it has not been told itself.
 const TOLD_WITHIN: Duration = Duration::from_secs(10);
 
 pub struct Own {
@@ -223,7 +223,7 @@
         self.store.purge(object.map(|o| o.as_bytes()), group, ms, &mut self.shelf);
     }
 
-    /// The notice board has nothing that was not told.
+    /// Discovery has nothing that was not told.
     pub fn heard(&mut self) {
         let ms = self.clock.unix_ms(self.clock.now().saturating_sub(TOLD_WITHIN));
         self.store.disk_mut().into_iter().for_each(|disk| disk.heard(ms));
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -20,7 +20,7 @@
 pub struct Told {
     pub name: String,
     pub listen: SocketAddr,
-    pub board: SocketAddr,
+    pub discovery: SocketAddr,
     /// The number of the last event in `known`, and the events.
     pub last_event: u64,
     pub known: Vec<(u64, Option<Notice>)>,
@@ -97,7 +97,7 @@
     };
     let (name, _) = text("name", "ROUTER_NAME")?;
     let listen = address(text("listen", "ROUTER_LISTEN")?)?;
-    let board = address((deployment::text(file, "board")?.to_owned(), "board".to_owned()))?;
+    let discovery = address((deployment::text(file, "board")?.to_owned(), "board".to_owned()))?;
 
     let seed = match file.get("seed") {
         None | Some(Value::Null) => 0,
@@ -124,7 +124,7 @@
     Ok(Told {
         name,
         listen,
-        board,
+        discovery,
         last_event,
         known: events,
         places,
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -160,15 +160,15 @@
     };
     let mut world = world(&told(1, " move group 1 new\n"));
     let program = world.start();
-    let (mut board, _) = world.board.accept();
+    let (mut discovery, _) = world.discovery.accept();
     let (mut client, mut lines) = (program.client(), Vec::new());
     // Everything that is sent to a server is answered from a copy there: as warm as the old one at once.
     let mut from = 100;
     let mut who = BTreeSet::new();
     let mut both = false;
     until("all of it in the new cell", || {
-        // The board is alive: what it tells below comes on this connection.
-        board.say("1\n");
+        // Discovery is alive: what it tells below comes on this connection.
+        discovery.say("1\n");
         from += 20;
         who = asked(&world, &mut client, &mut lines, from, 1);
         both |= who.len() == 2;
@@ -177,7 +177,7 @@
     assert!(both, "by and by");
     // The new cell loses all it has: what has settled only just goes back.
     let gone = world.server("c2").entry("leaving");
-    board.say(list(2, &[gone]));
+    discovery.say(list(2, &[gone]));
     until("all of it back", || {
         from += 20;
         who = asked(&world, &mut client, &mut lines, from, 1);
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -215,58 +215,58 @@
     assert_eq!(client.word(), "ACK");
 }
 
-/// Numbers that stay behind, events that were told before, half lines: a board that goes on like this holds
-/// back as much as a silent one.
+/// Numbers that stay behind, events that were told before, half lines: a discovery service that goes on like
+/// this holds back as much as a silent one.
 #[test]
-fn a_board_that_tells_nothing_new_is_watched_anew() {
+fn a_discovery_that_tells_nothing_new_is_watched_anew() {
     let mut world = World::new();
     let _program = world.start();
     let old = list(1, &[]);
     for words in ["0\n", &old, "{\"rev\":"] {
-        let (mut board, after) = world.board.accept();
+        let (mut discovery, after) = world.discovery.accept();
         assert_eq!(after, 1);
         let begun = Instant::now();
         until("a watch anew", || {
-            let _ = board.still_takes(words);
+            let _ = discovery.still_takes(words);
             pass(50 * MS);
-            world.board.is_watched()
+            world.discovery.is_watched()
         });
         assert!(begun.elapsed() < 2600 * MS, "{words:?}: {:?}", begun.elapsed());
     }
 }
 
-/// Clients that rest take every descriptor while the board is down: it is followed again within a second of
+/// Clients that rest take every descriptor while discovery is down: it is followed again within a second of
 /// its return, and who has something open is served meanwhile.
 #[test]
-fn a_board_that_comes_back_is_followed_though_no_descriptor_is_left() {
+fn a_discovery_that_comes_back_is_followed_though_no_descriptor_is_left() {
     let mut world = World::new();
     world.file["limits"]["sockets"] = json!(1024);
     let program = world.spawn("ulimit -n 48;");
-    let (board, after) = world.board.accept();
+    let (discovery, after) = world.discovery.accept();
     assert_eq!(after, 1);
     let mut busy = program.client();
     busy.ask(1, "page", "", b"");
     let mut server = world.server("c1").accept();
     let asked = server.asked();
-    let at = world.board.goes_down(board);
+    let at = world.discovery.goes_down(discovery);
     // They come again as often as they are let go of.
     let crowd = Crowd::of(300, program.address(), true);
     until("no descriptor left", || crowd.refused() > 0 || crowd.held() >= 200);
     pass(1000 * MS);
     let back = Instant::now();
-    world.board.comes_back(at);
-    let (mut board, after) = world.board.accept();
+    world.discovery.comes_back(at);
+    let (mut discovery, after) = world.discovery.accept();
     assert!(back.elapsed() < 1000 * MS, "followed {:?} after its return", back.elapsed());
     assert_eq!(after, 1);
-    board.say("1\n");
+    discovery.say("1\n");
     server.answer(&asked, "OK", HIT, b"x");
     assert_eq!(busy.word(), "ACK");
     // And a new file that moves it is read.
-    world.move_board();
+    world.move_discovery();
     world.write();
     program.signal("HUP");
     let moved = Instant::now();
-    assert_eq!(world.board.accept().1, 1);
+    assert_eq!(world.discovery.accept().1, 1);
     assert!(moved.elapsed() < 1000 * MS, "moved {:?} after SIGHUP", moved.elapsed());
     drop(crowd);
 }
@@ -298,18 +298,18 @@
     drop(crowd);
 }
 
-/// Nothing of an old file's board remains after a new one: not its connection, nor what it still says.
+/// Nothing of an old file's discovery remains after a new one: not its connection, nor what it still says.
 #[test]
-fn an_old_board_is_not_heard_any_more() {
+fn an_old_discovery_is_not_heard_any_more() {
     for mut world in [World::new(), hasty(), wide()] {
         world.servers.push(Server::new("c2", "cache"));
         let program = world.start();
-        let (mut old, _) = world.board.accept();
+        let (mut old, _) = world.discovery.accept();
         let leaving = world.server("c1").entry("leaving");
-        world.move_board();
+        world.move_discovery();
         world.write();
         program.signal("HUP");
-        let (mut new, after) = world.board.accept();
+        let (mut new, after) = world.discovery.accept();
         assert_eq!(after, 1);
         // The old one goes on with another history of the same numbers.
         let mut took = true;
@@ -320,7 +320,7 @@
         new.say(list(2, &[world.server("c2").entry("leaving")]));
         new.say("2\n");
         drop(new);
-        assert_eq!(world.board.accept().1, 2);
+        assert_eq!(world.discovery.accept().1, 2);
         let class = world.file["settings"]["Classes"][0]["Name"].as_str().unwrap().to_owned();
         let mut client = program.client();
         for tag in 1..=4 {
@@ -355,9 +355,9 @@
     assert!(status.success() && begun.elapsed() < 1500 * MS, "{:?} {log}", begun.elapsed());
 }
 
-/// The board's descriptors are there before the first client is.
+/// Discovery's descriptors are there before the first client is.
 #[test]
-fn a_board_that_is_down_at_the_start_is_found_when_it_comes() {
+fn a_discovery_that_is_down_at_the_start_is_found_when_it_comes() {
     let mut world = World::new();
     let at = address();
     world.file["board"] = json!(at.to_string());
@@ -367,8 +367,8 @@
     world.server("c1").accept().serve(b"x");
     assert_eq!(client.word(), "ACK", "by the list of the start");
     let back = Instant::now();
-    world.board.listener = TcpListener::bind(at).unwrap();
-    assert_eq!(world.board.accept().1, 1);
+    world.discovery.listener = TcpListener::bind(at).unwrap();
+    assert_eq!(world.discovery.accept().1, 1);
     assert!(back.elapsed() < 1000 * MS, "{:?}", back.elapsed());
 }
 
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -289,7 +289,7 @@
 fn a_new_server_at_an_old_address_inherits_nothing() {
     let mut world = World::new();
     let program = world.start();
-    let (mut board, after) = world.board.accept();
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 1);
     let mut client = program.client();
     client.ask(1, "page", "", b"");
@@ -297,7 +297,7 @@
     let first = old.asked();
     let gone = world.server("c1").entry("left");
     world.servers[0].name = "c2".into();
-    board.say(list(2, &[gone, world.server("c2").entry("active")]));
+    discovery.say(list(2, &[gone, world.server("c2").entry("active")]));
     // Told once a request of the same object comes on a connection of its own.
     let (mut tag, mut new) = (10, None);
     world.server("c2").listener.set_nonblocking(true).unwrap();
@@ -323,12 +323,12 @@
 #[test]
 fn a_server_that_moves_is_reached_where_it_is() {
     let (mut world, program, mut client) = started();
-    let (mut board, _) = world.board.accept();
+    let (mut discovery, _) = world.discovery.accept();
     client.ask(1, "page", "", b"");
     world.server("c1").accept().serve(b"x");
     assert_eq!(client.word(), "ACK");
     let old = std::mem::replace(&mut world.servers[0], Server::new("c1", "cache"));
-    board.say(list(2, &[world.server("c1").entry("active")]));
+    discovery.say(list(2, &[world.server("c1").entry("active")]));
     drop(old);
     // Rejected while nobody listens at the old address any more and the new one has not been told.
     let mut tag = 1;
@@ -343,37 +343,37 @@
 }
 
 #[test]
-fn the_board_is_followed_without_gaps() {
+fn the_discovery_is_followed_without_gaps() {
     let mut world = World::new();
     world.servers.push(Server::new("c2", "cache"));
     let program = world.start();
-    let (mut board, after) = world.board.accept();
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 1);
-    board.say(list(2, &[world.server("c1").entry("leaving")]));
-    drop(board);
-    let (mut board, after) = world.board.accept();
+    discovery.say(list(2, &[world.server("c1").entry("leaving")]));
+    drop(discovery);
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 2, "after a break");
     // One that came before, then one past a gap.
-    board.say(list(2, &[world.server("c1").entry("active")]));
-    board.say(list(4, &[]));
-    let (mut board, after) = world.board.accept();
+    discovery.say(list(2, &[world.server("c1").entry("active")]));
+    discovery.say(list(4, &[]));
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 2, "after a gap");
     let said = Instant::now();
-    board.say("7\n");
-    let (mut board, after) = world.board.accept();
+    discovery.say("7\n");
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 2, "after a number ahead");
     assert!(said.elapsed() < Duration::from_secs(2), "not for silence");
-    board.say("{nonsense\n");
-    let (mut board, after) = world.board.accept();
+    discovery.say("{nonsense\n");
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 2, "after nonsense");
     // An event that cannot be used hides those after it no longer than once.
     let odd = json!({"rev": 3, "pool": {"hosts": [{"host": "c9"}]}});
-    board.say(format!("{odd}\n"));
-    let (mut board, after) = world.board.accept();
+    discovery.say(format!("{odd}\n"));
+    let (mut discovery, after) = world.discovery.accept();
     assert_eq!(after, 2, "after an event that cannot be read");
-    board.say(format!("{odd}\n{}", list(4, &[])));
-    drop(board);
-    assert_eq!(world.board.accept().1, 4);
+    discovery.say(format!("{odd}\n{}", list(4, &[])));
+    drop(discovery);
+    assert_eq!(world.discovery.accept().1, 4);
     let mut client = program.client();
     // All go to the cache that does not drain, whichever the hash would take.
     client.ask(1, "page", "", b"");
@@ -391,7 +391,7 @@
     let mut world = World::new();
     world.servers.push(Server::new("c2", "cache"));
     let program = world.start();
-    let (mut board, _) = world.board.accept();
+    let (mut discovery, _) = world.discovery.accept();
     let mut clients: Vec<Client> = (0..8).map(|_| program.client()).collect();
     clients.iter_mut().for_each(|client| assert_eq!(client.health(), "GREEN"));
     // Held up, as a machine that others share may be, for long enough to be noticed.
@@ -401,7 +401,7 @@
     for (tag, client) in (1..).zip(&mut clients) {
         client.ask(tag, "page", "", b"");
     }
-    board.say(list(2, &[world.server("c1").entry("leaving")]));
+    discovery.say(list(2, &[world.server("c1").entry("leaving")]));
     until("a long pause", || paused.elapsed() > Duration::from_millis(300));
     program.signal("CONT");
     let mut server = world.server("c2").accept();
@@ -435,20 +435,20 @@
 }
 
 #[test]
-fn a_silent_board_is_watched_anew() {
+fn a_silent_discovery_is_watched_anew() {
     let mut world = World::new();
     let _program = world.start();
-    let (_silent, _) = world.board.accept();
-    assert_eq!(world.board.accept().1, 1);
+    let (_silent, _) = world.discovery.accept();
+    assert_eq!(world.discovery.accept().1, 1);
 }
 
 #[test]
 fn a_purge_bounds_the_age_of_copies() {
     let mut world = World::new();
     let program = world.start();
-    let (mut board, _) = world.board.accept();
+    let (mut discovery, _) = world.discovery.accept();
     let purged = unix_ms();
-    board.say(format!("{}\n", json!({"rev": 2, "flush": {"collection": 1, "ms": purged}})));
+    discovery.say(format!("{}\n", json!({"rev": 2, "flush": {"collection": 1, "ms": purged}})));
     let mut client = program.client();
     client.ask(1, "page", "", b"");
     let mut server = world.server("c1").accept();
@@ -677,15 +677,15 @@
 }
 
 #[test]
-fn a_configuration_read_anew_moves_to_its_board() {
+fn a_configuration_read_anew_moves_to_its_discovery() {
     let mut world = World::new();
     world.servers.push(Server::new("c2", "cache"));
     let mut program = world.start();
     // Silent, and in the middle of an event.
-    let (mut old, _) = world.board.accept();
+    let (mut old, _) = world.discovery.accept();
     old.say("{\"rev\":2,");
-    // An event of the new file, one that both have, and one that the new board alone tells.
-    world.move_board();
+    // An event of the new file, one that both have, and one that the new discovery service alone tells.
+    world.move_discovery();
     let leaving: Value = serde_json::from_str(&list(2, &[world.server("c1").entry("leaving")])).unwrap();
     world.file["known"]["rev"] = json!(2);
     world.file["known"]["notices"].as_array_mut().unwrap().push(leaving);
@@ -695,7 +695,7 @@
     for _ in 0..3 {
         program.signal("HUP");
     }
-    let (_board, after) = world.board.accept();
+    let (_discovery, after) = world.discovery.accept();
     assert_eq!(after, 2);
     assert!(told.elapsed() < Duration::from_millis(1500), "not for silence: {:?}", told.elapsed());
     let mut client = program.client();
--- a/crates/router/tests/program/moments.rs
+++ b/crates/router/tests/program/moments.rs
@@ -379,11 +379,11 @@
     (at_cache, used(fills, 20.0, 0.3), asked)
 }
 
-/// All started at once, their boards down for so long at first and then slow to speak, while idle clients
-/// come back to each. How long until ready: half of them, nine in ten, the last.
+/// All started at once, their discovery services down for so long at first and then slow to speak, while idle
+/// clients come back to each. How long until ready: half of them, nine in ten, the last.
 fn all_at_once(processes: usize, down: Duration, clients: usize) -> [Duration; 3] {
     let mut worlds: Vec<World> = (0..processes).map(|_| World::new()).collect();
-    let boards: Vec<SocketAddr> = worlds
+    let discoveries: Vec<SocketAddr> = worlds
         .iter_mut()
         .map(|world| {
             let at = address();
@@ -409,19 +409,21 @@
     });
     let mut ready: Vec<Duration> = ready.into_iter().flatten().collect();
     ready.sort();
-    // And each follows its board within a second of its return.
+    // And each follows its discovery service within a second of its return.
     while begun.elapsed() < down {
         sleep(MS);
     }
     let back = Instant::now();
-    let boards: Vec<TcpListener> = boards.into_iter().map(|at| TcpListener::bind(at).unwrap()).collect();
-    for board in &boards {
-        board.set_nonblocking(true).unwrap();
+    let discoveries: Vec<TcpListener> =
+        discoveries.into_iter().map(|at| TcpListener::bind(at).unwrap()).collect();
+    for discovery in &discoveries {
+        discovery.set_nonblocking(true).unwrap();
     }
     let mut followed = vec![false; processes];
-    until("all boards followed", || {
-        for (board, followed) in boards.iter().zip(&mut followed).filter(|(_, followed)| !**followed) {
-            *followed = board.accept().is_ok();
+    until("all discovery services followed", || {
+        for (discovery, followed) in discoveries.iter().zip(&mut followed).filter(|(_, followed)| !**followed)
+        {
+            *followed = discovery.accept().is_ok();
         }
         followed.iter().all(|followed| *followed)
     });
--- a/crates/router/tests/program/own.rs
+++ b/crates/router/tests/program/own.rs
@@ -56,10 +56,10 @@
 #[test]
 fn a_purge_told_is_kept_by_own_copies() {
     let (world, _program, mut client) = started("store {\n memory 10MB\n}\n");
-    let (mut board, _) = world.board.accept();
+    let (mut discovery, _) = world.discovery.accept();
     let mut server = keep_after(&world, &mut client);
     let flush = json!({"rev": 2, "flush": {"collection": 1, "ms": unix_ms()}});
-    board.say(format!("{flush}\n"));
+    discovery.say(format!("{flush}\n"));
     // Told when the next request of another object carries the bound.
     let mut tag = 100;
     until("the purge", || {
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -72,7 +72,7 @@
         })
         .collect();
     let program = world.start();
-    let (mut board, _) = world.board.accept();
+    let (mut discovery, _) = world.discovery.accept();
     let begun = Instant::now();
     let (mut quarters, mut asked, mut rev) = (Vec::new(), 0u64, 1);
     let mut words: HashMap<String, usize> = HashMap::new();
@@ -95,10 +95,10 @@
                 let mut new = server.entry("active");
                 new["host"] = serde_json::json!(name);
                 let told = list(rev, &[gone, new]);
-                if !board.still_takes(&told) {
-                    // A board that says nothing for two seconds is watched anew.
-                    board = world.board.accept().0;
-                    board.say(&told);
+                if !discovery.still_takes(&told) {
+                    // A discovery service that says nothing for two seconds is watched anew.
+                    discovery = world.discovery.accept().0;
+                    discovery.say(&told);
                 }
             }
         }
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for what a router talks to, over loopback: a client, a server (cache server, parent or origin)
-//! and the notice board; and the program itself. Every wait ends with what it waits for, or fails the test.
+//! and discovery; and the program itself. Every wait ends with what it waits for, or fails the test.
 
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -64,7 +64,7 @@
 /// What a good answer for a copy holds.
 pub const HIT: &str = "tell=hit,etag=4be0c1927d55a6f3,made=1";
 
-/// One connection with lines of words: a server's or the board's end of it.
+/// One connection with lines of words: a server's or discovery's end of it.
 pub struct Line {
     reader: BufReader<TcpStream>,
 }
@@ -180,13 +180,13 @@
     }
 }
 
-pub struct Board {
+pub struct Discovery {
     pub listener: TcpListener,
     /// A router's connection that has been seen and not been taken yet.
     come: Cell<Option<TcpStream>>,
 }
 
-impl Board {
+impl Discovery {
     /// Nobody listens at its address any more; which that is.
     pub fn goes_down(&mut self, watch: Line) -> SocketAddr {
         let at = self.listener.local_addr().unwrap();
@@ -355,7 +355,7 @@
 
 /// What the program is told; a test changes it before the start.
 pub struct World {
-    pub board: Board,
+    pub discovery: Discovery,
     pub servers: Vec<Server>,
     pub file: Value,
     /// The operator's file, where one is wanted.
@@ -372,7 +372,7 @@
         let servers =
             vec![Server::new("c1", "cache"), Server::new("p1", "parent"), Server::new("o1", "origin")];
         let listener = listen();
-        let board = listener.local_addr().unwrap();
+        let discovery = listener.local_addr().unwrap();
         let listen = address();
         static LAST: AtomicU32 = AtomicU32::new(0);
         let name =
@@ -393,10 +393,10 @@
             "Obligations": {"AnswerSlack": 8, "ColdFrom": 0.3, "DrainGrace": 500, "Fall": 1000, "TipMultiple": 2,
                 "WarmWithin": 17000}});
         let file = json!({"name": "n1", "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1, "memory_mb": 192, "sockets": 1024}, "board": board.to_string(),
+            "limits": {"cores": 1, "memory_mb": 192, "sockets": 1024}, "board": discovery.to_string(),
             "known": null, "settings": settings});
         World {
-            board: Board { listener, come: Cell::default() },
+            discovery: Discovery { listener, come: Cell::default() },
             servers,
             file,
             directives: String::new(),
@@ -419,10 +419,10 @@
         std::fs::write(self.path(), self.file.to_string()).unwrap();
     }
 
-    /// The notice board is somewhere else from now on.
-    pub fn move_board(&mut self) {
-        self.board = Board { listener: listen(), come: Cell::default() };
-        self.file["board"] = json!(self.board.listener.local_addr().unwrap().to_string());
+    /// Discovery is somewhere else from now on.
+    pub fn move_discovery(&mut self) {
+        self.discovery = Discovery { listener: listen(), come: Cell::default() };
+        self.file["board"] = json!(self.discovery.listener.local_addr().unwrap().to_string());
     }
 
     /// Starts the program, within the shell's limits where they are given.
--- a/crates/store/src/catalogue.rs
+++ b/crates/store/src/catalogue.rs
@@ -1,5 +1,5 @@
 //! What is not in the segments themselves: the store's number and version, the purges, how long the notice
-//! board was heard. An embedded store of its own (`redb`), over the same file layer, so that a crash is
+//! discovery was heard. An embedded store of its own (`redb`), over the same file layer, so that a crash is
 //! played on it too.
 
 use crate::decide::purges::Mark;
--- a/crates/store/src/decide/disk/marks.rs
+++ b/crates/store/src/decide/disk/marks.rs
@@ -1,9 +1,9 @@
-//! Purges, and how long the notice board was heard: written down in their order.
+//! Purges, and how long discovery was heard: written down in their order.
 
 use super::*;
 
 impl Disk {
-    /// A purge was told: to be written down before anything says that the board was heard up to then.
+    /// A purge was told: to be written down before anything says that discovery was heard up to then.
     pub fn purged(&mut self, marks: impl IntoIterator<Item = Mark>, out: &mut dyn Outlet) {
         if self.unmarked.len() >= UNMARKED_MOST {
             self.mute = true;
@@ -13,7 +13,7 @@
         self.mark(out);
     }
 
-    /// The board is known up to this Unix millisecond: every purge made until then was told.
+    /// Discovery is known up to this Unix millisecond: every purge made until then was told.
     pub fn heard(&mut self, ms: u64) {
         self.heard = Some(self.heard.map_or(ms, |heard| heard.max(ms)));
     }
@@ -34,7 +34,7 @@
     pub fn marked(&mut self, result: Result<(), Fault>, out: &mut dyn Outlet) {
         let lines = self.marking.take().unwrap_or_default();
         if result.is_err() {
-            // Written down or not: it goes first again, and nothing is said of the board until it is.
+            // Written down or not: it goes first again, and nothing is said of discovery until it is.
             self.counts.write_faults += 1;
             let heard = |line: &Line| matches!(line, Line::Heard(_));
             let later =
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -41,7 +41,7 @@
 /// Segments of an earlier life read at once; records of a reclaimed one read at once.
 const RECOVERING_MOST: usize = 4;
 const CARRYING_MOST: usize = 4;
-/// Purges that wait to be written down. Past them nothing more is said of how long the board was heard.
+/// Purges that wait to be written down. Past them nothing more is said of how long discovery was heard.
 const UNMARKED_MOST: usize = 65_536;
 /// Unproven parts that were asked for and go first when copies are revalidated.
 const ASKED_MOST: usize = 256;
@@ -52,7 +52,7 @@
 const TURNS_MOST: usize = 4096;
 /// Until a sync that found its mailbox full is tried again.
 const SYNC_AGAIN: Duration = Duration::from_millis(5);
-/// Between two words on how long the board was heard.
+/// Between two words on how long discovery was heard.
 const HEARD_EVERY: Duration = Duration::from_secs(10);
 
 /// Kinds of background work, by their numbers.
@@ -278,7 +278,7 @@
     reclaim: Option<Reclaim>,
     to_recover: VecDeque<u32>,
     recovering: usize,
-    /// Purges before this are told by what is known at the start; up to when the board was heard in earlier
+    /// Purges before this are told by what is known at the start; up to when discovery was heard in earlier
     /// lives.
     known_since: u64,
     heard_before: Option<u64>,
--- a/crates/store/tests/guards.rs
+++ b/crates/store/tests/guards.rs
@@ -30,7 +30,7 @@
     Some(copy.made)
 }
 
-/// A store of these objects, written and synced, of which the board was heard until now.
+/// A store of these objects, written and synced, of which discovery was heard until now.
 fn written(disk: &Disk, objects: u64) -> Driver {
     let mut driver = started(disk, 1000 * S, START);
     for object in 0..objects {
@@ -68,9 +68,9 @@
     }
 }
 
-/// The board was heard until 20 s after the copies were made. A purge came while the program was down, so
-/// long ago that the board's first list, which reaches back ten minutes, no longer names it. A clock that
-/// stands before the board was last heard makes all of that look recent.
+/// Discovery was heard until 20 s after the copies were made. A purge came while the program was down, so
+/// long ago that discovery's first list, which reaches back ten minutes, no longer names it. A clock that
+/// stands before discovery was last heard makes all of that look recent.
 #[test]
 fn a_clock_set_back_over_a_purge_and_forward_again_serves_nothing_purged() {
     let disk = Disk::new();
@@ -106,7 +106,7 @@
     assert_eq!(get(&mut right, 1), None);
 }
 
-/// A purge 80 s before the end stands in the journal alone: the board's first list reaches back forty
+/// A purge 80 s before the end stands in the journal alone: discovery's first list reaches back forty
 /// seconds. The purged records still lie in their segment, whole. At every step of what the purge orders the
 /// program may end, and any part of what was not synced may be lost.
 #[test]
@@ -127,7 +127,7 @@
         let died = driver.unix_ms();
         for seed in 0..5 {
             let mut again = started(&disk.crashed(seed), 40 * S, died + 5000);
-            // Where the board was not heard since, its list is all there is, and it names the purge.
+            // Where discovery was not heard since, its list is all there is, and it names the purge.
             if !whole {
                 again.store.purge(Some(&Piece { object: 2, part: 0 }.name()), 0, purged, &mut again.orders);
                 again.store.purge(None, group, purged, &mut again.orders);
--- a/crates/store/tests/tiers.rs
+++ b/crates/store/tests/tiers.rs
@@ -130,7 +130,7 @@
     driver.pass(20 * S);
     let down_at = driver.unix_ms();
     let gone = |n: u64| n == 1 || n % 7 == 2;
-    // The board's first list reaches back to before it was last heard: nothing can be missing.
+    // Discovery's first list reaches back to before it was last heard: nothing can be missing.
     let mut again = started(&disk.crashed(1), wanted(), down_at + 60_000);
     again.settle();
     for n in 0..10 {
@@ -143,7 +143,7 @@
     assert!((0..10).all(|n| get(&mut again, piece(n, 0)).is_none()));
     assert_eq!(again.store.disk().unwrap().counts().dropped_unproven, 7, "none that was purged counts twice");
     // The clock was set back: the same.
-    // Also where it now stands after every copy was made, and only the board was heard later than that.
+    // Also where it now stands after every copy was made, and only discovery was heard later than that.
     for start in [START - 3_600_000, START + 1000] {
         let mut again = started(&disk.crashed(1), wanted(), start);
         again.settle();
