--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,8 +1,8 @@
 //! One client's connection: reads its requests, writes their answers in the order in which they come.
 
 use crate::clock::Clock;
+use crate::connection::at;
 use crate::lines::Passed;
-use crate::link::at;
 use crate::messages::{Last, Message, New, Place, Reply, Wanted, Word};
 use crate::phase::Phase;
 use crate::resp::{END, Frames, Nonsense, answer, fields, number};
@@ -153,7 +153,7 @@
         let mut unwritten = Unwritten::default();
         let (replies, mut mailbox) = mpsc::channel(REPLIES_MOST);
         let Err(how) = self.serve(&mut stream, &replies, &mut mailbox, &mut open, &mut unwritten).await;
-        // Before anybody is told, lest a link begins one meanwhile.
+        // Before anybody is told, lest a connection begins one meanwhile.
         open.values().for_each(|open: &Open| open.wanted.end());
         if let End::Nonsense(_) = how {
             // Answered here, once: whatever comes for them from now on finds them closed.
--- a/crates/router/src/link.rs
+++ b/crates/router/src/connection.rs
@@ -4,7 +4,7 @@
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
 use crate::lines::{Answer, Answers, quit};
-use crate::messages::{Ask, Key, LinkOrder, Order, Report};
+use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::Outcome;
 use std::collections::{HashMap, VecDeque};
@@ -22,11 +22,11 @@
 const EMFILE: i32 = 24;
 const ENFILE: i32 = 23;
 
-pub struct Link {
+pub struct Connection {
     pub number: u64,
     pub dial: SocketAddr,
     pub connect_timeout: Duration,
-    pub orders: mpsc::Receiver<LinkOrder>,
+    pub orders: mpsc::Receiver<ConnectionOrder>,
     pub server: mpsc::Sender<Order>,
     /// Held for as long as its descriptor may be.
     pub _place: OwnedSemaphorePermit,
@@ -53,10 +53,10 @@
 }
 
 impl State {
-    fn take(&mut self, order: LinkOrder) {
+    fn take(&mut self, order: ConnectionOrder) {
         match order {
-            LinkOrder::Ask(ask) => self.unwritten.push_back(ask),
-            LinkOrder::Quit(key) => {
+            ConnectionOrder::Ask(ask) => self.unwritten.push_back(ask),
+            ConnectionOrder::Quit(key) => {
                 self.withdraw(|ask| ask.key == key);
                 if let Some(id) = self.out.iter().find(|(_, o)| o.key == key).map(|(id, _)| id.clone()) {
                     self.abandon(id, Outcome::Cancelled);
@@ -145,7 +145,7 @@
     }
 }
 
-impl Link {
+impl Connection {
     pub async fn run(mut self) {
         let mut state = State { patience: self.connect_timeout, ..State::default() };
         match self.connect(&mut state).await {
@@ -173,7 +173,7 @@
     }
 
     async fn report(&self, report: Report) {
-        let _ = self.server.send(Order::Link(self.number, report)).await;
+        let _ = self.server.send(Order::Connection(self.number, report)).await;
     }
 
     async fn tell(&self, state: &mut State) {
--- a/crates/router/src/link/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -33,16 +33,16 @@
     let (long, none) = (Duration::from_secs(60), Duration::ZERO);
     let mut state = State::default();
     for (id, due, leave_by) in [("a", long, long), ("b", long, long), ("c", long, none), ("d", none, long)] {
-        state.take(LinkOrder::Ask(ask(id, due, leave_by)));
+        state.take(ConnectionOrder::Ask(ask(id, due, leave_by)));
     }
     state.fill();
     state.gone(Instant::now(), 1);
-    state.take(LinkOrder::Quit(("a".into(), 0)));
-    state.take(LinkOrder::Quit(("b".into(), 0)));
+    state.take(ConnectionOrder::Quit(("a".into(), 0)));
+    state.take(ConnectionOrder::Quit(("b".into(), 0)));
     state.expire(Instant::now());
     let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
     assert_eq!(ends(&mut state), [("a".into(), Outcome::Cancelled), never("b"), never("c"), never("d")]);
-    state.take(LinkOrder::Ask(ask("e", long, long)));
+    state.take(ConnectionOrder::Ask(ask("e", long, long)));
     state.writing.clear();
     state.fill();
     assert_eq!(state.writing, "QUIT a\r\n", "before what comes later");
@@ -58,7 +58,7 @@
     let front = |leave_by| {
         let (mut state, ask) = (State::default(), ask("a", long, leave_by));
         let wanted = ask.wanted.clone();
-        state.take(LinkOrder::Ask(ask));
+        state.take(ConnectionOrder::Ask(ask));
         state.fill();
         assert!(!state.writing.is_empty() && state.next_due().is_some());
         (state, wanted)
@@ -70,7 +70,7 @@
     let (mut late, _) = front(none);
     late.expire(Instant::now());
     let (mut off, _) = front(long);
-    off.take(LinkOrder::Quit(("a".into(), 0)));
+    off.take(ConnectionOrder::Quit(("a".into(), 0)));
     let (mut broken, _) = front(long);
     broken.broken(Outcome::NeverSent);
     broken.writing.clear();
@@ -95,7 +95,7 @@
     let long = Duration::from_secs(60);
     let (mut state, asks) = (State::default(), [ask("a", long, long), ask("b", long, long)]);
     let wanted = asks[0].wanted.clone();
-    asks.into_iter().for_each(|ask| state.take(LinkOrder::Ask(ask)));
+    asks.into_iter().for_each(|ask| state.take(ConnectionOrder::Ask(ask)));
     wanted.end();
     state.expire(Instant::now());
     assert_eq!(ends(&mut state), [("a".to_owned(), Outcome::NeverSent)]);
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -42,7 +42,8 @@
 /// up.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 const PAUSE: Duration = Duration::from_millis(50);
-/// Turns of all tasks within which what lies in the sockets has come from link to server to the decider.
+/// Turns of all tasks within which what lies in the sockets has come from connection to server to the
+/// decider.
 const HOPS: usize = 8;
 
 /// Who waits for a final answer: a client, or the store, which is told by other ways.
@@ -236,7 +237,7 @@
     longest_advice: Option<Duration>,
     /// For the servers' actors to answer to, and the places of their connections.
     messages: mpsc::Sender<Message>,
-    places_of_links: Arc<Semaphore>,
+    places_of_connections: Arc<Semaphore>,
     nonsense: Brief,
 }
 
@@ -258,7 +259,7 @@
         let now = clock.now();
         let places = own.as_ref().map(Own::members).unwrap_or_default();
         // What clients may hold, and some of each kind on their way out, is theirs.
-        let links_most = limits.sockets.saturating_sub(limits.sockets / 3 + DESCRIPTORS_BESIDE);
+        let connections_most = limits.sockets.saturating_sub(limits.sockets / 3 + DESCRIPTORS_BESIDE);
         let mut desk = Desk {
             now,
             clock,
@@ -293,7 +294,7 @@
             phase,
             longest_deadline: deployment.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
             longest_advice: deployment.longest_advice,
-            places_of_links: Arc::new(Semaphore::new(links_most)),
+            places_of_connections: Arc::new(Semaphore::new(connections_most)),
             messages,
             nonsense: Brief::default(),
         }
@@ -330,8 +331,9 @@
             };
             let mut waiting = VecDeque::from([message]);
             if self.desk.clock.now() >= self.desk.now + LOOK_EVERY + PAUSE {
-                // The other tasks have their turns first: discovery's, and those of the links, lest answers
-                // that came during the pause pass for silence of their servers. No more can come than is out.
+                // The other tasks have their turns first: discovery's, and those of the connections, lest
+                // answers that came during the pause pass for silence of their servers. No more can come than
+                // is out.
                 for _ in 0..HOPS {
                     yield_now().await;
                     while let Ok(message) = mailbox.try_recv() {
@@ -693,7 +695,7 @@
             return;
         }
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
-        let (orders_of_links, from_links) = mpsc::channel(ORDERS_MOST);
+        let (orders_of_connections, from_connections) = mpsc::channel(ORDERS_MOST);
         let server = Server {
             name: member.server.clone(),
             dial,
@@ -702,11 +704,11 @@
             connect_timeout: self.limits.connect_timeout,
             idle: self.idle,
             orders: receiver,
-            orders_of_links,
+            orders_of_connections,
             decider: self.messages.clone(),
-            places: self.places_of_links.clone(),
+            places: self.places_of_connections.clone(),
         };
-        spawn_local(server.run(from_links));
+        spawn_local(server.run(from_connections));
         self.desk.posts.insert(member.server.clone(), Post { orders, dial, started: member.started });
     }
 }
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -3,7 +3,7 @@
 
 use crate::brief::Brief;
 use crate::client::{Client, Door};
-use crate::link::at;
+use crate::connection::at;
 use crate::messages::{Message, Place, Word};
 use crate::phase::Phase;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -42,9 +42,9 @@
     pub wanted: Wanted,
 }
 
-/// Whether a request still waits for its final answer. Its client's connection and the decider end it; a link
-/// asks it where the first byte of an attempt leaves. The one thing that tasks share: by way of the
-/// mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
+/// Whether a request still waits for its final answer. Its client's connection and the decider end it; a
+/// connection asks it where the first byte of an attempt leaves. The one thing that tasks share: by way of
+/// the mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
 pub struct Wanted(Rc<Cell<bool>>);
 
@@ -132,7 +132,7 @@
     pub leave_by: Instant,
 }
 
-pub enum LinkOrder {
+pub enum ConnectionOrder {
     Ask(Box<Ask>),
     Quit(Key),
 }
@@ -146,7 +146,7 @@
         dial: SocketAddr,
         started: Option<Instant>,
     },
-    Link(u64, Report),
+    Connection(u64, Report),
 }
 
 /// From a connection to its server's actor.
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,8 +1,8 @@
 //! A cache server, a parent or the origin: shares a few connections among the attempts sent to it.
 
+use crate::connection::{Connection, at};
 use crate::lines::Answer;
-use crate::link::{Link, at};
-use crate::messages::{Ask, Ended, Key, LinkOrder, Message, Order, Report};
+use crate::messages::{Ask, ConnectionOrder, Ended, Key, Message, Order, Report};
 use chalkhall::interface::{Id, Outcome};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 
 struct Held {
     number: u64,
-    orders: mpsc::Sender<LinkOrder>,
+    orders: mpsc::Sender<ConnectionOrder>,
     open: usize,
     up: bool,
     made: Instant,
@@ -45,7 +45,7 @@
     pub connect_timeout: Duration,
     pub idle: Duration,
     pub orders: mpsc::Receiver<Order>,
-    pub orders_of_links: mpsc::Sender<Order>,
+    pub orders_of_connections: mpsc::Sender<Order>,
     pub decider: mpsc::Sender<Message>,
     /// A place for each connection to any server: with the clients' they are the descriptors that there are.
     pub places: Arc<Semaphore>,
@@ -53,20 +53,20 @@
 
 #[derive(Default)]
 struct Hands {
-    links: Vec<Held>,
+    connections: Vec<Held>,
     last: u64,
     out: HashMap<Key, u64>,
 }
 
 impl Hands {
     fn next_idle(&self, idle: Duration) -> Option<Instant> {
-        self.links.iter().filter(|l| l.open == 0).map(|l| l.used + idle).min()
+        self.connections.iter().filter(|l| l.open == 0).map(|l| l.used + idle).min()
     }
 }
 
 impl Server {
     /// Runs until the decider has let go of it and all that is out has ended.
-    pub async fn run(mut self, mut from_links: mpsc::Receiver<Order>) {
+    pub async fn run(mut self, mut from_connections: mpsc::Receiver<Order>) {
         let mut hands = Hands::default();
         let mut wanted = true;
         while wanted || !hands.out.is_empty() {
@@ -76,7 +76,7 @@
                     Some(order) => self.order(&mut hands, order).await,
                     None => wanted = false,
                 },
-                Some(order) = from_links.recv() => self.order(&mut hands, order).await,
+                Some(order) = from_connections.recv() => self.order(&mut hands, order).await,
                 () = at(next_idle) => {}
             }
             self.retire(&mut hands);
@@ -86,8 +86,8 @@
     /// Closed before the other side does it: a request that crosses a close may have run.
     fn retire(&self, hands: &mut Hands) {
         let now = Instant::now();
-        hands.links.iter_mut().for_each(|l| l.retired |= l.open == 0 && now >= l.used + self.idle);
-        hands.links.retain(|l| !(l.retired && l.open == 0));
+        hands.connections.iter_mut().for_each(|l| l.retired |= l.open == 0 && now >= l.used + self.idle);
+        hands.connections.retain(|l| !(l.retired && l.open == 0));
     }
 
     async fn end(&self, key: Key, outcome: Outcome, answer: Option<Box<Answer>>) {
@@ -105,33 +105,33 @@
             Order::Quit(key) => {
                 let Some(number) = hands.out.get(&key) else { return };
                 // Where the connection takes no orders its end is on the way.
-                if let Some(link) = hands.links.iter().find(|l| l.number == *number) {
-                    let _ = link.orders.try_send(LinkOrder::Quit(key));
+                if let Some(connection) = hands.connections.iter().find(|l| l.number == *number) {
+                    let _ = connection.orders.try_send(ConnectionOrder::Quit(key));
                 }
             }
             Order::Anew { dial, started } => {
                 let elsewhere = dial != self.dial;
                 self.dial = dial;
-                let before = |link: &Held| elsewhere || started.is_some_and(|at| link.made < at);
-                hands.links.iter_mut().filter(|l| before(l)).for_each(|l| l.retired = true);
+                let before = |connection: &Held| elsewhere || started.is_some_and(|at| connection.made < at);
+                hands.connections.iter_mut().filter(|l| before(l)).for_each(|l| l.retired = true);
             }
-            Order::Link(number, Report::Up) => {
-                hands.links.iter_mut().filter(|l| l.number == number).for_each(|l| l.up = true);
+            Order::Connection(number, Report::Up) => {
+                hands.connections.iter_mut().filter(|l| l.number == number).for_each(|l| l.up = true);
             }
-            Order::Link(number, Report::Down) => hands.links.retain(|l| l.number != number),
-            Order::Link(number, Report::Ended { key, outcome, answer, silent }) => {
+            Order::Connection(number, Report::Down) => hands.connections.retain(|l| l.number != number),
+            Order::Connection(number, Report::Ended { key, outcome, answer, silent }) => {
                 if hands.out.remove(&key).is_none() {
                     return;
                 }
-                if let Some(link) = hands.links.iter_mut().find(|l| l.number == number) {
-                    link.open -= 1;
-                    link.used = Instant::now();
+                if let Some(connection) = hands.connections.iter_mut().find(|l| l.number == number) {
+                    connection.open -= 1;
+                    connection.used = Instant::now();
                     // A machine that vanished says nothing; a new connection to it will not come up, which
                     // proves that nothing ran.
-                    link.retired |= silent;
+                    connection.retired |= silent;
                     if outcome != Outcome::NeverSent {
-                        link.old.push_back(key.0.clone());
-                        link.old.drain(..link.old.len().saturating_sub(OLD_IDS_MOST));
+                        connection.old.push_back(key.0.clone());
+                        connection.old.drain(..connection.old.len().saturating_sub(OLD_IDS_MOST));
                     }
                 }
                 self.end(key, outcome, answer).await;
@@ -151,34 +151,36 @@
             let usable = |l: &Held| {
                 !l.retired && l.open < self.streams && !l.old.contains(&key.0) && (fresh(l) || !once)
             };
-            let best = |links: &[Held]| {
-                let usable = links.iter().enumerate().filter(|(_, l)| usable(l));
+            let best = |connections: &[Held]| {
+                let usable = connections.iter().enumerate().filter(|(_, l)| usable(l));
                 usable.min_by_key(|(_, l)| (!l.up, l.open)).map(|(at, _)| at)
             };
-            let found = best(&hands.links);
-            let crowded = found.is_none_or(|at| hands.links[at].open >= SHARED_FROM);
-            let connecting = hands.links.iter().any(|l| !l.up && !l.retired);
-            if found.is_none() || crowded && !connecting && hands.links.len() < self.connections_most {
-                if once && hands.links.len() >= self.connections_most {
-                    hands.links.iter_mut().for_each(|l| l.retired |= !fresh(l));
-                    hands.links.retain(|l| !(l.retired && l.open == 0));
+            let found = best(&hands.connections);
+            let crowded = found.is_none_or(|at| hands.connections[at].open >= SHARED_FROM);
+            let connecting = hands.connections.iter().any(|l| !l.up && !l.retired);
+            if found.is_none() || crowded && !connecting && hands.connections.len() < self.connections_most {
+                if once && hands.connections.len() >= self.connections_most {
+                    hands.connections.iter_mut().for_each(|l| l.retired |= !fresh(l));
+                    hands.connections.retain(|l| !(l.retired && l.open == 0));
                 }
                 // Past the bound only where no other can take it: silent ones still hold descriptors.
-                if hands.links.len() >= self.connections_most * 2 {
+                if hands.connections.len() >= self.connections_most * 2 {
                     return false;
                 }
                 self.open(hands);
             }
-            let Some(link) = best(&hands.links).map(|at| &mut hands.links[at]) else { return false };
-            match link.orders.try_send(LinkOrder::Ask(ask)) {
+            let Some(connection) = best(&hands.connections).map(|at| &mut hands.connections[at]) else {
+                return false;
+            };
+            match connection.orders.try_send(ConnectionOrder::Ask(ask)) {
                 Ok(()) => {
-                    link.open += 1;
-                    link.used = Instant::now();
-                    hands.out.insert(key, link.number);
+                    connection.open += 1;
+                    connection.used = Instant::now();
+                    hands.out.insert(key, connection.number);
                     return true;
                 }
-                Err(mpsc::error::TrySendError::Closed(LinkOrder::Ask(back))) => {
-                    link.retired = true;
+                Err(mpsc::error::TrySendError::Closed(ConnectionOrder::Ask(back))) => {
+                    connection.retired = true;
                     ask = back;
                 }
                 Err(_) => return false,
@@ -194,7 +196,7 @@
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
         let now = Instant::now();
         let (number, old) = (hands.last, VecDeque::new());
-        hands.links.push(Held {
+        hands.connections.push(Held {
             number,
             orders,
             open: 0,
@@ -204,16 +206,16 @@
             used: now,
             old,
         });
-        let link = Link {
+        let connection = Connection {
             number,
             dial: self.dial,
             connect_timeout: self.connect_timeout,
             orders: receiver,
-            server: self.orders_of_links.clone(),
+            server: self.orders_of_connections.clone(),
             _place: place,
         };
         log::debug!("{}: connection {number} to {}", self.name, self.dial);
-        spawn_local(link.run());
+        spawn_local(connection.run());
     }
 }
 
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -7,7 +7,7 @@
 
 /// A server that is never reached, with so many places for connections; and what its mailboxes hang on.
 fn server(places: usize) -> (Server, impl Sized) {
-    let (orders_of_links, from_links) = mpsc::channel(8);
+    let (orders_of_connections, from_connections) = mpsc::channel(8);
     let (sender, orders) = mpsc::channel(8);
     let (decider, messages) = mpsc::channel(8);
     let server = Server {
@@ -18,11 +18,11 @@
         connect_timeout: WAIT,
         idle: WAIT,
         orders,
-        orders_of_links,
+        orders_of_connections,
         decider,
         places: Arc::new(Semaphore::new(places)),
     };
-    (server, (from_links, sender, messages))
+    (server, (from_connections, sender, messages))
 }
 
 fn ask(id: &'static str) -> Box<Ask> {
@@ -32,10 +32,10 @@
     Box::new(Ask { key, passed, line, once: false, wanted, due, leave_by: due })
 }
 
-async fn ended(server: &mut Server, hands: &mut Hands, link: u64, id: &str) {
+async fn ended(server: &mut Server, hands: &mut Hands, connection: u64, id: &str) {
     let key: Key = (id.into(), 0);
     let ended = Report::Ended { key, outcome: Outcome::Served, answer: None, silent: false };
-    server.order(hands, Order::Link(link, ended)).await;
+    server.order(hands, Order::Connection(connection, ended)).await;
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -43,12 +43,12 @@
     let inside = async {
         let ((mut server, _kept), mut hands) = (server(3), Hands::default());
         server.open(&mut hands);
-        hands.links[0].up = true;
+        hands.connections[0].up = true;
         assert!(server.pass(&mut hands, ask("a")));
-        assert_eq!(hands.links.len(), 1, "shared while it may be");
+        assert_eq!(hands.connections.len(), 1, "shared while it may be");
         ended(&mut server, &mut hands, 1, "a").await;
         assert!(server.pass(&mut hands, ask("a")));
-        let open: Vec<usize> = hands.links.iter().map(|link| link.open).collect();
+        let open: Vec<usize> = hands.connections.iter().map(|connection| connection.open).collect();
         assert_eq!(open, [0, 1], "a second copy would pass for the second one's");
     };
     tokio::task::LocalSet::new().run_until(inside).await;
@@ -61,17 +61,18 @@
     let inside = async {
         let ((mut server, _kept), mut hands) = (server(3), Hands::default());
         assert!(server.pass(&mut hands, ask("a")));
-        hands.links[0].up = true;
+        hands.connections[0].up = true;
         ended(&mut server, &mut hands, 1, "a").await;
-        assert_eq!(hands.next_idle(WAIT), Some(hands.links[0].used + WAIT), "the timer is exact");
-        hands.links[0].used = Instant::now() - WAIT;
+        assert_eq!(hands.next_idle(WAIT), Some(hands.connections[0].used + WAIT), "the timer is exact");
+        hands.connections[0].used = Instant::now() - WAIT;
         assert!(server.pass(&mut hands, ask("b")));
-        let open: Vec<(u64, usize)> = hands.links.iter().map(|link| (link.number, link.open)).collect();
+        let open: Vec<(u64, usize)> =
+            hands.connections.iter().map(|connection| (connection.number, connection.open)).collect();
         assert_eq!(open, [(2, 1)]);
         // One that carries something is in use, however long ago the last was passed to it.
-        hands.links[0].used = Instant::now() - WAIT;
+        hands.connections[0].used = Instant::now() - WAIT;
         assert!(server.pass(&mut hands, ask("c")));
-        assert_eq!(hands.links[0].open, 2);
+        assert_eq!(hands.connections[0].open, 2);
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
@@ -88,7 +89,7 @@
         assert!(one.pass(&mut hands, ask("c")), "shared");
         one.streams = 2;
         assert!(!one.pass(&mut hands, ask("d")), "there is no place, and no connection that takes it");
-        assert_eq!((hands.links.len(), hands.out.len()), (1, 2));
+        assert_eq!((hands.connections.len(), hands.out.len()), (1, 2));
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
