--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -54,7 +54,7 @@
     /// Own copies on disk: what is there, whether it is whole, and what to do about it
     #[command(subcommand)]
     Store(Store),
-    /// Peers: what a live router tells its mates, and hears
+    /// Peers: what a live router tells its peers, and hears
     #[command(subcommand)]
     Peers(Peers),
     /// Regions: how a live router's zone and the others are, and where its requests go
@@ -83,7 +83,7 @@
 
 #[derive(Subcommand)]
 pub enum Peers {
-    /// Tells how many mates are heard, and what was dropped
+    /// Tells how many peers are heard, and what was dropped
     #[command(after_help = "Exit codes: 0 done; 1 the router does not answer, or talks to nobody.
 
 Example: chalkhall peers stat --socket /run/chalkhall/control.sock")]
--- a/crates/cli/src/bin/proof-even/main.rs
+++ b/crates/cli/src/bin/proof-even/main.rs
@@ -99,7 +99,7 @@
         all.push(shown);
         plays += 1;
     }
-    // The same calm work without mates: nothing rests on them.
+    // The same calm work without peers: nothing rests on them.
     let alone = match calm {
         Some(_) => Some(once("alone", &play_of("", "", true)?, arguments, &mut voids)?),
         None => None,
--- a/crates/directives/src/words.rs
+++ b/crates/directives/src/words.rs
@@ -37,7 +37,7 @@
 pub struct Peers {
     /// Tells the other routers of the zone what it sights and has under way, and heeds what they tell.
     pub tell: bool,
-    /// Evens out the load of the zone's caches with the mates.
+    /// Evens out the load of the zone's caches with the peers.
     pub even_load: bool,
 }
 
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -1,7 +1,7 @@
 //! What routers say to one another passes here, and may be lost, doubled, late or turned round. Needs no
-//! privilege: each router is told, as its mates' addresses, one socket of this net for each router; what
+//! privilege: each router is told, as its peers' addresses, one socket of this net for each router; what
 //! router i sends to j's socket is known by where it comes from, and goes on from i's socket to j. So each
-//! sees its mates where it was told.
+//! sees its peers where it was told.
 
 use crate::ways::Ways;
 use chalkhall_members::codec::{Datagram, Finding, KEY_BITS, MOST_BYTES};
@@ -92,12 +92,12 @@
     }
 
     /// A word within the format, in the name of a router, that nobody has found out: parts that are nowhere.
-    pub fn lie(&self, liar: usize, zone: usize, mates: &[usize], chance: &mut fastrand::Rng) {
+    pub fn lie(&self, liar: usize, zone: usize, peers: &[usize], chance: &mut fastrand::Rng) {
         let finding = |_| Finding { part: chance.u32(..1 << KEY_BITS), cache: chance.u8(1..) };
         let findings = (0..50).map(finding).collect();
         let bytes = Datagram { looking: chance.bool(), zone: zone as u16, findings }.encode();
-        for mate in mates.iter().filter(|mate| **mate != liar) {
-            let _ = self.sockets[liar].try_send_to(&bytes, self.routers[*mate]);
+        for peer in peers.iter().filter(|peer| **peer != liar) {
+            let _ = self.sockets[liar].try_send_to(&bytes, self.routers[*peer]);
         }
     }
 }
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -85,7 +85,7 @@
     Late(Duration),
     /// Some routers hear nothing, but are heard.
     Deaf(Whom),
-    /// Forged datagrams, within the format, in the name of a mate.
+    /// Forged datagrams, within the format, in the name of a peer.
     Lie(Whom),
     /// This share of the work is for one object; another one each second.
     Hot(f64),
--- a/crates/fleet/src/run.rs
+++ b/crates/fleet/src/run.rs
@@ -1081,9 +1081,9 @@
                 let Fault { at, lasts, .. } = self.play.faults[n];
                 for liar in self.struck.get(&n).cloned().unwrap_or_default() {
                     let zone = self.routers[liar].zone;
-                    let mates: Vec<usize> =
+                    let peers: Vec<usize> =
                         (0..self.routers.len()).filter(|r| self.routers[*r].zone == zone).collect();
-                    self.net.lie(liar, zone, &mates, &mut self.chance);
+                    self.net.lie(liar, zone, &peers, &mut self.chance);
                 }
                 if now < at + lasts {
                     self.after(now + Duration::from_millis(250), Timer::Lie(n));
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -139,12 +139,12 @@
         if due.is_empty() {
             return due;
         }
-        let mates: Vec<u16> = rumours.mates(now, ALIVE).collect();
+        let peers: Vec<u16> = rumours.peers(now, ALIVE).collect();
         let draws =
             |number: u16, edge: usize| xxh3_64(&[number.to_be_bytes(), (edge as u16).to_be_bytes()].concat());
         let mine = |edge: &usize| {
             let own = draws(self.number, *edge);
-            mates.iter().filter(|mate| draws(**mate, *edge) < own).count() < MEASURERS
+            peers.iter().filter(|peer| draws(**peer, *edge) < own).count() < MEASURERS
         };
         let found: Vec<usize> = due.into_iter().filter(mine).collect();
         for edge in &found {
@@ -194,8 +194,8 @@
             return words;
         }
         self.matrix_told = Some(now);
-        // Only what was measured is told: a belief taken from mates would go round and outlive the truth.
-        let least = (rumours.mates(now, ALIVE).count() + 1).min(3);
+        // Only what was measured is told: a belief taken from peers would go round and outlive the truth.
+        let least = (rumours.peers(now, ALIVE).count() + 1).min(3);
         let measured =
             |edge: usize| self.estimate(now, rumours, WAYS, &self.ways, edge).filter(|e| e.tellers >= least);
         for (part, first) in (0..self.edges).step_by(CHUNK).enumerate() {
@@ -259,7 +259,7 @@
     }
 
     /// What is believed of the way from here to an edge. Of fewer than three tellers one that lies could not
-    /// be told from the others: then what mates believe of it stands in.
+    /// be told from the others: then what peers believe of it stands in.
     pub fn way(&self, now: Duration, rumours: &Rumours, edge: usize) -> Option<Estimate> {
         let own = self.estimate(now, rumours, WAYS, &self.ways, edge);
         if own.is_some_and(|own| own.tellers >= 3) {
@@ -464,7 +464,7 @@
         let count = |here: usize| {
             let mut all: Vec<_> = (0..here).map(|n| router(n * 6, 6, here * 6, 1)).collect();
             for (_, rumours) in &mut all {
-                (0..here).for_each(|m| rumours.mate(m as u16 * 6, ms(38_000)));
+                (0..here).for_each(|m| rumours.peer(m as u16 * 6, ms(38_000)));
             }
             let mut found = 0;
             for now in (0..40_000).step_by(100) {
@@ -476,7 +476,7 @@
         assert_eq!((few, many, alone), (10.0, 10.0, 2.0), "a second and way");
         // The dead are not waited for: who gave no sign of life leaves its ways to others.
         let (mut model, mut rumours) = router(0, 6, 120, 1);
-        (1..20).for_each(|n| rumours.mate(n * 6, ms(0)));
+        (1..20).for_each(|n| rumours.peer(n * 6, ms(0)));
         assert!(model.to_measure(ms(1000), &rumours).len() < 6);
         assert_eq!(model.to_measure(ms(6000), &rumours).len(), 6);
     }
@@ -504,7 +504,7 @@
         for (kind, part, body) in model.words(ms(0), &rumours) {
             rumours.say(ms(0), kind, part, body, false);
         }
-        rumours.mate(6, ms(0));
+        rumours.peer(6, ms(0));
         (1..200).for_each(|n| rumours.tick(ms(n * 250), &mut said));
         let (mut here, mut there) = (router(6, 6, 120, 1).1, router(7, 6, 120, 1).1);
         for (_, bytes) in &said.0 {
--- a/crates/members/src/codec.rs
+++ b/crates/members/src/codec.rs
@@ -4,7 +4,7 @@
 //! | bytes | what |
 //! | --- | --- |
 //! | 1 | 0xC1: this format |
-//! | 1 | bit 0: the sender is looking for mates; all others 0 |
+//! | 1 | bit 0: the sender is looking for peers; all others 0 |
 //! | 2 | the sender's zone |
 //! | 5 each | findings, to the end: 4 bytes of a part's key (31 bits), 1 of the mark of its cache |
 //!
--- a/crates/members/src/lean.rs
+++ b/crates/members/src/lean.rs
@@ -3,12 +3,12 @@
 //! of four has a third more than the others for good. One router of twenty sees too little to tell that from
 //! chance; together they see it.
 //!
-//! Each period a router tells its mates the work it sent to each cache. All add up what they hear over
+//! Each period a router tells its peers the work it sent to each cache. All add up what they hear over
 //! [`MEMORY`] and turn each cache's weight in the hash a little against what it has too much of. Weights move
 //! objects by the hash, so routers that heard the same move the same ones, to wherever each hashes next;
 //! [`GAIN`] is small against the memory, so that the same word heard by all makes nobody swing.
 //!
-//! Nothing rests on a mate: with none heard a router leans by what it sent itself, which is little, and back
+//! Nothing rests on a peer: with none heard a router leans by what it sent itself, which is little, and back
 //! to nothing where it sends too little to tell. No word moves a weight past [`MOST`], so a lie costs
 //! evenness within that, never a rule: who may be sent to, and how much, is decided where every send passes.
 
@@ -110,7 +110,7 @@
         told
     }
 
-    /// What a mate sent in its last period. No more of it counts than the zone could have done in ten.
+    /// What a peer sent in its last period. No more of it counts than the zone could have done in ten.
     pub fn heard(&mut self, loads: &[Load], period: f64) {
         let capacity: f64 = self.caches.values().flatten().map(|cache| cache.capacity).sum();
         let most = 10.0 * period * capacity;
--- a/crates/members/src/rumours.rs
+++ b/crates/members/src/rumours.rs
@@ -7,7 +7,7 @@
 //! to while it holds it, so no clocks are compared; past the span of its lane it is as if it had never been
 //! told. A datagram's own time on the way is not in the age.
 //!
-//! Each period a router sends two datagrams to mates of its zone and one to any router of the fleet, with
+//! Each period a router sends two datagrams to peers of its zone and one to any router of the fleet, with
 //! what it has told least; a word is told on so many times as spreads it to all (log2 of the fleet, and a few
 //! for loss) and no more. A word in a hurry is told on at once, within a bound a second. Of a part told from
 //! one place only the freshest few tellers are kept: enough to outvote one that lies, and no table grows with
@@ -25,9 +25,9 @@
 
 /// Between two rounds of telling.
 pub const PERIOD: Duration = Duration::from_millis(250);
-/// Mates of the zone that are told something in each; beside them one of all routers.
-const MATES_TOLD: usize = 2;
-/// Words in a hurry go in rounds so soon after one another, to so many mates and to as many of all routers;
+/// Peers of the zone that are told something in each; beside them one of all routers.
+const PEERS_TOLD: usize = 2;
+/// Words in a hurry go in rounds so soon after one another, to so many peers and to as many of all routers;
 /// and so many times a second at most.
 const HURRY: Duration = Duration::from_millis(20);
 const HURRY_TO: usize = 2;
@@ -35,9 +35,9 @@
 const HURRIES_MOST: u32 = 8;
 /// Told on so many times more than log2 of the fleet: what loss of a third takes back.
 const MORE: u32 = 8;
-/// Words held in all, whatever the lanes allow; and mates that are chosen among.
+/// Words held in all, whatever the lanes allow; and peers that are chosen among.
 const WORDS_MOST: usize = 8192;
-const MATES_MOST: usize = 1024;
+const PEERS_MOST: usize = 1024;
 /// Of a word's body.
 pub const BODY_MOST: usize = 128;
 
@@ -204,7 +204,7 @@
     lanes: Vec<Lane>,
     words: BTreeMap<Topic, Word>,
     /// Routers of this place, by their own words, and when they last gave a sign of life.
-    mates: BTreeMap<u16, Duration>,
+    peers: BTreeMap<u16, Duration>,
     last: u32,
     next: Duration,
     /// Since when hurries are counted, how many there were; what is in a hurry now.
@@ -226,7 +226,7 @@
             stand,
             lanes: lanes.to_vec(),
             words: BTreeMap::new(),
-            mates: BTreeMap::new(),
+            peers: BTreeMap::new(),
             last: 0,
             next,
             hurries: (now, 0),
@@ -279,17 +279,17 @@
     }
 
     /// A router that is known to be of this place by other ways, and was alive then.
-    pub fn mate(&mut self, number: u16, alive: Duration) {
-        if number != self.stand.number && (self.mates.len() < MATES_MOST || self.mates.contains_key(&number))
+    pub fn peer(&mut self, number: u16, alive: Duration) {
+        if number != self.stand.number && (self.peers.len() < PEERS_MOST || self.peers.contains_key(&number))
         {
-            let known = self.mates.entry(number).or_default();
+            let known = self.peers.entry(number).or_default();
             *known = alive.max(*known);
         }
     }
 
-    /// The mates that gave a sign of life within this span, in order.
-    pub fn mates(&self, now: Duration, within: Duration) -> impl Iterator<Item = u16> {
-        self.mates.iter().filter(move |(_, alive)| now <= **alive + within).map(|(number, _)| *number)
+    /// The peers that gave a sign of life within this span, in order.
+    pub fn peers(&self, now: Duration, within: Duration) -> impl Iterator<Item = u16> {
+        self.peers.iter().filter(move |(_, alive)| now <= **alive + within).map(|(number, _)| *number)
     }
 
     pub fn dropped(&self) -> Dropped {
@@ -330,8 +330,8 @@
                     let to = self.any();
                     self.tell(now, to, true, mouth);
                 }
-                if let Some(mate) = self.any_mate() {
-                    self.tell(now, mate, true, mouth);
+                if let Some(peer) = self.any_peer() {
+                    self.tell(now, peer, true, mouth);
                 }
             }
         }
@@ -341,9 +341,9 @@
         // After a pause no periods are made up for.
         self.next = now + PERIOD;
         self.forget(now);
-        for _ in 0..MATES_TOLD {
-            if let Some(mate) = self.any_mate() {
-                self.tell(now, mate, false, mouth);
+        for _ in 0..PEERS_TOLD {
+            if let Some(peer) = self.any_peer() {
+                self.tell(now, peer, false, mouth);
             }
         }
         let to = self.any();
@@ -355,10 +355,10 @@
         drawn + u16::from(drawn >= self.stand.number)
     }
 
-    fn any_mate(&mut self) -> Option<u16> {
-        let count = self.mates.len();
+    fn any_peer(&mut self) -> Option<u16> {
+        let count = self.peers.len();
         let at = (count > 0).then(|| self.chance.usize(..count))?;
-        self.mates.keys().nth(at).copied()
+        self.peers.keys().nth(at).copied()
     }
 
     fn forget(&mut self, now: Duration) {
@@ -370,7 +370,7 @@
 
     /// One datagram, to a router of this place or not.
     fn tell(&mut self, now: Duration, to: u16, urgent: bool, mouth: &mut dyn Mouth) {
-        let (near, enough) = (self.mates.contains_key(&to), self.enough());
+        let (near, enough) = (self.peers.contains_key(&to), self.enough());
         let lanes = &self.lanes;
         let lane = |kind: u8| lanes.iter().find(|lane| lane.kind == kind);
         let chance = &mut self.chance;
@@ -427,9 +427,9 @@
             return true;
         }
         if place == self.stand.place {
-            self.mate(from as u16, now);
+            self.peer(from as u16, now);
         } else {
-            self.mates.remove(&(from as u16));
+            self.peers.remove(&(from as u16));
         }
         for word in words {
             self.take(now, word);
@@ -453,7 +453,7 @@
         let told = now.saturating_sub(age);
         let (fresh, new) = (known.is_none_or(|word| word.body != body), known.is_none());
         if place == self.stand.place {
-            self.mate(topic.teller, told);
+            self.peer(topic.teller, told);
         }
         if new && !self.room(&topic, place, told, lane) {
             return;
@@ -597,8 +597,8 @@
             assert!(r.words(ms(7000), 2).all(
                 |(t, w)| usize::from(t.teller) % 10 == number % 10 && usize::from(w.place) == number % 10
             ));
-            let mates = r.words(ms(7000), 2).count();
-            assert!(mates >= 15, "{mates} of 20 mates");
+            let peers = r.words(ms(7000), 2).count();
+            assert!(peers >= 15, "{peers} of 20 peers");
             for place in 0..10 {
                 let tellers = r
                     .words(ms(4000), 1)
--- a/crates/members/src/talk.rs
+++ b/crates/members/src/talk.rs
@@ -1,10 +1,10 @@
 //! Who there is at this zone, what is said to whom and when, and what is believed. No I/O: calls in,
 //! datagrams out through a [`Mouth`], what is believed through an [`Ear`].
 //!
-//! Mates find one another by a datagram to all routers, which says where its sender stands: every router of
-//! the same zone takes it for a mate and tells it what it tells the others. It is said again, after twice
+//! Peers find one another by a datagram to all routers, which says where its sender stands: every router of
+//! the same zone takes it for a peer and tells it what it tells the others. It is said again, after twice
 //! as long each time, while some were never heard; never again once all were, whoever is silent: a datagram
-//! to all costs as much as a minute of talk. A mate that is silent for [`SILENT`] gets a sign of life now and
+//! to all costs as much as a minute of talk. A peer that is silent for [`SILENT`] gets a sign of life now and
 //! then, so that both sides of a split find back without asking all.
 
 use crate::codec::{Datagram, FINDINGS_MOST, Finding, HEAD, decode_loads, encode_loads, mark};
@@ -14,19 +14,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Between two datagrams to the mates, which have what was found since.
+/// Between two datagrams to the peers, which have what was found since.
 pub const PERIOD: Duration = Duration::from_millis(500);
-/// A mate that is silent for so long is away: four datagrams in a row are seldom lost by chance.
+/// A peer that is silent for so long is away: four datagrams in a row are seldom lost by chance.
 pub const SILENT: Duration = Duration::from_millis(2000);
 /// Who has nothing to tell says so after so many periods: within [`SILENT`], with one lost.
 const SIGN_OF_LIFE: u32 = 2;
-/// Until all are asked again while mates are missing: at first, and at most.
+/// Until all are asked again while peers are missing: at first, and at most.
 const ASK_FIRST: Duration = Duration::from_secs(2);
 const ASK_MOST: Duration = Duration::from_secs(64);
-/// Findings waiting to be told; the oldest go first, which costs a mate a hint. And datagrams a period.
+/// Findings waiting to be told; the oldest go first, which costs a peer a hint. And datagrams a period.
 const QUEUED_MOST: usize = 128;
 const DATAGRAMS_MOST: usize = 2;
-/// Findings believed of one mate in a period: twice what it may tell, since datagrams bunch. More would push
+/// Findings believed of one peer in a period: twice what it may tell, since datagrams bunch. More would push
 /// out of the id list what this router has seen itself.
 const BELIEVED_MOST: usize = 2 * DATAGRAMS_MOST * FINDINGS_MOST;
 
@@ -42,9 +42,9 @@
     fn say(&mut self, to: To, bytes: &[u8]);
 }
 
-/// Takes in what the mates tell.
+/// Takes in what the peers tell.
 pub trait Ear: Leaning {
-    /// A mate has found a part at a cache, or had it kept there.
+    /// A peer has found a part at a cache, or had it kept there.
     fn found(&mut self, now: Duration, part: u32, cache: Id);
 }
 
@@ -78,14 +78,14 @@
     pub strangers: u64,
     /// Of another format, cut or too long, or with values out of bounds.
     pub faulty: u64,
-    /// Findings past what a mate may tell in a period.
+    /// Findings past what a peer may tell in a period.
     pub flood: u64,
     /// Own findings that were never told.
     pub untold: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Mate {
+struct Peer {
     heard: Duration,
     /// Since when findings are counted, and how many were believed.
     since: Duration,
@@ -97,7 +97,7 @@
     /// By mark; none where two caches have the same: of those nothing is told or believed.
     caches: BTreeMap<u8, Option<Id>>,
     /// When each router of the zone was last heard; no more than there are.
-    mates: BTreeMap<u64, Mate>,
+    peers: BTreeMap<u64, Peer>,
     queue: VecDeque<Finding>,
     next: Duration,
     quiet: u32,
@@ -117,7 +117,7 @@
         (!alone).then(|| Talk {
             about,
             caches: BTreeMap::new(),
-            mates: BTreeMap::new(),
+            peers: BTreeMap::new(),
             queue: VecDeque::new(),
             next: now + lag,
             quiet: 0,
@@ -128,7 +128,7 @@
         })
     }
 
-    /// From now on the zone's load is evened out with the mates.
+    /// From now on the zone's load is evened out with the peers.
     pub fn even_load(&mut self) {
         self.lean = Some(Lean::default());
     }
@@ -150,14 +150,14 @@
         self.lean.iter_mut().for_each(|lean| lean.sent(server, work));
     }
 
-    /// Tells the mates what was sent to whom, and takes up the weights that follow.
+    /// Tells the peers what was sent to whom, and takes up the weights that follow.
     fn tell_loads(&mut self, now: Duration, mouth: &mut dyn Mouth, ear: &mut dyn Ear) {
         let Some(loads) = self.lean.as_mut().map(|lean| lean.tick(ear)).filter(|loads| !loads.is_empty())
         else {
             return;
         };
         let bytes = encode_loads(self.about.zone as u16, &loads);
-        for (number, _) in self.mates.iter().filter(|(_, mate)| now < mate.heard + SILENT) {
+        for (number, _) in self.peers.iter().filter(|(_, peer)| now < peer.heard + SILENT) {
             mouth.say(To::One(*number), &bytes);
         }
     }
@@ -193,17 +193,17 @@
         self.next
     }
 
-    /// How many mates were heard lately, and how many ever.
-    pub fn mates(&self, now: Duration) -> (usize, usize) {
-        let lately = self.mates.values().filter(|mate| now < mate.heard + SILENT);
-        (lately.count(), self.mates.len())
+    /// How many peers were heard lately, and how many ever.
+    pub fn peers(&self, now: Duration) -> (usize, usize) {
+        let lately = self.peers.values().filter(|peer| now < peer.heard + SILENT);
+        (lately.count(), self.peers.len())
     }
 
     pub fn dropped(&self) -> Dropped {
         self.dropped
     }
 
-    /// Asks who is missing, tells the mates what was found.
+    /// Asks who is missing, tells the peers what was found.
     pub fn tick(&mut self, now: Duration, mouth: &mut dyn Mouth, ear: &mut dyn Ear) {
         if now < self.next {
             return;
@@ -212,7 +212,7 @@
         self.next = now + PERIOD;
         self.tell_loads(now, mouth, ear);
         let zone = self.about.zone as u16;
-        if now >= self.ask && self.mates.len() + 1 < self.about.routers_here {
+        if now >= self.ask && self.peers.len() + 1 < self.about.routers_here {
             mouth.say(To::All, &Datagram { looking: true, zone, findings: Vec::new() }.encode());
             self.ask = now + self.ask_again;
             self.ask_again = (self.ask_again * 2).min(ASK_MOST);
@@ -227,8 +227,8 @@
             let bytes = Datagram { looking: false, zone, findings }.encode();
             // Whoever is away is only shown a sign of life.
             let (short, signs) = (&bytes[..HEAD], alive && n == 0);
-            for (number, mate) in &self.mates {
-                match now < mate.heard + SILENT {
+            for (number, peer) in &self.peers {
+                match now < peer.heard + SILENT {
                     true => mouth.say(To::One(*number), &bytes),
                     false if signs => mouth.say(To::One(*number), short),
                     false => {}
@@ -241,14 +241,14 @@
     /// A datagram has come from the router of this number.
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8], ear: &mut dyn Ear) {
         let there_is = from < self.about.routers as u64 && from != self.about.number;
-        // More than the zone has are not mates, whoever they are.
-        let full = || self.mates.len() + 1 >= self.about.routers_here && !self.mates.contains_key(&from);
+        // More than the zone has are not peers, whoever they are.
+        let full = || self.peers.len() + 1 >= self.about.routers_here && !self.peers.contains_key(&from);
         if let Some(loads) = decode_loads(bytes) {
             match (loads, &mut self.lean) {
                 (Err(_), _) => self.dropped.faulty += 1,
-                // Only of who was heard as a mate: loads make nobody one.
+                // Only of who was heard as a peer: loads make nobody one.
                 (Ok((zone, loads)), Some(lean))
-                    if self.mates.contains_key(&from) && usize::from(zone) == self.about.zone =>
+                    if self.peers.contains_key(&from) && usize::from(zone) == self.about.zone =>
                 {
                     lean.heard(&loads, PERIOD.as_secs_f64());
                 }
@@ -267,13 +267,13 @@
             self.dropped.strangers += 1;
             return;
         }
-        let mate = self.mates.entry(from).or_default();
-        mate.heard = now;
-        if now >= mate.since + PERIOD {
-            (mate.since, mate.believed) = (now, 0);
+        let peer = self.peers.entry(from).or_default();
+        peer.heard = now;
+        if now >= peer.since + PERIOD {
+            (peer.since, peer.believed) = (now, 0);
         }
-        let believed = datagram.findings.len().min(BELIEVED_MOST - mate.believed);
-        mate.believed += believed;
+        let believed = datagram.findings.len().min(BELIEVED_MOST - peer.believed);
+        peer.believed += believed;
         self.dropped.flood += (datagram.findings.len() - believed) as u64;
         if datagram.looking {
             // It learns of this router by the next sign of life, which comes at once.
@@ -369,7 +369,7 @@
         }
 
         fn lately(&self, now: u64) -> Vec<usize> {
-            self.talks.iter().map(|talk| talk.as_ref().map_or(0, |talk| talk.mates(ms(now)).0)).collect()
+            self.talks.iter().map(|talk| talk.as_ref().map_or(0, |talk| talk.peers(ms(now)).0)).collect()
         }
 
         fn find(&mut self, number: usize, part: u32, cache: &str) {
@@ -378,7 +378,7 @@
     }
 
     #[test]
-    fn mates_find_one_another_and_tell_what_they_find() {
+    fn peers_find_one_another_and_tell_what_they_find() {
         let mut net = Net::new(0.0);
         net.until(0, 1500);
         assert_eq!(net.lately(1500), [5; 12]);
@@ -402,7 +402,7 @@
         net.cut = 0;
         net.until(9000, 10_500);
         assert_eq!(net.lately(10_500), [5; 12]);
-        assert_eq!(net.to_all, asked, "mates once heard are not looked for among all");
+        assert_eq!(net.to_all, asked, "peers once heard are not looked for among all");
         net.talks[1] = None;
         net.until(10_500, 13_000);
         assert_eq!(net.lately(13_000)[0], 4);
@@ -413,7 +413,7 @@
     }
 
     #[test]
-    fn a_third_of_all_datagrams_lost_loses_no_mate_for_long() {
+    fn a_third_of_all_datagrams_lost_loses_no_peer_for_long() {
         let mut net = Net::new(0.33);
         net.until(0, 20_000);
         let known = net.lately(20_000);
@@ -440,10 +440,10 @@
         }
         talk.heard(ms(1), 1, &sound[..3], &mut ear);
         talk.heard(ms(1), 1, &[0; 256], &mut ear);
-        assert_eq!((talk.mates(ms(1)), talk.dropped.strangers, talk.dropped.faulty), ((0, 0), 3, 2));
+        assert_eq!((talk.peers(ms(1)), talk.dropped.strangers, talk.dropped.faulty), ((0, 0), 3, 2));
         // All the routers there are say that they stand here: no more are believed than there can be.
         (1..12).for_each(|from| talk.heard(ms(1), from, &sound, &mut ear));
-        assert_eq!(talk.mates(ms(1)).1, 5);
+        assert_eq!(talk.peers(ms(1)).1, 5);
         for part in 0..10_000 {
             talk.found(part, &"c1".into());
         }
@@ -455,13 +455,13 @@
     }
 
     #[test]
-    fn a_mate_that_floods_is_believed_as_far_as_one_may_tell() {
+    fn a_peer_that_floods_is_believed_as_far_as_one_may_tell() {
         let (mut talk, mut ear) = (talk(0, 0), Heard::default());
         let findings: Vec<_> = (0..50).map(|part| Finding { part, cache: mark("c1") }).collect();
         let told = Datagram { zone: 1, findings, ..Datagram::default() }.encode();
         (0..1000).for_each(|_| talk.heard(ms(100), 1, &told, &mut ear));
         assert_eq!((ear.0.len(), talk.dropped.flood), (BELIEVED_MOST, 50_000 - BELIEVED_MOST as u64));
-        // Another mate is not made to pay for it, and it is heard again later.
+        // Another peer is not made to pay for it, and it is heard again later.
         talk.heard(ms(100), 2, &told, &mut ear);
         talk.heard(ms(100) + PERIOD, 1, &told, &mut ear);
         assert_eq!(ear.0.len(), BELIEVED_MOST + 100);
--- a/crates/members/tests/play.rs
+++ b/crates/members/tests/play.rs
@@ -1,4 +1,4 @@
-//! 200 routers in simulated time: what mates tell, a film that all want, slow caches, and a day on which most
+//! 200 routers in simulated time: what peers tell, a film that all want, slow caches, and a day on which most
 //! goes wrong. `SEED=…` plays another; any must hold.
 
 mod stand_ins;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_mates_tell_saves_fills_and_costs_little() {
+fn what_peers_tell_saves_fills_and_costs_little() {
     let day = Day { seed: seed(), hot: true, ..Day::default() };
     let (alone, talking) = (World::play(day), World::play(Day { talk: true, ..day }));
     let served = |seen: &Seen| share(seen.in_time, seen.asked);
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -40,9 +40,9 @@
     Lane { kind: HOME, near: false, first: false, keep: HOME_TELLERS, lasts: LASTS },
     Lane { kind: PLAN, near: true, first: true, keep: 4, lasts: PLAN_LASTS },
 ];
-/// A mate that gave a sign of life so lately asks for something.
+/// A peer that gave a sign of life so lately asks for something.
 const ALIVE: Duration = Duration::from_secs(5);
-/// Within this of a start mates have been heard.
+/// Within this of a start peers have been heard.
 const SETTLE: Duration = Duration::from_millis(2500);
 /// Own words are told so often, and at once when the place turns bad or good.
 const TELL_EVERY: Duration = Duration::from_millis(500);
@@ -107,7 +107,7 @@
     /// The plan in force, and who told it.
     pub plan: Option<(Plan, u16)>,
     pub demand: f64,
-    pub mates: usize,
+    pub peers: usize,
     /// By zone: bad, drained, demand, room for this one.
     pub places: Vec<(bool, bool, f64, f64)>,
 }
@@ -215,7 +215,7 @@
     pub fn saw(&mut self, now: Duration, good: bool) {
         let before = self.seen.says_bad(now);
         self.seen.saw(now, good, 1.0);
-        // That turns in a hurry: mates see as little as this one.
+        // That turns in a hurry: peers see as little as this one.
         self.urgent |= !self.health.is_bad() && !before && self.seen.says_bad(now);
     }
 
@@ -236,7 +236,7 @@
 
     /// The ways to be measured now, by edge.
     pub fn to_measure(&mut self, now: Duration) -> Vec<usize> {
-        // Who hears nobody measures all: at a start, before mates are heard, that would be everybody at once.
+        // Who hears nobody measures all: at a start, before peers are heard, that would be everybody at once.
         if now < self.started + SETTLE {
             return Vec::new();
         }
@@ -251,7 +251,7 @@
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         let ours = self.rumours.heard(now, from, bytes);
         for topic in self.rumours.news() {
-            // A word of a mate that may turn what is held here is looked at now, a plan too.
+            // A word of a peer that may turn what is held here is looked at now, a plan too.
             if topic.kind == LOAD || topic.kind == PLAN {
                 self.judge(now);
                 self.follow(now);
@@ -266,24 +266,24 @@
         let (good, bad) = self.seen.now(now);
         let own = (self.about.number, Load { demand: self.asks(now), good, bad });
         let number = self.about.number;
-        let mates = self.rumours.words(now, LOAD).filter(move |(topic, _)| topic.teller != number);
-        let mates = mates.filter_map(move |(topic, word)| {
+        let peers = self.rumours.words(now, LOAD).filter(move |(topic, _)| topic.teller != number);
+        let peers = peers.filter_map(move |(topic, word)| {
             let age = now.saturating_sub(word.told);
             let fades = (-age.div_duration_f64(crate::evidence::HALF_LIFE)).exp2();
             let load = Load::decode(&word.body)?;
             Some((topic.teller, Load { good: load.good * fades, bad: load.bad * fades, ..load }))
         });
-        mates.chain([own])
+        peers.chain([own])
     }
 
     fn judge(&mut self, now: Duration) {
         // No router counts for more than four requests: one that is itself broken is outvoted.
-        let (good, bad, mates) = self.loads(now).fold((0.0, 0.0, 0), |(good, bad, mates), (_, load)| {
+        let (good, bad, peers) = self.loads(now).fold((0.0, 0.0, 0), |(good, bad, peers), (_, load)| {
             let scale = (4.0 / (load.good + load.bad).max(4.0)).min(1.0);
-            (good + load.good * scale, bad + load.bad * scale, mates + 1)
+            (good + load.good * scale, bad + load.bad * scale, peers + 1)
         });
         // Nobody heard: as ever, on its own.
-        if mates > 1 {
+        if peers > 1 {
             self.urgent |= self.health.judge(now, good, bad);
         }
     }
@@ -305,12 +305,12 @@
         Some(Home { bad, drained, demand: middle(|home| home.demand)?, strain: middle(|home| home.strain)? })
     }
 
-    /// What the zone asks for: what is heard of, and for each mate that lives but of whose load nothing
+    /// What the zone asks for: what is heard of, and for each peer that lives but of whose load nothing
     /// is known just now as much as the others ask for on average. Too little told would overfill this place.
     fn demand_here(&self, now: Duration) -> f64 {
         let (sum, known) =
             self.loads(now).fold((0.0, 0.0), |(sum, known), (_, load)| (sum + load.demand, known + 1.0));
-        let alive = self.rumours.mates(now, ALIVE).count() as f64 + 1.0;
+        let alive = self.rumours.peers(now, ALIVE).count() as f64 + 1.0;
         sum * (alive / known).max(1.0)
     }
 
@@ -466,7 +466,7 @@
         });
         let home_again = shares == [(own, 1.0)];
         if home_again && !changed {
-            // All is at home: once mates have heard so, nothing needs to be told.
+            // All is at home: once peers have heard so, nothing needs to be told.
             self.table = Table::default();
             return;
         }
@@ -569,7 +569,7 @@
             speaker: self.speaker(now) == self.about.number,
             plan: self.plan.clone(),
             demand: homes[own].map_or(0.0, |home| home.demand),
-            mates: self.loads(now).count() - 1,
+            peers: self.loads(now).count() - 1,
             places: homes.iter().enumerate().map(of).collect(),
         }
     }
--- a/crates/regions/src/evidence.rs
+++ b/crates/regions/src/evidence.rs
@@ -95,7 +95,7 @@
         true
     }
 
-    /// A mate's verdict, where this router sees too little to have its own.
+    /// A peer's verdict, where this router sees too little to have its own.
     pub fn adopt(&mut self, now: Duration, bad: bool) {
         if self.bad != bad {
             (self.bad, self.since) = (bad, now);
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -270,7 +270,7 @@
         let dropped = self.regions.rumours().dropped();
         json!({
             "location": self.names.get(self.zone), "bad": report.bad, "drained": report.drained,
-            "flaps": report.flaps, "speaks": report.speaker, "mates": report.mates, "demand": report.demand,
+            "flaps": report.flaps, "speaks": report.speaker, "mates": report.peers, "demand": report.demand,
             "plan": report.plan.map(|(plan, teller)| json!({
                 "number": plan.number, "teller": teller,
                 "shares": plan.shares.iter().map(share).collect::<Vec<_>>(),
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -209,7 +209,7 @@
     }
 }
 
-/// What stands beside the decisions, where it is turned on: own copies, the map of cells, talk with mates.
+/// What stands beside the decisions, where it is turned on: own copies, the map of cells, talk with peers.
 pub struct Beside {
     pub own: Option<Own>,
     pub confined: Option<Confined>,
@@ -569,7 +569,7 @@
             },
             (["peers", "stat"], _) => match &self.desk.talk {
                 Some((talk, _)) => {
-                    let ((lately, ever), d) = (talk.mates(self.desk.now), talk.dropped());
+                    let ((lately, ever), d) = (talk.peers(self.desk.now), talk.dropped());
                     let weights: BTreeMap<&str, f64> =
                         talk.weights().map(|(cache, by)| (&**cache, by)).collect();
                     json!({
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -36,7 +36,7 @@
 /// still has the address for a moment.
 pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
     let bound = UdpSocket::bind(peers.listen).await;
-    bound.map_err(|what| log::warn!("peer_listen: {}: {what}; mates are not talked to", peers.listen)).ok()
+    bound.map_err(|what| log::warn!("peer_listen: {}: {what}; peers are not talked to", peers.listen)).ok()
 }
 
 /// Ends with the decider.
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -1,5 +1,5 @@
 //! What a fleet of hundreds asks of each router: one process as the line `run` starts it, and talk with
-//! mates.
+//! peers.
 
 use crate::stand_ins::*;
 use serde_json::json;
@@ -73,23 +73,23 @@
 }
 
 /// A router of two at its zone, and what is told to it of the other.
-fn with_a_mate(tell: &str) -> (World, UdpSocket, UdpSocket) {
+fn with_a_peer(tell: &str) -> (World, UdpSocket, UdpSocket) {
     let mut world = World::new();
     let socket = || {
         let socket = UdpSocket::bind(address()).unwrap();
         socket.set_read_timeout(Some(LONG)).unwrap();
         socket
     };
-    let (mate, all, own) = (socket(), socket(), address());
+    let (peer, all, own) = (socket(), socket(), address());
     let at = |socket: &UdpSocket| socket.local_addr().unwrap().to_string();
     world.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2]);
     world.file["settings"]["PeersTotal"] = json!(2);
     world.file["settings"]["Limits"]["PeerMessages"] = json!(true);
     world.file["peer_listen"] = json!(own.to_string());
-    world.file["peers"] = json!([own.to_string(), at(&mate)]);
+    world.file["peers"] = json!([own.to_string(), at(&peer)]);
     world.file["peers_all"] = json!(at(&all));
     world.directives = format!("peers {{\n tell {tell}\n}}\n");
-    (world, mate, all)
+    (world, peer, all)
 }
 
 fn heard(socket: &UdpSocket) -> (Vec<u8>, std::net::SocketAddr) {
@@ -99,30 +99,30 @@
 }
 
 #[test]
-fn a_mate_is_found_and_told_what_is_found() {
-    let (mut world, mate, all) = with_a_mate("on");
+fn a_peer_is_found_and_told_what_is_found() {
+    let (mut world, peer, all) = with_a_peer("on");
     let program = world.start();
     let (looking, router) = heard(&all);
-    assert_eq!(looking, [0xC1, 1, 0, 0], "its format, looking for mates, at zone 0");
-    // Nonsense, and a stranger's word, change nothing: the router goes on, and tells its mate.
-    mate.send_to(&[0xC1, 0xFF, 0, 0, 1], router).unwrap();
+    assert_eq!(looking, [0xC1, 1, 0, 0], "its format, looking for peers, at zone 0");
+    // Nonsense, and a stranger's word, change nothing: the router goes on, and tells its peer.
+    peer.send_to(&[0xC1, 0xFF, 0, 0, 1], router).unwrap();
     all.send_to(&[0xC1, 0, 0, 0], router).unwrap();
-    mate.send_to(&[0xC1, 1, 0, 0], router).unwrap();
-    assert_eq!(heard(&mate).0, [0xC1, 0, 0, 0], "a sign of life");
+    peer.send_to(&[0xC1, 1, 0, 0], router).unwrap();
+    assert_eq!(heard(&peer).0, [0xC1, 0, 0, 0], "a sign of life");
     let mut client = program.client();
     client.ask(1, "page", "", b"");
     world.server("c1").accept().serve(b"body");
     assert_eq!(client.word(), "ACK");
-    let mut told = heard(&mate).0;
+    let mut told = heard(&peer).0;
     while told.len() == 4 {
-        told = heard(&mate).0;
+        told = heard(&peer).0;
     }
     assert_eq!((&told[..4], told.len()), (&[0xC1, 0, 0, 0][..], 9), "one finding");
 }
 
 #[test]
 fn a_peers_address_that_is_taken_costs_hints_and_no_start() {
-    let (mut world, _mate, all) = with_a_mate("on");
+    let (mut world, _peer, all) = with_a_peer("on");
     world.file["peer_listen"] = json!(all.local_addr().unwrap().to_string());
     let program = world.start();
     let mut client = program.client();
@@ -135,7 +135,7 @@
 #[test]
 fn untold_or_not_allowed_nobody_is_talked_to() {
     for (tell, allowed) in [("off", true), ("on", false)] {
-        let (mut world, _mate, all) = with_a_mate(tell);
+        let (mut world, _peer, all) = with_a_peer(tell);
         world.file["settings"]["Limits"]["PeerMessages"] = json!(allowed);
         let program = world.start();
         assert_eq!(open_at(program.child.id(), "udp", "07"), Vec::<String>::new());
@@ -156,7 +156,7 @@
 
 #[test]
 fn what_fronts_have_measured_steers_and_nonsense_is_refused_with_its_reason() {
-    let (mut world, mate, _all) = with_a_mate("off");
+    let (mut world, peer, _all) = with_a_peer("off");
     world.file["settings"]["Zones"] = json!(["here", "z1", "z2"]);
     world.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2, 0, 0]);
     let control = world.path().with_file_name("control.sock");
@@ -189,17 +189,17 @@
         "{shown}"
     );
     assert_eq!(ask(&control, "regions stat")["bad"], false);
-    // Its mate is told in words of the new kind, and nonsense of that kind changes nothing.
-    let (bytes, router) = heard(&mate);
+    // Its peer is told in words of the new kind, and nonsense of that kind changes nothing.
+    let (bytes, router) = heard(&peer);
     assert_eq!(bytes[0], 0xC3);
-    mate.send_to(&[0xC3, 0, 0, 9, 1], router).unwrap();
+    peer.send_to(&[0xC3, 0, 0, 9, 1], router).unwrap();
     until("the nonsense", || ask(&control, "regions stat")["faulty"] == 1);
     drop(program);
 }
 
 #[test]
 fn regions_that_are_wrong_end_the_start_with_their_name() {
-    let (mut world, _mate, _all) = with_a_mate("off");
+    let (mut world, _peer, _all) = with_a_peer("off");
     world.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
     let (status, log) = world.spawn("").ended();
     assert!(!status.success() && log.contains("atlantis is not a zone"), "{log}");
