--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -14,7 +14,7 @@
 
 use crate::merge::{Estimate, merge};
 use crate::sketch::{HALF_LIFE, Share, Sketch, bucket, value};
-use chalkhall_members::rumours::{Lane, Rumours, Topic};
+use chalkhall_members::gossip::{Gossip, Lane, Topic};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -134,12 +134,12 @@
     }
 
     /// The edges that this router is to measure now; each counts as measured from now on.
-    pub fn to_measure(&mut self, now: Duration, rumours: &Rumours) -> Vec<usize> {
+    pub fn to_measure(&mut self, now: Duration, gossip: &Gossip) -> Vec<usize> {
         let due: Vec<usize> = (0..self.edges).filter(|edge| now >= self.due(*edge)).collect();
         if due.is_empty() {
             return due;
         }
-        let peers: Vec<u16> = rumours.peers(now, ALIVE).collect();
+        let peers: Vec<u16> = gossip.peers(now, ALIVE).collect();
         let draws =
             |number: u16, edge: usize| xxh3_64(&[number.to_be_bytes(), (edge as u16).to_be_bytes()].concat());
         let mine = |edge: &usize| {
@@ -178,7 +178,7 @@
 
     /// What is to be told of it: kind, part and body. Only where something was seen since, so that a word has
     /// spread before the next one takes its place; the matrix at [`MATRIX_EVERY`].
-    pub fn words(&mut self, now: Duration, rumours: &Rumours) -> Vec<(u8, u8, Vec<u8>)> {
+    pub fn words(&mut self, now: Duration, gossip: &Gossip) -> Vec<(u8, u8, Vec<u8>)> {
         let asked = std::mem::replace(&mut self.asked, now);
         let fresh = |sketch: &Sketch| sketch.latest() >= asked && sketch.count(now) > 0.0;
         let told = |kind: u8, sketches: &BTreeMap<usize, Sketch>| {
@@ -195,9 +195,9 @@
         }
         self.matrix_told = Some(now);
         // Only what was measured is told: a belief taken from peers would go round and outlive the truth.
-        let least = (rumours.peers(now, ALIVE).count() + 1).min(3);
+        let least = (gossip.peers(now, ALIVE).count() + 1).min(3);
         let measured =
-            |edge: usize| self.estimate(now, rumours, WAYS, &self.ways, edge).filter(|e| e.tellers >= least);
+            |edge: usize| self.estimate(now, gossip, WAYS, &self.ways, edge).filter(|e| e.tellers >= least);
         for (part, first) in (0..self.edges).step_by(CHUNK).enumerate() {
             let edges = first..(first + CHUNK).min(self.edges);
             let cell = |Estimate { p50, p90, lost, doubt, .. }| Cell { p50, p90, lost, doubt };
@@ -212,7 +212,7 @@
     fn estimate(
         &self,
         now: Duration,
-        rumours: &Rumours,
+        gossip: &Gossip,
         kind: u8,
         own: &BTreeMap<usize, Sketch>,
         edge: usize,
@@ -220,7 +220,7 @@
         let mine = own.get(&edge).filter(|sketch| now < sketch.latest() + LASTS);
         // Decay since the last sample is in the count already.
         let mine = mine.and_then(|sketch| Some((sketch.share(now)?, Duration::ZERO)));
-        let told = rumours.words(now, kind).filter(|(topic, word)| {
+        let told = gossip.words(now, kind).filter(|(topic, word)| {
             usize::from(topic.part) == edge && word.place == self.place && topic.teller != self.number
         });
         let told =
@@ -231,15 +231,15 @@
 
     /// What the tellers of a zone say of its way to an edge, and how young the youngest word is: the
     /// middle of them at each figure. And how many they are.
-    fn heard(&self, now: Duration, rumours: &Rumours, from: u8, edge: usize) -> Option<(Cell, usize)> {
-        let of = |(topic, word): (Topic, &chalkhall_members::rumours::Word)| {
+    fn heard(&self, now: Duration, gossip: &Gossip, from: u8, edge: usize) -> Option<(Cell, usize)> {
+        let of = |(topic, word): (Topic, &chalkhall_members::gossip::Word)| {
             let fits =
                 word.place == from && usize::from(topic.part) == edge / CHUNK && topic.teller != self.number;
             let age = now.saturating_sub(word.told);
             fits.then(|| decode(&word.body)?.get(edge % CHUNK).copied().flatten().map(|cell| (cell, age)))
                 .flatten()
         };
-        let cells: Vec<(Cell, Duration)> = rumours.words(now, MATRIX).filter_map(of).collect();
+        let cells: Vec<(Cell, Duration)> = gossip.words(now, MATRIX).filter_map(of).collect();
         let middle = |of: &dyn Fn(&Cell) -> f64| {
             let mut all: Vec<f64> = cells.iter().map(|(cell, _)| of(cell)).collect();
             all.sort_by(f64::total_cmp);
@@ -260,12 +260,12 @@
 
     /// What is believed of the way from here to an edge. Of fewer than three tellers one that lies could not
     /// be told from the others: then what peers believe of it stands in.
-    pub fn way(&self, now: Duration, rumours: &Rumours, edge: usize) -> Option<Estimate> {
-        let own = self.estimate(now, rumours, WAYS, &self.ways, edge);
+    pub fn way(&self, now: Duration, gossip: &Gossip, edge: usize) -> Option<Estimate> {
+        let own = self.estimate(now, gossip, WAYS, &self.ways, edge);
         if own.is_some_and(|own| own.tellers >= 3) {
             return own;
         }
-        match self.heard(now, rumours, self.place, edge) {
+        match self.heard(now, gossip, self.place, edge) {
             Some((Cell { p50, p90, lost, doubt }, tellers)) if tellers >= 3 => {
                 Some(Estimate { p50, p90, lost, doubt, tellers })
             }
@@ -274,16 +274,16 @@
     }
 
     /// The same of this region's clients.
-    pub fn leg(&self, now: Duration, rumours: &Rumours, edge: usize) -> Option<Estimate> {
-        self.estimate(now, rumours, LEGS, &self.legs, edge)
+    pub fn leg(&self, now: Duration, gossip: &Gossip, edge: usize) -> Option<Estimate> {
+        self.estimate(now, gossip, LEGS, &self.legs, edge)
     }
 
     /// What zone `from` believes of its way to an edge.
-    pub fn matrix(&self, now: Duration, rumours: &Rumours, from: u8, edge: usize) -> Option<Cell> {
+    pub fn matrix(&self, now: Duration, gossip: &Gossip, from: u8, edge: usize) -> Option<Cell> {
         if from != self.place {
-            return self.heard(now, rumours, from, edge).map(|(cell, _)| cell);
+            return self.heard(now, gossip, from, edge).map(|(cell, _)| cell);
         }
-        let Estimate { p50, p90, lost, doubt, .. } = self.way(now, rumours, edge)?;
+        let Estimate { p50, p90, lost, doubt, .. } = self.way(now, gossip, edge)?;
         Some(Cell { p50, p90, lost, doubt })
     }
 
@@ -296,7 +296,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use chalkhall_members::rumours::{Stand, encode as datagram};
+    use chalkhall_members::gossip::{Stand, encode as datagram};
     use chalkhall_members::{Mouth, To};
     use proptest::prelude::*;
 
@@ -317,7 +317,7 @@
     /// Routers of some zones with ways between them of known truth, in simulated time.
     struct World {
         places: usize,
-        routers: Vec<(Model, Rumours)>,
+        routers: Vec<(Model, Gossip)>,
         /// Median of each way in ms, and the deviation of its logarithm.
         truth: Vec<Vec<f64>>,
         sigma: f64,
@@ -326,11 +326,11 @@
         loses: f64,
     }
 
-    fn router(number: usize, places: usize, routers: usize, incarnation: u32) -> (Model, Rumours) {
+    fn router(number: usize, places: usize, routers: usize, incarnation: u32) -> (Model, Gossip) {
         let place = (number % places) as u8;
         let stand = Stand { number: number as u16, routers, place, incarnation, seed: number as u64 };
-        let rumours = Rumours::start(Duration::ZERO, stand, &LANES).expect("not alone");
-        (Model::new(number as u16, place, places), rumours)
+        let gossip = Gossip::start(Duration::ZERO, stand, &LANES).expect("not alone");
+        (Model::new(number as u16, place, places), gossip)
     }
 
     impl World {
@@ -353,16 +353,16 @@
         fn until(&mut self, from: u64, to: u64) {
             for now in (from..to).step_by(10) {
                 for n in 0..self.routers.len() {
-                    let (model, rumours) = &mut self.routers[n];
+                    let (model, gossip) = &mut self.routers[n];
                     let turn = (now / 10 + n as u64).is_multiple_of(10);
-                    let edges = if turn { model.to_measure(ms(now), rumours) } else { Vec::new() };
+                    let edges = if turn { model.to_measure(ms(now), gossip) } else { Vec::new() };
                     for edge in edges {
                         let way = self.sample(n % self.places, edge);
                         self.routers[n].0.saw(ms(now), edge, Some(way));
                     }
                     if (now + n as u64 * 10).is_multiple_of(250) {
-                        let (model, rumours) = &mut self.routers[n];
-                        let mut words = model.words(ms(now), rumours);
+                        let (model, gossip) = &mut self.routers[n];
+                        let mut words = model.words(ms(now), gossip);
                         if self.liar == Some(n) {
                             let lie =
                                 Share { count: 60.0, lost: 0.0, base: 100, wide: false, heights: [15; 16] };
@@ -373,7 +373,7 @@
                         }
                         words
                             .into_iter()
-                            .for_each(|(kind, part, body)| rumours.say(ms(now), kind, part, body, false));
+                            .for_each(|(kind, part, body)| gossip.say(ms(now), kind, part, body, false));
                     }
                     let mut said = Said::default();
                     self.routers[n].1.tick(ms(now), &mut said);
@@ -395,11 +395,11 @@
                     let truth = self.truth[place][edge];
                     let ninth = truth * (1.2816 * self.sigma).exp();
                     let mut believed = Vec::new();
-                    for (n, (model, rumours)) in self.routers.iter().enumerate() {
+                    for (n, (model, gossip)) in self.routers.iter().enumerate() {
                         if n % self.places != place || self.liar == Some(n) {
                             continue;
                         }
-                        let Some(way) = model.way(ms(now), rumours, edge) else {
+                        let Some(way) = model.way(ms(now), gossip, edge) else {
                             panic!("{n} knows nothing of {edge}")
                         };
                         let ms = |d: Option<Duration>| d.map_or(f64::INFINITY, |d| d.as_secs_f64() * 1e3);
@@ -451,9 +451,9 @@
         let (e50, e90, spread) = world.errors(11_000);
         assert!(e50 <= 0.10 && e90 <= 0.20 && spread <= 0.05, "{e50} {e90} {spread}");
         // The matrix, as another zone hears of it.
-        let (model, rumours) = &world.routers[0];
+        let (model, gossip) = &world.routers[0];
         for edge in 0..6 {
-            let cell = model.matrix(ms(11_000), rumours, 1, edge).expect("told");
+            let cell = model.matrix(ms(11_000), gossip, 1, edge).expect("told");
             let error = (cell.p50.expect("back").as_secs_f64() * 1e3 / world.truth[1][edge] - 1.0).abs();
             assert!(error <= 0.25, "{edge}: {error}, of the liar's zone");
         }
@@ -463,8 +463,8 @@
     fn what_is_measured_costs_the_same_for_two_routers_a_zone_and_two_hundred() {
         let count = |here: usize| {
             let mut all: Vec<_> = (0..here).map(|n| router(n * 6, 6, here * 6, 1)).collect();
-            for (_, rumours) in &mut all {
-                (0..here).for_each(|m| rumours.peer(m as u16 * 6, ms(38_000)));
+            for (_, gossip) in &mut all {
+                (0..here).for_each(|m| gossip.peer(m as u16 * 6, ms(38_000)));
             }
             let mut found = 0;
             for now in (0..40_000).step_by(100) {
@@ -475,20 +475,20 @@
         let (few, many, alone) = (count(10), count(200), count(1));
         assert_eq!((few, many, alone), (10.0, 10.0, 2.0), "a second and way");
         // The dead are not waited for: who gave no sign of life leaves its ways to others.
-        let (mut model, mut rumours) = router(0, 6, 120, 1);
-        (1..20).for_each(|n| rumours.peer(n * 6, ms(0)));
-        assert!(model.to_measure(ms(1000), &rumours).len() < 6);
-        assert_eq!(model.to_measure(ms(6000), &rumours).len(), 6);
+        let (mut model, mut gossip) = router(0, 6, 120, 1);
+        (1..20).for_each(|n| gossip.peer(n * 6, ms(0)));
+        assert!(model.to_measure(ms(1000), &gossip).len() < 6);
+        assert_eq!(model.to_measure(ms(6000), &gossip).len(), 6);
     }
 
     #[test]
     fn an_edge_that_falls_silent_is_unknown_or_lost_but_never_fast() {
-        let (mut model, rumours) = router(0, 6, 120, 1);
+        let (mut model, gossip) = router(0, 6, 120, 1);
         (0..10).for_each(|n| model.saw(ms(n * 500), 2, Some(ms(5))));
-        assert!(model.way(ms(5000), &rumours, 2).expect("seen").p50.is_some());
+        assert!(model.way(ms(5000), &gossip, 2).expect("seen").p50.is_some());
         (10..16).for_each(|n| model.saw(ms(n * 500), 2, None));
-        assert_eq!(model.way(ms(8000), &rumours, 2).expect("seen").p50, None);
-        assert_eq!(model.way(ms(8000) + LASTS, &rumours, 2), None, "past its age");
+        assert_eq!(model.way(ms(8000), &gossip, 2).expect("seen").p50, None);
+        assert_eq!(model.way(ms(8000) + LASTS, &gossip, 2), None, "past its age");
         model.saw(ms(0), 99, Some(ms(1)));
         model.observed(ms(0), 99, ms(1), 9);
         assert_eq!(model.refused(), 2);
@@ -496,16 +496,16 @@
 
     #[test]
     fn fronts_tell_of_clients_and_only_their_own_region_hears() {
-        let (mut model, mut rumours) = router(0, 6, 120, 1);
+        let (mut model, mut gossip) = router(0, 6, 120, 1);
         model.observed(ms(0), 3, ms(40), 1000);
-        let leg = model.leg(ms(0), &rumours, 3).expect("told");
+        let leg = model.leg(ms(0), &gossip, 3).expect("told");
         assert!((leg.p50.expect("back").as_secs_f64() / 0.040 - 1.0).abs() < 0.06);
         let mut said = Said::default();
-        for (kind, part, body) in model.words(ms(0), &rumours) {
-            rumours.say(ms(0), kind, part, body, false);
+        for (kind, part, body) in model.words(ms(0), &gossip) {
+            gossip.say(ms(0), kind, part, body, false);
         }
-        rumours.peer(6, ms(0));
-        (1..200).for_each(|n| rumours.tick(ms(n * 250), &mut said));
+        gossip.peer(6, ms(0));
+        (1..200).for_each(|n| gossip.tick(ms(n * 250), &mut said));
         let (mut here, mut there) = (router(6, 6, 120, 1).1, router(7, 6, 120, 1).1);
         for (_, bytes) in &said.0 {
             here.heard(ms(0), 0, bytes);
--- a/crates/members/src/rumours.rs
+++ b/crates/members/src/gossip.rs
@@ -199,7 +199,7 @@
     far: bool,
 }
 
-pub struct Rumours {
+pub struct Gossip {
     stand: Stand,
     lanes: Vec<Lane>,
     words: BTreeMap<Topic, Word>,
@@ -216,13 +216,13 @@
     dropped: Dropped,
 }
 
-impl Rumours {
+impl Gossip {
     /// None where there is nobody to talk to, or a number that does not fit.
-    pub fn start(now: Duration, stand: Stand, lanes: &[Lane]) -> Option<Rumours> {
+    pub fn start(now: Duration, stand: Stand, lanes: &[Lane]) -> Option<Gossip> {
         let fits = stand.routers > 1 && stand.routers <= usize::from(u16::MAX);
         let mut chance = fastrand::Rng::with_seed(stand.seed ^ 0x7e11);
         let next = now + PERIOD.mul_f64(chance.f64());
-        (fits && usize::from(stand.number) < stand.routers).then(|| Rumours {
+        (fits && usize::from(stand.number) < stand.routers).then(|| Gossip {
             stand,
             lanes: lanes.to_vec(),
             words: BTreeMap::new(),
@@ -273,7 +273,7 @@
         }
     }
 
-    /// When [`Rumours::tick`] has something to do.
+    /// When [`Gossip::tick`] has something to do.
     pub fn next(&self) -> Duration {
         self.hurry.map_or(self.next, |hurry| hurry.at.min(self.next))
     }
@@ -511,15 +511,15 @@
         }
     }
 
-    fn rumours(number: usize, routers: usize, incarnation: u32) -> Rumours {
+    fn gossip(number: usize, routers: usize, incarnation: u32) -> Gossip {
         let place = (number % 10) as u8;
         let stand = Stand { number: number as u16, routers, place, incarnation, seed: number as u64 };
-        Rumours::start(Duration::ZERO, stand, &LANES).expect("not alone")
+        Gossip::start(Duration::ZERO, stand, &LANES).expect("not alone")
     }
 
     /// Routers in a net that loses and doubles.
     struct Net {
-        all: Vec<Rumours>,
+        all: Vec<Gossip>,
         loses: f64,
         bytes: usize,
         chance: fastrand::Rng,
@@ -527,11 +527,11 @@
 
     impl Net {
         fn new(routers: usize, loses: f64) -> Net {
-            let all = (0..routers).map(|n| rumours(n, routers, 1)).collect();
+            let all = (0..routers).map(|n| gossip(n, routers, 1)).collect();
             Net { all, loses, bytes: 0, chance: fastrand::Rng::with_seed(3) }
         }
 
-        fn until(&mut self, from: u64, to: u64, mut each: impl FnMut(u64, &mut Vec<Rumours>)) {
+        fn until(&mut self, from: u64, to: u64, mut each: impl FnMut(u64, &mut Vec<Gossip>)) {
             for now in (from..to).step_by(5) {
                 each(now, &mut self.all);
                 for number in 0..self.all.len() {
@@ -553,7 +553,7 @@
 
     fn seconds_bytes(routers: usize) -> f64 {
         let mut net = Net::new(routers, 0.0);
-        let each = |now: u64, all: &mut Vec<Rumours>| {
+        let each = |now: u64, all: &mut Vec<Gossip>| {
             if now.is_multiple_of(250) {
                 all.iter_mut().for_each(|r| {
                     r.say(ms(now), 1, 0, vec![7; 30], false);
@@ -613,7 +613,7 @@
 
     #[test]
     fn who_starts_anew_is_believed_over_its_earlier_life_and_late_words_are_not() {
-        let mut r = rumours(0, 20, 1);
+        let mut r = gossip(0, 20, 1);
         let word = |incarnation, number, body: &[u8]| Carried {
             topic: Topic { kind: 1, part: 0, teller: 5 },
             place: 5,
@@ -622,7 +622,7 @@
             urgent: false,
             body: body.to_vec(),
         };
-        let held = |r: &Rumours| r.words(ms(100), 1).next().map(|(_, w)| w.body.clone());
+        let held = |r: &Gossip| r.words(ms(100), 1).next().map(|(_, w)| w.body.clone());
         for (came, stays) in [
             (word(3, 9, b"old life"), b"old life".as_slice()),
             (word(4, 1, b"new life"), b"new life"),
@@ -647,7 +647,7 @@
 
     #[test]
     fn the_freshest_tellers_of_a_place_are_kept_and_no_flood_grows_the_table() {
-        let mut r = rumours(0, 60_000, 1);
+        let mut r = gossip(0, 60_000, 1);
         for n in 1..60_000u16 {
             let topic = Topic { kind: 1 + (n % 2) as u8, part: (n % 251) as u8, teller: n };
             let version = Version { incarnation: 1, number: 1 };
@@ -691,7 +691,7 @@
             turned.extend(numbers.clone());
             fastrand::Rng::with_seed(turn).shuffle(&mut turned);
             let held = |order: &[(u32, u32)]| {
-                let mut r = rumours(0, 20, 1);
+                let mut r = gossip(0, 20, 1);
                 order.iter().for_each(|n| { r.heard(ms(1), 5, &encode(5, &[word(*n)])); });
                 r.words(ms(1), 1).next().map(|(_, w)| w.body.clone())
             };
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -7,8 +7,8 @@
 //! without.
 
 pub mod codec;
+pub mod gossip;
 pub mod lean;
-pub mod rumours;
 pub mod talk;
 
 pub use lean::Leaning;
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -23,7 +23,7 @@
 use crate::words::{HOME, Home, LOAD, Load, PLAN, Plan, TAKERS_MOST};
 use chalkhall_latency::{Estimate, Model, Offer, Table};
 use chalkhall_members::Mouth;
-use chalkhall_members::rumours::{Lane, Rumours, Stand};
+use chalkhall_members::gossip::{Gossip, Lane, Stand};
 use chalkhall_structures::Recent;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 /// Tellers of a zone that are kept elsewhere: one may lie.
 const HOME_TELLERS: usize = 3;
 pub const PLAN_LASTS: Duration = Duration::from_millis(2000);
-/// All kinds that a router's rumours carry here, those of the latency model among them.
+/// All kinds that a router's gossip carries here, those of the latency model among them.
 pub const LANES: [Lane; 6] = [
     chalkhall_latency::LANES[0],
     chalkhall_latency::LANES[1],
@@ -127,7 +127,7 @@
 
 pub struct Regions {
     about: About,
-    rumours: Rumours,
+    gossip: Gossip,
     model: Model,
     seen: Counted,
     health: Health,
@@ -161,13 +161,13 @@
         let About { number, routers, place, places, incarnation, seed, .. } = about;
         let stand = Stand { number, routers, place, incarnation, seed };
         let fits = places <= usize::from(u8::MAX) && usize::from(place) < places;
-        let rumours = Rumours::start(now, stand, &LANES).filter(|_| fits)?;
+        let gossip = Gossip::start(now, stand, &LANES).filter(|_| fits)?;
         let mut chance = fastrand::Rng::with_seed(seed ^ 0x2e91);
         // Routers that start together do not all speak in the same instant.
         let lag = TURN_EVERY.mul_f64(chance.f64());
         Some(Regions {
             about,
-            rumours,
+            gossip,
             model: Model::new(number, place, places),
             seen: Counted::default(),
             health: Health::default(),
@@ -196,8 +196,8 @@
         &mut self.model
     }
 
-    pub fn rumours(&self) -> &Rumours {
-        &self.rumours
+    pub fn gossip(&self) -> &Gossip {
+        &self.gossip
     }
 
     /// The list tells of caches anew, by zone. More zones than there are are not known.
@@ -240,17 +240,17 @@
         if now < self.started + SETTLE {
             return Vec::new();
         }
-        self.model.to_measure(now, &self.rumours)
+        self.model.to_measure(now, &self.gossip)
     }
 
     pub fn next(&self) -> Duration {
         let own = self.turned + TURN_EVERY;
-        if self.urgent { Duration::ZERO } else { own.min(self.rumours.next()) }
+        if self.urgent { Duration::ZERO } else { own.min(self.gossip.next()) }
     }
 
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
-        let ours = self.rumours.heard(now, from, bytes);
-        for topic in self.rumours.news() {
+        let ours = self.gossip.heard(now, from, bytes);
+        for topic in self.gossip.news() {
             // A word of a peer that may turn what is held here is looked at now, a plan too.
             if topic.kind == LOAD || topic.kind == PLAN {
                 self.judge(now);
@@ -266,7 +266,7 @@
         let (good, bad) = self.seen.now(now);
         let own = (self.about.number, Load { demand: self.asks(now), good, bad });
         let number = self.about.number;
-        let peers = self.rumours.words(now, LOAD).filter(move |(topic, _)| topic.teller != number);
+        let peers = self.gossip.words(now, LOAD).filter(move |(topic, _)| topic.teller != number);
         let peers = peers.filter_map(move |(topic, word)| {
             let age = now.saturating_sub(word.told);
             let fades = (-age.div_duration_f64(crate::evidence::HALF_LIFE)).exp2();
@@ -293,7 +293,7 @@
         if place == usize::from(self.about.place) {
             return Some(self.own_home(now));
         }
-        let words = self.rumours.words(now, HOME).filter(|(_, word)| usize::from(word.place) == place);
+        let words = self.gossip.words(now, HOME).filter(|(_, word)| usize::from(word.place) == place);
         let told: Vec<Home> = words.filter_map(|(_, word)| Home::decode(&word.body)).collect();
         let most = |of: fn(&Home) -> bool| told.iter().filter(|home| of(home)).count() * 2 > told.len();
         let middle = |of: fn(&Home) -> f64| {
@@ -310,7 +310,7 @@
     fn demand_here(&self, now: Duration) -> f64 {
         let (sum, known) =
             self.loads(now).fold((0.0, 0.0), |(sum, known), (_, load)| (sum + load.demand, known + 1.0));
-        let alive = self.rumours.peers(now, ALIVE).count() as f64 + 1.0;
+        let alive = self.gossip.peers(now, ALIVE).count() as f64 + 1.0;
         sum * (alive / known).max(1.0)
     }
 
@@ -359,7 +359,7 @@
             }
             // Of whom nothing is heard nothing is known: it may be down with all of its routers.
             let Some(home) = home else { continue };
-            let way = self.model.way(now, &self.rumours, edge);
+            let way = self.model.way(now, &self.gossip, edge);
             let silent = way.is_some_and(|way| way.p50.is_none());
             let usable = self.about.abroad && !home.bad && !home.drained && !self.drained[edge] && !silent;
             let strain = 1.0 - (home.strain / STRAIN_MOST).min(1.0);
@@ -380,7 +380,7 @@
     /// Takes up the plan with the greatest number, of those that are told now; none where none is.
     fn follow(&mut self, now: Duration) {
         let words = self
-            .rumours
+            .gossip
             .words(now, PLAN)
             .filter_map(|(topic, word)| Some((Plan::decode(&word.body)?, topic.teller)));
         // Of two under one number that of the lesser teller, everywhere.
@@ -400,7 +400,7 @@
             self.turned = now;
             self.judge(now);
             let home = usize::from(self.about.place);
-            self.trial = match self.model.way(now, &self.rumours, home).filter(|_| self.health.is_bad()) {
+            self.trial = match self.model.way(now, &self.gossip, home).filter(|_| self.health.is_bad()) {
                 None => TRIAL_BLIND,
                 Some(way) if way.p50.is_some() => TRIAL,
                 Some(_) => 0.0,
@@ -410,16 +410,16 @@
                 self.told = now;
                 let (good, bad) = self.seen.now(now);
                 let load = Load { demand: self.asks(now), good, bad };
-                self.rumours.say(now, LOAD, 0, load.encode(), urgent);
+                self.gossip.say(now, LOAD, 0, load.encode(), urgent);
                 let home = self.own_home(now);
                 // All zones hear at once only of what turns, and of no more tellers than are kept: a word
                 // in a hurry costs the whole fleet some datagrams each.
                 let now_of = (home.bad, home.drained);
                 let turned = std::mem::replace(&mut self.told_of, now_of) != now_of;
                 let before = self.loads(now).filter(|(number, _)| *number < self.about.number).count();
-                self.rumours.say(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
-                for (kind, part, body) in self.model.words(now, &self.rumours) {
-                    self.rumours.say(now, kind, part, body, false);
+                self.gossip.say(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
+                for (kind, part, body) in self.model.words(now, &self.gossip) {
+                    self.gossip.say(now, kind, part, body, false);
                 }
             }
             // Not so often that a plan's word is replaced before it has spread.
@@ -430,7 +430,7 @@
             }
             self.follow(now);
         }
-        self.rumours.tick(now, mouth);
+        self.gossip.tick(now, mouth);
     }
 
     fn plan(&mut self, now: Duration, urgent: bool) {
@@ -472,7 +472,7 @@
         }
         self.number += u32::from(changed);
         let plan = Plan { number: self.number, shares };
-        self.rumours.say(now, PLAN, self.about.place, plan.encode(), urgent || much);
+        self.gossip.say(now, PLAN, self.about.place, plan.encode(), urgent || much);
     }
 
     /// Where a request goes. `at`: from 0 to 1, the same for the same part, so that few move as shares do.
@@ -535,8 +535,8 @@
                 share: planned.unwrap_or(f64::from(u8::from(home))),
                 room,
                 bad: homes[edge].is_some_and(|home| home.bad),
-                way: self.model.way(now, &self.rumours, edge),
-                leg: self.model.leg(now, &self.rumours, edge),
+                way: self.model.way(now, &self.gossip, edge),
+                leg: self.model.leg(now, &self.gossip, edge),
             }
         };
         let mut edges: Vec<Edge> = (0..self.about.places).map(edge).collect();
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -267,7 +267,7 @@
         });
         let places: Vec<Value> = places.collect();
         let share = |(edge, share): &(usize, f64)| json!([self.names.get(*edge), share]);
-        let dropped = self.regions.rumours().dropped();
+        let dropped = self.regions.gossip().dropped();
         json!({
             "location": self.names.get(self.zone), "bad": report.bad, "drained": report.drained,
             "flaps": report.flaps, "speaks": report.speaker, "mates": report.peers, "demand": report.demand,
