--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -687,12 +687,16 @@
         }
         let clock = self.desk.clock;
         if let Some(post) = self.desk.posts.get_mut(&member.server) {
-            if (post.dial, post.started) != (dial, member.started) {
-                (post.dial, post.started) = (dial, member.started);
-                let started = member.started.map(|at| clock.instant(at));
-                let _ = post.orders.try_send(Order::Anew { dial, started });
+            if (post.dial, post.started) == (dial, member.started) {
+                return;
+            }
+            (post.dial, post.started) = (dial, member.started);
+            let started = member.started.map(|at| clock.instant(at));
+            // One that takes no more orders would go on at the old address, or on connections from before the
+            // start: what is out there ends with it, and one of its own follows it.
+            if post.orders.try_send(Order::Anew { dial, started }).is_ok() {
+                return;
             }
-            return;
         }
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
         let (orders_of_connections, from_connections) = mpsc::channel(ORDERS_MOST);
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -82,3 +82,44 @@
     decider.take(Message::Written(1));
     assert_eq!(decider.open(), 0);
 }
+
+/// A server's start comes while its actor's mailbox is full: nothing more goes to where it was before.
+#[tokio::test(flavor = "current_thread")]
+async fn a_server_that_moves_while_its_mailbox_is_full_is_followed() {
+    let inside = async {
+        let (mut decider, _messages, _phase) = decider(Phase::Serving);
+        let mut listeners = Vec::new();
+        for _ in 0..2 {
+            listeners.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
+        }
+        let [old, new] = [0, 1].map(|n| listeners[n].local_addr().unwrap());
+        let id: Id = "c1".into();
+        let mut list = |dial, started| {
+            let member = Member { server: id.clone(), started, ..Member::default() };
+            decider.notice(Notice::List { whole: false, members: vec![(member, dial)] });
+            decider.desk.posts[&id].orders.clone()
+        };
+        let before = list(old, None);
+        while before.try_send(Order::Quit((id.clone(), 0))).is_ok() {}
+        assert_eq!(before.capacity(), 0);
+        let after = list(new, Some(Duration::from_secs(1)));
+        drop(before);
+        let due = tokio::time::Instant::now() + Duration::from_secs(5);
+        let (line, wanted) = (bytes::BytesMut::from("ASK"), Wanted::default());
+        let ask = Ask {
+            key: (id.clone(), 0),
+            passed: Passed::default(),
+            line,
+            once: true,
+            wanted,
+            due,
+            leave_by: due,
+        };
+        assert!(after.try_send(Order::Ask(Box::new(ask))).is_ok(), "it takes no orders");
+        tokio::select! {
+            _ = listeners[0].accept() => panic!("sent to where the server was"),
+            at_new = listeners[1].accept() => drop(at_new.unwrap()),
+        }
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
