--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -183,3 +183,21 @@
     };
     LocalSet::new().run_until(inside).await;
 }
+
+/// The time for which it may rest is over, and its timer has fired, as a request comes: that is heard. Once
+/// it has nothing to say it is closed in order.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_request_that_meets_the_end_of_its_connections_rest_is_answered() {
+    let inside = async {
+        let mut rig = rig(Phase::Serving, &message(&["HEALTH", "1", ""])).await;
+        assert_eq!(rig.peer.peek(&mut [0]).await.unwrap(), 1);
+        // Its turn comes with the timer fired and nothing to read; then the request is there.
+        tokio::time::advance(IDLE).await;
+        assert!(rig.peer.try_write(&request(2)).unwrap() > 0);
+        let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("closed over it") };
+        drop(new.client.send(Reply { tag: 2, id: new.arrival.id, last: Last::Rejected(None) }));
+        let said = rig.rest().await.unwrap();
+        assert!(said.contains(&told(2, "NAK")), "{said:?}");
+    };
+    LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -19,3 +19,63 @@
     }
     assert!(tenths.iter().all(|n| (12..=60).contains(n)), "{tenths:?}");
 }
+
+/// An event has been read and finds the decider's mailbox full; then a new file comes. It is passed by
+/// neither half: the new service tells it, or the new file, and it is passed once.
+#[tokio::test(flavor = "current_thread")]
+async fn an_event_half_passed_as_a_new_file_comes_is_passed_once() {
+    use tokio::net::{TcpListener, TcpStream};
+    use tokio::task::{LocalSet, spawn_local, yield_now};
+
+    async fn watched(listener: &TcpListener) -> (BufReader<TcpStream>, String) {
+        let (stream, _) = listener.accept().await.unwrap();
+        let (mut stream, mut line) = (BufReader::new(stream), String::new());
+        stream.read_line(&mut line).await.unwrap();
+        (stream, line)
+    }
+    fn purge(number: u64) -> String {
+        format!("{{\"rev\":{number},\"flush\":{{\"collection\":{number},\"ms\":5}}}}\n")
+    }
+    let inside = |file_knows: bool| async move {
+        let (a, b) = (TcpListener::bind("127.0.0.1:0").await.unwrap(), TcpListener::bind("127.0.0.1:0"));
+        let b = b.await.unwrap();
+        let (decider, mut notices) = mpsc::channel(1);
+        let address = a.local_addr().unwrap();
+        let (anew, told) = mpsc::channel(1);
+        spawn_local(Discovery { address, decider, ..discovery(1) }.run(told));
+        let (mut old, line) = watched(&a).await;
+        assert_eq!(line, "watch 0\n");
+        // Both in one piece: when the first is seen here, the second waits for its place.
+        old.write_all([purge(1), purge(2)].concat().as_bytes()).await.unwrap();
+        while notices.is_empty() {
+            yield_now().await;
+        }
+        let known = if file_knows {
+            vec![(2, Some(Notice::Purge { object: None, group: 2, ms: 5 }))]
+        } else {
+            vec![]
+        };
+        anew.send(Anew { address: b.local_addr().unwrap(), known }).await.unwrap();
+        let mut groups = Vec::new();
+        let mut take = |notice| match notice {
+            Some(Notice::Purge { group, .. }) => groups.push(group),
+            Some(_) => {}
+            None => panic!("it has ended"),
+        };
+        if file_knows {
+            take(notices.recv().await);
+            take(notices.recv().await);
+        }
+        let (mut new, line) = watched(&b).await;
+        assert_eq!(line, if file_knows { "watch 2\n" } else { "watch 1\n" });
+        new.write_all([purge(2), purge(3)].concat().as_bytes()).await.unwrap();
+        while groups.last() != Some(&3) {
+            let Some(Notice::Purge { group, .. }) = notices.recv().await else { panic!("not a purge") };
+            groups.push(group);
+        }
+        assert_eq!(groups, [1, 2, 3]);
+    };
+    for file_knows in [false, true] {
+        LocalSet::new().run_until(inside(file_knows)).await;
+    }
+}
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -93,3 +93,51 @@
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
+
+/// A connection's mailbox is full: what finds no place there never ran, and a QUIT that finds none holds
+/// nothing back, for what was called off does not begin.
+#[tokio::test(flavor = "current_thread")]
+async fn what_finds_a_connections_mailbox_full_never_ran_and_what_was_called_off_never_begins() {
+    use tokio::io::AsyncReadExt;
+    let inside = async {
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let (decider, mut messages) = mpsc::channel(8);
+        let (from, mut reports) = mpsc::channel(1024);
+        (server.decider, server.orders_of_connections) = (decider, from);
+        (server.dial, server.streams, server.connections_most) = (listener.local_addr().unwrap(), 1000, 1);
+        let mut wanted = Vec::new();
+        for n in 0..ORDERS_MOST {
+            let mut ask = ask("a");
+            (ask.key, ask.line) = (("a".into(), n), BytesMut::from(format!("ASK {n}.").as_bytes()));
+            ask.passed.id = Bytes::from(format!("a{n}"));
+            wanted.push(ask.wanted.clone());
+            server.order(&mut hands, Order::Ask(ask)).await;
+        }
+        assert_eq!((hands.connections[0].orders.capacity(), hands.out.len()), (0, ORDERS_MOST));
+        server.order(&mut hands, Order::Ask(ask("b"))).await;
+        let Ok(Message::Ended(ended)) = messages.try_recv() else { panic!("nothing was said of it") };
+        assert_eq!((&*ended.key.0, ended.outcome), ("b", Outcome::NeverSent));
+        // Called off: the flag ends with the final answer or the client, the QUIT finds no place.
+        wanted[7].end();
+        server.order(&mut hands, Order::Quit(("a".into(), 7))).await;
+        assert_eq!(hands.connections[0].orders.capacity(), 0, "it took the QUIT");
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut read = Vec::new();
+        let last = format!("ASK {}.\r\n", ORDERS_MOST - 1);
+        while !read.ends_with(last.as_bytes()) {
+            assert!(stream.read_buf(&mut read).await.unwrap() > 0);
+        }
+        let text = String::from_utf8(read).unwrap();
+        assert_eq!(text.matches("ASK").count(), ORDERS_MOST - 1);
+        assert!(!text.contains("ASK 7.") && !text.contains("QUIT"), "{text}");
+        let mut never = Vec::new();
+        while let Ok(order) = reports.try_recv() {
+            if let Order::Connection(_, Report::Ended { key, outcome, .. }) = order {
+                never.push((key.1, outcome));
+            }
+        }
+        assert_eq!(never, [(7, Outcome::NeverSent)]);
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -3,6 +3,7 @@
 use crate::customers::{hasty, wide};
 use crate::stand_ins::*;
 use serde_json::json;
+use std::io::Write;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
@@ -239,9 +240,15 @@
 /// its return, and who has something open is served meanwhile.
 #[test]
 fn a_discovery_that_comes_back_is_followed_though_no_descriptor_is_left() {
+    for (descriptors, clients) in [(48, 300), (320, 700)] {
+        comes_back_without_descriptors(descriptors, clients);
+    }
+}
+
+fn comes_back_without_descriptors(descriptors: u32, clients: usize) {
     let mut world = World::new();
     world.file["limits"]["sockets"] = json!(1024);
-    let program = world.spawn("ulimit -n 48;");
+    let program = world.spawn(&format!("ulimit -n {descriptors};"));
     let (discovery, after) = world.discovery.accept();
     assert_eq!(after, 1);
     let mut busy = program.client();
@@ -250,8 +257,9 @@
     let asked = server.asked();
     let at = world.discovery.goes_down(discovery);
     // They come again as often as they are let go of.
-    let crowd = Crowd::of(300, program.address(), true);
-    until("no descriptor left", || crowd.refused() > 0 || crowd.held() >= 200);
+    let crowd = Crowd::of(clients, program.address(), true);
+    until("no descriptor left", || program.descriptors() + 2 >= descriptors as usize);
+    until("more than there are", || crowd.held() as usize >= clients * 2 / 3);
     pass(1000 * MS);
     let back = Instant::now();
     world.discovery.comes_back(at);
@@ -355,6 +363,114 @@
     assert!(status.success() && begun.elapsed() < 1500 * MS, "{:?} {log}", begun.elapsed());
 }
 
+/// Asked to stop while it still reads its file: it serves as it was told, says that it goes, and ends in order
+/// and in time.
+#[test]
+fn a_stop_before_it_is_ready_ends_it_in_order() {
+    let mut world = World::new();
+    let (mut program, mut pipe) = world.spawn_before_its_file();
+    program.terminate();
+    pipe.write_all(world.file.to_string().as_bytes()).unwrap();
+    drop(pipe);
+    let begun = Instant::now();
+    let mut client = None;
+    until("it listens", || {
+        client = program.connect();
+        client.is_some()
+    });
+    let mut client = client.unwrap();
+    assert_eq!(client.health(), "RED");
+    client.ask(1, "page", "", b"");
+    world.server("c1").accept().serve(b"x");
+    assert_eq!(client.word(), "ACK", "what still comes is answered");
+    let (status, log) = program.ended();
+    assert!(status.success() && begun.elapsed() < 1500 * MS, "{status} {:?} {log}", begun.elapsed());
+}
+
+/// What the system has taken for a server that hangs cannot be taken back: its QUIT follows right behind it.
+#[test]
+fn what_a_hung_server_has_not_read_is_followed_by_its_calling_off() {
+    let mut world = World::new();
+    let program = world.start();
+    for reset in [false, true] {
+        let mut client = program.client();
+        let id = client.ask(1, "page", "", b"");
+        let mut server = world.server("c1").accept();
+        until("the request, unread", || server.ready());
+        let gone = Instant::now();
+        if reset {
+            client.reset();
+        } else {
+            client.half_close();
+            assert!(client.parted());
+        }
+        assert_eq!(server.asked().id, id);
+        assert_eq!(server.line(), format!("QUIT {id}"));
+        assert!(gone.elapsed() < 100 * MS, "{:?}", gone.elapsed());
+        world.server("c1").close_all(&program, server);
+    }
+}
+
+/// A server hangs until its connection's socket is full. Who asks then and leaves is never sent on, though the
+/// server reads on a moment later; also where settings forbid calling off what has begun.
+#[test]
+fn who_waits_behind_a_full_socket_and_leaves_is_never_sent_on() {
+    [true, false].into_iter().for_each(waits_behind_a_full_socket);
+}
+
+fn waits_behind_a_full_socket(may_cancel: bool) {
+    let mut world = World::new();
+    world.file["settings"]["Limits"]["MayCancel"] = json!(may_cancel);
+    // Nowhere else to go; and so many are listed that each is given one connection.
+    world.servers.truncate(1);
+    world.servers[0].reads_little();
+    let mut entries = vec![world.server("c1").entry("active")];
+    for n in 0..200 {
+        entries.push(world.server("c1").entry("leaving"));
+        entries[n + 1]["host"] = json!(format!("leaving-{n}"));
+    }
+    world.file["known"] =
+        json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": entries}}]});
+    world.file["settings"]["Limits"]["StreamsPerConn"] = json!(1000);
+    let program = world.start();
+    // More than any system's buffers take of one connection.
+    let body = vec![7; 63_000];
+    let mut busy: Vec<Client> = (0..10).map(|_| program.client()).collect();
+    let mut first = Vec::new();
+    for client in &mut busy {
+        first.extend((1..=32).map(|tag| client.ask(tag, "page", "", &body)));
+    }
+    // Each has been looked at by the router when what was asked after it has its answer.
+    assert!(busy.iter_mut().all(|client| client.health() == "GREEN"));
+    let mut left = Vec::new();
+    for n in 0..30 {
+        let mut client = program.client();
+        left.push(client.ask(1000 + n, "page", "", b""));
+        if n % 2 == 0 {
+            client.half_close();
+            assert!(client.parted(), "it has been heard");
+        } else {
+            client.reset();
+        }
+    }
+    // Those that reset have been heard too: another has come after them.
+    assert_eq!(program.client().health(), "GREEN");
+    let mut server = world.server("c1").accept();
+    let come: Vec<String> = first
+        .iter()
+        .map(|_| {
+            let asked = server.asked();
+            server.answer(&asked, "OK", HIT, b"x");
+            asked.id
+        })
+        .collect();
+    assert!(left.iter().all(|id| !come.contains(id)), "sent on for one that has left");
+    assert!(busy.iter_mut().all(|client| (1..=32).all(|_| client.word() == "ACK")));
+    let last = busy[0].ask(33, "page", "", b"");
+    assert_eq!(server.asked().id, last, "nothing else has come, not even a QUIT");
+    assert!(world.server("c1").try_accept().is_none());
+}
+
 /// Discovery's descriptors are there before the first client is.
 #[test]
 fn a_discovery_that_is_down_at_the_start_is_found_when_it_comes() {
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -40,7 +40,7 @@
 #[test]
 fn the_line_run_is_one_process_that_listens_where_it_is_told_and_ends_when_asked() {
     let mut world = World::new();
-    world.run = Some(line_run());
+    world.instead = Some(line_run());
     let mut program = world.start();
     let process = program.child.id();
     // The shell has given way: whom the platform started is the router itself.
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -4,8 +4,10 @@
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::collections::HashMap;
+use std::fs::File;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::os::unix::fs::OpenOptionsExt;
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::Arc;
@@ -15,6 +17,8 @@
 
 /// Nothing that a test waits for takes nearly as long.
 pub const LONG: Duration = Duration::from_secs(10);
+/// Of `open`: fails where it would wait.
+const NONBLOCK: i32 = 0o4000;
 const SHORT: Duration = Duration::from_millis(5);
 
 pub fn unix_ms() -> u64 {
@@ -173,6 +177,11 @@
         assert_eq!(client.health(), "GREEN");
     }
 
+    /// Whoever writes to it finds the socket full soon, unless it reads.
+    pub fn reads_little(&self) {
+        socket2::SockRef::from(&self.listener).set_recv_buffer_size(4096).unwrap();
+    }
+
     /// Fills the queue of connections that nobody takes: further ones do not come up.
     pub fn vanish(&self) -> Vec<TcpStream> {
         let reach = |_: &u32| TcpStream::connect_timeout(&self.dial, Duration::from_millis(200)).ok();
@@ -361,7 +370,7 @@
     /// The operator's file, where one is wanted.
     pub directives: String,
     /// What starts it, where it is not the program by itself.
-    pub run: Option<String>,
+    pub instead: Option<String>,
     listen: SocketAddr,
     dir: PathBuf,
 }
@@ -400,7 +409,7 @@
             servers,
             file,
             directives: String::new(),
-            run: None,
+            instead: None,
             listen,
             dir,
         }
@@ -425,14 +434,35 @@
         self.file["board"] = json!(self.discovery.listener.local_addr().unwrap().to_string());
     }
 
-    /// Starts the program, within the shell's limits where they are given.
-    pub fn spawn(&mut self, limits: &str) -> Program {
+    fn list_known(&mut self) {
         if self.file["known"].is_null() {
             let entries: Vec<Value> = self.servers.iter().map(|s| s.entry("active")).collect();
             let first = json!({"rev": 1, "pool": {"seq": 1, "whole": true, "hosts": entries}});
             self.file["known"] = json!({"rev": 1, "notices": [first]});
         }
+    }
+
+    /// Starts the program, within the shell's limits where they are given.
+    pub fn spawn(&mut self, limits: &str) -> Program {
+        self.list_known();
         self.write();
+        self.run(limits)
+    }
+
+    /// Starts the program and holds it where it reads its file, until that is written to what is returned.
+    pub fn spawn_before_its_file(&mut self) -> (Program, File) {
+        self.list_known();
+        assert!(Command::new("mkfifo").arg(self.path()).status().unwrap().success());
+        let (program, mut pipe) = (self.run(""), None);
+        until("its reading", || {
+            // Without a wait: nobody can be written to before the program reads.
+            pipe = File::options().write(true).custom_flags(NONBLOCK).open(self.path()).ok();
+            pipe.is_some()
+        });
+        (program, pipe.unwrap())
+    }
+
+    fn run(&mut self, limits: &str) -> Program {
         let path = self.path();
         let mut run = format!("{limits} exec {}", env!("CARGO_BIN_EXE_chalkhall-router"));
         if !self.directives.is_empty() {
@@ -440,7 +470,7 @@
             std::fs::write(&operators, &self.directives).unwrap();
             run += &format!(" {}", operators.display());
         }
-        let run = self.run.clone().unwrap_or(run);
+        let run = self.instead.clone().unwrap_or(run);
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &run]).env("ROUTER_CONFIG", &path);
         let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
@@ -568,6 +598,11 @@
         stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
     }
 
+    /// How many it holds.
+    pub fn descriptors(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+    }
+
     pub fn ended(&mut self) -> (ExitStatus, String) {
         let mut status = None;
         until("the program's end", || {
