--- /dev/null
+++ b/crates/cells/src/map/tests.rs
@@ -0,0 +1,112 @@
+use super::*;
+use proptest::prelude::*;
+
+fn servers(range: std::ops::Range<u32>) -> BTreeSet<Id> {
+    range.map(|n| Id::from(format!("s-{n:04}"))).collect()
+}
+
+fn told(cells: Vec<(&str, Members)>) -> Told {
+    let bindings = cells.iter().enumerate().map(|(n, (name, _))| (What::Customer(n), (*name).to_owned()));
+    Told {
+        bindings: bindings.collect(),
+        cells: cells.into_iter().map(|(name, members)| (name.to_owned(), members)).collect(),
+        ..Told::default()
+    }
+}
+
+#[test]
+fn an_request_belongs_by_what_says_most_of_it() {
+    let cells = ["a", "b", "c", "d", "e"].map(|name| (name.to_owned(), Members::Shuffle(1)));
+    let bind = |what, name: &str| (what, name.to_owned());
+    let bindings = vec![
+        bind(What::Prefix("7f".into()), "a"),
+        bind(What::Prefix("7f3a".into()), "b"),
+        bind(What::Groups(3..=5), "c"),
+        bind(What::Customer(2), "d"),
+        bind(What::Class(1), "e"),
+    ];
+    let otherwise = Some("a".to_owned());
+    let map = Map::new(Told { cells: cells.to_vec(), bindings, otherwise, ..Told::default() }).unwrap();
+    let cell = |object: &str, group, customer, class| {
+        let arrival = Arrival { object: object.into(), group, customer, class, ..Arrival::default() };
+        map.cell_of(&arrival).map(|cell| map.name(cell).to_owned()).unwrap()
+    };
+    assert_eq!(cell("7f3a00", 4, 2, 1), "b");
+    assert_eq!(cell("7f0000", 4, 2, 1), "a");
+    assert_eq!(cell("000000", 4, 2, 1), "c");
+    assert_eq!(cell("000000", 6, 2, 1), "d");
+    assert_eq!(cell("000000", 6, 3, 1), "e");
+    assert_eq!(cell("000000", 6, 3, 0), "a");
+}
+
+#[test]
+fn every_fault_is_told_at_once() {
+    let mut told = told(vec![
+        ("a", Members::List(vec![])),
+        ("a", Members::Share(0.7)),
+        ("b", Members::Share(0.7)),
+        ("c", Members::Shuffle(0)),
+    ]);
+    told.bindings = vec![(What::Groups(1..=9), "a".into()), (What::Groups(9..=9), "nowhere".into())];
+    let faults = Map::new(told).unwrap_err().join("\n");
+    for part in [
+        "cell a is told twice",
+        "cell a lists no server",
+        "cell c draws no server",
+        "add up to 140 %",
+        "nowhere is not a cell",
+        "is bound twice",
+        "nothing belongs to cell c",
+    ] {
+        assert!(faults.contains(part), "{part} in {faults}");
+    }
+}
+
+#[test]
+fn shares_are_kept_and_a_server_that_goes_moves_no_other() {
+    let mut map = Map::new(told(vec![("a", Members::Share(0.25)), ("b", Members::Share(0.5))])).unwrap();
+    let all = servers(0..2000);
+    map.place(&all);
+    let before = map.report();
+    let (a, b) = (before[0].1.len(), before[1].1.len());
+    assert!((420..580).contains(&a) && (900..1100).contains(&b), "{a} {b}");
+    let placed = map.placed.clone();
+    map.place(&servers(1..2000));
+    assert!(map.placed.iter().all(|(server, cells)| placed[server] == *cells));
+}
+
+#[test]
+fn a_cell_that_is_left_with_too_few_is_told() {
+    let list = Members::List(vec!["s-0001".into(), "gone".into()]);
+    let mut map = Map::new(told(vec![("a", list), ("b", Members::Shuffle(30))])).unwrap();
+    map.place(&servers(0..10));
+    assert_eq!(map.faults(), ["cell a has 1 of 2 servers", "cell b has 9 of 30 servers"]);
+    assert_eq!(*map.cells_of(&"s-0001".into()), [0], "a listed server is drawn by no other cell");
+}
+
+proptest! {
+    /// All routers draw the same, whatever they heard first; no two drawn cells share more than the
+    /// bound.
+    #[test]
+    fn drawn_cells_overlap_within_the_bound(
+        count in 8u32..60,
+        cells in 1usize..12,
+        k in 1usize..5,
+        overlap in 0usize..3,
+    ) {
+        let names: Vec<String> = (0..cells).map(|n| format!("cell-{n}")).collect();
+        let drawn = names.iter().map(|n| (n.as_str(), Members::Shuffle(k))).collect();
+        let told = Told { overlap: Some(overlap), ..told(drawn) };
+        let mut map = Map::new(told).unwrap();
+        map.place(&servers(0..count));
+        let report = map.report().into_iter();
+        let report: Vec<BTreeSet<Id>> = report.map(|(_, s)| s.into_iter().collect()).collect();
+        for (n, one) in report.iter().enumerate() {
+            prop_assert!(one.len() <= k);
+            prop_assert!(report[..n].iter().all(|other| one.intersection(other).count() <= overlap));
+        }
+        let mut again = map.clone();
+        again.place(&servers(0..count));
+        prop_assert_eq!(map.report(), again.report());
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/places/tests.rs
@@ -0,0 +1,39 @@
+use super::*;
+use crate::play::Fault;
+
+#[test]
+fn a_loss_is_measured_by_what_went_where() {
+    let s = Duration::from_secs;
+    let mut play = Play::default();
+    play.work.lasts = s(10);
+    play.work.lead = s(0);
+    play.work.rate = 60.0;
+    play.faults.push(Fault { at: s(2), lasts: s(2), what: What::Lose(Whom::Zone(1)) });
+    let place = |zone: usize| Place {
+        name: format!("c{zone}"),
+        zone,
+        capacity: 4.0,
+        started: None,
+        there: if zone == 1 { vec![(s(0), s(2)), (s(4), s(99))] } else { vec![(s(0), s(99))] },
+        cold_from: 0.3,
+        warm_within: s(2),
+    };
+    let places: Vec<Place> = (0..4).map(place).collect();
+    let mut kept = Kept::new(4, 12);
+    let mut sent = Vec::new();
+    for n in 0..1000u64 {
+        let at = Duration::from_millis(n * 10);
+        kept.asked(1, at);
+        let away = (s(3)..s(4)).contains(&at);
+        if away || !(s(2)..s(4)).contains(&at) {
+            kept.earned(1, at, 1.0);
+        }
+        let zone = if away || n == 900 { 2 } else { 1 };
+        sent.push(Sent { at, server: 0, zone, router: 5, key: (1, 0), work: 0.1, hit: true });
+    }
+    let found = kept.measure(&play, &sent, &places);
+    assert!((found.lost_service - 6.0 / 7.0).abs() < 1e-9, "{found:?}");
+    assert!(found.plan.is_some_and(|plan| plan > Duration::from_millis(700) && plan <= s(1)), "{found:?}");
+    assert!((found.needless - 0.001).abs() < 1e-9 && found.toppled == 0, "{found:?}");
+    assert!(found.lost_limit > 0.9);
+}
--- /dev/null
+++ b/crates/router/src/probes/tests.rs
@@ -0,0 +1,36 @@
+use super::*;
+use tokio::net::TcpListener;
+
+#[test]
+fn what_comes_back_is_measured_and_what_does_not_is_lost() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let (decider, mut messages) = mpsc::channel(8);
+        let (probes, receiver) = mpsc::channel(8);
+        spawn_local(run(receiver, decider));
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let dial = listener.local_addr().unwrap();
+        let shut = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let nobody = shut.local_addr().unwrap();
+        drop(shut);
+        probes.send(Probe { edge: 3, dial }).await.unwrap();
+        let (stream, _) = listener.accept().await.unwrap();
+        let mut stream = BufReader::new(stream);
+        let mut line = String::new();
+        stream.read_line(&mut line).await.unwrap();
+        assert_eq!(line, "NOOP 1\r\n");
+        stream.get_mut().write_all(b"9 UP - 0\r\n\r\n1 UP - 0\r\n\r\n").await.unwrap();
+        assert!(matches!(messages.recv().await, Some(Message::Way(3, Some(_)))));
+        // The connection is used again; where it breaks the word is lost, and the next one opens another.
+        probes.send(Probe { edge: 3, dial }).await.unwrap();
+        line.clear();
+        stream.read_line(&mut line).await.unwrap();
+        assert_eq!(line, "NOOP 2\r\n");
+        drop(stream);
+        assert!(matches!(messages.recv().await, Some(Message::Way(3, None))));
+        probes.send(Probe { edge: 4, dial: nobody }).await.unwrap();
+        assert!(matches!(messages.recv().await, Some(Message::Way(4, None))));
+        probes.send(Probe { edge: 3, dial }).await.unwrap();
+        assert!(listener.accept().await.is_ok());
+    });
+}
--- /dev/null
+++ b/crates/store/src/decide/tests.rs
@@ -0,0 +1,85 @@
+use super::*;
+use bytes::Bytes;
+
+const PART: Part = Part { object: b"o", part: 3, group: 17 };
+
+fn copy(made: u64, tag: &'static str, part: u64) -> Copy {
+    let (object, tag) = (Bytes::from_static(b"o"), Bytes::from_static(tag.as_bytes()));
+    let body = Bytes::from_static(b"body");
+    Copy { object, part, group: 17, made, tag, body, in_parts: true, ..Copy::default() }
+}
+
+/// No disk: nothing is ordered.
+struct NoDisk;
+
+impl Outlet for NoDisk {
+    fn read(&mut self, _: u64, _: u32, _: u32, _: u32) -> bool {
+        false
+    }
+    fn list(&mut self, _: u32) -> bool {
+        false
+    }
+    fn recover(&mut self, _: u32) -> bool {
+        false
+    }
+    fn begin(&mut self, _: u32, _: u32) -> bool {
+        false
+    }
+    fn append(&mut self, _: u64, _: u32, _: u32, _: Vec<u8>) -> bool {
+        false
+    }
+    fn sync(&mut self, _: u32, _: u32) -> bool {
+        false
+    }
+    fn seal(&mut self, _: u32, _: u32, _: Vec<u8>) -> bool {
+        false
+    }
+    fn remove(&mut self, _: u32) -> bool {
+        false
+    }
+    fn mark(&mut self, _: Vec<crate::catalogue::Line>) -> bool {
+        false
+    }
+}
+
+const NOW: Duration = Duration::ZERO;
+
+#[test]
+fn nothing_older_than_a_purge_is_found_or_kept() {
+    let mut store = Store::new(1 << 20, None);
+    store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
+    assert_eq!(store.find(PART, Some(b"a")).map(|f| (f.made, f.same)), Some((100, true)));
+    store.purge(Some(b"o"), 0, 99, &mut NoDisk);
+    assert!(store.take(NOW, PART).is_some(), "made after the purge");
+    store.purge(None, 17, 100, &mut NoDisk);
+    assert!(store.find(PART, None).is_none() && store.take(NOW, PART).is_none());
+    // Under way when the purge was told.
+    store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
+    assert!(store.find(PART, None).is_none());
+    store.keep(NOW, copy(101, "b", 3), 2, &mut NoDisk);
+    assert!(store.find(PART, None).is_some_and(|f| !f.same));
+    assert!(store.find(Part { part: 4, ..PART }, None).is_none());
+}
+
+#[test]
+fn an_object_that_changed_takes_its_older_parts_along() {
+    let mut store = Store::new(1 << 20, None);
+    store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
+    store.keep(NOW, copy(150, "a", 3), 2, &mut NoDisk);
+    store.keep(NOW, copy(200, "b", 3), 2, &mut NoDisk);
+    assert!(store.find(Part { part: 2, ..PART }, None).is_none(), "of the older version");
+    assert!(store.find(PART, None).is_some());
+    store.keep(NOW, copy(180, "a", 2), 2, &mut NoDisk);
+    assert!(store.find(Part { part: 2, ..PART }, None).is_none(), "came late");
+    store.keep(NOW, copy(190, "a", 3), 2, &mut NoDisk);
+    assert_eq!(store.find(PART, None).map(|f| f.made), Some(200), "the newer one stays");
+}
+
+#[test]
+fn a_refreshed_copy_of_the_same_version_leaves_the_others() {
+    let mut store = Store::new(1 << 20, None);
+    store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
+    store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
+    store.keep(NOW, copy(200, "a", 3), 2, &mut NoDisk);
+    assert!(store.find(Part { part: 2, ..PART }, None).is_some());
+}
