--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -1,11 +1,12 @@
 //! Owns the decisions: hands them what happens, and does what they order. Nothing is decided here.
 
+mod desk;
+
 use crate::abroad::Abroad;
 use crate::brief::Brief;
 use crate::clock::Clock;
 use crate::confined::Confined;
-use crate::lines::{Answer, Passed, ask};
-use crate::messages::{Ask, Ended, Last, Message, New, Order, Question, Reply, Wanted};
+use crate::messages::{Ended, Last, Message, New, Order, Question, Reply, Wanted};
 use crate::notices::Notice;
 use crate::own::{Got, Own};
 use crate::peers::Saying;
@@ -13,11 +14,10 @@
 use crate::server::Server;
 use crate::told::Limits;
 use chalkhall::control::Router;
-use chalkhall::interface::{
-    self, Arrival, Deployment, Effect, Fill, Held, Id, ListKind, Member, Outcome, Outlet, Standing,
-};
+use chalkhall::interface::{self, Deployment, Effect, Id, ListKind, Member, Outcome, Standing};
 use chalkhall_members::Talk;
 use chalkhall_store::threads::End;
+use desk::{Desk, Post, Taken, To};
 use serde_json::{Value, json};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -46,169 +46,6 @@
 /// decider.
 const HOPS: usize = 8;
 
-/// Who waits for a final answer: a client, or the store, which is told by other ways.
-enum To {
-    Client(mpsc::OwnedPermit<Reply>),
-    Store,
-}
-
-/// Of a request: to whom its final answer goes, until it has gone, and its attempts.
-struct Taken {
-    client: Option<To>,
-    tag: u64,
-    wanted: Wanted,
-    arrival: Arrival,
-    passed: Passed,
-    /// It must not run twice.
-    once: bool,
-    begun: Duration,
-    attempts: Vec<Attempt>,
-}
-
-struct Attempt {
-    /// None: the list does not hold it.
-    server: Option<mpsc::Sender<Order>>,
-    at: Id,
-    sent: Duration,
-    open: bool,
-}
-
-struct Post {
-    orders: mpsc::Sender<Order>,
-    dial: SocketAddr,
-    started: Option<Duration>,
-}
-
-/// Where the orders of the decisions are carried out.
-struct Desk {
-    now: Duration,
-    clock: Clock,
-    requests: HashMap<Id, Taken>,
-    posts: HashMap<Id, Post>,
-    timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    /// Attempts that ended here: not handed on, or answered from an own copy; and requests to be forgotten
-    /// when all is back.
-    ends: VecDeque<Ended>,
-    answered: Vec<Id>,
-    /// Of clients' requests: class, when it came, and whether it was served.
-    finals: Vec<(usize, Duration, bool)>,
-    own: Option<Own>,
-    /// What is told to the other routers of the zone, and how it gets to them.
-    talk: Option<(Talk, Saying)>,
-    /// What a request is being served with.
-    brought: Option<(Id, Box<Answer>)>,
-    /// A first byte leaves this soon after its decision, or not at all.
-    leave_within: Duration,
-    /// Bytes of bodies on their way to clients, attempts that may bring more, and how much each is likely
-    /// to.
-    in_hand: usize,
-    out: usize,
-    object: f64,
-    refused: Brief,
-    /// KB a second of one answer.
-    pace: f64,
-}
-
-impl Desk {
-    fn reply(&mut self, id: &Id, last: Last) -> bool {
-        let Some(taken) = self.requests.get_mut(id) else { return false };
-        let Some(to) = taken.client.take() else { return false };
-        let bytes = if let Last::Served { body, .. } = &last { body.len() } else { 0 };
-        if let To::Client(_) = to {
-            let served = matches!(last, Last::Served { .. } | Last::Unchanged { .. });
-            self.finals.push((taken.arrival.class, taken.begun, served));
-        }
-        taken.wanted.end();
-        if let To::Client(client) = to {
-            client.send(Reply { tag: taken.tag, id: id.clone(), last });
-            self.in_hand += bytes;
-        }
-        self.answered.push(id.clone());
-        true
-    }
-}
-
-impl Outlet for Desk {
-    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        let Some(taken) = self.requests.get_mut(request) else { return };
-        let key = (request.clone(), taken.attempts.len());
-        if let Some(own) = self.own.as_mut().filter(|own| own.is_place(server)) {
-            let got = own.attempt(&key, server, &taken.arrival, taken.passed.have.as_ref());
-            if let Some((outcome, answer)) = got {
-                self.ends.push_back(Ended { key, outcome, answer });
-            }
-            taken.attempts.push(Attempt { server: None, at: server.clone(), sent: self.now, open: true });
-            self.out += 1;
-            return;
-        }
-        let ask = Box::new(Ask {
-            key: key.clone(),
-            passed: taken.passed.clone(),
-            line: ask(&taken.passed, server, limit, fill),
-            once: taken.once,
-            wanted: taken.wanted.clone(),
-            due: self.clock.instant(self.now + limit),
-            leave_by: self.clock.instant(self.now + self.leave_within),
-        });
-        let work = taken.arrival.kb / self.pace;
-        self.talk.iter_mut().for_each(|(talk, _)| talk.sent(server, work));
-        let post = self.posts.get(server).map(|post| post.orders.clone());
-        if post.as_ref().is_none_or(|orders| orders.try_send(Order::Ask(ask)).is_err()) {
-            self.refused
-                .log(&format!("an attempt for {server}, which is not listed or takes no more orders"));
-            self.ends.push_back(Ended { key, outcome: Outcome::NeverSent, answer: None });
-        }
-        taken.attempts.push(Attempt { server: post, at: server.clone(), sent: self.now, open: true });
-        self.out += 1;
-    }
-
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.reply(request, Last::Rejected(advice));
-    }
-
-    fn fail(&mut self, request: &Id) {
-        self.reply(request, Last::Failed);
-    }
-
-    fn cancel(&mut self, request: &Id, attempt: usize) {
-        let key = (request.clone(), attempt);
-        if self.own.as_mut().is_some_and(|own| own.cancel(&key)) {
-            return self.ends.push_back(Ended { key, outcome: Outcome::Cancelled, answer: None });
-        }
-        let attempts = self.requests.get(request).map(|taken| &taken.attempts);
-        let out = attempts.and_then(|e| e.get(attempt)).filter(|e| e.open);
-        if let Some(server) = out.and_then(|out| out.server.as_ref()) {
-            // Where this fails the attempt ends by its own time.
-            let _ = server.try_send(Order::Quit((request.clone(), attempt)));
-        }
-    }
-
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.push(Reverse((at, mark)));
-    }
-
-    fn watch_list(&mut self) {
-        // Discovery tells every router unasked.
-    }
-
-    fn held(&mut self, request: &Id) -> Option<Held> {
-        let taken = self.requests.get(request)?;
-        self.own.as_mut()?.held(&taken.arrival, taken.passed.have.as_ref())
-    }
-
-    fn found(&mut self, part: u32, cache: &Id) {
-        self.talk.iter_mut().for_each(|(talk, _)| talk.found(part, cache));
-    }
-
-    fn keep(&mut self, request: &Id, rank: u8) {
-        let (Some(own), Some(taken)) = (&mut self.own, self.requests.get(request)) else { return };
-        match self.brought.take_if(|(id, _)| id == request) {
-            Some((_, answer)) => own.keep(&taken.arrival, &answer, rank),
-            None => own.rank(&taken.arrival, rank),
-        }
-    }
-}
-
 /// What stands beside the decisions, where it is turned on: own copies, the map of cells, talk with peers.
 pub struct Beside {
     pub own: Option<Own>,
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,6 +1,9 @@
 //! The decider by itself, without sockets.
 
 use super::*;
+use crate::lines::Passed;
+use crate::messages::Ask;
+use chalkhall::interface::Arrival;
 
 fn decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
     let (phase, phase_of) = watch::channel(phase);
