--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -52,7 +52,14 @@
     let mut other = program.client();
     other.send(&[b"REQ", b"20", b"page", format!("i={id},o={id},d=900").as_bytes(), b""]);
     other.send(&[b"ABORT", b"20"]);
-    assert_eq!(other.health(), "GREEN");
+    other.send(&[b"HEALTH", b"1000", b""]);
+    // Its own answer may cross its calling off; nothing else comes before what it asked last.
+    let mut said = other.answer();
+    if said.0 == 20 {
+        assert_eq!(said, (20, "FAIL".into(), "".into(), vec![]));
+        said = other.answer();
+    }
+    assert_eq!((said.0, said.1.as_str()), (1000, "GREEN"));
     drop(other);
     assert_eq!(client.health(), "GREEN");
     server.answer(&asked, "OK", "tell=hit", b"x");
