--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -232,9 +232,9 @@
     let file = folder.0.join("fleet.json");
     let path = file.to_str().unwrap();
     let cell = |name: &str| serde_json::json!({"name": name, "capacity": 10, "cold": 0.3});
-    let tenant = |name: &str, load: f64, fill: f64, cell: &str| {
+    fn tenant(name: &str, load: f64, fill: f64, cell: &str) -> serde_json::Value {
         serde_json::json!({"name": name, "load": load, "fill_kb": fill, "cell": cell})
-    };
+    }
     let fleet = serde_json::json!({
         "cells": [cell("a"), cell("b")],
         "tenants": [tenant("dear", 3.0, 900.0, "a"), tenant("cheap", 2.5, 100.0, "a"),
