--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -9,6 +9,7 @@
 mod own;
 mod soak;
 mod stand_ins;
+mod wire_oracle;
 
 use serde_json::{Value, json};
 use stand_ins::*;
