--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::notices::{Notice, Places, numbered};
 use chalkhall::interface::Deployment;
-use chalkhall_deployment::{self as deployment, Fields};
+use chalkhall_settings::{self as deployment, Fields};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/deployment/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,11 +6,11 @@
 //!     "Classes": [{"Name": "page", "Effect": "pure", "HardLimit": 2500}],
 //!     "Obligations": {"DrainGrace": 500}
 //! });
-//! let told = chalkhall_deployment::deployment(7, settings.as_object().unwrap()).unwrap();
+//! let told = chalkhall_settings::deployment(7, settings.as_object().unwrap()).unwrap();
 //! assert_eq!(told.drain_grace.as_millis(), 500);
 //!
 //! let faulty = serde_json::json!({"Classes": [{"Name": "page", "Effect": "odd"}]});
-//! let what = chalkhall_deployment::deployment(7, faulty.as_object().unwrap()).unwrap_err();
+//! let what = chalkhall_settings::deployment(7, faulty.as_object().unwrap()).unwrap_err();
 //! assert!(what.contains("Effect"));
 //! ```
 
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -4,7 +4,7 @@
 use chalkhall::interface::{
     Arrival, Ended, Fill, Id, ListKind, Load, Member, Outcome, Outlet, Remark, Standing, Tier,
 };
-use chalkhall_deployment::{self as deployment, Fields, flag, ms, number, span, text, whole};
+use chalkhall_settings::{self as deployment, Fields, flag, ms, number, span, text, whole};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
