--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -38,7 +38,7 @@
 
 /// Prints each cell with its servers, and every fault.
 pub fn check(file: &Path, servers: &[String], config: Option<&Path>, as_json: bool) -> Result<(), Failure> {
-    let (told, faults) = chalkhall_directives::read(file);
+    let (told, faults) = chalkhall_config::read(file);
     if !faults.is_empty() {
         faults.iter().for_each(|fault| eprintln!("{fault}"));
         return Err(Failure::new(format!("{} faults", faults.len())));
@@ -52,7 +52,7 @@
             .bindings
             .iter()
             .filter_map(|(bound, _)| match bound {
-                chalkhall_directives::Bound::Class(name) => Some(name.clone()),
+                chalkhall_config::Bound::Class(name) => Some(name.clone()),
                 _ => None,
             })
             .collect();
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `check` and `directives`.
 
 use crate::Failure;
-use chalkhall_directives::{WORDS, read};
+use chalkhall_config::{WORDS, read};
 use serde_json::json;
 use std::path::Path;
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -77,7 +77,7 @@
 }
 
 fn serve(file: Option<PathBuf>) -> Result<(), Failure> {
-    let (told, faults) = file.as_deref().map(chalkhall_directives::read).unwrap_or_default();
+    let (told, faults) = file.as_deref().map(chalkhall_config::read).unwrap_or_default();
     if !faults.is_empty() {
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         return Err(Failure::new(all.join("\nchalkhall: ")));
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -103,7 +103,7 @@
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/chalkhall.conf");
     assert_eq!(chalkhall(&["check", example.to_str().unwrap()]).status.code(), Some(0));
     let written = std::fs::read_to_string(example).unwrap();
-    for entry in chalkhall_directives::WORDS.entries() {
+    for entry in chalkhall_config::WORDS.entries() {
         let stands =
             written.lines().any(|l| l.trim().trim_start_matches('#').split(' ').next() == Some(entry.name));
         assert!(stands, "{}", entry.name);
@@ -118,7 +118,7 @@
             bare + "\n"
         })
         .collect();
-    let (_, faults) = chalkhall_directives::read_text(&uncommented);
+    let (_, faults) = chalkhall_config::read_text(&uncommented);
     assert_eq!(faults, []);
 }
 
--- a/crates/directives/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,11 +3,11 @@
 //! with its line and column and the nearest word there is.
 //!
 //! ```
-//! let (told, faults) = chalkhall_directives::read_text("store {\n  memory 64MB\n}\n");
+//! let (told, faults) = chalkhall_config::read_text("store {\n  memory 64MB\n}\n");
 //! assert!(faults.is_empty());
 //! assert_eq!(told.store.memory.unwrap().of(1 << 30), 64_000_000);
 //!
-//! let (_, faults) = chalkhall_directives::read_text("store {\n  memry 64MB\n}\n");
+//! let (_, faults) = chalkhall_config::read_text("store {\n  memry 64MB\n}\n");
 //! assert_eq!(faults[0].to_string(), "2:3: memry is not a directive of store; memory is");
 //! ```
 
--- a/crates/fleet/src/play.rs
+++ b/crates/fleet/src/play.rs
@@ -12,7 +12,7 @@
 //! assert_eq!(faults[0].to_string(), "2:2: secnds is not a directive of work; seconds is");
 //! ```
 
-use chalkhall_directives::{Entry, Fault as FileFault, Table, values};
+use chalkhall_config::{Entry, Fault as FileFault, Table, values};
 use std::path::Path;
 use std::time::Duration;
 
@@ -294,11 +294,11 @@
 }
 
 pub fn read(path: &Path) -> (Play, Vec<FileFault>) {
-    chalkhall_directives::read_with(&PLAY, path)
+    chalkhall_config::read_with(&PLAY, path)
 }
 
 pub fn read_text(text: &str) -> (Play, Vec<FileFault>) {
-    chalkhall_directives::read_text_with(&PLAY, text)
+    chalkhall_config::read_text_with(&PLAY, text)
 }
 
 type Fails = (usize, String);
--- a/crates/fleet/src/run/opening.rs
+++ b/crates/fleet/src/run/opening.rs
@@ -296,7 +296,7 @@
             .collect();
         let path = self.dir.join("chalkhall.conf");
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-        let (_, faults) = chalkhall_directives::read(&path);
+        let (_, faults) = chalkhall_config::read(&path);
         if let Some(fault) = faults.first() {
             return Err(format!("directive: {fault}"));
         }
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -7,7 +7,7 @@
 use chalkhall::interface::{
     Arrival, ColdStart, Deployment, Effect, Id, Member, Outcome, Remark, Standing, Tier,
 };
-use chalkhall_directives::Regions as Wishes;
+use chalkhall_config::Regions as Wishes;
 use chalkhall_regions::{About, Place, Regions, Where};
 use serde_json::{Value, json};
 use std::collections::HashMap;
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -5,7 +5,7 @@
 use chalkhall_cells::limits::{Allowed, Tenants, Verdict, tenant};
 use chalkhall_cells::map::{Cell, Map, Members, Told, What};
 use chalkhall_cells::moves::Move;
-use chalkhall_directives::{Bound, CellMembers, Cells as Wishes};
+use chalkhall_config::{Bound, CellMembers, Cells as Wishes};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -23,7 +23,7 @@
 mod told;
 
 use abroad::Abroad;
-use chalkhall_directives::Told as Directives;
+use chalkhall_config::Told as Directives;
 use chalkhall_members::{About, Talk};
 use chalkhall_store::threads::End;
 use client::Door;
@@ -226,7 +226,7 @@
     /// restart.
     async fn directives(&self) {
         let Some(file) = &self.file else { return };
-        let (directives, faults) = chalkhall_directives::read(file);
+        let (directives, faults) = chalkhall_config::read(file);
         if let Some(fault) = faults.first() {
             return log::warn!("the operator's file is not taken over: {fault} ({} faults)", faults.len());
         }
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -1,7 +1,7 @@
 //! Where log lines go and how they look: one event a line, with fields, as text or as JSON, on standard
 //! error.
 
-use chalkhall_directives::{Log, LogFormat};
+use chalkhall_config::{Log, LogFormat};
 use structured_logger::json::new_writer;
 
 /// Begins logging; once in a process. `RUST_LOG` goes before what the operator's file says.
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -7,7 +7,7 @@
 use crate::told::Told;
 use bytes::Bytes;
 use chalkhall::interface::{Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier};
-use chalkhall_directives::Store as Wishes;
+use chalkhall_config::Store as Wishes;
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, SEGMENTS_LEAST, Wanted};
 use chalkhall_store::decide::{Part, Place, Store};
