--- a/crates/background/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -6,7 +6,7 @@
 //! that bound goes.
 //!
 //! ```
-//! use chalkhall_background::{Cost, Kind, Rate, Scheduler};
+//! use chalkhall_scheduler::{Cost, Kind, Rate, Scheduler};
 //! use std::time::Duration;
 //!
 //! let s = Duration::from_secs;
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -24,7 +24,7 @@
 use crate::key::{self, Key};
 use crate::recovery::{Failed, Recovered};
 use chalkhall::control::Judged;
-use chalkhall_background::{Cost, Done, Kind, Rate, Scheduler};
+use chalkhall_scheduler::{Cost, Done, Kind, Rate, Scheduler};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
