--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -24,7 +24,7 @@
 use chalkhall_latency::{Estimate, Model, Offer, Table};
 use chalkhall_members::Mouth;
 use chalkhall_members::gossip::{Gossip, Lane, Stand};
-use chalkhall_structures::Recent;
+use chalkhall_stats::Recent;
 use std::time::Duration;
 
 const LASTS: Duration = Duration::from_millis(2500);
--- a/src/control.rs
+++ b/src/control.rs
@@ -5,7 +5,7 @@
 use crate::interface::*;
 pub use crate::state::part_of;
 use crate::state::{Request as Taken, Route, Seen};
-use chalkhall_structures::{Recent, Window, draw};
+use chalkhall_stats::{Recent, Window, draw};
 use lru::LruCache;
 use std::collections::{BTreeMap, HashMap};
 use std::{num::NonZeroUsize, time::Duration};
