--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 JOBS ?= 4
 mutants:
 	cargo mutants -p chalkhall -f src/control.rs --re '$(RULES)' --jobs $(JOBS) --timeout 30 -o target/mutants-rules -- --tests
-	cargo mutants -p chalkhall-members -f 'crates/members/src/*.rs' --jobs $(JOBS) --timeout 60 -o target/mutants-members -- --tests
+	cargo mutants -p chalkhall-gossip -f 'crates/gossip/src/*.rs' --jobs $(JOBS) --timeout 60 -o target/mutants-members -- --tests
 	cargo mutants -p chalkhall-store -f crates/store/src/recovery.rs -f crates/store/src/decide/purges.rs \
 		-f crates/store/src/decide/disk/start.rs --jobs $(JOBS) --timeout 120 -o target/mutants-store -- --tests
 
--- a/crates/fleet/src/net.rs
+++ b/crates/fleet/src/net.rs
@@ -4,7 +4,7 @@
 //! sees its peers where it was told.
 
 use crate::ways::Ways;
-use chalkhall_members::codec::{Datagram, Finding, KEY_BITS, MOST_BYTES};
+use chalkhall_gossip::codec::{Datagram, Finding, KEY_BITS, MOST_BYTES};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/members/tests/stand_ins/mod.rs
+++ b/crates/gossip/tests/stand_ins/mod.rs
@@ -5,7 +5,7 @@
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
-use chalkhall_members::{About, Mouth, Talk, To};
+use chalkhall_gossip::{About, Mouth, Talk, To};
 use lru::LruCache;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -14,7 +14,7 @@
 
 use crate::merge::{Estimate, merge};
 use crate::sketch::{HALF_LIFE, Share, Sketch, bucket, value};
-use chalkhall_members::gossip::{Gossip, Lane, Topic};
+use chalkhall_gossip::gossip::{Gossip, Lane, Topic};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -232,7 +232,7 @@
     /// What the tellers of a zone say of its way to an edge, and how young the youngest word is: the
     /// middle of them at each figure. And how many they are.
     fn heard(&self, now: Duration, gossip: &Gossip, from: u8, edge: usize) -> Option<(Cell, usize)> {
-        let of = |(topic, word): (Topic, &chalkhall_members::gossip::Word)| {
+        let of = |(topic, word): (Topic, &chalkhall_gossip::gossip::Word)| {
             let fits =
                 word.place == from && usize::from(topic.part) == edge / CHUNK && topic.teller != self.number;
             let age = now.saturating_sub(word.told);
--- a/crates/latency/src/model/tests.rs
+++ b/crates/latency/src/model/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use chalkhall_members::gossip::{Stand, encode as datagram};
-use chalkhall_members::{Mouth, To};
+use chalkhall_gossip::gossip::{Stand, encode as datagram};
+use chalkhall_gossip::{Mouth, To};
 use proptest::prelude::*;
 
 #[derive(Default)]
--- a/crates/regions/src/decide.rs
+++ b/crates/regions/src/decide.rs
@@ -21,9 +21,9 @@
 
 use crate::evidence::{Counted, Health};
 use crate::words::{HOME, Home, LOAD, Load, PLAN, Plan, TAKERS_MOST};
+use chalkhall_gossip::Mouth;
+use chalkhall_gossip::gossip::{Gossip, Lane, Stand};
 use chalkhall_latency::{Estimate, Model, Offer, Table};
-use chalkhall_members::Mouth;
-use chalkhall_members::gossip::{Gossip, Lane, Stand};
 use chalkhall_stats::Recent;
 use std::time::Duration;
 
--- a/crates/regions/src/decide/tests.rs
+++ b/crates/regions/src/decide/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use chalkhall_members::To;
+use chalkhall_gossip::To;
 use proptest::prelude::*;
 
 fn ms(ms: u64) -> Duration {
@@ -366,7 +366,7 @@
             (1u8..12, any::<u8>(), 0u16..12, prop::collection::vec(any::<u8>(), 0..40)), 0..40,
         ),
     ) {
-        use chalkhall_members::gossip::{Carried, Topic, Version, encode};
+        use chalkhall_gossip::gossip::{Carried, Topic, Version, encode};
         let mut regions = router(0, 0, 4, 12, 1, 1);
         regions.list(&[Place { capacity: 10.0, present: 10.0, warm: 10.0 }; 4]);
         for (n, (kind, part, teller, body)) in words.into_iter().enumerate() {
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -15,7 +15,7 @@
 use crate::told::Limits;
 use chalkhall::control::Router;
 use chalkhall::interface::{self, Deployment, Effect, Id, ListKind, Member, Outcome, Standing};
-use chalkhall_members::Talk;
+use chalkhall_gossip::Talk;
 use chalkhall_store::threads::End;
 use desk::{Desk, Post, Taken, To};
 use serde_json::{Value, json};
--- a/crates/router/src/decider/desk.rs
+++ b/crates/router/src/decider/desk.rs
@@ -7,7 +7,7 @@
 use crate::own::Own;
 use crate::peers::Saying;
 use chalkhall::interface::{Arrival, Fill, Held, Id, Outcome, Outlet};
-use chalkhall_members::Talk;
+use chalkhall_gossip::Talk;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -24,7 +24,7 @@
 
 use abroad::Abroad;
 use chalkhall_config::Told as Directives;
-use chalkhall_members::{About, Talk};
+use chalkhall_gossip::{About, Talk};
 use chalkhall_store::threads::End;
 use client::Door;
 use clock::Clock;
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! The socket on which routers talk to one another: it carries what `chalkhall_members` says, and hands on
+//! The socket on which routers talk to one another: it carries what `chalkhall_gossip` says, and hands on
 //! what comes with the number of who sent it. Nothing waits for it; what it cannot take at once is lost, as
 //! any datagram may be: whoever waits for a place in the decider's mailbox goes before it. Who is not in the
 //! list is dropped here.
@@ -6,8 +6,8 @@
 use crate::brief::Brief;
 use crate::messages::Message;
 use crate::told::Peers;
-use chalkhall_members::codec::MOST_BYTES;
-use chalkhall_members::{Mouth, To};
+use chalkhall_gossip::codec::MOST_BYTES;
+use chalkhall_gossip::{Mouth, To};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
