--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -8,7 +8,7 @@
     Arrival, ColdStart, Deployment, Effect, Id, Member, Outcome, Remark, Standing, Tier,
 };
 use chalkhall_config::Regions as Wishes;
-use chalkhall_regions::{About, Place, Regions, Where};
+use chalkhall_failover::{About, Place, Regions, Where};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::net::SocketAddr;
