--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkhall-wirehost`: hosts routers on the simulator's wire, standard input to standard output.
+//! `chalkhall-simulator-adapter`: hosts routers on the simulator's wire, standard input to standard output.
 //! Framing and JSON; no decision.
 
 mod wire;
@@ -14,7 +14,7 @@
     match ran.and(flushed) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("chalkhall-wirehost: {what}");
+            eprintln!("chalkhall-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -255,7 +255,7 @@
             }
             // Routers neither probe nor tell one another anything.
             "ProbeDone" | "Message" => {}
-            other => eprintln!("chalkhall-wirehost: unknown event {other:?} skipped"),
+            other => eprintln!("chalkhall-simulator-adapter: unknown event {other:?} skipped"),
         }
         out.failed.take().map_or(Ok(()), Err)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //! where, kept or not and at which rank, and what to do when something fails.
 //!
 //! [`control::Router`] holds every decision. [`interface`] holds the plain types it is called with and
-//! [`interface::Outlet`], through which it acts. Any front end can drive it; `crates/wirehost` is one.
+//! [`interface::Outlet`], through which it acts. Any front end can drive it; `crates/simulator-adapter` is one.
 //!
 //! A front end turns what the router wants into messages of its own:
 //!
