--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -195,8 +195,8 @@
 3 the play is void: this machine was too busy to tell.
 
 Examples:
-  chalkhall fleet play crates/fleet/plays/calm.play
-  chalkhall fleet play crates/fleet/plays/zone-lost.play --seed 7 --html zone.html --logs logs"
+  chalkhall fleet play crates/harness/plays/calm.play
+  chalkhall fleet play crates/harness/plays/zone-lost.play --seed 7 --html zone.html --logs logs"
     )]
     Play {
         #[arg(value_name = "FILE")]
@@ -213,7 +213,7 @@
     /// Finds every fault of a play's file at once
     #[command(after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
 
-Example: chalkhall fleet check crates/fleet/plays/calm.play")]
+Example: chalkhall fleet check crates/harness/plays/calm.play")]
     Check {
         #[arg(value_name = "FILE", required = true)]
         files: Vec<PathBuf>,
--- a/crates/cli/src/bin/proof-even/main.rs
+++ b/crates/cli/src/bin/proof-even/main.rs
@@ -3,9 +3,9 @@
 //! void, because the machine was busy, is played once more.
 
 use chalkhall_cli::fleet::{played, program};
-use chalkhall_fleet::play::{Play, read_text};
-use chalkhall_fleet::report;
-use chalkhall_fleet::run::{Setup, Shown};
+use chalkhall_harness::play::{Play, read_text};
+use chalkhall_harness::report;
+use chalkhall_harness::run::{Setup, Shown};
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::Failure;
 use crate::arguments::How;
-use chalkhall_fleet::children::{Program, become_child};
-use chalkhall_fleet::play::{PLAY, Play};
-use chalkhall_fleet::run::{Setup, Shown};
-use chalkhall_fleet::{play as plays, report, run};
+use chalkhall_harness::children::{Program, become_child};
+use chalkhall_harness::play::{PLAY, Play};
+use chalkhall_harness::run::{Setup, Shown};
+use chalkhall_harness::{play as plays, report, run};
 use serde_json::json;
 use std::ffi::OsString;
 use std::io::IsTerminal;
--- a/crates/fleet/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -4,11 +4,11 @@
 //!
 //! ```
 //! let text = "faults {\n at 2s for 3s slow caches 1/8 by 4\n}\n";
-//! let (play, faults) = chalkhall_fleet::play::read_text(text);
+//! let (play, faults) = chalkhall_harness::play::read_text(text);
 //! assert!(faults.is_empty());
 //! assert_eq!(play.faults.len(), 1);
 //!
-//! let (_, faults) = chalkhall_fleet::play::read_text("work {\n secnds 4\n}\n");
+//! let (_, faults) = chalkhall_harness::play::read_text("work {\n secnds 4\n}\n");
 //! assert_eq!(faults[0].to_string(), "2:2: secnds is not a directive of work; seconds is");
 //! ```
 
--- a/crates/fleet/src/run/opening.rs
+++ b/crates/harness/src/run/opening.rs
@@ -27,7 +27,7 @@
     pub(super) fn new() -> Result<Dir, String> {
         static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = LAST.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("chalkhall-fleet-{}-{n}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("chalkhall-harness-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(Dir(path))
     }
