--- a/crates/cli/src/bin/proof-even/main.rs
+++ b/crates/cli/src/bin/proof-even/main.rs
@@ -24,7 +24,7 @@
     html: Option<PathBuf>,
 }
 
-const FLEET: &str = include_str!("../../../../fleet/plays/usual.fleet");
+const FLEET: &str = include_str!("../../../../harness/plays/usual.fleet");
 const WORK: &str = "work {\n seconds 16\n lead 5s\n rate 1100\n uneven 6\n size 40\n}\n";
 
 /// Name, what breaks, and what must hold. With a fault, load is measured again once 3 s have gone by since
--- a/crates/cli/src/bin/proof-regions/main.rs
+++ b/crates/cli/src/bin/proof-regions/main.rs
@@ -23,7 +23,7 @@
     with: Vec<String>,
 }
 
-const FLEET: &str = include_str!("../../../../fleet/plays/two-regions.fleet");
+const FLEET: &str = include_str!("../../../../harness/plays/two-regions.fleet");
 
 /// Name, rate, what breaks, and what must hold beside the rules.
 const PLAYS: [(&str, f64, &str, &str); 7] = [
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -229,7 +229,7 @@
     let line = format!("ulimit -n 2000; exec {program} fleet play {}", many.0.display());
     let output = Command::new("/bin/sh").args(["-c", &line]).output().unwrap();
     assert!(text(&output).contains("need 13000 descriptors here, the limit is 2000"), "{}", text(&output));
-    let library = concat!(env!("CARGO_MANIFEST_DIR"), "/../fleet/plays");
+    let library = concat!(env!("CARGO_MANIFEST_DIR"), "/../harness/plays");
     let plays = std::fs::read_dir(library).unwrap().flatten().map(|entry| entry.path());
     let plays: Vec<PathBuf> = plays.filter(|path| path.extension().is_some_and(|e| e == "play")).collect();
     assert!(plays.len() >= 16, "{plays:?}");
