--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -5,7 +5,8 @@
 use chalkhall_store::stand_ins::Piece;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output};
+use std::process::{Command, Output, Stdio};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 struct Folder(PathBuf);
@@ -24,8 +25,22 @@
     }
 }
 
+/// Held while a test starts a process. A child that has been forked but has not replaced its program yet
+/// holds every descriptor of this process, the locks of other tests' stores among them; whoever has taken
+/// this once knows that no such child is left from before.
+fn starting() -> MutexGuard<'static, ()> {
+    static STARTING: Mutex<()> = Mutex::new(());
+    STARTING.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 fn chalkhall(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_chalkhall")).args(words).output().unwrap()
+    let mut command = Command::new(env!("CARGO_BIN_EXE_chalkhall"));
+    command.args(words).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    let child = {
+        let _starting = starting();
+        command.spawn().unwrap()
+    };
+    child.wait_with_output().unwrap()
 }
 
 fn text(output: &Output) -> String {
@@ -55,6 +70,7 @@
     let written = |rig: &mut Rig| rig.store.disk().is_some_and(|disk| disk.index().len() as u64 == PARTS);
     assert!(rig.until(Duration::from_secs(10), written));
     rig.close(Duration::from_secs(10));
+    drop(starting());
     piece(3).version(1, 0, 9000).body.to_vec()
 }
 
