--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -2,10 +2,12 @@
 
 use crate::clock::Clock;
 use crate::connection::at;
+use crate::io_errors::set_nodelay;
 use crate::lines::Passed;
 use crate::messages::{Last, Message, New, Place, Reply, Wanted, Word};
 use crate::phase::Phase;
 use crate::resp::{END, Frames, Nonsense, answer, fields, number};
+use crate::uninterrupted::Uninterrupted;
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::{Arrival, Id};
 use std::collections::{HashMap, VecDeque};
@@ -124,7 +126,7 @@
 
     async fn write(&mut self, writer: &mut (impl AsyncWriteExt + Unpin)) -> io::Result<()> {
         let slices: Vec<IoSlice> = self.pieces.iter().take(16).map(|p| IoSlice::new(p)).collect();
-        let written = writer.write_vectored(&slices).await?;
+        let written = Uninterrupted::new(writer).write_vectored(&slices).await?;
         self.advance(written);
         Ok(())
     }
@@ -195,7 +197,7 @@
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) -> Result<Infallible, End> {
-        stream.set_nodelay(true)?;
+        set_nodelay(stream);
         let (mut reader, mut writer) = stream.split();
         let (mut buffer, mut frames) = (BytesMut::new(), Frames::default());
         let (mut moved, mut phase) = (Instant::now(), self.phase.clone());
@@ -435,7 +437,7 @@
     let mut dropped = Vec::with_capacity(READ_AT_ONCE);
     while left > 0 {
         dropped.clear();
-        match timeout_at(end, stream.read_buf(&mut dropped)).await {
+        match timeout_at(end, Uninterrupted::new(&mut stream).read_buf(&mut dropped)).await {
             Ok(Ok(bytes)) if bytes > 0 => left = left.saturating_sub(bytes),
             _ => return,
         }
@@ -449,7 +451,7 @@
     if buffer.capacity() - buffer.len() < 1024 {
         buffer.reserve(READ_AT_ONCE);
     }
-    reader.read_buf(buffer).await
+    Uninterrupted::new(reader).read_buf(buffer).await
 }
 
 /// An id of 16 hex digits.
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -201,3 +201,49 @@
     };
     LocalSet::new().run_until(inside).await;
 }
+
+/// Takes one byte of each write, after it has been interrupted.
+#[derive(Default)]
+struct Interrupted {
+    taken: Vec<u8>,
+    interrupted: bool,
+}
+
+impl tokio::io::AsyncWrite for Interrupted {
+    fn poll_write(
+        mut self: std::pin::Pin<&mut Self>,
+        _: &mut std::task::Context<'_>,
+        bytes: &[u8],
+    ) -> std::task::Poll<io::Result<usize>> {
+        self.interrupted = !self.interrupted;
+        if self.interrupted {
+            return std::task::Poll::Ready(Err(io::Error::from_raw_os_error(libc::EINTR)));
+        }
+        self.taken.extend_from_slice(&bytes[..1]);
+        std::task::Poll::Ready(Ok(1))
+    }
+
+    fn poll_flush(
+        self: std::pin::Pin<&mut Self>,
+        _: &mut std::task::Context<'_>,
+    ) -> std::task::Poll<io::Result<()>> {
+        std::task::Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(
+        self: std::pin::Pin<&mut Self>,
+        _: &mut std::task::Context<'_>,
+    ) -> std::task::Poll<io::Result<()>> {
+        std::task::Poll::Ready(Ok(()))
+    }
+}
+
+#[tokio::test(flavor = "current_thread")]
+async fn an_answer_arrives_complete_through_interrupted_and_short_writes() {
+    let (mut unwritten, mut writer) = (Unwritten::default(), Interrupted::default());
+    unwritten.push(answer(7, "ACK", "", 3), Bytes::from_static(b"abc"));
+    while !unwritten.pieces.is_empty() {
+        unwritten.write(&mut writer).await.expect("an interrupted write is no break");
+    }
+    assert_eq!(writer.taken, b"*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$0\r\n\r\n$3\r\nabc\r\n");
+}
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -3,8 +3,10 @@
 //! An attempt waits unwritten until the connection stands and all before it has gone to the system; only
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
+use crate::io_errors::{ConnectFailure, INTERRUPTIONS_MOST, MEMORY_PAUSE, StreamFailure, set_nodelay};
 use crate::lines::{Answer, Answers, quit};
 use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
+use crate::uninterrupted::Uninterrupted;
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::Outcome;
 use std::collections::{HashMap, VecDeque};
@@ -14,13 +16,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpStream, tcp::ReadHalf};
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 const READ_AT_ONCE: usize = 16 * 1024;
 const LEAST_READ: usize = 1024;
-/// No descriptor left to the process, or to the system.
-const EMFILE: i32 = 24;
-const ENFILE: i32 = 23;
 
 pub struct Connection {
     pub number: u64,
@@ -158,7 +157,7 @@
             }
             Some(Err(what)) => {
                 log::debug!("{}: {what}", self.dial);
-                state.broken(not_connected(&what));
+                state.broken(not_connected(ConnectFailure::from(&what)));
             }
             None => {}
         }
@@ -184,7 +183,7 @@
 
     /// None: nobody wants the connection any more.
     async fn connect(&mut self, state: &mut State) -> Option<io::Result<TcpStream>> {
-        let connecting = timeout(self.connect_timeout, TcpStream::connect(self.dial));
+        let connecting = timeout(self.connect_timeout, connect_uninterrupted(self.dial));
         tokio::pin!(connecting);
         loop {
             self.tell(state).await;
@@ -192,7 +191,7 @@
             tokio::select! {
                 made = &mut connecting => {
                     let made = made.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-                    return Some(made.and_then(|stream| stream.set_nodelay(true).map(|()| stream)));
+                    return Some(made.inspect(set_nodelay));
                 }
                 order = self.orders.recv() => state.take(order?),
                 () = at(due) => state.expire(Instant::now()),
@@ -225,8 +224,11 @@
                     if !state.writing.is_empty() {
                         match writer.try_write(&state.writing) {
                             Ok(bytes) => state.gone(now, bytes),
-                            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                            Err(e) => return Err(e.to_string()),
+                            Err(e) => match StreamFailure::from(&e) {
+                                StreamFailure::Retry => {}
+                                StreamFailure::MemoryExhausted => sleep(MEMORY_PAUSE).await,
+                                StreamFailure::Broken => return Err(e.to_string()),
+                            },
                         }
                     }
                 }
@@ -263,14 +265,25 @@
     if buffer.capacity() - buffer.len() < LEAST_READ {
         buffer.reserve(READ_AT_ONCE);
     }
-    reader.read_buf(buffer).await
+    Uninterrupted::new(reader).read_buf(buffer).await
 }
 
-/// Nothing ran either way; but where this program has no descriptor left the server is not to blame.
-fn not_connected(what: &io::Error) -> Outcome {
-    match what.raw_os_error() {
-        Some(EMFILE | ENFILE) => Outcome::NeverSent,
-        _ => Outcome::Unreachable,
+/// Connects, again on a new socket where a signal interrupted it.
+async fn connect_uninterrupted(dial: SocketAddr) -> io::Result<TcpStream> {
+    for _ in 1..INTERRUPTIONS_MOST {
+        match TcpStream::connect(dial).await {
+            Err(e) if ConnectFailure::from(&e) == ConnectFailure::Interrupted => {}
+            made => return made,
+        }
+    }
+    TcpStream::connect(dial).await
+}
+
+/// Nothing ran either way; but what this machine lacks is not held against the server.
+fn not_connected(failure: ConnectFailure) -> Outcome {
+    match failure {
+        ConnectFailure::Interrupted | ConnectFailure::LocalResources => Outcome::NeverSent,
+        ConnectFailure::Server => Outcome::Unreachable,
     }
 }
 
--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -23,9 +23,10 @@
 
 #[test]
 fn a_server_is_not_blamed_for_our_descriptors() {
-    assert_eq!(not_connected(&io::Error::from_raw_os_error(EMFILE)), Outcome::NeverSent);
-    assert_eq!(not_connected(&io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
-    assert_eq!(not_connected(&io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
+    let outcome = |error: io::Error| not_connected(ConnectFailure::from(&error));
+    assert_eq!(outcome(io::Error::from_raw_os_error(libc::EMFILE)), Outcome::NeverSent);
+    assert_eq!(outcome(io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
+    assert_eq!(outcome(io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
 }
 
 #[test]
@@ -102,3 +103,13 @@
     state.fill();
     assert_eq!(state.beginning.map(|ask| ask.key.0.to_string()).as_deref(), Some("b"));
 }
+
+/// The errors by which Linux says that this machine, for a moment, can make no connection at all.
+#[test]
+fn a_server_is_not_blamed_for_what_this_machine_lacks() {
+    use libc::{EADDRNOTAVAIL, EAGAIN, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
+    for errno in [ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN] {
+        let failure = io::Error::from_raw_os_error(errno);
+        assert_eq!(not_connected(ConnectFailure::from(&failure)), Outcome::NeverSent, "{failure}");
+    }
+}
--- /dev/null
+++ b/crates/router/src/io_errors.rs
@@ -0,0 +1,158 @@
+//! Classifies the errors of system calls on sockets: what each one says about this machine, about the other
+//! side and about the connection, and so what may be tried next. Every adapter asks here.
+//!
+//! Linux reports a shortage of this machine, a fault of one peer and a fault of the network by the same kind
+//! of return value. Treating the first as the second ejects healthy servers; treating the second as the first
+//! closes connections of clients for nothing.
+
+use libc::{
+    EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, ECONNABORTED, ECONNREFUSED, ECONNRESET, EHOSTDOWN,
+    EHOSTUNREACH, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM, ENONET, ENOPROTOOPT,
+    EOPNOTSUPP, EPERM, EPROTO, ETIMEDOUT,
+};
+use std::io;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+/// How often a system call that was interrupted is made again before it counts as failed. A signal interrupts
+/// one call once; more than this is a fault of its own, which must not keep the program busy.
+pub const INTERRUPTIONS_MOST: usize = 16;
+
+/// The wait after a call for which the system had no memory or buffer, before it is made again.
+pub const MEMORY_PAUSE: Duration = Duration::from_millis(5);
+
+/// Why no connection was made. In any case nothing has run at the server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectFailure {
+    /// A signal came in between: the call may be made again at once, on a new socket.
+    Interrupted,
+    /// This machine had no descriptor, port, buffer or route, or forbids it. The server is not to blame.
+    LocalResources,
+    /// The server refused, was silent, or cannot be reached.
+    Server,
+}
+
+/// Why no connection of a client could be accepted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AcceptFailure {
+    /// A signal came in between: the call may be made again at once.
+    Interrupted,
+    /// The one connection that would have been accepted failed before it was. The next may be accepted.
+    PerConnection,
+    /// The process or the system has no descriptor left: it needs some to be closed.
+    DescriptorsExhausted,
+    /// The system is short of memory or buffers: it needs time.
+    MemoryExhausted,
+    /// Anything else, as a listener that is none. It will hardly end by itself, and must not be tried in a
+    /// busy loop.
+    Listener,
+}
+
+/// Why nothing was read from or written to a stream that is connected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamFailure {
+    /// A signal came in between, or nothing could be moved yet: nothing was moved, and the connection stands.
+    Retry,
+    /// The system had no memory or buffer: nothing was moved, and the connection stands.
+    MemoryExhausted,
+    /// The connection is gone, whichever way that is reported.
+    Broken,
+}
+
+/// Why a datagram was not sent or received. A socket of datagrams goes on after any of them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DatagramFailure {
+    /// The report of what an earlier datagram met, or an interruption: the next call may be made at once.
+    Passing,
+    /// Anything else: it may last, and must not be tried in a busy loop.
+    Lasting,
+}
+
+impl From<&io::Error> for ConnectFailure {
+    fn from(error: &io::Error) -> ConnectFailure {
+        match error.raw_os_error() {
+            Some(EINTR) => ConnectFailure::Interrupted,
+            // No descriptor: of the process, of the system.
+            Some(EMFILE | ENFILE) => ConnectFailure::LocalResources,
+            // No memory for the socket or its buffers.
+            Some(ENOBUFS | ENOMEM) => ConnectFailure::LocalResources,
+            // All local ports are in use; `connect` says so by any of them.
+            Some(EADDRNOTAVAIL | EADDRINUSE | EAGAIN) => ConnectFailure::LocalResources,
+            // This machine's routing table has no way, or its interface is down. This comes from the machine
+            // itself, before anything is sent, and it strikes all servers alike: were they blamed, a route
+            // that flaps for a moment would eject them all.
+            Some(ENETUNREACH | ENETDOWN) => ConnectFailure::LocalResources,
+            // This machine's packet filter or policy forbids it.
+            Some(EACCES | EPERM) => ConnectFailure::LocalResources,
+            // ECONNREFUSED, ECONNRESET: the server's machine answered. ETIMEDOUT, and a time-out of our own:
+            // it did not. EHOSTUNREACH, EHOSTDOWN, ENONET: the network was reached, this host was not (no
+            // answer to ARP, or a router's word about this one address). Anything else, as EAFNOSUPPORT, comes
+            // of the address and will come again: it is better avoided like a server that is down.
+            _ => ConnectFailure::Server,
+        }
+    }
+}
+
+impl From<&io::Error> for AcceptFailure {
+    fn from(error: &io::Error) -> AcceptFailure {
+        match error.raw_os_error() {
+            Some(EINTR | EAGAIN) => AcceptFailure::Interrupted,
+            // The client left before its connection was accepted; a packet filter forbids this one.
+            Some(ECONNABORTED | EPERM | EPROTO) => AcceptFailure::PerConnection,
+            // Linux hands errors that already wait on the new connection to `accept`; accept(2) asks to treat
+            // them like EAGAIN.
+            Some(ENETDOWN | ENOPROTOOPT | EHOSTDOWN | ENONET) => AcceptFailure::PerConnection,
+            Some(EHOSTUNREACH | EOPNOTSUPP | ENETUNREACH) => AcceptFailure::PerConnection,
+            Some(ETIMEDOUT | ECONNRESET) => AcceptFailure::PerConnection,
+            Some(EMFILE | ENFILE) => AcceptFailure::DescriptorsExhausted,
+            Some(ENOBUFS | ENOMEM) => AcceptFailure::MemoryExhausted,
+            _ => AcceptFailure::Listener,
+        }
+    }
+}
+
+impl From<&io::Error> for StreamFailure {
+    fn from(error: &io::Error) -> StreamFailure {
+        match error.raw_os_error() {
+            Some(EINTR | EAGAIN) => StreamFailure::Retry,
+            Some(ENOBUFS | ENOMEM) => StreamFailure::MemoryExhausted,
+            // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH and the like: TCP has given up this
+            // connection, for whatever reason, and reports it once.
+            Some(_) => StreamFailure::Broken,
+            None if matches!(error.kind(), io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock) => {
+                StreamFailure::Retry
+            }
+            None => StreamFailure::Broken,
+        }
+    }
+}
+
+impl From<&io::Error> for DatagramFailure {
+    fn from(error: &io::Error) -> DatagramFailure {
+        match error.raw_os_error() {
+            Some(EINTR | EAGAIN) => DatagramFailure::Passing,
+            // By ICMP: nobody listens there now, or the host is not reached. Each is reported once.
+            Some(ECONNREFUSED | ECONNRESET | EHOSTUNREACH | EHOSTDOWN | ENETUNREACH) => {
+                DatagramFailure::Passing
+            }
+            _ => DatagramFailure::Lasting,
+        }
+    }
+}
+
+/// Whether a socket that could not be created, bound or listened on may be had a moment later: for want of
+/// resources, or as its address is not there yet.
+pub fn is_momentary(error: &io::Error) -> bool {
+    let resources = [EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EINTR];
+    error.raw_os_error().is_some_and(|errno| resources.contains(&errno))
+}
+
+/// Has small writes sent at once. Where the system refuses, the connection is slower, not broken.
+pub fn set_nodelay(stream: &TcpStream) {
+    if let Err(error) = stream.set_nodelay(true) {
+        log::debug!("TCP_NODELAY is not set: {error}");
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -9,6 +9,7 @@
 mod control_socket;
 mod decider;
 mod discovery;
+mod io_errors;
 mod lines;
 mod listener;
 pub mod logs;
@@ -21,6 +22,7 @@
 mod resp;
 mod server;
 mod told;
+mod uninterrupted;
 
 use abroad::Abroad;
 use chalkhall_directives::Told as Directives;
