--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -1,7 +1,10 @@
 //! The control socket: one line of words in, one JSON object out, for `chalkhall`'s commands against a live
 //! router.
 
+use crate::brief::Brief;
+use crate::io_errors::AcceptFailure;
 use crate::messages::{Message, Question};
+use crate::uninterrupted::Uninterrupted;
 use serde_json::json;
 use std::fs::{self, Permissions};
 use std::io;
@@ -18,8 +21,10 @@
 const ASKING_MOST: usize = 4;
 const LINE_MOST: u64 = 256;
 const PATIENCE: Duration = Duration::from_secs(2);
-/// After an accept failed.
+/// After an accept failed, unless only one connection did.
 const PAUSE: Duration = Duration::from_millis(100);
+/// Connections that fail as they are accepted, one after the other; after more there is a pause too.
+const FAILED_IN_A_ROW: usize = 32;
 
 /// A socket that only its owner may use; it is removed at the end.
 pub struct ControlSocket {
@@ -48,11 +53,12 @@
 
 pub async fn run(socket: ControlSocket, decider: mpsc::Sender<Message>) {
     let (done, mut ended) = mpsc::channel::<()>(ASKING_MOST);
-    let mut asking = 0;
+    let (mut asking, mut failed_in_a_row, mut refused) = (0, 0, Brief::default());
     loop {
         tokio::select! {
             taken = socket.listener.accept(), if asking < ASKING_MOST => match taken {
                 Ok((stream, _)) => {
+                    failed_in_a_row = 0;
                     let (decider, done) = (decider.clone(), done.clone());
                     asking += 1;
                     spawn_local(async move {
@@ -63,7 +69,12 @@
                     });
                 }
                 Err(what) => {
-                    log::warn!("control socket: {what}");
+                    failed_in_a_row += 1;
+                    if AcceptFailure::from(&what).is_passing() && failed_in_a_row < FAILED_IN_A_ROW {
+                        continue;
+                    }
+                    failed_in_a_row = 0;
+                    refused.log(&format!("control socket: {what}"));
                     sleep(PAUSE).await;
                 }
             },
@@ -73,7 +84,8 @@
 }
 
 async fn answer(stream: UnixStream, decider: mpsc::Sender<Message>) -> io::Result<()> {
-    let (reader, mut writer) = stream.into_split();
+    let (reader, writer) = stream.into_split();
+    let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
     let mut line = String::new();
     BufReader::new(reader.take(LINE_MOST)).read_line(&mut line).await?;
     let words = line.split_whitespace().map(str::to_owned).collect();
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,7 +1,9 @@
 //! Follows discovery: events in order, none twice, none left out.
 
 use crate::clock::Clock;
+use crate::io_errors::set_nodelay;
 use crate::notices::{Notice, Places, numbered};
+use crate::uninterrupted::Uninterrupted;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -115,8 +117,9 @@
     async fn follow(&mut self, pause: &mut Duration) -> Result<(), String> {
         let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
         let watch = async {
-            let mut stream = socket.connect(self.address).await?;
-            stream.set_nodelay(true)?;
+            let stream = socket.connect(self.address).await?;
+            set_nodelay(&stream);
+            let mut stream = Uninterrupted::new(stream);
             stream.write_all(format!("watch {}\n", self.last).as_bytes()).await?;
             std::io::Result::Ok(stream)
         };
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -111,6 +111,13 @@
     }
 }
 
+impl AcceptFailure {
+    /// The next call may be made at once: nothing is short, and the listener is fine.
+    pub fn is_passing(self) -> bool {
+        matches!(self, AcceptFailure::Interrupted | AcceptFailure::PerConnection)
+    }
+}
+
 impl From<&io::Error> for StreamFailure {
     fn from(error: &io::Error) -> StreamFailure {
         match error.raw_os_error() {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -119,7 +119,7 @@
     // The list comes before the first request.
     let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
     known.for_each(|notice| decisions.notice(notice));
-    let socket = listener::bind(told.listen).map_err(|e| format!("listen: {}: {e}", told.listen))?;
+    let socket = listener::bind(told.listen).await.map_err(|e| format!("listen: {}: {e}", told.listen))?;
     let socket_of = |path: &std::path::Path| {
         control_socket::listen(path).map_err(|e| format!("control: {}: {e}", path.display()))
     };
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -4,20 +4,28 @@
 use crate::brief::Brief;
 use crate::client::{Client, Door};
 use crate::connection::at;
+use crate::io_errors::{AcceptFailure, is_momentary};
 use crate::messages::{Message, Place, Word};
 use crate::phase::Phase;
 use std::collections::{BTreeMap, HashMap};
+use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, watch};
-use tokio::task::JoinSet;
-use tokio::time::{Instant, timeout};
+use tokio::task::{JoinSet, yield_now};
+use tokio::time::{Instant, sleep, timeout};
 
 const WAITING_TO_BE_TAKEN: u32 = 1024;
-/// After an accept failed, for want of descriptors perhaps.
+/// After an accept failed for want of descriptors or memory, or for no reason that will pass by itself.
 const PAUSE: Duration = Duration::from_millis(20);
+/// Connections that fail as they are accepted, one after the other; after more there is a pause too, lest
+/// nothing else gets done.
+const FAILED_IN_A_ROW: usize = 32;
+/// Accepts that fail as the router ends are tried again for so long.
+const FAILED_LOOKS: Duration = Duration::from_millis(40);
 /// Within this a connection that the system has taken is there to be accepted.
 const LAST_LOOK: Duration = Duration::from_millis(1);
 /// For the last answers to be written.
@@ -29,13 +37,48 @@
 /// What clients say of their places, until it is heard.
 const WORDS_MOST: usize = 64;
 
-pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
+/// Between tries to bind where something is short for a moment; doubled each time.
+const BIND_PAUSE: Duration = Duration::from_millis(10);
+const BIND_TRIES: u32 = 7;
+
+/// Listens at an address. What is short for a moment as the router starts is waited for, a second at most;
+/// an address that is taken or forbidden is not.
+pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    bind_with(|| try_bind(address)).await
+}
+
+async fn bind_with<T>(mut bind: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut pause = BIND_PAUSE;
+    for _ in 1..BIND_TRIES {
+        match bind() {
+            Err(error) if is_momentary(&error) => log::debug!("listen: {error}; tried again"),
+            bound => return bound,
+        }
+        sleep(pause).await;
+        pause *= 2;
+    }
+    bind()
+}
+
+fn try_bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(WAITING_TO_BE_TAKEN)
 }
 
+/// Where clients' connections come from: the listening socket, or what stands for it in a test.
+pub trait Accept {
+    /// Waits for the next connection. Given up, it has taken none.
+    fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
+}
+
+impl Accept for TcpListener {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        TcpListener::accept(self).await.map(|(stream, _)| stream)
+    }
+}
+
 struct Held {
     leave: mpsc::Sender<()>,
     /// Where it stands among the idle: who has asked once or who never did, and since when.
@@ -107,10 +150,46 @@
     }
 }
 
+/// What follows an accept that failed, after so many others in a row: idle clients make room where there is no
+/// descriptor left, and nothing is accepted for the time that is returned.
+fn after_failed_accept(failure: AcceptFailure, in_a_row: usize, places: &mut Places) -> Option<Duration> {
+    match failure {
+        AcceptFailure::Interrupted | AcceptFailure::PerConnection => {
+            (in_a_row >= FAILED_IN_A_ROW).then_some(PAUSE)
+        }
+        AcceptFailure::DescriptorsExhausted => {
+            places.make_much_room();
+            Some(PAUSE)
+        }
+        AcceptFailure::MemoryExhausted | AcceptFailure::Listener => Some(PAUSE),
+    }
+}
+
+/// The next connection that the system has taken before the router's end. None: there is none, or it can't
+/// be had in time.
+async fn next_waiting(listener: &impl Accept, give_up: Instant) -> Option<TcpStream> {
+    loop {
+        let error = match timeout(LAST_LOOK, listener.accept()).await {
+            Ok(Ok(stream)) => return Some(stream),
+            Ok(Err(error)) => error,
+            Err(_) => return None,
+        };
+        if Instant::now() >= give_up {
+            return None;
+        }
+        if AcceptFailure::from(&error).is_passing() {
+            yield_now().await;
+        } else {
+            // Clients that have their last answers close meanwhile.
+            sleep(LAST_LOOK).await;
+        }
+    }
+}
+
 /// Runs until the router has ended. Past `most` clients, idle ones make room; where all have something open,
 /// others wait to be taken until one of them has not.
 pub async fn run(
-    listener: TcpListener,
+    listener: impl Accept,
     most: usize,
     door: Rc<Door>,
     decider: mpsc::Sender<Message>,
@@ -121,7 +200,7 @@
     let (mut numbers, mut refused, phase_of) = (HashMap::new(), Brief::default(), phase.clone());
     // After a failed accept: none before then. Clients' words are heard meanwhile, lest they wait with
     // theirs.
-    let mut pause = None;
+    let (mut pause, mut failed_in_a_row) = (None, 0);
     let client =
         |place| Client { door: door.clone(), decider: decider.clone(), phase: phase_of.clone(), place };
     loop {
@@ -147,15 +226,22 @@
             }
             () = at(pause), if pause.is_some() => pause = None,
             taken = listener.accept(), if !full && pause.is_none() => match taken {
-                Ok((stream, _)) => {
+                Ok(stream) => {
                     let place = places.take(says.clone());
                     let number = place.number;
+                    failed_in_a_row = 0;
                     numbers.insert(clients.spawn_local(client(place).run(stream)).id(), number);
                 }
                 Err(what) => {
-                    refused.log(&format!("no connection could be taken: {what}"));
-                    places.make_much_room();
-                    pause = Some(Instant::now() + PAUSE);
+                    failed_in_a_row += 1;
+                    let wait = after_failed_accept(AcceptFailure::from(&what), failed_in_a_row, &mut places);
+                    if wait.is_some() {
+                        refused.log(&format!("no connection could be taken: {what}"));
+                        failed_in_a_row = 0;
+                    } else {
+                        log::debug!("a connection failed before it could be taken: {what}");
+                    }
+                    pause = wait.map(|wait| Instant::now() + wait);
                 }
             },
         }
@@ -166,8 +252,9 @@
     }
     drop(words);
     // The system has taken connections that wait here: what came on them is owed an end too.
+    let give_up = Instant::now() + FAILED_LOOKS;
     for _ in 0..WAITING_TO_BE_TAKEN {
-        let Ok(Ok((stream, _))) = timeout(LAST_LOOK, listener.accept()).await else { break };
+        let Some(stream) = next_waiting(&listener, give_up).await else { break };
         clients.spawn_local(client(places.take(says.clone())).run(stream));
     }
     drop(listener);
--- a/crates/router/src/probes.rs
+++ b/crates/router/src/probes.rs
@@ -3,9 +3,12 @@
 //! fell silent is opened anew for the next word. Nothing waits for it, and what comes too fast is not
 //! measured.
 
+use crate::io_errors::{ConnectFailure, set_nodelay};
 use crate::messages::Message;
+use crate::uninterrupted::Uninterrupted;
 use chalkhall_latency::model::PATIENCE;
 use std::collections::HashMap;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -51,6 +54,8 @@
         tag += 1;
         let way = match timeout(PATIENCE, word(dial, &mut stream, tag)).await {
             Ok(Ok(way)) => Some(way),
+            // Nothing was sent: this says nothing of the way.
+            Ok(Err(Failure::Local)) => continue,
             // Refused, broken or silent: nothing came back.
             _ => {
                 stream = None;
@@ -63,24 +68,45 @@
     }
 }
 
+/// Why a word did not come back.
+enum Failure {
+    /// This machine lacked something to connect with.
+    Local,
+    /// The other side refused it, or the connection broke.
+    Lost,
+}
+
+impl From<io::Error> for Failure {
+    fn from(_: io::Error) -> Failure {
+        Failure::Lost
+    }
+}
+
+async fn connect(dial: SocketAddr) -> Result<TcpStream, Failure> {
+    let made = TcpStream::connect(dial).await.map_err(|error| match ConnectFailure::from(&error) {
+        ConnectFailure::Interrupted | ConnectFailure::LocalResources => Failure::Local,
+        ConnectFailure::Server => Failure::Lost,
+    })?;
+    set_nodelay(&made);
+    Ok(made)
+}
+
 async fn word(
     dial: SocketAddr,
-    stream: &mut Option<BufReader<TcpStream>>,
+    stream: &mut Option<BufReader<Uninterrupted<TcpStream>>>,
     tag: u64,
-) -> std::io::Result<Duration> {
+) -> Result<Duration, Failure> {
     if stream.is_none() {
-        let made = TcpStream::connect(dial).await?;
-        made.set_nodelay(true)?;
-        *stream = Some(BufReader::new(made));
+        *stream = Some(BufReader::new(Uninterrupted::new(connect(dial).await?)));
     }
-    let Some(stream) = stream else { return Err(std::io::ErrorKind::NotConnected.into()) };
+    let Some(stream) = stream else { return Err(Failure::Lost) };
     let (sent, tag) = (Instant::now(), tag.to_string());
     stream.get_mut().write_all(format!("NOOP {tag}\r\n").as_bytes()).await?;
     loop {
         let mut line = String::new();
         let read = tokio::io::AsyncReadExt::take(&mut *stream, LINE_MOST).read_line(&mut line).await?;
         if read == 0 {
-            return Err(std::io::ErrorKind::UnexpectedEof.into());
+            return Err(Failure::Lost);
         }
         // Between answers there are empty lines.
         if line.split_whitespace().next() == Some(tag.as_str()) {
--- a/crates/router/src/probes/tests.rs
+++ b/crates/router/src/probes/tests.rs
@@ -34,3 +34,17 @@
         assert!(listener.accept().await.is_ok());
     });
 }
+
+/// Linux has no route for TCP to the broadcast address of its loopback network: ENETUNREACH, at once.
+#[tokio::test(flavor = "current_thread")]
+async fn a_probe_that_this_machine_could_not_send_says_nothing_of_the_way() {
+    let inside = async {
+        let (decider, mut messages) = mpsc::channel(8);
+        let (edges, receiver) = mpsc::channel(8);
+        edges.send(3).await.unwrap();
+        drop(edges);
+        measure(SocketAddr::from(([127, 255, 255, 255], 9)), receiver, decider).await;
+        assert!(messages.recv().await.is_none());
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
