--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -157,7 +157,11 @@
             }
             Some(Err(what)) => {
                 log::debug!("{}: {what}", self.dial);
-                state.broken(not_connected(ConnectFailure::from(&what)));
+                let failure = ConnectFailure::from(&what);
+                if failure != ConnectFailure::Server {
+                    self.report(Report::LocalFailure).await;
+                }
+                state.broken(not_connected(failure));
             }
             None => {}
         }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -152,6 +152,13 @@
 /// From a connection to its server's actor.
 pub enum Report {
     Up,
-    Ended { key: Key, outcome: Outcome, answer: Option<Box<Answer>>, silent: bool },
+    /// It could not be made for want of something on this machine; what waited for it is reported after this.
+    LocalFailure,
+    Ended {
+        key: Key,
+        outcome: Outcome,
+        answer: Option<Box<Answer>>,
+        silent: bool,
+    },
     Down,
 }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -1,5 +1,6 @@
 //! A cache server, a parent or the origin: shares a few connections among the attempts sent to it.
 
+use crate::backoff::Backoff;
 use crate::connection::{Connection, at};
 use crate::lines::Answer;
 use crate::messages::{Ask, ConnectionOrder, Ended, Key, Message, Order, Report};
@@ -54,6 +55,7 @@
 #[derive(Default)]
 struct Hands {
     connections: Vec<Held>,
+    backoff: Backoff,
     last: u64,
     out: HashMap<Key, u64>,
 }
@@ -117,6 +119,12 @@
             }
             Order::Connection(number, Report::Up) => {
                 hands.connections.iter_mut().filter(|l| l.number == number).for_each(|l| l.up = true);
+                hands.backoff.succeeded();
+            }
+            Order::Connection(number, Report::LocalFailure) => {
+                // What comes before its last report must find it gone already.
+                hands.connections.iter_mut().filter(|l| l.number == number).for_each(|l| l.retired = true);
+                hands.backoff.failed(Instant::now());
             }
             Order::Connection(number, Report::Down) => hands.connections.retain(|l| l.number != number),
             Order::Connection(number, Report::Ended { key, outcome, answer, silent }) => {
@@ -189,8 +197,11 @@
         false
     }
 
-    /// Opens one more, if there is a descriptor for it.
+    /// Opens one more, if there is a descriptor for it, and this machine was not short of something just now.
     fn open(&self, hands: &mut Hands) {
+        if !hands.backoff.allows(Instant::now()) {
+            return;
+        }
         let Ok(place) = self.places.clone().try_acquire_owned() else { return };
         hands.last += 1;
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -141,3 +141,31 @@
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
+
+/// This machine can make no connection to the server (TCP has no route to the broadcast address of the
+/// loopback network, ENETUNREACH), while request after request is sent to it.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn connections_that_this_machine_cannot_make_are_tried_at_a_bounded_rate() {
+    let inside = async {
+        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let (orders_of_connections, mut from_connections) = mpsc::channel(8);
+        let (decider, mut messages) = mpsc::channel(8);
+        (server.orders_of_connections, server.decider) = (orders_of_connections, decider);
+        server.dial = SocketAddr::from(([127, 255, 255, 255], 9));
+        let (begin, mut sent) = (Instant::now(), 0);
+        while begin.elapsed() < Duration::from_secs(2) {
+            server.order(&mut hands, Order::Ask(ask("a"))).await;
+            sent += 1;
+            let ended = loop {
+                tokio::select! {
+                    Some(order) = from_connections.recv() => server.order(&mut hands, order).await,
+                    Some(Message::Ended(ended)) = messages.recv() => break ended,
+                }
+            };
+            assert_eq!(ended.outcome, Outcome::NeverSent, "nothing ran, and it is not the server's fault");
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+        assert!(sent > 1000 && (8..=20).contains(&hands.last), "{} connections, {sent} requests", hands.last);
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
--- a/src/control.rs
+++ b/src/control.rs
@@ -811,9 +811,10 @@
             turn.out.found(part, &held);
         }
         if filling {
-            // Who is dead, silent, set aside or refuses, as one source may, says nothing of what links bear.
+            // Who is dead, silent, set aside or refuses, as one source may, says nothing of what links bear; nor
+            // does what this machine could not send.
             let mut ends = route.ends().filter_map(|name| self.servers.get(name));
-            let dead = matches!(ended.outcome, Cancelled | Missing | Broken | Full)
+            let dead = matches!(ended.outcome, Cancelled | Missing | Broken | Full | NeverSent)
                 || ended.remark == Remark::SourceUnreached
                 || ends.any(|s| s.record.is_aside() || s.heard < sent && ended.outcome == TimedOut);
             self.fill_ended(turn, (!dead).then_some(ended.outcome == Served && turn.now <= soft));
