--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -113,3 +113,57 @@
         assert_eq!(not_connected(ConnectFailure::from(&failure)), Outcome::NeverSent, "{failure}");
     }
 }
+
+/// A server whose socket takes little at a time: the system moves a part of what is written, and a part of
+/// what is read, each time.
+#[tokio::test(flavor = "current_thread")]
+async fn a_request_and_its_answer_arrive_complete_in_the_smallest_pieces() {
+    use tokio::io::AsyncWriteExt;
+    const BODY: usize = 200_000;
+    let inside = async {
+        let listener = tokio::net::TcpSocket::new_v4().unwrap();
+        listener.set_recv_buffer_size(1).unwrap();
+        listener.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let listener = listener.listen(1).unwrap();
+        let (orders, receiver) = mpsc::channel(8);
+        let (server, mut reports) = mpsc::channel(8);
+        let places = std::sync::Arc::new(tokio::sync::Semaphore::new(1));
+        let connection = Connection {
+            number: 1,
+            dial: listener.local_addr().unwrap(),
+            connect_timeout: Duration::from_secs(10),
+            orders: receiver,
+            server,
+            _place: places.try_acquire_owned().unwrap(),
+        };
+        let running = tokio::task::spawn_local(connection.run());
+        let long = Duration::from_secs(60);
+        let mut ask = ask("a", long, long);
+        let body: Vec<u8> = (0..BODY).map(|n| (n % 251) as u8).collect();
+        ask.passed.body = body.clone().into();
+        orders.send(ConnectionOrder::Ask(ask)).await.unwrap();
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut read = vec![0; 3 + BODY + 2];
+        // Many reads of a few bytes; the writer meets a full socket again and again.
+        for piece in read.chunks_mut(97) {
+            stream.read_exact(piece).await.unwrap();
+        }
+        assert!(read == [b"ASK", &body[..], b"\r\n"].concat(), "not what was sent");
+        for byte in b"a OK tell=hit 5\r\nhello\r\n" {
+            stream.write_all(&[*byte]).await.unwrap();
+            tokio::task::yield_now().await;
+        }
+        let ended = loop {
+            match reports.recv().await.unwrap() {
+                Order::Connection(1, Report::Ended { outcome, answer, .. }) => break (outcome, answer),
+                Order::Connection(1, Report::Up) => {}
+                _ => panic!("another report"),
+            }
+        };
+        assert_eq!((ended.0, ended.1.map(|answer| answer.body)), (Outcome::Served, Some("hello".into())));
+        drop(orders);
+        while reports.recv().await.is_some() {}
+        running.await.unwrap();
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -207,12 +207,16 @@
         }
     }
 
-    async fn configuration(&self) {
-        // A descriptor to read the file with, where clients have taken all others.
+    /// Reads a file while a descriptor is free for it, where clients have taken all others.
+    fn with_spare_descriptor<T>(&self, read: impl FnOnce() -> T) -> T {
         drop(self.spare.take());
-        let anew = read(&self.clock);
+        let what = read();
         self.spare.set(spare());
-        let anew = match anew {
+        what
+    }
+
+    async fn configuration(&self) {
+        let anew = match self.with_spare_descriptor(|| read(&self.clock)) {
             Ok(anew) => anew,
             Err(what) => return log::warn!("the new configuration is not taken over: {what}"),
         };
@@ -229,7 +233,7 @@
     /// restart.
     async fn directives(&self) {
         let Some(file) = &self.file else { return };
-        let (directives, faults) = chalkhall_directives::read(file);
+        let (directives, faults) = self.with_spare_descriptor(|| chalkhall_directives::read(file));
         if let Some(fault) = faults.first() {
             return log::warn!("the operator's file is not taken over: {fault} ({} faults)", faults.len());
         }
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -114,6 +114,10 @@
             Order::Anew { dial, started } => {
                 let elsewhere = dial != self.dial;
                 self.dial = dial;
+                if elsewhere {
+                    // What kept the old address from being reached says nothing of the new one.
+                    hands.backoff = Backoff::default();
+                }
                 let before = |connection: &Held| elsewhere || started.is_some_and(|at| connection.made < at);
                 hands.connections.iter_mut().filter(|l| before(l)).for_each(|l| l.retired = true);
             }
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -5,6 +5,7 @@
 mod crossings;
 mod customers;
 mod fleet;
+mod local_failures;
 mod moments;
 mod own;
 mod soak;
