--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -23,9 +23,10 @@
 
 #[test]
 fn a_server_is_not_blamed_for_our_descriptors() {
-    assert_eq!(not_connected(&io::Error::from_raw_os_error(EMFILE)), Outcome::NeverSent);
-    assert_eq!(not_connected(&io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
-    assert_eq!(not_connected(&io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
+    let outcome = |error: io::Error| not_connected(ConnectFailure::from(&error));
+    assert_eq!(outcome(io::Error::from_raw_os_error(libc::EMFILE)), Outcome::NeverSent);
+    assert_eq!(outcome(io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
+    assert_eq!(outcome(io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
 }
 
 #[test]
@@ -102,3 +103,67 @@
     state.fill();
     assert_eq!(state.beginning.map(|ask| ask.key.0.to_string()).as_deref(), Some("b"));
 }
+
+/// The errors by which Linux says that this machine, for a moment, can make no connection at all.
+#[test]
+fn a_server_is_not_blamed_for_what_this_machine_lacks() {
+    use libc::{EADDRNOTAVAIL, EAGAIN, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
+    for errno in [ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN] {
+        let failure = io::Error::from_raw_os_error(errno);
+        assert_eq!(not_connected(ConnectFailure::from(&failure)), Outcome::NeverSent, "{failure}");
+    }
+}
+
+/// A server whose socket takes little at a time: the system moves a part of what is written, and a part of
+/// what is read, each time.
+#[tokio::test(flavor = "current_thread")]
+async fn a_request_and_its_answer_arrive_complete_in_the_smallest_pieces() {
+    use tokio::io::AsyncWriteExt;
+    const BODY: usize = 200_000;
+    let inside = async {
+        let listener = tokio::net::TcpSocket::new_v4().unwrap();
+        listener.set_recv_buffer_size(1).unwrap();
+        listener.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let listener = listener.listen(1).unwrap();
+        let (orders, receiver) = mpsc::channel(8);
+        let (server, mut reports) = mpsc::channel(8);
+        let places = std::sync::Arc::new(tokio::sync::Semaphore::new(1));
+        let connection = Connection {
+            number: 1,
+            dial: listener.local_addr().unwrap(),
+            connect_timeout: Duration::from_secs(10),
+            orders: receiver,
+            server,
+            _place: places.try_acquire_owned().unwrap(),
+        };
+        let running = tokio::task::spawn_local(connection.run());
+        let long = Duration::from_secs(60);
+        let mut ask = ask("a", long, long);
+        let body: Vec<u8> = (0..BODY).map(|n| (n % 251) as u8).collect();
+        ask.passed.body = body.clone().into();
+        orders.send(ConnectionOrder::Ask(ask)).await.unwrap();
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut read = vec![0; 3 + BODY + 2];
+        // Many reads of a few bytes; the writer meets a full socket again and again.
+        for piece in read.chunks_mut(97) {
+            stream.read_exact(piece).await.unwrap();
+        }
+        assert!(read == [b"ASK", &body[..], b"\r\n"].concat(), "not what was sent");
+        for byte in b"a OK tell=hit 5\r\nhello\r\n" {
+            stream.write_all(&[*byte]).await.unwrap();
+            tokio::task::yield_now().await;
+        }
+        let ended = loop {
+            match reports.recv().await.unwrap() {
+                Order::Connection(1, Report::Ended { outcome, answer, .. }) => break (outcome, answer),
+                Order::Connection(1, Report::Up) => {}
+                _ => panic!("another report"),
+            }
+        };
+        assert_eq!((ended.0, ended.1.map(|answer| answer.body)), (Outcome::Served, Some("hello".into())));
+        drop(orders);
+        while reports.recv().await.is_some() {}
+        running.await.unwrap();
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,7 @@
 //! One router on real sockets. Every decision is `chalkhall::control`'s; `serve` runs it.
 
 mod abroad;
+mod backoff;
 mod brief;
 mod client;
 mod clock;
@@ -9,6 +10,7 @@
 mod control_socket;
 mod decider;
 mod discovery;
+mod io_errors;
 mod lines;
 mod listener;
 pub mod logs;
@@ -21,6 +23,7 @@
 mod resp;
 mod server;
 mod told;
+mod uninterrupted;
 
 use abroad::Abroad;
 use chalkhall_config::Told as Directives;
@@ -117,7 +120,7 @@
     // The list comes before the first request.
     let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
     known.for_each(|notice| decisions.notice(notice));
-    let socket = listener::bind(told.listen).map_err(|e| format!("listen: {}: {e}", told.listen))?;
+    let socket = listener::bind(told.listen).await.map_err(|e| format!("listen: {}: {e}", told.listen))?;
     let socket_of = |path: &std::path::Path| {
         control_socket::listen(path).map_err(|e| format!("control: {}: {e}", path.display()))
     };
@@ -204,12 +207,16 @@
         }
     }
 
-    async fn configuration(&self) {
-        // A descriptor to read the file with, where clients have taken all others.
+    /// Reads a file while a descriptor is free for it, where clients have taken all others.
+    fn with_spare_descriptor<T>(&self, read: impl FnOnce() -> T) -> T {
         drop(self.spare.take());
-        let anew = read(&self.clock);
+        let what = read();
         self.spare.set(spare());
-        let anew = match anew {
+        what
+    }
+
+    async fn configuration(&self) {
+        let anew = match self.with_spare_descriptor(|| read(&self.clock)) {
             Ok(anew) => anew,
             Err(what) => return log::warn!("the new configuration is not taken over: {what}"),
         };
@@ -226,7 +233,7 @@
     /// restart.
     async fn directives(&self) {
         let Some(file) = &self.file else { return };
-        let (directives, faults) = chalkhall_config::read(file);
+        let (directives, faults) = self.with_spare_descriptor(|| chalkhall_config::read(file));
         if let Some(fault) = faults.first() {
             return log::warn!("the operator's file is not taken over: {fault} ({} faults)", faults.len());
         }
