--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -41,8 +41,8 @@
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
-use tokio::task::{LocalSet, spawn_local};
-use tokio::time::timeout;
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+use tokio::time::{Instant, timeout_at};
 use told::Told;
 
 /// Messages waiting for the decisions. Who brings more waits, and reads nothing meanwhile.
@@ -62,8 +62,9 @@
     LocalSet::new().block_on(&runtime, run(clock, directives, file))
 }
 
-/// For the disk of own copies to be closed at the end.
-const LAST_WRITES: Duration = Duration::from_millis(300);
+/// For the disk of own copies to be closed, from the end of the decisions on: a kill may come soon after.
+const LAST_WRITES: Duration = Duration::from_millis(200);
+const _: () = assert!(LAST_WRITES.as_millis() + 50 <= phase::LAST_WORDS.as_millis());
 
 fn read(clock: &Clock) -> Result<Told, String> {
     told::told(|name| std::env::var(name).ok(), clock)
@@ -123,7 +124,10 @@
     };
     let questions = directives.control.as_deref().map(socket_of).transpose()?;
     let (noticed, notices) = mpsc::channel(NOTICES_MOST);
-    let deciding = spawn_local(decisions.run(mailbox, notices));
+    let deciding = spawn_local(async move {
+        decisions.run(mailbox, notices).await;
+        Instant::now()
+    });
 
     let (anew, told_anew) = mpsc::channel(1);
     let (address, last, places) = (told.discovery, told.last_event, told.places.clone());
@@ -158,15 +162,22 @@
     spawn_local(again.run(reload));
     listener::run(socket, most, door, decider, phase).await;
     // Without decisions nothing can be answered: better to be started anew than to go on.
-    deciding.await.map_err(|what| format!("the decisions failed: {what}"))?;
+    let ended = deciding.await.map_err(|what| format!("the decisions failed: {what}"))?;
     if let Some(disk) = disk {
-        // What was written is there anyway; this only makes the next start quick.
-        let _ = timeout(LAST_WRITES, disk).await;
+        closed_in_time(ended, disk).await;
     }
     log::info!("{name} ended");
     Ok(())
 }
 
+/// Waits for a disk to be closed, but not until a kill: what was written is there anyway, and a close in order
+/// only makes the next start quick.
+async fn closed_in_time(ended: Instant, disk: JoinHandle<()>) {
+    if timeout_at(ended + LAST_WRITES, disk).await.is_err() {
+        log::warn!("the disk of own copies was not closed in time");
+    }
+}
+
 /// Hands on how the disk's orders ended, until its threads have.
 async fn pass_on(mut ends: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
     while let Some(end) = ends.recv().await {
@@ -243,3 +254,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/phase.rs
+++ b/crates/router/src/phase.rs
@@ -7,8 +7,8 @@
 /// What is killed comes no sooner than the longest deadline, this at most, and this much more after it.
 const LONGEST: Duration = Duration::from_millis(3000);
 const AFTER_LONGEST: Duration = Duration::from_millis(700);
-/// Held back from that for the last answers to be written.
-const LAST_WORDS: Duration = Duration::from_millis(250);
+/// Held back from that for the last answers to be written, and a disk to be closed meanwhile.
+pub const LAST_WORDS: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -56,7 +56,9 @@
     pub fn next_look(self, now: Duration) -> Option<Duration> {
         match self {
             Phase::Draining { since, until } => {
-                Some([since + STILL_COMING, until].into_iter().find(|at| *at > now).unwrap_or(until))
+                // With short deadlines the latest end comes before all that may still come has.
+                let next = [since + STILL_COMING, until].into_iter().filter(|at| *at > now).min();
+                Some(next.unwrap_or(until))
             }
             _ => None,
         }
--- a/crates/router/src/phase/tests.rs
+++ b/crates/router/src/phase/tests.rs
@@ -13,3 +13,24 @@
     assert_eq!(phase.at(ms(4449), || 1), phase);
     assert_eq!(phase.at(ms(4450), || 1), Phase::Ended);
 }
+
+/// However short the deadlines: it takes what still comes for as long as it may come, whatever has not been
+/// answered by then has some time left for it, and all is over before a kill.
+#[test]
+fn draining_ends_before_a_kill_for_any_longest_deadline() {
+    let ms = Duration::from_millis;
+    for longest in (0..=10_000).step_by(50).map(ms) {
+        let (since, kill) = (ms(7000), ms(7000) + longest.min(LONGEST) + AFTER_LONGEST);
+        let phase = Phase::Serving.asked_to_stop(since, longest);
+        let end = |open: usize| {
+            let mut now = since;
+            while phase.at(now, || open) != Phase::Ended {
+                now = phase.next_look(now).expect("it ends by time alone");
+            }
+            now - since
+        };
+        assert!(since + end(1) + LAST_WORDS <= kill, "{longest:?}: something open, ends after {:?}", end(1));
+        assert!(end(0) <= end(1) && end(0) <= STILL_COMING, "{longest:?}: nothing open, {:?}", end(0));
+        assert!(end(1) >= longest.min(LONGEST) + ms(450), "{longest:?}: what came late gets little time");
+    }
+}
--- /dev/null
+++ b/crates/router/src/tests.rs
@@ -0,0 +1,19 @@
+use super::*;
+use std::future::pending;
+use tokio::time::advance;
+
+/// With a longest deadline of 0.4 s a kill may come 1.1 s after the request to stop, and draining lasts up to
+/// 0.85 s. Clients have taken 0.2 s of the rest; a disk that hangs holds up nothing beyond that.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_disk_that_hangs_holds_up_no_end_until_a_kill() {
+    let ms = Duration::from_millis;
+    let draining = Phase::Serving.asked_to_stop(Duration::ZERO, ms(400));
+    assert_eq!(draining.at(ms(850), || 1), Phase::Ended);
+    let inside = async {
+        let ended = Instant::now();
+        advance(ms(200)).await;
+        closed_in_time(ended, spawn_local(pending())).await;
+        assert!(ms(850) + ended.elapsed() < ms(400 + 700), "{:?} after the end", ended.elapsed());
+    };
+    LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -7,6 +7,7 @@
 mod fleet;
 mod moments;
 mod own;
+mod quiet_then_faults;
 mod soak;
 mod stand_ins;
 
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -229,6 +229,12 @@
     format!("{}\n", json!({"rev": number, "pool": {"seq": number, "whole": false, "hosts": entries}}))
 }
 
+/// An id that no other request of the tests has.
+fn new_id() -> String {
+    static LAST: AtomicU32 = AtomicU32::new(0);
+    format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed))
+}
+
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
@@ -292,8 +298,7 @@
 
     /// Asks for the object of the same number as the tag.
     pub fn ask(&mut self, tag: u64, class: &str, more: &str, body: &[u8]) -> String {
-        static LAST: AtomicU32 = AtomicU32::new(0);
-        let id = format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed));
+        let id = new_id();
         let fields =
             format!("i={id},o={tag:016x},lot=1,m=10.5{}{more}", if more.is_empty() { "" } else { "," });
         let fields = if more.contains("d=") { fields } else { format!("{fields},d=4000") };
@@ -301,6 +306,14 @@
         id
     }
 
+    /// Asks for the object of the same number as the tag. False: the connection takes nothing more.
+    pub fn try_ask(&mut self, tag: u64, class: &str, limit_ms: u64) -> bool {
+        let id = new_id();
+        let fields = format!("i={id},o={tag:016x},lot=1,m=1,d={limit_ms}");
+        let request = frame(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), b""]);
+        self.reader.get_mut().write_all(&request).is_ok()
+    }
+
     pub fn answer(&mut self) -> Answer {
         let mut line = |sign: char| {
             let mut line = String::new();
@@ -585,8 +598,17 @@
     }
 
     pub fn is_stopped(&self) -> bool {
+        self.is_in_state('T')
+    }
+
+    /// It has ended and was not waited for yet.
+    pub fn is_zombie(&self) -> bool {
+        self.is_in_state('Z')
+    }
+
+    fn is_in_state(&self, state: char) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+        stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with(state))
     }
 
     /// How many it holds.
