--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -13,6 +13,9 @@
 /// Discovery says its last number each second: after this long without it the connection is dead. What a
 /// silent discovery service holds back counts as told 4 s after it stopped.
 const SILENCE: Duration = Duration::from_millis(1800);
+/// A service that is slow to begin would never be heard if each watch were given up before its first word:
+/// after one that was silent throughout, the next is waited for this long, still within those 4 s.
+const SLOW_TO_BEGIN: Duration = Duration::from_millis(3600);
 const CONNECT: Duration = Duration::from_millis(500);
 /// Between tries to connect anew; doubled from the first to the second.
 const PAUSE: Duration = Duration::from_millis(20);
@@ -48,14 +51,14 @@
 
 impl Discovery {
     pub async fn run(mut self, mut anew: mpsc::Receiver<Anew>) {
-        let (mut pause, mut said) = (PAUSE, String::new());
+        let (mut pause, mut first_word, mut said) = (PAUSE, SILENCE, String::new());
         while !self.decider.is_closed() {
             let before = self.last;
             let what = tokio::select! {
                 biased;
                 // Whatever the old discovery service is at: it tells nothing more, perhaps without saying so.
                 Some(anew) = anew.recv() => Err(anew),
-                what = self.follow(&mut pause) => Ok(what.err().unwrap_or_default()),
+                what = self.follow(&mut pause, &mut first_word) => Ok(what.err().unwrap_or_default()),
             };
             // Its descriptor is taken again before anybody else has a turn.
             self.spare = socket(self.address).ok();
@@ -63,7 +66,7 @@
                 Ok(what) => what,
                 Err(anew) => {
                     self.take(anew).await;
-                    pause = PAUSE;
+                    (pause, first_word) = (PAUSE, SILENCE);
                     continue;
                 }
             };
@@ -76,7 +79,10 @@
             }
             tokio::select! {
                 biased;
-                Some(anew) = anew.recv() => self.take(anew).await,
+                Some(anew) = anew.recv() => {
+                    self.take(anew).await;
+                    first_word = SILENCE;
+                }
                 () = sleep(self.spread(pause)) => {}
             }
             pause = (pause * 2).min(PAUSE_MOST);
@@ -112,7 +118,8 @@
         Ok(())
     }
 
-    async fn follow(&mut self, pause: &mut Duration) -> Result<(), String> {
+    /// `first_word`: how long it is waited for on this watch; changed for the next.
+    async fn follow(&mut self, pause: &mut Duration, first_word: &mut Duration) -> Result<(), String> {
         let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
         let watch = async {
             let mut stream = socket.connect(self.address).await?;
@@ -125,15 +132,19 @@
         let mut line = Vec::new();
         // Only what shows that nothing newer is held back counts: a discovery service that stays behind, or
         // goes on with what it told before, tells as little as a silent one.
-        let mut heard = Instant::now();
+        let (mut heard, mut patience, mut spoke) = (Instant::now(), *first_word, false);
         loop {
             line.clear();
             let mut bounded = (&mut lines).take(LINE_MOST);
-            let read = timeout_at(heard + SILENCE, bounded.read_until(b'\n', &mut line)).await;
+            let read = timeout_at(heard + patience, bounded.read_until(b'\n', &mut line)).await;
+            if read.is_err() && !spoke {
+                *first_word = SLOW_TO_BEGIN;
+            }
             read.map_err(|_| "silent, or nothing new")?.map_err(|e| e.to_string())?;
             if line.last() != Some(&b'\n') {
                 return Err("closed, or a line too long".into());
             }
+            (patience, *first_word, spoke) = (SILENCE, SILENCE, true);
             if self.line(&line).await? {
                 (heard, *pause) = (Instant::now(), PAUSE);
             }
--- a/crates/router/tests/program/quiet_then_faults.rs
+++ b/crates/router/tests/program/quiet_then_faults.rs
@@ -6,6 +6,7 @@
 use std::thread::{JoinHandle, spawn};
 use std::time::{Duration, Instant};
 
+const MS: Duration = Duration::from_millis(1);
 /// A kill comes no sooner after a request to stop than the longest deadline of the deployment and this.
 const KILL_AFTER_LONGEST: Duration = Duration::from_millis(700);
 /// Each time limit of the protocol is this much longer on sockets.
@@ -150,3 +151,217 @@
         ends_in_time(program, clients, longest);
     }
 }
+
+/// With 60 ms left a request is sent, its server reads it and says nothing, or closes without a word: there is
+/// one final answer within its time, also for what must not run twice.
+#[test]
+fn a_request_with_little_time_left_is_answered_though_its_server_drops_it_without_a_word() {
+    for closes in [false, true] {
+        for (class, name) in [("page", "c1"), ("confirm", "o1")] {
+            let mut world = World::new();
+            let program = world.start();
+            let mut client = program.client();
+            let sent = Moment::now(program.child.id());
+            client.ask(1, class, "d=60", b"");
+            let mut server = world.server(name).accept();
+            server.asked();
+            let _silent = if closes { None } else { Some(server) };
+            let (_, word, ..) = client.answer();
+            assert!(
+                sent.elapsed() <= 60 * MS + SLACK,
+                "{class}, closes {closes}: after {:?}",
+                sent.elapsed()
+            );
+            assert_eq!(word, if class == "page" { "NAK" } else { "FAIL" }, "{class}, closes {closes}");
+            assert_eq!(client.health(), "GREEN", "and no second answer");
+        }
+    }
+}
+
+/// One request served, then the connection rests long enough to be idle for what must not run twice.
+fn rested(world: &World, client: &mut Client, class: &str, server: &str) -> Line {
+    client.ask(1, class, "", b"");
+    let mut line = world.server(server).accept();
+    line.serve(b"first");
+    assert_eq!(client.word(), "ACK");
+    let since = Instant::now();
+    until("a rest", || since.elapsed() > 100 * MS);
+    line
+}
+
+/// A server has forgotten a connection that rests and resets it at the first byte: what may run twice goes
+/// another way in time; what must not was never written there and runs once, on a new connection.
+#[test]
+fn a_connection_that_its_server_forgot_loses_nothing_and_runs_nothing_twice() {
+    let mut world = World::new();
+    let program = world.start();
+    let mut client = program.client();
+    let mut forgotten = rested(&world, &mut client, "page", "c1");
+    client.ask(2, "page", "d=1000", b"");
+    until("the first byte", || forgotten.ready());
+    forgotten.reset();
+    let mut again = world.server("p1").accept();
+    again.serve(b"second");
+    assert_eq!(client.answer(), (2, "ACK".into(), "ver=4be0c1927d55a6f3".into(), b"second".to_vec()));
+
+    let mut client = program.client();
+    let forgotten = rested(&world, &mut client, "confirm", "o1");
+    forgotten.reset();
+    client.ask(2, "confirm", "d=1000", b"");
+    let mut again = world.server("o1").accept();
+    again.serve(b"once");
+    assert_eq!(client.answer().3, b"once");
+    assert!(world.server("o1").try_accept().is_none(), "asked twice");
+    assert!(world.server("c1").try_accept().is_none(), "asked elsewhere too");
+}
+
+/// A machine is gone, and its connections with it: nothing tells the router, what is written goes nowhere, and
+/// no new connection comes up. What must not run twice has not been written and goes another way in time.
+#[test]
+fn a_machine_that_vanished_silently_holds_a_request_up_no_longer_than_a_connection_takes() {
+    let mut world = World::new();
+    world.file["settings"]["Limits"]["ConnectTimeout"] = json!(200);
+    let program = world.start();
+    let mut client = program.client();
+    let mut half_open = rested(&world, &mut client, "confirm", "o1");
+    let _queue = world.server("o1").vanish();
+    let sent = Moment::now(program.child.id());
+    client.ask(2, "confirm", "d=1500", b"");
+    let mut server = world.server("c1").accept();
+    let asked = server.asked();
+    server.answer(&asked, "OK", "tell=via_origin", b"once");
+    assert_eq!(client.answer().3, b"once");
+    assert!(sent.elapsed() < 1500 * MS, "{:?}", sent.elapsed());
+    assert!(!half_open.ready(), "written to a connection that rested");
+}
+
+/// A first attempt hangs and is called off; the next is refused at once while its server still works on the
+/// first, or the other way about. The last serves, and an answer of the first that comes after all is nobody's.
+#[test]
+fn a_repeat_that_is_refused_at_once_leaves_one_answer() {
+    // Which cache is asked first is drawn by the object: of these some begin at either.
+    for object in 1..=6 {
+        let mut world = World::new();
+        world.file["settings"]["FamilyInfo"]["ClientKbPerS"] = json!(8800);
+        let mut refusing = Server::new("c2", "cache");
+        refusing.dial = address();
+        world.servers.push(refusing);
+        let program = world.start();
+        let mut client = program.client();
+        let id = client.ask(object, "page", "d=3000", b"");
+        let mut hangs = world.server("c1").accept();
+        let asked = hangs.asked();
+        assert_eq!(hangs.line(), format!("QUIT {id}"));
+        let mut last = None;
+        until("another attempt", || {
+            last = ["p1", "o1"].iter().find_map(|name| world.server(name).try_accept());
+            last.is_some()
+        });
+        last.unwrap().serve(b"served");
+        assert_eq!(client.answer().3, b"served");
+        hangs.answer(&asked, "OK", HIT, b"late");
+        assert_eq!(client.health(), "GREEN", "and no second answer");
+    }
+}
+
+/// A request and the close of the connection on which it would go come in one moment: the program is held up
+/// until both are there. Whichever it sees first, there is one answer in time, and what must not run twice is
+/// written on the old connection or on a new one, never on both.
+#[test]
+fn a_request_and_the_close_of_its_connection_in_one_moment_end_in_one_answer() {
+    for (class, name) in [("page", "c1"), ("confirm", "o1")] {
+        for resets in [false, true] {
+            let mut world = World::new();
+            let program = world.start();
+            let mut client = program.client();
+            // One that is out keeps the connection in use.
+            client.ask(1, class, "", b"");
+            let mut old = world.server(name).accept();
+            old.asked();
+            program.signal("STOP");
+            until("the pause", || program.is_stopped());
+            let id = client.ask(2, class, "d=2000", b"");
+            let sent = Moment::now(program.child.id());
+            let mut lines = Vec::new();
+            if resets {
+                old.reset();
+            } else {
+                old.half_close();
+                lines.push(old);
+            }
+            program.signal("CONT");
+            let (mut asked, mut answered) = (0, Vec::new());
+            until("both answers", || {
+                lines.extend(world.servers.iter().filter_map(Server::try_accept));
+                for line in &mut lines {
+                    let Some(ask) = Some(line.ready()).filter(|ready| *ready).and_then(|_| line.try_asked())
+                    else {
+                        continue;
+                    };
+                    asked += usize::from(ask.id == id);
+                    let _ = line.still_takes(&format!("{} OK {HIT} 1\r\nx\r\n", ask.id));
+                }
+                if client.ready() {
+                    answered.push(client.answer());
+                }
+                answered.len() == 2
+            });
+            assert!(sent.elapsed() < 2000 * MS, "{class}, resets {resets}: {:?}", sent.elapsed());
+            answered.sort();
+            let words: Vec<(u64, &str)> =
+                answered.iter().map(|(tag, word, ..)| (*tag, word.as_str())).collect();
+            match class {
+                "page" => assert_eq!(words, [(1, "ACK"), (2, "ACK")], "resets {resets}"),
+                _ => assert!(
+                    asked <= 1 && words[0] == (1, "FAIL"),
+                    "resets {resets}: {asked} times, {words:?}"
+                ),
+            }
+            assert_eq!(client.health(), "GREEN", "and no third answer");
+        }
+    }
+}
+
+/// The slow discovery service of this test tells a new watch nothing for so long.
+const SLOW: Duration = Duration::from_millis(2500);
+
+/// What discovery has to tell counts as told after 7 s at the latest.
+const TOLD_WITHIN: Duration = Duration::from_millis(7000);
+
+/// A discovery service that takes seconds until it says the first word to a watch is waited for: given up each
+/// time before it speaks, it would never be heard.
+#[test]
+fn a_discovery_that_takes_seconds_to_speak_is_heard() {
+    let mut world = World::new();
+    let program = world.start();
+    let (begun, mut watches) = (Instant::now(), Vec::new());
+    until("a watch that waits for it", || {
+        if world.discovery.is_watched() {
+            watches.push((Instant::now(), world.discovery.accept().0));
+        }
+        // One that the router has given up shows its end.
+        watches.retain_mut(|(_, watch)| !watch.ready());
+        watches.first().is_some_and(|(since, _)| since.elapsed() > SLOW)
+    });
+    watches[0].1.say(list(2, &[world.server("c1").entry("leaving")]));
+    assert!(begun.elapsed() < TOLD_WITHIN, "{:?}", begun.elapsed());
+    until_drained(&world, &mut program.client());
+}
+
+/// Asks on until nothing more goes to `c1`, which drains.
+fn until_drained(world: &World, client: &mut Client) {
+    let (mut tag, mut draining, mut parent) = (100, None, None);
+    until("the drain", || {
+        tag += 1;
+        client.ask(tag, "page", "", b"");
+        until("its server", || {
+            draining = draining.take().or_else(|| world.server("c1").try_accept());
+            parent = parent.take().or_else(|| world.server("p1").try_accept());
+            draining.as_mut().is_some_and(Line::ready) || parent.is_some()
+        });
+        let elsewhere = parent.is_some();
+        parent.as_mut().or(draining.as_mut()).unwrap().serve(b"x");
+        assert_eq!(client.word(), "ACK");
+        elsewhere
+    });
+}
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -100,6 +100,17 @@
         self.reader.get_mut().write_all(text.as_ref()).unwrap();
     }
 
+    /// Breaks the connection instead of closing it.
+    pub fn reset(self) {
+        let stream = socket2::SockRef::from(self.reader.get_ref());
+        stream.set_linger(Some(Duration::ZERO)).unwrap();
+    }
+
+    /// Says no more, and reads on.
+    pub fn half_close(&self) {
+        self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
+    }
+
     /// False once the other side has closed.
     pub fn still_takes(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
@@ -107,6 +118,16 @@
 
     pub fn asked(&mut self) -> Asked {
         let line = self.line();
+        self.asked_by(&line)
+    }
+
+    /// The request that the next line is; none: it is another line, or the end.
+    pub fn try_asked(&mut self) -> Option<Asked> {
+        let line = self.line();
+        line.starts_with("ASK ").then(|| self.asked_by(&line))
+    }
+
+    fn asked_by(&mut self, line: &str) -> Asked {
         let words: Vec<&str> = line.split(' ').collect();
         assert!(words.len() == 4 && words[0] == "ASK", "not a request: {line:?}");
         let fields = words[2].split(',').filter_map(|f| f.split_once('='));
