--- a/crates/router/tests/program/quiet_then_faults.rs
+++ b/crates/router/tests/program/quiet_then_faults.rs
@@ -3,6 +3,8 @@
 
 use crate::stand_ins::*;
 use serde_json::json;
+use std::collections::HashSet;
+use std::net::{SocketAddr, TcpListener};
 use std::thread::{JoinHandle, spawn};
 use std::time::{Duration, Instant};
 
@@ -345,12 +347,12 @@
     });
     watches[0].1.say(list(2, &[world.server("c1").entry("leaving")]));
     assert!(begun.elapsed() < TOLD_WITHIN, "{:?}", begun.elapsed());
-    until_drained(&world, &mut program.client());
+    until_drained(&world, &mut program.client(), None);
 }
 
-/// Asks on until nothing more goes to `c1`, which drains.
-fn until_drained(world: &World, client: &mut Client) {
-    let (mut tag, mut draining, mut parent) = (100, None, None);
+/// Asks on until nothing more goes to `c1`, which drains; its connection, if one was taken.
+fn until_drained(world: &World, client: &mut Client, mut draining: Option<Line>) {
+    let (mut tag, mut parent) = (10_000, None);
     until("the drain", || {
         tag += 1;
         client.ask(tag, "page", "", b"");
@@ -365,3 +367,105 @@
         elsewhere
     });
 }
+
+/// The local ends of connections to this address that have been begun and have not come up.
+fn connecting(to: SocketAddr) -> HashSet<String> {
+    const SYN_SENT: &str = "02";
+    let SocketAddr::V4(to) = to else { return HashSet::new() };
+    let remote = format!("{:08X}:{:04X}", u32::from_le_bytes(to.ip().octets()), to.port());
+    let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let local_end = |line: &str| match line.split_whitespace().collect::<Vec<_>>()[..] {
+        [_, local, of, SYN_SENT, ..] if of == remote => Some(local.to_owned()),
+        _ => None,
+    };
+    sockets.lines().filter_map(local_end).collect()
+}
+
+/// Three new configurations in a row, the second and third while the router still connects to the discovery
+/// service of the first, which is too crowded to take it. The last counts: its service is followed at once, and
+/// requests are served all the while.
+#[test]
+fn the_last_of_three_configurations_counts_while_the_first_is_connecting() {
+    let mut world = World::new();
+    let program = world.start();
+    let (_old, _) = world.discovery.accept();
+    let mut client = program.client();
+    client.ask(1, "page", "", b"");
+    let mut server = world.server("c1").accept();
+    let out = server.asked();
+    // Nobody takes its connections, and its queue is full.
+    let crowded = Server::new("crowded", "discovery");
+    let _queue = crowded.vanish();
+    world.file["board"] = json!(crowded.dial.to_string());
+    world.write();
+    program.signal("HUP");
+    until("its connecting", || !connecting(crowded.dial).is_empty());
+    // Nobody listens at the second's.
+    world.file["board"] = json!(address().to_string());
+    world.write();
+    program.signal("HUP");
+    world.move_discovery();
+    world.write();
+    let last = Moment::now(program.child.id());
+    program.signal("HUP");
+    let (mut discovery, after) = world.discovery.accept();
+    assert!(last.elapsed() < 1000 * MS, "followed {:?} after the last", last.elapsed());
+    assert_eq!(after, 1);
+    server.answer(&out, "OK", HIT, b"x");
+    assert_eq!(client.word(), "ACK");
+    discovery.say(list(2, &[world.server("c1").entry("leaving")]));
+    until_drained(&world, &mut client, Some(server));
+    discovery.say("2\n");
+    assert!(!discovery.ready(), "followed on");
+}
+
+/// How a discovery service fails to take connections.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Crowded {
+    Refuses,
+    /// Its queue is full: connections do not come up.
+    TakesNone,
+    ShutsAtOnce,
+}
+
+/// A discovery service that is too crowded for seconds to be watched: it is tried again and again at a bounded
+/// pace, requests are served by the last list meanwhile, and on its return the drain told there is kept at once.
+#[test]
+fn a_discovery_that_is_crowded_for_seconds_is_followed_on_its_return() {
+    for how in [Crowded::Refuses, Crowded::TakesNone, Crowded::ShutsAtOnce] {
+        let mut world = World::new();
+        let program = world.start();
+        let (watch, _) = world.discovery.accept();
+        let at = world.discovery.goes_down(watch);
+        let listener = (how != Crowded::Refuses).then(|| TcpListener::bind(at).unwrap());
+        let queue = (how == Crowded::TakesNone).then(|| fill_queue(at));
+        let shuts = listener.as_ref().filter(|_| how == Crowded::ShutsAtOnce);
+        shuts.into_iter().for_each(|listener| listener.set_nonblocking(true).unwrap());
+        let (begun, mut client, mut server) = (Instant::now(), program.client(), None);
+        let (mut tag, mut shut, mut given_up) = (0, 0, HashSet::new());
+        until("three seconds of it", || {
+            tag += 1;
+            client.ask(tag, "page", "", b"");
+            server.get_or_insert_with(|| world.server("c1").accept()).serve(b"x");
+            assert_eq!(client.word(), "ACK");
+            shut += shuts.map_or(0, |listener| std::iter::from_fn(|| listener.accept().ok()).count());
+            given_up.extend(connecting(at));
+            begun.elapsed() > 3000 * MS
+        });
+        // Each pause is half of 320 ms at least, but for the first few; each try to connect lasts 500 ms.
+        match how {
+            Crowded::Refuses => {}
+            Crowded::TakesNone => assert!((2..=8).contains(&given_up.len()), "{} tries", given_up.len()),
+            Crowded::ShutsAtOnce => assert!((6..=32).contains(&shut), "{shut} tries"),
+        }
+        drop((queue, listener));
+        let back = Moment::now(program.child.id());
+        world.discovery.comes_back(at);
+        let (mut discovery, after) = world.discovery.accept();
+        let within = if how == Crowded::TakesNone { 1000 * MS } else { 500 * MS };
+        assert!(back.elapsed() < within, "{how:?}: followed after {:?}", back.elapsed());
+        assert_eq!(after, 1);
+        discovery.say(list(2, &[world.server("c1").entry("leaving")]));
+        until_drained(&world, &mut client, server);
+    }
+}
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -205,11 +205,16 @@
 
     /// Fills the queue of connections that nobody takes: further ones do not come up.
     pub fn vanish(&self) -> Vec<TcpStream> {
-        let reach = |_: &u32| TcpStream::connect_timeout(&self.dial, Duration::from_millis(200)).ok();
-        (0..8192).map_while(|n| reach(&n)).collect()
+        fill_queue(self.dial)
     }
 }
 
+/// Fills the queue of connections to an address where nobody takes them.
+pub fn fill_queue(at: SocketAddr) -> Vec<TcpStream> {
+    let reach = |_: &u32| TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
+    (0..8192).map_while(|n| reach(&n)).collect()
+}
+
 pub struct Discovery {
     pub listener: TcpListener,
     /// A router's connection that has been seen and not been taken yet.
