--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -3,7 +3,8 @@
 fn discovery(seed: u64) -> Discovery {
     let (decider, _) = mpsc::channel(1);
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let (places, clock, chance) = (Places::default(), Clock::start(), fastrand::Rng::with_seed(seed));
+    let places = Places { zones: vec!["here".into()], kinds: vec!["cache".into()], ..Places::default() };
+    let (clock, chance) = (Clock::start(), fastrand::Rng::with_seed(seed));
     Discovery { address, last: 0, faulty: None, places, clock, decider, chance, spare: None }
 }
 
@@ -79,3 +80,73 @@
         LocalSet::new().run_until(inside(file_knows)).await;
     }
 }
+
+/// Turns of all tasks, so many that the system's events are looked at several times.
+async fn turns() {
+    for _ in 0..256 {
+        tokio::task::yield_now().await;
+    }
+}
+
+/// What the router is told next, with no time passing.
+async fn noticed(notices: &mut mpsc::Receiver<Notice>) -> Notice {
+    loop {
+        match notices.try_recv() {
+            Ok(notice) => return notice,
+            Err(mpsc::error::TryRecvError::Empty) => tokio::task::yield_now().await,
+            Err(mpsc::error::TryRecvError::Disconnected) => panic!("it has ended"),
+        }
+    }
+}
+
+/// Time stands still but where the test moves it: an hour in which a service says its last number each second,
+/// then a minute in which it shuts each connection at once, then its return with a drain. The hour leaves
+/// nothing behind, the minute brings no storm, and the drain is passed on with the first watch.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn an_hour_of_quiet_and_a_minute_down_end_in_one_watch_that_is_heard_at_once() {
+    use std::io::Write;
+    use tokio::time::advance;
+
+    const STEP: Duration = Duration::from_millis(10);
+    let inside = async {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let (decider, mut notices) = mpsc::channel(64);
+        let (_anew, told) = mpsc::channel(1);
+        tokio::task::spawn_local(Discovery { address, decider, ..discovery(1) }.run(told));
+        turns().await;
+        let (mut stream, _) = listener.accept().unwrap();
+        listener.set_nonblocking(true).unwrap();
+        for _ in 0..3600 {
+            stream.write_all(b"0\n").unwrap();
+            assert!(matches!(noticed(&mut notices).await, Notice::Heard));
+            advance(Duration::from_secs(1)).await;
+        }
+        assert!(listener.accept().is_err(), "watched anew in the quiet hour");
+
+        drop(stream);
+        let mut tries = 0;
+        for _ in 0..6000 {
+            turns().await;
+            tries += std::iter::from_fn(|| listener.accept().ok()).count();
+            advance(STEP).await;
+        }
+        // Pauses of 160 to 320 ms, but for the first few.
+        assert!((150..=385).contains(&tries), "{tries} tries in a minute");
+
+        let back = Instant::now();
+        let mut stream = loop {
+            turns().await;
+            if let Ok((stream, _)) = listener.accept() {
+                break stream;
+            }
+            advance(STEP).await;
+            assert!(back.elapsed() <= PAUSE_MOST + STEP, "no watch {:?} after its return", back.elapsed());
+        };
+        let drain = "{\"rev\":1,\"pool\":{\"hosts\":[{\"host\":\"c1\",\"dial\":\"127.0.0.1:9\",\
+            \"site\":\"here\",\"class\":\"cache\",\"health\":\"leaving\"}]}}\n";
+        stream.write_all(drain.as_bytes()).unwrap();
+        assert!(matches!(noticed(&mut notices).await, Notice::List { .. }));
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -121,8 +121,11 @@
         self.asked_by(&line)
     }
 
-    /// The request that the next line is; none: it is another line, or the end.
+    /// A request that has come; none: nothing has, or another line, or the end.
     pub fn try_asked(&mut self) -> Option<Asked> {
+        if !self.ready() {
+            return None;
+        }
         let line = self.line();
         line.starts_with("ASK ").then(|| self.asked_by(&line))
     }
