--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -8,6 +8,7 @@
 mod local_failures;
 mod moments;
 mod own;
+mod quiet_then_faults;
 mod soak;
 mod stand_ins;
 mod wire_oracle;
