--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -333,7 +333,10 @@
             over: false,
             load: interface::Load::default(),
         };
-        if let Some(answer) = answer {
+        if let Some(mut answer) = answer {
+            if let (true, Some(own)) = (by_server, &mut desk.own) {
+                answer.made = answer.made.and_then(|made| own.bounded(made));
+            }
             (told.remark, told.first_byte, told.load) = (answer.remark, answer.first_byte, answer.load);
             // That a copy holds is passed on only of the very one that the server names.
             if answer.same && (have.is_none() || have != answer.etag) {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -2,6 +2,7 @@
 
 use crate::clock::Clock;
 use crate::notices::{Notice, Places, numbered};
+use crate::stamps::EventTimes;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,6 +28,8 @@
     pub faulty: Option<u64>,
     pub places: Places,
     pub clock: Clock,
+    /// What bounds the stamps of the events.
+    pub times: EventTimes,
     pub decider: mpsc::Sender<Notice>,
     /// Spreads the tries of a whole fleet that lost its discovery service in one moment.
     pub chance: fastrand::Rng,
@@ -93,6 +96,7 @@
             self.spare = socket(anew.address).ok();
         }
         self.address = anew.address;
+        self.times.interrupted();
         for (number, notice) in anew.known {
             // Past a gap discovery itself tells what is between.
             if number == self.last + 1 && self.pass(number, notice).await.is_err() {
@@ -106,13 +110,16 @@
     async fn pass(&mut self, number: u64, notice: Option<Notice>) -> Result<(), String> {
         let place = self.decider.reserve().await.map_err(|_| "the router has ended")?;
         self.last = number;
-        if let Some(notice) = notice {
+        if let Some(mut notice) = notice {
+            self.times.bound(&mut notice);
             place.send(notice);
         }
+        self.times.passed();
         Ok(())
     }
 
     async fn follow(&mut self, pause: &mut Duration) -> Result<(), String> {
+        self.times.interrupted();
         let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
         let watch = async {
             let mut stream = socket.connect(self.address).await?;
@@ -150,6 +157,7 @@
             if number < self.last {
                 return Ok(false);
             }
+            self.times.nothing_newer();
             // Where it finds no place the next one will.
             let _ = self.decider.try_send(Notice::Heard);
             return Ok(true);
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -4,7 +4,8 @@
     let (decider, _) = mpsc::channel(1);
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let (places, clock, chance) = (Places::default(), Clock::start(), fastrand::Rng::with_seed(seed));
-    Discovery { address, last: 0, faulty: None, places, clock, decider, chance, spare: None }
+    let times = EventTimes::new(clock);
+    Discovery { address, last: 0, faulty: None, places, clock, times, decider, chance, spare: None }
 }
 
 /// A fleet that lost its discovery service in one moment does not come back to it in one.
@@ -79,3 +80,44 @@
         LocalSet::new().run_until(inside(file_knows)).await;
     }
 }
+
+/// What discovery said last on the same connection bounds the stamp of an event; at the start, and after a
+/// connection was lost, nothing does.
+#[tokio::test(flavor = "current_thread")]
+async fn the_last_word_on_a_connection_bounds_the_stamps_that_follow_on_it() {
+    use tokio::net::TcpListener;
+    use tokio::task::{LocalSet, spawn_local};
+
+    const HOUR_MS: u64 = 3_600_000;
+
+    let inside = async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let (decider, mut notices) = mpsc::channel(4);
+        let watcher = Discovery { address: listener.local_addr().unwrap(), decider, ..discovery(1) };
+        let clock = watcher.clock;
+        let (_anew, told) = mpsc::channel(1);
+        spawn_local(watcher.run(told));
+        let hour_ago = clock.unix_ms(clock.now()) - HOUR_MS;
+        let event =
+            |number: u64| format!("{{\"rev\":{number},\"flush\":{{\"collection\":7,\"ms\":{hour_ago}}}}}\n");
+        let mut counts_as = async |said: String, stream: &mut tokio::net::TcpStream| {
+            stream.write_all(said.as_bytes()).await.unwrap();
+            loop {
+                match notices.recv().await.expect("it goes on") {
+                    Notice::Purge { ms, .. } => return ms,
+                    Notice::Heard => {}
+                    _ => panic!("not a purge"),
+                }
+            }
+        };
+        let (mut first, _) = listener.accept().await.unwrap();
+        assert_eq!(counts_as(event(1), &mut first).await, hour_ago, "at the start");
+        let before = clock.unix_ms(clock.now());
+        assert!(counts_as(format!("1\n{}", event(2)), &mut first).await >= before, "live");
+        assert!(counts_as(event(3), &mut first).await >= before, "behind a live event");
+        drop(first);
+        let (mut second, _) = listener.accept().await.unwrap();
+        assert!(counts_as(event(4), &mut second).await >= before, "replayed");
+    };
+    LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -20,6 +20,7 @@
 mod probes;
 mod resp;
 mod server;
+mod stamps;
 mod told;
 
 use abroad::Abroad;
@@ -35,6 +36,7 @@
 use notices::Notice;
 use own::Own;
 use phase::Phase;
+use stamps::EventTimes;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -115,8 +117,11 @@
     let mut decisions = Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
     let advice = decisions.advice();
     // The list comes before the first request.
-    let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
-    known.for_each(|notice| decisions.notice(notice));
+    let mut times = EventTimes::new(clock);
+    for mut notice in std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice) {
+        times.bound(&mut notice);
+        decisions.notice(notice);
+    }
     let socket = listener::bind(told.listen).map_err(|e| format!("listen: {}: {e}", told.listen))?;
     let socket_of = |path: &std::path::Path| {
         control_socket::listen(path).map_err(|e| format!("control: {}: {e}", path.display()))
@@ -130,8 +135,17 @@
     let cells = noticed.clone();
     let chance = fastrand::Rng::with_seed(told.deployment.seed);
     let held = discovery::socket(address).ok();
-    let discovery =
-        Discovery { address, last, faulty: None, places, clock, decider: noticed, chance, spare: held };
+    let discovery = Discovery {
+        address,
+        last,
+        faulty: None,
+        places,
+        clock,
+        times,
+        decider: noticed,
+        chance,
+        spare: held,
+    };
     spawn_local(discovery.run(told_anew));
     spawn_local(heed(stop, decider.clone()));
     serving.send_replace(Phase::Serving);
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -4,6 +4,7 @@
 use crate::clock::Clock;
 use crate::lines::{Answer, Passed};
 use crate::messages::Key;
+use crate::stamps::CopyTimes;
 use crate::told::Told;
 use bytes::Bytes;
 use chalkhall::interface::{Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier};
@@ -34,6 +35,7 @@
     store: Store,
     shelf: Shelf,
     clock: Clock,
+    times: CopyTimes,
     classes: Vec<(Bytes, Class)>,
     places: [Id; 2],
     /// Bytes that bodies and own copies may fill together.
@@ -83,6 +85,7 @@
             store: Store::new(most, disk),
             shelf,
             clock,
+            times: CopyTimes::default(),
             classes: names.zip(told.deployment.classes.iter().cloned()).collect(),
             places: [MEMORY.into(), DISK.into()],
             usable,
@@ -184,6 +187,11 @@
         (Outcome::Served, Some(Box::new(answer)))
     }
 
+    /// When a copy that a server has just sent was made at the latest; none: its stamp does not say.
+    pub fn bounded(&mut self, made: u64) -> Option<u64> {
+        self.times.bound(&self.clock, made)
+    }
+
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
     pub fn keep(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
         let Some(made) = answer.made.filter(|made| *made > 0) else { return };
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -2,6 +2,7 @@
 
 mod cells;
 mod clients;
+mod clock_steps;
 mod crossings;
 mod customers;
 mod fleet;
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -106,7 +106,15 @@
     }
 
     pub fn asked(&mut self) -> Asked {
+        self.try_asked().expect("the connection has ended")
+    }
+
+    /// The next request; none: the other side has closed the connection in order.
+    pub fn try_asked(&mut self) -> Option<Asked> {
         let line = self.line();
+        if line.is_empty() {
+            return None;
+        }
         let words: Vec<&str> = line.split(' ').collect();
         assert!(words.len() == 4 && words[0] == "ASK", "not a request: {line:?}");
         let fields = words[2].split(',').filter_map(|f| f.split_once('='));
@@ -114,7 +122,7 @@
         let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
         self.reader.read_exact(&mut body).unwrap();
         assert_eq!(body.split_off(body.len() - 2), b"\r\n");
-        Asked { id: words[1].to_owned(), fields, body }
+        Some(Asked { id: words[1].to_owned(), fields, body })
     }
 
     /// Takes a request and answers it as a hit.
