--- a/crates/members/src/gossip.rs
+++ b/crates/members/src/gossip.rs
@@ -3,7 +3,9 @@
 //!
 //! A word has a topic (its kind, a part of it, its teller) and a version; of two of one topic the newer
 //! stays. So it does not matter how often, how late or in what order words come, and nothing is counted
-//! twice. A teller that starts anew has a higher incarnation. A word carries its age, which each router adds
+//! twice. A teller that starts anew has a higher incarnation; where its wall clock was set back between, it
+//! is sent what is held of its earlier life, and goes above that (as members of SWIM refute: Das and others,
+//! "SWIM", 2002). A word carries its age, which each router adds
 //! to while it holds it, so no clocks are compared; past the span of its lane it is as if it had never been
 //! told. A datagram's own time on the way is not in the age.
 //!
@@ -33,6 +35,12 @@
 const HURRY_TO: usize = 2;
 const HURRY_ROUNDS: u32 = 2;
 const HURRIES_MOST: u32 = 8;
+/// A router goes so far above the incarnation of its start at most, in tenths of a second: a day. Who claims
+/// more for it is not believed, and cannot push it to the greatest there is.
+const INCARNATION_LEAD_MOST: u32 = 24 * 3600 * 10;
+/// Tellers that are still to be sent a word of their own earlier lives; and so many of them a period.
+const RETURNS_MOST: usize = 32;
+const RETURNS_A_PERIOD: usize = 2;
 /// Told on so many times more than log2 of the fleet: what loss of a third takes back.
 const MORE: u32 = 8;
 /// Words held in all, whatever the lanes allow; and peers that are chosen among.
@@ -174,8 +182,9 @@
     pub routers: usize,
     pub place: u8,
     /// Greater at each start of this router: the Unix time at the start in tenths of a second will do. Where
-    /// the clock went back between, its words are taken for old until those of its earlier life have aged
-    /// away.
+    /// the clock went back between, it is raised above that of the earlier life as soon as a word of that is
+    /// heard: within three periods, where no datagram is lost. One that is further ahead than
+    /// `INCARNATION_LEAD_MOST` is left to age away.
     pub incarnation: u32,
     pub seed: u64,
 }
@@ -201,6 +210,8 @@
 
 pub struct Gossip {
     stand: Stand,
+    /// Up to which incarnation this router raises its own.
+    incarnation_most: u32,
     lanes: Vec<Lane>,
     words: BTreeMap<Topic, Word>,
     /// Routers of this place, by their own words, and when they last gave a sign of life.
@@ -213,6 +224,8 @@
     chance: fastrand::Rng,
     /// Topics that have a newer word since they were last asked for.
     news: BTreeSet<Topic>,
+    /// Tellers that speak with a lower incarnation than they had, and a topic of which the earlier word is held.
+    returns: BTreeMap<u16, Topic>,
     dropped: Dropped,
 }
 
@@ -224,6 +237,7 @@
         let next = now + PERIOD.mul_f64(chance.f64());
         (fits && usize::from(stand.number) < stand.routers).then(|| Gossip {
             stand,
+            incarnation_most: stand.incarnation.saturating_add(INCARNATION_LEAD_MOST),
             lanes: lanes.to_vec(),
             words: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -233,6 +247,7 @@
             hurry: None,
             chance,
             news: BTreeSet::new(),
+            returns: BTreeMap::new(),
             dropped: Dropped::default(),
         })
     }
@@ -348,6 +363,24 @@
         }
         let to = self.any();
         self.tell(now, to, false, mouth);
+        for _ in 0..RETURNS_A_PERIOD {
+            self.return_earlier_word(now, mouth);
+        }
+    }
+
+    /// Sends a teller a word of its own earlier life, for it to go above that.
+    fn return_earlier_word(&mut self, now: Duration, mouth: &mut dyn Mouth) {
+        let Some((teller, topic)) = self.returns.pop_first() else { return };
+        let Some(word) = self.word(now, &topic) else { return };
+        let carried = Carried {
+            topic,
+            place: word.place,
+            version: word.version,
+            age: now.saturating_sub(word.told),
+            urgent: false,
+            body: word.body.clone(),
+        };
+        mouth.say(To::One(u64::from(teller)), &encode(self.stand.place, &[carried]));
     }
 
     fn any(&mut self) -> u16 {
@@ -432,22 +465,31 @@
             self.peers.remove(&(from as u16));
         }
         for word in words {
-            self.take(now, word);
+            self.take(now, from, word);
         }
         true
     }
 
-    fn take(&mut self, now: Duration, carried: Carried) {
+    fn take(&mut self, now: Duration, from: u64, carried: Carried) {
         let Carried { topic, place, version, age, urgent, body } = carried;
-        let own = topic.teller == self.stand.number;
-        let lane = self.lane(topic.kind).filter(|lane| !own && (!lane.near || place == self.stand.place));
+        if topic.teller == self.stand.number {
+            return self.refute(version);
+        }
+        let lane = self.lane(topic.kind).filter(|lane| !lane.near || place == self.stand.place);
         let (Some(lane), true) = (lane, usize::from(topic.teller) < self.stand.routers) else {
-            self.dropped.strange += u64::from(!own);
+            self.dropped.strange += 1;
             return;
         };
         let known = self.words.get(&topic).filter(|word| now < word.told + lane.lasts);
         if age >= lane.lasts || known.is_some_and(|word| word.version >= version) {
             self.dropped.old += 1;
+            // Others may still pass on what was told by an earlier life; the teller itself speaks as it is now.
+            let lower = known.is_some_and(|word| word.version.incarnation > version.incarnation);
+            let restarted = lower && from == u64::from(topic.teller);
+            let has_place = self.returns.len() < RETURNS_MOST || self.returns.contains_key(&topic.teller);
+            if restarted && has_place {
+                self.returns.insert(topic.teller, topic);
+            }
             return;
         }
         let told = now.saturating_sub(age);
@@ -466,6 +508,23 @@
         }
     }
 
+    /// A word in this router's own name: where it is newer than what this life has told it is of an earlier
+    /// one, whose clock was ahead. This life goes above it, and all its words with it.
+    fn refute(&mut self, heard: Version) {
+        let told = Version { incarnation: self.stand.incarnation, number: self.last };
+        if heard <= told || heard.incarnation >= self.incarnation_most {
+            self.dropped.old += u64::from(heard > told);
+            return;
+        }
+        self.stand.incarnation = heard.incarnation + 1;
+        let (number, last) = (self.stand.number, &mut self.last);
+        for (_, word) in self.words.iter_mut().filter(|(topic, _)| topic.teller == number) {
+            *last += 1;
+            word.version = Version { incarnation: self.stand.incarnation, number: *last };
+            word.passed_on = 0;
+        }
+    }
+
     /// Whether one more teller of this part and place is kept; it may push out the one that was heard longest
     /// ago.
     fn room(&mut self, topic: &Topic, place: u8, told: Duration, lane: Lane) -> bool {
--- a/crates/members/src/gossip/tests.rs
+++ b/crates/members/src/gossip/tests.rs
@@ -176,6 +176,92 @@
     );
 }
 
+/// A restart after the wall clock was set back by an hour: its peers hold words of its earlier life that look
+/// newer than what it tells now.
+#[test]
+fn who_starts_anew_with_a_clock_set_back_is_believed_within_three_periods() {
+    const HOUR: u32 = 36_000;
+    let mut net = Net::new(20, 0.0);
+    net.all[5] = gossip(5, 20, 1_000_000);
+    let topic = Topic { kind: 1, part: 0, teller: 5 };
+    let body_held = |r: &Gossip, now| r.word(ms(now), &topic).map(|word| word.body.clone());
+    net.all[5].say(ms(0), 1, 0, b"earlier".to_vec(), false);
+    net.until(0, 3000, |_, _| {});
+    assert!(net.all.iter().all(|r| body_held(r, 3000).as_deref() == Some(b"earlier")));
+    net.all[5] = gossip(5, 20, 1_000_000 - HOUR);
+    let mut believed_at = None;
+    net.until(3000, 4000, |now, all| {
+        if now == 3000 {
+            all[5].say(ms(now), 1, 0, b"now".to_vec(), false);
+        }
+        let others = all.iter().enumerate().filter(|(number, _)| *number != 5);
+        if others.clone().any(|(_, r)| body_held(r, now).as_deref() == Some(b"now")) {
+            believed_at = believed_at.or(Some(now));
+        }
+    });
+    let three_periods = 3 * PERIOD.as_millis() as u64;
+    assert!(believed_at.is_some_and(|at| at <= 3000 + three_periods), "{believed_at:?}");
+    assert_eq!(net.all[5].stand.incarnation, 1_000_001);
+    net.until(4000, 5000, |_, _| {});
+    assert!(
+        net.all.iter().all(|r| body_held(r, 4900).as_deref() == Some(b"now")),
+        "before the old aged away"
+    );
+}
+
+/// Words in a router's own name raise its incarnation by a day at most, however many come.
+#[test]
+fn nobody_pushes_an_incarnation_past_its_bound() {
+    for first in [1, 1_000_000, u32::MAX - 5, u32::MAX] {
+        let mut r = gossip(0, 20, first);
+        r.say(ms(0), 1, 0, b"own".to_vec(), false);
+        let bound = first.saturating_add(INCARNATION_LEAD_MOST);
+        let claims = (1..40u32).map(|n| first.saturating_add(n * (INCARNATION_LEAD_MOST / 20)));
+        for incarnation in claims.chain([bound, bound.saturating_add(1), u32::MAX]) {
+            let word = Carried {
+                topic: Topic { kind: 1, part: 0, teller: 0 },
+                place: 0,
+                version: Version { incarnation, number: u32::MAX },
+                age: Duration::ZERO,
+                urgent: false,
+                body: b"claimed".to_vec(),
+            };
+            assert!(r.heard(ms(1), 5, &encode(5, &[word])));
+            assert!(r.stand.incarnation <= bound, "{} of {first}", r.stand.incarnation);
+            r.say(ms(2), 1, 0, b"own".to_vec(), false);
+        }
+        let (_, word) = r.words(ms(3), 1).next().expect("its own word");
+        assert_eq!(word.body, b"own");
+        assert_eq!(word.version.incarnation, r.stand.incarnation);
+    }
+}
+
+/// Whoever floods with old words in others' names makes this router answer within a bound.
+#[test]
+fn words_of_earlier_lives_are_returned_within_a_bound() {
+    let mut r = gossip(0, 1000, 1);
+    let word = |teller: u16, incarnation| Carried {
+        topic: Topic { kind: 2, part: 0, teller },
+        place: 0,
+        version: Version { incarnation, number: 1 },
+        age: Duration::ZERO,
+        urgent: false,
+        body: vec![1],
+    };
+    for teller in (1..1000).step_by(10) {
+        for incarnation in [9, 3] {
+            r.heard(ms(1), u64::from(teller), &encode(0, &[word(teller, incarnation)]));
+        }
+        // Passed on by another it may have been on its way for long: that says nothing of the teller.
+        r.heard(ms(1), 999, &encode(0, &[word(teller + 1, 9), word(teller + 1, 3)]));
+    }
+    assert!(r.returns.keys().all(|teller| teller % 10 == 1), "{:?}", r.returns);
+    assert_eq!(r.returns.len(), RETURNS_MOST);
+    let mut said = Said::default();
+    r.tick(ms(300), &mut said);
+    assert!(said.0.len() <= PEERS_TOLD + 1 + RETURNS_A_PERIOD, "{}", said.0.len());
+}
+
 proptest! {
     #[test]
     fn any_bytes_are_read_whole_or_refused(
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -1,6 +1,7 @@
 //! What is decided in common with the routers of all zones, as the decider uses it: the list as places,
 //! a request's zone, what outcomes say of the own caches, words and probes. Nothing is decided here.
 
+use crate::clock::Clock;
 use crate::peers::Saying;
 use crate::probes::Probe;
 use chalkhall::control::Router;
@@ -12,7 +13,7 @@
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -54,7 +55,7 @@
     /// # Errors
     /// What is told makes no sense here.
     pub fn new(
-        now: Duration,
+        clock: Clock,
         wishes: &Wishes,
         deployment: &Deployment,
         names: &[String],
@@ -76,13 +77,14 @@
             log::warn!("regions: this router's number or zone does not fit; it decides alone");
             return Ok(None);
         };
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let now = clock.now();
         let about = About {
             number,
             routers: deployment.routers,
             place,
             places: names.len(),
-            incarnation: (unix.as_millis() / 100) as u32,
+            // Tenths of a second, of which 32 bits go round in thirteen years.
+            incarnation: (clock.unix_ms(now) / 100) as u32,
             seed: deployment.seed,
             abroad: wishes.abroad,
         };
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -108,9 +108,7 @@
     let talk = talk.filter(|_| socket_of_peers.is_some()).map(|talk| (talk, saying.clone()));
     let (probes, to_probe) = mpsc::channel(probes::PROBES_MOST);
     let abroad = match socket_of_peers {
-        Some(_) => {
-            Abroad::new(clock.now(), &directives.regions, deployment, &told.places.zones, saying, probes)?
-        }
+        Some(_) => Abroad::new(clock, &directives.regions, deployment, &told.places.zones, saying, probes)?,
         None => None,
     };
     let beside = Beside { own, confined, talk, abroad };
