--- /dev/null
+++ b/crates/router/src/boot_time/tests.rs
@@ -0,0 +1,67 @@
+use super::*;
+
+const HOUR_MS: u64 = 3_600_000;
+
+/// A directory of its own, removed at the end.
+struct Scratch(std::path::PathBuf);
+
+impl Scratch {
+    fn new(name: &str) -> Scratch {
+        let path = std::env::temp_dir().join(format!("chalkhall-{name}-{}", std::process::id()));
+        fs::create_dir_all(&path).unwrap();
+        Scratch(path)
+    }
+}
+
+impl Drop for Scratch {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+fn at(boot: &str, unix_ms: u64) -> BootTime {
+    BootTime { boot: boot.into(), unix_ms }
+}
+
+#[test]
+fn two_readings_of_one_wall_clock_agree() {
+    let [one, other] = [Clock::start(), Clock::start()].map(|clock| BootTime::read(&clock).expect("told"));
+    assert_eq!(one.boot, other.boot);
+    assert!(one.unix_ms.abs_diff(other.unix_ms) <= TOLERANCE_MS, "{one:?} {other:?}");
+}
+
+#[test]
+fn a_clock_set_back_since_an_earlier_start_is_found_out_as_long_as_it_stays_so() {
+    let directory = Scratch::new("boot-time-back");
+    let start = |unix_ms| at("one", unix_ms).was_set_back(&directory.0).0;
+    let first = 50 * HOUR_MS;
+    assert!(!start(first), "nothing was written by another clock");
+    assert!(!start(first - TOLERANCE_MS), "by the same clock");
+    for back in [TOLERANCE_MS + 1, 5000, HOUR_MS] {
+        assert!(start(first - back), "set back by {back} ms");
+        assert!(start(first - back), "what was written before is still there");
+    }
+    assert!(!start(first + HOUR_MS), "forward: copies only look older");
+    assert!(start(first), "and back again");
+}
+
+#[test]
+fn another_boot_and_a_file_that_cannot_be_read_say_nothing() {
+    let directory = Scratch::new("boot-time-other");
+    assert!(!at("one", 9 * HOUR_MS).was_set_back(&directory.0).0);
+    assert!(!at("two", 2 * HOUR_MS).was_set_back(&directory.0).0, "another boot");
+    assert!(at("two", HOUR_MS).was_set_back(&directory.0).0);
+    for text in ["", "two", "two x", "two -1", "two 99999999999999999999", "\u{0}"] {
+        fs::write(directory.0.join(FILE), text).unwrap();
+        assert!(!at("two", HOUR_MS).was_set_back(&directory.0).0, "{text:?}");
+        assert!(at("two", 1).was_set_back(&directory.0).0, "it is written anew after {text:?}");
+    }
+    fs::write(directory.0.join(FILE), format!("two {}", u64::MAX)).unwrap();
+    let _ = at("two", 1).was_set_back(&directory.0);
+}
+
+#[test]
+fn a_directory_that_cannot_be_written_is_told() {
+    let (back, written) = at("one", 1).was_set_back(Path::new("/proc/nowhere"));
+    assert!(!back && written.is_err());
+}
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,4 +1,8 @@
-//! Time as the decisions count it. Timers run on the monotonic clock; the world's stamps are Unix times.
+//! Time as the decisions count it: spans of the monotonic clock, also for every deadline, window, wait and grace.
+//!
+//! The wall clock is read once, at the start, and only to compare stamps from outside, which are Unix times, with
+//! those spans. When it is stepped later, or the clocks that stamp are, nothing here moves; what bounds their
+//! stamps stands in `stamps.rs`, and what bounds a step between two starts in `boot_time.rs`.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
@@ -16,6 +20,8 @@
 }
 
 impl Clock {
+    /// The clock of a start. Nothing else reads the wall clock (`clippy.toml`).
+    #[allow(clippy::disallowed_methods)]
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { zero: Instant::now(), past: BEFORE_START, unix: unix.saturating_sub(BEFORE_START) }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,6 +1,7 @@
 //! One router on real sockets. Every decision is `chalkhall::control`'s; `serve` runs it.
 
 mod abroad;
+mod boot_time;
 mod brief;
 mod client;
 mod clock;
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -1,6 +1,7 @@
 //! The router's own copies, as the desk asks for them: names, clocks, bounds and threads between the store
 //! and the decisions.
 
+use crate::boot_time::BootTime;
 use crate::clock::Clock;
 use crate::lines::{Answer, Passed};
 use crate::messages::Key;
@@ -18,6 +19,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -36,6 +38,8 @@
     shelf: Shelf,
     clock: Clock,
     times: CopyTimes,
+    /// The wall clock was set back since an earlier start wrote to the disk; known once that is open.
+    was_set_back: Arc<AtomicBool>,
     classes: Vec<(Bytes, Class)>,
     places: [Id; 2],
     /// Bytes that bodies and own copies may fill together.
@@ -66,11 +70,15 @@
         let most = wishes.memory.map_or(0, |memory| memory.of(limit).min(usable));
         let mut shelf = Shelf::default();
         let (mut disk, mut ends) = (None, None);
+        let was_set_back = Arc::new(AtomicBool::new(false));
         if let Some((path, bytes)) = &wishes.disk {
             let wanted = wanted(wishes, *bytes, limit, usable)?;
-            let path = path.clone();
+            let (path, boot, found) = (path.clone(), BootTime::read(&clock), was_set_back.clone());
             let take = move || {
                 let taken = Directory::take(&path).map_err(|what| format!("{}: {what}", path.display()))?;
+                if boot.is_some_and(|boot| is_set_back(&boot, &path)) {
+                    found.store(true, Ordering::Release);
+                }
                 Ok(Arc::new(taken) as Arc<dyn Files>)
             };
             let number = fastrand::u64(1..);
@@ -86,6 +94,7 @@
             shelf,
             clock,
             times: CopyTimes::default(),
+            was_set_back,
             classes: names.zip(told.deployment.classes.iter().cloned()).collect(),
             places: [MEMORY.into(), DISK.into()],
             usable,
@@ -248,6 +257,9 @@
 
     /// An order to the disk has ended.
     pub fn ended(&mut self, end: End) {
+        if matches!(end, End::Opened { .. }) && self.was_set_back.load(Ordering::Acquire) {
+            self.store.disk_mut().into_iter().for_each(Disk::distrust_earlier_starts);
+        }
         self.shelf.ended(&mut self.store, self.clock.now(), end);
     }
 
@@ -354,6 +366,20 @@
     told
 }
 
+/// Whether the wall clock was set back since an earlier start that used this directory.
+fn is_set_back(boot: &BootTime, directory: &std::path::Path) -> bool {
+    let (set_back, recorded) = boot.was_set_back(directory);
+    if set_back {
+        log::warn!(
+            "store: the clock was set back since an earlier start: what that left is asked about first"
+        );
+    }
+    if let Err(what) = recorded {
+        log::warn!("store: {}: a later step of the clock may not be seen: {what}", directory.display());
+    }
+    set_back
+}
+
 fn part(arrival: &Arrival) -> Part<'_> {
     Part { object: arrival.object.as_bytes(), part: arrival.part, group: arrival.group }
 }
--- a/crates/router/tests/program/clock_steps.rs
+++ b/crates/router/tests/program/clock_steps.rs
@@ -1,8 +1,11 @@
 //! Wall clocks that are stepped by an hour: the stand-ins' stamps go forward or back, real time runs on.
 
 use crate::stand_ins::*;
-use serde_json::json;
+use serde_json::{Value, json};
 use std::collections::BTreeMap;
+use std::io::{Read, Write};
+use std::os::unix::net::UnixStream;
+use std::path::Path;
 
 const HOUR_MS: i64 = 3_600_000;
 const TAG: &str = "etag=4be0c1927d55a6f3";
@@ -159,3 +162,59 @@
     let own = connections.serve_until_answered(&world, &mut client, HIT, b"not asked for");
     assert_eq!((own.body, own.max_age), (b"third".to_vec(), None), "kept by its stamp less the lead");
 }
+
+/// Waits until a router has found out what an earlier life left on its disk.
+fn until_recovered(control: &Path) {
+    until("the recovery", || {
+        let Ok(mut stream) = UnixStream::connect(control) else { return false };
+        stream.write_all(b"store stat\n").unwrap();
+        let mut said = String::new();
+        stream.read_to_string(&mut said).unwrap();
+        serde_json::from_str::<Value>(&said).unwrap()["disk"]["phase"] == "ready"
+    });
+}
+
+/// Keeps a copy on disk, steps the wall clock, starts the program anew and asks for the copy.
+fn served_after_a_step_and_a_restart(step_ms: i64) -> Served {
+    let mut world = World::new();
+    let [disk, control] = ["copies", "control"].map(|name| world.path().with_file_name(name));
+    world.directives = format!(
+        "control {}\nstore {{\n disk {} 64MB\n segment 1MB\n sync-after 20ms\n least-fresh 0\n \
+         known-purges 1h\n}}\n",
+        control.display(),
+        disk.display()
+    );
+    let mut connections = Connections::default();
+    let mut ask = |world: &World, client: &mut Client, body: &[u8]| {
+        client.ask(7, "page", "", b"");
+        let made = format!("tell=filled,{TAG},made={}", unix_ms());
+        connections.serve_until_answered(world, client, &made, body)
+    };
+    let mut program = world.start();
+    let mut client = program.client();
+    until("a copy on disk", || ask(&world, &mut client, b"before").max_age.is_none());
+    program.terminate();
+    program.ended();
+    // What the directory says of the clock of the life that has ended: ahead by what it was set back since.
+    let file = disk.join("clock");
+    let recorded = std::fs::read_to_string(&file).unwrap();
+    let (boot, unix_ms) = recorded.trim().split_once(' ').unwrap();
+    let ahead = unix_ms.parse::<u64>().unwrap().checked_add_signed(-step_ms).unwrap();
+    std::fs::write(&file, format!("{boot} {ahead}\n")).unwrap();
+    let program = world.start();
+    until_recovered(&control);
+    ask(&world, &mut program.client(), b"after")
+}
+
+#[test]
+fn a_copy_on_disk_is_served_after_a_restart_unless_the_clock_was_set_back_before() {
+    // Set forward, what is on disk only looks older than it is.
+    for step in [0, 2000] {
+        let served = served_after_a_step_and_a_restart(step);
+        assert_eq!((&served.body[..], served.max_age), (&b"before"[..], None), "stepped by {step} ms");
+    }
+    for step in [-2000, -HOUR_MS] {
+        let served = served_after_a_step_and_a_restart(step);
+        assert_eq!(served.body, b"after", "stepped by {step} ms");
+    }
+}
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -21,6 +21,8 @@
 const NONBLOCK: i32 = 0o4000;
 const SHORT: Duration = Duration::from_millis(5);
 
+/// The wall clock, by which the stand-ins stamp.
+#[allow(clippy::disallowed_methods)]
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -9,7 +9,7 @@
         known.marks.iter().for_each(|mark| purges.restore(*mark));
         self.heard_before = known.heard;
         // A clock that was set back says neither how old a copy is nor what happened meanwhile.
-        self.clock_went_back = known.heard.is_some_and(|heard| heard > self.start_ms);
+        self.clock_went_back |= known.heard.is_some_and(|heard| heard > self.start_ms);
         let mut segments = segments;
         segments.sort_unstable();
         segments.last().into_iter().for_each(|last| self.segments.number_from(*last));
@@ -19,6 +19,12 @@
         self.recover(out);
     }
 
+    /// The wall clock was set back since an earlier start: of what that left nothing is served unproven. To be
+    /// called before `opened`.
+    pub fn distrust_earlier_starts(&mut self) {
+        self.clock_went_back = true;
+    }
+
     /// The directory cannot be used: nothing is read from it or written to it.
     pub fn refused(&mut self, why: String) {
         self.phase = Phase::Refused(why);
