--- a/crates/router/src/boot_time.rs
+++ b/crates/router/src/boot_time.rs
@@ -49,18 +49,20 @@
         Some(BootTime { boot: boot.to_owned(), unix_ms: unix_ms.parse().ok()? })
     }
 
-    /// Whether this start's wall clock stands before that of an earlier start that used the directory, since the
-    /// same boot. The directory then keeps the later one: what was written by that clock stays in it.
+    /// By how many milliseconds this start's wall clock stands before that of an earlier start that used the
+    /// directory, since the same boot; 0: it does not. The directory keeps the later one: what was written by
+    /// that clock stays in it.
     ///
     /// # Errors
     /// The directory's file cannot be written: a later start may not find a step out.
-    pub fn was_set_back(&self, directory: &Path) -> (bool, io::Result<()>) {
+    pub fn set_back_by(&self, directory: &Path) -> (u64, io::Result<()>) {
         let recorded = fs::read_to_string(directory.join(FILE)).ok().and_then(|text| BootTime::parse(&text));
         match recorded.filter(|recorded| recorded.boot == self.boot) {
             Some(recorded) if recorded.unix_ms.saturating_add(TOLERANCE_MS) >= self.unix_ms => {
-                (self.unix_ms.saturating_add(TOLERANCE_MS) < recorded.unix_ms, Ok(()))
+                let behind = recorded.unix_ms.saturating_sub(self.unix_ms);
+                (if behind > TOLERANCE_MS { behind } else { 0 }, Ok(()))
             }
-            _ => (false, self.record(directory)),
+            _ => (0, self.record(directory)),
         }
     }
 
--- a/crates/router/src/boot_time/tests.rs
+++ b/crates/router/src/boot_time/tests.rs
@@ -33,35 +33,39 @@
 #[test]
 fn a_clock_set_back_since_an_earlier_start_is_found_out_as_long_as_it_stays_so() {
     let directory = Scratch::new("boot-time-back");
-    let start = |unix_ms| at("one", unix_ms).was_set_back(&directory.0).0;
+    let start = |unix_ms| at("one", unix_ms).set_back_by(&directory.0).0;
     let first = 50 * HOUR_MS;
-    assert!(!start(first), "nothing was written by another clock");
-    assert!(!start(first - TOLERANCE_MS), "by the same clock");
+    assert_eq!(start(first), 0, "nothing was written by another clock");
+    assert_eq!(start(first - TOLERANCE_MS), 0, "by the same clock");
     for back in [TOLERANCE_MS + 1, 5000, HOUR_MS] {
-        assert!(start(first - back), "set back by {back} ms");
-        assert!(start(first - back), "what was written before is still there");
+        assert_eq!(start(first - back), back, "set back by {back} ms");
+        assert_eq!(start(first - back), back, "what was written before is still there");
     }
-    assert!(!start(first + HOUR_MS), "forward: copies only look older");
-    assert!(start(first), "and back again");
+    assert_eq!(start(first + HOUR_MS), 0, "forward: copies only look older");
+    assert_eq!(start(first), HOUR_MS, "and back again");
 }
 
 #[test]
 fn another_boot_and_a_file_that_cannot_be_read_say_nothing() {
     let directory = Scratch::new("boot-time-other");
-    assert!(!at("one", 9 * HOUR_MS).was_set_back(&directory.0).0);
-    assert!(!at("two", 2 * HOUR_MS).was_set_back(&directory.0).0, "another boot");
-    assert!(at("two", HOUR_MS).was_set_back(&directory.0).0);
+    assert_eq!(at("one", 9 * HOUR_MS).set_back_by(&directory.0).0, 0);
+    assert_eq!(at("two", 2 * HOUR_MS).set_back_by(&directory.0).0, 0, "another boot");
+    assert_eq!(at("two", HOUR_MS).set_back_by(&directory.0).0, HOUR_MS);
     for text in ["", "two", "two x", "two -1", "two 99999999999999999999", "\u{0}"] {
         fs::write(directory.0.join(FILE), text).unwrap();
-        assert!(!at("two", HOUR_MS).was_set_back(&directory.0).0, "{text:?}");
-        assert!(at("two", 1).was_set_back(&directory.0).0, "it is written anew after {text:?}");
+        assert_eq!(at("two", HOUR_MS).set_back_by(&directory.0).0, 0, "{text:?}");
+        assert_eq!(
+            at("two", 1).set_back_by(&directory.0).0,
+            HOUR_MS - 1,
+            "it is written anew after {text:?}"
+        );
     }
     fs::write(directory.0.join(FILE), format!("two {}", u64::MAX)).unwrap();
-    let _ = at("two", 1).was_set_back(&directory.0);
+    assert_eq!(at("two", 1).set_back_by(&directory.0).0, u64::MAX - 1);
 }
 
 #[test]
 fn a_directory_that_cannot_be_written_is_told() {
-    let (back, written) = at("one", 1).was_set_back(Path::new("/proc/nowhere"));
-    assert!(!back && written.is_err());
+    let (back, written) = at("one", 1).set_back_by(Path::new("/proc/nowhere"));
+    assert!(back == 0 && written.is_err());
 }
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -19,7 +19,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -32,14 +32,27 @@
 const DISK: &str = ":disk";
 /// A purge made before is told by now: discovery says nothing of what it has not been told itself.
 const TOLD_WITHIN: Duration = Duration::from_secs(10);
+/// Purges told while the disk is still being opened; a list at the start holds fewer.
+const EARLY_PURGES_MOST: usize = 4096;
+/// A purge reaches copies of a clock that was further ahead no more: a day, in milliseconds.
+const PURGE_LEAD_MOST_MS: u64 = 24 * 3600 * 1000;
+
+/// A purge as it was told: of an object, or of a group, in Unix milliseconds of this start's clock.
+struct Purge {
+    object: Option<Id>,
+    group: u64,
+    ms: u64,
+}
 
 pub struct Own {
     store: Store,
     shelf: Shelf,
     clock: Clock,
     times: CopyTimes,
-    /// The wall clock was set back since an earlier start wrote to the disk; known once that is open.
-    was_set_back: Arc<AtomicBool>,
+    /// By how many milliseconds the wall clock was set back since an earlier start wrote to the disk; known once
+    /// that is open. Purges told before are told again then.
+    set_back_ms: Arc<AtomicU64>,
+    early_purges: Vec<Purge>,
     classes: Vec<(Bytes, Class)>,
     places: [Id; 2],
     /// Bytes that bodies and own copies may fill together.
@@ -70,15 +83,14 @@
         let most = wishes.memory.map_or(0, |memory| memory.of(limit).min(usable));
         let mut shelf = Shelf::default();
         let (mut disk, mut ends) = (None, None);
-        let was_set_back = Arc::new(AtomicBool::new(false));
+        let set_back_ms = Arc::new(AtomicU64::new(0));
         if let Some((path, bytes)) = &wishes.disk {
             let wanted = wanted(wishes, *bytes, limit, usable)?;
-            let (path, boot, found) = (path.clone(), BootTime::read(&clock), was_set_back.clone());
+            let (path, boot, found) = (path.clone(), BootTime::read(&clock), set_back_ms.clone());
             let take = move || {
                 let taken = Directory::take(&path).map_err(|what| format!("{}: {what}", path.display()))?;
-                if boot.is_some_and(|boot| is_set_back(&boot, &path)) {
-                    found.store(true, Ordering::Release);
-                }
+                let set_back = boot.map_or(0, |boot| set_back_by(&boot, &path));
+                found.store(set_back, Ordering::Release);
                 Ok(Arc::new(taken) as Arc<dyn Files>)
             };
             let number = fastrand::u64(1..);
@@ -94,7 +106,8 @@
             shelf,
             clock,
             times: CopyTimes::default(),
-            was_set_back,
+            set_back_ms,
+            early_purges: Vec::new(),
             classes: names.zip(told.deployment.classes.iter().cloned()).collect(),
             places: [MEMORY.into(), DISK.into()],
             usable,
@@ -236,7 +249,15 @@
         }
     }
 
+    /// A purge was told. By a clock that was set back it reaches the copies of the one that was ahead too, for
+    /// when that comes back.
     pub fn purged(&mut self, object: Option<&Id>, group: u64, ms: u64) {
+        let is_opening = self.store.disk().is_some_and(|disk| *disk.phase() == Phase::Opening);
+        if is_opening && self.early_purges.len() < EARLY_PURGES_MOST {
+            self.early_purges.push(Purge { object: object.cloned(), group, ms });
+        }
+        let lead = self.set_back_ms.load(Ordering::Acquire).min(PURGE_LEAD_MOST_MS);
+        let ms = ms.saturating_add(lead);
         self.store.purge(object.map(|o| o.as_bytes()), group, ms, &mut self.shelf);
     }
 
@@ -257,12 +278,24 @@
 
     /// An order to the disk has ended.
     pub fn ended(&mut self, end: End) {
-        if matches!(end, End::Opened { .. }) && self.was_set_back.load(Ordering::Acquire) {
-            self.store.disk_mut().into_iter().for_each(Disk::distrust_earlier_starts);
+        if let End::Opened { .. } = &end {
+            self.opened();
         }
         self.shelf.ended(&mut self.store, self.clock.now(), end);
     }
 
+    /// The disk is open: what it holds of earlier starts is not trusted after a step back.
+    fn opened(&mut self) {
+        let early_purges = std::mem::take(&mut self.early_purges);
+        if self.set_back_ms.load(Ordering::Acquire) == 0 {
+            return;
+        }
+        self.store.disk_mut().into_iter().for_each(Disk::distrust_earlier_starts);
+        for Purge { object, group, ms } in early_purges {
+            self.purged(object.as_ref(), group, ms);
+        }
+    }
+
     /// Whatever is due of background work; the router's own turns come so late.
     pub fn tick(&mut self, late: Duration) {
         let now = self.clock.now();
@@ -366,12 +399,12 @@
     told
 }
 
-/// Whether the wall clock was set back since an earlier start that used this directory.
-fn is_set_back(boot: &BootTime, directory: &std::path::Path) -> bool {
-    let (set_back, recorded) = boot.was_set_back(directory);
-    if set_back {
+/// By how much the wall clock was set back since an earlier start that used this directory, in milliseconds.
+fn set_back_by(boot: &BootTime, directory: &std::path::Path) -> u64 {
+    let (set_back, recorded) = boot.set_back_by(directory);
+    if set_back > 0 {
         log::warn!(
-            "store: the clock was set back since an earlier start: what that left is asked about first"
+            set_back_ms = set_back; "store: the clock was set back since an earlier start: what that left is asked about first"
         );
     }
     if let Err(what) = recorded {
--- a/crates/router/tests/program/clock_steps.rs
+++ b/crates/router/tests/program/clock_steps.rs
@@ -174,6 +174,16 @@
     });
 }
 
+/// Makes a directory of own copies say of the clock of the starts before that it was off by a step since: ahead
+/// by what it was set back.
+fn step_since_the_last_start(disk: &Path, step_ms: i64) {
+    let file = disk.join("clock");
+    let recorded = std::fs::read_to_string(&file).unwrap();
+    let (boot, unix_ms) = recorded.trim().split_once(' ').unwrap();
+    let other = unix_ms.parse::<u64>().unwrap().checked_add_signed(-step_ms).unwrap();
+    std::fs::write(&file, format!("{boot} {other}\n")).unwrap();
+}
+
 /// Keeps a copy on disk, steps the wall clock, starts the program anew and asks for the copy.
 fn served_after_a_step_and_a_restart(step_ms: i64) -> Served {
     let mut world = World::new();
@@ -195,12 +205,7 @@
     until("a copy on disk", || ask(&world, &mut client, b"before").max_age.is_none());
     program.terminate();
     program.ended();
-    // What the directory says of the clock of the life that has ended: ahead by what it was set back since.
-    let file = disk.join("clock");
-    let recorded = std::fs::read_to_string(&file).unwrap();
-    let (boot, unix_ms) = recorded.trim().split_once(' ').unwrap();
-    let ahead = unix_ms.parse::<u64>().unwrap().checked_add_signed(-step_ms).unwrap();
-    std::fs::write(&file, format!("{boot} {ahead}\n")).unwrap();
+    step_since_the_last_start(&disk, step_ms);
     let program = world.start();
     until_recovered(&control);
     ask(&world, &mut program.client(), b"after")
@@ -218,3 +223,46 @@
         assert_eq!(served.body, b"after", "stepped by {step} ms");
     }
 }
+
+/// A purge told by a clock that was set back has to reach what is on disk of the clock that was ahead. So until
+/// the step is over nothing that is made counts as newer than the purge, told before the disk was open or after.
+#[test]
+fn a_purge_told_by_a_clock_that_was_set_back_reaches_the_copies_of_the_one_before() {
+    for known_at_the_start in [false, true] {
+        let mut world = World::new();
+        let [disk, control] = ["copies", "control"].map(|name| world.path().with_file_name(name));
+        world.directives = format!(
+            "control {}\nstore {{\n memory 10MB\n disk {} 64MB\n segment 1MB\n}}\n",
+            control.display(),
+            disk.display()
+        );
+        let mut program = world.start();
+        until_recovered(&control);
+        program.terminate();
+        program.ended();
+        while world.discovery.is_watched() {
+            drop(world.discovery.accept());
+        }
+        step_since_the_last_start(&disk, -HOUR_MS);
+        let event = purge(2, unix_ms());
+        if known_at_the_start {
+            let known: Value = serde_json::from_str(&event).unwrap();
+            world.file["known"]["rev"] = json!(2);
+            world.file["known"]["notices"].as_array_mut().unwrap().push(known);
+        }
+        let program = world.start();
+        until_recovered(&control);
+        let (mut client, mut connections) = (program.client(), Connections::default());
+        let mut watch = (!known_at_the_start).then(|| world.discovery.accept().0);
+        if let Some(watch) = &mut watch {
+            watch.say(event);
+            connections.until_the_purge_is_heeded(&world, &mut client);
+        }
+        for _ in 0..4 {
+            client.ask(7, "page", "", b"");
+            let made = format!("tell=filled,{TAG},made={}", unix_ms());
+            let served = connections.serve_until_answered(&world, &mut client, &made, b"new");
+            assert!(served.max_age.is_some(), "kept; known at the start: {known_at_the_start}");
+        }
+    }
+}
