--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -3,6 +3,7 @@
 use crate::clock::Clock;
 use crate::io_errors::set_nodelay;
 use crate::notices::{Notice, Places, numbered};
+use crate::stamps::EventTimes;
 use crate::uninterrupted::Uninterrupted;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -32,6 +33,8 @@
     pub faulty: Option<u64>,
     pub places: Places,
     pub clock: Clock,
+    /// What bounds the stamps of the events.
+    pub times: EventTimes,
     pub decider: mpsc::Sender<Notice>,
     /// Spreads the tries of a whole fleet that lost its discovery service in one moment.
     pub chance: fastrand::Rng,
@@ -101,6 +104,7 @@
             self.spare = socket(anew.address).ok();
         }
         self.address = anew.address;
+        self.times.interrupted();
         for (number, notice) in anew.known {
             // Past a gap discovery itself tells what is between.
             if number == self.last + 1 && self.pass(number, notice).await.is_err() {
@@ -114,14 +118,17 @@
     async fn pass(&mut self, number: u64, notice: Option<Notice>) -> Result<(), String> {
         let place = self.decider.reserve().await.map_err(|_| "the router has ended")?;
         self.last = number;
-        if let Some(notice) = notice {
+        if let Some(mut notice) = notice {
+            self.times.bound(&mut notice);
             place.send(notice);
         }
+        self.times.passed();
         Ok(())
     }
 
     /// `first_word`: how long it is waited for on this watch; changed for the next.
     async fn follow(&mut self, pause: &mut Duration, first_word: &mut Duration) -> Result<(), String> {
+        self.times.interrupted();
         let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
         let watch = async {
             let stream = socket.connect(self.address).await?;
@@ -164,6 +171,7 @@
             if number < self.last {
                 return Ok(false);
             }
+            self.times.nothing_newer();
             // Where it finds no place the next one will.
             let _ = self.decider.try_send(Notice::Heard);
             return Ok(true);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,6 +2,7 @@
 
 mod abroad;
 mod backoff;
+mod boot_time;
 mod brief;
 mod client;
 mod clock;
@@ -22,6 +23,7 @@
 mod probes;
 mod resp;
 mod server;
+mod stamps;
 mod told;
 mod uninterrupted;
 
@@ -38,6 +40,7 @@
 use notices::Notice;
 use own::Own;
 use phase::Phase;
+use stamps::EventTimes;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -110,17 +113,18 @@
     let talk = talk.filter(|_| socket_of_peers.is_some()).map(|talk| (talk, saying.clone()));
     let (probes, to_probe) = mpsc::channel(probes::PROBES_MOST);
     let abroad = match socket_of_peers {
-        Some(_) => {
-            Abroad::new(clock.now(), &directives.regions, deployment, &told.places.zones, saying, probes)?
-        }
+        Some(_) => Abroad::new(clock, &directives.regions, deployment, &told.places.zones, saying, probes)?,
         None => None,
     };
     let beside = Beside { own, confined, talk, abroad };
     let mut decisions = Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
     let advice = decisions.advice();
     // The list comes before the first request.
-    let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
-    known.for_each(|notice| decisions.notice(notice));
+    let mut times = EventTimes::new(clock);
+    for mut notice in std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice) {
+        times.bound(&mut notice);
+        decisions.notice(notice);
+    }
     let socket = listener::bind(told.listen).await.map_err(|e| format!("listen: {}: {e}", told.listen))?;
     let socket_of = |path: &std::path::Path| {
         control_socket::listen(path).map_err(|e| format!("control: {}: {e}", path.display()))
@@ -137,8 +141,17 @@
     let cells = noticed.clone();
     let chance = fastrand::Rng::with_seed(told.deployment.seed);
     let held = discovery::socket(address).ok();
-    let discovery =
-        Discovery { address, last, faulty: None, places, clock, decider: noticed, chance, spare: held };
+    let discovery = Discovery {
+        address,
+        last,
+        faulty: None,
+        places,
+        clock,
+        times,
+        decider: noticed,
+        chance,
+        spare: held,
+    };
     spawn_local(discovery.run(told_anew));
     spawn_local(heed(stop, decider.clone()));
     serving.send_replace(Phase::Serving);
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -21,6 +21,8 @@
 const NONBLOCK: i32 = 0o4000;
 const SHORT: Duration = Duration::from_millis(5);
 
+/// The wall clock, by which the stand-ins stamp.
+#[allow(clippy::disallowed_methods)]
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
@@ -117,8 +119,13 @@
     }
 
     pub fn asked(&mut self) -> Asked {
+        self.asked_or_closed().expect("the connection has ended")
+    }
+
+    /// The next request; none: the other side has closed the connection in order.
+    pub fn asked_or_closed(&mut self) -> Option<Asked> {
         let line = self.line();
-        self.asked_by(&line)
+        (!line.is_empty()).then(|| self.asked_by(&line))
     }
 
     /// A request that has come; none: nothing has, or another line, or the end.
