--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -3,7 +3,7 @@
 //! An attempt waits unwritten until the connection stands and all before it has gone to the system; only
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
-use crate::lines::{Answer, Answers, quit};
+use crate::lines::{Answer, Answers, ask, quit};
 use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::Outcome;
@@ -43,8 +43,9 @@
     unwritten: VecDeque<Box<Ask>>,
     /// By the id as the server sees it.
     out: HashMap<Bytes, Out>,
+    /// What is on its way to the system.
     writing: BytesMut,
-    /// The attempt whose first byte is the next to be written.
+    /// The attempt whose first byte is the next to be written, and which is worded then.
     beginning: Option<Box<Ask>>,
     quits: VecDeque<Bytes>,
     ended: VecDeque<(Key, Outcome, Option<Box<Answer>>, bool)>,
@@ -68,7 +69,6 @@
     /// Takes back attempts of which not a byte has gone.
     fn withdraw(&mut self, which: impl Fn(&Ask) -> bool) {
         if let Some(ask) = self.beginning.take_if(|ask| which(ask)) {
-            self.writing.clear();
             self.ended.push_back((ask.key, Outcome::NeverSent, None, false));
         }
         while let Some(at) = self.unwritten.iter().position(|ask| which(ask)) {
@@ -103,7 +103,7 @@
 
     /// Takes the next thing to write, when all before it has gone.
     fn fill(&mut self) {
-        if !self.writing.is_empty() {
+        if self.has_to_write() {
             return;
         }
         self.writing.clear();
@@ -113,12 +113,33 @@
         if !self.writing.is_empty() {
             return;
         }
-        if let Some(mut ask) = self.unwritten.pop_front() {
-            self.writing = std::mem::take(&mut ask.line);
-            self.writing.extend_from_slice(&ask.passed.body);
-            self.writing.extend_from_slice(b"\r\n");
-            self.beginning = Some(ask);
+        self.beginning = self.unwritten.pop_front();
+    }
+
+    fn has_to_write(&self) -> bool {
+        !self.writing.is_empty() || self.beginning.is_some()
+    }
+
+    /// Hands what is to be written to `write`, which says how many bytes of it the system took.
+    ///
+    /// An attempt is worded here, for its line says how much time its client has left: since the decision it
+    /// may have waited for a connection to come up or behind a full socket.
+    fn write(&mut self, now: Instant, write: impl FnOnce(&[u8]) -> io::Result<usize>) -> io::Result<()> {
+        let Some(beginning) = &self.beginning else {
+            let bytes = write(&self.writing)?;
+            self.gone(now, bytes);
+            return Ok(());
+        };
+        let left = beginning.due.saturating_duration_since(now);
+        let mut line = ask(&beginning.passed, &beginning.server, left, &beginning.fill);
+        line.extend_from_slice(&beginning.passed.body);
+        line.extend_from_slice(b"\r\n");
+        let bytes = write(&line)?;
+        if bytes > 0 {
+            self.writing = line;
+            self.gone(now, bytes);
         }
+        Ok(())
     }
 
     /// So many bytes have gone to the system: from the first on an attempt may run. To a server that hangs
@@ -217,16 +238,15 @@
             let stops = begun.and(last).map(|last| last + self.connect_timeout);
             tokio::select! {
                 biased;
-                ready = writer.writable(), if !state.writing.is_empty() => {
+                ready = writer.writable(), if state.has_to_write() => {
                     ready.map_err(|e| e.to_string())?;
                     // Looked at again here: the socket may have been full for long, or the program held up.
                     let now = Instant::now();
                     state.expire(now);
-                    if !state.writing.is_empty() {
-                        match writer.try_write(&state.writing) {
-                            Ok(bytes) => state.gone(now, bytes),
-                            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                            Err(e) => return Err(e.to_string()),
+                    if state.has_to_write() {
+                        match state.write(now, |bytes| writer.try_write(bytes)) {
+                            Err(e) if e.kind() != io::ErrorKind::WouldBlock => return Err(e.to_string()),
+                            _ => {}
                         }
                     }
                 }
--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -1,15 +1,41 @@
 use super::*;
 use crate::lines::Passed;
 use crate::messages::Wanted;
+use chalkhall::interface::Fill;
+
+fn no_fill() -> Fill {
+    Fill {
+        source: "s".into(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    }
+}
+
+/// Has the system take so many bytes at most; what they are.
+fn write(state: &mut State, most: usize) -> String {
+    let mut taken = String::new();
+    let into = |bytes: &[u8]| {
+        let part = &bytes[..bytes.len().min(most)];
+        taken = String::from_utf8_lossy(part).into_owned();
+        if part.is_empty() { Err(io::ErrorKind::WouldBlock.into()) } else { Ok(part.len()) }
+    };
+    let result = state.write(Instant::now(), into);
+    assert_eq!(result.is_err(), taken.is_empty());
+    taken
+}
 
 fn ask(id: &'static str, due: Duration, leave_by: Duration) -> Box<Ask> {
     let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
     let now = Instant::now();
-    let line = BytesMut::from("ASK");
     Box::new(Ask {
         key: (id.into(), 0),
         passed,
-        line,
+        server: "s".into(),
+        fill: no_fill(),
         once: false,
         wanted: Wanted::default(),
         due: now + due,
@@ -36,7 +62,7 @@
         state.take(ConnectionOrder::Ask(ask(id, due, leave_by)));
     }
     state.fill();
-    state.gone(Instant::now(), 1);
+    assert_eq!(write(&mut state, 1), "A");
     state.take(ConnectionOrder::Quit(("a".into(), 0)));
     state.take(ConnectionOrder::Quit(("b".into(), 0)));
     state.expire(Instant::now());
@@ -60,7 +86,7 @@
         let wanted = ask.wanted.clone();
         state.take(ConnectionOrder::Ask(ask));
         state.fill();
-        assert!(!state.writing.is_empty() && state.next_due().is_some());
+        assert!(state.has_to_write() && state.next_due().is_some());
         (state, wanted)
     };
     // Its client leaves, or has its answer; the grace passes; it is called off; the connection breaks.
@@ -73,15 +99,14 @@
     off.take(ConnectionOrder::Quit(("a".into(), 0)));
     let (mut broken, _) = front(long);
     broken.broken(Outcome::NeverSent);
-    broken.writing.clear();
     for mut state in [left, late, off, broken] {
         assert_eq!(ends(&mut state), never);
         state.fill();
-        assert!(state.writing.is_empty() && state.quits.is_empty(), "nothing of it goes out any more");
+        assert!(!state.has_to_write() && state.quits.is_empty(), "nothing of it goes out any more");
     }
     // From its first byte on it may have run.
     let (mut state, wanted) = front(none);
-    state.gone(Instant::now(), 1);
+    assert_eq!(write(&mut state, 1), "A");
     wanted.end();
     state.expire(Instant::now());
     assert!(ends(&mut state).is_empty());
@@ -102,3 +127,40 @@
     state.fill();
     assert_eq!(state.beginning.map(|ask| ask.key.0.to_string()).as_deref(), Some("b"));
 }
+
+/// The server is told of the time that is left when the first byte leaves, however long the line waited for
+/// that, and of the age that was allowed at the decision; the rest of a line that has begun is not worded again.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_line_tells_the_time_left_as_its_first_byte_leaves() {
+    let ms = Duration::from_millis;
+    let mut state = State::default();
+    let mut late = ask("a", ms(1000), ms(800));
+    late.fill.oldest = Some(Duration::from_micros(50_900));
+    state.take(ConnectionOrder::Ask(late));
+    tokio::time::advance(Duration::from_micros(300_500)).await;
+    state.fill();
+    // The system takes nothing of it for a while.
+    assert_eq!(write(&mut state, 0), "");
+    tokio::time::advance(ms(400)).await;
+    let line = "ASK a cls=,item=,chunk=,limit=299,maxage=50 0\r\n\r\n";
+    assert_eq!(write(&mut state, 20), line[..20]);
+    tokio::time::advance(ms(200)).await;
+    state.fill();
+    assert_eq!(write(&mut state, 1000), line[20..]);
+    assert!(!state.has_to_write());
+}
+
+/// The least that a line can tell of is a millisecond: it is told while there is any time left, and what has
+/// none left does not begin.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn what_has_no_time_left_does_not_begin() {
+    let mut state = State::default();
+    for (id, due) in [("a", 300), ("b", 299)] {
+        state.take(ConnectionOrder::Ask(ask(id, Duration::from_micros(due), Duration::from_secs(1))));
+    }
+    tokio::time::advance(Duration::from_micros(299)).await;
+    state.expire(Instant::now());
+    assert_eq!(ends(&mut state), [("b".to_owned(), Outcome::NeverSent)]);
+    state.fill();
+    assert!(write(&mut state, 1000).contains(",limit=1 "));
+}
--- a/crates/router/src/decider/desk.rs
+++ b/crates/router/src/decider/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::brief::Brief;
 use crate::clock::Clock;
-use crate::lines::{Answer, Passed, ask};
+use crate::lines::{Answer, Passed};
 use crate::messages::{Ask, Ended, Last, Order, Reply, Wanted};
 use crate::own::Own;
 use crate::peers::Saying;
@@ -113,7 +113,8 @@
         let ask = Box::new(Ask {
             key: key.clone(),
             passed: taken.passed.clone(),
-            line: ask(&taken.passed, server, limit, fill),
+            server: server.clone(),
+            fill: fill.clone(),
             once: taken.once,
             wanted: taken.wanted.clone(),
             due: self.clock.instant(self.now + limit),
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -108,11 +108,21 @@
         let after = list(new, Some(Duration::from_secs(1)));
         drop(before);
         let due = tokio::time::Instant::now() + Duration::from_secs(5);
-        let (line, wanted) = (bytes::BytesMut::from("ASK"), Wanted::default());
+        let wanted = Wanted::default();
+        let fill = interface::Fill {
+            source: id.clone(),
+            rank: 0,
+            oldest: None,
+            join: false,
+            only_held: false,
+            parent_keeps: true,
+            renew: false,
+        };
         let ask = Ask {
             key: (id.clone(), 0),
             passed: Passed::default(),
-            line,
+            server: id.clone(),
+            fill,
             once: true,
             wanted,
             due,
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/lines.rs
@@ -24,8 +24,11 @@
     pub body: Bytes,
 }
 
-/// The line of a request; its body and the end of a line follow.
-pub fn ask(passed: &Passed, server: &str, limit: Duration, fill: &Fill) -> BytesMut {
+/// The line of a request that leaves now; its body and the end of a line follow.
+///
+/// `left` is the time until the attempt's deadline. It is rounded down, so that the server is never told of
+/// more than the client has left; the least that can be said is 1 ms, and who has nothing left sends nothing.
+pub fn ask(passed: &Passed, server: &str, left: Duration, fill: &Fill) -> BytesMut {
     let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
     let mut line = format!(
         "ASK {} cls={},item={},chunk={},limit={}",
@@ -33,7 +36,7 @@
         text(&passed.class),
         text(&passed.object),
         text(&passed.part),
-        limit.as_millis().max(1)
+        left.as_millis().max(1)
     );
     // A server named as its own source is asked for no fill.
     if *fill.source != *server {
@@ -43,7 +46,11 @@
         let _ = write!(line, ",keep={}", fill.rank);
     }
     if let Some(oldest) = fill.oldest {
-        // Rounded down, a copy is younger than need be; never 0, which would mean any within the fresh time.
+        // The age that was allowed at the decision, though the server counts it from when the line comes: a
+        // copy from before the purge is older by then than the time since the purge was at the decision, so
+        // the delay and the rounding only make a copy younger than need be. Counting anew could stretch the
+        // fresh time, which may be what bounds the age. Never 0, which would mean any within the fresh time;
+        // the fraction of 1 ms that this adds lies within the grace of a purge.
         let _ = write!(line, ",maxage={}", oldest.as_millis().max(1));
     }
     let flags = [
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,8 +1,8 @@
 //! What the actors of a router say to one another: below all of them, so that none needs another's file.
 
 use crate::lines::{Answer, Passed};
-use bytes::{Bytes, BytesMut};
-use chalkhall::interface::{Arrival, Id, Outcome};
+use bytes::Bytes;
+use chalkhall::interface::{Arrival, Fill, Id, Outcome};
 use chalkhall_store::threads::End;
 use serde_json::Value;
 use std::cell::Cell;
@@ -123,7 +123,9 @@
 pub struct Ask {
     pub key: Key,
     pub passed: Passed,
-    pub line: BytesMut,
+    /// The server's name and its orders for a miss. The line is worded from them as its first byte leaves.
+    pub server: Id,
+    pub fill: Fill,
     /// It must not run twice: where its connection breaks, it has failed.
     pub once: bool,
     pub wanted: Wanted,
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::lines::Passed;
 use crate::messages::Wanted;
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
+use chalkhall::interface::Fill;
 
 const WAIT: Duration = Duration::from_secs(1);
 
@@ -25,11 +26,24 @@
     (server, (from_connections, sender, messages))
 }
 
+fn no_fill() -> Fill {
+    Fill {
+        source: "s".into(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    }
+}
+
 fn ask(id: &'static str) -> Box<Ask> {
     let due = Instant::now() + WAIT;
     let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
-    let (key, line, wanted) = ((id.into(), 0), BytesMut::new(), Wanted::default());
-    Box::new(Ask { key, passed, line, once: false, wanted, due, leave_by: due })
+    let (server, fill) = (Id::from("s"), no_fill());
+    let (key, wanted) = ((id.into(), 0), Wanted::default());
+    Box::new(Ask { key, passed, server, fill, once: false, wanted, due, leave_by: due })
 }
 
 async fn ended(server: &mut Server, hands: &mut Hands, connection: u64, id: &str) {
@@ -109,7 +123,7 @@
         let mut wanted = Vec::new();
         for n in 0..ORDERS_MOST {
             let mut ask = ask("a");
-            (ask.key, ask.line) = (("a".into(), n), BytesMut::from(format!("ASK {n}.").as_bytes()));
+            ask.key = ("a".into(), n);
             ask.passed.id = Bytes::from(format!("a{n}"));
             wanted.push(ask.wanted.clone());
             server.order(&mut hands, Order::Ask(ask)).await;
@@ -124,13 +138,13 @@
         assert_eq!(hands.connections[0].orders.capacity(), 0, "it took the QUIT");
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = Vec::new();
-        let last = format!("ASK {}.\r\n", ORDERS_MOST - 1);
-        while !read.ends_with(last.as_bytes()) {
+        let last = format!("ASK a{} ", ORDERS_MOST - 1);
+        while !read.windows(last.len()).any(|part| part == last.as_bytes()) || !read.ends_with(b"\r\n\r\n") {
             assert!(stream.read_buf(&mut read).await.unwrap() > 0);
         }
         let text = String::from_utf8(read).unwrap();
         assert_eq!(text.matches("ASK").count(), ORDERS_MOST - 1);
-        assert!(!text.contains("ASK 7.") && !text.contains("QUIT"), "{text}");
+        assert!(!text.contains("ASK a7 ") && !text.contains("QUIT"), "{text}");
         let mut never = Vec::new();
         while let Ok(order) = reports.try_recv() {
             if let Order::Connection(_, Report::Ended { key, outcome, .. }) = order {
--- /dev/null
+++ b/crates/router/tests/program/deadlines.rs
@@ -0,0 +1,57 @@
+//! The time that a server is told of, and requests whose clients leave: what waits, waits on the client's
+//! time.
+
+use crate::stand_ins::*;
+use serde_json::json;
+use std::time::{Duration, Instant};
+
+const MS: Duration = Duration::from_millis(1);
+
+/// What the terms allow a server to be told of beyond what the client has left.
+const SLACK: Duration = Duration::from_millis(150);
+
+fn pass(time: Duration) {
+    let since = Instant::now();
+    until("a while", || since.elapsed() > time);
+}
+
+fn limit(asked: &Asked) -> Duration {
+    Duration::from_millis(asked.get("limit").parse().unwrap())
+}
+
+/// Graces and waits that leave room for what is held up here.
+fn patient() -> World {
+    let mut world = World::new();
+    world.file["settings"]["Limits"]["ConnectTimeout"] = json!(3500);
+    world.file["settings"]["Obligations"]["DrainGrace"] = json!(3500);
+    world.file["settings"]["FamilyInfo"]["ObeyAfter"] = json!(3500);
+    world
+}
+
+/// A connection comes up a second after the attempt was decided on: the server is told what is left then.
+#[test]
+fn a_connection_that_comes_up_late_passes_on_what_is_left() {
+    let mut world = patient();
+    let program = world.start();
+    let mut client = program.client();
+    let others = world.server("o1").vanish();
+    let asked_at = Instant::now();
+    client.ask(1, "confirm", "", b"");
+    pass(300 * MS);
+    // Its queue has room again: the system tries once more, a second after the first time.
+    let local: Vec<_> = others.iter().map(|o| o.local_addr().unwrap().port()).collect();
+    let mut own = loop {
+        let (stream, from) = world.server("o1").listener.accept().unwrap();
+        if !local.contains(&from.port()) {
+            break Line::new(stream);
+        }
+    };
+    let up = asked_at.elapsed();
+    assert!(up > 500 * MS, "it was not held up: {up:?}");
+    let asked = own.asked();
+    let left = (4000 * MS).saturating_sub(up);
+    assert!(limit(&asked) <= left + SLACK, "told {:?}, left {left:?}", limit(&asked));
+    assert!(limit(&asked) > 1000 * MS, "what is left is passed on: {:?}", limit(&asked));
+    own.answer(&asked, "OK", "tell=via_origin", b"done");
+    assert_eq!(client.word(), "ACK");
+}
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -4,6 +4,7 @@
 mod clients;
 mod crossings;
 mod customers;
+mod deadlines;
 mod fleet;
 mod moments;
 mod own;
