--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -3,6 +3,7 @@
 //! An attempt waits unwritten until the connection stands and all before it has gone to the system; only
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
+use crate::event_loop;
 use crate::lines::{Answer, Answers, ask, quit};
 use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
 use bytes::{Buf, Bytes, BytesMut};
@@ -240,6 +241,11 @@
                 biased;
                 ready = writer.writable(), if state.has_to_write() => {
                     ready.map_err(|e| e.to_string())?;
+                    if state.beginning.is_some() {
+                        // A client's leaving may lie unread: after a hold-up the order in which tasks have
+                        // their turns is chance.
+                        event_loop::catch_up().await;
+                    }
                     // Looked at again here: the socket may have been full for long, or the program held up.
                     let now = Instant::now();
                     state.expire(now);
--- /dev/null
+++ b/crates/router/src/event_loop/tests.rs
@@ -0,0 +1,63 @@
+use super::*;
+
+const MS: Duration = Duration::from_millis(1);
+
+/// A loop that has waited once, and when.
+fn quiet() -> (EventLoop, Instant) {
+    let start = Instant::now();
+    let mut event_loop = EventLoop::start(start);
+    event_loop.before_wait(start);
+    (event_loop, start)
+}
+
+#[test]
+fn a_quiet_loop_is_not_held_up() {
+    let (mut event_loop, mut now) = quiet();
+    for _ in 0..100 {
+        event_loop.before_wait(now);
+        now += 51 * MS;
+        event_loop.after_wait(now);
+        assert_eq!(event_loop.unread_since(now + 2 * MS), None);
+        now += 3 * MS;
+    }
+}
+
+#[test]
+fn a_wait_that_took_long_is_a_hold_up_until_all_that_came_is_read() {
+    let (mut event_loop, start) = quiet();
+    let woken = start + 900 * MS;
+    event_loop.after_wait(woken);
+    assert_eq!(event_loop.unread_since(woken), Some(start));
+    // The tasks that are ready get their turns in batches, with waits of no length between them.
+    for turn in 1..5 {
+        event_loop.before_wait(woken + turn * 5 * MS);
+        event_loop.after_wait(woken + turn * 5 * MS);
+        assert_eq!(event_loop.unread_since(woken + turn * 5 * MS), Some(start));
+    }
+    // None is ready any more.
+    event_loop.before_wait(woken + 25 * MS);
+    event_loop.after_wait(woken + 30 * MS);
+    assert_eq!(event_loop.unread_since(woken + 30 * MS), None);
+}
+
+#[test]
+fn a_hold_up_between_two_waits_counts_during_it_and_after_it() {
+    let (mut event_loop, start) = quiet();
+    event_loop.after_wait(start + 20 * MS);
+    let late = start + 700 * MS;
+    assert_eq!(event_loop.unread_since(late), Some(start), "not noticed by a wait yet");
+    event_loop.before_wait(late);
+    event_loop.after_wait(late);
+    assert_eq!(event_loop.unread_since(late + MS), Some(start));
+    // A second one begins before all that came during the first has been read.
+    event_loop.before_wait(late + 5 * MS);
+    assert_eq!(event_loop.unread_since(late + 80 * MS), Some(start));
+    event_loop.before_wait(late + 80 * MS);
+    assert_eq!(event_loop.unread_since(late + 81 * MS), Some(late + 5 * MS));
+    // A loop that is never idle has read it all by now.
+    for turn in 0..100 {
+        event_loop.before_wait(late + (90 + turn) * MS);
+        event_loop.after_wait(late + (90 + turn) * MS);
+    }
+    assert_eq!(event_loop.unread_since(late + 200 * MS), None);
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -9,6 +9,7 @@
 mod control_socket;
 mod decider;
 mod discovery;
+mod event_loop;
 mod lines;
 mod listener;
 pub mod logs;
@@ -57,8 +58,12 @@
 /// One line that names the key at fault, where it could not start; or what ended it before its time.
 pub fn serve(directives: Directives, file: Option<PathBuf>) -> Result<(), String> {
     let clock = Clock::start();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .on_thread_park(event_loop::before_wait)
+        .on_thread_unpark(event_loop::after_wait)
+        .build()
+        .map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run(clock, directives, file))
 }
 
--- a/crates/router/tests/program/deadlines.rs
+++ b/crates/router/tests/program/deadlines.rs
@@ -55,3 +55,50 @@
     own.answer(&asked, "OK", "tell=via_origin", b"done");
     assert_eq!(client.word(), "ACK");
 }
+
+/// A connection to a server comes up while the program is held up, and then its client leaves, by closing or
+/// by calling off: the program wakes with both, and nothing begins for who has left.
+#[test]
+fn nothing_begins_for_a_client_that_left_while_the_program_was_held_up() {
+    for closes in [true, false] {
+        let mut world = patient();
+        let program = world.start();
+        let (mut client, mut other) = (program.client(), program.client());
+        assert_eq!((client.health(), other.health()), ("GREEN".into(), "GREEN".into()));
+        let others = world.server("o1").vanish();
+        client.ask(1, "confirm", "", b"");
+        assert_eq!(client.health(), "GREEN", "the request was read");
+        pass(100 * MS);
+        program.signal("STOP");
+        until("the pause", || program.is_stopped());
+        let local: Vec<_> = others.iter().map(|o| o.local_addr().unwrap().port()).collect();
+        let own = loop {
+            let (stream, from) = world.server("o1").listener.accept().unwrap();
+            if !local.contains(&from.port()) {
+                break stream;
+            }
+        };
+        let mut kept = None;
+        if closes {
+            drop(client);
+        } else {
+            client.send(&[b"ABORT", b"1"]);
+            kept = Some(client);
+        }
+        pass(200 * MS);
+        program.signal("CONT");
+        assert_eq!(other.health(), "GREEN");
+        pass(100 * MS);
+        drop(kept);
+        assert_eq!(came(own), "", "closes: {closes}");
+    }
+}
+
+/// What has come on a connection so far.
+fn came(mut stream: std::net::TcpStream) -> String {
+    use std::io::Read;
+    stream.set_nonblocking(true).unwrap();
+    let mut bytes = Vec::new();
+    let _ = stream.read_to_end(&mut bytes);
+    String::from_utf8_lossy(&bytes).into_owned()
+}
