--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -5,6 +5,7 @@
 mod clock_steps;
 mod crossings;
 mod customers;
+mod deadlines;
 mod fleet;
 mod local_failures;
 mod moments;
