--- a/crates/fleet/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -4,15 +4,15 @@
 //!
 //! ```
 //! let text = "faults {\n at 2s for 3s slow caches 1/8 by 4\n}\n";
-//! let (play, faults) = chalkhall_fleet::play::read_text(text);
+//! let (play, faults) = chalkhall_harness::play::read_text(text);
 //! assert!(faults.is_empty());
 //! assert_eq!(play.faults.len(), 1);
 //!
-//! let (_, faults) = chalkhall_fleet::play::read_text("work {\n secnds 4\n}\n");
+//! let (_, faults) = chalkhall_harness::play::read_text("work {\n secnds 4\n}\n");
 //! assert_eq!(faults[0].to_string(), "2:2: secnds is not a directive of work; seconds is");
 //! ```
 
-use chalkhall_directives::{Entry, Fault as FileFault, Table, values};
+use chalkhall_config::{Entry, Fault as FileFault, Table, values};
 use std::path::Path;
 use std::time::Duration;
 
@@ -294,11 +294,11 @@
 }
 
 pub fn read(path: &Path) -> (Play, Vec<FileFault>) {
-    chalkhall_directives::read_with(&PLAY, path)
+    chalkhall_config::read_with(&PLAY, path)
 }
 
 pub fn read_text(text: &str) -> (Play, Vec<FileFault>) {
-    chalkhall_directives::read_text_with(&PLAY, text)
+    chalkhall_config::read_text_with(&PLAY, text)
 }
 
 type Fails = (usize, String);
--- a/crates/wirehost/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,7 +4,7 @@
 use chalkhall::interface::{
     Arrival, Ended, Fill, Id, ListKind, Load, Member, Outcome, Outlet, Remark, Standing, Tier,
 };
-use chalkhall_deployment::{self as deployment, Fields, flag, ms, number, span, text, whole};
+use chalkhall_settings::{self as deployment, Fields, flag, ms, number, span, text, whole};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
@@ -255,7 +255,7 @@
             }
             // Routers neither probe nor tell one another anything.
             "ProbeDone" | "Message" => {}
-            other => eprintln!("chalkhall-wirehost: unknown event {other:?} skipped"),
+            other => eprintln!("chalkhall-simulator-adapter: unknown event {other:?} skipped"),
         }
         out.failed.take().map_or(Ok(()), Err)
     }
