--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -241,7 +241,7 @@
     let names: Vec<Bytes> = pieces.iter().map(|piece| piece.name()).collect();
     let disk = Disk::new();
     let files = disk.clone();
-    let take = move || Ok(Arc::new(files) as Arc<dyn Files>);
+    let take = move || Ok(Arc::new(files.clone()) as Arc<dyn Files>);
     let mut rig = Rig::on(take, 64 << 20, wanted(1 << 30), 4)?;
     if !rig.until(LONG, |rig| rig.is_ready()) {
         return Err("the store was not ready".into());
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -4,7 +4,7 @@
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, Wanted};
 use chalkhall_store::decide::{Part, Place, Store};
 use chalkhall_store::files::{Directory, Files};
-use chalkhall_store::threads::{End, Shelf, start};
+use chalkhall_store::threads::{End, NotTaken, Shelf, start};
 use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     pub fn open(path: &Path, memory: u64, wanted: Wanted, readers: usize) -> Result<Rig, String> {
         let path = path.to_path_buf();
         let take = move || {
-            let taken = Directory::take(&path).map_err(|what| format!("{}: {what}", path.display()))?;
+            let taken = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
             Ok(Arc::new(taken) as Arc<dyn Files>)
         };
         Rig::on(take, memory, wanted, readers)
@@ -37,7 +37,7 @@
 
     /// On any files.
     pub fn on(
-        take: impl FnOnce() -> Result<Arc<dyn Files>, String> + Send + 'static,
+        take: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
         memory: u64,
         wanted: Wanted,
         readers: usize,
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -35,7 +35,7 @@
         return Err(fail(&"there is no store here"));
     }
     let files: Arc<dyn Files> = Arc::new(Directory::take(path).map_err(|e| fail(&e))?);
-    let (catalogue, known, mut segments) = open(&*files, 0).map_err(|e| fail(&e))?;
+    let (catalogue, known, mut segments) = open(&files, 0, None).map_err(|e| fail(&e))?;
     segments.sort_unstable();
     let mut purges = Purges::default();
     known.marks.iter().for_each(|mark| purges.restore(*mark));
@@ -299,7 +299,7 @@
     };
     debug_assert!(group.is_none_or(|group| group_slot(group) < GROUPS));
     let written: Vec<Line> = marks.into_iter().map(Line::Purge).collect();
-    mark(&held.catalogue, &written).map_err(|f| Failure::new(format!("{f:?}")))?;
+    mark(&mut held.catalogue, &written).map_err(|f| Failure::new(format!("{f:?}")))?;
     let mut removed = 0;
     if all {
         for segment in held.segments.clone() {
--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -16,7 +16,7 @@
     let files = disk.clone();
     let wanted =
         Wanted { bytes: 64 << 20, segment: 1 << 20, least_fresh: Duration::ZERO, ..Wanted::default() };
-    let mut rig = Rig::on(move || Ok(Arc::new(files) as Arc<dyn Files>), 8 << 20, wanted, 2).unwrap();
+    let mut rig = Rig::on(move || Ok(Arc::new(files.clone()) as Arc<dyn Files>), 8 << 20, wanted, 2).unwrap();
     assert!(rig.until(LONG, |rig| rig.is_ready()));
     let piece = |object| Piece { object, part: 0 };
     let keep = |rig: &mut Rig, object| {
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -12,7 +12,7 @@
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, SEGMENTS_LEAST, Wanted};
 use chalkhall_store::decide::{Part, Place, Store};
 use chalkhall_store::files::{Directory, Files};
-use chalkhall_store::threads::{self, End, Shelf};
+use chalkhall_store::threads::{self, End, NotTaken, Shelf};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -68,7 +68,7 @@
             let wanted = wanted(wishes, *bytes, limit, usable)?;
             let path = path.clone();
             let take = move || {
-                let taken = Directory::take(&path).map_err(|what| format!("{}: {what}", path.display()))?;
+                let taken = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
                 Ok(Arc::new(taken) as Arc<dyn Files>)
             };
             let number = fastrand::u64(1..);
--- a/crates/store/src/catalogue/tests.rs
+++ b/crates/store/src/catalogue/tests.rs
@@ -1,15 +1,19 @@
 use super::*;
 use crate::stand_ins::{Disk, Faults};
 
+fn open(disk: &Disk, store: u64) -> Result<(Catalogue, Known), Unusable> {
+    Catalogue::open(Arc::new(disk.clone()), store, None)
+}
+
 #[test]
 fn what_was_written_down_is_known_after_a_crash() {
     let disk = Disk::new();
-    let (catalogue, known) = Catalogue::open(&disk, 77).unwrap();
+    let (mut catalogue, known) = open(&disk, 77).unwrap();
     assert_eq!((known.store, known.heard), (77, None));
     catalogue.write(&[Line::Purge(Mark::Object(1, 10)), Line::Purge(Mark::Group(3, 20))]).unwrap();
     catalogue.write(&[Line::Purge(Mark::Folded(1, 5, 10)), Line::Heard(30)]).unwrap();
     drop(catalogue);
-    let (_, known) = Catalogue::open(&disk.crashed(1), 5).unwrap();
+    let (_, known) = open(&disk.crashed(1), 5).unwrap();
     assert_eq!((known.store, known.heard), (77, Some(30)));
     assert_eq!(known.marks, [Mark::Folded(0, 5, 10), Mark::Group(3, 20)]);
 }
@@ -20,7 +24,7 @@
         let disk = Disk::new();
         disk.set(Faults { crash_at: Some(crash_at), ..Faults::default() });
         let mut written = 0;
-        if let Ok((catalogue, _)) = Catalogue::open(&disk, 77) {
+        if let Ok((mut catalogue, _)) = open(&disk, 77) {
             while written < 8 {
                 let lines = [Line::Purge(Mark::Object(written, written + 1)), Line::Heard(written + 1)];
                 if catalogue.write(&lines).is_err() {
@@ -31,7 +35,7 @@
         }
         for seed in 0..8 {
             let after = disk.crashed(crash_at * 100 + seed);
-            let (_, known) = Catalogue::open(&after, 77).unwrap_or_else(|e| panic!("{crash_at} {seed}: {e}"));
+            let (_, known) = open(&after, 77).unwrap_or_else(|e| panic!("{crash_at} {seed}: {e}"));
             let heard = known.heard.unwrap_or(0);
             assert!(heard >= written, "{crash_at} {seed}: {heard} of {written}");
             // A mark stands only with every purge before it.
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -9,6 +9,7 @@
 
 mod marks;
 mod reclaim;
+mod retry;
 mod serve;
 mod start;
 mod work;
@@ -25,6 +26,7 @@
 use crate::recovery::{Failed, Recovered};
 use chalkhall::control::Judged;
 use chalkhall_background::{Cost, Done, Kind, Rate, Scheduler};
+use retry::Retry;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,6 +56,12 @@
 const SYNC_AGAIN: Duration = Duration::from_millis(5);
 /// Between two words on how long discovery was heard.
 const HEARD_EVERY: Duration = Duration::from_secs(10);
+/// Purges that could not be written down are tried again after the first of these spans, which doubles with
+/// each failure up to the second; so are files that could not be removed, listed or read.
+const MARK_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+const FILE_RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
+/// A segment that is to be reclaimed goes without being listed after so many failures to list it.
+const LIST_FAILURES_MOST: u32 = 3;
 
 /// Kinds of background work, by their numbers.
 const RECLAIM: usize = 0;
@@ -240,6 +248,8 @@
 /// The segment that is being reclaimed.
 struct Reclaim {
     segment: u32,
+    /// Its state before.
+    was: State,
     todo: VecDeque<Entry>,
     /// Reads and writes of what is carried over that are not back yet.
     open: usize,
@@ -276,15 +286,28 @@
     /// Of each segment that is written: its records so far, and what of it waits to be synced.
     written: BTreeMap<u32, (Vec<Entry>, Unsynced)>,
     reclaim: Option<Reclaim>,
+    reclaim_retry: Retry,
+    /// Segments whose files could not be removed, and such as could not be read: tried again, one at a time.
+    unremoved: VecDeque<u32>,
+    remove_retry: Retry,
+    removing_again: bool,
+    unread: VecDeque<u32>,
+    read_retry: Retry,
+    reading_again: bool,
     to_recover: VecDeque<u32>,
     recovering: usize,
     /// Purges before this are told by what is known at the start; up to when discovery was heard in earlier
     /// lives.
     known_since: u64,
     heard_before: Option<u64>,
-    clock_went_back: bool,
+    /// Segments up to these numbers hold copies of which a purge may have been missed, and copies whose times
+    /// were told by another clock.
+    uncovered: u32,
+    undated: u32,
     unmarked: Vec<Line>,
     marking: Option<Vec<Line>>,
+    mark_retry: Retry,
+    mark_due: bool,
     /// A purge could not be written down: of this life no more is said than was.
     mute: bool,
     heard: Option<u64>,
@@ -339,13 +362,23 @@
             demoting_bytes: 0,
             written: BTreeMap::new(),
             reclaim: None,
+            reclaim_retry: Retry::new(FILE_RETRY),
+            unremoved: VecDeque::new(),
+            remove_retry: Retry::new(FILE_RETRY),
+            removing_again: false,
+            unread: VecDeque::new(),
+            read_retry: Retry::new(FILE_RETRY),
+            reading_again: false,
             to_recover: VecDeque::new(),
             recovering: 0,
             known_since: start_ms.saturating_sub(wanted.known_purges.as_millis() as u64),
             heard_before: None,
-            clock_went_back: false,
+            uncovered: 0,
+            undated: 0,
             unmarked: Vec::new(),
             marking: None,
+            mark_retry: Retry::new(MARK_RETRY),
+            mark_due: false,
             mute: false,
             heard: None,
             heard_said: now,
--- a/crates/store/src/decide/disk/reclaim.rs
+++ b/crates/store/src/decide/disk/reclaim.rs
@@ -8,9 +8,12 @@
         let Some(segment) = victim.filter(|segment| out.list(*segment)) else {
             return self.work.done(RECLAIM, Cost::default());
         };
+        let was = self.segments.get(segment).map_or(State::Failed, |found| found.state);
         self.segments.set(segment, State::Reclaimed);
-        let (todo, into) = (VecDeque::new(), HashSet::new());
-        self.reclaim = Some(Reclaim { segment, todo, open: 1, into, removing: false });
+        // A copy here that was said to outlive a crash may be replaced by one that is not synced yet.
+        let into = self.written.iter().filter(|(_, (_, unsynced))| unsynced.bytes > 0).map(|(n, _)| *n);
+        let (todo, into) = (VecDeque::new(), into.collect());
+        self.reclaim = Some(Reclaim { segment, was, todo, open: 1, into, removing: false });
     }
 
     /// What the segment that is reclaimed lists. The best of what is still wanted is carried over, within a
@@ -24,6 +27,16 @@
         out: &mut dyn Outlet,
     ) {
         let Some(mut reclaim) = self.reclaim.take_if(|reclaim| reclaim.segment == segment) else { return };
+        if matches!(result, Err(Fault::Io(_) | Fault::Full)) {
+            self.reclaim_retry.failed();
+            if self.reclaim_retry.failures() < LIST_FAILURES_MOST {
+                // What it holds may outlive the trouble: it stays, and is listed again later.
+                self.counts.read_faults += 1;
+                self.segments.set(segment, reclaim.was);
+                return self.work.done(RECLAIM, Cost::default());
+            }
+        }
+        self.reclaim_retry.succeeded();
         reclaim.open -= 1;
         let mut wanted = Vec::new();
         for entry in result.unwrap_or_default() {
@@ -131,6 +144,9 @@
     }
 
     pub fn removed(&mut self, now: Duration, segment: u32, result: Result<(), Fault>, out: &mut dyn Outlet) {
+        if self.removing_again && self.unremoved.front() == Some(&segment) {
+            return self.removed_again(result);
+        }
         if self.reclaim.take_if(|reclaim| reclaim.segment == segment).is_none() {
             return;
         }
@@ -140,12 +156,28 @@
         self.segments.removed(segment);
         match result {
             Ok(()) => self.counts.reclaimed += 1,
-            // Its file may still be there: nothing leads to it, and it takes its place until the next start.
+            // Its file may still be there: nothing leads to it, and it takes its place until it is removed.
             Err(_) => {
                 self.counts.write_faults += 1;
                 self.segments.most = self.segments.most.saturating_sub(1);
+                self.unremoved.push_back(segment);
+                self.remove_retry.failed();
             }
         }
         self.reclaim_on(now, out);
     }
+
+    /// A removal that had failed was tried again.
+    fn removed_again(&mut self, result: Result<(), Fault>) {
+        self.removing_again = false;
+        if result.is_err() {
+            self.remove_retry.failed();
+            // Another one goes first next time.
+            return self.unremoved.rotate_left(1);
+        }
+        self.unremoved.pop_front();
+        self.remove_retry.succeeded();
+        self.segments.most += 1;
+        self.counts.reclaimed += 1;
+    }
 }
--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -8,17 +8,38 @@
         self.store = known.store;
         known.marks.iter().for_each(|mark| purges.restore(*mark));
         self.heard_before = known.heard;
-        // A clock that was set back says neither how old a copy is nor what happened meanwhile.
-        self.clock_went_back = known.heard.is_some_and(|heard| heard > self.start_ms);
+        (self.uncovered, self.undated) = (known.uncovered, known.undated);
         let mut segments = segments;
         segments.sort_unstable();
-        segments.last().into_iter().for_each(|last| self.segments.number_from(*last));
+        if let Some(last) = segments.last().copied() {
+            self.segments.number_from(last);
+            self.limit_trust(known, last);
+        }
         // The newest first: what was written last was wanted last.
         self.to_recover = segments.into_iter().rev().collect();
         self.phase = Phase::Recovering;
         self.recover(out);
     }
 
+    /// Writes down, before any word of this life on discovery, up to which segment what that word says does
+    /// not count: purges were missed in a gap before this start, or times were told by another clock.
+    fn limit_trust(&mut self, known: &Known, last: u32) {
+        // A clock that was stepped says neither how old a copy is nor what happened meanwhile.
+        if known.clock_stepped || known.heard.is_some_and(|heard| heard > self.start_ms) {
+            self.undated = self.undated.max(last);
+            self.unmarked.insert(0, Line::Undated(last));
+        }
+        if !self.is_gap_covered() {
+            self.uncovered = self.uncovered.max(last);
+            self.unmarked.insert(0, Line::Uncovered(last));
+        }
+    }
+
+    /// What is known at this start reaches back to when discovery was last heard.
+    fn is_gap_covered(&self) -> bool {
+        self.heard_before.is_some_and(|heard| heard >= self.known_since)
+    }
+
     /// The directory cannot be used: nothing is read from it or written to it.
     pub fn refused(&mut self, why: String) {
         self.phase = Phase::Refused(why);
@@ -41,10 +62,9 @@
     }
 
     /// Nothing that was told up to now can have been missed since this copy was made.
-    pub(super) fn is_proven(&self, made: u64) -> bool {
-        let covered =
-            self.heard_before.is_some_and(|heard| heard >= self.known_since) || made >= self.known_since;
-        covered && !self.clock_went_back && made <= self.start_ms
+    pub(super) fn is_proven(&self, segment: u32, made: u64) -> bool {
+        let covered = self.is_gap_covered() && segment > self.uncovered || made >= self.known_since;
+        covered && segment > self.undated && made <= self.start_ms
     }
 
     pub fn recovered(
@@ -55,9 +75,19 @@
         purges: &Purges,
         out: &mut dyn Outlet,
     ) {
-        self.recovering = self.recovering.saturating_sub(1);
+        let again = self.unread.front() == Some(&segment) && self.reading_again;
+        if again {
+            self.reading_again = false;
+        } else {
+            self.recovering = self.recovering.saturating_sub(1);
+        }
         match found {
             Ok(found) => {
+                if again {
+                    self.unread.pop_front();
+                    self.read_retry.succeeded();
+                    self.segments.most += 1;
+                }
                 self.segments.found(segment, found.class as usize, found.end, now);
                 self.counts.damaged += found.damaged;
                 self.counts.torn_bytes += found.torn;
@@ -69,20 +99,54 @@
                     self.segments.set(segment, State::Failed);
                 }
             }
-            // What cannot be read, or is another version's, is left alone, and takes its place.
-            Err(_) => {
+            Err(Failed::Io(_)) => self.could_not_read(segment, again),
+            // What is another version's is left alone, and takes its place.
+            Err(Failed::Version(_)) => {
                 self.counts.foreign += 1;
-                self.segments.most = self.segments.most.saturating_sub(1);
+                if again {
+                    self.unread.pop_front();
+                } else {
+                    self.segments.most = self.segments.most.saturating_sub(1);
+                }
             }
         }
+        if again && self.counts.unproven > 0 {
+            self.seeking.get_or_insert((3, 0));
+        }
         self.recover(out);
     }
 
+    /// A segment that the system could not read takes its place, and is read again later: what it holds may
+    /// have been said to outlive a crash.
+    fn could_not_read(&mut self, segment: u32, again: bool) {
+        self.read_retry.failed();
+        if again {
+            // Another one goes first next time.
+            self.unread.rotate_left(1);
+            return;
+        }
+        self.counts.read_faults += 1;
+        self.segments.most = self.segments.most.saturating_sub(1);
+        self.unread.push_back(segment);
+    }
+
+    /// Tries again what failed at files: one removal and one reading at a time.
+    pub(super) fn retry_files(&mut self, now: Duration, out: &mut dyn Outlet) {
+        let unremoved = self.unremoved.front().copied().filter(|_| !self.removing_again);
+        if let Some(segment) = unremoved.filter(|_| self.remove_retry.is_due(now)) {
+            self.removing_again = out.remove(segment);
+        }
+        let unread = self.unread.front().copied().filter(|_| !self.reading_again);
+        if let Some(segment) = unread.filter(|_| self.read_retry.is_due(now)) {
+            self.reading_again = out.recover(segment);
+        }
+    }
+
     pub(super) fn take_back(&mut self, segment: u32, entry: Entry, purges: &Purges) -> bool {
         if !purges.survives(entry.object, entry.group as usize, entry.made) {
             return false;
         }
-        let proven = self.is_proven(entry.made);
+        let proven = self.is_proven(segment, entry.made);
         if !proven && self.wanted.revalidate <= 0.0 {
             self.counts.dropped_unproven += 1;
             return false;
--- a/crates/store/src/decide/disk/work.rs
+++ b/crates/store/src/decide/disk/work.rs
@@ -20,7 +20,8 @@
         if !matches!(self.phase, Phase::Recovering | Phase::Ready) {
             return;
         }
-        self.mark(out);
+        self.mark_on(now, out);
+        self.retry_files(now, out);
         self.sync(now, out, false);
         if now >= self.heard_said + HEARD_EVERY {
             self.say_heard(now, out);
@@ -40,13 +41,17 @@
         let waits = self.written.values().filter(|(_, unsynced)| unsynced.under_way.is_none());
         let syncs =
             waits.filter_map(|(_, u)| Some((u.since? + self.wanted.sync_after).max(now + SYNC_AGAIN)));
-        self.work.next_look(now).into_iter().chain(syncs).min()
+        let retries = [&self.mark_retry, &self.reclaim_retry, &self.remove_retry, &self.read_retry];
+        let retries =
+            retries.into_iter().filter_map(|retry| retry.due()).map(|due| due.max(now + SYNC_AGAIN));
+        self.work.next_look(now).into_iter().chain(syncs).chain(retries).min()
     }
 
     pub(super) fn offer(&mut self, now: Duration) {
         let none = |work: &Scheduler, kind| work.held(kind) == (0, 0);
         let one = Cost { operations: 1.0, ..Cost::default() };
         let short = self.segments.free() <= RESERVE || self.index.is_full();
+        let short = short && self.reclaim_retry.is_due(now);
         if short && self.reclaim.is_none() && none(&self.work, RECLAIM) && self.segments.victim(now).is_some()
         {
             self.work.offer(now, RECLAIM, one);
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -193,6 +193,12 @@
                 if self.segments.get(spot.segment).is_some_and(|s| s.state == State::Open) {
                     self.segments.set(spot.segment, State::Failed);
                 }
+                // What was to be carried over goes with its segment.
+                let reclaimed = self.reclaim.as_ref().map(|reclaim| reclaim.segment);
+                let held = self.index.get(key).map(|held| held.segment);
+                if carried && held.is_some() && held == reclaimed {
+                    self.forget(key, out);
+                }
             }
         }
         if carried {
@@ -222,7 +228,8 @@
     ) {
         let sealed = result.is_ok();
         self.settle_sync(now, segment, up_to, sealed, out);
-        if sealed {
+        // One that failed meanwhile stays so: it goes first.
+        if sealed && self.segments.get(segment).is_some_and(|s| s.state == State::Sealing) {
             self.segments.set(segment, State::Sealed);
         }
         self.written.remove(&segment);
--- a/crates/store/src/hands.rs
+++ b/crates/store/src/hands.rs
@@ -1,5 +1,6 @@
 //! Carries out orders on files. May block; runs on threads of its own, or in a test's turn.
 
+use crate::boot_clock::BootClock;
 use crate::catalogue::{Catalogue, Known, Line, Unusable};
 use crate::copy::Copy;
 use crate::decide::disk::Fault;
@@ -8,6 +9,7 @@
 use crate::recovery::{Failed, Recovered, listed, recover, seal};
 use bytes::Bytes;
 use lru::LruCache;
+use std::collections::HashMap;
 use std::io;
 use std::num::NonZeroUsize;
 use std::sync::Arc;
@@ -33,10 +35,15 @@
     }
 }
 
-/// Opens a directory: its catalogue, what that knows, and the numbers of its segments.
-pub fn open(files: &dyn Files, store: u64) -> Result<(Catalogue, Known, Vec<u32>), Unusable> {
-    let (catalogue, known) = Catalogue::open(files, store)?;
-    let names = files.list().map_err(|e| Unusable::Other(e.to_string()))?;
+/// Opens a directory: its catalogue, what that knows, and the numbers of its segments. `clock` as for
+/// `Catalogue::open`.
+pub fn open(
+    files: &Arc<dyn Files>,
+    store: u64,
+    clock: Option<BootClock>,
+) -> Result<(Catalogue, Known, Vec<u32>), Unusable> {
+    let (catalogue, known) = Catalogue::open(files.clone(), store, clock)?;
+    let names = files.list().map_err(Unusable::Io)?;
     Ok((catalogue, known, names.iter().filter_map(|name| number(name)).collect()))
 }
 
@@ -45,11 +52,23 @@
     files: Arc<dyn Files>,
     store: u64,
     open: LruCache<u32, Arc<dyn File>>,
+    /// Segments of which something failed, until they are removed: what an order said to follow it must not
+    /// be taken for whole.
+    broken: HashMap<u32, Broken>,
+}
+
+/// What may still be done to a segment of which something failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Broken {
+    /// A record was not written: those before it can be synced, but none is added and no footer lists them.
+    Unwritten,
+    /// A sync failed, or the segment's name may not last: no later sync proves anything.
+    Unsynced,
 }
 
 impl Hands {
     pub fn new(files: Arc<dyn Files>, store: u64) -> Hands {
-        Hands { files, store, open: LruCache::new(OPEN_MOST) }
+        Hands { files, store, open: LruCache::new(OPEN_MOST), broken: HashMap::new() }
     }
 
     fn file(&mut self, segment: u32) -> io::Result<Arc<dyn File>> {
@@ -104,33 +123,75 @@
         seal(&*file, self.store, segment, &found).map_err(fault)
     }
 
+    /// Makes a segment's file and sees to it that its name lasts. After an error nothing is written to it.
     pub fn begin(&mut self, segment: u32, class: u32) -> Result<(), Fault> {
-        let file = self.files.create(&name(segment)).map_err(fault)?;
-        file.write_at(&segment_head(self.store, segment, class), 0).map_err(fault)?;
-        self.files.sync_names().map_err(fault)?;
+        let begun = self.begin_file(segment, class);
+        self.note(segment, Broken::Unsynced, begun)
+    }
+
+    fn begin_file(&mut self, segment: u32, class: u32) -> io::Result<()> {
+        let file = self.files.create(&name(segment))?;
+        file.write_at(&segment_head(self.store, segment, class), 0)?;
+        self.files.sync_names()?;
         self.open.put(segment, file);
         Ok(())
     }
 
     pub fn append(&mut self, segment: u32, at: u32, record: &[u8]) -> Result<(), Fault> {
-        self.file(segment).and_then(|file| file.write_at(record, u64::from(at))).map_err(fault)
+        self.refuse_broken(segment, &[Broken::Unwritten, Broken::Unsynced])?;
+        let written = self.file(segment).and_then(|file| file.write_at(record, u64::from(at)));
+        self.note(segment, Broken::Unwritten, written)
     }
 
     pub fn sync(&mut self, segment: u32) -> Result<(), Fault> {
-        self.file(segment).and_then(|file| file.sync()).map_err(fault)
+        self.refuse_broken(segment, &[Broken::Unsynced])?;
+        let synced = self.file(segment).and_then(|file| file.sync());
+        self.note(segment, Broken::Unsynced, synced)
     }
 
+    /// A footer vouches for every record that it lists: one that was not written must not stand in it, where
+    /// it would hide an older one of the same part.
     pub fn seal(&mut self, segment: u32, at: u32, footer: &[u8]) -> Result<(), Fault> {
-        let file = self.file(segment).map_err(fault)?;
-        file.write_at(footer, u64::from(at)).and_then(|()| file.sync()).map_err(fault)
+        self.refuse_broken(segment, &[Broken::Unwritten, Broken::Unsynced])?;
+        let sealed = self.file(segment).and_then(|file| {
+            file.write_at(footer, u64::from(at))?;
+            file.sync()
+        });
+        self.note(segment, Broken::Unsynced, sealed)
     }
 
+    /// Removes a segment's file. One that is not there is removed already, or never was made.
     pub fn remove(&mut self, segment: u32) -> Result<(), Fault> {
         self.open.pop(&segment);
-        self.files.remove(&name(segment)).and_then(|()| self.files.sync_names()).map_err(fault)
+        let removed = match self.files.remove(&name(segment)) {
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
+            removed => removed,
+        };
+        removed.and_then(|()| self.files.sync_names()).map_err(fault)?;
+        self.broken.remove(&segment);
+        Ok(())
+    }
+
+    fn refuse_broken(&self, segment: u32, refused: &[Broken]) -> Result<(), Fault> {
+        match self.broken.get(&segment) {
+            Some(broken) if refused.contains(broken) => {
+                Err(Fault::Io("an earlier write or sync failed".into()))
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn note(&mut self, segment: u32, broken: Broken, result: io::Result<()>) -> Result<(), Fault> {
+        if result.is_err() {
+            self.broken.insert(segment, broken);
+        }
+        result.map_err(fault)
     }
 }
 
-pub fn mark(catalogue: &Catalogue, lines: &[Line]) -> Result<(), Fault> {
+pub fn mark(catalogue: &mut Catalogue, lines: &[Line]) -> Result<(), Fault> {
     catalogue.write(lines).map_err(|what| Fault::Io(what.to_string()))
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -5,6 +5,7 @@
 //! is the file layer, `hands` carries out orders on it, `threads` does so beside the router. `stand_ins` is a
 //! disk that fails as told.
 
+pub mod boot_clock;
 pub mod catalogue;
 pub mod copy;
 pub mod decide;
--- a/crates/store/src/stand_ins/disk.rs
+++ b/crates/store/src/stand_ins/disk.rs
@@ -5,6 +5,7 @@
 use crate::files::{File, Files};
 use std::collections::BTreeMap;
 use std::io;
+use std::ops::Range;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 
 const SECTOR: usize = 512;
@@ -30,13 +31,14 @@
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     operations: u64,
+    calls: u64,
     written: u64,
     faults: Faults,
     hung: bool,
 }
 
 /// What goes wrong, and when. Operations are counted from 1: creations, removals, writes, truncations and
-/// syncs.
+/// syncs. Calls are counted from 1 as well, and include what only reads: listings, opens, lengths, reads.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// From this operation on the disk is gone: every call fails.
@@ -45,8 +47,15 @@
     pub syncs_fail: bool,
     pub writes_fail: bool,
     pub reads_fail: bool,
+    pub removals_fail: bool,
     /// All files together hold so many bytes at the most.
     pub room: Option<u64>,
+    /// Every call whose number is in this range fails.
+    pub failing_calls: Range<u64>,
+    /// The error number of the system that failing calls return; without one, an error of no kind.
+    pub error_number: Option<i32>,
+    /// A failed sync also evicts the file from the page cache: reads see what is on the disk.
+    pub evicts: bool,
 }
 
 /// The disk itself; clones share it.
@@ -98,6 +107,11 @@
         (state.operations, state.written)
     }
 
+    /// How many calls there were, those that only read included.
+    pub fn calls(&self) -> u64 {
+        self.state().calls
+    }
+
     /// The disk as it may be found after a crash at this moment.
     pub fn crashed(&self, seed: u64) -> Disk {
         let mut chance = fastrand::Rng::with_seed(seed);
@@ -178,6 +192,41 @@
     Content { durable: bytes.clone(), seen: bytes, pending: Vec::new() }
 }
 
+impl Content {
+    /// Makes durable what was written since the last sync, and nothing that an earlier failed sync dropped.
+    fn sync(&mut self) {
+        for change in std::mem::take(&mut self.pending) {
+            change.apply(&mut self.durable);
+        }
+    }
+
+    /// A sync that fails as real systems do: what could not be written is forgotten, and the next sync says
+    /// that all is well.
+    fn fail_sync(&mut self, evicts: bool) {
+        self.pending.clear();
+        if evicts {
+            self.seen = self.durable.clone();
+        }
+    }
+}
+
+impl Change {
+    fn apply(&self, bytes: &mut Vec<u8>) {
+        match self {
+            Change::Truncate(length) => bytes.resize(*length as usize, 0),
+            Change::Write { at, bytes: new } => write_into(bytes, *at as usize, new),
+        }
+    }
+}
+
+fn write_into(bytes: &mut Vec<u8>, at: usize, new: &[u8]) {
+    let end = at + new.len();
+    if bytes.len() < end {
+        bytes.resize(end, 0);
+    }
+    bytes[at..end].copy_from_slice(new);
+}
+
 impl State {
     /// Counts an operation, which may be the one at which the disk is gone.
     fn operate(&mut self) -> io::Result<()> {
@@ -185,17 +234,28 @@
         self.alive()
     }
 
-    fn alive(&self) -> io::Result<()> {
-        match self.faults.crash_at {
-            Some(at) if self.operations >= at => Err(failed("crashed")),
+    /// Counts a call, which may be one of those that fail.
+    fn alive(&mut self) -> io::Result<()> {
+        self.calls += 1;
+        match self.has_crashed() {
+            true => Err(failed("crashed")),
+            _ if self.faults.failing_calls.contains(&self.calls) => Err(self.error()),
             _ => Ok(()),
         }
     }
+
+    fn has_crashed(&self) -> bool {
+        self.faults.crash_at.is_some_and(|at| self.operations >= at)
+    }
+
+    fn error(&self) -> io::Error {
+        self.faults.error_number.map_or_else(|| failed("call failed"), io::Error::from_raw_os_error)
+    }
 }
 
 impl Files for Disk {
     fn list(&self) -> io::Result<Vec<String>> {
-        let state = self.awake();
+        let mut state = self.awake();
         state.alive()?;
         Ok(state.names.keys().cloned().collect())
     }
@@ -213,7 +273,7 @@
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        let state = self.awake();
+        let mut state = self.awake();
         state.alive()?;
         let file = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(Arc::new(Handle { disk: self.clone(), file }))
@@ -222,6 +282,9 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.awake();
         state.operate()?;
+        if state.faults.removals_fail {
+            return Err(failed("removal failed"));
+        }
         state.names.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
@@ -246,13 +309,13 @@
 
 impl File for Handle {
     fn length(&self) -> io::Result<u64> {
-        let state = self.disk.awake();
+        let mut state = self.disk.awake();
         state.alive()?;
         Ok(state.files[self.file].seen.len() as u64)
     }
 
     fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize> {
-        let state = self.disk.awake();
+        let mut state = self.disk.awake();
         state.alive()?;
         if state.faults.reads_fail {
             return Err(failed("read failed"));
@@ -279,10 +342,7 @@
         }
         state.written += bytes.len() as u64;
         let content = &mut state.files[self.file];
-        if content.seen.len() < end {
-            content.seen.resize(end, 0);
-        }
-        content.seen[at as usize..end].copy_from_slice(bytes);
+        write_into(&mut content.seen, at as usize, bytes);
         content.pending.push(Change::Write { at, bytes: bytes.to_vec() });
         Ok(())
     }
@@ -298,16 +358,17 @@
 
     fn sync(&self) -> io::Result<()> {
         let mut state = self.disk.awake();
-        state.operate()?;
-        if state.faults.syncs_fail {
-            // As real systems do: what could not be written is forgotten, and the next sync says that all is
-            // well.
-            state.files[self.file].pending.clear();
+        let alive = state.operate();
+        let (fails, evicts, crashed) = (state.faults.syncs_fail, state.faults.evicts, state.has_crashed());
+        let content = &mut state.files[self.file];
+        if !crashed && (fails || alive.is_err()) {
+            content.fail_sync(evicts);
+        }
+        alive?;
+        if fails {
             return Err(failed("sync failed"));
         }
-        let content = &mut state.files[self.file];
-        content.durable = content.seen.clone();
-        content.pending.clear();
+        content.sync();
         Ok(())
     }
 }
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -1,7 +1,8 @@
 //! A store with hands but no threads: orders wait in a row and are carried out one at a time, when told to.
 //! What the store says of its copies is written down, to be held against what is found.
 
-use crate::catalogue::{Catalogue, Line};
+use crate::boot_clock::BootClock;
+use crate::catalogue::{Catalogue, Line, Unusable};
 use crate::copy::Copy;
 use crate::decide::disk::{Disk as Tier, Fetched, Outlet, Wanted};
 use crate::decide::{Part, Place, Store};
@@ -13,6 +14,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Until a directory that could not be opened is opened again.
+const OPEN_AGAIN: Duration = Duration::from_secs(1);
+
 enum Job {
     Read(u64, u32, u32, u32),
     List(u32),
@@ -97,27 +101,43 @@
     pub now: Duration,
     start_ms: u64,
     hands: Option<(Hands, Catalogue)>,
+    /// What is opened again, and when, as long as the system fails that.
+    opening: Option<(Arc<dyn Files>, Option<BootClock>, Duration)>,
 }
 
 impl Driver {
     /// Starts at this Unix millisecond. The directory is opened at once; what it holds is read as orders are
     /// carried out.
     pub fn start(files: Arc<dyn Files>, memory: u64, wanted: Wanted, start_ms: u64) -> Driver {
+        Driver::start_with_clock(files, memory, wanted, start_ms, None)
+    }
+
+    /// As `start`, where it is known how the wall clock stands to the machine's own.
+    pub fn start_with_clock(
+        files: Arc<dyn Files>,
+        memory: u64,
+        wanted: Wanted,
+        start_ms: u64,
+        clock: Option<BootClock>,
+    ) -> Driver {
         let now = Duration::from_secs(1000);
-        let mut store = Store::new(memory, Some(Tier::new(wanted, now, start_ms)));
-        let mut orders = Orders::default();
-        let hands = match hands::open(&*files, 0xc0ffee) {
+        let store = Store::new(memory, Some(Tier::new(wanted, now, start_ms)));
+        let orders = Orders::default();
+        let mut driver = Driver { store, orders, now, start_ms, hands: None, opening: None };
+        driver.open(files, clock);
+        driver
+    }
+
+    /// Opens the directory. What the system fails is tried again later, as the threads do.
+    fn open(&mut self, files: Arc<dyn Files>, clock: Option<BootClock>) {
+        match hands::open(&files, 0xc0ffee, clock) {
             Ok((catalogue, known, segments)) => {
-                let hands = Hands::new(files, known.store);
-                store.opened(&known, segments, &mut orders);
-                Some((hands, catalogue))
+                self.hands = Some((Hands::new(files, known.store), catalogue));
+                self.store.opened(&known, segments, &mut self.orders);
             }
-            Err(why) => {
-                store.disk_mut().into_iter().for_each(|disk| disk.refused(why.to_string()));
-                None
-            }
-        };
-        Driver { store, orders, now, start_ms, hands }
+            Err(Unusable::Io(_)) => self.opening = Some((files, clock, self.now + OPEN_AGAIN)),
+            Err(why) => self.store.disk_mut().into_iter().for_each(|disk| disk.refused(why.to_string())),
+        }
     }
 
     pub fn unix_ms(&self) -> u64 {
@@ -161,6 +181,9 @@
         let end = self.now + span;
         while self.now < end {
             self.now = (self.now + step).min(end);
+            if let Some((files, clock, _)) = self.opening.take_if(|(_, _, due)| self.now >= *due) {
+                self.open(files, clock);
+            }
             self.store.tick(self.now, &mut self.orders);
             self.settle();
         }
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -1,7 +1,8 @@
 //! The threads that touch the disk, each behind a bounded mailbox. Whoever orders never waits for them: a
 //! mailbox that is full takes nothing, and a disk that hangs holds up its own threads alone.
 
-use crate::catalogue::{Catalogue, Known, Line};
+use crate::boot_clock::BootClock;
+use crate::catalogue::{Catalogue, Known, Line, Unusable};
 use crate::copy::Copy;
 use crate::decide::Store;
 use crate::decide::disk::{Fault, Fetched, Outlet, Phase};
@@ -11,8 +12,10 @@
 use crate::key::Key;
 use crate::recovery::{Failed, Recovered};
 use bytes::Bytes;
+use std::io;
+use std::path::Path;
 use std::sync::Arc;
-use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::thread;
 use std::time::Duration;
 use tokio::sync::mpsc::{Sender, channel};
@@ -24,18 +27,49 @@
 const RECOVERS_MOST: usize = 8;
 /// What ended and has not been heard of: as many as can be out.
 const ENDS_MOST: usize = 2048;
+/// A directory that cannot be opened is tried again after this span, which doubles up to the longest.
+const OPEN_RETRY_FIRST: Duration = Duration::from_secs(1);
+const OPEN_RETRY_LONGEST: Duration = Duration::from_secs(30);
 
 /// How an order ended.
 pub enum End {
-    Opened { known: Known, segments: Vec<u32> },
+    Opened {
+        known: Known,
+        segments: Vec<u32>,
+    },
+    /// The system failed the opening; it is tried again.
+    NotOpenedYet(String),
     Refused(String),
-    Read { ticket: u64, result: Result<(Copy, u8), Fault> },
-    Listed { segment: u32, result: Result<Vec<Entry>, Fault> },
-    Recovered { segment: u32, result: Result<Recovered, Failed> },
-    Appended { ticket: u64, result: Result<(), Fault> },
-    Synced { segment: u32, up_to: u32, result: Result<(), Fault> },
-    Sealed { segment: u32, at: u32, result: Result<(), Fault> },
-    Removed { segment: u32, result: Result<(), Fault> },
+    Read {
+        ticket: u64,
+        result: Result<(Copy, u8), Fault>,
+    },
+    Listed {
+        segment: u32,
+        result: Result<Vec<Entry>, Fault>,
+    },
+    Recovered {
+        segment: u32,
+        result: Result<Recovered, Failed>,
+    },
+    Appended {
+        ticket: u64,
+        result: Result<(), Fault>,
+    },
+    Synced {
+        segment: u32,
+        up_to: u32,
+        result: Result<(), Fault>,
+    },
+    Sealed {
+        segment: u32,
+        at: u32,
+        result: Result<(), Fault>,
+    },
+    Removed {
+        segment: u32,
+        result: Result<(), Fault>,
+    },
     Marked(Result<(), Fault>),
 }
 
@@ -59,14 +93,38 @@
     next: usize,
 }
 
+/// Why the files of a store cannot be had.
+#[derive(Debug)]
+pub enum NotTaken {
+    /// It may pass: the opening is tried again.
+    Io(String),
+    Refused(String),
+}
+
+impl NotTaken {
+    /// Of an error of the system: what only another hand can mend is not tried again.
+    pub fn of(path: &Path, error: &io::Error) -> NotTaken {
+        let what = format!("{}: {error}", path.display());
+        match error.kind() {
+            io::ErrorKind::ResourceBusy | io::ErrorKind::PermissionDenied | io::ErrorKind::NotADirectory => {
+                NotTaken::Refused(what)
+            }
+            _ => NotTaken::Io(what),
+        }
+    }
+}
+
 /// Opens a directory on a thread of its own and starts the others once it is open. `take` gives the files,
-/// which may itself take a while. Every end comes through the receiver, the opening's first.
+/// which may itself take a while. Where the system fails that, it is tried again, with backoff. Every end comes
+/// through the receiver, the opening's first.
 pub fn start(
-    take: impl FnOnce() -> Result<Arc<dyn Files>, String> + Send + 'static,
+    mut take: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
     store: u64,
     readers: usize,
-) -> std::io::Result<(Threads, tokio::sync::mpsc::Receiver<End>)> {
+) -> io::Result<(Threads, tokio::sync::mpsc::Receiver<End>)> {
     let (ends, receiver) = channel(ENDS_MOST);
+    // Read here, as close as can be to the start that the store's times are compared with.
+    let clock = BootClock::read();
     // The threads wait for the files, each behind its mailbox, so that all orders can be given from the
     // start.
     let (readers, reads): (Vec<_>, Vec<_>) = (0..readers.max(1)).map(|_| sync_channel(READS_MOST)).unzip();
@@ -79,14 +137,8 @@
     spawn(
         "open",
         Box::new(move || {
-            let opened = take().and_then(|files| {
-                let found = hands::open(&*files, store).map_err(|what| what.to_string())?;
-                Ok((files, found))
-            });
-            let (files, (catalogue, known, segments)) = match opened {
-                Ok(opened) => opened,
-                Err(why) => return drop(ends.blocking_send(End::Refused(why))),
-            };
+            let opened = open(&mut take, store, clock, &marks, &ends);
+            let Some((files, (catalogue, known, segments))) = opened else { return };
             let store = known.store;
             let _ = ends.blocking_send(End::Opened { known, segments });
             let jobs = reads.into_iter().chain([writes, recovers]);
@@ -105,6 +157,41 @@
     Ok((Threads { readers, writer, recoverer, marker, next: 0 }, receiver))
 }
 
+type OpenDirectory = (Arc<dyn Files>, (Catalogue, Known, Vec<u32>));
+
+/// Takes and opens the files, as often as that fails for a while. None: it was refused, or nobody waits for it
+/// any more.
+fn open(
+    take: &mut dyn FnMut() -> Result<Arc<dyn Files>, NotTaken>,
+    store: u64,
+    clock: Option<BootClock>,
+    marks: &Receiver<Vec<Line>>,
+    ends: &Sender<End>,
+) -> Option<OpenDirectory> {
+    let mut wait = OPEN_RETRY_FIRST;
+    loop {
+        let opened = take().and_then(|files| match hands::open(&files, store, clock) {
+            Ok(found) => Ok((files, found)),
+            Err(Unusable::Io(error)) => Err(NotTaken::Io(error.to_string())),
+            Err(what) => Err(NotTaken::Refused(what.to_string())),
+        });
+        let why = match opened {
+            Ok(opened) => return Some(opened),
+            Err(NotTaken::Io(why)) => why,
+            Err(NotTaken::Refused(why)) => {
+                let _ = ends.blocking_send(End::Refused(why));
+                return None;
+            }
+        };
+        ends.blocking_send(End::NotOpenedYet(why)).ok()?;
+        // Nothing is written down before the store is open: this wait ends early only with its owner.
+        if marks.recv_timeout(wait) != Err(RecvTimeoutError::Timeout) {
+            return None;
+        }
+        wait = (wait * 2).min(OPEN_RETRY_LONGEST);
+    }
+}
+
 /// Lets go of the files before it says, by dropping `ends`, that it has ended: the next may take them at
 /// once.
 fn work(jobs: Receiver<Job>, ends: Sender<End>, mut hands: Hands) {
@@ -137,9 +224,9 @@
     }
 }
 
-fn write_down(marks: Receiver<Vec<Line>>, ends: Sender<End>, catalogue: Catalogue) {
+fn write_down(marks: Receiver<Vec<Line>>, ends: Sender<End>, mut catalogue: Catalogue) {
     while let Ok(lines) = marks.recv() {
-        if ends.blocking_send(End::Marked(hands::mark(&catalogue, &lines))).is_err() {
+        if ends.blocking_send(End::Marked(hands::mark(&mut catalogue, &lines))).is_err() {
             return;
         }
     }
@@ -212,6 +299,9 @@
                 log::info!(segments = segments.len(); "store: opened");
                 store.opened(&known, segments, self);
             }
+            End::NotOpenedYet(why) => {
+                log::warn!("store: the disk cannot be opened, it is tried again: {why}")
+            }
             End::Refused(why) => {
                 log::error!("store: the disk is not used: {why}");
                 self.threads = None;
