--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -14,7 +14,7 @@
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, SEGMENTS_LEAST, Wanted};
 use chalkhall_store::decide::{Part, Place, Store};
 use chalkhall_store::files::{Directory, Files};
-use chalkhall_store::threads::{self, End, Shelf};
+use chalkhall_store::threads::{self, End, NotTaken, Shelf};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -88,9 +88,10 @@
             let wanted = wanted(wishes, *bytes, limit, usable)?;
             let (path, boot, found) = (path.clone(), BootTime::read(&clock), set_back_ms.clone());
             let take = move || {
-                let taken = Directory::take(&path).map_err(|what| format!("{}: {what}", path.display()))?;
-                let set_back = boot.map_or(0, |boot| set_back_by(&boot, &path));
-                found.store(set_back, Ordering::Release);
+                let taken = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
+                // The directory may be taken again after it failed; what was found out first stays so.
+                let set_back = boot.as_ref().map_or(0, |boot| set_back_by(boot, &path));
+                found.fetch_max(set_back, Ordering::Release);
                 Ok(Arc::new(taken) as Arc<dyn Files>)
             };
             let number = fastrand::u64(1..);
