--- a/crates/cli/src/bin/proof-even/main.rs
+++ b/crates/cli/src/bin/proof-even/main.rs
@@ -3,9 +3,9 @@
 //! void, because the machine was busy, is played once more.
 
 use chalkhall_cli::fleet::{played, program};
-use chalkhall_fleet::play::{Play, read_text};
-use chalkhall_fleet::report;
-use chalkhall_fleet::run::{Setup, Shown};
+use chalkhall_harness::play::{Play, read_text};
+use chalkhall_harness::report;
+use chalkhall_harness::run::{Setup, Shown};
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -24,7 +24,7 @@
     html: Option<PathBuf>,
 }
 
-const FLEET: &str = include_str!("../../../../fleet/plays/usual.fleet");
+const FLEET: &str = include_str!("../../../../harness/plays/usual.fleet");
 const WORK: &str = "work {\n seconds 16\n lead 5s\n rate 1100\n uneven 6\n size 40\n}\n";
 
 /// Name, what breaks, and what must hold. With a fault, load is measured again once 3 s have gone by since
