--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -10,6 +10,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::Outcome;
 use std::collections::{HashMap, VecDeque};
+use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,6 +21,8 @@
 
 const READ_AT_ONCE: usize = 16 * 1024;
 const LEAST_READ: usize = 1024;
+/// Before the one further try of a connect for which this machine was short of something.
+const LOCAL_RETRY: Duration = Duration::from_millis(2);
 
 pub struct Connection {
     pub number: u64,
@@ -187,7 +190,7 @@
 
     /// None: nobody wants the connection any more.
     async fn connect(&mut self, state: &mut State) -> Option<io::Result<TcpStream>> {
-        let connecting = timeout(self.connect_timeout, connect_uninterrupted(self.dial));
+        let connecting = timeout(self.connect_timeout, connect_with(|| TcpStream::connect(self.dial)));
         tokio::pin!(connecting);
         loop {
             self.tell(state).await;
@@ -272,15 +275,27 @@
     Uninterrupted::new(reader).read_buf(buffer).await
 }
 
-/// Connects, again on a new socket where a signal interrupted it.
-async fn connect_uninterrupted(dial: SocketAddr) -> io::Result<TcpStream> {
-    for _ in 1..INTERRUPTIONS_MOST {
-        match TcpStream::connect(dial).await {
-            Err(e) if ConnectFailure::from(&e) == ConnectFailure::Interrupted => {}
-            made => return made,
+/// Connects, each time on a new socket: again at once where a signal interrupted it, and once more after a
+/// moment where this machine was short of something, which may be over by then.
+async fn connect_with<T, F>(mut connect: impl FnMut() -> F) -> io::Result<T>
+where
+    F: Future<Output = io::Result<T>>,
+{
+    let (mut interrupted, mut retried) = (0, false);
+    loop {
+        let error = match connect().await {
+            Ok(made) => return Ok(made),
+            Err(error) => error,
+        };
+        match ConnectFailure::from(&error) {
+            ConnectFailure::Interrupted if interrupted < INTERRUPTIONS_MOST => interrupted += 1,
+            ConnectFailure::LocalResources if !retried => {
+                retried = true;
+                sleep(LOCAL_RETRY).await;
+            }
+            _ => return Err(error),
         }
     }
-    TcpStream::connect(dial).await
 }
 
 /// Nothing ran either way; but what this machine lacks is not held against the server.
--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -167,3 +167,26 @@
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
+
+/// How a connect ends that fails with these first, and how often it was tried, in how long.
+async fn connected(failures: &[i32]) -> (bool, usize, Duration) {
+    let (begin, mut tries) = (Instant::now(), 0);
+    let made = connect_with(|| {
+        tries += 1;
+        let failure = failures.get(tries - 1).map(|errno| io::Error::from_raw_os_error(*errno));
+        std::future::ready(failure.map_or(Ok(()), Err))
+    });
+    (made.await.is_ok(), tries, begin.elapsed())
+}
+
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_connect_is_tried_again_where_nothing_speaks_against_it() {
+    use libc::{ECONNREFUSED, EINTR, ENOBUFS};
+    assert_eq!(connected(&[EINTR, EINTR]).await, (true, 3, Duration::ZERO));
+    assert_eq!(connected(&[EINTR; 99]).await, (false, 1 + INTERRUPTIONS_MOST, Duration::ZERO));
+    // Once more, a moment later; after that others decide.
+    let (made, tries, took) = connected(&[ENOBUFS]).await;
+    assert!(made && tries == 2 && took >= LOCAL_RETRY);
+    assert!(matches!(connected(&[ENOBUFS; 99]).await, (false, 2, _)));
+    assert_eq!(connected(&[ECONNREFUSED]).await, (false, 1, Duration::ZERO));
+}
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -47,7 +47,8 @@
     bind_with(|| try_bind(address)).await
 }
 
-async fn bind_with<T>(mut bind: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Binds, again where something is short for a moment.
+pub async fn bind_with<T>(mut bind: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut pause = BIND_PAUSE;
     for _ in 1..BIND_TRIES {
         match bind() {
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -6,6 +6,7 @@
 use crate::brief::Brief;
 use crate::connection::at;
 use crate::io_errors::{DatagramFailure, INTERRUPTIONS_MOST};
+use crate::listener::bind_with;
 use crate::messages::Message;
 use crate::told::Peers;
 use chalkhall_gossip::codec::MOST_BYTES;
@@ -59,10 +60,16 @@
     }
 }
 
+fn try_bind(address: SocketAddr) -> io::Result<UdpSocket> {
+    let socket = std::net::UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    UdpSocket::from_std(socket)
+}
+
 /// None: nobody is talked to, which costs hints. A start does not fail for them, as where an earlier process
 /// still has the address for a moment.
 pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
-    let bound = UdpSocket::bind(peers.listen).await;
+    let bound = bind_with(|| try_bind(peers.listen)).await;
     bound.map_err(|what| log::warn!("peer_listen: {}: {what}; peers are not talked to", peers.listen)).ok()
 }
 
