--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -151,15 +151,17 @@
     }
 }
 
-/// What follows an accept that failed, after so many others in a row: idle clients make room where there is no
-/// descriptor left, and nothing is accepted for the time that is returned.
+/// What follows an accept that failed, the last of so many in a row: idle clients make room where there is no
+/// descriptor left and a pause did not bring one, and nothing is accepted for the time that is returned.
 fn after_failed_accept(failure: AcceptFailure, in_a_row: usize, places: &mut Places) -> Option<Duration> {
     match failure {
         AcceptFailure::Interrupted | AcceptFailure::PerConnection => {
-            (in_a_row >= FAILED_IN_A_ROW).then_some(PAUSE)
+            in_a_row.is_multiple_of(FAILED_IN_A_ROW).then_some(PAUSE)
         }
         AcceptFailure::DescriptorsExhausted => {
-            places.make_much_room();
+            if in_a_row > 1 {
+                places.make_much_room();
+            }
             Some(PAUSE)
         }
         AcceptFailure::MemoryExhausted | AcceptFailure::Listener => Some(PAUSE),
@@ -238,7 +240,6 @@
                     let wait = after_failed_accept(AcceptFailure::from(&what), failed_in_a_row, &mut places);
                     if wait.is_some() {
                         refused.log(&format!("no connection could be taken: {what}"));
-                        failed_in_a_row = 0;
                     } else {
                         log::debug!("a connection failed before it could be taken: {what}");
                     }
