--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Follows discovery: events in order, none twice, none left out.
 
 use crate::clock::Clock;
-use crate::io_errors::set_nodelay;
+use crate::io_errors::{retry_at_once, set_nodelay};
 use crate::notices::{Notice, Places, numbered};
 use crate::uninterrupted::Uninterrupted;
 use serde_json::Value;
@@ -39,7 +39,7 @@
 
 /// A descriptor to connect to an address with.
 pub fn socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
-    if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }
+    retry_at_once(|| if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() })
 }
 
 /// What a configuration read anew says of discovery.
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -154,6 +154,24 @@
     error.raw_os_error().is_some_and(|errno| resources.contains(&errno))
 }
 
+/// How often a call is made at once, in all, that must not wait.
+const TRIES_AT_ONCE: usize = 4;
+
+/// Makes a call again at once where something was short for a moment, for one that must not wait: another
+/// would take the descriptor meanwhile.
+///
+/// # Errors
+/// The last failure.
+pub fn retry_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    for _ in 1..TRIES_AT_ONCE {
+        match call() {
+            Err(error) if is_momentary(&error) => {}
+            done => return done,
+        }
+    }
+    call()
+}
+
 /// Has small writes sent at once. Where the system refuses, the connection is slower, not broken.
 pub fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
--- a/crates/router/src/io_errors/tests.rs
+++ b/crates/router/src/io_errors/tests.rs
@@ -122,3 +122,18 @@
     assert!([EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EINTR].into_iter().all(momentary));
     assert!(![EADDRINUSE, EACCES, EINVAL, EAFNOSUPPORT].into_iter().any(momentary));
 }
+
+#[test]
+fn a_call_that_must_not_wait_is_made_a_few_times() {
+    let tries = |errno, failures| {
+        let mut calls = 0;
+        let done = retry_at_once(|| {
+            calls += 1;
+            if calls > failures { Ok(()) } else { Err(io::Error::from_raw_os_error(errno)) }
+        });
+        (done.is_ok(), calls)
+    };
+    assert_eq!(tries(ENOBUFS, 1), (true, 2));
+    assert_eq!(tries(ENOBUFS, usize::MAX), (false, TRIES_AT_ONCE));
+    assert_eq!(tries(EACCES, 1), (false, 1));
+}
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -34,6 +34,7 @@
 use confined::Confined;
 use decider::{Beside, Decider};
 use discovery::{Anew, Discovery};
+use io_errors::retry_at_once;
 use messages::Message;
 use notices::Notice;
 use own::Own;
@@ -196,7 +197,7 @@
 
 /// Any descriptor that is there to be given up.
 fn spare() -> Option<std::fs::File> {
-    std::fs::File::open("/dev/null").ok()
+    retry_at_once(|| std::fs::File::open("/dev/null")).ok()
 }
 
 impl Again {
