--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -6,16 +6,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
-use tokio::net::TcpSocket;
+use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::mpsc;
-use tokio::time::{Instant, sleep, timeout, timeout_at};
+use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 /// Discovery says its last number each second: after this long without it the connection is dead. What a
 /// silent discovery service holds back counts as told 4 s after it stopped.
 const SILENCE: Duration = Duration::from_millis(1800);
-/// A service that is slow to begin would never be heard if each watch were given up before its first word:
-/// after one that was silent throughout, the next is waited for this long, still within those 4 s.
-const SLOW_TO_BEGIN: Duration = Duration::from_millis(3600);
+/// A service that is slow to begin would never be heard if each watch were given up before its first word: the
+/// oldest that has not spoken is listened to for so long, beside newer ones.
+const SLOW_TO_BEGIN: Duration = Duration::from_millis(7200);
 const CONNECT: Duration = Duration::from_millis(500);
 /// Between tries to connect anew; doubled from the first to the second.
 const PAUSE: Duration = Duration::from_millis(20);
@@ -51,14 +51,14 @@
 
 impl Discovery {
     pub async fn run(mut self, mut anew: mpsc::Receiver<Anew>) {
-        let (mut pause, mut first_word, mut said) = (PAUSE, SILENCE, String::new());
+        let (mut pause, mut silent, mut said) = (PAUSE, None, String::new());
         while !self.decider.is_closed() {
             let before = self.last;
             let what = tokio::select! {
                 biased;
                 // Whatever the old discovery service is at: it tells nothing more, perhaps without saying so.
                 Some(anew) = anew.recv() => Err(anew),
-                what = self.follow(&mut pause, &mut first_word) => Ok(what.err().unwrap_or_default()),
+                what = self.follow(&mut pause, &mut silent) => Ok(what.err().unwrap_or_default()),
             };
             // Its descriptor is taken again before anybody else has a turn.
             self.spare = socket(self.address).ok();
@@ -66,7 +66,7 @@
                 Ok(what) => what,
                 Err(anew) => {
                     self.take(anew).await;
-                    (pause, first_word) = (PAUSE, SILENCE);
+                    (pause, silent) = (PAUSE, None);
                     continue;
                 }
             };
@@ -81,7 +81,7 @@
                 biased;
                 Some(anew) = anew.recv() => {
                     self.take(anew).await;
-                    first_word = SILENCE;
+                    silent = None;
                 }
                 () = sleep(self.spread(pause)) => {}
             }
@@ -118,8 +118,22 @@
         Ok(())
     }
 
-    /// `first_word`: how long it is waited for on this watch; changed for the next.
-    async fn follow(&mut self, pause: &mut Duration, first_word: &mut Duration) -> Result<(), String> {
+    /// `silent`: an earlier watch that has not spoken yet.
+    async fn follow(&mut self, pause: &mut Duration, silent: &mut Option<Watch>) -> Result<(), String> {
+        let mut watch = Watch::first_to_speak(self.watch().await?, silent).await?;
+        // Only what shows that nothing newer is held back counts: a discovery service that stays behind, or
+        // goes on with what it told before, tells as little as a silent one.
+        let mut heard = watch.since;
+        loop {
+            if self.line(&watch.line).await? {
+                (heard, *pause) = (Instant::now(), PAUSE);
+            }
+            let line = timeout_at(heard + SILENCE, watch.next()).await;
+            line.map_err(|_| "silent, or nothing new")??;
+        }
+    }
+
+    async fn watch(&mut self) -> Result<Watch, String> {
         let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
         let watch = async {
             let mut stream = socket.connect(self.address).await?;
@@ -128,27 +142,8 @@
             std::io::Result::Ok(stream)
         };
         let stream = timeout(CONNECT, watch).await.map_err(|_| "no connection in time")?;
-        let mut lines = BufReader::new(stream.map_err(|e| e.to_string())?);
-        let mut line = Vec::new();
-        // Only what shows that nothing newer is held back counts: a discovery service that stays behind, or
-        // goes on with what it told before, tells as little as a silent one.
-        let (mut heard, mut patience, mut spoke) = (Instant::now(), *first_word, false);
-        loop {
-            line.clear();
-            let mut bounded = (&mut lines).take(LINE_MOST);
-            let read = timeout_at(heard + patience, bounded.read_until(b'\n', &mut line)).await;
-            if read.is_err() && !spoke {
-                *first_word = SLOW_TO_BEGIN;
-            }
-            read.map_err(|_| "silent, or nothing new")?.map_err(|e| e.to_string())?;
-            if line.last() != Some(&b'\n') {
-                return Err("closed, or a line too long".into());
-            }
-            (patience, *first_word, spoke) = (SILENCE, SILENCE, true);
-            if self.line(&line).await? {
-                (heard, *pause) = (Instant::now(), PAUSE);
-            }
-        }
+        let lines = BufReader::new(stream.map_err(|e| e.to_string())?);
+        Ok(Watch { lines, line: Vec::new(), since: Instant::now() })
     }
 
     /// Whether it shows that discovery is not behind this router.
@@ -187,5 +182,57 @@
     }
 }
 
+/// One connection on which discovery has been asked for what comes.
+struct Watch {
+    lines: BufReader<TcpStream>,
+    /// The last line, or the beginning of the next.
+    line: Vec<u8>,
+    since: Instant,
+}
+
+impl Watch {
+    /// Waits for the next line. Given up while it waits, it keeps what has come of it.
+    async fn next(&mut self) -> Result<(), String> {
+        if self.line.last() == Some(&b'\n') {
+            self.line.clear();
+        }
+        let mut bounded = (&mut self.lines).take(LINE_MOST - self.line.len() as u64);
+        bounded.read_until(b'\n', &mut self.line).await.map_err(|e| e.to_string())?;
+        if self.line.last() == Some(&b'\n') { Ok(()) } else { Err("closed, or a line too long".into()) }
+    }
+
+    /// Waits for the first line of a new watch, or of an earlier one that has been silent so far.
+    async fn first_to_speak(mut new: Watch, earlier: &mut Option<Watch>) -> Result<Watch, String> {
+        let given_up = new.since + SILENCE;
+        loop {
+            let earlier_spoke = tokio::select! {
+                biased;
+                spoke = Watch::next_of(earlier) => spoke,
+                spoke = new.next() => {
+                    spoke?;
+                    *earlier = None;
+                    return Ok(new);
+                }
+                () = sleep_until(given_up) => {
+                    if earlier.as_ref().is_none_or(|watch| watch.since.elapsed() >= SLOW_TO_BEGIN) {
+                        *earlier = Some(new);
+                    }
+                    return Err("silent".into());
+                }
+            };
+            if let Some(watch) = earlier.take().filter(|_| earlier_spoke.is_ok()) {
+                return Ok(watch);
+            }
+        }
+    }
+
+    async fn next_of(watch: &mut Option<Watch>) -> Result<(), String> {
+        match watch {
+            Some(watch) => watch.next().await,
+            None => std::future::pending().await,
+        }
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/router/tests/program/quiet_then_faults.rs
+++ b/crates/router/tests/program/quiet_then_faults.rs
@@ -322,7 +322,7 @@
 }
 
 /// The slow discovery service of this test tells a new watch nothing for so long.
-const SLOW: Duration = Duration::from_millis(2500);
+const SLOW: Duration = Duration::from_millis(5000);
 
 /// What discovery has to tell counts as told after 7 s at the latest.
 const TOLD_WITHIN: Duration = Duration::from_millis(7000);
