--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -10,6 +10,7 @@
 mod quiet_then_faults;
 mod soak;
 mod stand_ins;
+mod wire_oracle;
 
 use serde_json::{Value, json};
 use stand_ins::*;
