--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -63,8 +63,8 @@
 }
 
 /// For the disk of own copies to be closed, from the end of the decisions on: a kill may come soon after.
-const LAST_WRITES: Duration = Duration::from_millis(200);
-const _: () = assert!(LAST_WRITES.as_millis() + 50 <= phase::LAST_WORDS.as_millis());
+const DISK_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+const _: () = assert!(DISK_CLOSE_TIMEOUT.as_millis() + 50 <= phase::FINAL_WRITES.as_millis());
 
 fn read(clock: &Clock) -> Result<Told, String> {
     told::told(|name| std::env::var(name).ok(), clock)
@@ -164,7 +164,7 @@
     // Without decisions nothing can be answered: better to be started anew than to go on.
     let ended = deciding.await.map_err(|what| format!("the decisions failed: {what}"))?;
     if let Some(disk) = disk {
-        closed_in_time(ended, disk).await;
+        wait_for_disk(ended, disk).await;
     }
     log::info!("{name} ended");
     Ok(())
@@ -172,8 +172,8 @@
 
 /// Waits for a disk to be closed, but not until a kill: what was written is there anyway, and a close in order
 /// only makes the next start quick.
-async fn closed_in_time(ended: Instant, disk: JoinHandle<()>) {
-    if timeout_at(ended + LAST_WRITES, disk).await.is_err() {
+async fn wait_for_disk(ended: Instant, disk: JoinHandle<()>) {
+    if timeout_at(ended + DISK_CLOSE_TIMEOUT, disk).await.is_err() {
         log::warn!("the disk of own copies was not closed in time");
     }
 }
--- a/crates/router/src/phase.rs
+++ b/crates/router/src/phase.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 /// After a request to stop, connections and requests go on coming for up to this long.
-const STILL_COMING: Duration = Duration::from_millis(800);
+const ARRIVALS_END_AFTER: Duration = Duration::from_millis(800);
 /// What is killed comes no sooner than the longest deadline, this at most, and this much more after it.
-const LONGEST: Duration = Duration::from_millis(3000);
-const AFTER_LONGEST: Duration = Duration::from_millis(700);
+const DEADLINE_MOST: Duration = Duration::from_millis(3000);
+const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// Held back from that for the last answers to be written, and a disk to be closed meanwhile.
-pub const LAST_WORDS: Duration = Duration::from_millis(250);
+pub const FINAL_WRITES: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
@@ -32,7 +32,7 @@
     pub fn asked_to_stop(self, now: Duration, longest_deadline: Duration) -> Phase {
         match self {
             Phase::Starting | Phase::Serving => {
-                let until = now + longest_deadline.min(LONGEST) + AFTER_LONGEST - LAST_WORDS;
+                let until = now + longest_deadline.min(DEADLINE_MOST) + KILL_AFTER_DEADLINE - FINAL_WRITES;
                 Phase::Draining { since: now, until }
             }
             later => later,
@@ -44,7 +44,7 @@
     pub fn at(self, now: Duration, open: impl Fn() -> usize) -> Phase {
         match self {
             Phase::Draining { since, until }
-                if now >= until || (now >= since + STILL_COMING && open() == 0) =>
+                if now >= until || (now >= since + ARRIVALS_END_AFTER && open() == 0) =>
             {
                 Phase::Ended
             }
@@ -57,7 +57,7 @@
         match self {
             Phase::Draining { since, until } => {
                 // With short deadlines the latest end comes before all that may still come has.
-                let next = [since + STILL_COMING, until].into_iter().filter(|at| *at > now).min();
+                let next = [since + ARRIVALS_END_AFTER, until].into_iter().filter(|at| *at > now).min();
                 Some(next.unwrap_or(until))
             }
             _ => None,
--- a/crates/router/src/tests.rs
+++ b/crates/router/src/tests.rs
@@ -12,7 +12,7 @@
     let inside = async {
         let ended = Instant::now();
         advance(ms(200)).await;
-        closed_in_time(ended, spawn_local(pending())).await;
+        wait_for_disk(ended, spawn_local(pending())).await;
         assert!(ms(850) + ended.elapsed() < ms(400 + 700), "{:?} after the end", ended.elapsed());
     };
     LocalSet::new().run_until(inside).await;
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -8,6 +8,7 @@
 mod moments;
 mod own;
 mod quiet_then_faults;
+mod shutdown;
 mod soak;
 mod stand_ins;
 mod wire_oracle;
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -1,6 +1,9 @@
 //! Stand-ins for what a router talks to, over loopback: a client, a server (cache server, parent or origin)
 //! and discovery; and the program itself. Every wait ends with what it waits for, or fails the test.
 
+mod moment;
+
+pub use moment::Moment;
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -17,6 +20,8 @@
 
 /// Nothing that a test waits for takes nearly as long.
 pub const LONG: Duration = Duration::from_secs(10);
+/// Each time limit of the protocol is this much longer on sockets.
+pub const SLACK: Duration = Duration::from_millis(50);
 /// Of `open`: fails where it would wait.
 const NONBLOCK: i32 = 0o4000;
 const SHORT: Duration = Duration::from_millis(5);
