--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -11,6 +11,7 @@
 mod moments;
 mod own;
 mod quiet_then_faults;
+mod shutdown;
 mod soak;
 mod stand_ins;
 mod wire_oracle;
