--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -244,7 +244,12 @@
                     if state.beginning.is_some() {
                         // A client's leaving may lie unread: after a hold-up the order in which tasks have
                         // their turns is chance.
-                        event_loop::catch_up().await;
+                        event_loop::catch_up(|| {
+                            while let Ok(order) = self.orders.try_recv() {
+                                state.take(order);
+                            }
+                        })
+                        .await;
                     }
                     // Looked at again here: the socket may have been full for long, or the program held up.
                     let now = Instant::now();
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -25,6 +25,8 @@
 struct HoldUp {
     from: Instant,
     until: Instant,
+    /// All other tasks have had turns since.
+    caught_up: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -58,10 +60,19 @@
 
     fn note_hold_up(&mut self, now: Instant) {
         if self.is_held_up(now) {
-            self.hold_up = Some(HoldUp { from: self.waits_since, until: now });
+            self.hold_up = Some(HoldUp { from: self.waits_since, until: now, caught_up: false });
         }
     }
 
+    fn has_to_catch_up(&self, now: Instant) -> bool {
+        self.is_held_up(now) || self.hold_up.is_some_and(|hold_up| !hold_up.caught_up)
+    }
+
+    fn caught_up(&mut self, now: Instant) {
+        self.before_wait(now);
+        self.hold_up.iter_mut().for_each(|hold_up| hold_up.caught_up = true);
+    }
+
     /// The start of a hold-up that had ended shortly before `now`: what came during it may be read then.
     fn recent_hold_up(&self, now: Instant) -> Option<Instant> {
         self.hold_up.filter(|hold_up| now < hold_up.until + HELD_UP_FROM).map(|hold_up| hold_up.from)
@@ -98,12 +109,16 @@
     EVENT_LOOP.get().and_then(|event_loop| event_loop.unread_since(Instant::now()))
 }
 
-/// After a hold-up, lets all other tasks read what has come meanwhile; else returns at once.
-pub async fn catch_up() {
-    if unread_since().is_some() {
+/// Lets all other tasks read what came during a hold-up, once; without one returns at once.
+///
+/// `after_turn` is called after each of their turns: whoever waits here may have a mailbox that they fill.
+pub async fn catch_up(mut after_turn: impl FnMut()) {
+    if EVENT_LOOP.get().is_some_and(|event_loop| event_loop.has_to_catch_up(Instant::now())) {
         for _ in 0..CATCH_UP_TURNS {
             yield_now().await;
+            after_turn();
         }
+        note(EventLoop::caught_up);
     }
 }
 
--- a/crates/router/src/event_loop/tests.rs
+++ b/crates/router/src/event_loop/tests.rs
@@ -61,3 +61,17 @@
     }
     assert_eq!(event_loop.unread_since(late + 200 * MS), None);
 }
+
+#[test]
+fn it_is_caught_up_with_once_for_each_hold_up() {
+    let (mut event_loop, start) = quiet();
+    assert!(!event_loop.has_to_catch_up(start + 50 * MS));
+    let held_up = start + 100 * MS;
+    assert!(event_loop.has_to_catch_up(held_up));
+    event_loop.caught_up(held_up);
+    assert!(!event_loop.has_to_catch_up(held_up + MS));
+    assert_eq!(event_loop.unread_since(held_up + MS), Some(start), "what is read then came before");
+    event_loop.before_wait(held_up + 2 * MS);
+    event_loop.after_wait(held_up + 90 * MS);
+    assert!(event_loop.has_to_catch_up(held_up + 90 * MS));
+}
