--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -1,5 +1,7 @@
 //! One client's connection: reads its requests, writes their answers in the order in which they come.
 
+mod read_watch;
+
 use crate::clock::Clock;
 use crate::connection::at;
 use crate::lines::Passed;
@@ -8,7 +10,8 @@
 use crate::resp::{END, Frames, Nonsense, answer, fields, number};
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::{Arrival, Id};
-use std::collections::{HashMap, VecDeque};
+use read_watch::ReadWatch;
+use std::collections::{HashMap, HashSet, VecDeque};
 use std::convert::Infallible;
 use std::io::{self, IoSlice};
 use std::rc::Rc;
@@ -20,8 +23,14 @@
 
 /// A connection carries up to 32 open requests.
 const OPEN_MOST: usize = 32;
-/// Answers to one connection that wait to be written; nothing more is read from it while there are more.
-const UNWRITTEN_MOST: usize = 2 * OPEN_MOST;
+/// The pieces of an answer that waits to be written: what comes before its body, the body, the end.
+const ANSWER_PIECES: usize = 3;
+/// More than this wait to be written only for a client that asks for more than a connection carries, or calls
+/// much off: what it asks for then is rejected.
+const REJECT_FROM: usize = ANSWER_PIECES * OPEN_MOST;
+/// Past this many nothing more is read from it, and nothing of it stays open: what it calls off, or its close,
+/// would lie unread while attempts begin for it.
+const UNWRITTEN_MOST: usize = 4 * REJECT_FROM;
 /// A mailbox that holds an answer to each open request, and to those given up while it was not looked into.
 const REPLIES_MOST: usize = 4 * OPEN_MOST;
 /// No request waits for longer, whatever its client says: its timers would pile up.
@@ -29,14 +38,15 @@
 const GROUP_MOST: u64 = 255;
 /// Bytes of an idempotency key, of which 32 are usual.
 const KEY_MOST: usize = 64;
-/// A connection that takes no byte of its answers for this long is closed.
+/// A connection that takes no byte of its answers for this long is closed, once no client waits for one any
+/// more.
 const STUCK: Duration = Duration::from_secs(6);
 /// Clients close their idle connections after 4 s; those who keep them for good hold descriptors for nothing.
 const IDLE: Duration = Duration::from_secs(5);
 /// A first message, and each that has begun, comes whole within this; silence and half a message are owed an
 /// end.
 const WHOLE: Duration = Duration::from_secs(2);
-/// For what a client whose stream cannot be read is told at last.
+/// For what a client whose stream cannot be read is told at last; longer while it waits for answers.
 const LAST_WORDS: Duration = Duration::from_millis(200);
 /// Before a close it is looked once more whether something has come: for so long, which gives the system a
 /// turn; and at the end of the router, for as long in all.
@@ -78,6 +88,15 @@
     pub place: Place,
 }
 
+/// What a connection has waited for.
+enum Event {
+    Wrote(io::Result<()>),
+    Reply(Reply),
+    Read(io::Result<usize>),
+    AskedToLeave,
+    WaitedLongEnough,
+}
+
 /// Why a connection ends.
 enum End {
     /// It broke, or its client closed it.
@@ -105,6 +124,8 @@
 struct Unwritten {
     pieces: VecDeque<Bytes>,
     object: usize,
+    /// Until when the client waits for an answer to anything that it has asked for.
+    awaited_until: Option<Instant>,
 }
 
 impl Unwritten {
@@ -170,10 +191,14 @@
             }
             End::Nonsense(what) => {
                 log::debug!("client: {what}");
+                let until = unwritten.awaited_until.max(Some(Instant::now() + LAST_WORDS));
                 let last = async {
                     while !unwritten.pieces.is_empty() && unwritten.write(&mut stream).await.is_ok() {}
                 };
-                let _ = timeout(LAST_WORDS, last).await;
+                tokio::select! {
+                    () = last => {}
+                    () = at(until) => {}
+                }
                 part(stream).await;
             }
         }
@@ -195,10 +220,12 @@
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) -> Result<Infallible, End> {
-        stream.set_nodelay(true)?;
+        // Without it answers come a little later: no reason to lose what has been sent here.
+        let _ = stream.set_nodelay(true);
         let (mut reader, mut writer) = stream.split();
         let (mut buffer, mut frames) = (BytesMut::new(), Frames::default());
         let (mut moved, mut phase) = (Instant::now(), self.phase.clone());
+        let mut watch = ReadWatch::of_new_connection();
         let (mut begun, mut asked, mut said) = (None, false, (true, false));
         // It was asked for its place.
         let mut leaves = false;
@@ -235,19 +262,39 @@
             }
             // What has come is read before anything is held against a client: the program itself may be late.
             let wait = match begun {
-                _ if !unwritten.pieces.is_empty() => Some(moved + STUCK),
+                _ if !unwritten.pieces.is_empty() => unwritten.awaited_until.max(Some(moved + STUCK)),
                 Some(since) => Some(since + WHOLE),
                 None if !open.is_empty() => None,
                 None => Some(moved + if asked { IDLE } else { WHOLE }),
             };
-            tokio::select! {
+            if unwritten.pieces.len() >= UNWRITTEN_MOST {
+                self.fail_open(replies, open, unwritten).await;
+            }
+            let may_read = ended.is_none() && unwritten.pieces.len() < UNWRITTEN_MOST;
+            if may_read {
+                watch.begin();
+            }
+            let event = tokio::select! {
                 biased;
-                wrote = unwritten.write(&mut writer), if !unwritten.pieces.is_empty() => {
+                wrote = unwritten.write(&mut writer), if !unwritten.pieces.is_empty() => Event::Wrote(wrote),
+                Some(reply) = mailbox.recv() => Event::Reply(reply),
+                _ = phase.wait_for(|phase| *phase == Phase::Ended), if ended.is_none() => continue,
+                read = read(&mut reader, &mut buffer), if may_read => Event::Read(read),
+                // What it has just asked for is answered first.
+                Some(()) = self.place.leave.recv(), if idle => Event::AskedToLeave,
+                () = at(wait) => Event::WaitedLongEnough,
+            };
+            let unread_for = watch.unread_for();
+            if may_read {
+                watch.end();
+            }
+            match event {
+                Event::Wrote(wrote) => {
                     wrote?;
                     moved = Instant::now();
                     self.written(unwritten).await;
                 }
-                Some(reply) = mailbox.recv() => {
+                Event::Reply(reply) => {
                     if unwritten.pieces.is_empty() {
                         moved = Instant::now();
                     }
@@ -255,17 +302,19 @@
                     // One for a request that its client has called off leaves nothing to write.
                     self.written(unwritten).await;
                 }
-                _ = phase.wait_for(|phase| *phase == Phase::Ended), if ended.is_none() => {}
-                read = read(&mut reader, &mut buffer),
-                    if ended.is_none() && unwritten.pieces.len() < UNWRITTEN_MOST =>
-                {
+                Event::Read(read) => {
                     if read? == 0 {
                         return Err(End::Gone("closed".into()));
                     }
-                    let read_at = self.door.clock.now();
+                    let received_after = self.door.clock.now().saturating_sub(unread_for);
                     while let Some(frame) = frames.next(&mut buffer)? {
                         (moved, asked, begun) = (Instant::now(), true, None);
-                        self.frame(frame, read_at, replies, mailbox, open, unwritten).await?;
+                        let taken =
+                            self.frame(frame, received_after, replies, mailbox, open, unwritten).await;
+                        if taken.is_err() {
+                            self.refuse_rest(&mut frames, &mut buffer, open, unwritten);
+                        }
+                        taken?;
                     }
                     let partly = frames.begun() || !buffer.is_empty();
                     begun = partly.then(|| begun.unwrap_or_else(Instant::now));
@@ -274,9 +323,8 @@
                         buffer = BytesMut::new();
                     }
                 }
-                // What it has just asked for is answered first.
-                Some(()) = self.place.leave.recv(), if idle => leaves = true,
-                () = at(wait) => {
+                Event::AskedToLeave => leaves = true,
+                Event::WaitedLongEnough => {
                     return Err(match begun {
                         _ if !unwritten.pieces.is_empty() => End::Gone("takes no answers".into()),
                         Some(_) => End::Nonsense("no whole message in time"),
@@ -295,18 +343,55 @@
         }
     }
 
-    /// What had come as the router ended: it never ran.
+    /// Gives the final answer to all that is open.
+    async fn fail_open(
+        &self,
+        replies: &mpsc::Sender<Reply>,
+        open: &mut HashMap<u64, Open>,
+        unwritten: &mut Unwritten,
+    ) {
+        open.values().for_each(|open| open.wanted.end());
+        for (tag, open) in open.drain() {
+            unwritten.line(tag, "FAIL", "");
+            let _ = self.decider.send(Message::Left(open.id, tag, replies.clone())).await;
+        }
+    }
+
+    /// Whole messages behind one that ends the connection are answered too: they were read. Each tag has one
+    /// answer; those that are open get theirs at the end.
+    fn refuse_rest(
+        &self,
+        frames: &mut Frames,
+        buffer: &mut BytesMut,
+        open: &HashMap<u64, Open>,
+        unwritten: &mut Unwritten,
+    ) {
+        let mut answered: HashSet<u64> = open.keys().copied().collect();
+        while let Ok(Some(frame)) = frames.next(buffer) {
+            let tag = frame.get(1).and_then(|tag| number(tag));
+            if tag.is_some_and(|tag| answered.insert(tag)) {
+                self.too_late(frame, unwritten);
+            }
+        }
+    }
+
+    /// What has come behind the last that is taken, or as the router ended: it never ran.
     fn too_late(&self, frame: Vec<Bytes>, unwritten: &mut Unwritten) {
         let tag = frame.get(1).and_then(|tag| number(tag)).filter(|tag| *tag > 0);
         let (Some(verb), Some(tag)) = (frame.first(), tag) else { return };
         match &verb[..] {
             b"ABORT" => {}
             b"REQ" => unwritten.rejected(tag, self.door.advice),
-            b"HEALTH" => unwritten.line(tag, "RED", ""),
+            b"HEALTH" => self.health(tag, unwritten),
             _ => unwritten.line(tag, "FAIL", ""),
         }
     }
 
+    fn health(&self, tag: u64, unwritten: &mut Unwritten) {
+        let ready = self.phase.borrow().ready();
+        unwritten.line(tag, if ready { "GREEN" } else { "RED" }, "");
+    }
+
     /// A place for an answer. There are more than may be open: of those that the client has called off they
     /// come back as soon as the decider has heard of it.
     async fn place(
@@ -329,7 +414,7 @@
     async fn frame(
         &mut self,
         frame: Vec<Bytes>,
-        read_at: Duration,
+        received_after: Duration,
         replies: &mpsc::Sender<Reply>,
         mailbox: &mut mpsc::Receiver<Reply>,
         open: &mut HashMap<u64, Open>,
@@ -344,10 +429,7 @@
             return Err(End::Nonsense("a tag in use"));
         }
         match &verb[..] {
-            b"HEALTH" => {
-                let ready = self.phase.borrow().ready();
-                unwritten.line(tag, if ready { "GREEN" } else { "RED" }, "");
-            }
+            b"HEALTH" => self.health(tag, unwritten),
             b"ABORT" => {
                 if let Some(Open { id, wanted }) = open.remove(&tag) {
                     wanted.end();
@@ -360,11 +442,16 @@
                 let read = self.request(class, &list, body.unwrap_or_default());
                 let crowded = open.len() >= OPEN_MOST;
                 match read.and_then(|read| if crowded { Err("too many open") } else { Ok(read) }) {
+                    Ok(_) if unwritten.pieces.len() >= REJECT_FROM => {
+                        unwritten.rejected(tag, self.door.advice);
+                    }
                     Ok((arrival, passed)) => {
+                        let awaited_until = self.door.clock.instant(received_after + arrival.left);
+                        unwritten.awaited_until = unwritten.awaited_until.max(Some(awaited_until));
                         let client = Self::place(replies, mailbox, open, unwritten).await?;
                         let wanted = Wanted::default();
                         open.insert(tag, Open { id: arrival.id.clone(), wanted: wanted.clone() });
-                        let new = New { arrival, passed, read_at, tag, client, wanted };
+                        let new = New { arrival, passed, received_after, tag, client, wanted };
                         if self.decider.send(Message::Request(Box::new(new))).await.is_err() {
                             // The router has ended meanwhile.
                             open.remove(&tag);
--- /dev/null
+++ b/crates/router/src/client/read_watch.rs
@@ -0,0 +1,45 @@
+//! Bounds how long what is read from a client's connection may have lain unread.
+
+use crate::event_loop;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A shorter time without a look at the connection is not counted, and what is read this long after a longer
+/// one has come since.
+const UNWATCHED_FROM: Duration = Duration::from_millis(60);
+
+/// When a connection was watched for something to read.
+///
+/// What comes while it is watched is read at once, unless the event loop is held up. A client that rests for
+/// long loses nothing by it: its connection is watched all the time.
+pub struct ReadWatch {
+    watched_until: Instant,
+    watched_from: Instant,
+}
+
+impl ReadWatch {
+    /// The watch of a connection that has just been accepted; what came on it may have waited for that.
+    pub fn of_new_connection() -> ReadWatch {
+        let now = Instant::now();
+        ReadWatch { watched_until: event_loop::unread_since().unwrap_or(now), watched_from: now }
+    }
+
+    /// To be called before each wait for something to read.
+    pub fn begin(&mut self) {
+        self.watched_from = Instant::now();
+    }
+
+    /// To be called after each wait, when what it has brought was noted.
+    pub fn end(&mut self) {
+        self.watched_until = Instant::now();
+    }
+
+    /// For how long at most what is read now, within the present wait, has lain unread.
+    pub fn unread_for(&self) -> Duration {
+        let now = Instant::now();
+        let unwatched = self.watched_from >= self.watched_until + UNWATCHED_FROM
+            && now < self.watched_from + UNWATCHED_FROM;
+        let since = event_loop::unread_since().into_iter().chain(unwatched.then_some(self.watched_until));
+        since.min().map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+    }
+}
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -1,10 +1,13 @@
 //! A client's connection by itself: the test stands for the client, the listener and the decider.
 
 use super::*;
-use crate::resp::Frames;
+use std::ops::RangeInclusive;
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
+/// More bytes than the system keeps for a connection.
+const LARGE: usize = 32_000_000;
+
 struct Rig {
     peer: TcpStream,
     messages: mpsc::Receiver<Message>,
@@ -15,11 +18,16 @@
 
 /// A connection that is taken with so much of it already come, and a decider that answers when the test does.
 async fn rig(phase: Phase, come: &[u8]) -> Rig {
+    rig_with_mailbox(4096, phase, come).await
+}
+
+/// The same, with a decider whose mailbox takes so many messages.
+async fn rig_with_mailbox(messages_most: usize, phase: Phase, come: &[u8]) -> Rig {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     peer.write_all(come).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    let (decider, messages) = mpsc::channel(4096);
+    let (decider, messages) = mpsc::channel(messages_most);
     let (phase, phase_of) = watch::channel(phase);
     let (leave, told) = mpsc::channel(1);
     let (says, words) = mpsc::channel(4096);
@@ -42,24 +50,96 @@
 }
 
 fn request(tag: u64) -> Vec<u8> {
-    let fields = format!("i={:016x},o={tag:016x},lot=1,m=1,d=4000", 0xabc_0000 + tag);
+    request_within(tag, 4000)
+}
+
+/// Of a client that waits for so many milliseconds.
+fn request_within(tag: u64, ms: u64) -> Vec<u8> {
+    let fields = format!("i={:016x},o={tag:016x},lot=1,m=1,d={ms}", 0xabc_0000 + tag);
     message(&["REQ", &tag.to_string(), "page", &fields, ""])
 }
 
 impl Rig {
+    async fn request(&mut self) -> Box<New> {
+        match self.messages.recv().await {
+            Some(Message::Request(new)) => new,
+            _ => panic!("not heard"),
+        }
+    }
+
+    /// Lets the connection do all that it can do without its client.
+    async fn settle(&mut self) {
+        for _ in 0..500 {
+            yield_now().await;
+        }
+    }
+
+    /// Serves the requests of these tags, the first with more bytes than the sockets take.
+    async fn serve(&mut self, tags: RangeInclusive<u64>) {
+        for tag in tags {
+            let new = self.request().await;
+            assert_eq!(new.tag, tag);
+            let body = Bytes::from(vec![7; if tag == 1 { LARGE } else { 1 }]);
+            let last = Last::Served { etag: None, body };
+            drop(new.client.send(Reply { tag, id: new.arrival.id, last }));
+        }
+        self.settle().await;
+    }
+
+    /// The first whole answer, unless the connection ends before it.
+    async fn first_answer(&mut self) -> Option<(String, String)> {
+        let mut bytes = BytesMut::with_capacity(2 * LARGE);
+        while self.peer.read_buf(&mut bytes).await.ok()? > 0 {
+            if bytes.len() > LARGE
+                && let Some(answer) = next_answer(&mut bytes.clone())
+            {
+                return Some(answer);
+            }
+        }
+        None
+    }
+
     /// All that is said until the router shuts its side in order; none: it reset the connection.
     async fn rest(&mut self) -> Option<Vec<(String, String)>> {
         let mut bytes = BytesMut::new();
         while self.peer.read_buf(&mut bytes).await.ok()? > 0 {}
-        let (mut frames, mut said) = (Frames::default(), Vec::new());
-        while let Ok(Some(frame)) = frames.next(&mut bytes) {
-            let text = |at: usize| String::from_utf8_lossy(&frame[at]).into_owned();
-            said.push((text(0), format!("{} {}", text(1), text(2)).trim().to_owned()));
+        let mut said = Vec::new();
+        while let Some(answer) = next_answer(&mut bytes) {
+            said.push(answer);
         }
         Some(said)
     }
 }
 
+/// The tag of the next whole answer, and its word and fields; its body may be of any length.
+fn next_answer(bytes: &mut BytesMut) -> Option<(String, String)> {
+    let line = |bytes: &mut BytesMut| {
+        let end = bytes.iter().position(|byte| *byte == b'\n')?;
+        String::from_utf8(bytes.split_to(end + 1).to_vec()).ok()
+    };
+    assert_eq!(line(bytes)?, "*4\r\n");
+    let mut parts = Vec::new();
+    for _ in 0..4 {
+        let length: usize = line(bytes)?[1..].trim_end().parse().unwrap();
+        if bytes.len() < length + 2 {
+            return None;
+        }
+        parts.push(bytes.split_to(length));
+        bytes.advance(2);
+    }
+    let text = |at: usize| String::from_utf8_lossy(&parts[at]).into_owned();
+    Some((text(0), format!("{} {}", text(1), text(2)).trim().to_owned()))
+}
+
+/// Keeps paused time from moving by itself.
+fn hold_time() {
+    spawn_local(async {
+        loop {
+            yield_now().await;
+        }
+    });
+}
+
 fn told(tag: u64, word: &str) -> (String, String) {
     (tag.to_string(), word.to_owned())
 }
@@ -201,3 +281,144 @@
     };
     LocalSet::new().run_until(inside).await;
 }
+
+/// A client takes no answers: it is read on, for what it calls off or its close ends what is still open.
+#[tokio::test(flavor = "current_thread")]
+async fn a_leaving_is_read_behind_answers_that_nobody_takes() {
+    let inside = async {
+        for called_off in [true, false] {
+            let come: Vec<u8> = (1..=32).flat_map(request).collect();
+            let mut rig = rig(Phase::Serving, &come).await;
+            rig.serve(1..=31).await;
+            let open = rig.request().await;
+            if called_off {
+                rig.peer.write_all(&message(&["ABORT", "32"])).await.unwrap();
+            } else {
+                rig.peer.shutdown().await.unwrap();
+            }
+            rig.settle().await;
+            assert!(!open.wanted.still(), "called off: {called_off}");
+        }
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// More answers wait than a client that keeps to the protocol can have open: what it asks for then is
+/// rejected before it goes on.
+#[tokio::test(flavor = "current_thread")]
+async fn what_is_asked_behind_too_many_answers_that_nobody_takes_is_rejected() {
+    let inside = async {
+        let come: Vec<u8> = (1..=32).flat_map(request).collect();
+        let mut rig = rig(Phase::Serving, &come).await;
+        rig.serve(1..=32).await;
+        // Part of the first has gone to the system: there is room for one more.
+        rig.peer.write_all(&request(33)).await.unwrap();
+        rig.serve(33..=33).await;
+        rig.peer.write_all(&request(34)).await.unwrap();
+        rig.settle().await;
+        while let Ok(message) = rig.messages.try_recv() {
+            assert!(!matches!(message, Message::Request(new) if new.tag == 34), "handed on");
+        }
+        rig.phase.send_replace(Phase::Ended);
+        let said = rig.rest().await.unwrap();
+        assert!(said.contains(&told(34, "NAK w=70")), "{} answers", said.len());
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// Past a bound it is read no more: nothing of it is open then, lest a leaving lies unread meanwhile.
+#[tokio::test(flavor = "current_thread")]
+async fn a_client_that_is_read_no_more_has_nothing_open() {
+    let inside = async {
+        let mut rig = rig(Phase::Serving, &[request(1), request(2)].concat()).await;
+        rig.serve(1..=1).await;
+        let open = rig.request().await;
+        let health: Vec<u8> = (3..3 + UNWRITTEN_MOST as u64)
+            .flat_map(|tag| message(&["HEALTH", &tag.to_string(), ""]))
+            .collect();
+        rig.peer.write_all(&health).await.unwrap();
+        rig.settle().await;
+        assert!(!open.wanted.still());
+        assert!(matches!(rig.messages.try_recv(), Ok(Message::Left(_, 2, _))));
+        drop(open);
+        rig.phase.send_replace(Phase::Ended);
+        let said = rig.rest().await.unwrap();
+        assert!(said.contains(&told(2, "FAIL")), "{} answers", said.len());
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// A client that takes nothing for a while, and whose time is not up, gets its answers whole.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn who_takes_no_answers_is_closed_only_when_its_time_is_up() {
+    let inside = async {
+        hold_time();
+        for (within_ms, whole) in [(20_000, true), (4000, false)] {
+            let mut rig = rig(Phase::Serving, &request_within(1, within_ms)).await;
+            rig.serve(1..=1).await;
+            tokio::time::advance(STUCK + Duration::from_millis(100)).await;
+            rig.settle().await;
+            let said = rig.first_answer().await;
+            assert_eq!(said.is_some(), whole, "within {within_ms} ms");
+        }
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// Nonsense ends the connection of a slow reader: all that it is owed is written while its time lasts.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn what_is_owed_before_nonsense_reaches_a_slow_reader() {
+    let inside = async {
+        hold_time();
+        let mut rig = rig(Phase::Serving, &[request(1), request(2)].concat()).await;
+        rig.serve(1..=1).await;
+        let _open = rig.request().await;
+        rig.peer.write_all(b"*99\r\n").await.unwrap();
+        rig.settle().await;
+        tokio::time::advance(Duration::from_millis(3000)).await;
+        rig.settle().await;
+        let said = rig.rest().await.expect("reset");
+        assert_eq!((said.len(), said.last()), (2, Some(&told(2, "FAIL"))));
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// Whole messages behind one that ends the connection have been read: each is answered, once.
+#[tokio::test(flavor = "current_thread")]
+async fn whole_messages_behind_nonsense_are_answered() {
+    let inside = async {
+        let no_tag = message(&["REQ", "x", "page", "", ""]);
+        for nonsense in [request(1), no_tag] {
+            let behind = [request(2), message(&["HEALTH", "3", ""]), request(2), request(1)].concat();
+            let mut rig = rig(Phase::Serving, &[request(1), nonsense, behind].concat()).await;
+            let mut said = rig.rest().await.unwrap();
+            said.sort();
+            assert_eq!(said, [told(1, "FAIL"), told(2, "NAK w=70"), told(3, "GREEN")]);
+        }
+    };
+    LocalSet::new().run_until(inside).await;
+}
+
+/// The connection waits to hand something on while more comes: that has used up some of its time when it is
+/// read. What comes on a connection that has rested has not.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn what_lay_unread_while_its_connection_waited_has_used_its_time() {
+    let inside = async {
+        hold_time();
+        let mut rig = rig_with_mailbox(1, Phase::Serving, &[request(1), request(2)].concat()).await;
+        let clock = Clock::start();
+        rig.settle().await;
+        rig.peer.write_all(&request(3)).await.unwrap();
+        tokio::time::advance(Duration::from_millis(700)).await;
+        let [first, second, third] =
+            [rig.request().await, rig.request().await, rig.request().await].map(|new| new.received_after);
+        assert_eq!(first, second);
+        assert!(third < first + Duration::from_millis(60), "{:?} later", third.saturating_sub(first));
+        tokio::time::advance(Duration::from_millis(700)).await;
+        rig.settle().await;
+        rig.peer.write_all(&request(4)).await.unwrap();
+        let fourth = rig.request().await.received_after;
+        assert!(clock.now() - fourth < Duration::from_millis(60), "{:?} ago", clock.now() - fourth);
+    };
+    LocalSet::new().run_until(inside).await;
+}
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -273,7 +273,7 @@
     }
 
     fn request(&mut self, new: New) {
-        let New { mut arrival, passed, read_at, tag, client, wanted } = new;
+        let New { mut arrival, passed, received_after, tag, client, wanted } = new;
         let refused = arrival.id.clone();
         if !wanted.still() {
             // It left before it was looked at.
@@ -294,7 +294,7 @@
         if bodies > self.bodies_most || self.desk.requests.len() >= self.limits.open_requests {
             return refuse(client, Last::Rejected(self.router.advice));
         }
-        arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(read_at));
+        arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(received_after));
         let once = self.once.get(arrival.class) == Some(&true);
         if let Some(confined) = &mut self.confined
             && let Err(wait) = confined.request(self.desk.now, &mut arrival, once)
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -34,7 +34,7 @@
     New {
         arrival,
         passed: Passed::default(),
-        read_at: Duration::ZERO,
+        received_after: Duration::ZERO,
         tag,
         client,
         wanted: Wanted::default(),
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -35,7 +35,8 @@
 pub struct New {
     pub arrival: Arrival,
     pub passed: Passed,
-    pub read_at: Duration,
+    /// The earliest time at which it may have come: it may have lain unread since.
+    pub received_after: Duration,
     pub tag: u64,
     /// A place for its final answer, which so can't be lost for want of one.
     pub client: mpsc::OwnedPermit<Reply>,
--- a/crates/router/tests/program/deadlines.rs
+++ b/crates/router/tests/program/deadlines.rs
@@ -102,3 +102,52 @@
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
+
+/// Requests that came while the program was held up have used up that time, on a connection that it had
+/// known and on a new one; one that comes after it has all of its time, however long its connection rested.
+#[test]
+fn what_lay_unread_while_the_program_was_held_up_has_used_its_time() {
+    let mut world = patient();
+    let program = world.start();
+    let (mut known, mut rested) = (program.client(), program.client());
+    assert_eq!((known.health(), rested.health()), ("GREEN".into(), "GREEN".into()));
+    program.signal("STOP");
+    until("the pause", || program.is_stopped());
+    let mut new = program.client();
+    let asked_at = Instant::now();
+    known.ask(1, "page", "", b"");
+    new.ask(2, "page", "", b"");
+    pass(700 * MS);
+    program.signal("CONT");
+    let mut server = world.server("c1").accept();
+    for _ in 0..2 {
+        let asked = server.asked();
+        let left = (4000 * MS).saturating_sub(asked_at.elapsed());
+        assert!(limit(&asked) <= left + SLACK, "told {:?}, left {left:?}", limit(&asked));
+        assert!(limit(&asked) > 2500 * MS, "{:?}", limit(&asked));
+        server.answer(&asked, "OK", HIT, b"x");
+    }
+    assert_eq!((known.word(), new.word()), ("ACK".into(), "ACK".into()));
+    pass(300 * MS);
+    rested.ask(3, "page", "", b"");
+    let asked = server.asked();
+    assert!(limit(&asked) > 3800 * MS, "told {:?} of 4 s", limit(&asked));
+    server.answer(&asked, "OK", HIT, b"x");
+    assert_eq!(rested.word(), "ACK");
+}
+
+/// A request whose whole time may have passed unread is rejected, and goes nowhere.
+#[test]
+fn what_may_have_no_time_left_after_a_hold_up_is_rejected() {
+    let mut world = patient();
+    let program = world.start();
+    let mut client = program.client();
+    assert_eq!(client.health(), "GREEN");
+    program.signal("STOP");
+    until("the pause", || program.is_stopped());
+    client.ask(1, "page", "d=300", b"");
+    pass(500 * MS);
+    program.signal("CONT");
+    assert_eq!(client.word(), "NAK");
+    assert!(world.servers.iter().all(|server| server.try_accept().is_none()), "sent on");
+}
