--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -195,7 +195,7 @@
 
 /// One connection on which discovery has been asked for what comes.
 struct Watch {
-    lines: BufReader<TcpStream>,
+    lines: BufReader<Uninterrupted<TcpStream>>,
     /// The last line, or the beginning of the next.
     line: Vec<u8>,
     since: Instant,
