--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -164,3 +164,28 @@
     state.fill();
     assert!(write(&mut state, 1000).contains(",limit=1 "));
 }
+
+/// After a hold-up a connection lets other tasks read before its attempt begins: what they order of it
+/// meanwhile finds room in its mailbox.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_connection_takes_orders_while_it_lets_others_catch_up() {
+    let inside = async {
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let (to_connection, orders) = mpsc::channel(4);
+        let (server, _reports) = mpsc::channel(8);
+        let place = std::sync::Arc::new(tokio::sync::Semaphore::new(1)).try_acquire_owned().unwrap();
+        let (number, dial) = (1, listener.local_addr().unwrap());
+        let connect_timeout = Duration::from_secs(60);
+        event_loop::before_wait();
+        tokio::time::advance(Duration::from_millis(100)).await;
+        let connection = Connection { number, dial, connect_timeout, orders, server, _place: place };
+        tokio::task::spawn_local(connection.run());
+        let long = Duration::from_secs(60);
+        for turn in 0..200 {
+            let order = ConnectionOrder::Ask(ask("a", long, long));
+            assert!(to_connection.try_send(order).is_ok(), "no room in turn {turn}");
+            tokio::task::yield_now().await;
+        }
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
