--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -1,35 +1,35 @@
 //! Owns the decisions: hands them what happens, and does what they order. Nothing is decided here.
 
 mod desk;
+mod servers;
 
 use crate::abroad::Abroad;
 use crate::brief::Brief;
 use crate::clock::Clock;
 use crate::confined::Confined;
-use crate::messages::{Ended, Last, Message, New, Order, Question, Reply, Wanted};
+use crate::messages::{Ended, Last, Message, New, Question, Reply, Wanted};
 use crate::notices::Notice;
 use crate::own::{Got, Own};
 use crate::peers::Saying;
 use crate::phase::Phase;
-use crate::server::Server;
+use crate::server::{ConnectionPlaces, ServerActors};
 use crate::told::Limits;
 use chalkhall::control::Router;
 use chalkhall::interface::{self, Deployment, Effect, Id, ListKind, Member, Outcome, Standing};
 use chalkhall_members::Talk;
 use chalkhall_store::threads::End;
-use desk::{Desk, Post, Taken, To};
+use desk::{Desk, Taken, To};
 use serde_json::{Value, json};
+use servers::{Listed, ServerHandles};
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
+use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
-use std::sync::Arc;
+use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::{Semaphore, mpsc, watch};
-use tokio::task::{spawn_local, yield_now};
+use tokio::sync::{mpsc, watch};
+use tokio::task::yield_now;
 use tokio::time::sleep_until;
 
-/// Orders on their way to a server's actor, which takes them at once; more are reported never sent.
-const ORDERS_MOST: usize = 1024;
 /// What an attempt brings into memory is expected as lately: at first an object's bytes at most, then
 /// moving by this share towards each that came.
 const OBJECT_MOST: f64 = 240_000.0;
@@ -68,13 +68,11 @@
     once: Vec<bool>,
     /// Bodies in hand, present and to come, past which new requests are rejected at the door.
     bodies_most: f64,
-    idle: Duration,
     phase: watch::Sender<Phase>,
     longest_deadline: Duration,
     longest_advice: Option<Duration>,
-    /// For the servers' actors to answer to, and the places of their connections.
-    messages: mpsc::Sender<Message>,
-    places_of_connections: Arc<Semaphore>,
+    /// The list has changed since the talk with the peers took it over.
+    peers_list_stale: bool,
     nonsense: Brief,
 }
 
@@ -101,7 +99,14 @@
             now,
             clock,
             requests: HashMap::new(),
-            posts: HashMap::new(),
+            servers: ServerHandles::new(ServerActors {
+                streams: limits.streams,
+                connect_timeout: limits.connect_timeout,
+                // Idle connections are closed before the other side does.
+                idle: limits.idle_close.mul_f64(0.8),
+                decider: messages,
+                places: Rc::new(ConnectionPlaces::new(connections_most)),
+            }),
             timers: BinaryHeap::new(),
             ends: VecDeque::new(),
             answered: Vec::new(),
@@ -125,14 +130,11 @@
             warm_within: deployment.cold_cache.warm_within,
             once: deployment.classes.iter().map(|c| c.effect == Effect::NonIdempotent).collect(),
             bodies_most: limits.memory as f64 / 2.0,
-            // Idle connections are closed before the other side does.
-            idle: limits.idle_close.mul_f64(0.8),
             limits,
             phase,
             longest_deadline: deployment.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
             longest_advice: deployment.longest_advice,
-            places_of_connections: Arc::new(Semaphore::new(connections_most)),
-            messages,
+            peers_list_stale: false,
             nonsense: Brief::default(),
         }
     }
@@ -246,6 +248,7 @@
             }
             Message::Written(bytes) => self.desk.in_hand = self.desk.in_hand.saturating_sub(bytes),
             Message::Ended(ended) => self.ended(ended),
+            Message::ServerRests(server) => self.desk.servers.rests(&server),
             Message::Disk(end) => self.disk(end),
             Message::Way(edge, way) => {
                 self.abroad.iter_mut().for_each(|abroad| abroad.way(self.desk.now, edge, way));
@@ -426,14 +429,17 @@
 
     /// Background work of own copies, and the requests by which unproven ones are asked about.
     fn tick(&mut self, late: Duration) {
+        if self.desk.talk.as_ref().is_some_and(|(talk, _)| self.desk.now >= talk.next()) {
+            self.refresh_peers_list();
+        }
         if let Some((talk, saying)) = &mut self.desk.talk
             && self.desk.now >= talk.next()
         {
             talk.tick(self.desk.now, saying, &mut self.router);
         }
         if let Some(abroad) = self.abroad.as_mut().filter(|abroad| self.desk.now >= abroad.next()) {
-            let posts = &self.desk.posts;
-            abroad.tick(self.desk.now, &self.router, |server| posts.get(server).map(|post| post.dial));
+            let servers = &self.desk.servers;
+            abroad.tick(self.desk.now, &self.router, |server| servers.address(server));
         }
         let Some(own) = &mut self.desk.own else { return };
         own.tick(late);
@@ -492,9 +498,10 @@
             Notice::List { whole, members } => {
                 let kind = if whole { ListKind::Whole } else { ListKind::Changes };
                 if whole {
-                    self.desk.posts.retain(|name, _| members.iter().any(|(m, _)| m.server == *name));
+                    let listed: HashSet<&Id> = members.iter().map(|(member, _)| &member.server).collect();
+                    self.desk.servers.keep_only(&listed);
                 }
-                let share = self.limits.sockets / 3 / (2 * members.len().max(self.desk.posts.len()).max(1));
+                let share = self.limits.sockets / 3 / (2 * members.len().max(self.desk.servers.len()).max(1));
                 for (member, dial) in &members {
                     self.post(member, *dial, share.clamp(1, CONNECTIONS_MOST));
                 }
@@ -504,53 +511,37 @@
                 }
                 members.append(&mut self.places);
                 self.router.list(now, kind, &members, &mut self.desk);
-                if let Some((talk, _)) = &mut self.desk.talk {
-                    talk.caches(self.router.caches().map(|m| &m.server));
-                    // One that is cold or drains has less to do than it could, and is not evened out.
-                    let warm = |at: Duration| now >= at + self.warm_within;
-                    let even = |m: &&Member| m.standing == Standing::Active && m.started.is_none_or(warm);
-                    talk.even(self.router.caches().filter(even).map(|m| (m.server.clone(), m.capacity)));
+                self.peers_list_stale = true;
+                if whole {
+                    self.refresh_peers_list();
                 }
             }
         }
     }
 
-    /// A server is known by its name: one of another name at an old address has an actor of its own.
-    fn post(&mut self, member: &Member, dial: SocketAddr, connections_most: usize) {
-        if member.standing == Standing::Gone {
-            // What is out there still ends; its actor ends after it.
-            self.desk.posts.remove(&member.server);
+    /// The caches that the peers are told about, from the list as it is. Changes of the list come one by one, to
+    /// hundreds in a release, and each would have the whole list walked: they are taken over together before
+    /// the next word to the peers.
+    fn refresh_peers_list(&mut self) {
+        let Some((talk, _)) = &mut self.desk.talk else { return };
+        if !std::mem::take(&mut self.peers_list_stale) {
             return;
         }
-        let clock = self.desk.clock;
-        if let Some(post) = self.desk.posts.get_mut(&member.server) {
-            if (post.dial, post.started) == (dial, member.started) {
-                return;
-            }
-            (post.dial, post.started) = (dial, member.started);
-            let started = member.started.map(|at| clock.instant(at));
-            // One that takes no more orders would go on at the old address, or on connections from before the
-            // start: what is out there ends with it, and one of its own follows it.
-            if post.orders.try_send(Order::Anew { dial, started }).is_ok() {
-                return;
-            }
+        talk.caches(self.router.caches().map(|m| &m.server));
+        // One that is cold or drains has less to do than it could, and is not evened out.
+        let now = self.desk.now;
+        let warm = |at: Duration| now >= at + self.warm_within;
+        let even = |m: &&Member| m.standing == Standing::Active && m.started.is_none_or(warm);
+        talk.even(self.router.caches().filter(even).map(|m| (m.server.clone(), m.capacity)));
+    }
+
+    fn post(&mut self, member: &Member, address: SocketAddr, connections_most: usize) {
+        if member.standing == Standing::Gone {
+            return self.desk.servers.remove(&member.server);
         }
-        let (orders, receiver) = mpsc::channel(ORDERS_MOST);
-        let (orders_of_connections, from_connections) = mpsc::channel(ORDERS_MOST);
-        let server = Server {
-            name: member.server.clone(),
-            dial,
-            connections_most,
-            streams: self.limits.streams,
-            connect_timeout: self.limits.connect_timeout,
-            idle: self.idle,
-            orders: receiver,
-            orders_of_connections,
-            decider: self.messages.clone(),
-            places: self.places_of_connections.clone(),
-        };
-        spawn_local(server.run(from_connections));
-        self.desk.posts.insert(member.server.clone(), Post { orders, dial, started: member.started });
+        let started_at = member.started.map(|at| self.desk.clock.instant(at));
+        let listed = Listed { address, started: member.started, started_at, connections_most };
+        self.desk.servers.list(&member.server, listed);
     }
 }
 
--- a/crates/router/src/decider/desk.rs
+++ b/crates/router/src/decider/desk.rs
@@ -1,5 +1,6 @@
 //! Where the orders of the decisions are carried out, and what stands open there.
 
+use super::servers::ServerHandles;
 use crate::brief::Brief;
 use crate::clock::Clock;
 use crate::lines::{Answer, Passed, ask};
@@ -10,7 +11,6 @@
 use chalkhall_members::Talk;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
-use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -41,18 +41,12 @@
     pub(super) open: bool,
 }
 
-pub(super) struct Post {
-    pub(super) orders: mpsc::Sender<Order>,
-    pub(super) dial: SocketAddr,
-    pub(super) started: Option<Duration>,
-}
-
 /// Where the orders of the decisions are carried out.
 pub(super) struct Desk {
     pub(super) now: Duration,
     pub(super) clock: Clock,
     pub(super) requests: HashMap<Id, Taken>,
-    pub(super) posts: HashMap<Id, Post>,
+    pub(super) servers: ServerHandles,
     pub(super) timers: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Attempts that ended here: not handed on, or answered from an own copy; and requests to be forgotten
     /// when all is back.
@@ -121,7 +115,7 @@
         });
         let work = taken.arrival.kb / self.pace;
         self.talk.iter_mut().for_each(|(talk, _)| talk.sent(server, work));
-        let post = self.posts.get(server).map(|post| post.orders.clone());
+        let post = self.servers.orders_to(server);
         if post.as_ref().is_none_or(|orders| orders.try_send(Order::Ask(ask)).is_err()) {
             self.refused
                 .log(&format!("an attempt for {server}, which is not listed or takes no more orders"));
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::lines::Passed;
-use crate::messages::Ask;
+use crate::messages::{Ask, Order};
 use chalkhall::interface::Arrival;
 
 fn decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
@@ -100,7 +100,7 @@
         let mut list = |dial, started| {
             let member = Member { server: id.clone(), started, ..Member::default() };
             decider.notice(Notice::List { whole: false, members: vec![(member, dial)] });
-            decider.desk.posts[&id].orders.clone()
+            decider.desk.servers.orders_to(&id).expect("it is listed")
         };
         let before = list(old, None);
         while before.try_send(Order::Quit((id.clone(), 0))).is_ok() {}
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -20,6 +20,8 @@
     /// So many bytes of bodies have been written to a client, or dropped.
     Written(usize),
     Ended(Ended),
+    /// The actor of this server has ended, with nothing out: another is started when it is needed.
+    ServerRests(Id),
     /// An order to the disk of own copies has ended.
     Disk(End),
     /// A datagram from the router of this number.
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -6,9 +6,10 @@
 use chalkhall::interface::{Id, Outcome};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
+use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{Semaphore, mpsc};
+use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
@@ -20,6 +21,11 @@
 const FRESH: Duration = Duration::from_millis(50);
 /// Orders waiting for one connection; more are reported never sent.
 const ORDERS_MOST: usize = 256;
+/// Orders on their way to a server's actor, which takes them at once; more are reported never sent.
+const MAILBOX_MOST: usize = 1024;
+/// An actor that has neither a connection nor anything out ends after so long without an order. Long enough
+/// that a server that refuses connections keeps its actor over a few retries; it holds some KB meanwhile.
+pub const ENDS_AFTER: Duration = Duration::from_secs(2);
 /// Ids that were out on a connection and of which another answer may come that nobody wants.
 const OLD_IDS_MOST: usize = 256;
 
@@ -37,6 +43,66 @@
     old: VecDeque<Id>,
 }
 
+/// Where as few of the places for connections are free as this part of them, idle ones are let go of.
+const PLACES_KEPT_FREE: usize = 16;
+
+/// The places for connections to all servers together: with the clients' they are the descriptors that there are.
+pub struct ConnectionPlaces {
+    free: Arc<Semaphore>,
+    kept_free: usize,
+    /// Waited for by the actors with an idle connection, those first in which nothing has happened for longest.
+    short: Notify,
+}
+
+impl ConnectionPlaces {
+    pub fn new(most: usize) -> ConnectionPlaces {
+        let kept_free = most / PLACES_KEPT_FREE;
+        ConnectionPlaces { free: Arc::new(Semaphore::new(most)), kept_free, short: Notify::new() }
+    }
+
+    /// None: all are taken. Where few are left, an idle connection of some server is let go of: with many servers
+    /// idle connections alone could take all places, and a server without one could be sent nothing.
+    fn take(&self) -> Option<OwnedSemaphorePermit> {
+        let place = self.free.clone().try_acquire_owned().ok();
+        if self.free.available_permits() <= self.kept_free {
+            self.short.notify_one();
+        }
+        place
+    }
+}
+
+/// Starts the actor of a server when the first attempt is ordered for it: most of the servers of a large fleet
+/// are never sent anything by one router, and an actor with its mailboxes takes several KB.
+pub struct ServerActors {
+    pub streams: usize,
+    pub connect_timeout: Duration,
+    pub idle: Duration,
+    pub decider: mpsc::Sender<Message>,
+    pub places: Rc<ConnectionPlaces>,
+}
+
+impl ServerActors {
+    /// The mailbox of a new actor. It closes the mailbox as it ends: what finds it closed was not taken.
+    pub fn spawn(&self, name: Id, dial: SocketAddr, connections_most: usize) -> mpsc::Sender<Order> {
+        let (sender, orders) = mpsc::channel(MAILBOX_MOST);
+        let (orders_of_connections, from_connections) = mpsc::channel(MAILBOX_MOST);
+        let server = Server {
+            name,
+            dial,
+            connections_most,
+            streams: self.streams,
+            connect_timeout: self.connect_timeout,
+            idle: self.idle,
+            orders,
+            orders_of_connections,
+            decider: self.decider.clone(),
+            places: self.places.clone(),
+        };
+        spawn_local(server.run(from_connections));
+        sender
+    }
+}
+
 pub struct Server {
     pub name: Id,
     pub dial: SocketAddr,
@@ -47,8 +113,7 @@
     pub orders: mpsc::Receiver<Order>,
     pub orders_of_connections: mpsc::Sender<Order>,
     pub decider: mpsc::Sender<Message>,
-    /// A place for each connection to any server: with the clients' they are the descriptors that there are.
-    pub places: Arc<Semaphore>,
+    pub places: Rc<ConnectionPlaces>,
 }
 
 #[derive(Default)]
@@ -62,27 +127,69 @@
     fn next_idle(&self, idle: Duration) -> Option<Instant> {
         self.connections.iter().filter(|l| l.open == 0).map(|l| l.used + idle).min()
     }
+
+    fn has_idle(&self) -> bool {
+        self.connections.iter().any(|connection| connection.open == 0)
+    }
+
+    fn retire_longest_idle(&mut self) {
+        let idle = self.connections.iter_mut().filter(|connection| connection.open == 0);
+        idle.min_by_key(|connection| connection.used).into_iter().for_each(|longest| longest.retired = true);
+    }
+
+    /// It has neither a connection nor anything out.
+    fn is_resting(&self) -> bool {
+        self.connections.is_empty() && self.out.is_empty()
+    }
 }
 
 impl Server {
-    /// Runs until the decider has let go of it and all that is out has ended.
+    /// Runs until the decider has let go of it and all that is out has ended, or until it has rested for long
+    /// enough.
     pub async fn run(mut self, mut from_connections: mpsc::Receiver<Order>) {
         let mut hands = Hands::default();
         let mut wanted = true;
+        let mut last_order = Instant::now();
+        let places = self.places.clone();
         while wanted || !hands.out.is_empty() {
-            let next_idle = hands.next_idle(self.idle);
-            tokio::select! {
-                order = self.orders.recv(), if wanted => match order {
-                    Some(order) => self.order(&mut hands, order).await,
-                    None => wanted = false,
-                },
-                Some(order) = from_connections.recv() => self.order(&mut hands, order).await,
-                () = at(next_idle) => {}
+            let ends = hands.is_resting().then_some(last_order + ENDS_AFTER);
+            let next = hands.next_idle(self.idle).or(ends);
+            let order = tokio::select! {
+                order = self.orders.recv(), if wanted => {
+                    wanted = order.is_some();
+                    order
+                }
+                order = from_connections.recv() => order,
+                () = places.short.notified(), if hands.has_idle() => {
+                    hands.retire_longest_idle();
+                    None
+                }
+                () = at(next) => None,
+            };
+            if let Some(order) = order {
+                last_order = Instant::now();
+                self.order(&mut hands, order).await;
             }
             self.retire(&mut hands);
+            if wanted && hands.is_resting() && self.has_rested(last_order) {
+                return self.rest().await;
+            }
         }
     }
 
+    /// No order has come for long enough, and none lies in the mailbox: one that came in this very moment is
+    /// taken first.
+    fn has_rested(&self, last_order: Instant) -> bool {
+        Instant::now() >= last_order + ENDS_AFTER && self.orders.is_empty()
+    }
+
+    /// The decider, whose tasks run on this thread too, finds the mailbox closed from here on and starts another
+    /// actor; nothing can have come between the look into the mailbox and this.
+    async fn rest(mut self) {
+        self.orders.close();
+        let _ = self.decider.send(Message::ServerRests(self.name)).await;
+    }
+
     /// Closed before the other side does it: a request that crosses a close may have run.
     fn retire(&self, hands: &mut Hands) {
         let now = Instant::now();
@@ -191,7 +298,7 @@
 
     /// Opens one more, if there is a descriptor for it.
     fn open(&self, hands: &mut Hands) {
-        let Ok(place) = self.places.clone().try_acquire_owned() else { return };
+        let Some(place) = self.places.take() else { return };
         hands.last += 1;
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
         let now = Instant::now();
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -20,7 +20,7 @@
         orders,
         orders_of_connections,
         decider,
-        places: Arc::new(Semaphore::new(places)),
+        places: Rc::new(ConnectionPlaces::new(places)),
     };
     (server, (from_connections, sender, messages))
 }
@@ -141,3 +141,70 @@
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
+
+/// Ended, it would drop the connection and what is out on it.
+#[tokio::test(flavor = "current_thread")]
+async fn an_actor_with_a_connection_or_something_out_does_not_rest() {
+    let inside = async {
+        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        assert!(hands.is_resting());
+        assert!(server.pass(&mut hands, ask("a")));
+        assert!(!hands.is_resting(), "a connection, and something out on it");
+        ended(&mut server, &mut hands, 1, "a").await;
+        assert!(!hands.is_resting(), "an idle connection");
+        assert!(server.pass(&mut hands, ask("b")));
+        hands.connections.clear();
+        assert!(!hands.is_resting(), "the end of an attempt is still to come");
+        ended(&mut server, &mut hands, 1, "b").await;
+        assert!(hands.is_resting());
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
+
+/// Answers one attempt; what came next on the connection.
+async fn answers_once(listener: &tokio::net::TcpListener) -> tokio::net::TcpStream {
+    use tokio::io::{AsyncReadExt, AsyncWriteExt};
+    let (mut stream, _) = listener.accept().await.unwrap();
+    let mut read = Vec::new();
+    while !read.ends_with(b"\r\n") {
+        assert!(stream.read_buf(&mut read).await.unwrap() > 0);
+    }
+    stream.write_all(b"x OK tell=hit 1\r\nx\r\n").await.unwrap();
+    stream
+}
+
+/// Idle connections to the many servers of a large fleet take all places: the one that was idle for longest goes,
+/// and a server without one is reached.
+#[tokio::test(flavor = "current_thread")]
+async fn the_longest_idle_connection_of_all_servers_makes_room_when_places_run_out() {
+    use tokio::io::AsyncReadExt;
+    let inside = async {
+        let (decider, mut messages) = mpsc::channel(8);
+        let places = Rc::new(ConnectionPlaces::new(2));
+        let actors = ServerActors { streams: 100, connect_timeout: WAIT, idle: WAIT * 60, decider, places };
+        let mut streams = Vec::new();
+        let mut senders = Vec::new();
+        for name in ["first", "second", "third"] {
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+            let orders = actors.spawn(name.into(), listener.local_addr().unwrap(), 1);
+            assert!(orders.try_send(Order::Ask(ask("x"))).is_ok());
+            streams.push(answers_once(&listener).await);
+            let Some(Message::Ended(ended)) = messages.recv().await else { panic!("{name}: nothing came") };
+            assert_eq!(ended.outcome, Outcome::Served, "{name}");
+            senders.push(orders);
+            if name == "second" {
+                // Both places are taken, both connections idle.
+                let closed = tokio::time::timeout(WAIT * 10, streams[0].read(&mut [0; 8])).await;
+                assert_eq!(closed.expect("the first is still open").unwrap(), 0);
+                assert_eq!(
+                    streams[1].try_read(&mut [0; 8]).unwrap_err().kind(),
+                    std::io::ErrorKind::WouldBlock
+                );
+                while actors.places.free.available_permits() == 0 {
+                    tokio::task::yield_now().await;
+                }
+            }
+        }
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
