--- a/crates/cli/src/bin/proof-fleet-size/main.rs
+++ b/crates/cli/src/bin/proof-fleet-size/main.rs
@@ -12,7 +12,7 @@
 
 use bounds::{Growth, exceeded, line};
 use chalkhall_cli::fleet::program;
-use chalkhall_fleet::children::Program;
+use chalkhall_harness::children::Program;
 use clap::Parser;
 use scenario::{Day, Figures, Scenario, Size};
 use std::path::PathBuf;
--- a/crates/cli/src/bin/proof-fleet-size/scenario.rs
+++ b/crates/cli/src/bin/proof-fleet-size/scenario.rs
@@ -5,7 +5,7 @@
 use crate::settings::{Block, Listed, Tier, configuration, servers, unix_ms};
 use crate::traffic::{self, Asked};
 use crate::usage;
-use chalkhall_fleet::children::{Program, Router};
+use chalkhall_harness::children::{Program, Router};
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/crates/cli/src/bin/proof-fleet-size/traffic.rs
+++ b/crates/cli/src/bin/proof-fleet-size/traffic.rs
@@ -1,6 +1,6 @@
 //! A router's clients: requests at random times, for objects of which few are wanted often.
 
-use chalkhall_fleet::wire;
+use chalkhall_harness::wire;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
