--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -3,8 +3,11 @@
 //! An attempt waits unwritten until the connection stands and all before it has gone to the system; only
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
-use crate::lines::{Answer, Answers, quit};
+use crate::event_loop;
+use crate::io_errors::{ConnectFailure, INTERRUPTIONS_MOST, MEMORY_PAUSE, StreamFailure, set_nodelay};
+use crate::lines::{Answer, Answers, ask, quit};
 use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
+use crate::uninterrupted::Uninterrupted;
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::Outcome;
 use std::collections::{HashMap, VecDeque};
@@ -14,13 +17,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpStream, tcp::ReadHalf};
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 const READ_AT_ONCE: usize = 16 * 1024;
 const LEAST_READ: usize = 1024;
-/// No descriptor left to the process, or to the system.
-const EMFILE: i32 = 24;
-const ENFILE: i32 = 23;
 
 pub struct Connection {
     pub number: u64,
@@ -43,8 +43,9 @@
     unwritten: VecDeque<Box<Ask>>,
     /// By the id as the server sees it.
     out: HashMap<Bytes, Out>,
+    /// What is on its way to the system.
     writing: BytesMut,
-    /// The attempt whose first byte is the next to be written.
+    /// The attempt whose first byte is the next to be written, and which is worded then.
     beginning: Option<Box<Ask>>,
     quits: VecDeque<Bytes>,
     ended: VecDeque<(Key, Outcome, Option<Box<Answer>>, bool)>,
@@ -68,7 +69,6 @@
     /// Takes back attempts of which not a byte has gone.
     fn withdraw(&mut self, which: impl Fn(&Ask) -> bool) {
         if let Some(ask) = self.beginning.take_if(|ask| which(ask)) {
-            self.writing.clear();
             self.ended.push_back((ask.key, Outcome::NeverSent, None, false));
         }
         while let Some(at) = self.unwritten.iter().position(|ask| which(ask)) {
@@ -103,7 +103,7 @@
 
     /// Takes the next thing to write, when all before it has gone.
     fn fill(&mut self) {
-        if !self.writing.is_empty() {
+        if self.has_to_write() {
             return;
         }
         self.writing.clear();
@@ -113,12 +113,33 @@
         if !self.writing.is_empty() {
             return;
         }
-        if let Some(mut ask) = self.unwritten.pop_front() {
-            self.writing = std::mem::take(&mut ask.line);
-            self.writing.extend_from_slice(&ask.passed.body);
-            self.writing.extend_from_slice(b"\r\n");
-            self.beginning = Some(ask);
+        self.beginning = self.unwritten.pop_front();
+    }
+
+    fn has_to_write(&self) -> bool {
+        !self.writing.is_empty() || self.beginning.is_some()
+    }
+
+    /// Hands what is to be written to `write`, which says how many bytes of it the system took.
+    ///
+    /// An attempt is worded here, for its line says how much time its client has left: since the decision it
+    /// may have waited for a connection to come up or behind a full socket.
+    fn write(&mut self, now: Instant, write: impl FnOnce(&[u8]) -> io::Result<usize>) -> io::Result<()> {
+        let Some(beginning) = &self.beginning else {
+            let bytes = write(&self.writing)?;
+            self.gone(now, bytes);
+            return Ok(());
+        };
+        let left = beginning.due.saturating_duration_since(now);
+        let mut line = ask(&beginning.passed, &beginning.server, left, &beginning.fill);
+        line.extend_from_slice(&beginning.passed.body);
+        line.extend_from_slice(b"\r\n");
+        let bytes = write(&line)?;
+        if bytes > 0 {
+            self.writing = line;
+            self.gone(now, bytes);
         }
+        Ok(())
     }
 
     /// So many bytes have gone to the system: from the first on an attempt may run. To a server that hangs
@@ -158,7 +179,11 @@
             }
             Some(Err(what)) => {
                 log::debug!("{}: {what}", self.dial);
-                state.broken(not_connected(&what));
+                let failure = ConnectFailure::from(&what);
+                if failure != ConnectFailure::Server {
+                    self.report(Report::LocalFailure).await;
+                }
+                state.broken(not_connected(failure));
             }
             None => {}
         }
@@ -184,7 +209,7 @@
 
     /// None: nobody wants the connection any more.
     async fn connect(&mut self, state: &mut State) -> Option<io::Result<TcpStream>> {
-        let connecting = timeout(self.connect_timeout, TcpStream::connect(self.dial));
+        let connecting = timeout(self.connect_timeout, connect_uninterrupted(self.dial));
         tokio::pin!(connecting);
         loop {
             self.tell(state).await;
@@ -192,7 +217,7 @@
             tokio::select! {
                 made = &mut connecting => {
                     let made = made.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-                    return Some(made.and_then(|stream| stream.set_nodelay(true).map(|()| stream)));
+                    return Some(made.inspect(set_nodelay));
                 }
                 order = self.orders.recv() => state.take(order?),
                 () = at(due) => state.expire(Instant::now()),
@@ -217,16 +242,23 @@
             let stops = begun.and(last).map(|last| last + self.connect_timeout);
             tokio::select! {
                 biased;
-                ready = writer.writable(), if !state.writing.is_empty() => {
+                ready = writer.writable(), if state.has_to_write() => {
                     ready.map_err(|e| e.to_string())?;
+                    if state.beginning.is_some() {
+                        // A client's leaving may lie unread: after a hold-up the order in which tasks have
+                        // their turns is chance.
+                        event_loop::catch_up().await;
+                    }
                     // Looked at again here: the socket may have been full for long, or the program held up.
                     let now = Instant::now();
                     state.expire(now);
-                    if !state.writing.is_empty() {
-                        match writer.try_write(&state.writing) {
-                            Ok(bytes) => state.gone(now, bytes),
-                            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                            Err(e) => return Err(e.to_string()),
+                    if state.has_to_write()
+                        && let Err(e) = state.write(now, |bytes| writer.try_write(bytes))
+                    {
+                        match StreamFailure::from(&e) {
+                            StreamFailure::Retry => {}
+                            StreamFailure::MemoryExhausted => sleep(MEMORY_PAUSE).await,
+                            StreamFailure::Broken => return Err(e.to_string()),
                         }
                     }
                 }
@@ -263,14 +295,25 @@
     if buffer.capacity() - buffer.len() < LEAST_READ {
         buffer.reserve(READ_AT_ONCE);
     }
-    reader.read_buf(buffer).await
+    Uninterrupted::new(reader).read_buf(buffer).await
+}
+
+/// Connects, again on a new socket where a signal interrupted it.
+async fn connect_uninterrupted(dial: SocketAddr) -> io::Result<TcpStream> {
+    for _ in 1..INTERRUPTIONS_MOST {
+        match TcpStream::connect(dial).await {
+            Err(e) if ConnectFailure::from(&e) == ConnectFailure::Interrupted => {}
+            made => return made,
+        }
+    }
+    TcpStream::connect(dial).await
 }
 
-/// Nothing ran either way; but where this program has no descriptor left the server is not to blame.
-fn not_connected(what: &io::Error) -> Outcome {
-    match what.raw_os_error() {
-        Some(EMFILE | ENFILE) => Outcome::NeverSent,
-        _ => Outcome::Unreachable,
+/// Nothing ran either way; but what this machine lacks is not held against the server.
+fn not_connected(failure: ConnectFailure) -> Outcome {
+    match failure {
+        ConnectFailure::Interrupted | ConnectFailure::LocalResources => Outcome::NeverSent,
+        ConnectFailure::Server => Outcome::Unreachable,
     }
 }
 
--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -1,15 +1,41 @@
 use super::*;
 use crate::lines::Passed;
 use crate::messages::Wanted;
+use chalkhall::interface::Fill;
+
+fn no_fill() -> Fill {
+    Fill {
+        source: "s".into(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    }
+}
+
+/// Has the system take so many bytes at most; what they are.
+fn write(state: &mut State, most: usize) -> String {
+    let mut taken = String::new();
+    let into = |bytes: &[u8]| {
+        let part = &bytes[..bytes.len().min(most)];
+        taken = String::from_utf8_lossy(part).into_owned();
+        if part.is_empty() { Err(io::ErrorKind::WouldBlock.into()) } else { Ok(part.len()) }
+    };
+    let result = state.write(Instant::now(), into);
+    assert_eq!(result.is_err(), taken.is_empty());
+    taken
+}
 
 fn ask(id: &'static str, due: Duration, leave_by: Duration) -> Box<Ask> {
     let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
     let now = Instant::now();
-    let line = BytesMut::from("ASK");
     Box::new(Ask {
         key: (id.into(), 0),
         passed,
-        line,
+        server: "s".into(),
+        fill: no_fill(),
         once: false,
         wanted: Wanted::default(),
         due: now + due,
@@ -23,9 +49,10 @@
 
 #[test]
 fn a_server_is_not_blamed_for_our_descriptors() {
-    assert_eq!(not_connected(&io::Error::from_raw_os_error(EMFILE)), Outcome::NeverSent);
-    assert_eq!(not_connected(&io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
-    assert_eq!(not_connected(&io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
+    let outcome = |error: io::Error| not_connected(ConnectFailure::from(&error));
+    assert_eq!(outcome(io::Error::from_raw_os_error(libc::EMFILE)), Outcome::NeverSent);
+    assert_eq!(outcome(io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
+    assert_eq!(outcome(io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
 }
 
 #[test]
@@ -36,7 +63,7 @@
         state.take(ConnectionOrder::Ask(ask(id, due, leave_by)));
     }
     state.fill();
-    state.gone(Instant::now(), 1);
+    assert_eq!(write(&mut state, 1), "A");
     state.take(ConnectionOrder::Quit(("a".into(), 0)));
     state.take(ConnectionOrder::Quit(("b".into(), 0)));
     state.expire(Instant::now());
@@ -60,7 +87,7 @@
         let wanted = ask.wanted.clone();
         state.take(ConnectionOrder::Ask(ask));
         state.fill();
-        assert!(!state.writing.is_empty() && state.next_due().is_some());
+        assert!(state.has_to_write() && state.next_due().is_some());
         (state, wanted)
     };
     // Its client leaves, or has its answer; the grace passes; it is called off; the connection breaks.
@@ -73,15 +100,14 @@
     off.take(ConnectionOrder::Quit(("a".into(), 0)));
     let (mut broken, _) = front(long);
     broken.broken(Outcome::NeverSent);
-    broken.writing.clear();
     for mut state in [left, late, off, broken] {
         assert_eq!(ends(&mut state), never);
         state.fill();
-        assert!(state.writing.is_empty() && state.quits.is_empty(), "nothing of it goes out any more");
+        assert!(!state.has_to_write() && state.quits.is_empty(), "nothing of it goes out any more");
     }
     // From its first byte on it may have run.
     let (mut state, wanted) = front(none);
-    state.gone(Instant::now(), 1);
+    assert_eq!(write(&mut state, 1), "A");
     wanted.end();
     state.expire(Instant::now());
     assert!(ends(&mut state).is_empty());
@@ -102,3 +128,109 @@
     state.fill();
     assert_eq!(state.beginning.map(|ask| ask.key.0.to_string()).as_deref(), Some("b"));
 }
+
+/// The errors by which Linux says that this machine, for a moment, can make no connection at all.
+#[test]
+fn a_server_is_not_blamed_for_what_this_machine_lacks() {
+    use libc::{EADDRNOTAVAIL, EAGAIN, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
+    for errno in [ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN] {
+        let failure = io::Error::from_raw_os_error(errno);
+        assert_eq!(not_connected(ConnectFailure::from(&failure)), Outcome::NeverSent, "{failure}");
+    }
+}
+
+/// A server whose socket takes little at a time: the system moves a part of what is written, and a part of
+/// what is read, each time.
+#[tokio::test(flavor = "current_thread")]
+async fn a_request_and_its_answer_arrive_complete_in_the_smallest_pieces() {
+    use tokio::io::AsyncWriteExt;
+    const BODY: usize = 200_000;
+    let inside = async {
+        let listener = tokio::net::TcpSocket::new_v4().unwrap();
+        listener.set_recv_buffer_size(1).unwrap();
+        listener.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        let listener = listener.listen(1).unwrap();
+        let (orders, receiver) = mpsc::channel(8);
+        let (server, mut reports) = mpsc::channel(8);
+        let places = std::sync::Arc::new(tokio::sync::Semaphore::new(1));
+        let connection = Connection {
+            number: 1,
+            dial: listener.local_addr().unwrap(),
+            connect_timeout: Duration::from_secs(10),
+            orders: receiver,
+            server,
+            _place: places.try_acquire_owned().unwrap(),
+        };
+        let running = tokio::task::spawn_local(connection.run());
+        let long = Duration::from_secs(60);
+        let mut ask = ask("a", long, long);
+        let body: Vec<u8> = (0..BODY).map(|n| (n % 251) as u8).collect();
+        ask.passed.body = body.clone().into();
+        orders.send(ConnectionOrder::Ask(ask)).await.unwrap();
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let mut line = Vec::new();
+        while !line.ends_with(b"\r\n") {
+            line.push(stream.read_u8().await.unwrap());
+        }
+        assert!(line.starts_with(b"ASK a ") && line.ends_with(b" 200000\r\n"), "{line:?}");
+        let mut read = vec![0; BODY + 2];
+        // Many reads of a few bytes; the writer meets a full socket again and again.
+        for piece in read.chunks_mut(97) {
+            stream.read_exact(piece).await.unwrap();
+        }
+        assert!(read == [&body[..], b"\r\n"].concat(), "not what was sent");
+        for byte in b"a OK tell=hit 5\r\nhello\r\n" {
+            stream.write_all(&[*byte]).await.unwrap();
+            tokio::task::yield_now().await;
+        }
+        let ended = loop {
+            match reports.recv().await.unwrap() {
+                Order::Connection(1, Report::Ended { outcome, answer, .. }) => break (outcome, answer),
+                Order::Connection(1, Report::Up) => {}
+                _ => panic!("another report"),
+            }
+        };
+        assert_eq!((ended.0, ended.1.map(|answer| answer.body)), (Outcome::Served, Some("hello".into())));
+        drop(orders);
+        while reports.recv().await.is_some() {}
+        running.await.unwrap();
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
+
+/// The server is told of the time that is left when the first byte leaves, however long the line waited for
+/// that, and of the age that was allowed at the decision; the rest of a line that has begun is not worded again.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_line_tells_the_time_left_as_its_first_byte_leaves() {
+    let ms = Duration::from_millis;
+    let mut state = State::default();
+    let mut late = ask("a", ms(1000), ms(800));
+    late.fill.oldest = Some(Duration::from_micros(50_900));
+    state.take(ConnectionOrder::Ask(late));
+    tokio::time::advance(Duration::from_micros(300_500)).await;
+    state.fill();
+    // The system takes nothing of it for a while.
+    assert_eq!(write(&mut state, 0), "");
+    tokio::time::advance(ms(400)).await;
+    let line = "ASK a cls=,item=,chunk=,limit=299,maxage=50 0\r\n\r\n";
+    assert_eq!(write(&mut state, 20), line[..20]);
+    tokio::time::advance(ms(200)).await;
+    state.fill();
+    assert_eq!(write(&mut state, 1000), line[20..]);
+    assert!(!state.has_to_write());
+}
+
+/// The least that a line can tell of is a millisecond: it is told while there is any time left, and what has
+/// none left does not begin.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn what_has_no_time_left_does_not_begin() {
+    let mut state = State::default();
+    for (id, due) in [("a", 300), ("b", 299)] {
+        state.take(ConnectionOrder::Ask(ask(id, Duration::from_micros(due), Duration::from_secs(1))));
+    }
+    tokio::time::advance(Duration::from_micros(299)).await;
+    state.expire(Instant::now());
+    assert_eq!(ends(&mut state), [("b".to_owned(), Outcome::NeverSent)]);
+    state.fill();
+    assert!(write(&mut state, 1000).contains(",limit=1 "));
+}
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -4,8 +4,8 @@
 use crate::lines::Passed;
 use crate::messages::{Ask, Ended, Message, Wanted};
 use crate::server::{ConnectionPlaces, ENDS_AFTER};
-use bytes::{Bytes, BytesMut};
-use chalkhall::interface::Outcome;
+use bytes::Bytes;
+use chalkhall::interface::{Fill, Outcome};
 use std::rc::Rc;
 use tokio::task::LocalSet;
 use tokio::time::{advance, resume, sleep_until, timeout};
@@ -36,8 +36,17 @@
 fn ask(id: &str) -> Order {
     let due = Instant::now() + LONG;
     let passed = Passed { id: Bytes::copy_from_slice(id.as_bytes()), ..Passed::default() };
-    let (line, wanted) = (BytesMut::from("ASK"), Wanted::default());
-    Order::Ask(Box::new(Ask { key: (id.into(), 0), passed, line, once: true, wanted, due, leave_by: due }))
+    let (key, server, wanted) = ((id.into(), 0), Id::from("a"), Wanted::default());
+    let fill = Fill {
+        source: server.clone(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    };
+    Order::Ask(Box::new(Ask { key, passed, server, fill, once: true, wanted, due, leave_by: due }))
 }
 
 async fn rested(messages: &mut mpsc::Receiver<Message>) -> Id {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,7 +1,10 @@
 //! Follows discovery: events in order, none twice, none left out.
 
 use crate::clock::Clock;
+use crate::io_errors::set_nodelay;
 use crate::notices::{Notice, Places, numbered};
+use crate::stamps::EventTimes;
+use crate::uninterrupted::Uninterrupted;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,6 +16,9 @@
 /// Discovery says its last number each second: after this long without it the connection is dead. What a
 /// silent discovery service holds back counts as told 4 s after it stopped.
 const SILENCE: Duration = Duration::from_millis(1800);
+/// A service that is slow to begin would never be heard if each watch were given up before its first word:
+/// after one that was silent throughout, the next is waited for this long, still within those 4 s.
+const SLOW_TO_BEGIN: Duration = Duration::from_millis(3600);
 const CONNECT: Duration = Duration::from_millis(500);
 /// Between tries to connect anew; doubled from the first to the second.
 const PAUSE: Duration = Duration::from_millis(20);
@@ -27,6 +33,8 @@
     pub faulty: Option<u64>,
     pub places: Places,
     pub clock: Clock,
+    /// What bounds the stamps of the events.
+    pub times: EventTimes,
     pub decider: mpsc::Sender<Notice>,
     /// Spreads the tries of a whole fleet that lost its discovery service in one moment.
     pub chance: fastrand::Rng,
@@ -48,14 +56,14 @@
 
 impl Discovery {
     pub async fn run(mut self, mut anew: mpsc::Receiver<Anew>) {
-        let (mut pause, mut said) = (PAUSE, String::new());
+        let (mut pause, mut first_word, mut said) = (PAUSE, SILENCE, String::new());
         while !self.decider.is_closed() {
             let before = self.last;
             let what = tokio::select! {
                 biased;
                 // Whatever the old discovery service is at: it tells nothing more, perhaps without saying so.
                 Some(anew) = anew.recv() => Err(anew),
-                what = self.follow(&mut pause) => Ok(what.err().unwrap_or_default()),
+                what = self.follow(&mut pause, &mut first_word) => Ok(what.err().unwrap_or_default()),
             };
             // Its descriptor is taken again before anybody else has a turn.
             self.spare = socket(self.address).ok();
@@ -63,7 +71,7 @@
                 Ok(what) => what,
                 Err(anew) => {
                     self.take(anew).await;
-                    pause = PAUSE;
+                    (pause, first_word) = (PAUSE, SILENCE);
                     continue;
                 }
             };
@@ -76,7 +84,10 @@
             }
             tokio::select! {
                 biased;
-                Some(anew) = anew.recv() => self.take(anew).await,
+                Some(anew) = anew.recv() => {
+                    self.take(anew).await;
+                    first_word = SILENCE;
+                }
                 () = sleep(self.spread(pause)) => {}
             }
             pause = (pause * 2).min(PAUSE_MOST);
@@ -93,6 +104,7 @@
             self.spare = socket(anew.address).ok();
         }
         self.address = anew.address;
+        self.times.interrupted();
         for (number, notice) in anew.known {
             // Past a gap discovery itself tells what is between.
             if number == self.last + 1 && self.pass(number, notice).await.is_err() {
@@ -106,17 +118,22 @@
     async fn pass(&mut self, number: u64, notice: Option<Notice>) -> Result<(), String> {
         let place = self.decider.reserve().await.map_err(|_| "the router has ended")?;
         self.last = number;
-        if let Some(notice) = notice {
+        if let Some(mut notice) = notice {
+            self.times.bound(&mut notice);
             place.send(notice);
         }
+        self.times.passed();
         Ok(())
     }
 
-    async fn follow(&mut self, pause: &mut Duration) -> Result<(), String> {
+    /// `first_word`: how long it is waited for on this watch; changed for the next.
+    async fn follow(&mut self, pause: &mut Duration, first_word: &mut Duration) -> Result<(), String> {
+        self.times.interrupted();
         let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
         let watch = async {
-            let mut stream = socket.connect(self.address).await?;
-            stream.set_nodelay(true)?;
+            let stream = socket.connect(self.address).await?;
+            set_nodelay(&stream);
+            let mut stream = Uninterrupted::new(stream);
             stream.write_all(format!("watch {}\n", self.last).as_bytes()).await?;
             std::io::Result::Ok(stream)
         };
@@ -125,15 +142,19 @@
         let mut line = Vec::new();
         // Only what shows that nothing newer is held back counts: a discovery service that stays behind, or
         // goes on with what it told before, tells as little as a silent one.
-        let mut heard = Instant::now();
+        let (mut heard, mut patience, mut spoke) = (Instant::now(), *first_word, false);
         loop {
             line.clear();
             let mut bounded = (&mut lines).take(LINE_MOST);
-            let read = timeout_at(heard + SILENCE, bounded.read_until(b'\n', &mut line)).await;
+            let read = timeout_at(heard + patience, bounded.read_until(b'\n', &mut line)).await;
+            if read.is_err() && !spoke {
+                *first_word = SLOW_TO_BEGIN;
+            }
             read.map_err(|_| "silent, or nothing new")?.map_err(|e| e.to_string())?;
             if line.last() != Some(&b'\n') {
                 return Err("closed, or a line too long".into());
             }
+            (patience, *first_word, spoke) = (SILENCE, SILENCE, true);
             if self.line(&line).await? {
                 (heard, *pause) = (Instant::now(), PAUSE);
             }
@@ -150,6 +171,7 @@
             if number < self.last {
                 return Ok(false);
             }
+            self.times.nothing_newer();
             // Where it finds no place the next one will.
             let _ = self.decider.try_send(Notice::Heard);
             return Ok(true);
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -2,11 +2,15 @@
 
 mod cells;
 mod clients;
+mod clock_steps;
 mod crossings;
 mod customers;
+mod deadlines;
 mod fleet;
+mod local_failures;
 mod moments;
 mod own;
+mod quiet_then_faults;
 mod soak;
 mod stand_ins;
 mod wire_oracle;
--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -21,6 +21,8 @@
 const NONBLOCK: i32 = 0o4000;
 const SHORT: Duration = Duration::from_millis(5);
 
+/// The wall clock, by which the stand-ins stamp.
+#[allow(clippy::disallowed_methods)]
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
@@ -100,13 +102,42 @@
         self.reader.get_mut().write_all(text.as_ref()).unwrap();
     }
 
+    /// Breaks the connection instead of closing it.
+    pub fn reset(self) {
+        let stream = socket2::SockRef::from(self.reader.get_ref());
+        stream.set_linger(Some(Duration::ZERO)).unwrap();
+    }
+
+    /// Says no more, and reads on.
+    pub fn half_close(&self) {
+        self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
+    }
+
     /// False once the other side has closed.
     pub fn still_takes(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
     pub fn asked(&mut self) -> Asked {
+        self.asked_or_closed().expect("the connection has ended")
+    }
+
+    /// The next request; none: the other side has closed the connection in order.
+    pub fn asked_or_closed(&mut self) -> Option<Asked> {
         let line = self.line();
+        (!line.is_empty()).then(|| self.asked_by(&line))
+    }
+
+    /// A request that has come; none: nothing has, or another line, or the end.
+    pub fn try_asked(&mut self) -> Option<Asked> {
+        if !self.ready() {
+            return None;
+        }
+        let line = self.line();
+        line.starts_with("ASK ").then(|| self.asked_by(&line))
+    }
+
+    fn asked_by(&mut self, line: &str) -> Asked {
         let words: Vec<&str> = line.split(' ').collect();
         assert!(words.len() == 4 && words[0] == "ASK", "not a request: {line:?}");
         let fields = words[2].split(',').filter_map(|f| f.split_once('='));
@@ -184,11 +215,16 @@
 
     /// Fills the queue of connections that nobody takes: further ones do not come up.
     pub fn vanish(&self) -> Vec<TcpStream> {
-        let reach = |_: &u32| TcpStream::connect_timeout(&self.dial, Duration::from_millis(200)).ok();
-        (0..8192).map_while(|n| reach(&n)).collect()
+        fill_queue(self.dial)
     }
 }
 
+/// Fills the queue of connections to an address where nobody takes them.
+pub fn fill_queue(at: SocketAddr) -> Vec<TcpStream> {
+    let reach = |_: &u32| TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
+    (0..8192).map_while(|n| reach(&n)).collect()
+}
+
 pub struct Discovery {
     pub listener: TcpListener,
     /// A router's connection that has been seen and not been taken yet.
@@ -229,6 +265,12 @@
     format!("{}\n", json!({"rev": number, "pool": {"seq": number, "whole": false, "hosts": entries}}))
 }
 
+/// An id that no other request of the tests has.
+fn new_id() -> String {
+    static LAST: AtomicU32 = AtomicU32::new(0);
+    format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed))
+}
+
 pub struct Client {
     reader: BufReader<TcpStream>,
 }
@@ -292,8 +334,7 @@
 
     /// Asks for the object of the same number as the tag.
     pub fn ask(&mut self, tag: u64, class: &str, more: &str, body: &[u8]) -> String {
-        static LAST: AtomicU32 = AtomicU32::new(0);
-        let id = format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed));
+        let id = new_id();
         let fields =
             format!("i={id},o={tag:016x},lot=1,m=10.5{}{more}", if more.is_empty() { "" } else { "," });
         let fields = if more.contains("d=") { fields } else { format!("{fields},d=4000") };
@@ -301,6 +342,14 @@
         id
     }
 
+    /// Asks for the object of the same number as the tag. False: the connection takes nothing more.
+    pub fn try_ask(&mut self, tag: u64, class: &str, limit_ms: u64) -> bool {
+        let id = new_id();
+        let fields = format!("i={id},o={tag:016x},lot=1,m=1,d={limit_ms}");
+        let request = frame(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), b""]);
+        self.reader.get_mut().write_all(&request).is_ok()
+    }
+
     pub fn answer(&mut self) -> Answer {
         let mut line = |sign: char| {
             let mut line = String::new();
@@ -585,8 +634,17 @@
     }
 
     pub fn is_stopped(&self) -> bool {
+        self.is_in_state('T')
+    }
+
+    /// It has ended and was not waited for yet.
+    pub fn is_zombie(&self) -> bool {
+        self.is_in_state('Z')
+    }
+
+    fn is_in_state(&self, state: char) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+        stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with(state))
     }
 
     /// How many it holds.
