--- a/src/control.rs
+++ b/src/control.rs
@@ -3,11 +3,12 @@
 //! passes `Router::send`, where the rules are enforced, and leaves a closure for its result.
 
 use crate::interface::*;
+use crate::selection::{CONSIDERED_AT_MOST, Candidate, Pool};
 pub use crate::state::part_of;
 use crate::state::{Request as Taken, Route, Seen};
-use chalkhall_structures::{Recent, Window, draw};
+use chalkhall_structures::{NameMap, Recent, Window};
 use lru::LruCache;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeSet, HashMap};
 use std::{num::NonZeroUsize, time::Duration};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -170,6 +171,40 @@
     }
 }
 
+/// What is known of all servers of a tier together.
+#[derive(Default)]
+struct TierHealth {
+    /// How many are ejected.
+    ejected: usize,
+    /// The greatest share of fills in time that one of them has; none: not known since it may have fallen.
+    best_in_time: Option<f64>,
+}
+
+const TIERS: usize = 4;
+
+/// Which servers draw for the same parts: the caches of a zone, or of a cell in it; all parents; the origins.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct PoolKey {
+    tier: Tier,
+    zone: usize,
+    cell: Option<u32>,
+}
+
+impl PoolKey {
+    /// The pool that draws for a request in this tier. Parents and origins are everybody's.
+    fn new(tier: Tier, zone: usize, cell: Option<u32>) -> PoolKey {
+        match tier {
+            Tier::Cache => PoolKey { tier, zone, cell },
+            _ => PoolKey { tier, zone: 0, cell: None },
+        }
+    }
+
+    fn includes(&self, member: &Member) -> bool {
+        let of_cell = self.cell.is_none_or(|cell| member.cells.contains(&cell));
+        member.tier == self.tier && (self.tier != Tier::Cache || member.zone == self.zone && of_cell)
+    }
+}
+
 struct Attempt {
     next: Option<Next>,
     filling: bool,
@@ -198,7 +233,18 @@
     joins: bool,
 
     started: Duration,
-    servers: BTreeMap<Id, Server>,
+    servers: NameMap<Server>,
+    /// Who draws for the same parts, kept until the list or a weight changes.
+    pools: HashMap<PoolKey, Pool>,
+    /// How many servers were considered, in all.
+    #[cfg(test)]
+    considered: std::cell::Cell<usize>,
+    /// By tier, of the servers listed.
+    health: [TierHealth; TIERS],
+    /// Where the origins stand among the servers.
+    origins: Vec<usize>,
+    /// What the caches of its zone are listed with, in all.
+    zone_capacity: f64,
     ids: IdList,
     /// Share of first sightings lately that were hits: of what others of the zone asked to keep.
     shared: f64,
@@ -207,6 +253,8 @@
     thens: HashMap<u64, Then>,
     last_mark: u64,
     purges: HashMap<Result<Id, u64>, Duration>,
+    /// The same, the oldest first.
+    purges_by_age: BTreeSet<(Duration, Result<Id, u64>)>,
     mean_work: Vec<(f64, f64)>,
     /// Likely fills out, how many may be, the last cut; when one last ended, how many lately, and how many
     /// late.
@@ -264,15 +312,23 @@
             listed.for_each(|s| s.member.standing = Standing::Gone);
         }
         for member in members {
-            let server = self.servers.entry(member.server.clone()).or_default();
+            let server = self.servers.get_or_default(&member.server);
             if server.member.started != member.started {
                 server.record = Judged::default();
             }
             server.member = member.clone();
         }
-        self.servers.retain(|_, s| s.member.standing != Standing::Gone);
+        self.servers.retain(|s| s.member.standing != Standing::Gone);
+        self.pools.clear();
         let own = self.servers.values().filter(|s| s.member.tier == Tier::Own);
         self.own = own.map(|s| s.member.capacity).fold(0.0, f64::max);
+        let listed = self.servers.values().enumerate();
+        self.origins = listed.filter(|(_, s)| s.member.tier == Tier::Origin).map(|(n, _)| n).collect();
+        self.zone_capacity = self.caches().map(|m| m.capacity).sum();
+        self.health = Default::default();
+        for server in self.servers.values().filter(|s| s.record.is_aside()) {
+            self.health[server.member.tier as usize].ejected += 1;
+        }
     }
 
     /// A request comes in: it gets its one final answer by `due` whatever else happens.
@@ -317,8 +373,21 @@
 
     pub fn purged(&mut self, now: Duration, object: Option<Id>, group: u64, ago: Duration) {
         let (at, left) = (now.saturating_sub(ago), self.purge_done + self.margin);
-        self.purges.retain(|_, purge| now < *purge + left);
-        self.purges.entry(object.ok_or(group)).and_modify(|latest| *latest = at.max(*latest)).or_insert(at);
+        while let Some((purge, _)) = self.purges_by_age.first()
+            && now >= *purge + left
+        {
+            let Some((_, key)) = self.purges_by_age.pop_first() else { break };
+            self.purges.remove(&key);
+        }
+        let key = object.ok_or(group);
+        let before = self.purges.get(&key).copied();
+        if let Some(before) = before.filter(|before| *before < at) {
+            self.purges_by_age.remove(&(before, key.clone()));
+        }
+        if before.is_none_or(|before| before < at) {
+            self.purges_by_age.insert((at, key.clone()));
+            self.purges.insert(key, at);
+        }
     }
 
     /// Another router of the zone has found a part at a cache, or had it keep it: here it is a repeat
@@ -345,7 +414,10 @@
 
     /// A cache is to draw that much more or less, as its zone's routers agree.
     pub fn lean(&mut self, cache: &Id, by: f64) {
-        self.servers.get_mut(cache).into_iter().for_each(|server| server.lean = by);
+        if let Some(server) = self.servers.get_mut(cache).filter(|server| server.lean != by) {
+            server.lean = by;
+            self.pools.clear();
+        }
     }
 
     fn held(&self, part: u32) -> Option<Id> {
@@ -368,6 +440,7 @@
         if over || self.own(turn, id, Duration::ZERO) {
             return;
         }
+        self.build_pools(id);
         let route = self.route(turn.now, id);
         if route.as_ref().is_some_and(|r| self.likely_fill(id, r)) {
             if self.join(turn, id) {
@@ -474,7 +547,7 @@
         if in_time == Some(false) && late > FILL_LATE * ended && turn.now >= self.fills_cut + FILL_CUT_EVERY {
             // Until one is late nothing says what links and sources bear. One that is late with few out is no
             // sign that they bear so few: less than the share of what the caches are listed with it is not.
-            let share = self.caches().map(|m| m.capacity).sum::<f64>() / self.routers_here;
+            let share = self.zone_capacity / self.routers_here;
             let out = share.max(self.fills_out + 1.0);
             let most = if self.fills_most.is_finite() { self.fills_most } else { out };
             self.fills_most = (most * FILL_CUT).max(FILLS_LEAST);
@@ -499,34 +572,116 @@
         }
     }
 
+    /// The pools that a request is drawn in, where they are not at hand.
+    fn build_pools(&mut self, id: &Id) {
+        let Some(request) = self.requests.get(id) else { return };
+        for tier in [Tier::Cache, Tier::Parent, Tier::Origin] {
+            let key = PoolKey::new(tier, request.arrival.at.unwrap_or(self.zone), request.arrival.cell);
+            if self.pools.contains_key(&key) {
+                continue;
+            }
+            let active = |s: &Server| s.member.standing == Standing::Active && key.includes(&s.member);
+            let listed = self.servers.values().enumerate().filter(|(_, s)| active(s));
+            let weight = |s: &Server| s.member.capacity * s.lean.exp();
+            let pool =
+                Pool::new(listed.map(|(n, s)| Candidate::new(n, &s.member.server, weight(s))).collect());
+            // Requests may name zones and cells that nobody is in: those are not kept.
+            if !pool.is_empty() {
+                self.pools.insert(key, pool);
+            }
+        }
+    }
+
     /// The first that the hash prefers, moving on when one fails, is full or is crowded; `any`: also one set
-    /// aside. Each member draws its own number for a part: one that fails moves its own parts only.
+    /// aside. Each member draws its own number for a part (`selection.rs`).
     fn pick(&self, now: Duration, tier: Tier, any: bool, request: &Request) -> Option<&Server> {
-        let part = request.arrival.part;
-        let weight = |s: &Server| s.member.capacity * s.lean.exp();
-        let draw = |s: &Server| draw(&s.member.server, &request.arrival.object, part, weight(s));
-        let of_cell = |s: &Server| request.arrival.cell.is_none_or(|cell| s.member.cells.contains(&cell));
-        let at = request.arrival.at.unwrap_or(self.zone);
-        let here = |s: &Server| s.member.zone == at && of_cell(s);
-        let near = |s: &Server| s.member.tier == tier && (tier != Tier::Cache || here(s));
-        let members = self.servers.values().filter(|s| near(s) && self.may_take(now, s, request));
-        let mut open: Vec<_> = members.map(|s| (draw(s), s)).collect();
-        open.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let arrival = &request.arrival;
+        let pool = self.pools.get(&PoolKey::new(tier, arrival.at.unwrap_or(self.zone), arrival.cell))?;
+        let mut considered = 0;
+        for candidates in pool.sets(&arrival.object, arrival.part) {
+            let found = self.pick_among(now, candidates, any, request);
+            considered += candidates.len();
+            #[cfg(test)]
+            self.considered.set(self.considered.get() + candidates.len());
+            if found.is_some() || considered >= CONSIDERED_AT_MOST {
+                return found;
+            }
+        }
+        None
+    }
+
+    fn pick_among(
+        &self,
+        now: Duration,
+        candidates: &[Candidate],
+        any: bool,
+        request: &Request,
+    ) -> Option<&Server> {
+        let listed = candidates.iter().filter_map(|c| Some((c, self.servers.at(c.position)?)));
+        let open: Vec<_> = listed.filter(|(_, s)| self.may_take(now, s, request)).collect();
         // Of two, none ever holds over twice the average of both: the others' average counts.
         let (all, n) = (open.iter().map(|(_, s)| s.kb_under_way).sum::<f64>(), open.len() as f64);
         let others = |s: &Server| (all - s.kb_under_way) / (n - 1.0).max(1.0);
         let few = (FEW / self.routers_here).max(1.0);
         let crowded = |s: &Server| f64::from(s.out) > few && s.kb_under_way > CROWDED * others(s);
-        let fit = |s: &&Server| !request.failed.contains(&s.member.server) && (any || s.record.sound(now));
-        let mut left = open.iter().map(|(_, s)| *s).filter(fit);
-        left.clone().find(|s| !crowded(s)).or(left.next())
+        let fit = |s: &Server| !request.failed.contains(&s.member.server) && (any || s.record.sound(now));
+        let draw = |c: &Candidate| c.draw(&request.arrival.object, request.arrival.part);
+        let left = open.iter().filter(|(_, s)| fit(s)).map(|(c, s)| (crowded(s), draw(c), *s));
+        let least = left.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+        least.map(|(_, _, server)| server)
+    }
+
+    fn origins(&self) -> impl Iterator<Item = &Server> {
+        self.origins.iter().filter_map(|position| self.servers.at(*position))
     }
 
     fn origin_fails(&self, now: Duration) -> bool {
-        let mut origins = self.servers.values().filter(|s| s.member.tier == Tier::Origin).peekable();
+        let mut origins = self.origins().peekable();
         origins.peek().is_some() && origins.all(|s| !s.record.sound(now))
     }
 
+    /// One outcome of a server, of a weight from 0 to 1.
+    fn judge(&mut self, server: &Id, now: Duration, failed: bool, weight: f64) {
+        let Some(server) = self.servers.get_mut(server) else { return };
+        let before = server.record.is_aside();
+        server.record.judge(now, failed, weight);
+        let ejected = &mut self.health[server.member.tier as usize].ejected;
+        match (before, server.record.is_aside()) {
+            (false, true) => *ejected += 1,
+            (true, false) => *ejected = ejected.saturating_sub(1),
+            _ => {}
+        }
+    }
+
+    /// A fill of a server ended: its share of fills in time follows.
+    fn note_fill(&mut self, server: &Id, late: bool) {
+        let Some(server) = self.servers.get_mut(server) else { return };
+        let best = &mut self.health[server.member.tier as usize].best_in_time;
+        let before = server.in_time;
+        server.in_time += (f64::from(!late) - server.in_time) / 16.0;
+        *best = best.map(|best| best.max(server.in_time)).filter(|best| !late || before < *best);
+    }
+
+    /// The greatest share of fills in time of a tier's servers.
+    fn best_in_time(&mut self, tier: Tier) -> f64 {
+        *self.health[tier as usize].best_in_time.get_or_insert_with(|| {
+            let of_tier = self.servers.values().filter(|s| s.member.tier == tier);
+            of_tier.map(|s| s.in_time).fold(0.0, f64::max)
+        })
+    }
+
+    /// How far a late fill is laid to an end in this tier: by how seldom the best of the tier is late (a full
+    /// link delays all), and to one cache at a time: with one set aside after the other, the last would have to
+    /// bear it all.
+    fn blame_for_late_fill(&mut self, tier: Tier, server: &Id) -> f64 {
+        let itself = self.servers.get(server).filter(|s| s.member.tier == tier && s.record.is_aside());
+        let others = self.health[tier as usize].ejected > usize::from(itself.is_some());
+        if tier != Tier::Parent && others {
+            return 0.0;
+        }
+        (0.5 / (1.0 - self.best_in_time(tier))).log10().clamp(0.0, 1.0)
+    }
+
     /// How long past its fresh time a copy will do: where one renewed first would hardly be in time, what its
     /// class allows. It is served and renewed behind.
     fn past(&self, now: Duration, request: &Request) -> Duration {
@@ -707,9 +862,8 @@
         let usual = (OVERHEAD + request.work).mul_f64(self.patience);
         let (all, mut doubt) = (silent.iter().map(|(_, unseen)| unseen).sum::<f64>(), 0.0);
         for (name, unseen) in &silent {
-            let Some(server) = self.servers.get_mut(name) else { continue };
-            server.record.judge(turn.now, true, unseen / all);
-            doubt += server.record.doubt;
+            self.judge(name, turn.now, true, unseen / all);
+            doubt += self.servers.get(name).map_or(0.0, |server| server.record.doubt);
         }
         // Whichever it is, one of them is broken.
         let waits = match silent[..] {
@@ -722,6 +876,7 @@
             return self.fill_next(turn);
         }
         let answered = silent.is_empty().then(|| route.server.clone());
+        let Some(request) = self.requests.get_mut(id) else { return };
         request.failed.extend(silent.into_iter().map(|(name, _)| name).chain(answered));
         self.patience = if own { self.patience } else { (self.patience * PATIENCE_GROWS).min(PATIENCE_MOST) };
         turn.out.cancel(id, n)
@@ -732,18 +887,16 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let (kb, rank, work) = (request.arrival.kb, request.rank, request.work);
         let hit = ended.outcome == Served && matches!(ended.remark, Remark::Hit | Remark::Stale);
-        // A late fill is laid to an end by how seldom the best of its tier is late (a full link delays all),
-        // and to one cache at a time: with one set aside after the other, the last would have to bear it all.
-        let telling = [Tier::Cache, Tier::Parent].map(|tier| {
-            let all = self.servers.iter().filter(|(_, s)| s.member.tier == tier);
-            let others = all.clone().any(|(name, s)| s.record.is_aside() && *name != route.server);
-            let best = all.map(|(_, s)| s.in_time).fold(0.0, f64::max);
-            f64::from(tier == Tier::Parent || !others) * (0.5 / (1.0 - best)).log10().clamp(0.0, 1.0)
-        });
+        let filled_late = ended.outcome == Served && !hit && late && route.source != route.server;
+        let cache_blame =
+            if filled_late { self.blame_for_late_fill(Tier::Cache, &route.server) } else { 0.0 };
+        let filled = ended.outcome == Served && !hit;
+        let parent_blame = if filled { self.blame_for_late_fill(Tier::Parent, &route.server) } else { 0.0 };
+        let Some(request) = self.requests.get_mut(id) else { return };
         let (at_server, at_source) = match (ended.outcome, ended.remark) {
             (Served, _) if hit => (1.0, 0.0),
-            (Served, _) if late && route.source != route.server => (telling[0], telling[1]),
-            (Served, _) => (1.0, telling[1]),
+            (Served, _) if filled_late => (cache_blame, parent_blame),
+            (Served, _) => (1.0, parent_blame),
             (Broken, _) => (0.5, 0.0),
             (_, Remark::SourceUnreached) => (0.0, 1.0),
             // Perhaps the request's own fault: laid to them once another one has served it.
@@ -757,7 +910,6 @@
             _ => (0.0, 0.0),
         };
         let failed = ended.outcome != Served;
-        let filled = !failed && !hit;
         // Only the cache itself makes a hit slow: one that ages answers, later and later, until it dies.
         let late_hit = hit && ended.took > (OVERHEAD + work).mul_f64(SLOW_HIT);
         let silent = matches!(ended.outcome, Unreachable | Broken | TimedOut | Cancelled | NeverSent);
@@ -768,27 +920,32 @@
 
             let heard = !silent && (*name == route.server || filled);
             server.heard = if heard { now } else { server.heard };
-            server.in_time += f64::from(filled) * (f64::from(!late) - server.in_time) / 16.0;
             let broken = ended.outcome == Broken;
             let counted = broken && std::mem::replace(&mut server.broke, now + OVERHEAD) > now;
             if weight > 0.0 && !counted {
                 let late = late_hit || late && (filled || server.member.tier != Tier::Cache);
-                server.record.judge(now, failed || late, weight);
+                self.judge(name, now, failed || late, weight);
+            }
+            if filled {
+                self.note_fill(name, late);
             }
         }
+        let Some(request) = self.requests.get(id) else { return };
         // Behind a parent the origin is judged by how long it kept a fill waiting.
         if matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
             let slow = ended.first_byte > Some(self.classes[request.arrival.class].soft_deadline);
-            let origins = self.servers.values_mut().filter(|s| s.member.tier == Tier::Origin);
-            origins.for_each(|origin| origin.record.judge(now, failed || slow, 1.0));
+            let origins: Vec<Id> = self.origins().map(|s| s.member.server.clone()).collect();
+            origins.iter().for_each(|origin| self.judge(origin, now, failed || slow, 1.0));
         }
         // An own copy says nothing of how servers are.
         if failed || route.made.is_some() {
             return;
         }
+        let Some(request) = self.requests.get_mut(id) else { return };
         for (name, weight) in std::mem::take(&mut request.erred) {
-            self.servers.get_mut(&name).into_iter().for_each(|server| server.record.judge(now, true, weight));
+            self.judge(&name, now, true, weight);
         }
+        let Some(request) = self.requests.get(id) else { return };
         self.patience = (self.patience * PATIENCE_FALLS).max(PATIENCE);
         if request.first {
             self.shared += (f64::from(hit) - self.shared) / SIGHTINGS_BEFORE_GATE as f64;
@@ -866,3 +1023,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -152,7 +152,7 @@
 
 /// What a server is: a cache of a zone, a parent of all zones, the origin, or this router's own
 /// copies in memory or on disk, of which the list never tells: who has such adds them.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Tier {
     #[default]
     Cache,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,4 +34,5 @@
 
 pub mod control;
 pub mod interface;
+mod selection;
 mod state;
