--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -253,8 +253,8 @@
     todo: VecDeque<Entry>,
     /// Reads and writes of what is carried over that are not back yet.
     open: usize,
-    /// Segments to which something was carried, to be synced before the old one goes.
-    into: HashSet<u32>,
+    /// Segments to be synced before the old one goes, once nothing more is carried over.
+    into: Option<HashSet<u32>>,
     removing: bool,
 }
 
--- a/crates/store/src/decide/disk/reclaim.rs
+++ b/crates/store/src/decide/disk/reclaim.rs
@@ -10,9 +10,7 @@
         };
         let was = self.segments.get(segment).map_or(State::Failed, |found| found.state);
         self.segments.set(segment, State::Reclaimed);
-        // A copy here that was said to outlive a crash may be replaced by one that is not synced yet.
-        let into = self.written.iter().filter(|(_, (_, unsynced))| unsynced.bytes > 0).map(|(n, _)| *n);
-        let (todo, into) = (VecDeque::new(), into.collect());
+        let (todo, into) = (VecDeque::new(), None);
         self.reclaim = Some(Reclaim { segment, was, todo, open: 1, into, removing: false });
     }
 
@@ -86,9 +84,7 @@
         };
         match (written, &mut self.reclaim) {
             // Its place is taken by what was read when it is written.
-            (Some(into), Some(reclaim)) => {
-                reclaim.into.insert(into);
-            }
+            (Some(_), Some(_)) => {}
             _ => {
                 self.forget_at(entry.key, segment, entry.at, out);
                 self.carry_back(now, out);
@@ -121,17 +117,23 @@
             reclaim.open += 1;
         }
         if reclaim.open == 0 && reclaim.todo.is_empty() {
-            // What was synced there must outlive a crash here, before it goes there.
-            reclaim.into.retain(|into| {
+            // What was synced there must outlive a crash here, before it goes there: what was carried over, and
+            // what has replaced a copy there.
+            let all = || {
+                let unsynced = self.written.iter().filter(|(_, (_, unsynced))| unsynced.bytes > 0);
+                unsynced.map(|(segment, _)| *segment).collect()
+            };
+            let into: &mut HashSet<u32> = reclaim.into.get_or_insert_with(all);
+            into.retain(|into| {
                 let unsynced =
                     self.written.get(into).is_some_and(|(_, u)| u.bytes > 0 || u.under_way.is_some());
                 unsynced
                     && self
                         .segments
                         .get(*into)
-                        .is_some_and(|s| matches!(s.state, State::Open | State::Sealing))
+                        .is_some_and(|s| matches!(s.state, State::Open | State::Sealing | State::Failed))
             });
-            if !reclaim.into.is_empty() {
+            if !into.is_empty() {
                 self.sync(now, out, true);
             } else if !reclaim.removing {
                 reclaim.removing = out.remove(reclaim.segment);
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -193,12 +193,6 @@
                 if self.segments.get(spot.segment).is_some_and(|s| s.state == State::Open) {
                     self.segments.set(spot.segment, State::Failed);
                 }
-                // What was to be carried over goes with its segment.
-                let reclaimed = self.reclaim.as_ref().map(|reclaim| reclaim.segment);
-                let held = self.index.get(key).map(|held| held.segment);
-                if carried && held.is_some() && held == reclaimed {
-                    self.forget(key, out);
-                }
             }
         }
         if carried {
@@ -228,8 +222,7 @@
     ) {
         let sealed = result.is_ok();
         self.settle_sync(now, segment, up_to, sealed, out);
-        // One that failed meanwhile stays so: it goes first.
-        if sealed && self.segments.get(segment).is_some_and(|s| s.state == State::Sealing) {
+        if sealed {
             self.segments.set(segment, State::Sealed);
         }
         self.written.remove(&segment);
@@ -278,8 +271,10 @@
         for (segment, (_, unsynced)) in &mut self.written {
             let due =
                 unsynced.bytes >= most || unsynced.since.is_some_and(|since| all || now >= since + after);
-            let open = self.segments.get(*segment).filter(|s| s.state == State::Open);
-            if let Some(found) = open.filter(|_| due && unsynced.under_way.is_none()) {
+            // Of one that failed, what was written before lasts all the same once it is synced.
+            let written = self.segments.get(*segment);
+            let written = written.filter(|s| matches!(s.state, State::Open | State::Failed));
+            if let Some(found) = written.filter(|_| due && unsynced.under_way.is_none()) {
                 unsynced.under_way = out.sync(*segment, found.end).then_some(found.end);
             }
         }
--- a/crates/store/src/files/real.rs
+++ b/crates/store/src/files/real.rs
@@ -22,7 +22,7 @@
     /// # Errors
     /// Another process holds it: the message says which.
     pub fn take(path: &Path) -> io::Result<Directory> {
-        fs::create_dir_all(path)?;
+        create_durable(path)?;
         let options = || OpenOptions::new().read(true).write(true).create(true).truncate(false).clone();
         let mut lock = options().open(path.join(LOCK))?;
         match lock.try_lock() {
@@ -43,6 +43,20 @@
     }
 }
 
+/// Makes a directory with all above it that are not there, and syncs each name that it made.
+fn create_durable(path: &Path) -> io::Result<()> {
+    if path.is_dir() {
+        return Ok(());
+    }
+    let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    create_durable(parent)?;
+    match fs::create_dir(path) {
+        Err(error) if error.kind() == io::ErrorKind::AlreadyExists && path.is_dir() => {}
+        made => made?,
+    }
+    fs::File::open(parent)?.sync_all()
+}
+
 impl Files for Directory {
     fn list(&self) -> io::Result<Vec<String>> {
         let names =
@@ -91,6 +105,7 @@
     }
 
     fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
+        // Goes on after a short write and after EINTR.
         self.write_all_at(bytes, at)
     }
 
--- a/crates/store/src/stand_ins/crashes.rs
+++ b/crates/store/src/stand_ins/crashes.rs
@@ -167,6 +167,8 @@
         disk.set(Faults::default());
         driver.pass(HEALED_WITHIN);
         seen.not_kept_again = not_kept(&mut driver);
+        let durable = driver.orders.durable.clone();
+        day.look(&mut driver, &durable, true, &mut seen);
     }
     seen.calls = disk.calls();
     seen.reclaimed = driver.store.disk().map_or(0, |disk| disk.counts().reclaimed);
--- a/crates/store/tests/disk_faults.rs
+++ b/crates/store/tests/disk_faults.rs
@@ -379,3 +379,103 @@
     drop(threads);
     assert!(ends.blocking_recv().is_none());
 }
+
+/// A copy that was said to outlive a crash is replaced by one that is not synced yet, and its segment is
+/// reclaimed: one of the two is found after a crash.
+#[test]
+fn a_durable_copy_is_not_reclaimed_before_the_one_in_its_place_is_synced() {
+    let disk = Disk::new();
+    let rarely_synced = Wanted {
+        bytes: 10 << 20,
+        sync_after: 1000 * SECOND,
+        sync_bytes: u64::MAX,
+        carry: 0.0,
+        ..wanted(1000 * SECOND)
+    };
+    let mut driver = Driver::start(Arc::new(disk.clone()), 0, rarely_synced, START);
+    driver.settle();
+    let offer = |driver: &mut Driver, object: u64, bytes: usize| {
+        let copy = Copy { in_parts: false, ..piece(object).copy(driver.unix_ms(), bytes) };
+        driver.keep(copy, 2);
+        driver.pass(SECOND / 10);
+    };
+    // Enough of one size group to fill and seal its segment.
+    (0..40).for_each(|object| offer(&mut driver, object, 30_000));
+    let key = piece(0).key();
+    assert!(driver.orders.durable.contains_key(&key), "sealed");
+    offer(&mut driver, 0, 30_000);
+    let first =
+        disk.list().expect("names").into_iter().find(|name| name.starts_with("segment")).expect("one");
+    let mut object = 100;
+    while disk.list().expect("names").contains(&first) {
+        offer(&mut driver, object, 200_000);
+        object += 1;
+        assert!(object < 400, "never reclaimed");
+    }
+    let durable = *driver.orders.durable.get(&key).expect("not let go of");
+    for seed in 0..30 {
+        let mut again = started(&disk.crashed(seed), 1000 * SECOND, driver.unix_ms() + 1000);
+        let name = name(0);
+        let found = again.get(Part { object: &name, part: 0, group: piece(0).group() });
+        assert!(found.is_some_and(|(_, copy)| copy.made >= durable), "lost, seed {seed}");
+    }
+}
+
+#[test]
+fn what_was_written_before_a_failed_write_comes_to_outlive_a_crash() {
+    let disk = Disk::new();
+    let mut driver = written(&disk, 1);
+    let offer = |driver: &mut Driver, object: u64| {
+        driver.keep(piece(object).copy(driver.unix_ms(), 9000), 3);
+        driver.pass(SECOND / 10);
+    };
+    offer(&mut driver, 1);
+    disk.set(Faults { writes_fail: true, ..Faults::default() });
+    offer(&mut driver, 2);
+    disk.set(Faults::default());
+    driver.pass(3 * SECOND);
+    assert!(driver.orders.durable.contains_key(&piece(1).key()));
+    let mut again = started(&disk.crashed(1), 1000 * SECOND, driver.unix_ms() + 1000);
+    assert!(get(&mut again, 1).is_some() && get(&mut again, 2).is_none());
+}
+
+/// A tier that is about to reclaim the segment of its first three copies, which are read often.
+fn short_of_space(disk: &Disk) -> Driver {
+    let wanted = Wanted { bytes: 10 << 20, carry: 0.5, scrub: 0, ..wanted(1000 * SECOND) };
+    let mut driver = Driver::start(Arc::new(disk.clone()), 0, wanted, START);
+    driver.settle();
+    let mut object = 0;
+    while driver.store.disk().expect("a disk").segments().free() > 2 || object % 10 < 8 {
+        driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
+        driver.pass(SECOND / 2);
+        for hot in 0..3 {
+            get(&mut driver, hot);
+        }
+        object += 1;
+        if driver.store.disk().expect("a disk").segments().free() <= 3 && object % 10 == 9 {
+            break;
+        }
+    }
+    driver.pass(3 * SECOND);
+    driver
+}
+
+#[test]
+fn a_segment_that_cannot_be_listed_for_a_moment_is_not_reclaimed_with_all_it_holds() {
+    let disk = Disk::new();
+    let mut driver = short_of_space(&disk);
+    disk.set(Faults { reads_fail: true, ..Faults::default() });
+    let failed = |driver: &Driver| driver.store.disk().expect("a disk").counts().read_faults > 0;
+    for object in 1000..1030 {
+        driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
+        driver.pass(SECOND / 20);
+        if failed(&driver) {
+            break;
+        }
+    }
+    assert!(failed(&driver), "no listing failed");
+    disk.set(Faults::default());
+    driver.pass(10 * SECOND);
+    assert!(driver.store.disk().expect("a disk").counts().reclaimed > 0, "nothing was reclaimed");
+    assert!((0..3).all(|hot| get(&mut driver, hot).is_some()), "carried over once it could be listed");
+}
