--- a/src/control.rs
+++ b/src/control.rs
@@ -31,6 +31,19 @@
 const TRICKLE_FULL: Duration = Duration::from_millis(50);
 /// Share of a cold server's budget that the routers together use: capacities may be told roughly.
 const COLD_MARGIN: f64 = 0.45;
+/// A draw of the routers that may send to a cold server holds for so many spans. In the span after each new
+/// draw those of both may send: the longer it holds, the fewer do.
+const DRAW_LASTS_SPANS: f64 = 8.0;
+/// What is drawn for takes no more than this share of the budget; what is larger than usual, no more than
+/// half of that.
+const DRAWN_MOST: f64 = 1.0 / 8.0;
+const DRAWN_LARGE: f64 = 1.0 / 16.0;
+/// Means of classes of like size differ by as much.
+const DRAWN_USUAL: f64 = 1.25;
+/// What is smaller than this share of the mean is drawn for as if it were not.
+const DRAWN_SMALL: f64 = 0.5;
+/// A mean follows this many of the last requests.
+const MEAN_OVER: f64 = 256.0;
 
 /// What an answer takes beside its sending time; the multiple of both after which it is looked into.
 const OVERHEAD: Duration = Duration::from_millis(100);
@@ -170,6 +183,28 @@
     }
 }
 
+/// The mean sending time of requests, in seconds.
+#[derive(Clone, Copy, Default)]
+struct MeanWork {
+    seconds: f64,
+    requests: f64,
+}
+
+impl MeanWork {
+    fn note(&mut self, work: Duration) {
+        self.requests = (self.requests + 1.0).min(MEAN_OVER);
+        self.seconds += (work.as_secs_f64() - self.seconds) / self.requests;
+    }
+}
+
+/// What a cold server may be sent in a span: by all routers, and by this one.
+struct SlowStart {
+    budget: f64,
+    share: f64,
+    /// How many spans ago it started.
+    age_spans: f64,
+}
+
 struct Attempt {
     next: Option<Next>,
     filling: bool,
@@ -207,7 +242,9 @@
     thens: HashMap<u64, Then>,
     last_mark: u64,
     purges: HashMap<Result<Id, u64>, Duration>,
-    mean_work: Vec<(f64, f64)>,
+    /// Of each class, and of all requests.
+    mean_work: Vec<MeanWork>,
+    mean_work_of_all: MeanWork,
     /// Likely fills out, how many may be, the last cut; when one last ended, how many lately, and how many
     /// late.
     fills_out: f64,
@@ -248,7 +285,7 @@
             started: now,
             fills_most: f64::INFINITY,
             patience: PATIENCE,
-            mean_work: vec![(0.0, 0.0); told.classes.len()],
+            mean_work: vec![MeanWork::default(); told.classes.len()],
             ..Router::default()
         }
     }
@@ -283,9 +320,8 @@
         let shared = self.chance.f64() < self.shared.max(1.0 - 1.0 / self.routers_here);
         let rank = if class.cacheable { self.ids.sight(now, &arrival, class.fresh, shared) } else { 0 };
         let work = Duration::from_secs_f64((arrival.kb / self.kb_per_s).clamp(0.0, 1e6));
-        let (mean, of) = &mut self.mean_work[arrival.class];
-        *of = (*of + 1.0).min(256.0);
-        *mean += (work.as_secs_f64() - *mean) / *of;
+        self.mean_work[arrival.class].note(work);
+        self.mean_work_of_all.note(work);
         let due = now + arrival.left.saturating_sub(self.margin);
         let soft = now + class.soft_deadline + work.mul_f64(class.soft_stretch);
         let (id, late) = (arrival.id.clone(), arrival.id.clone());
@@ -584,18 +620,37 @@
         let bears = COLD_MARGIN * cold.multiple * present * cold.span.as_secs_f64();
         let (share, weight) = (bears / sharing, self.weight(server, request));
         let sent = server.sent.sum(now, cold.span);
-        // Of many routers none has a share that one transfer fits in: in each span a few, drawn by hash, may
-        // send one. The sum expected is the same, and of eight transfers or more it hardly strays to twice.
-        let drawn = || {
-            let spans = age.div_duration_f64(cold.span) as u64;
-            let hash = xxh3_64_with_seed(server.member.server.as_bytes(), spans << 16 ^ self.number);
-            weight <= bears / 8.0 && (hash as f64) < (share - sent) / weight * 2f64.powi(64)
-        };
-        age >= cold.warm_within + cold.span || known && !elsewhere && (sent + weight <= share || drawn())
+        let slow_start = SlowStart { budget: bears, share, age_spans: age.div_duration_f64(cold.span) };
+        let fits = sent + weight <= share || self.is_drawn(server, &slow_start, sent, weight);
+        age >= cold.warm_within + cold.span || known && !elsewhere && fits
+    }
+
+    /// Of many routers none has a share that one transfer fits in: a few, drawn by hash, may send one in each
+    /// span, or as many small ones as fit in half of the mean. The sum expected in any span is that of the
+    /// shares. Were each size drawn for as it is, a router would draw once for each that it is asked for.
+    fn is_drawn(&self, server: &Server, slow_start: &SlowStart, sent: f64, weight: f64) -> bool {
+        let (mean, share) = (self.mean_work_of_all.seconds, slow_start.share);
+        let small = mean * DRAWN_SMALL;
+        let large = (slow_start.budget * DRAWN_LARGE).max(mean * DRAWN_USUAL);
+        if weight.max(small) > large.min(slow_start.budget * DRAWN_MOST) {
+            return false;
+        }
+        let draw = self.slow_start_draw(server, slow_start.age_spans);
+        let more_small = sent + weight <= small && draw * small < share;
+        more_small || draw * weight.max(small) < share - sent
+    }
+
+    /// From 0 to 1, by server and router. Each router draws anew at times of its own: of two draws that ended
+    /// and began for all at once, those of both could send within one span, twice what is expected.
+    fn slow_start_draw(&self, server: &Server, age_spans: f64) -> f64 {
+        let hash = |seed| xxh3_64_with_seed(server.member.server.as_bytes(), seed) as f64 / 2f64.powi(64);
+        let offset = hash(self.number);
+        let draws = (age_spans / DRAW_LASTS_SPANS + offset) as u64;
+        hash((draws + 1) << 32 ^ self.number)
     }
 
     fn weight(&self, server: &Server, request: &Request) -> f64 {
-        let mean = self.mean_work[request.arrival.class].0;
+        let mean = self.mean_work[request.arrival.class].seconds;
         if server.member.tier == Tier::Cache { mean } else { request.work.as_secs_f64() }
     }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -81,7 +81,7 @@
         member("origin", Tier::Origin, 1.0, None),
     ];
     let mut sent: Vec<(Duration, f64)> = Vec::new();
-    let mut senders = std::collections::BTreeSet::new();
+    let mut by_router: BTreeMap<u64, Vec<Duration>> = BTreeMap::new();
     for number in 0..ROUTERS {
         let mut orders = Orders::default();
         let mut router = Router::start(ms(0), &told(number), &mut orders);
@@ -106,9 +106,7 @@
             for (id, source) in std::mem::take(&mut orders.attempts) {
                 if *source == *"cold" {
                     sent.push((now, 0.2));
-                    if now < started + ms(4000) {
-                        senders.insert(number);
-                    }
+                    by_router.entry(number).or_default().push(now);
                 }
                 let ended = Ended {
                     outcome: Outcome::Served,
@@ -122,8 +120,21 @@
             }
         }
     }
-    let early = sent.iter().filter(|(at, _)| *at < started + ms(4000)).count();
-    assert!(senders.len() * 10 > early * 8, "{early} at first, of {} routers: not in turn", senders.len());
+    // One transfer is several shares: nobody sends two within a span.
+    for (router, times) in &by_router {
+        let close = times.windows(2).find(|pair| pair[1] < pair[0] + ms(1000));
+        assert!(close.is_none(), "router {router} sent two within a span: {close:?}");
+    }
+    // Who is drawn changes: those of the first four spans are not those of the next four after their draws end.
+    let drawn = |from: u64| {
+        let (from, to) = (started + ms(from), started + ms(from + 4000));
+        let sends = |times: &&Vec<Duration>| times.iter().any(|at| *at >= from && *at < to);
+        by_router.iter().filter(|(_, times)| sends(times)).map(|(n, _)| *n).collect::<Vec<_>>()
+    };
+    let (first, later) = (drawn(0), drawn(12_000));
+    let again = first.iter().filter(|router| later.contains(router)).count();
+    assert!(again * 4 < first.len() * 3, "{again} of the first {} send on: not in turn", first.len());
+    assert!(by_router.len() as u64 * 3 > ROUTERS * 2, "only {} routers ever sent", by_router.len());
     sent.sort_by_key(|(at, _)| *at);
     let present = |at: Duration| {
         let warm = ((at - started).as_secs_f64() / 20.0).min(1.0);
