--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,6 +2,7 @@
 
 mod abroad;
 mod backoff;
+mod boot_time;
 mod brief;
 mod client;
 mod clock;
@@ -10,6 +11,7 @@
 mod control_socket;
 mod decider;
 mod discovery;
+mod event_loop;
 mod io_errors;
 mod lines;
 mod listener;
@@ -22,6 +24,7 @@
 mod probes;
 mod resp;
 mod server;
+mod stamps;
 mod told;
 mod uninterrupted;
 
@@ -39,14 +42,15 @@
 use notices::Notice;
 use own::Own;
 use phase::Phase;
+use stamps::EventTimes;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
-use tokio::task::{LocalSet, spawn_local};
-use tokio::time::timeout;
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+use tokio::time::{Instant, timeout_at};
 use told::Told;
 
 /// Messages waiting for the decisions. Who brings more waits, and reads nothing meanwhile.
@@ -61,13 +65,18 @@
 /// One line that names the key at fault, where it could not start; or what ended it before its time.
 pub fn serve(directives: Directives, file: Option<PathBuf>) -> Result<(), String> {
     let clock = Clock::start();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .on_thread_park(event_loop::before_wait)
+        .on_thread_unpark(event_loop::after_wait)
+        .build()
+        .map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run(clock, directives, file))
 }
 
-/// For the disk of own copies to be closed at the end.
-const LAST_WRITES: Duration = Duration::from_millis(300);
+/// For the disk of own copies to be closed, from the end of the decisions on: a kill may come soon after.
+const LAST_WRITES: Duration = Duration::from_millis(200);
+const _: () = assert!(LAST_WRITES.as_millis() + 50 <= phase::LAST_WORDS.as_millis());
 
 fn read(clock: &Clock) -> Result<Told, String> {
     told::told(|name| std::env::var(name).ok(), clock)
@@ -110,32 +119,45 @@
     let talk = talk.filter(|_| socket_of_peers.is_some()).map(|talk| (talk, saying.clone()));
     let (probes, to_probe) = mpsc::channel(probes::PROBES_MOST);
     let abroad = match socket_of_peers {
-        Some(_) => {
-            Abroad::new(clock.now(), &directives.regions, deployment, &told.places.zones, saying, probes)?
-        }
+        Some(_) => Abroad::new(clock, &directives.regions, deployment, &told.places.zones, saying, probes)?,
         None => None,
     };
     let beside = Beside { own, confined, talk, abroad };
     let mut decisions = Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
     let advice = decisions.advice();
     // The list comes before the first request.
-    let known = std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice);
-    known.for_each(|notice| decisions.notice(notice));
+    let mut times = EventTimes::new(clock);
+    for mut notice in std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice) {
+        times.bound(&mut notice);
+        decisions.notice(notice);
+    }
     let socket = listener::bind(told.listen).await.map_err(|e| format!("listen: {}: {e}", told.listen))?;
     let socket_of = |path: &std::path::Path| {
         control_socket::listen(path).map_err(|e| format!("control: {}: {e}", path.display()))
     };
     let questions = directives.control.as_deref().map(socket_of).transpose()?;
     let (noticed, notices) = mpsc::channel(NOTICES_MOST);
-    let deciding = spawn_local(decisions.run(mailbox, notices));
+    let deciding = spawn_local(async move {
+        decisions.run(mailbox, notices).await;
+        Instant::now()
+    });
 
     let (anew, told_anew) = mpsc::channel(1);
     let (address, last, places) = (told.discovery, told.last_event, told.places.clone());
     let cells = noticed.clone();
     let chance = fastrand::Rng::with_seed(told.deployment.seed);
     let held = discovery::socket(address).ok();
-    let discovery =
-        Discovery { address, last, faulty: None, places, clock, decider: noticed, chance, spare: held };
+    let discovery = Discovery {
+        address,
+        last,
+        faulty: None,
+        places,
+        clock,
+        times,
+        decider: noticed,
+        chance,
+        spare: held,
+    };
     spawn_local(discovery.run(told_anew));
     spawn_local(heed(stop, decider.clone()));
     serving.send_replace(Phase::Serving);
@@ -162,15 +184,22 @@
     spawn_local(again.run(reload));
     listener::run(socket, most, door, decider, phase).await;
     // Without decisions nothing can be answered: better to be started anew than to go on.
-    deciding.await.map_err(|what| format!("the decisions failed: {what}"))?;
+    let ended = deciding.await.map_err(|what| format!("the decisions failed: {what}"))?;
     if let Some(disk) = disk {
-        // What was written is there anyway; this only makes the next start quick.
-        let _ = timeout(LAST_WRITES, disk).await;
+        closed_in_time(ended, disk).await;
     }
     log::info!("{name} ended");
     Ok(())
 }
 
+/// Waits for a disk to be closed, but not until a kill: what was written is there anyway, and a close in order
+/// only makes the next start quick.
+async fn closed_in_time(ended: Instant, disk: JoinHandle<()>) {
+    if timeout_at(ended + LAST_WRITES, disk).await.is_err() {
+        log::warn!("the disk of own copies was not closed in time");
+    }
+}
+
 /// Hands on how the disk's orders ended, until its threads have.
 async fn pass_on(mut ends: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
     while let Some(end) = ends.recv().await {
@@ -251,3 +280,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -1,9 +1,11 @@
 //! The router's own copies, as the desk asks for them: names, clocks, bounds and threads between the store
 //! and the decisions.
 
+use crate::boot_time::BootTime;
 use crate::clock::Clock;
 use crate::lines::{Answer, Passed};
 use crate::messages::Key;
+use crate::stamps::CopyTimes;
 use crate::told::Told;
 use bytes::Bytes;
 use chalkhall::interface::{Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier};
@@ -17,6 +19,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -29,11 +32,27 @@
 const DISK: &str = ":disk";
 /// A purge made before is told by now: discovery says nothing of what it has not been told itself.
 const TOLD_WITHIN: Duration = Duration::from_secs(10);
+/// Purges told while the disk is still being opened; a list at the start holds fewer.
+const EARLY_PURGES_MOST: usize = 4096;
+/// A purge reaches copies of a clock that was further ahead no more: a day, in milliseconds.
+const PURGE_LEAD_MOST_MS: u64 = 24 * 3600 * 1000;
+
+/// A purge as it was told: of an object, or of a group, in Unix milliseconds of this start's clock.
+struct Purge {
+    object: Option<Id>,
+    group: u64,
+    ms: u64,
+}
 
 pub struct Own {
     store: Store,
     shelf: Shelf,
     clock: Clock,
+    times: CopyTimes,
+    /// By how many milliseconds the wall clock was set back since an earlier start wrote to the disk; known once
+    /// that is open. Purges told before are told again then.
+    set_back_ms: Arc<AtomicU64>,
+    early_purges: Vec<Purge>,
     classes: Vec<(Bytes, Class)>,
     places: [Id; 2],
     /// Bytes that bodies and own copies may fill together.
@@ -64,11 +83,14 @@
         let most = wishes.memory.map_or(0, |memory| memory.of(limit).min(usable));
         let mut shelf = Shelf::default();
         let (mut disk, mut ends) = (None, None);
+        let set_back_ms = Arc::new(AtomicU64::new(0));
         if let Some((path, bytes)) = &wishes.disk {
             let wanted = wanted(wishes, *bytes, limit, usable)?;
-            let path = path.clone();
+            let (path, boot, found) = (path.clone(), BootTime::read(&clock), set_back_ms.clone());
             let take = move || {
                 let taken = Directory::take(&path).map_err(|what| format!("{}: {what}", path.display()))?;
+                let set_back = boot.map_or(0, |boot| set_back_by(&boot, &path));
+                found.store(set_back, Ordering::Release);
                 Ok(Arc::new(taken) as Arc<dyn Files>)
             };
             let number = fastrand::u64(1..);
@@ -83,6 +105,9 @@
             store: Store::new(most, disk),
             shelf,
             clock,
+            times: CopyTimes::default(),
+            set_back_ms,
+            early_purges: Vec::new(),
             classes: names.zip(told.deployment.classes.iter().cloned()).collect(),
             places: [MEMORY.into(), DISK.into()],
             usable,
@@ -184,6 +209,11 @@
         (Outcome::Served, Some(Box::new(answer)))
     }
 
+    /// When a copy that a server has just sent was made at the latest; none: its stamp does not say.
+    pub fn bounded(&mut self, made: u64) -> Option<u64> {
+        self.times.bound(&self.clock, made)
+    }
+
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
     pub fn keep(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
         let Some(made) = answer.made.filter(|made| *made > 0) else { return };
@@ -219,7 +249,15 @@
         }
     }
 
+    /// A purge was told. By a clock that was set back it reaches the copies of the one that was ahead too, for
+    /// when that comes back.
     pub fn purged(&mut self, object: Option<&Id>, group: u64, ms: u64) {
+        let is_opening = self.store.disk().is_some_and(|disk| *disk.phase() == Phase::Opening);
+        if is_opening && self.early_purges.len() < EARLY_PURGES_MOST {
+            self.early_purges.push(Purge { object: object.cloned(), group, ms });
+        }
+        let lead = self.set_back_ms.load(Ordering::Acquire).min(PURGE_LEAD_MOST_MS);
+        let ms = ms.saturating_add(lead);
         self.store.purge(object.map(|o| o.as_bytes()), group, ms, &mut self.shelf);
     }
 
@@ -240,9 +278,24 @@
 
     /// An order to the disk has ended.
     pub fn ended(&mut self, end: End) {
+        if let End::Opened { .. } = &end {
+            self.opened();
+        }
         self.shelf.ended(&mut self.store, self.clock.now(), end);
     }
 
+    /// The disk is open: what it holds of earlier starts is not trusted after a step back.
+    fn opened(&mut self) {
+        let early_purges = std::mem::take(&mut self.early_purges);
+        if self.set_back_ms.load(Ordering::Acquire) == 0 {
+            return;
+        }
+        self.store.disk_mut().into_iter().for_each(Disk::distrust_earlier_starts);
+        for Purge { object, group, ms } in early_purges {
+            self.purged(object.as_ref(), group, ms);
+        }
+    }
+
     /// Whatever is due of background work; the router's own turns come so late.
     pub fn tick(&mut self, late: Duration) {
         let now = self.clock.now();
@@ -346,6 +399,20 @@
     told
 }
 
+/// By how much the wall clock was set back since an earlier start that used this directory, in milliseconds.
+fn set_back_by(boot: &BootTime, directory: &std::path::Path) -> u64 {
+    let (set_back, recorded) = boot.set_back_by(directory);
+    if set_back > 0 {
+        log::warn!(
+            set_back_ms = set_back; "store: the clock was set back since an earlier start: what that left is asked about first"
+        );
+    }
+    if let Err(what) = recorded {
+        log::warn!("store: {}: a later step of the clock may not be seen: {what}", directory.display());
+    }
+    set_back
+}
+
 fn part(arrival: &Arrival) -> Part<'_> {
     Part { object: arrival.object.as_bytes(), part: arrival.part, group: arrival.group }
 }
