--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -44,14 +44,23 @@
 impl Allowed {
     /// A rate with a burst, as the operator gives them, and the usual retries.
     pub fn at(rate: f64, burst: f64) -> Allowed {
-        Allowed { rate, burst, retries: RETRIES, retries_most: RETRIES_MOST }
+        Allowed {
+            rate,
+            burst,
+            retries: RETRIES,
+            retries_most: RETRIES_MOST,
+        }
     }
 }
 
 /// Whose request it is: the customer's where the settings name customers, else all who ask for its group of
 /// objects, who are then limited together.
 pub fn tenant(arrival: &Arrival, by_customer: bool) -> [u8; 8] {
-    if by_customer { (arrival.customer as u64).to_le_bytes() } else { arrival.group.to_le_bytes() }
+    if by_customer {
+        (arrival.customer as u64).to_le_bytes()
+    } else {
+        arrival.group.to_le_bytes()
+    }
 }
 
 /// What becomes of a request at the door.
@@ -88,7 +97,8 @@
 impl Column {
     fn fade(&mut self, now: Duration) {
         let fades = (-now.saturating_sub(self.at).div_duration_f64(FADES)).exp2();
-        (self.at, self.asked, self.served) = (self.at.max(now), self.asked * fades, self.served * fades);
+        (self.at, self.asked, self.served) =
+            (self.at.max(now), self.asked * fades, self.served * fades);
     }
 }
 
@@ -102,7 +112,12 @@
 
 impl Tenants {
     pub fn new(allowed: Allowed, seed: u64) -> Tenants {
-        Tenants { allowed, rows: LruCache::new(ROWS), sketch: vec![Column::default(); DEEP * WIDE], seed }
+        Tenants {
+            allowed,
+            rows: LruCache::new(ROWS),
+            sketch: vec![Column::default(); DEEP * WIDE],
+            seed,
+        }
     }
 
     fn key(&self, tenant: &[u8]) -> u64 {
@@ -125,7 +140,9 @@
                 return Verdict::Late(Duration::from_secs_f64(1.0 / allowed.rate.max(1e-3)));
             }
             if row.tokens < WHOLE {
-                return Verdict::Late(Duration::from_secs_f64((1.0 - row.tokens) / allowed.rate.max(1e-3)));
+                return Verdict::Late(Duration::from_secs_f64(
+                    (1.0 - row.tokens) / allowed.rate.max(1e-3),
+                ));
             }
             row.tokens -= 1.0;
             row.retries -= f64::from(again);
@@ -136,7 +153,10 @@
         for at in columns {
             self.sketch[at].fade(now);
         }
-        let asked = columns.iter().map(|at| self.sketch[*at].asked).fold(f64::INFINITY, f64::min);
+        let asked = columns
+            .iter()
+            .map(|at| self.sketch[*at].asked)
+            .fold(f64::INFINITY, f64::min);
         // What fades by half in a span adds up to the rate times the span over ln 2.
         let steady = allowed.rate * FADES.as_secs_f64() / std::f64::consts::LN_2;
         if asked + 1.0 > steady + allowed.burst {
@@ -159,17 +179,30 @@
             self.sketch[at].fade(now);
             self.sketch[at].served += 1.0;
         }
-        let served = columns.iter().map(|at| self.sketch[*at].served).fold(f64::INFINITY, f64::min);
+        let served = columns
+            .iter()
+            .map(|at| self.sketch[*at].served)
+            .fold(f64::INFINITY, f64::min);
         if served >= SERVED_FOR_ROW && self.may_evict(now) {
             let (tokens, retries) = (allowed.burst / 2.0, 0.0);
-            self.rows.put(key, Row { at: now, tokens, retries });
+            self.rows.put(
+                key,
+                Row {
+                    at: now,
+                    tokens,
+                    retries,
+                },
+            );
             columns.iter().for_each(|at| self.sketch[*at].served = 0.0);
         }
     }
 
     /// A row that was of use lately is not given up for a new name.
     fn may_evict(&self, now: Duration) -> bool {
-        let oldest = self.rows.peek_lru().filter(|_| self.rows.len() == ROWS.get());
+        let oldest = self
+            .rows
+            .peek_lru()
+            .filter(|_| self.rows.len() == ROWS.get());
         oldest.is_none_or(|(_, row)| now >= row.at + FADES)
     }
 
--- a/crates/cells/src/limits/tests.rs
+++ b/crates/cells/src/limits/tests.rs
@@ -1,7 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
-const ALLOWED: Allowed = Allowed { rate: 10.0, burst: 20.0, retries: 0.1, retries_most: 5.0 };
+const ALLOWED: Allowed = Allowed {
+    rate: 10.0,
+    burst: 20.0,
+    retries: 0.1,
+    retries_most: 5.0,
+};
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -37,10 +42,14 @@
     }
     let mut tenants = Tenants::new(ALLOWED, 7);
     steady(&mut tenants, "loud", 0.0, 50);
-    let taken = (0..2000)
-        .filter(|n| tenants.request(s(10.0 + f64::from(*n) * 0.005), b"loud", false) == Verdict::Taken);
+    let taken = (0..2000).filter(|n| {
+        tenants.request(s(10.0 + f64::from(*n) * 0.005), b"loud", false) == Verdict::Taken
+    });
     let taken = taken.count();
-    assert!((100..=121).contains(&taken), "{taken} in ten seconds at 10 a second and a burst of 20");
+    assert!(
+        (100..=121).contains(&taken),
+        "{taken} in ten seconds at 10 a second and a burst of 20"
+    );
 }
 
 #[test]
@@ -58,15 +67,28 @@
     }
     assert!(tenants.known() <= ROWS.get());
     for n in 0..100 {
-        assert_eq!(steady(&mut tenants, &format!("honest-{n}"), 14.0, 20), 20, "tenant {n}");
+        assert_eq!(
+            steady(&mut tenants, &format!("honest-{n}"), 14.0, 20),
+            20,
+            "tenant {n}"
+        );
     }
 }
 
 #[test]
 fn retries_are_paid_for_by_what_was_served() {
-    let mut tenants = Tenants::new(Allowed { rate: 1000.0, burst: 1000.0, ..ALLOWED }, 7);
+    let mut tenants = Tenants::new(
+        Allowed {
+            rate: 1000.0,
+            burst: 1000.0,
+            ..ALLOWED
+        },
+        7,
+    );
     steady(&mut tenants, "a", 0.0, 45);
-    let retries = (0..10).filter(|_| tenants.request(s(20.0), b"a", true) == Verdict::Taken).count();
+    let retries = (0..10)
+        .filter(|_| tenants.request(s(20.0), b"a", true) == Verdict::Taken)
+        .count();
     assert_eq!(retries, 3, "one for ten served");
 }
 
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -88,7 +88,9 @@
     pub fn new(told: Told) -> Result<Map, Vec<String>> {
         let mut faults = Vec::new();
         if told.cells.len() > CELLS_MOST || told.bindings.len() > BINDINGS_MOST {
-            faults.push(format!("more than {CELLS_MOST} cells or {BINDINGS_MOST} bindings"));
+            faults.push(format!(
+                "more than {CELLS_MOST} cells or {BINDINGS_MOST} bindings"
+            ));
         }
         let mut numbers: BTreeMap<&str, Cell> = BTreeMap::new();
         for (n, (name, members)) in told.cells.iter().enumerate() {
@@ -106,10 +108,16 @@
                 _ => {}
             }
         }
-        let shares: f64 =
-            told.cells.iter().map(|(_, m)| if let Members::Share(s) = m { *s } else { 0.0 }).sum();
+        let shares: f64 = told
+            .cells
+            .iter()
+            .map(|(_, m)| if let Members::Share(s) = m { *s } else { 0.0 })
+            .sum();
         if shares > 1.0 + 1e-9 {
-            faults.push(format!("the cells' shares add up to {:.0} %", shares * 100.0));
+            faults.push(format!(
+                "the cells' shares add up to {:.0} %",
+                shares * 100.0
+            ));
         }
         let mut bound = BTreeSet::new();
         let mut cell = |name: &str, faults: &mut Vec<String>| {
@@ -150,7 +158,10 @@
         for name in &told.arriving {
             cell(name, &mut faults);
         }
-        let otherwise = told.otherwise.as_deref().map(|name| cell(name, &mut faults));
+        let otherwise = told
+            .otherwise
+            .as_deref()
+            .map(|name| cell(name, &mut faults));
         for (n, (name, _)) in told.cells.iter().enumerate() {
             if !bound.contains(&(n as Cell)) {
                 faults.push(format!("nothing belongs to cell {name}"));
@@ -161,7 +172,15 @@
         }
         // The longest prefix says most.
         prefixes.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
-        Ok(Map { told, prefixes, groups, customers, classes, otherwise, placed: BTreeMap::new() })
+        Ok(Map {
+            told,
+            prefixes,
+            groups,
+            customers,
+            classes,
+            otherwise,
+            placed: BTreeMap::new(),
+        })
     }
 
     pub fn epoch(&self) -> u64 {
@@ -169,7 +188,10 @@
     }
 
     pub fn name(&self, cell: Cell) -> &str {
-        self.told.cells.get(cell as usize).map_or("", |(name, _)| name)
+        self.told
+            .cells
+            .get(cell as usize)
+            .map_or("", |(name, _)| name)
     }
 
     pub fn len(&self) -> usize {
@@ -183,9 +205,16 @@
     /// The cell that a request belongs to: by its object, its group, its customer, its class, in this
     /// order.
     pub fn cell_of(&self, arrival: &Arrival) -> Option<Cell> {
-        let by_object = self.prefixes.iter().find(|(prefix, _)| arrival.object.starts_with(prefix.as_str()));
-        let by_group =
-            || self.groups.iter().find(|(range, _)| range.contains(&arrival.group)).map(|(_, cell)| *cell);
+        let by_object = self
+            .prefixes
+            .iter()
+            .find(|(prefix, _)| arrival.object.starts_with(prefix.as_str()));
+        let by_group = || {
+            self.groups
+                .iter()
+                .find(|(range, _)| range.contains(&arrival.group))
+                .map(|(_, cell)| *cell)
+        };
         by_object
             .map(|(_, cell)| *cell)
             .or_else(by_group)
@@ -196,7 +225,11 @@
 
     /// The cell of this name, and the one to which just this is bound.
     pub fn named(&self, name: &str) -> Option<Cell> {
-        self.told.cells.iter().position(|(n, _)| n == name).map(|n| n as Cell)
+        self.told
+            .cells
+            .iter()
+            .position(|(n, _)| n == name)
+            .map(|n| n as Cell)
     }
 
     pub fn bound(&self, what: &What) -> Option<Cell> {
@@ -206,47 +239,72 @@
 
     /// The cells of a server, in order; none that it is in, and it takes nothing that belongs to a cell.
     pub fn cells_of(&self, server: &Id) -> Rc<[Cell]> {
-        self.placed.get(server).cloned().unwrap_or_else(|| Rc::from([]))
+        self.placed
+            .get(server)
+            .cloned()
+            .unwrap_or_else(|| Rc::from([]))
     }
 
     /// Draws the map over these cache servers. Their order tells nothing.
     pub fn place(&mut self, servers: &BTreeSet<Id>) {
-        let mut cells: BTreeMap<Id, BTreeSet<Cell>> =
-            servers.iter().map(|s| (s.clone(), BTreeSet::new())).collect();
-        let numbered =
-            || self.told.cells.iter().enumerate().map(|(n, (name, members))| (n as Cell, name, members));
+        let mut cells: BTreeMap<Id, BTreeSet<Cell>> = servers
+            .iter()
+            .map(|s| (s.clone(), BTreeSet::new()))
+            .collect();
+        let numbered = || {
+            self.told
+                .cells
+                .iter()
+                .enumerate()
+                .map(|(n, (name, members))| (n as Cell, name, members))
+        };
         let mut listed = BTreeSet::new();
         for (cell, _, members) in numbered() {
-            let Members::List(names) = members else { continue };
-            for server in servers.iter().filter(|s| names.iter().any(|name| **name == ***s)) {
+            let Members::List(names) = members else {
+                continue;
+            };
+            for server in servers
+                .iter()
+                .filter(|s| names.iter().any(|name| **name == ***s))
+            {
                 listed.insert(server.clone());
                 cells.entry(server.clone()).or_default().insert(cell);
             }
         }
         let free: Vec<&Id> = servers.iter().filter(|s| !listed.contains(*s)).collect();
         let shares: Vec<(Cell, &String, f64)> = numbered()
-            .filter_map(
-                |(cell, name, members)| {
-                    if let Members::Share(s) = members { Some((cell, name, *s)) } else { None }
-                },
-            )
+            .filter_map(|(cell, name, members)| {
+                if let Members::Share(s) = members {
+                    Some((cell, name, *s))
+                } else {
+                    None
+                }
+            })
             .collect();
         let unshared = 1.0 - shares.iter().map(|(_, _, share)| share).sum::<f64>();
         for server in &free {
             // Each cell draws a number for the server in proportion to its share; what no cell has draws too.
             let none = ("", unshared);
-            let draws = shares.iter().map(|(cell, name, share)| (Some(*cell), draw(name, server, *share)));
+            let draws = shares
+                .iter()
+                .map(|(cell, name, share)| (Some(*cell), draw(name, server, *share)));
             let draws = draws.chain([(None, draw(none.0, server, none.1))]);
-            let best = draws.min_by(|a, b| a.1.total_cmp(&b.1)).and_then(|(cell, _)| cell);
+            let best = draws
+                .min_by(|a, b| a.1.total_cmp(&b.1))
+                .and_then(|(cell, _)| cell);
             if let Some(cell) = best {
                 cells.entry((*server).clone()).or_default().insert(cell);
             }
         }
         let mut drawn: Vec<BTreeSet<&Id>> = Vec::new();
         for (cell, name, members) in numbered() {
-            let Members::Shuffle(count) = members else { continue };
-            let mut row: Vec<(f64, &Id)> =
-                free.iter().map(|server| (draw(name, server, 1.0), *server)).collect();
+            let Members::Shuffle(count) = members else {
+                continue;
+            };
+            let mut row: Vec<(f64, &Id)> = free
+                .iter()
+                .map(|server| (draw(name, server, 1.0), *server))
+                .collect();
             row.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
             let mut picked = BTreeSet::new();
             for (_, server) in &row {
@@ -264,8 +322,10 @@
             }
             drawn.push(picked);
         }
-        self.placed =
-            cells.into_iter().map(|(server, cells)| (server, cells.into_iter().collect())).collect();
+        self.placed = cells
+            .into_iter()
+            .map(|(server, cells)| (server, cells.into_iter().collect()))
+            .collect();
     }
 
     /// What an operator should know of the map as it is drawn: cells with too few servers, and servers in
@@ -289,7 +349,9 @@
             }
         }
         if nowhere > 0 && self.otherwise.is_some() {
-            faults.push(format!("{nowhere} servers are in no cell, and every request belongs to one"));
+            faults.push(format!(
+                "{nowhere} servers are in no cell, and every request belongs to one"
+            ));
         }
         faults
     }
@@ -297,10 +359,18 @@
     /// Of each cell: its name and servers.
     pub fn report(&self) -> Vec<(&str, Vec<Id>)> {
         let servers = |cell: Cell| {
-            let of_it = self.placed.iter().filter(|(_, cells)| cells.contains(&cell));
+            let of_it = self
+                .placed
+                .iter()
+                .filter(|(_, cells)| cells.contains(&cell));
             of_it.map(|(server, _)| server.clone()).collect()
         };
-        self.told.cells.iter().enumerate().map(|(n, (name, _))| (name.as_str(), servers(n as Cell))).collect()
+        self.told
+            .cells
+            .iter()
+            .enumerate()
+            .map(|(n, (name, _))| (name.as_str(), servers(n as Cell)))
+            .collect()
     }
 }
 
--- a/crates/cells/src/map/tests.rs
+++ b/crates/cells/src/map/tests.rs
@@ -6,10 +6,16 @@
 }
 
 fn told(cells: Vec<(&str, Members)>) -> Told {
-    let bindings = cells.iter().enumerate().map(|(n, (name, _))| (What::Customer(n), (*name).to_owned()));
+    let bindings = cells
+        .iter()
+        .enumerate()
+        .map(|(n, (name, _))| (What::Customer(n), (*name).to_owned()));
     Told {
         bindings: bindings.collect(),
-        cells: cells.into_iter().map(|(name, members)| (name.to_owned(), members)).collect(),
+        cells: cells
+            .into_iter()
+            .map(|(name, members)| (name.to_owned(), members))
+            .collect(),
         ..Told::default()
     }
 }
@@ -26,10 +32,24 @@
         bind(What::Class(1), "e"),
     ];
     let otherwise = Some("a".to_owned());
-    let map = Map::new(Told { cells: cells.to_vec(), bindings, otherwise, ..Told::default() }).unwrap();
+    let map = Map::new(Told {
+        cells: cells.to_vec(),
+        bindings,
+        otherwise,
+        ..Told::default()
+    })
+    .unwrap();
     let cell = |object: &str, group, customer, class| {
-        let arrival = Arrival { object: object.into(), group, customer, class, ..Arrival::default() };
-        map.cell_of(&arrival).map(|cell| map.name(cell).to_owned()).unwrap()
+        let arrival = Arrival {
+            object: object.into(),
+            group,
+            customer,
+            class,
+            ..Arrival::default()
+        };
+        map.cell_of(&arrival)
+            .map(|cell| map.name(cell).to_owned())
+            .unwrap()
     };
     assert_eq!(cell("7f3a00", 4, 2, 1), "b");
     assert_eq!(cell("7f0000", 4, 2, 1), "a");
@@ -47,7 +67,10 @@
         ("b", Members::Share(0.7)),
         ("c", Members::Shuffle(0)),
     ]);
-    told.bindings = vec![(What::Groups(1..=9), "a".into()), (What::Groups(9..=9), "nowhere".into())];
+    told.bindings = vec![
+        (What::Groups(1..=9), "a".into()),
+        (What::Groups(9..=9), "nowhere".into()),
+    ];
     let faults = Map::new(told).unwrap_err().join("\n");
     for part in [
         "cell a is told twice",
@@ -64,15 +87,26 @@
 
 #[test]
 fn shares_are_kept_and_a_server_that_goes_moves_no_other() {
-    let mut map = Map::new(told(vec![("a", Members::Share(0.25)), ("b", Members::Share(0.5))])).unwrap();
+    let mut map = Map::new(told(vec![
+        ("a", Members::Share(0.25)),
+        ("b", Members::Share(0.5)),
+    ]))
+    .unwrap();
     let all = servers(0..2000);
     map.place(&all);
     let before = map.report();
     let (a, b) = (before[0].1.len(), before[1].1.len());
-    assert!((420..580).contains(&a) && (900..1100).contains(&b), "{a} {b}");
+    assert!(
+        (420..580).contains(&a) && (900..1100).contains(&b),
+        "{a} {b}"
+    );
     let placed = map.placed.clone();
     map.place(&servers(1..2000));
-    assert!(map.placed.iter().all(|(server, cells)| placed[server] == *cells));
+    assert!(
+        map.placed
+            .iter()
+            .all(|(server, cells)| placed[server] == *cells)
+    );
 }
 
 #[test]
@@ -80,8 +114,15 @@
     let list = Members::List(vec!["s-0001".into(), "gone".into()]);
     let mut map = Map::new(told(vec![("a", list), ("b", Members::Shuffle(30))])).unwrap();
     map.place(&servers(0..10));
-    assert_eq!(map.faults(), ["cell a has 1 of 2 servers", "cell b has 9 of 30 servers"]);
-    assert_eq!(*map.cells_of(&"s-0001".into()), [0], "a listed server is drawn by no other cell");
+    assert_eq!(
+        map.faults(),
+        ["cell a has 1 of 2 servers", "cell b has 9 of 30 servers"]
+    );
+    assert_eq!(
+        *map.cells_of(&"s-0001".into()),
+        [0],
+        "a listed server is drawn by no other cell"
+    );
 }
 
 proptest! {
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -60,7 +60,19 @@
     pub fn new(from: Cell, to: Cell, settle: Duration) -> Move {
         let (state, share, paused) = (State::Prepared, 0.0, false);
         let (seen, hits, old, record) = (0.0, 0.0, None, Judged::default());
-        Move { from, to, state, share, paused, seen, hits, old, record, settles_at: Duration::ZERO, settle }
+        Move {
+            from,
+            to,
+            state,
+            share,
+            paused,
+            seen,
+            hits,
+            old,
+            record,
+            settles_at: Duration::ZERO,
+            settle,
+        }
     }
 
     pub fn state(&self) -> State {
@@ -82,7 +94,11 @@
         // As many bits as a number of this kind holds: rounded up, the last objects would stay behind for
         // ever.
         let drawn = (object >> 11) as f64 / (1u64 << 53) as f64;
-        if drawn < self.share { self.to } else { self.from }
+        if drawn < self.share {
+            self.to
+        } else {
+            self.from
+        }
     }
 
     /// Stays where it is until `resume`.
--- a/crates/cells/src/moves/tests.rs
+++ b/crates/cells/src/moves/tests.rs
@@ -38,7 +38,11 @@
     }
     assert_eq!(shares, [0.0625, 0.125, 0.25, 0.5, 1.0]);
     moved.tick(s(1004));
-    assert_eq!(moved.state(), State::Settling, "what began at the old cell may not have ended");
+    assert_eq!(
+        moved.state(),
+        State::Settling,
+        "what began at the old cell may not have ended"
+    );
     moved.tick(s(1005));
     assert_eq!(moved.state(), State::Done);
 }
@@ -47,12 +51,22 @@
 fn an_object_goes_over_once_and_comes_back_only_with_all() {
     let mut moved = begun();
     let mut over: HashSet<u64> = HashSet::new();
-    let objects: Vec<u64> = (0..2000u64).map(|n| n.wrapping_mul(0x9E37_79B9_7F4A_7C15)).collect();
+    let objects: Vec<u64> = (0..2000u64)
+        .map(|n| n.wrapping_mul(0x9E37_79B9_7F4A_7C15))
+        .collect();
     while moved.state() < State::Settling {
-        let now: HashSet<u64> = objects.iter().copied().filter(|o| moved.cell(*o) == 2).collect();
+        let now: HashSet<u64> = objects
+            .iter()
+            .copied()
+            .filter(|o| moved.cell(*o) == 2)
+            .collect();
         assert!(over.is_subset(&now));
         let share = now.len() as f64 / objects.len() as f64;
-        assert!((share - moved.share()).abs() < 0.03, "{share} of {}", moved.share());
+        assert!(
+            (share - moved.share()).abs() < 0.03,
+            "{share} of {}",
+            moved.share()
+        );
         over = now;
         see(&mut moved, s(1), 50, 1.0);
     }
@@ -154,7 +168,13 @@
         Event::Time => moved.tick(s(100)),
     }
     moved.alive(s(1), old, new);
-    (moved.state(), (moved.share() * 64.0) as u32, moved.is_paused(), old, new)
+    (
+        moved.state(),
+        (moved.share() * 64.0) as u32,
+        moved.is_paused(),
+        old,
+        new,
+    )
 }
 
 /// Every way in which two routers' moves can go, each by itself and in any order between them, with
@@ -183,7 +203,10 @@
         assert!(whole, "{state:?} at {share}/64");
         // While somebody can serve it, it is not sent where nobody can.
         if *old != *new && *state != State::Done {
-            assert!(if *new { *share == 64 } else { *share == 0 }, "{state:?} {share} old {old} new {new}");
+            assert!(
+                if *new { *share == 64 } else { *share == 0 },
+                "{state:?} {share} old {old} new {new}"
+            );
         }
     }
     // From everywhere both ends can be reached, but from the end itself.
@@ -200,7 +223,10 @@
             }
             good.extend(more);
         }
-        assert!(one.keys().all(|k| good.contains(k) || k.0 == State::Done), "{end:?}");
+        assert!(
+            one.keys().all(|k| good.contains(k) || k.0 == State::Done),
+            "{end:?}"
+        );
     }
     // Two routers share nothing but the cells' life: a pair is sound where each is, and an object that
     // either sends somewhere goes to one of the two cells, alive if one is.
@@ -212,7 +238,10 @@
                 for key in [a, b] {
                     let cell = at(*key).cell(object);
                     let alive = if cell == 2 { key.4 } else { key.3 };
-                    assert!(alive || key.0 == State::Done || !(key.3 || key.4), "{key:?} sends to {cell}");
+                    assert!(
+                        alive || key.0 == State::Done || !(key.3 || key.4),
+                        "{key:?} sends to {cell}"
+                    );
                 }
             }
         }
--- a/crates/cells/src/plan.rs
+++ b/crates/cells/src/plan.rs
@@ -84,11 +84,23 @@
 /// there.
 pub fn plan(tenants: &[Tenant], places: &[Place], most: f64) -> Result<Plan, String> {
     let sound = |n: f64| n.is_finite() && n >= 0.0;
-    if let Some(t) = tenants.iter().find(|t| !sound(t.load) || !sound(t.fill_kb) || t.cell >= places.len()) {
-        return Err(format!("tenant {}: its load, its fill or its cell makes no sense", t.name));
+    if let Some(t) = tenants
+        .iter()
+        .find(|t| !sound(t.load) || !sound(t.fill_kb) || t.cell >= places.len())
+    {
+        return Err(format!(
+            "tenant {}: its load, its fill or its cell makes no sense",
+            t.name
+        ));
     }
-    if let Some(p) = places.iter().find(|p| !sound(p.capacity) || !(0.0..=1.0).contains(&p.cold)) {
-        return Err(format!("cell {}: its capacity or its cold share makes no sense", p.name));
+    if let Some(p) = places
+        .iter()
+        .find(|p| !sound(p.capacity) || !(0.0..=1.0).contains(&p.cold))
+    {
+        return Err(format!(
+            "cell {}: its capacity or its cold share makes no sense",
+            p.name
+        ));
     }
     if !(0.0..=1.0).contains(&most) {
         return Err(format!("{most} is not a share"));
@@ -101,7 +113,8 @@
     }
     let fullest = |loads: &[f64]| {
         let used = loads.iter().zip(places).filter(|(load, _)| **load > 0.0);
-        used.map(|(load, place)| load / place.capacity.max(1e-12)).fold(0.0, f64::max)
+        used.map(|(load, place)| load / place.capacity.max(1e-12))
+            .fold(0.0, f64::max)
     };
     let before = fullest(&loads);
     let (mut leaving, mut bound_kb) = (Vec::new(), 0.0);
@@ -111,12 +124,21 @@
             let (shed, least) = shed(tenants, &of_cell[cell], over);
             bound_kb += least;
             let share = loads[cell] / place.capacity.max(1e-12);
-            let why = if place.capacity > 0.0 { Why::Crowded(share) } else { Why::Closed };
+            let why = if place.capacity > 0.0 {
+                Why::Crowded(share)
+            } else {
+                Why::Closed
+            };
             leaving.extend(shed.into_iter().map(|tenant| (tenant, why)));
         }
     }
     // Largest first: small ones find room between them.
-    leaving.sort_by(|a, b| tenants[b.0].load.total_cmp(&tenants[a.0].load).then(a.0.cmp(&b.0)));
+    leaving.sort_by(|a, b| {
+        tenants[b.0]
+            .load
+            .total_cmp(&tenants[a.0].load)
+            .then(a.0.cmp(&b.0))
+    });
     let mut sheds = vec![false; places.len()];
     for (tenant, _) in &leaving {
         loads[tenants[*tenant].cell] -= tenants[*tenant].load;
@@ -126,13 +148,18 @@
         let place: &Place = &places[cell];
         (most * place.capacity - load).min(place.cold * place.capacity - arrived)
     };
-    let mut rooms: BinaryHeap<Room> =
-        (0..places.len()).filter(|c| !sheds[*c]).map(|c| Room(room(c, loads[c], 0.0), c)).collect();
+    let mut rooms: BinaryHeap<Room> = (0..places.len())
+        .filter(|c| !sheds[*c])
+        .map(|c| Room(room(c, loads[c], 0.0), c))
+        .collect();
     let (mut arrived, mut steps, mut stuck, mut fill_kb) =
         (vec![0.0; places.len()], Vec::new(), Vec::new(), 0.0);
     for (tenant, why) in leaving {
         let told = &tenants[tenant];
-        let best = rooms.peek().filter(|best| best.0 >= told.load).map(|best| best.1);
+        let best = rooms
+            .peek()
+            .filter(|best| best.0 >= told.load)
+            .map(|best| best.1);
         let Some(to) = best else {
             loads[told.cell] += told.load;
             stuck.push(tenant);
@@ -142,15 +169,30 @@
         (loads[to], arrived[to]) = (loads[to] + told.load, arrived[to] + told.load);
         rooms.push(Room(room(to, loads[to], arrived[to]), to));
         fill_kb += told.fill_kb;
-        steps.push(Step { tenant, from: told.cell, to, why });
+        steps.push(Step {
+            tenant,
+            from: told.cell,
+            to,
+            why,
+        });
     }
-    Ok(Plan { steps, stuck, fill_kb, bound_kb, fullest: [before, fullest(&loads)] })
+    Ok(Plan {
+        steps,
+        stuck,
+        fill_kb,
+        bound_kb,
+        fullest: [before, fullest(&loads)],
+    })
 }
 
 /// Which of a cell's tenants leave, so that at least so much load does; and what that costs at least.
 fn shed(tenants: &[Tenant], cell: &[usize], over: f64) -> (Vec<usize>, f64) {
     let density = |n: &usize| tenants[*n].fill_kb / tenants[*n].load.max(1e-12);
-    let mut row: Vec<usize> = cell.iter().copied().filter(|n| tenants[*n].load > 0.0).collect();
+    let mut row: Vec<usize> = cell
+        .iter()
+        .copied()
+        .filter(|n| tenants[*n].load > 0.0)
+        .collect();
     row.sort_by(|a, b| density(a).total_cmp(&density(b)).then(a.cmp(b)));
     let (mut picked, mut load, mut bound) = (Vec::new(), 0.0, 0.0);
     for n in &row {
@@ -166,7 +208,9 @@
     // enough.
     if let Some(last) = picked.pop() {
         let need = over - (load - tenants[last].load);
-        let rest = row.iter().filter(|n| !picked.contains(n) && tenants[**n].load >= need);
+        let rest = row
+            .iter()
+            .filter(|n| !picked.contains(n) && tenants[**n].load >= need);
         let cheapest = rest.min_by(|a, b| tenants[**a].fill_kb.total_cmp(&tenants[**b].fill_kb));
         let taken = cheapest.copied().unwrap_or(last);
         load += tenants[taken].load - tenants[last].load;
--- a/crates/cells/src/plan/tests.rs
+++ b/crates/cells/src/plan/tests.rs
@@ -5,15 +5,27 @@
 /// Tenants of uneven size on cells of which some are asked for too much.
 fn fleet(seed: u64, tenants: usize, cells: usize) -> (Vec<Tenant>, Vec<Place>) {
     let mut chance = fastrand::Rng::with_seed(seed);
-    let place = |n| Place { name: format!("c{n}"), capacity: 10.0, cold: 0.3 };
+    let place = |n| Place {
+        name: format!("c{n}"),
+        capacity: 10.0,
+        cold: 0.3,
+    };
     let places: Vec<Place> = (0..cells).map(place).collect();
     let mean = 0.6 * 10.0 * cells as f64 / tenants as f64;
     let tenant = |n: usize| {
         // A fifth of the cells hold a third more than their share.
-        let cell =
-            if chance.u8(..10) < 3 { chance.usize(..cells.div_ceil(5)) } else { chance.usize(..cells) };
+        let cell = if chance.u8(..10) < 3 {
+            chance.usize(..cells.div_ceil(5))
+        } else {
+            chance.usize(..cells)
+        };
         let load = mean * (0.2 + 1.6 * chance.f64().powi(2)) * 1.4;
-        Tenant { name: format!("t{n}"), load, fill_kb: 100.0 + 10_000.0 * chance.f64(), cell }
+        Tenant {
+            name: format!("t{n}"),
+            load,
+            fill_kb: 100.0 + 10_000.0 * chance.f64(),
+            cell,
+        }
     };
     ((0..tenants).map(tenant).collect(), places)
 }
@@ -36,12 +48,33 @@
 
 #[test]
 fn a_closed_cell_is_emptied_and_what_finds_no_room_is_told() {
-    let tenant = |n: usize, load, cell| Tenant { name: n.to_string(), load, fill_kb: 1.0, cell };
-    let place = |capacity| Place { name: "c".into(), capacity, cold: 0.5 };
+    let tenant = |n: usize, load, cell| Tenant {
+        name: n.to_string(),
+        load,
+        fill_kb: 1.0,
+        cell,
+    };
+    let place = |capacity| Place {
+        name: "c".into(),
+        capacity,
+        cold: 0.5,
+    };
     let tenants = [tenant(0, 2.0, 0), tenant(1, 4.0, 0), tenant(2, 1.0, 1)];
     let plan = plan(&tenants, &[place(0.0), place(10.0)], 0.8).unwrap();
-    assert_eq!(plan.stuck, [0], "cold servers take half of what they bear at once");
-    assert_eq!(plan.steps, [Step { tenant: 1, from: 0, to: 1, why: Why::Closed }]);
+    assert_eq!(
+        plan.stuck,
+        [0],
+        "cold servers take half of what they bear at once"
+    );
+    assert_eq!(
+        plan.steps,
+        [Step {
+            tenant: 1,
+            from: 0,
+            to: 1,
+            why: Why::Closed
+        }]
+    );
     assert!(super::plan(&[tenant(0, f64::NAN, 0)], &[place(1.0)], 0.8).is_err());
     assert!(super::plan(&[tenant(0, 1.0, 3)], &[place(1.0)], 0.8).is_err());
 }
@@ -50,9 +83,23 @@
 /// no place, and stays.
 #[test]
 fn a_cell_that_sheds_takes_nothing() {
-    let tenant = |n: usize, load, cell| Tenant { name: n.to_string(), load, fill_kb: 1.0, cell };
-    let place = || Place { name: "c".into(), capacity: 10.0, cold: 0.5 };
-    let tenants = [tenant(0, 9.0, 0), tenant(1, 4.5, 1), tenant(2, 4.5, 1), tenant(3, 7.0, 2)];
+    let tenant = |n: usize, load, cell| Tenant {
+        name: n.to_string(),
+        load,
+        fill_kb: 1.0,
+        cell,
+    };
+    let place = || Place {
+        name: "c".into(),
+        capacity: 10.0,
+        cold: 0.5,
+    };
+    let tenants = [
+        tenant(0, 9.0, 0),
+        tenant(1, 4.5, 1),
+        tenant(2, 4.5, 1),
+        tenant(3, 7.0, 2),
+    ];
     let plan = plan(&tenants, &[place(), place(), place()], 0.8).unwrap();
     assert!(plan.steps.is_empty() && plan.stuck.len() == 2, "{plan:?}");
     assert!(plan.fullest[1] <= plan.fullest[0]);
@@ -65,16 +112,31 @@
     let mut rows = Vec::new();
     for tenant in tenants {
         let row: Vec<_> = (0..places.len())
-            .map(|cell| problem.add_var(if cell == tenant.cell { 0.0 } else { tenant.fill_kb }, (0.0, 1.0)))
+            .map(|cell| {
+                problem.add_var(
+                    if cell == tenant.cell {
+                        0.0
+                    } else {
+                        tenant.fill_kb
+                    },
+                    (0.0, 1.0),
+                )
+            })
             .collect();
         problem.add_constraint(row.iter().map(|v| (*v, 1.0)), ComparisonOp::Eq, 1.0);
         rows.push(row);
     }
     for (cell, place) in places.iter().enumerate() {
-        let all = rows.iter().zip(tenants).map(|(row, tenant)| (row[cell], tenant.load));
+        let all = rows
+            .iter()
+            .zip(tenants)
+            .map(|(row, tenant)| (row[cell], tenant.load));
         problem.add_constraint(all, ComparisonOp::Le, most * place.capacity);
-        let new =
-            rows.iter().zip(tenants).filter(|(_, t)| t.cell != cell).map(|(row, t)| (row[cell], t.load));
+        let new = rows
+            .iter()
+            .zip(tenants)
+            .filter(|(_, t)| t.cell != cell)
+            .map(|(row, t)| (row[cell], t.load));
         problem.add_constraint(new, ComparisonOp::Le, place.cold * place.capacity);
     }
     problem.solve().ok().map(|solution| solution.objective())
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -35,9 +35,11 @@
         directives: Option<PathBuf>,
     },
     /// Finds every fault of an operator's file at once
-    #[command(after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
+    #[command(
+        after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
 
-Example: chalkhall check --json deploy/chalkhall.conf")]
+Example: chalkhall check --json deploy/chalkhall.conf"
+    )]
     Check {
         #[arg(value_name = "FILE")]
         file: PathBuf,
@@ -74,7 +76,9 @@
         command: Vec<std::ffi::OsString>,
     },
     /// Prints what completes commands in a shell
-    #[command(after_help = "Example: chalkhall completions bash > /etc/bash_completion.d/chalkhall")]
+    #[command(
+        after_help = "Example: chalkhall completions bash > /etc/bash_completion.d/chalkhall"
+    )]
     Completions { shell: Shell },
     /// Writes the manual pages into a folder
     #[command(after_help = "Example: chalkhall man /usr/local/share/man/man1")]
@@ -84,9 +88,11 @@
 #[derive(Subcommand)]
 pub enum Peers {
     /// Tells how many peers are heard, and what was dropped
-    #[command(after_help = "Exit codes: 0 done; 1 the router does not answer, or talks to nobody.
+    #[command(
+        after_help = "Exit codes: 0 done; 1 the router does not answer, or talks to nobody.
 
-Example: chalkhall peers stat --socket /run/chalkhall/control.sock")]
+Example: chalkhall peers stat --socket /run/chalkhall/control.sock"
+    )]
     Stat {
         /// The router's control socket
         #[arg(long)]
@@ -99,9 +105,11 @@
 #[derive(Subcommand)]
 pub enum Regions {
     /// Tells what is held of each zone, and the plan in force
-    #[command(after_help = "Exit codes: 0 done; 1 the router does not answer, or regions in common are off.
+    #[command(
+        after_help = "Exit codes: 0 done; 1 the router does not answer, or regions in common are off.
 
-Example: chalkhall regions stat --socket /run/chalkhall/control.sock")]
+Example: chalkhall regions stat --socket /run/chalkhall/control.sock"
+    )]
     Stat {
         /// The router's control socket
         #[arg(long)]
@@ -118,7 +126,9 @@
         json: bool,
     },
     /// Tells a router what a front has measured of its clients' way to an edge
-    #[command(after_help = "Example: chalkhall regions observe north oslo 41.5 20 --socket control.sock")]
+    #[command(
+        after_help = "Example: chalkhall regions observe north oslo 41.5 20 --socket control.sock"
+    )]
     Observe {
         /// The router's own region or zone
         region: String,
@@ -147,13 +157,15 @@
         json: bool,
     },
     /// Tells which tenants to move so that no cell is asked for more than it bears
-    #[command(after_help = "FILE holds {\"cells\":[{\"name\":..,\"capacity\":..,\"cold\":0.3}],
+    #[command(
+        after_help = "FILE holds {\"cells\":[{\"name\":..,\"capacity\":..,\"cold\":0.3}],
 \"tenants\":[{\"name\":..,\"load\":..,\"fill_kb\":..,\"cell\":..}]}: capacity and load in one unit, cold
 the share of its capacity that a cell takes anew at once, fill_kb what a tenant costs to be filled anew.
 
 Exit codes: 0 a plan; 1 some that should move find no room now.
 
-Example: chalkhall cells plan fleet.json --most 80% --why")]
+Example: chalkhall cells plan fleet.json --most 80% --why"
+    )]
     Plan {
         #[arg(value_name = "FILE")]
         file: PathBuf,
@@ -168,10 +180,12 @@
         json: bool,
     },
     /// Draws the map of an operator's file and tells every fault of it
-    #[command(after_help = "Exit codes: 0 no fault; 1 faults: of the file, or cells with too few servers, or
+    #[command(
+        after_help = "Exit codes: 0 no fault; 1 faults: of the file, or cells with too few servers, or
 servers in none.
 
-Example: chalkhall cells check deploy/chalkhall.conf --config docs/example.json")]
+Example: chalkhall cells check deploy/chalkhall.conf --config docs/example.json"
+    )]
     Check {
         #[arg(value_name = "FILE")]
         file: PathBuf,
@@ -211,15 +225,19 @@
         json: bool,
     },
     /// Finds every fault of a play's file at once
-    #[command(after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
+    #[command(
+        after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
 
-Example: chalkhall fleet check crates/harness/plays/calm.play")]
+Example: chalkhall fleet check crates/harness/plays/calm.play"
+    )]
     Check {
         #[arg(value_name = "FILE", required = true)]
         files: Vec<PathBuf>,
     },
     /// Plays a file once as it is and once for each other directive or program, on the same seed
-    #[command(after_help = "Example: chalkhall fleet compare zone.play --with 'peers tell off' --plays 3")]
+    #[command(
+        after_help = "Example: chalkhall fleet compare zone.play --with 'peers tell off' --plays 3"
+    )]
     Compare {
         #[arg(value_name = "FILE")]
         file: PathBuf,
--- a/crates/cli/src/bin/proof-even/main.rs
+++ b/crates/cli/src/bin/proof-even/main.rs
@@ -31,10 +31,26 @@
 /// it.
 const PLAYS: [(&str, &str, &str); 8] = [
     ("calm", "", "peak 1.25\n idle 1%\n swing 0\n service 95%"),
-    ("slow", "at 4s for 9s slow caches 1/8 by 6", "swing 0\n service 85%"),
-    ("errors", "at 4s for 9s errors caches 1/8", "swing 0\n service 90%"),
-    ("joins", "at 4s join 10\n at 6s join 30", "peak 1.5\n herd 2\n swing 0\n after 5s\n service 90%"),
-    ("replaced", "at 2s over 4s replace caches 3/10", "peak 1.5\n herd 2\n after 5s\n service 88%"),
+    (
+        "slow",
+        "at 4s for 9s slow caches 1/8 by 6",
+        "swing 0\n service 85%",
+    ),
+    (
+        "errors",
+        "at 4s for 9s errors caches 1/8",
+        "swing 0\n service 90%",
+    ),
+    (
+        "joins",
+        "at 4s join 10\n at 6s join 30",
+        "peak 1.5\n herd 2\n swing 0\n after 5s\n service 90%",
+    ),
+    (
+        "replaced",
+        "at 2s over 4s replace caches 3/10",
+        "peak 1.5\n herd 2\n after 5s\n service 88%",
+    ),
     (
         "zone-lost",
         "at 4s for 3s lose location 1\n at 4s for 3s lose location 2\n at 4s for 3s lose parents 1",
@@ -49,7 +65,11 @@
          at 1s for 12s lists late 2s\n at 7s drain caches 4",
         "peak 1.5\n service 90%",
     ),
-    ("hot", "at 4s for 6s hot 33%", "swing 0\n after 1s\n service 80%"),
+    (
+        "hot",
+        "at 4s for 6s hot 33%",
+        "swing 0\n after 1s\n service 80%",
+    ),
 ];
 
 fn play_of(faults: &str, must: &str, alone: bool) -> Result<Play, String> {
@@ -58,18 +78,33 @@
     if alone {
         play.fleet.directives.clear();
     }
-    faults.first().map_or(Ok(play), |fault| Err(fault.to_string()))
+    faults
+        .first()
+        .map_or(Ok(play), |fault| Err(fault.to_string()))
 }
 
-fn once(name: &str, play: &Play, arguments: &Arguments, voids: &mut usize) -> Result<Shown, String> {
+fn once(
+    name: &str,
+    play: &Play,
+    arguments: &Arguments,
+    voids: &mut usize,
+) -> Result<Shown, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let chalkhall = own.with_file_name("chalkhall");
     for again in [true, false] {
         let program = program(&chalkhall, None);
-        let setup = Setup { program, seed: arguments.seed, logs: None, progress: false };
+        let setup = Setup {
+            program,
+            seed: arguments.seed,
+            logs: None,
+            progress: false,
+        };
         let shown = played(play, setup).map_err(|failure| format!("{name}: {}", failure.what))?;
         println!("{name}: {}", report::line(&shown));
-        shown.words.iter().for_each(|what| println!("{name}: rule: {what}"));
+        shown
+            .words
+            .iter()
+            .for_each(|what| println!("{name}: rule: {what}"));
         if let Some(folder) = &arguments.html {
             let page = report::html(name, play, &shown, &report::short(&shown, &play.must))?;
             std::fs::write(folder.join(format!("{name}.html")), page).map_err(|e| e.to_string())?;
@@ -94,14 +129,23 @@
         }
         let play = play_of(faults, must, false)?;
         let shown = once(name, &play, arguments, &mut voids)?;
-        short.extend(report::short(&shown, &play.must).into_iter().map(|what| format!("{name}: {what}")));
+        short.extend(
+            report::short(&shown, &play.must)
+                .into_iter()
+                .map(|what| format!("{name}: {what}")),
+        );
         calm = calm.or((name == "calm").then_some(all.len()));
         all.push(shown);
         plays += 1;
     }
     // The same calm work without peers: nothing rests on them.
     let alone = match calm {
-        Some(_) => Some(once("alone", &play_of("", "", true)?, arguments, &mut voids)?),
+        Some(_) => Some(once(
+            "alone",
+            &play_of("", "", true)?,
+            arguments,
+            &mut voids,
+        )?),
         None => None,
     };
     let worst = |of: &dyn Fn(&Shown) -> f64| all.iter().map(of).fold(0.0, f64::max);
@@ -119,15 +163,37 @@
             report::peak_ratio(first),
             worst(&report::peak_ratio)
         ),
-        format!("idle={:.4} idle_worst={:.4}", first.even["real"].idle, worst(&|s| s.even["real"].idle)),
+        format!(
+            "idle={:.4} idle_worst={:.4}",
+            first.even["real"].idle,
+            worst(&|s| s.even["real"].idle)
+        ),
         format!("herd={:.3}", worst(&|s| s.herd)),
-        format!("swing={} service={:.3}", worst(&|s| s.even["real"].swing), first.service),
+        format!(
+            "swing={} service={:.3}",
+            worst(&|s| s.even["real"].swing),
+            first.service
+        ),
         format!("service_worst={:.3}", least(&|s| s.service_after)),
-        format!("service_alone={:.3}", alone.as_ref().map_or(0.0, |s| s.service)),
-        format!("strain={:.3} double_runs={}", worst(&|s| s.strain), breaks(&|s| s.breaks.double_runs)),
-        format!("lost={}", breaks(&|s| s.breaks.lost + s.breaks.twice + s.breaks.strange)),
+        format!(
+            "service_alone={:.3}",
+            alone.as_ref().map_or(0.0, |s| s.service)
+        ),
+        format!(
+            "strain={:.3} double_runs={}",
+            worst(&|s| s.strain),
+            breaks(&|s| s.breaks.double_runs)
+        ),
+        format!(
+            "lost={}",
+            breaks(&|s| s.breaks.lost + s.breaks.twice + s.breaks.strange)
+        ),
         format!("drain_breaks={}", breaks(&|s| s.breaks.drain)),
-        format!("cold_falls={} stale={}", breaks(&|s| s.breaks.cold), breaks(&|s| s.breaks.stale)),
+        format!(
+            "cold_falls={} stale={}",
+            breaks(&|s| s.breaks.cold),
+            breaks(&|s| s.breaks.stale)
+        ),
         format!("plays={plays} void={voids}"),
     ];
     Ok((line.join(" "), short))
--- a/crates/cli/src/bin/proof-fleet-size/bounds.rs
+++ b/crates/cli/src/bin/proof-fleet-size/bounds.rs
@@ -27,12 +27,22 @@
     plus: f64,
     each_thousand: f64,
 ) -> Bound {
-    Bound { name, of, times, plus, each_thousand, timed: false }
+    Bound {
+        name,
+        of,
+        times,
+        plus,
+        each_thousand,
+        timed: false,
+    }
 }
 
 /// Those of production, for a day on which requests are served.
 const USUAL: [Bound; 5] = [
-    Bound { timed: true, ..bound("cpu_s", |f| f.cpu_s, 1.4, 0.02, 0.03) },
+    Bound {
+        timed: true,
+        ..bound("cpu_s", |f| f.cpu_s, 1.4, 0.02, 0.03)
+    },
     bound("peak_memory_mb", |f| f.peak_memory_mb, 1.5, 8.0, 4.0),
     bound("descriptors", |f| f.descriptors, 2.0, 40.0, 0.0),
     bound("connections", |f| f.connections, 2.5, 40.0, 0.0),
@@ -42,13 +52,22 @@
 /// Of a listed server, in memory, before anything is asked.
 const KB_A_SERVER: f64 = 4.0;
 /// Where every server refuses: the processor time of a request grows by this at most.
-const REFUSING: Bound =
-    Bound { timed: true, ..bound("cpu_us_per_request", |f| f.cpu_us_per_request, 1.3, 0.0, 0.0) };
+const REFUSING: Bound = Bound {
+    timed: true,
+    ..bound(
+        "cpu_us_per_request",
+        |f| f.cpu_us_per_request,
+        1.3,
+        0.0,
+        0.0,
+    )
+};
 
 impl Bound {
     fn exceeded(&self, growth: &Growth) -> Option<String> {
         let thousands = growth.cache_servers as f64 / 1000.0;
-        let most = self.times * (self.of)(&growth.usual) + self.plus + self.each_thousand * thousands;
+        let most =
+            self.times * (self.of)(&growth.usual) + self.plus + self.each_thousand * thousands;
         let found = (self.of)(&growth.larger);
         (found > most).then(|| format!("{} is {found:.3}, at most {most:.3}", self.name))
     }
@@ -61,13 +80,20 @@
 
 /// What passed its bound, in words.
 pub fn exceeded(day: Day, growth: &Growth, counted_only: bool) -> Vec<String> {
-    let bounds: &[Bound] = if day == Day::Usual { &USUAL } else { &[REFUSING] };
+    let bounds: &[Bound] = if day == Day::Usual {
+        &USUAL
+    } else {
+        &[REFUSING]
+    };
     let bounds = bounds.iter().filter(|bound| !(bound.timed && counted_only));
     let mut short: Vec<String> = bounds.filter_map(|bound| bound.exceeded(growth)).collect();
     if day == Day::Usual {
         let least = SERVED_LEAST * growth.usual.served;
         if growth.larger.served < least {
-            short.push(format!("served is {:.3}, at least {least:.3}", growth.larger.served));
+            short.push(format!(
+                "served is {:.3}, at least {least:.3}",
+                growth.larger.served
+            ));
         }
         let kb = kb_a_server(growth, growth.usual.cache_servers);
         if kb > KB_A_SERVER {
@@ -82,13 +108,19 @@
     let (usual, larger) = (&growth.usual, &growth.larger);
     let pair = |name: &str, of: fn(&Figures) -> f64| {
         let (usual, larger) = (of(usual), of(larger));
-        format!("{name}={usual:.3}/{larger:.3} {name}_ratio={:.3}", larger / usual.max(1e-9))
+        format!(
+            "{name}={usual:.3}/{larger:.3} {name}_ratio={:.3}",
+            larger / usual.max(1e-9)
+        )
     };
     if day == Day::AllRefusing {
         return pair("refusing_cpu_us_per_request", |f| f.cpu_us_per_request);
     }
     let kb = kb_a_server(growth, usual.cache_servers);
-    let [start, cpu] = [pair("cpu_start_s", |f| f.cpu_start_s), pair("cpu_s", |f| f.cpu_s)];
+    let [start, cpu] = [
+        pair("cpu_start_s", |f| f.cpu_start_s),
+        pair("cpu_s", |f| f.cpu_s),
+    ];
     [
         format!(
             "cache_servers={}/{} requests={:.0}",
--- a/crates/cli/src/bin/proof-fleet-size/cache_servers.rs
+++ b/crates/cli/src/bin/proof-fleet-size/cache_servers.rs
@@ -54,18 +54,25 @@
     let mut line = String::new();
     loop {
         line.clear();
-        if !reader.read_line(&mut line).await.is_ok_and(|bytes| bytes > 0) {
+        if !reader
+            .read_line(&mut line)
+            .await
+            .is_ok_and(|bytes| bytes > 0)
+        {
             return;
         }
         let words: Vec<&str> = line.trim_end().split(' ').collect();
-        let ["ASK", id, _, length] = words.as_slice() else { continue };
+        let ["ASK", id, _, length] = words.as_slice() else {
+            continue;
+        };
         let mut body = vec![0; length.parse().unwrap_or(0) + 2];
         if reader.read_exact(&mut body).await.is_err() {
             return;
         }
         add(&counts.requests);
         let mut answer =
-            format!("{id} OK tell=hit,etag=4be0c1927d55a6f3,made=1 {OBJECT_BYTES}\r\n").into_bytes();
+            format!("{id} OK tell=hit,etag=4be0c1927d55a6f3,made=1 {OBJECT_BYTES}\r\n")
+                .into_bytes();
         answer.extend_from_slice(&object);
         answer.extend_from_slice(b"\r\n");
         if writer.write_all(&answer).await.is_err() {
--- a/crates/cli/src/bin/proof-fleet-size/discovery.rs
+++ b/crates/cli/src/bin/proof-fleet-size/discovery.rs
@@ -29,12 +29,20 @@
     pub fn tell(&self, entries: &[Value]) {
         let number = FIRST + 1 + self.lines.borrow().len();
         let pool = serde_json::json!({"seq": number, "whole": false, "hosts": entries});
-        self.lines.borrow_mut().push(format!("{}\n", serde_json::json!({"rev": number, "pool": pool})));
+        self.lines.borrow_mut().push(format!(
+            "{}\n",
+            serde_json::json!({"rev": number, "pool": pool})
+        ));
         self.changed.notify_waiters();
     }
 
     fn after(&self, number: usize) -> String {
-        self.lines.borrow().iter().skip(number.saturating_sub(FIRST)).map(String::as_str).collect()
+        self.lines
+            .borrow()
+            .iter()
+            .skip(number.saturating_sub(FIRST))
+            .map(String::as_str)
+            .collect()
     }
 
     fn last(&self) -> usize {
@@ -46,8 +54,14 @@
 ///
 /// # Errors
 /// The address can't be bound.
-pub async fn listen(at: SocketAddr, events: &Rc<Events>, tasks: &mut JoinSet<()>) -> Result<(), String> {
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
+pub async fn listen(
+    at: SocketAddr,
+    events: &Rc<Events>,
+    tasks: &mut JoinSet<()>,
+) -> Result<(), String> {
+    let listener = TcpListener::bind(at)
+        .await
+        .map_err(|e| format!("{at}: {e}"))?;
     let events = events.clone();
     tasks.spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -61,7 +75,13 @@
     let (reader, mut writer) = stream.into_split();
     let mut watch = String::new();
     let _ = BufReader::new(reader).read_line(&mut watch).await;
-    let Some(mut told) = watch.trim_end().strip_prefix("watch ").and_then(|n| n.parse().ok()) else { return };
+    let Some(mut told) = watch
+        .trim_end()
+        .strip_prefix("watch ")
+        .and_then(|n| n.parse().ok())
+    else {
+        return;
+    };
     loop {
         let (mut text, last) = (events.after(told), events.last());
         events.bytes.set(events.bytes.get() + text.len() as u64);
--- a/crates/cli/src/bin/proof-fleet-size/main.rs
+++ b/crates/cli/src/bin/proof-fleet-size/main.rs
@@ -50,11 +50,18 @@
 
 impl Arguments {
     fn size(&self, times: usize) -> Size {
-        Size { cache_servers: self.cache_servers * times, larger: times > 1 }
+        Size {
+            cache_servers: self.cache_servers * times,
+            larger: times > 1,
+        }
     }
 
     fn scenario(&self, times: usize, day: Day) -> Scenario {
-        let seconds = if day == Day::AllRefusing { self.seconds / 4.0 } else { self.seconds };
+        let seconds = if day == Day::AllRefusing {
+            self.seconds / 4.0
+        } else {
+            self.seconds
+        };
         Scenario {
             size: self.size(times),
             day,
@@ -70,15 +77,25 @@
 async fn both_sizes(arguments: &Arguments, program: &Program, day: Day) -> Result<Growth, String> {
     let usual = arguments.scenario(1, day);
     let larger = arguments.scenario(arguments.times, day);
-    let played = tokio::join!(scenario::play(program, &usual), scenario::play(program, &larger));
+    let played = tokio::join!(
+        scenario::play(program, &usual),
+        scenario::play(program, &larger)
+    );
     let (usual, larger): (Figures, Figures) = (played.0?, played.1?);
     let cache_servers = arguments.cache_servers * arguments.times;
-    Ok(Growth { usual, larger, cache_servers })
+    Ok(Growth {
+        usual,
+        larger,
+        cache_servers,
+    })
 }
 
 async fn prove(arguments: &Arguments) -> Result<(String, Vec<String>), String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let program = program(&own.with_file_name("chalkhall"), arguments.router.as_deref());
+    let program = program(
+        &own.with_file_name("chalkhall"),
+        arguments.router.as_deref(),
+    );
     let mut shown = Vec::new();
     let mut short = Vec::new();
     for day in [Day::Usual, Day::AllRefusing] {
@@ -91,7 +108,9 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let proved = runtime
         .map_err(|e| e.to_string())
         .and_then(|runtime| tokio::task::LocalSet::new().block_on(&runtime, prove(&arguments)));
@@ -101,7 +120,11 @@
             ExitCode::SUCCESS
         }
         Ok((line, short)) => {
-            println!("proof-fleet-size: falls short: {}: seed={} {line}", short.join("; "), arguments.seed);
+            println!(
+                "proof-fleet-size: falls short: {}: seed={} {line}",
+                short.join("; "),
+                arguments.seed
+            );
             ExitCode::FAILURE
         }
         Err(what) => {
--- a/crates/cli/src/bin/proof-fleet-size/scenario.rs
+++ b/crates/cli/src/bin/proof-fleet-size/scenario.rs
@@ -90,7 +90,9 @@
         Day::Usual => server.tier == Tier::Cache && place % REFUSING == REFUSING - 1,
     };
     let changed = all.into_iter().enumerate();
-    changed.map(|(place, s)| if refuses(place, &s) { s.refusing() } else { s }).collect()
+    changed
+        .map(|(place, s)| if refuses(place, &s) { s.refusing() } else { s })
+        .collect()
 }
 
 fn start(
@@ -102,9 +104,11 @@
 ) -> Result<Vec<Router>, String> {
     let routers = (0..scenario.routers).map(|number| {
         let path = folder.join(format!("n{number}.json"));
-        let text = configuration(block, number, scenario.size.larger, scenario.seed, listed).to_string();
+        let text =
+            configuration(block, number, scenario.size.larger, scenario.seed, listed).to_string();
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-        Router::start(program, &path, None, None).map_err(|e| format!("a router could not be started: {e}"))
+        Router::start(program, &path, None, None)
+            .map_err(|e| format!("a router could not be started: {e}"))
     });
     routers.collect()
 }
@@ -112,14 +116,19 @@
 /// In the day's middle third one cache server after another drains, goes, and another takes its address.
 async fn replace(listed: Vec<Listed>, length: Duration, events: Rc<Events>) {
     sleep(length / 3).await;
-    let replaced = |(place, server): &(usize, Listed)| server.tier == Tier::Cache && place % REPLACED == 0;
+    let replaced =
+        |(place, server): &(usize, Listed)| server.tier == Tier::Cache && place % REPLACED == 0;
     let replaced: Vec<(usize, Listed)> = listed.into_iter().enumerate().filter(replaced).collect();
     let pause = length / 3 / replaced.len().max(1) as u32;
     for (place, old) in replaced {
         events.tell(&[old.entry("leaving")]);
         sleep(pause / 2).await;
         let name = format!("n-{place:05}");
-        let new = Listed { name, born_ms: unix_ms(), ..old.clone() };
+        let new = Listed {
+            name,
+            born_ms: unix_ms(),
+            ..old.clone()
+        };
         events.tell(&[old.entry("left"), new.entry("active")]);
         sleep(pause / 2).await;
     }
@@ -143,7 +152,9 @@
         let status = loop {
             match router.ended() {
                 Some(status) => break status,
-                None if Instant::now() > deadline => return Err(format!("router n{number} does not end")),
+                None if Instant::now() > deadline => {
+                    return Err(format!("router n{number} does not end"));
+                }
                 None => sleep(Duration::from_millis(20)).await,
             }
         };
@@ -159,7 +170,10 @@
 }
 
 fn means(processes: &[u32], of: impl Fn(u32) -> Result<f64, String>) -> Result<f64, String> {
-    let values = processes.iter().map(|process| of(*process)).collect::<Result<Vec<f64>, String>>()?;
+    let values = processes
+        .iter()
+        .map(|process| of(*process))
+        .collect::<Result<Vec<f64>, String>>()?;
     Ok(mean(processes.len(), values.into_iter()))
 }
 
@@ -177,7 +191,12 @@
             let open: Vec<Listed> = listed.clone();
             let all = servers(&block, scenario.size.cache_servers, scenario.size.larger);
             let answers = |(a, b): &(Listed, Listed)| a.address == b.address;
-            let open: Vec<Listed> = open.into_iter().zip(all).filter(answers).map(|(a, _)| a).collect();
+            let open: Vec<Listed> = open
+                .into_iter()
+                .zip(all)
+                .filter(answers)
+                .map(|(a, _)| a)
+                .collect();
             cache_servers::listen(&open, &counts).await?
         }
         Day::AllRefusing => JoinSet::new(),
@@ -201,7 +220,11 @@
     }
     let asked = Rc::new(Asked::default());
     let clients = (0..scenario.routers).map(|router| {
-        let seed = scenario.seed.wrapping_mul(1_000).wrapping_add(router as u64) & 0xffff_ffff;
+        let seed = scenario
+            .seed
+            .wrapping_mul(1_000)
+            .wrapping_add(router as u64)
+            & 0xffff_ffff;
         let rate = scenario.rate * UNEVEN[router % UNEVEN.len()];
         let (at, length) = (block.router(router), scenario.length);
         spawn_local(traffic::play(at, seed, rate, length, asked.clone()))
--- a/crates/cli/src/bin/proof-fleet-size/settings.rs
+++ b/crates/cli/src/bin/proof-fleet-size/settings.rs
@@ -28,7 +28,10 @@
         for n in 0..40 {
             let number = 160 + ((first + n) % 40) as u8;
             if let Ok(held) = TcpListener::bind((Ipv4Addr::new(127, number, 255, 254), PORT)) {
-                return Ok(Block { number, _held: held });
+                return Ok(Block {
+                    number,
+                    _held: held,
+                });
             }
         }
         Err("no block of the loopback range is free".into())
@@ -89,7 +92,9 @@
 }
 
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
 
 fn tier_size(larger: bool) -> usize {
@@ -102,11 +107,23 @@
     let cache = |n: usize| (format!("c-{n:05}"), Tier::Cache, n % ZONES, capacity);
     let parent = |n: usize| (format!("p-{n}"), Tier::Parent, 0, 100.0);
     let origin = ("o-0".to_owned(), Tier::Origin, 0, 400.0);
-    let all = (0..cache_servers).map(cache).chain((0..PARENTS).map(parent)).chain([origin]);
-    let listed = all.enumerate().map(|(place, (name, tier, zone, capacity))| {
-        let address = block.cache_server(place);
-        Listed { name, address, tier, zone, capacity, born_ms: 0 }
-    });
+    let all = (0..cache_servers)
+        .map(cache)
+        .chain((0..PARENTS).map(parent))
+        .chain([origin]);
+    let listed = all
+        .enumerate()
+        .map(|(place, (name, tier, zone, capacity))| {
+            let address = block.cache_server(place);
+            Listed {
+                name,
+                address,
+                tier,
+                zone,
+                capacity,
+                born_ms: 0,
+            }
+        });
     listed.collect()
 }
 
@@ -117,7 +134,10 @@
 
 /// The settings of the site.
 fn settings(router: usize, larger: bool) -> Value {
-    let zones: Vec<String> = (0..ZONES).map(|n| format!("z{n}")).chain(["hub".to_owned()]).collect();
+    let zones: Vec<String> = (0..ZONES)
+        .map(|n| format!("z{n}"))
+        .chain(["hub".to_owned()])
+        .collect();
     let tier = tier_size(larger);
     let crews: Vec<usize> = [tier / ZONES; ZONES].into_iter().chain([0]).collect();
     json!({
@@ -136,7 +156,13 @@
 }
 
 /// A router's configuration, with the whole list as the first event.
-pub fn configuration(block: &Block, router: usize, larger: bool, seed: u64, listed: &[Listed]) -> Value {
+pub fn configuration(
+    block: &Block,
+    router: usize,
+    larger: bool,
+    seed: u64,
+    listed: &[Listed],
+) -> Value {
     let entries: Vec<Value> = listed.iter().map(|server| server.entry("active")).collect();
     let first = json!({"rev": 1, "pool": {"seq": 1, "whole": true, "hosts": entries}});
     json!({"name": format!("n{router}"), "listen": block.router(router).to_string(),
--- a/crates/cli/src/bin/proof-fleet-size/traffic.rs
+++ b/crates/cli/src/bin/proof-fleet-size/traffic.rs
@@ -40,7 +40,10 @@
             sum += (place as f64).powf(-ZIPF);
             sum
         });
-        Wishes { sums: sums.collect(), chance: fastrand::Rng::with_seed(seed) }
+        Wishes {
+            sums: sums.collect(),
+            chance: fastrand::Rng::with_seed(seed),
+        }
     }
 
     fn object(&mut self) -> u64 {
@@ -55,7 +58,9 @@
 
 fn frame(parts: &[&str]) -> Vec<u8> {
     let mut text = format!("*{}\r\n", parts.len());
-    parts.iter().for_each(|part| text.push_str(&format!("${}\r\n{part}\r\n", part.len())));
+    parts
+        .iter()
+        .for_each(|part| text.push_str(&format!("${}\r\n{part}\r\n", part.len())));
     text.into_bytes()
 }
 
@@ -69,7 +74,9 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(READY_WITHIN, green).await.map_err(|_| format!("{router} does not serve"))
+    timeout(READY_WITHIN, green)
+        .await
+        .map_err(|_| format!("{router} does not serve"))
 }
 
 /// The answers of one connection, until it ends.
@@ -106,10 +113,17 @@
 
 impl Connection {
     async fn open(router: SocketAddr, asked: &Rc<Asked>) -> Result<Connection, String> {
-        let stream = TcpStream::connect(router).await.map_err(|e| format!("{router}: {e}"))?;
-        stream.set_nodelay(true).map_err(|e| format!("{router}: {e}"))?;
+        let stream = TcpStream::connect(router)
+            .await
+            .map_err(|e| format!("{router}: {e}"))?;
+        stream
+            .set_nodelay(true)
+            .map_err(|e| format!("{router}: {e}"))?;
         let (reader, writer) = stream.into_split();
-        Ok(Connection { writer, reader: spawn_local(answers(reader, asked.clone())) })
+        Ok(Connection {
+            writer,
+            reader: spawn_local(answers(reader, asked.clone())),
+        })
     }
 
     /// False: the router has closed it.
@@ -151,14 +165,23 @@
         asked.requests.set(asked.requests.get() + 1);
     }
     sleep(Duration::from_millis(PATIENCE_MS)).await;
-    connections.iter().for_each(|connection| connection.reader.abort());
+    connections
+        .iter()
+        .for_each(|connection| connection.reader.abort());
     Ok(())
 }
 
 fn request(wishes: &mut Wishes, seed: u64, tag: u64) -> Vec<u8> {
     let object = wishes.object();
-    let class = if wishes.chance.f64() < CONFIRMS { "confirm" } else { "page" };
+    let class = if wishes.chance.f64() < CONFIRMS {
+        "confirm"
+    } else {
+        "page"
+    };
     let id = (seed << 32).wrapping_add(tag);
-    let fields = format!("i={id:016x},d={PATIENCE_MS},o={object:016x},lot={},m=64", object % 256);
+    let fields = format!(
+        "i={id:016x},d={PATIENCE_MS},o={object:016x},lot={},m=64",
+        object % 256
+    );
     frame(&["REQ", &tag.to_string(), class, &fields, ""])
 }
--- a/crates/cli/src/bin/proof-fleet-size/usage.rs
+++ b/crates/cli/src/bin/proof-fleet-size/usage.rs
@@ -12,7 +12,11 @@
     let mut nanoseconds = 0;
     for thread in threads.flatten() {
         let text = fs::read_to_string(thread.path().join("schedstat")).unwrap_or_default();
-        nanoseconds += text.split_whitespace().next().and_then(|n| n.parse::<u64>().ok()).unwrap_or(0);
+        nanoseconds += text
+            .split_whitespace()
+            .next()
+            .and_then(|n| n.parse::<u64>().ok())
+            .unwrap_or(0);
     }
     Ok(nanoseconds as f64 / 1e9)
 }
@@ -24,9 +28,12 @@
 pub fn memory_mb(process: u32, figure: &str) -> Result<f64, String> {
     let path = format!("/proc/{process}/status");
     let text = fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-    let value = text.lines().find_map(|line| line.strip_prefix(figure)?.strip_prefix(':'));
+    let value = text
+        .lines()
+        .find_map(|line| line.strip_prefix(figure)?.strip_prefix(':'));
     let kb = value.and_then(|value| value.split_whitespace().next()?.parse::<f64>().ok());
-    kb.map(|kb| kb / 1024.0).ok_or_else(|| format!("{path}: no {figure}"))
+    kb.map(|kb| kb / 1024.0)
+        .ok_or_else(|| format!("{path}: no {figure}"))
 }
 
 /// Descriptors that it holds now; none where it has ended.
--- a/crates/cli/src/bin/proof-store/counted.rs
+++ b/crates/cli/src/bin/proof-store/counted.rs
@@ -38,7 +38,12 @@
     for key in 0..60_000u64 {
         let text = || Bytes::copy_from_slice(b"4be0c1927d55a6f3");
         let body = Bytes::copy_from_slice(&vec![7; chance.usize(..4000)]);
-        let copy = Copy { object: text(), tag: text(), body, ..Copy::default() };
+        let copy = Copy {
+            object: text(),
+            tag: text(),
+            body,
+            ..Copy::default()
+        };
         memory.keep(key, Rc::new(copy), 1 + chance.u8(..3), &mut |_, _| {});
     }
     (TAKEN.load(Ordering::Relaxed) - before) as f64 / memory.bytes() as f64
@@ -53,7 +58,17 @@
     let (mut index, mut worst) = (Index::new(u64::MAX), 0.0f64);
     for n in 0..parts {
         let (segment, at) = (n as u32 >> 10, (n as u32 & 1023) * length);
-        let spot = Spot { segment, at, length, tag, made, group, rank: 2, heat: 0, proven: true };
+        let spot = Spot {
+            segment,
+            at,
+            length,
+            tag,
+            made,
+            group,
+            rank: 2,
+            heat: 0,
+            proven: true,
+        };
         let _ = index.put(chance.u64(..), &spot);
         if n > parts / 10 && n.is_multiple_of(997) {
             let taken = TAKEN.load(Ordering::Relaxed) - before;
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -68,11 +68,19 @@
 }
 
 fn parts_of(object: u64) -> u64 {
-    if draw(object, 1) < 0.33 { 8 + (draw(object, 2) * 13.0) as u64 } else { 1 }
+    if draw(object, 1) < 0.33 {
+        8 + (draw(object, 2) * 13.0) as u64
+    } else {
+        1
+    }
 }
 
 fn bytes_of(object: u64, parts: u64) -> usize {
-    let (least, most) = if parts > 1 { (6_000.0, 24_000.0) } else { (600.0, 12_000.0) };
+    let (least, most) = if parts > 1 {
+        (6_000.0, 24_000.0)
+    } else {
+        (600.0, 12_000.0)
+    };
     (least + (most - least) * draw(object, 3).powi(2)) as usize
 }
 
@@ -80,7 +88,9 @@
 fn requests(seed: u64, scan: bool) -> Vec<Request> {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut scanner = fastrand::Rng::with_seed(seed ^ 0x5ca9);
-    let weights: Vec<f64> = (1..=OBJECTS).map(|rank| (rank as f64).powf(-EXPONENT)).collect();
+    let weights: Vec<f64> = (1..=OBJECTS)
+        .map(|rank| (rank as f64).powf(-EXPONENT))
+        .collect();
     let mut sum = 0.0;
     let cumulated: Vec<f64> = weights
         .iter()
@@ -100,26 +110,35 @@
             next += 1;
         }
         // Forty clips play at a time at the most.
-        let (object, part, parts) = if !playing.is_empty() && (playing.len() >= 40 || chance.f64() < 0.8) {
-            let at = chance.usize(..playing.len());
-            playing.swap_remove(at)
-        } else if chance.u8(..20) == 0 {
-            once += 1;
-            (once, 0, 1)
-        } else {
-            let at = chance.f64() * sum;
-            let object = ranked[cumulated.partition_point(|c| *c < at).min(OBJECTS - 1)];
-            (object, 0, parts_of(object))
-        };
+        let (object, part, parts) =
+            if !playing.is_empty() && (playing.len() >= 40 || chance.f64() < 0.8) {
+                let at = chance.usize(..playing.len());
+                playing.swap_remove(at)
+            } else if chance.u8(..20) == 0 {
+                once += 1;
+                (once, 0, 1)
+            } else {
+                let at = chance.f64() * sum;
+                let object = ranked[cumulated.partition_point(|c| *c < at).min(OBJECTS - 1)];
+                (object, 0, parts_of(object))
+            };
         // One viewer in twelve leaves at each part.
         if part + 1 < parts && chance.u8(..12) != 0 {
             playing.push((object, part + 1, parts));
         }
-        day.push(Request { object, part, bytes: bytes_of(object, parts) });
+        day.push(Request {
+            object,
+            part,
+            bytes: bytes_of(object, parts),
+        });
         let share = useful as f64 / REQUESTS as f64;
         if scan && (SCAN[0]..SCAN[1]).contains(&share) && scanner.bool() {
             let object = SCANNED + day.len() as u64;
-            day.push(Request { object, part: 0, bytes: 60_000 + scanner.usize(..60_000) });
+            day.push(Request {
+                object,
+                part: 0,
+                bytes: 60_000 + scanner.usize(..60_000),
+            });
         }
         useful += 1;
     }
@@ -144,7 +163,10 @@
 
     fn rates(&self) -> Rates {
         let share = |(of, all): (u64, u64)| of as f64 / all.max(1) as f64;
-        Rates { useful: share(self.useful), bytes: share(self.bytes) }
+        Rates {
+            useful: share(self.useful),
+            bytes: share(self.bytes),
+        }
     }
 }
 
@@ -196,7 +218,11 @@
         let own = server.starts_with('m');
         let found = own.then(|| {
             let object = name(self.request.object);
-            let part = Part { object: object.as_bytes(), part: self.request.part, group: 0 };
+            let part = Part {
+                object: object.as_bytes(),
+                part: self.request.part,
+                group: 0,
+            };
             self.driver.get(part).is_some()
         });
         let (outcome, remark) = match found {
@@ -221,18 +247,35 @@
     fn watch_list(&mut self) {}
     fn held(&mut self, _request: &Id) -> Option<Held> {
         let object = name(self.request.object);
-        let part = Part { object: object.as_bytes(), part: self.request.part, group: 0 };
+        let part = Part {
+            object: object.as_bytes(),
+            part: self.request.part,
+            group: 0,
+        };
         let found = self.driver.store.find(part, None)?;
         let age = Duration::from_millis(self.driver.unix_ms() - found.made);
-        let place = if found.place == Place::Memory { "m1" } else { "m2" };
-        Some(Held { place: place.into(), made: self.driver.now - age, same: false })
+        let place = if found.place == Place::Memory {
+            "m1"
+        } else {
+            "m2"
+        };
+        Some(Held {
+            place: place.into(),
+            made: self.driver.now - age,
+            same: false,
+        })
     }
     fn keep(&mut self, _request: &Id, rank: u8) {
         if self.hit {
             let object = name(self.request.object);
-            self.driver
-                .store
-                .rank(Part { object: object.as_bytes(), part: self.request.part, group: 0 }, rank);
+            self.driver.store.rank(
+                Part {
+                    object: object.as_bytes(),
+                    part: self.request.part,
+                    group: 0,
+                },
+                rank,
+            );
         } else {
             let copy = copy_of(self.request, self.driver.unix_ms(), &self.body);
             self.driver.keep(copy, rank);
@@ -243,15 +286,28 @@
 /// A cache, a parent, the origin, and own copies in memory (`m1`) and on disk (`m2`).
 pub fn members() -> Vec<Member> {
     let member = |(server, tier): (&str, Tier)| {
-        let capacity = if tier == Tier::Own { f64::INFINITY } else { 8.0 };
-        Member { server: server.into(), tier, capacity, ..Member::default() }
+        let capacity = if tier == Tier::Own {
+            f64::INFINITY
+        } else {
+            8.0
+        };
+        Member {
+            server: server.into(),
+            tier,
+            capacity,
+            ..Member::default()
+        }
     };
     let own = [("m1", Tier::Own), ("m2", Tier::Own)];
-    [("c1", Tier::Cache), ("p1", Tier::Parent), ("o1", Tier::Origin)]
-        .into_iter()
-        .chain(own)
-        .map(member)
-        .collect()
+    [
+        ("c1", Tier::Cache),
+        ("p1", Tier::Parent),
+        ("o1", Tier::Origin),
+    ]
+    .into_iter()
+    .chain(own)
+    .map(member)
+    .collect()
 }
 
 pub fn deployment() -> Deployment {
@@ -292,7 +348,16 @@
     let driver = Driver::start(Arc::new(Disk::new()), MEMORY, wanted(false), START);
     let request = day[0];
     let (ends, wakes, body) = (VecDeque::new(), Vec::new(), body.clone());
-    let mut world = World { driver, body, request, attempted: 0, ends, wakes, hit: false, ended: false };
+    let mut world = World {
+        driver,
+        body,
+        request,
+        attempted: 0,
+        ends,
+        wakes,
+        hit: false,
+        ended: false,
+    };
     let mut router = Router::start(world.driver.now, &deployment(), &mut world);
     router.list(world.driver.now, ListKind::Whole, &members(), &mut world);
     let mut tally = Tally::default();
@@ -320,7 +385,14 @@
             let first_byte = (remark == Remark::Filled).then_some(wait);
             let over = outcome == Outcome::Served;
             let took = Duration::from_millis(1);
-            let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
+            let ended = Ended {
+                outcome,
+                remark,
+                took,
+                first_byte,
+                over,
+                load: Load::default(),
+            };
             router.result(now, &id, attempt, &ended, &mut world);
         }
         assert!(!world.ended, "a request was rejected");
@@ -347,7 +419,13 @@
             driver.settle();
         }
         let object = name(request.object);
-        let hit = driver.get(Part { object: object.as_bytes(), part: request.part, group: 0 }).is_some();
+        let hit = driver
+            .get(Part {
+                object: object.as_bytes(),
+                part: request.part,
+                group: 0,
+            })
+            .is_some();
         if !hit {
             let copy = copy_of(*request, driver.unix_ms(), body);
             driver.keep(copy, 1);
@@ -382,7 +460,8 @@
 
 pub fn play(seed: u64, scan: bool) -> Played {
     let day = requests(seed, scan);
-    let distinct: HashMap<(u64, u64), usize> = day.iter().map(|a| ((a.object, a.part), a.bytes)).collect();
+    let distinct: HashMap<(u64, u64), usize> =
+        day.iter().map(|a| ((a.object, a.part), a.bytes)).collect();
     let all_bytes: usize = distinct.values().sum();
     println!(
         "day {}: {} requests, {} parts, {} MB",
@@ -394,6 +473,14 @@
     let body = Bytes::from(vec![7; 200_000]);
     let (ours, write_amp, full) = own(&day, &body);
     let (lru, all) = (lru(&day), all(&day, &body));
-    println!("  own {ours:.4?} lru {lru:.4?} all {all:.4?} written/admitted {write_amp:.3} full {full:.3}");
-    Played { own: ours, lru, all, write_amp, full }
+    println!(
+        "  own {ours:.4?} lru {lru:.4?} all {all:.4?} written/admitted {write_amp:.3} full {full:.3}"
+    );
+    Played {
+        own: ours,
+        lru,
+        all,
+        write_amp,
+        full,
+    }
 }
--- a/crates/cli/src/bin/proof-store/main.rs
+++ b/crates/cli/src/bin/proof-store/main.rs
@@ -27,7 +27,11 @@
     #[arg(long, default_value_t = 6000)]
     crash_points: u64,
     /// Only some parts of it, by name: kills, crashes, days, figures
-    #[arg(long, value_delimiter = ',', default_value = "kills,crashes,days,figures")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "kills,crashes,days,figures"
+    )]
     only: Vec<String>,
     /// Where files are written and removed again; the system's folder for such things unless given
     #[arg(long)]
@@ -59,7 +63,10 @@
 fn crash_points(seed: u64, count: u64) -> Seen {
     let workers = thread::available_parallelism().map_or(4, |n| n.get() as u64);
     let work = |worker: u64| {
-        let (mut all, mut chance) = (Seen::default(), fastrand::Rng::with_seed(seed ^ worker << 40));
+        let (mut all, mut chance) = (
+            Seen::default(),
+            fastrand::Rng::with_seed(seed ^ worker << 40),
+        );
         let (mut points, mut tried) = (0, 0);
         while points < count.div_ceil(workers) && tried < 4 * count {
             tried += 1;
@@ -78,7 +85,9 @@
         (points, all)
     };
     thread::scope(|scope| {
-        let running: Vec<_> = (0..workers).map(|worker| scope.spawn(move || work(worker))).collect();
+        let running: Vec<_> = (0..workers)
+            .map(|worker| scope.spawn(move || work(worker)))
+            .collect();
         let mut sum = Seen::default();
         for worker in running {
             let (points, seen) = worker.join().expect("a worker of the crash points");
@@ -107,7 +116,10 @@
         return ExitCode::FAILURE;
     }
     if !line.short.is_empty() {
-        eprintln!("proof-store: falls short (seed {seed}): {}", line.short.join(" "));
+        eprintln!(
+            "proof-store: falls short (seed {seed}): {}",
+            line.short.join(" ")
+        );
         return ExitCode::FAILURE;
     }
     println!("proof-store: ok {} seed={seed}", line.figures.join(" "));
@@ -115,34 +127,66 @@
 }
 
 fn prove(told: &Arguments, folder: &Path, line: &mut Line) -> Result<(), String> {
-    let (seed, wants) = (told.seed, |part: &str| told.only.iter().any(|only| only == part));
+    let (seed, wants) = (told.seed, |part: &str| {
+        told.only.iter().any(|only| only == part)
+    });
     // What counts runs side by side, what is timed runs alone after it.
     let (killed, crashed, days) = thread::scope(|scope| {
         let killing = wants("kills").then(|| {
             scope.spawn(|| {
-                let program = std::env::current_exe().map_err(|e| e.to_string())?.with_file_name("chalkhall");
+                let program = std::env::current_exe()
+                    .map_err(|e| e.to_string())?
+                    .with_file_name("chalkhall");
                 torture(&program, &folder.join("torture"), told.kills, seed).map_err(|f| f.what)
             })
         });
-        let days =
-            [false, true].map(|scan| wants("days").then(|| scope.spawn(move || day::play(seed, scan))));
+        let days = [false, true]
+            .map(|scan| wants("days").then(|| scope.spawn(move || day::play(seed, scan))));
         let crashed = wants("crashes").then(|| crash_points(seed, told.crash_points));
         let days = days.map(|day| day.map(|day| day.join().expect("a day")));
-        (killing.map(|killing| killing.join().expect("the kills")), crashed, days)
+        (
+            killing.map(|killing| killing.join().expect("the kills")),
+            crashed,
+            days,
+        )
     });
     let killed = killed.transpose()?;
     if let Some(killed) = &killed {
         line.add("kills", killed.kills, killed.kills >= told.kills);
-        line.add("unproven_served", killed.unproven_served, killed.unproven_served == 0);
+        line.add(
+            "unproven_served",
+            killed.unproven_served,
+            killed.unproven_served == 0,
+        );
     }
     if let Some(crashed) = &crashed {
-        line.add("crash_points", crashed.reclaimed, crashed.reclaimed >= told.crash_points);
+        line.add(
+            "crash_points",
+            crashed.reclaimed,
+            crashed.reclaimed >= told.crash_points,
+        );
     }
     if let (Some(killed), Some(crashed)) = (&killed, &crashed) {
-        line.add("answers", killed.answers + crashed.answers, killed.answers > 0 && crashed.answers > 0);
-        line.add("synced", killed.durable + crashed.durable, killed.durable > 0 && crashed.durable > 0);
-        line.add("torn", killed.torn + crashed.torn, killed.torn + crashed.torn == 0);
-        line.add("stale", killed.stale + crashed.stale, killed.stale + crashed.stale == 0);
+        line.add(
+            "answers",
+            killed.answers + crashed.answers,
+            killed.answers > 0 && crashed.answers > 0,
+        );
+        line.add(
+            "synced",
+            killed.durable + crashed.durable,
+            killed.durable > 0 && crashed.durable > 0,
+        );
+        line.add(
+            "torn",
+            killed.torn + crashed.torn,
+            killed.torn + crashed.torn == 0,
+        );
+        line.add(
+            "stale",
+            killed.stale + crashed.stale,
+            killed.stale + crashed.stale == 0,
+        );
         let lost = killed.lost_synced + crashed.lost;
         line.add("lost_synced", lost, lost == 0);
     }
@@ -153,7 +197,11 @@
         let bytes = counted::index_bytes_a_part(1_000_000);
         line.add("index_bytes_part", format!("{bytes:.1}"), bytes <= 48.0);
         let counted = counted::memory_ratio();
-        line.add("memory_counted_ratio", format!("{counted:.3}"), (0.7..=1.0).contains(&counted));
+        line.add(
+            "memory_counted_ratio",
+            format!("{counted:.3}"),
+            (0.7..=1.0).contains(&counted),
+        );
         let read = timed::read_ratio(&folder.join("reads"), seed)?;
         line.add("read_ratio", format!("{read:.2}"), read >= 0.8);
         let recover = timed::recover_ratio(&folder.join("recovery"))?;
@@ -178,5 +226,9 @@
     line.share("hit_calm_lru", calm.lru.bytes, true);
     line.share("hit_calm_all", calm.all.bytes, true);
     line.share("disk_full", scan.full, scan.full >= 0.8);
-    line.share("write_amp", scan.write_amp, scan.write_amp <= 1.3 && scan.write_amp >= 1.0);
+    line.share(
+        "write_amp",
+        scan.write_amp,
+        scan.write_amp <= 1.3 && scan.write_amp >= 1.0,
+    );
 }
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timed.rs
@@ -35,7 +35,12 @@
 /// A store with so many parts of this size on disk, all written. Ends without order, as by a kill.
 fn filled(path: &Path, parts: u64, size: usize) -> Result<Vec<Piece>, String> {
     let mut rig = Rig::open(path, 0, wanted(4 << 30), 4)?;
-    let pieces: Vec<Piece> = (0..parts).map(|n| Piece { object: n / 16, part: n % 16 }).collect();
+    let pieces: Vec<Piece> = (0..parts)
+        .map(|n| Piece {
+            object: n / 16,
+            part: n % 16,
+        })
+        .collect();
     for (n, piece) in pieces.iter().enumerate() {
         let made = chalkhall_cli::rig::unix_ms();
         let held = |rig: &Rig| rig.store.disk().map_or(0, |disk| disk.counts().written);
@@ -45,9 +50,14 @@
             return Err("the disk does not keep up".into());
         }
         let now = rig.now();
-        rig.store.keep(now, piece.version(1, made, size), 2, &mut rig.shelf);
+        rig.store
+            .keep(now, piece.version(1, made, size), 2, &mut rig.shelf);
     }
-    let all = |rig: &mut Rig| rig.store.disk().is_some_and(|disk| disk.index().len() as u64 == parts);
+    let all = |rig: &mut Rig| {
+        rig.store
+            .disk()
+            .is_some_and(|disk| disk.index().len() as u64 == parts)
+    };
     if !rig.until(LONG, all) {
         return Err(format!("{:?}", rig.store.disk().map(|disk| disk.counts())));
     }
@@ -58,7 +68,12 @@
 fn segments(path: &Path) -> Result<Vec<PathBuf>, String> {
     let names = std::fs::read_dir(path).map_err(|e| e.to_string())?;
     let names = names.filter_map(|entry| entry.ok().map(|entry| entry.path()));
-    Ok(names.filter(|p| p.file_name().is_some_and(|n| n.to_string_lossy().starts_with("segment"))).collect())
+    Ok(names
+        .filter(|p| {
+            p.file_name()
+                .is_some_and(|n| n.to_string_lossy().starts_with("segment"))
+        })
+        .collect())
 }
 
 /// Verified reads of parts of 200 KB through the store, over plain reads of the same files in pieces as
@@ -81,7 +96,8 @@
             let length = file.metadata().map_err(|e| e.to_string())?.len();
             for at in (0..length).step_by(SIZE) {
                 let mut buffer = vec![0; SIZE.min((length - at) as usize)];
-                file.read_exact_at(&mut buffer, at).map_err(|e| e.to_string())?;
+                file.read_exact_at(&mut buffer, at)
+                    .map_err(|e| e.to_string())?;
                 plain += std::hint::black_box(&buffer).len();
             }
         }
@@ -94,9 +110,15 @@
         while left > 0 {
             while out < 16 {
                 let Some(n) = order.next() else { break };
-                let part = Part { object: &names[n], part: pieces[n].part, group: pieces[n].group() };
+                let part = Part {
+                    object: &names[n],
+                    part: pieces[n].part,
+                    group: pieces[n].group(),
+                };
                 let now = rig.now();
-                rig.store.fetch(now, part, &mut rig.shelf).ok_or("a part is not there")?;
+                rig.store
+                    .fetch(now, part, &mut rig.shelf)
+                    .ok_or("a part is not there")?;
                 out += 1;
             }
             rig.turn();
@@ -125,7 +147,8 @@
             let length = file.metadata().map_err(|e| e.to_string())?.len();
             let mut at = 64;
             let mut head = [0; 128];
-            while at + 128 <= length && file.read_at(&mut head, at).is_ok() && &head[..4] == b"CHRC" {
+            while at + 128 <= length && file.read_at(&mut head, at).is_ok() && &head[..4] == b"CHRC"
+            {
                 let of_head = u64::from(u16::from_le_bytes([head[4], head[5]]));
                 let body = u64::from(u32::from_le_bytes([head[8], head[9], head[10], head[11]]));
                 at += of_head + body.next_multiple_of(8);
@@ -139,7 +162,11 @@
         let begun = Instant::now();
         let mut rig = Rig::open(path, 0, wanted(4 << 30), 4)?;
         let full = |rig: &mut Rig| {
-            rig.is_ready() && rig.store.disk().is_some_and(|d| d.index().len() == pieces.len())
+            rig.is_ready()
+                && rig
+                    .store
+                    .disk()
+                    .is_some_and(|d| d.index().len() == pieces.len())
         };
         if !rig.until(LONG, full) {
             return Err("the index was not full".into());
@@ -161,7 +188,13 @@
 
 impl Desk {
     fn new(rig: Rig) -> Desk {
-        let mut desk = Desk { router: None, rig, name: Bytes::new(), got: None, wakes: Vec::new() };
+        let mut desk = Desk {
+            router: None,
+            rig,
+            name: Bytes::new(),
+            got: None,
+            wakes: Vec::new(),
+        };
         let now = desk.rig.now();
         let mut router = Router::start(now, &day::deployment(), &mut desk);
         router.list(now, ListKind::Whole, &day::members(), &mut desk);
@@ -189,11 +222,26 @@
         router.request(now, arrival, self);
         let (outcome, remark, over) = (Outcome::Served, Remark::Hit, true);
         let (took, load) = (Duration::ZERO, Load::default());
-        router.result(now, &id, 0, &Ended { outcome, remark, took, first_byte: None, over, load }, self);
+        router.result(
+            now,
+            &id,
+            0,
+            &Ended {
+                outcome,
+                remark,
+                took,
+                first_byte: None,
+                over,
+                load,
+            },
+            self,
+        );
         let took = begun.elapsed();
         // Its timers find it over; they are not part of its time.
         let wakes = std::mem::take(&mut self.wakes);
-        wakes.into_iter().for_each(|mark| router.wake(now, mark, self));
+        wakes
+            .into_iter()
+            .for_each(|mark| router.wake(now, mark, self));
         self.router = Some(router);
         std::hint::black_box(self.got.take().ok_or("a hit was none")?);
         Ok(took)
@@ -203,7 +251,11 @@
 impl Outlet for Desk {
     fn attempt(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
         let now = self.rig.now();
-        let part = Part { object: &self.name, part: 0, group: 0 };
+        let part = Part {
+            object: &self.name,
+            part: 0,
+            group: 0,
+        };
         self.got = self.rig.store.take(now, part);
     }
     fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
@@ -214,15 +266,30 @@
     }
     fn watch_list(&mut self) {}
     fn held(&mut self, _request: &Id) -> Option<Held> {
-        let part = Part { object: &self.name, part: 0, group: 0 };
+        let part = Part {
+            object: &self.name,
+            part: 0,
+            group: 0,
+        };
         let found = self.rig.store.find(part, None)?;
         // Made long ago: nothing expires here.
-        Some(Held { place: "m1".into(), made: Duration::ZERO, same: false })
-            .filter(|_| found.place == Place::Memory)
+        Some(Held {
+            place: "m1".into(),
+            made: Duration::ZERO,
+            same: false,
+        })
+        .filter(|_| found.place == Place::Memory)
     }
     fn keep(&mut self, _request: &Id, rank: u8) {
         let name = self.name.clone();
-        self.rig.store.rank(Part { object: &name, part: 0, group: 0 }, rank);
+        self.rig.store.rank(
+            Part {
+                object: &name,
+                part: 0,
+                group: 0,
+            },
+            rank,
+        );
     }
 }
 
@@ -255,7 +322,9 @@
     for desk in &mut desks {
         for piece in &pieces {
             let now = desk.rig.now();
-            desk.rig.store.keep(now, piece.version(1, made, 2000), 2, &mut desk.rig.shelf);
+            desk.rig
+                .store
+                .keep(now, piece.version(1, made, 2000), 2, &mut desk.rig.shelf);
         }
     }
     disk.hang(true);
@@ -271,13 +340,23 @@
                 if n % 1000 == 0 {
                     // Copies go on coming that memory has no place for, and work for the disk with them.
                     let now = desk.rig.now();
-                    let lone = Piece { object: COUNT + round * 1000 + n, part: 0 };
-                    desk.rig.store.keep(now, lone.version(1, made, 1 << 20), 1, &mut desk.rig.shelf);
+                    let lone = Piece {
+                        object: COUNT + round * 1000 + n,
+                        part: 0,
+                    };
+                    desk.rig.store.keep(
+                        now,
+                        lone.version(1, made, 1 << 20),
+                        1,
+                        &mut desk.rig.shelf,
+                    );
                     desk.rig.turn();
                 }
                 count += 1;
                 let took = desk.request(count, pieces[at], &names[at])?;
-                times.record(took.as_nanos() as u64).map_err(|e| e.to_string())?;
+                times
+                    .record(took.as_nanos() as u64)
+                    .map_err(|e| e.to_string())?;
             }
             p99[which] = times.value_at_quantile(0.99) as f64;
         }
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -14,20 +14,37 @@
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", config.display()));
     let text = std::fs::read_to_string(config).map_err(|e| fail(&e))?;
     let file: Value = serde_json::from_str(&text).map_err(|e| fail(&e))?;
-    let settings =
-        file.get("settings").and_then(Value::as_object).ok_or_else(|| fail(&"settings is missing"))?;
+    let settings = file
+        .get("settings")
+        .and_then(Value::as_object)
+        .ok_or_else(|| fail(&"settings is missing"))?;
     let names = deployment::names(settings).map_err(|e| fail(&e))?;
     let zone = deployment::whole(settings, "Locality").map_err(|e| fail(&e))? as usize;
     let not_caches = deployment::parent_and_origin(settings);
-    let events = file["known"]["notices"].as_array().cloned().unwrap_or_default();
+    let events = file["known"]["notices"]
+        .as_array()
+        .cloned()
+        .unwrap_or_default();
     let mut servers = BTreeSet::new();
-    for host in events.iter().filter_map(|event| event["pool"]["hosts"].as_array()).flatten() {
-        let at =
-            |key: &str, among: &[String]| among.iter().position(|n| Some(n.as_str()) == host[key].as_str());
+    for host in events
+        .iter()
+        .filter_map(|event| event["pool"]["hosts"].as_array())
+        .flatten()
+    {
+        let at = |key: &str, among: &[String]| {
+            among
+                .iter()
+                .position(|n| Some(n.as_str()) == host[key].as_str())
+        };
         let kind = at("class", &names.kinds).map(|kind| kind as u64);
         let is_cache = kind.is_some() && !not_caches.contains(&kind);
-        let Some(name) = host["host"].as_str() else { continue };
-        if is_cache && at("site", &names.zones) == Some(zone) && host["health"].as_str() == Some("active") {
+        let Some(name) = host["host"].as_str() else {
+            continue;
+        };
+        if is_cache
+            && at("site", &names.zones) == Some(zone)
+            && host["health"].as_str() == Some("active")
+        {
             servers.insert(Id::from(name));
         } else {
             servers.remove(name);
@@ -37,7 +54,12 @@
 }
 
 /// Prints each cell with its servers, and every fault.
-pub fn check(file: &Path, servers: &[String], config: Option<&Path>, as_json: bool) -> Result<(), Failure> {
+pub fn check(
+    file: &Path,
+    servers: &[String],
+    config: Option<&Path>,
+    as_json: bool,
+) -> Result<(), Failure> {
     let (told, faults) = chalkhall_config::read(file);
     if !faults.is_empty() {
         faults.iter().for_each(|fault| eprintln!("{fault}"));
@@ -78,7 +100,11 @@
         println!("epoch {}, {} caches", map.epoch(), caches.len());
         for (name, servers) in map.report() {
             let share = servers.len() as f64 / caches.len().max(1) as f64 * 100.0;
-            println!("{name}: {} ({share:.0} %): {}", servers.len(), servers.join(" "));
+            println!(
+                "{name}: {} ({share:.0} %): {}",
+                servers.len(),
+                servers.join(" ")
+            );
         }
         faults.iter().for_each(|fault| println!("fault: {fault}"));
     }
@@ -92,18 +118,40 @@
 fn fleet(file: &Path) -> Result<(Vec<Tenant>, Vec<Place>), String> {
     let text = std::fs::read_to_string(file).map_err(|e| e.to_string())?;
     let told: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-    let rows = |name: &str| told[name].as_array().cloned().ok_or(format!("{name} is not an array"));
+    let rows = |name: &str| {
+        told[name]
+            .as_array()
+            .cloned()
+            .ok_or(format!("{name} is not an array"))
+    };
     let text = |row: &Value, name: &str| {
-        row[name].as_str().map(str::to_owned).ok_or(format!("{name} of {row} is no text"))
+        row[name]
+            .as_str()
+            .map(str::to_owned)
+            .ok_or(format!("{name} of {row} is no text"))
+    };
+    let number = |row: &Value, name: &str| {
+        row[name]
+            .as_f64()
+            .ok_or(format!("{name} of {row} is no number"))
     };
-    let number = |row: &Value, name: &str| row[name].as_f64().ok_or(format!("{name} of {row} is no number"));
     let place = |row: &Value| {
-        Ok(Place { name: text(row, "name")?, capacity: number(row, "capacity")?, cold: number(row, "cold")? })
+        Ok(Place {
+            name: text(row, "name")?,
+            capacity: number(row, "capacity")?,
+            cold: number(row, "cold")?,
+        })
     };
-    let places = rows("cells")?.iter().map(place).collect::<Result<Vec<Place>, String>>()?;
+    let places = rows("cells")?
+        .iter()
+        .map(place)
+        .collect::<Result<Vec<Place>, String>>()?;
     let tenant = |row: &Value| {
         let cell = text(row, "cell")?;
-        let cell = places.iter().position(|p| p.name == cell).ok_or(format!("{cell} is not a cell"))?;
+        let cell = places
+            .iter()
+            .position(|p| p.name == cell)
+            .ok_or(format!("{cell} is not a cell"))?;
         Ok(Tenant {
             name: text(row, "name")?,
             load: number(row, "load")?,
@@ -111,20 +159,31 @@
             cell,
         })
     };
-    let tenants = rows("tenants")?.iter().map(tenant).collect::<Result<Vec<Tenant>, String>>()?;
+    let tenants = rows("tenants")?
+        .iter()
+        .map(tenant)
+        .collect::<Result<Vec<Tenant>, String>>()?;
     Ok((tenants, places))
 }
 
 /// Prints what moves, and with `why` the reason and the cost.
 pub fn plan_moves(file: &Path, most: &str, why: bool, as_json: bool) -> Result<(), Failure> {
     let fail = |what: String| Failure::new(format!("{}: {what}", file.display()));
-    let share = most.strip_suffix('%').and_then(|p| p.parse::<f64>().ok()).map(|p| p / 100.0);
-    let share =
-        share.ok_or_else(|| Failure { code: 2, what: format!("{most:?} is not a share, such as 80%") })?;
+    let share = most
+        .strip_suffix('%')
+        .and_then(|p| p.parse::<f64>().ok())
+        .map(|p| p / 100.0);
+    let share = share.ok_or_else(|| Failure {
+        code: 2,
+        what: format!("{most:?} is not a share, such as 80%"),
+    })?;
     let (tenants, places) = fleet(file).map_err(fail)?;
     let plan = plan_of(&tenants, &places, share).map_err(fail)?;
     let reason = |why: Why| match why {
-        Why::Crowded(share) => format!("its cell is asked for {:.0} % of what it bears", share * 100.0),
+        Why::Crowded(share) => format!(
+            "its cell is asked for {:.0} % of what it bears",
+            share * 100.0
+        ),
         Why::Closed => "its cell bears nothing any more".to_owned(),
     };
     let name = |cell: usize| places[cell].name.as_str();
@@ -138,7 +197,11 @@
                     "fill_kb": tenant.fill_kb})
             })
             .collect();
-        let stuck: Vec<&str> = plan.stuck.iter().map(|n| tenants[*n].name.as_str()).collect();
+        let stuck: Vec<&str> = plan
+            .stuck
+            .iter()
+            .map(|n| tenants[*n].name.as_str())
+            .collect();
         println!(
             "{}",
             json!({"moves": steps, "stuck": stuck, "fill_kb": plan.fill_kb, "bound_kb": plan.bound_kb,
@@ -152,9 +215,16 @@
             } else {
                 String::new()
             };
-            println!("move {} from {} to {}{more}", tenant.name, name(step.from), name(step.to));
+            println!(
+                "move {} from {} to {}{more}",
+                tenant.name,
+                name(step.from),
+                name(step.to)
+            );
         }
-        plan.stuck.iter().for_each(|n| println!("no room now for {}", tenants[*n].name));
+        plan.stuck
+            .iter()
+            .for_each(|n| println!("no room now for {}", tenants[*n].name));
         println!(
             "{} moves, {:.0} KB to fill (no plan less than {:.0}); the fullest cell: {:.0} %, then {:.0} %",
             plan.steps.len(),
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -28,9 +28,9 @@
 pub fn directives(as_json: bool) {
     let entries = WORDS.entries();
     if as_json {
-        let told = entries
-            .iter()
-            .map(|e| json!({"section": e.section, "name": e.name, "takes": e.takes, "says": e.says}));
+        let told = entries.iter().map(
+            |e| json!({"section": e.section, "name": e.name, "takes": e.takes, "says": e.says}),
+        );
         println!("{}", json!(told.collect::<Vec<_>>()));
         return;
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -18,6 +18,9 @@
 impl Failure {
     /// It could not be done: exit code 1.
     pub fn new(what: impl std::fmt::Display) -> Failure {
-        Failure { code: 1, what: what.to_string() }
+        Failure {
+            code: 1,
+            what: what.to_string(),
+        }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,31 +15,68 @@
             Ok(())
         }
         Command::Store(command) => of_store(command),
-        Command::Peers(Peers::Stat { socket, json }) => store::ask_live(&socket, "peers stat", json),
-        Command::Regions(Regions::Stat { socket, json }) => store::ask_live(&socket, "regions stat", json),
-        Command::Regions(Regions::Steer { socket, json }) => store::ask_live(&socket, "steer show", json),
-        Command::Regions(Regions::Observe { region, edge, ms, count, socket, json }) => {
-            store::ask_live(&socket, &format!("latency observe {region} {edge} {ms} {count}"), json)
+        Command::Peers(Peers::Stat { socket, json }) => {
+            store::ask_live(&socket, "peers stat", json)
         }
-        Command::Cells(Cells::Stat { socket, json }) => store::ask_live(&socket, "cells stat", json),
-        Command::Cells(Cells::Plan { file, most, why, json }) => cells::plan_moves(&file, &most, why, json),
-        Command::Cells(Cells::Check { file, servers, config, json }) => {
-            cells::check(&file, &servers, config.as_deref(), json)
+        Command::Regions(Regions::Stat { socket, json }) => {
+            store::ask_live(&socket, "regions stat", json)
         }
-        Command::Fleet(Fleet::Play { file, how, html, json }) => {
-            fleet::play(&file, &how, html.as_deref(), json)
+        Command::Regions(Regions::Steer { socket, json }) => {
+            store::ask_live(&socket, "steer show", json)
         }
-        Command::Fleet(Fleet::Check { files }) => fleet::check(&files),
-        Command::Fleet(Fleet::Compare { file, how, with, and, plays }) => {
-            fleet::compare(&file, &how, &with, &and, plays)
+        Command::Regions(Regions::Observe {
+            region,
+            edge,
+            ms,
+            count,
+            socket,
+            json,
+        }) => store::ask_live(
+            &socket,
+            &format!("latency observe {region} {edge} {ms} {count}"),
+            json,
+        ),
+        Command::Cells(Cells::Stat { socket, json }) => {
+            store::ask_live(&socket, "cells stat", json)
         }
+        Command::Cells(Cells::Plan {
+            file,
+            most,
+            why,
+            json,
+        }) => cells::plan_moves(&file, &most, why, json),
+        Command::Cells(Cells::Check {
+            file,
+            servers,
+            config,
+            json,
+        }) => cells::check(&file, &servers, config.as_deref(), json),
+        Command::Fleet(Fleet::Play {
+            file,
+            how,
+            html,
+            json,
+        }) => fleet::play(&file, &how, html.as_deref(), json),
+        Command::Fleet(Fleet::Check { files }) => fleet::check(&files),
+        Command::Fleet(Fleet::Compare {
+            file,
+            how,
+            with,
+            and,
+            plays,
+        }) => fleet::compare(&file, &how, &with, &and, plays),
         Command::Fleet(Fleet::Words { json }) => {
             fleet::words(json);
             Ok(())
         }
         Command::FleetChild { parent, command } => fleet::child(parent, &command),
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Chalkhall::command(), "chalkhall", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Chalkhall::command(),
+                "chalkhall",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
         Command::Man { folder } => man(&folder),
@@ -58,26 +95,50 @@
         Store::Stat { path, socket, json } => match (path, socket) {
             (_, Some(socket)) => store::ask_live(&socket, "store stat", json),
             (Some(path), None) => store::stat(&path, json),
-            (None, None) => {
-                Err(Failure { code: 2, what: "neither a directory nor a socket was named".into() })
-            }
+            (None, None) => Err(Failure {
+                code: 2,
+                what: "neither a directory nor a socket was named".into(),
+            }),
         },
-        Store::List { directory, object } => store::list(&directory.path, object.as_deref(), directory.json),
-        Store::Verify { directory } => store::verify(&directory.path, directory.json),
-        Store::Repair { directory, dry_run } => store::repair(&directory.path, dry_run, directory.json),
-        Store::Export { path, object, part, out } => store::export(&path, &object, part, out.as_deref()),
-        Store::Drop { directory, object, group, all } => {
-            store::drop_what(&directory.path, object.as_deref(), group, all, directory.json)
+        Store::List { directory, object } => {
+            store::list(&directory.path, object.as_deref(), directory.json)
         }
-        Store::Torture { directory, kills, seed } => {
-            torture::command(&directory.path, kills, seed, directory.json)
+        Store::Verify { directory } => store::verify(&directory.path, directory.json),
+        Store::Repair { directory, dry_run } => {
+            store::repair(&directory.path, dry_run, directory.json)
         }
+        Store::Export {
+            path,
+            object,
+            part,
+            out,
+        } => store::export(&path, &object, part, out.as_deref()),
+        Store::Drop {
+            directory,
+            object,
+            group,
+            all,
+        } => store::drop_what(
+            &directory.path,
+            object.as_deref(),
+            group,
+            all,
+            directory.json,
+        ),
+        Store::Torture {
+            directory,
+            kills,
+            seed,
+        } => torture::command(&directory.path, kills, seed, directory.json),
         Store::TortureWriter { path, seed } => torture::writer(&path, seed),
     }
 }
 
 fn serve(file: Option<PathBuf>) -> Result<(), Failure> {
-    let (told, faults) = file.as_deref().map(chalkhall_config::read).unwrap_or_default();
+    let (told, faults) = file
+        .as_deref()
+        .map(chalkhall_config::read)
+        .unwrap_or_default();
     if !faults.is_empty() {
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         return Err(Failure::new(all.join("\nchalkhall: ")));
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -21,7 +21,10 @@
 }
 
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 impl Rig {
@@ -42,17 +45,32 @@
         wanted: Wanted,
         readers: usize,
     ) -> Result<Rig, String> {
-        let (threads, ends) = start(take, fastrand::u64(1..), readers).map_err(|e| e.to_string())?;
-        let shelf = Shelf { threads: Some(threads), said: Some(Vec::new()), ..Shelf::default() };
+        let (threads, ends) =
+            start(take, fastrand::u64(1..), readers).map_err(|e| e.to_string())?;
+        let shelf = Shelf {
+            threads: Some(threads),
+            said: Some(Vec::new()),
+            ..Shelf::default()
+        };
         // Spans count from well before the start, as a router's do.
         let disk = Disk::new(wanted, ZERO, unix_ms());
-        Ok(Rig { store: Store::new(memory, Some(disk)), shelf, ends, zero: Instant::now() })
+        Ok(Rig {
+            store: Store::new(memory, Some(disk)),
+            shelf,
+            ends,
+            zero: Instant::now(),
+        })
     }
 
     /// Memory alone.
     pub fn alone(memory: u64) -> Rig {
         let (_, ends) = tokio::sync::mpsc::channel(1);
-        Rig { store: Store::new(memory, None), shelf: Shelf::default(), ends, zero: Instant::now() }
+        Rig {
+            store: Store::new(memory, None),
+            shelf: Shelf::default(),
+            ends,
+            zero: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -86,7 +104,9 @@
 
     /// All that an earlier life left is known.
     pub fn is_ready(&self) -> bool {
-        self.store.disk().is_some_and(|disk| *disk.phase() == Phase::Ready)
+        self.store
+            .disk()
+            .is_some_and(|disk| *disk.phase() == Phase::Ready)
     }
 
     pub fn refusal(&self) -> Option<String> {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -39,7 +39,14 @@
     segments.sort_unstable();
     let mut purges = Purges::default();
     known.marks.iter().for_each(|mark| purges.restore(*mark));
-    Ok(Held { hands: Hands::new(files.clone(), known.store), files, catalogue, known, purges, segments })
+    Ok(Held {
+        hands: Hands::new(files.clone(), known.store),
+        files,
+        catalogue,
+        known,
+        purges,
+        segments,
+    })
 }
 
 /// One record as it was found.
@@ -53,7 +60,10 @@
 }
 
 /// Reads every record. Bodies are read too: only then is it known that they are whole.
-fn walk(held: &mut Held, mut see: impl FnMut(&mut Held, Found)) -> Result<Vec<(u32, Fault)>, Failure> {
+fn walk(
+    held: &mut Held,
+    mut see: impl FnMut(&mut Held, Found),
+) -> Result<Vec<(u32, Fault)>, Failure> {
     let (mut listed, mut faults) = (Vec::new(), Vec::new());
     for segment in held.segments.clone() {
         match held.hands.list(segment) {
@@ -63,17 +73,36 @@
     }
     let mut newest: HashMap<u64, (u64, u32, u32)> = HashMap::new();
     for (segment, entry) in &listed {
-        let (this, best) = ((entry.made, *segment, entry.at), newest.entry(entry.key).or_default());
+        let (this, best) = (
+            (entry.made, *segment, entry.at),
+            newest.entry(entry.key).or_default(),
+        );
         *best = this.max(*best);
     }
-    let bar = ProgressBar::new(listed.iter().map(|(_, entry)| u64::from(entry.length)).sum());
+    let bar = ProgressBar::new(
+        listed
+            .iter()
+            .map(|(_, entry)| u64::from(entry.length))
+            .sum(),
+    );
     let look = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {eta}");
     bar.set_style(look.unwrap_or_else(|_| ProgressStyle::default_bar()));
     for (segment, entry) in listed {
         let read = held.hands.read(segment, entry.at, entry.length);
-        let purged = !held.purges.survives(entry.object, entry.group as usize, entry.made);
+        let purged = !held
+            .purges
+            .survives(entry.object, entry.group as usize, entry.made);
         let older = newest.get(&entry.key) != Some(&(entry.made, segment, entry.at));
-        see(held, Found { segment, entry, read, purged, older });
+        see(
+            held,
+            Found {
+                segment,
+                entry,
+                read,
+                purged,
+                older,
+            },
+        );
         bar.inc(u64::from(entry.length));
     }
     bar.finish_and_clear();
@@ -93,7 +122,11 @@
     match told {
         Value::Object(fields) => {
             for (name, value) in fields {
-                let name = if before.is_empty() { name.clone() } else { format!("{before}.{name}") };
+                let name = if before.is_empty() {
+                    name.clone()
+                } else {
+                    format!("{before}.{name}")
+                };
                 lines(&name, value);
             }
         }
@@ -126,7 +159,10 @@
     for (segment, entry) in &listed {
         if newest.get(&entry.key) != Some(&(entry.made, *segment, entry.at)) {
             older += 1;
-        } else if !held.purges.survives(entry.object, entry.group as usize, entry.made) {
+        } else if !held
+            .purges
+            .survives(entry.object, entry.group as usize, entry.made)
+        {
             purged += 1;
         } else {
             parts += 1;
@@ -149,10 +185,16 @@
 pub fn ask_live(socket: &Path, words: &str, as_json: bool) -> Result<(), Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", socket.display()));
     let mut stream = UnixStream::connect(socket).map_err(|e| fail(&e))?;
-    stream.set_read_timeout(Some(Duration::from_secs(5))).map_err(|e| fail(&e))?;
-    stream.write_all(format!("{words}\n").as_bytes()).map_err(|e| fail(&e))?;
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .map_err(|e| fail(&e))?;
+    stream
+        .write_all(format!("{words}\n").as_bytes())
+        .map_err(|e| fail(&e))?;
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).map_err(|e| fail(&e))?;
+    BufReader::new(stream)
+        .read_line(&mut line)
+        .map_err(|e| fail(&e))?;
     let told: Value = serde_json::from_str(&line).map_err(|e| fail(&e))?;
     if let Some(what) = told.get("error").and_then(Value::as_str) {
         return Err(fail(&what));
@@ -167,7 +209,9 @@
     let mut broken = false;
     walk(&mut held, |_, found| {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let Ok((copy, rank)) = &found.read else { return };
+        let Ok((copy, rank)) = &found.read else {
+            return;
+        };
         if broken || object.is_some_and(|object| object.as_bytes() != copy.object) {
             return;
         }
@@ -201,29 +245,41 @@
             bytes += copy.body.len() as u64;
             purged += u64::from(found.purged);
         }
-        Err(fault) => damaged
-            .push(json!({"segment": found.segment, "at": found.entry.at, "what": format!("{fault:?}")})),
+        Err(fault) => damaged.push(
+            json!({"segment": found.segment, "at": found.entry.at, "what": format!("{fault:?}")}),
+        ),
     })?;
     damaged.extend(
-        faults.iter().map(|(segment, fault)| json!({"segment": segment, "what": format!("{fault:?}")})),
+        faults
+            .iter()
+            .map(|(segment, fault)| json!({"segment": segment, "what": format!("{fault:?}")})),
     );
     let count = damaged.len();
     if as_json {
-        println!("{}", json!({"whole": whole, "body_bytes": bytes, "purged": purged, "damaged": damaged}));
+        println!(
+            "{}",
+            json!({"whole": whole, "body_bytes": bytes, "purged": purged, "damaged": damaged})
+        );
     } else {
         damaged.iter().for_each(|d| println!("damaged: {d}"));
-        println!("whole: {whole} parts, {}; purged among them: {purged}; damaged: {count}", ByteSize(bytes));
+        println!(
+            "whole: {whole} parts, {}; purged among them: {purged}; damaged: {count}",
+            ByteSize(bytes)
+        );
     }
     if count == 0 {
         Ok(())
     } else {
-        Err(Failure::new(format!("{count} damaged; `chalkhall store repair` takes them out")))
+        Err(Failure::new(format!(
+            "{count} damaged; `chalkhall store repair` takes them out"
+        )))
     }
 }
 
 pub fn repair(path: &Path, dry_run: bool, as_json: bool) -> Result<(), Failure> {
     let mut held = take(path)?;
-    let mut good: HashMap<u32, Vec<Entry>> = held.segments.iter().map(|s| (*s, Vec::new())).collect();
+    let mut good: HashMap<u32, Vec<Entry>> =
+        held.segments.iter().map(|s| (*s, Vec::new())).collect();
     let mut bad: HashMap<u32, u64> = HashMap::new();
     let faults = walk(&mut held, |_, found| match found.read {
         Ok(_) => good.entry(found.segment).or_default().push(found.entry),
@@ -241,12 +297,25 @@
     }
     let left: Vec<u32> = faults.iter().map(|(segment, _)| *segment).collect();
     if as_json {
-        let told: Vec<Value> = mended.iter().map(|(s, n)| json!({"segment": s, "taken_out": n})).collect();
-        println!("{}", json!({"dry_run": dry_run, "mended": told, "unreadable": left}));
+        let told: Vec<Value> = mended
+            .iter()
+            .map(|(s, n)| json!({"segment": s, "taken_out": n}))
+            .collect();
+        println!(
+            "{}",
+            json!({"dry_run": dry_run, "mended": told, "unreadable": left})
+        );
     } else {
-        let word = if dry_run { "would take out" } else { "took out" };
-        mended.iter().for_each(|(segment, n)| println!("segment {segment}: {word} {n} damaged"));
-        left.iter().for_each(|segment| println!("segment {segment}: cannot be read, left as it is"));
+        let word = if dry_run {
+            "would take out"
+        } else {
+            "took out"
+        };
+        mended
+            .iter()
+            .for_each(|(segment, n)| println!("segment {segment}: {word} {n} damaged"));
+        left.iter()
+            .for_each(|segment| println!("segment {segment}: cannot be read, left as it is"));
         println!("{} segments mended", if dry_run { 0 } else { mended.len() });
     }
     Ok(())
@@ -257,7 +326,13 @@
     let wanted = key::part(key::object(object.as_bytes()), part);
     let mut newest: Option<(u64, u32, Entry)> = None;
     for segment in held.segments.clone() {
-        for entry in held.hands.list(segment).unwrap_or_default().into_iter().filter(|e| e.key == wanted) {
+        for entry in held
+            .hands
+            .list(segment)
+            .unwrap_or_default()
+            .into_iter()
+            .filter(|e| e.key == wanted)
+        {
             if newest.is_none_or(|(made, of, _)| (made, of) <= (entry.made, segment)) {
                 newest = Some((entry.made, segment, entry));
             }
@@ -265,19 +340,25 @@
     }
     let (_, segment, entry) =
         newest.ok_or_else(|| Failure::new(format!("{object} part {part} is not here")))?;
-    if !held.purges.survives(entry.object, entry.group as usize, entry.made) {
+    if !held
+        .purges
+        .survives(entry.object, entry.group as usize, entry.made)
+    {
         return Err(Failure::new(format!("{object} part {part} was purged")));
     }
-    let (copy, _) =
-        held.hands.read(segment, entry.at, entry.length).map_err(|f| Failure::new(format!("{f:?}")))?;
+    let (copy, _) = held
+        .hands
+        .read(segment, entry.at, entry.length)
+        .map_err(|f| Failure::new(format!("{f:?}")))?;
     if copy.object != object.as_bytes() || copy.part != part {
         return Err(Failure::new(format!("{object} part {part} is not here")));
     }
     match out {
-        Some(file) => {
-            std::fs::write(file, &copy.body).map_err(|e| Failure::new(format!("{}: {e}", file.display())))
-        }
-        None => std::io::stdout().write_all(&copy.body).map_err(Failure::new),
+        Some(file) => std::fs::write(file, &copy.body)
+            .map_err(|e| Failure::new(format!("{}: {e}", file.display()))),
+        None => std::io::stdout()
+            .write_all(&copy.body)
+            .map_err(Failure::new),
     }
 }
 
@@ -291,9 +372,12 @@
     let mut held = take(path)?;
     let now = crate::rig::unix_ms();
     let marks = match (object, group) {
-        (Some(object), _) => {
-            held.purges.object(key::object(object.as_bytes()), now).into_iter().flatten().collect()
-        }
+        (Some(object), _) => held
+            .purges
+            .object(key::object(object.as_bytes()), now)
+            .into_iter()
+            .flatten()
+            .collect(),
         (_, Some(group)) => vec![held.purges.group(group, now)],
         _ => Vec::<Mark>::new(),
     };
@@ -303,11 +387,16 @@
     let mut removed = 0;
     if all {
         for segment in held.segments.clone() {
-            held.hands.remove(segment).map_err(|f| Failure::new(format!("segment {segment}: {f:?}")))?;
+            held.hands
+                .remove(segment)
+                .map_err(|f| Failure::new(format!("segment {segment}: {f:?}")))?;
             removed += 1;
         }
         held.files.sync_names().map_err(Failure::new)?;
     }
-    print(as_json, &json!({"purged_at_ms": now, "segments_removed": removed}));
+    print(
+        as_json,
+        &json!({"purged_at_ms": now, "segments_removed": removed}),
+    );
     Ok(())
 }
--- a/crates/cli/src/torture.rs
+++ b/crates/cli/src/torture.rs
@@ -60,15 +60,24 @@
     let end = Instant::now() + Duration::from_secs(30);
     while Instant::now() < end {
         for _ in 0..4 {
-            let piece = Piece { object: chance.u64(..OBJECTS), part: chance.u64(..PARTS) };
+            let piece = Piece {
+                object: chance.u64(..OBJECTS),
+                part: chance.u64(..PARTS),
+            };
             let now = rig.now();
             let copy = piece.version(1, unix_ms(), size_of(piece, LARGEST));
-            rig.store.keep(now, copy, 1 + chance.u8(..3), &mut rig.shelf);
+            rig.store
+                .keep(now, copy, 1 + chance.u8(..3), &mut rig.shelf);
         }
         if chance.u8(..10) == 0 {
-            let piece = Piece { object: chance.u64(..OBJECTS), part: 0 };
+            let piece = Piece {
+                object: chance.u64(..OBJECTS),
+                part: 0,
+            };
             let ms = unix_ms();
-            writeln!(out, "P {} {ms}", piece.object).and_then(|()| out.flush()).map_err(Failure::new)?;
+            writeln!(out, "P {} {ms}", piece.object)
+                .and_then(|()| out.flush())
+                .map_err(Failure::new)?;
             rig.store.purge(Some(&piece.name()), 0, ms, &mut rig.shelf);
         }
         rig.turn();
@@ -79,7 +88,9 @@
                 None => writeln!(said, "G {key}"),
             };
         }
-        out.write_all(said.as_bytes()).and_then(|()| out.flush()).map_err(Failure::new)?;
+        out.write_all(said.as_bytes())
+            .and_then(|()| out.flush())
+            .map_err(Failure::new)?;
         if let Some(why) = rig.refusal() {
             return Err(Failure::new(why));
         }
@@ -97,7 +108,11 @@
 impl Heard {
     fn line(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
-        let numbers: Vec<u64> = words.iter().skip(1).filter_map(|w| w.parse().ok()).collect();
+        let numbers: Vec<u64> = words
+            .iter()
+            .skip(1)
+            .filter_map(|w| w.parse().ok())
+            .collect();
         match (words[0], numbers.as_slice()) {
             ("P", [object, ms]) => drop(self.purged.insert(*object, *ms)),
             ("D", [key, made]) => drop(self.durable.insert(*key, *made)),
@@ -118,7 +133,10 @@
 }
 
 fn kill(mut child: Child, after: Duration, heard: &mut Heard) -> Result<(), Failure> {
-    let out = child.stdout.take().ok_or_else(|| Failure::new("the writer has no output"))?;
+    let out = child
+        .stdout
+        .take()
+        .ok_or_else(|| Failure::new("the writer has no output"))?;
     std::thread::sleep(after);
     // SIGKILL: nothing of it runs any more. What it had said before is still in the pipe.
     child.kill().map_err(Failure::new)?;
@@ -135,21 +153,35 @@
     let bar = ProgressBar::new(u64::from(kills));
     for _ in 0..kills {
         let child = Command::new(program)
-            .args(["store", "torture-writer", "--seed", &chance.u64(..).to_string()])
+            .args([
+                "store",
+                "torture-writer",
+                "--seed",
+                &chance.u64(..).to_string(),
+            ])
             .arg(path)
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|e| Failure::new(format!("{}: {e}", program.display())))?;
-        kill(child, Duration::from_micros(chance.u64(5_000..120_000)), &mut heard)?;
+        kill(
+            child,
+            Duration::from_micros(chance.u64(5_000..120_000)),
+            &mut heard,
+        )?;
         found.kills += 1;
         look(path, &mut heard, &mut found)?;
         bar.inc(1);
     }
     bar.finish_and_clear();
     // A start that knows of no purges serves nothing, whatever is there.
-    let blind = Wanted { known_purges: Duration::ZERO, ..wanted() };
+    let blind = Wanted {
+        known_purges: Duration::ZERO,
+        ..wanted()
+    };
     let mut rig = Rig::open(path, MEMORY, blind, 2).map_err(Failure::new)?;
-    rig.until(Duration::from_secs(30), |rig| rig.is_ready() || rig.refusal().is_some());
+    rig.until(Duration::from_secs(30), |rig| {
+        rig.is_ready() || rig.refusal().is_some()
+    });
     for piece in pieces() {
         found.unproven_served += u64::from(get(&mut rig, piece).is_some());
     }
@@ -163,16 +195,26 @@
 
 fn get(rig: &mut Rig, piece: Piece) -> Option<std::rc::Rc<chalkhall_store::copy::Copy>> {
     let name = piece.name();
-    rig.get(Part { object: &name, part: piece.part, group: piece.group() })
+    rig.get(Part {
+        object: &name,
+        part: piece.part,
+        group: piece.group(),
+    })
 }
 
 fn look(path: &Path, heard: &mut Heard, found: &mut Found) -> Result<(), Failure> {
     let mut rig = Rig::open(path, MEMORY, wanted(), 2).map_err(Failure::new)?;
     for (object, ms) in &heard.purged {
-        let name = Piece { object: *object, part: 0 }.name();
+        let name = Piece {
+            object: *object,
+            part: 0,
+        }
+        .name();
         rig.store.purge(Some(&name), 0, *ms, &mut rig.shelf);
     }
-    let ready = rig.until(Duration::from_secs(30), |rig| rig.is_ready() || rig.refusal().is_some());
+    let ready = rig.until(Duration::from_secs(30), |rig| {
+        rig.is_ready() || rig.refusal().is_some()
+    });
     if let Some(why) = rig.refusal() {
         return Err(Failure::new(why));
     }
@@ -205,7 +247,16 @@
 pub fn command(path: &Path, kills: u32, seed: u64, as_json: bool) -> Result<(), Failure> {
     let program = std::env::current_exe().map_err(Failure::new)?;
     let found = torture(&program, path, kills, seed)?;
-    let Found { kills, answers, durable, torn, stale, lost_synced, unproven_served, .. } = found;
+    let Found {
+        kills,
+        answers,
+        durable,
+        torn,
+        stale,
+        lost_synced,
+        unproven_served,
+        ..
+    } = found;
     if as_json {
         let told = json!({"seed": seed, "kills": kills, "answers": answers, "durable": durable, "torn": torn,
             "stale": stale, "lost_synced": lost_synced, "unproven_served": unproven_served});
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -13,7 +13,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let path = std::env::temp_dir().join(format!("chalkhall-cli-{name}-{}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("chalkhall-cli-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -35,7 +36,11 @@
 
 fn chalkhall(words: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_chalkhall"));
-    command.args(words).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
+        .args(words)
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     let child = {
         let _starting = starting();
         command.spawn().unwrap()
@@ -49,7 +54,8 @@
 
 fn json(words: &[&str]) -> Value {
     let output = chalkhall(words);
-    serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{words:?}: {}", text(&output)))
+    serde_json::from_slice(&output.stdout)
+        .unwrap_or_else(|_| panic!("{words:?}: {}", text(&output)))
 }
 
 const PARTS: u64 = 12;
@@ -60,14 +66,27 @@
 
 /// A directory with a part of each of twelve objects, ended in good order.
 fn filled(path: &Path) -> Vec<u8> {
-    let wanted =
-        Wanted { bytes: 16 << 20, segment: 1 << 20, least_fresh: Duration::ZERO, ..Wanted::default() };
+    let wanted = Wanted {
+        bytes: 16 << 20,
+        segment: 1 << 20,
+        least_fresh: Duration::ZERO,
+        ..Wanted::default()
+    };
     let mut rig = Rig::open(path, 0, wanted, 1).unwrap();
     for n in 0..PARTS {
         let now = rig.now();
-        rig.store.keep(now, piece(n).version(1, unix_ms() - 5, 9000), 2, &mut rig.shelf);
+        rig.store.keep(
+            now,
+            piece(n).version(1, unix_ms() - 5, 9000),
+            2,
+            &mut rig.shelf,
+        );
     }
-    let written = |rig: &mut Rig| rig.store.disk().is_some_and(|disk| disk.index().len() as u64 == PARTS);
+    let written = |rig: &mut Rig| {
+        rig.store
+            .disk()
+            .is_some_and(|disk| disk.index().len() as u64 == PARTS)
+    };
     assert!(rig.until(Duration::from_secs(10), written));
     rig.close(Duration::from_secs(10));
     drop(starting());
@@ -77,25 +96,48 @@
 #[test]
 fn help_version_and_bad_words_answer_as_people_expect() {
     let help = chalkhall(&["--help"]);
-    assert!(help.status.success() && text(&help).contains("store") && text(&help).contains("Exit codes"));
+    assert!(
+        help.status.success()
+            && text(&help).contains("store")
+            && text(&help).contains("Exit codes")
+    );
     assert!(text(&chalkhall(&["--version"])).contains(env!("CARGO_PKG_VERSION")));
     let bad = chalkhall(&["stoer"]);
     assert_eq!(bad.status.code(), Some(2));
-    assert!(text(&bad).contains("store"), "the nearest word: {}", text(&bad));
+    assert!(
+        text(&bad).contains("store"),
+        "the nearest word: {}",
+        text(&bad)
+    );
     for shell in ["bash", "zsh", "fish"] {
         assert!(text(&chalkhall(&["completions", shell])).contains("chalkhall"));
     }
     let folder = Folder::new("man");
-    assert!(chalkhall(&["man", folder.0.to_str().unwrap()]).status.success());
-    assert!(folder.0.join("chalkhall.1").is_file() && folder.0.join("chalkhall-store-verify.1").is_file());
+    assert!(
+        chalkhall(&["man", folder.0.to_str().unwrap()])
+            .status
+            .success()
+    );
+    assert!(
+        folder.0.join("chalkhall.1").is_file()
+            && folder.0.join("chalkhall-store-verify.1").is_file()
+    );
 }
 
 #[test]
 fn check_finds_every_fault_at_once() {
     let folder = Folder::new("check");
     let file = folder.0.join("a.conf");
-    std::fs::write(&file, "include b.conf\nstore {\n  memory lots\n  segmnt 8MB\n}\nmemory 5MB\n").unwrap();
-    std::fs::write(folder.0.join("b.conf"), "log-format text\nlog-format json\ninclude a.conf\n").unwrap();
+    std::fs::write(
+        &file,
+        "include b.conf\nstore {\n  memory lots\n  segmnt 8MB\n}\nmemory 5MB\n",
+    )
+    .unwrap();
+    std::fs::write(
+        folder.0.join("b.conf"),
+        "log-format text\nlog-format json\ninclude a.conf\n",
+    )
+    .unwrap();
     let output = chalkhall(&["check", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
     let told = text(&output);
@@ -109,7 +151,10 @@
         assert!(told.contains(part), "{part} in {told}");
     }
     std::fs::write(&file, "store {\n  memory 25%\n}\n").unwrap();
-    assert_eq!(chalkhall(&["check", file.to_str().unwrap()]).status.code(), Some(0));
+    assert_eq!(
+        chalkhall(&["check", file.to_str().unwrap()]).status.code(),
+        Some(0)
+    );
     let faults = json(&["check", "--json", folder.0.join("none").to_str().unwrap()]);
     assert_eq!(faults["faults"].as_array().map(Vec::len), Some(1));
 }
@@ -117,11 +162,17 @@
 #[test]
 fn every_directive_stands_in_the_example_and_the_example_is_sound() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/chalkhall.conf");
-    assert_eq!(chalkhall(&["check", example.to_str().unwrap()]).status.code(), Some(0));
+    assert_eq!(
+        chalkhall(&["check", example.to_str().unwrap()])
+            .status
+            .code(),
+        Some(0)
+    );
     let written = std::fs::read_to_string(example).unwrap();
     for entry in chalkhall_config::WORDS.entries() {
-        let stands =
-            written.lines().any(|l| l.trim().trim_start_matches('#').split(' ').next() == Some(entry.name));
+        let stands = written
+            .lines()
+            .any(|l| l.trim().trim_start_matches('#').split(' ').next() == Some(entry.name));
         assert!(stands, "{}", entry.name);
     }
     // All that stands there as a comment is sound too.
@@ -130,7 +181,11 @@
         .filter(|line| !line.starts_with("# ") && !line.starts_with("#  "))
         .map(|line| {
             let directive = line.trim().starts_with('#');
-            let bare = if directive { line.replacen('#', " ", 1) } else { line.to_owned() };
+            let bare = if directive {
+                line.replacen('#', " ", 1)
+            } else {
+                line.to_owned()
+            };
             bare + "\n"
         })
         .collect();
@@ -144,19 +199,49 @@
     let path = folder.0.to_str().unwrap();
     let body = filled(&folder.0);
     let told = json(&["store", "stat", path, "--json"]);
-    assert_eq!((told["parts"].as_u64(), told["rank_2"].as_u64()), (Some(PARTS), Some(PARTS)));
+    assert_eq!(
+        (told["parts"].as_u64(), told["rank_2"].as_u64()),
+        (Some(PARTS), Some(PARTS))
+    );
     let name = String::from_utf8(piece(3).name().to_vec()).unwrap();
     let listed = text(&chalkhall(&["store", "list", path, "--object", &name]));
-    assert!(listed.starts_with(&format!("{name} 2 ")) && listed.lines().count() == 1, "{listed}");
-    assert_eq!(chalkhall(&["store", "export", path, &name, "2"]).stdout, body);
-    assert_eq!(json(&["store", "verify", path, "--json"])["whole"].as_u64(), Some(PARTS));
+    assert!(
+        listed.starts_with(&format!("{name} 2 ")) && listed.lines().count() == 1,
+        "{listed}"
+    );
+    assert_eq!(
+        chalkhall(&["store", "export", path, &name, "2"]).stdout,
+        body
+    );
+    assert_eq!(
+        json(&["store", "verify", path, "--json"])["whole"].as_u64(),
+        Some(PARTS)
+    );
 
-    assert!(chalkhall(&["store", "drop", path, "--object", &name]).status.success());
+    assert!(
+        chalkhall(&["store", "drop", path, "--object", &name])
+            .status
+            .success()
+    );
     let gone = chalkhall(&["store", "export", path, &name, "2"]);
-    assert!(gone.status.code() == Some(1) && text(&gone).contains("was purged"), "{}", text(&gone));
-    assert_eq!(json(&["store", "stat", path, "--json"])["purged"].as_u64(), Some(1));
-    assert!(chalkhall(&["store", "drop", path, "--all"]).status.success());
-    assert_eq!(json(&["store", "stat", path, "--json"])["parts"].as_u64(), Some(0));
+    assert!(
+        gone.status.code() == Some(1) && text(&gone).contains("was purged"),
+        "{}",
+        text(&gone)
+    );
+    assert_eq!(
+        json(&["store", "stat", path, "--json"])["purged"].as_u64(),
+        Some(1)
+    );
+    assert!(
+        chalkhall(&["store", "drop", path, "--all"])
+            .status
+            .success()
+    );
+    assert_eq!(
+        json(&["store", "stat", path, "--json"])["parts"].as_u64(),
+        Some(0)
+    );
     assert_eq!(chalkhall(&["store", "drop", path]).status.code(), Some(2));
 }
 
@@ -165,20 +250,32 @@
     let folder = Folder::new("damage");
     let path = folder.0.to_str().unwrap();
     filled(&folder.0);
-    let names = std::fs::read_dir(&folder.0).unwrap().map(|e| e.unwrap().path());
-    let segment = names.into_iter().find(|p| p.to_string_lossy().contains("segment-")).unwrap();
+    let names = std::fs::read_dir(&folder.0)
+        .unwrap()
+        .map(|e| e.unwrap().path());
+    let segment = names
+        .into_iter()
+        .find(|p| p.to_string_lossy().contains("segment-"))
+        .unwrap();
     let mut bytes = std::fs::read(&segment).unwrap();
     bytes[64 + 5000] ^= 4;
     std::fs::write(&segment, bytes).unwrap();
     let verified = chalkhall(&["store", "verify", path]);
     assert_eq!(verified.status.code(), Some(1));
-    assert!(text(&verified).contains("damaged: 1"), "{}", text(&verified));
+    assert!(
+        text(&verified).contains("damaged: 1"),
+        "{}",
+        text(&verified)
+    );
     assert!(text(&chalkhall(&["store", "repair", path, "--dry-run"])).contains("would take out 1"));
     assert_eq!(chalkhall(&["store", "verify", path]).status.code(), Some(1));
     assert!(text(&chalkhall(&["store", "repair", path])).contains("took out 1 damaged"));
     let verified = json(&["store", "verify", path, "--json"]);
     assert_eq!(
-        (verified["whole"].as_u64(), verified["damaged"].as_array().map(Vec::len)),
+        (
+            verified["whole"].as_u64(),
+            verified["damaged"].as_array().map(Vec::len)
+        ),
         (Some(PARTS - 1), Some(0))
     );
 }
@@ -199,19 +296,34 @@
         text(&refused)
     );
     drop(held);
-    assert_eq!(json(&["store", "stat", path, "--json"])["parts"].as_u64(), Some(PARTS));
+    assert_eq!(
+        json(&["store", "stat", path, "--json"])["parts"].as_u64(),
+        Some(PARTS)
+    );
 }
 
 #[test]
 fn a_few_kills_leave_nothing_torn_stale_or_lost() {
     let folder = Folder::new("torture");
     let path = folder.0.join("copies");
-    let found = json(&["store", "torture", path.to_str().unwrap(), "--kills", "6", "--seed", "3", "--json"]);
+    let found = json(&[
+        "store",
+        "torture",
+        path.to_str().unwrap(),
+        "--kills",
+        "6",
+        "--seed",
+        "3",
+        "--json",
+    ]);
     assert_eq!(found["kills"].as_u64(), Some(6));
     for what in ["torn", "stale", "lost_synced", "unproven_served"] {
         assert_eq!(found[what].as_u64(), Some(0), "{found}");
     }
-    assert!(found["answers"].as_u64() > Some(0) && found["durable"].as_u64() > Some(0), "{found}");
+    assert!(
+        found["answers"].as_u64() > Some(0) && found["durable"].as_u64() > Some(0),
+        "{found}"
+    );
 }
 
 #[test]
@@ -219,27 +331,51 @@
     let folder = Folder::new("cells");
     let file = folder.0.join("cells.conf");
     let path = file.to_str().unwrap();
-    let told =
-        "cells {\n epoch 3\n cell a list s1 s2\n cell b shuffle 2\n bind group 0-9 a\n otherwise b\n}\n";
+    let told = "cells {\n epoch 3\n cell a list s1 s2\n cell b shuffle 2\n bind group 0-9 a\n otherwise b\n}\n";
     std::fs::write(&file, told).unwrap();
-    let servers = ["--server", "s1", "--server", "s2", "--server", "s3", "--server", "s4"];
+    let servers = [
+        "--server", "s1", "--server", "s2", "--server", "s3", "--server", "s4",
+    ];
     let drawn = json(&[&["cells", "check", path, "--json"], &servers[..]].concat());
     assert_eq!(
         (drawn["epoch"].as_u64(), &drawn["cells"][0]["servers"]),
         (Some(3), &serde_json::json!(["s1", "s2"]))
     );
-    assert_eq!(drawn["cells"][1]["servers"], serde_json::json!(["s3", "s4"]));
+    assert_eq!(
+        drawn["cells"][1]["servers"],
+        serde_json::json!(["s3", "s4"])
+    );
     let few = chalkhall(&["cells", "check", path, "--server", "s1"]);
     assert_eq!(few.status.code(), Some(1));
-    assert!(text(&few).contains("cell a has 1 of 2 servers") && text(&few).contains("cell b has 0 of 2"));
+    assert!(
+        text(&few).contains("cell a has 1 of 2 servers")
+            && text(&few).contains("cell b has 0 of 2")
+    );
     // Over a router's configuration: its own caches, and only classes that it has.
     let config = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/example.json");
     let config = config.to_str().unwrap();
-    std::fs::write(&file, "cells {\n cell a list c1\n bind category page a\n}\n").unwrap();
-    assert_eq!(chalkhall(&["cells", "check", path, "--config", config]).status.code(), Some(0));
-    std::fs::write(&file, "cells {\n cell a list c1\n bind category cakes a\n}\n").unwrap();
+    std::fs::write(
+        &file,
+        "cells {\n cell a list c1\n bind category page a\n}\n",
+    )
+    .unwrap();
+    assert_eq!(
+        chalkhall(&["cells", "check", path, "--config", config])
+            .status
+            .code(),
+        Some(0)
+    );
+    std::fs::write(
+        &file,
+        "cells {\n cell a list c1\n bind category cakes a\n}\n",
+    )
+    .unwrap();
     let unknown = chalkhall(&["cells", "check", path, "--config", config]);
-    assert!(text(&unknown).contains("cakes is not a category"), "{}", text(&unknown));
+    assert!(
+        text(&unknown).contains("cakes is not a category"),
+        "{}",
+        text(&unknown)
+    );
 }
 
 #[test]
@@ -258,9 +394,13 @@
     });
     std::fs::write(&file, fleet.to_string()).unwrap();
     let told = text(&chalkhall(&["cells", "plan", path, "--why"]));
-    let expected = "move cheap from a to b: its cell is asked for 100 % of what it bears; 100 KB to fill";
+    let expected =
+        "move cheap from a to b: its cell is asked for 100 % of what it bears; 100 KB to fill";
     assert!(told.starts_with(expected), "{told}");
-    assert_eq!(json(&["cells", "plan", path, "--json"])["fullest_after"].as_f64(), Some(0.75));
+    assert_eq!(
+        json(&["cells", "plan", path, "--json"])["fullest_after"].as_f64(),
+        Some(0.75)
+    );
     // Cold, a cell takes no more than so much at once.
     let output = chalkhall(&["cells", "plan", path, "--most", "20%"]);
     assert!(
@@ -268,5 +408,10 @@
         "{}",
         text(&output)
     );
-    assert_eq!(chalkhall(&["cells", "plan", path, "--most", "most"]).status.code(), Some(2));
+    assert_eq!(
+        chalkhall(&["cells", "plan", path, "--most", "most"])
+            .status
+            .code(),
+        Some(2)
+    );
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -15,7 +15,8 @@
 
 impl File {
     fn new(name: &str, text: &str) -> File {
-        let path = std::env::temp_dir().join(format!("chalkhall-{name}-{}.play", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("chalkhall-{name}-{}.play", std::process::id()));
         std::fs::write(&path, text).unwrap();
         File(path)
     }
@@ -36,10 +37,17 @@
 
 /// Plays it; where this machine was too busy to tell, again, which a run of the same seed may.
 fn play(file: &File, words: &[&str]) -> Output {
-    let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let _alone = ONE_AT_A_TIME
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner());
     let mut output = None;
     for _ in 0..3 {
-        let played = chalkhall().args(["fleet", "play"]).arg(&file.0).args(words).output().unwrap();
+        let played = chalkhall()
+            .args(["fleet", "play"])
+            .arg(&file.0)
+            .args(words)
+            .output()
+            .unwrap();
         let void = played.status.code() == Some(3);
         output = Some(played);
         if !void {
@@ -95,15 +103,36 @@
         ),
     );
     let output = play(&file, &["--json"]);
-    let told: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", text(&output)));
+    let told: Value =
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", text(&output)));
     assert!(output.status.success(), "{}", text(&output));
-    let figure = |name: &str| told["figures"][name].as_f64().unwrap_or_else(|| panic!("no {name}: {told}"));
-    for rule in ["double_runs", "lost", "drain_breaks", "cold_falls", "stale", "strange", "crashed"] {
+    let figure = |name: &str| {
+        told["figures"][name]
+            .as_f64()
+            .unwrap_or_else(|| panic!("no {name}: {told}"))
+    };
+    for rule in [
+        "double_runs",
+        "lost",
+        "drain_breaks",
+        "cold_falls",
+        "stale",
+        "strange",
+        "crashed",
+    ] {
         assert_eq!(figure(rule), 0.0, "{rule}: {}", text(&output));
     }
     assert_eq!(figure("routers"), 40.0);
-    assert!(figure("datagrams") > 1000.0 && figure("hits") > 0.1 && figure("retries") > 10.0, "{told}");
-    assert!(told["events"].as_array().is_some_and(|events| events.len() > 15), "{told}");
+    assert!(
+        figure("datagrams") > 1000.0 && figure("hits") > 0.1 && figure("retries") > 10.0,
+        "{told}"
+    );
+    assert!(
+        told["events"]
+            .as_array()
+            .is_some_and(|events| events.len() > 15),
+        "{told}"
+    );
 }
 
 /// Two regions of two zones, of which one is lost for 3 s while ways between the regions lose a fifth.
@@ -140,7 +169,8 @@
     );
     let file = File::new(&format!("location-lost-{in_common}"), &play_text);
     let output = play(&file, &["--json", "--seed", "2"]);
-    let told: Value = serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", text(&output)));
+    let told: Value =
+        serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", text(&output)));
     assert!(output.status.success(), "{}", text(&output));
     told["figures"].clone()
 }
@@ -148,41 +178,75 @@
 #[test]
 fn a_lost_zone_is_served_elsewhere_by_common_decision_and_nobody_else_leaves_home() {
     let (with, without) = (zone_lost("on"), zone_lost("off"));
-    let figure = |of: &Value, name: &str| of[name].as_f64().unwrap_or_else(|| panic!("no {name}: {of}"));
-    let (served, today) = (figure(&with, "lost_service"), figure(&without, "lost_service"));
+    let figure = |of: &Value, name: &str| {
+        of[name]
+            .as_f64()
+            .unwrap_or_else(|| panic!("no {name}: {of}"))
+    };
+    let (served, today) = (
+        figure(&with, "lost_service"),
+        figure(&without, "lost_service"),
+    );
     let limit = figure(&with, "lost_limit");
     // Half of the way from a router that decides alone to one that sees all; two thirds at full size.
-    assert!(served >= today + (limit - today) / 2.0, "{served}: alone {today}, at most {limit}");
+    assert!(
+        served >= today + (limit - today) / 2.0,
+        "{served}: alone {today}, at most {limit}"
+    );
     assert!(figure(&with, "plan_s") <= 2.0, "{with}");
-    assert!(figure(&with, "toppled") == 0.0 && figure(&with, "needless") <= 0.05, "{with}");
-    assert!(figure(&without, "abroad") == 0.0 && today < 0.7, "{without}");
+    assert!(
+        figure(&with, "toppled") == 0.0 && figure(&with, "needless") <= 0.05,
+        "{with}"
+    );
+    assert!(
+        figure(&without, "abroad") == 0.0 && today < 0.7,
+        "{without}"
+    );
 }
 
 #[test]
 fn even_work_lies_even_and_a_page_tells_it() {
-    let file =
-        File::new("even", &format!("{FLEET}must {{\n    peak 1.25\n    idle 1%\n    service 90%\n}}\n"));
+    let file = File::new(
+        "even",
+        &format!("{FLEET}must {{\n    peak 1.25\n    idle 1%\n    service 90%\n}}\n"),
+    );
     let page = File::new("even-page", "");
     let output = play(&file, &["--html", page.0.to_str().unwrap(), "--seed", "3"]);
     assert!(output.status.success(), "{}", text(&output));
     let page = std::fs::read_to_string(&page.0).unwrap();
-    assert!(page.matches("<svg").count() == 4 && page.contains("all that must hold holds"), "{}", page.len());
-    assert!(!page.contains("http://www.example") && !page.contains("<script"), "self-contained");
+    assert!(
+        page.matches("<svg").count() == 4 && page.contains("all that must hold holds"),
+        "{}",
+        page.len()
+    );
+    assert!(
+        !page.contains("http://www.example") && !page.contains("<script"),
+        "self-contained"
+    );
 }
 
 /// The processes that a process has started.
 fn children(process: u32) -> Vec<u32> {
     let mut all = Vec::new();
-    for task in std::fs::read_dir(format!("/proc/{process}/task")).into_iter().flatten().flatten() {
+    for task in std::fs::read_dir(format!("/proc/{process}/task"))
+        .into_iter()
+        .flatten()
+        .flatten()
+    {
         let told = std::fs::read_to_string(task.path().join("children")).unwrap_or_default();
-        all.extend(told.split_whitespace().filter_map(|word| word.parse::<u32>().ok()));
+        all.extend(
+            told.split_whitespace()
+                .filter_map(|word| word.parse::<u32>().ok()),
+        );
     }
     all
 }
 
 fn lives(process: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
-    status.lines().any(|line| line.starts_with("State:") && !line.contains('Z'))
+    status
+        .lines()
+        .any(|line| line.starts_with("State:") && !line.contains('Z'))
 }
 
 fn until(what: &str, mut come: impl FnMut() -> bool) {
@@ -215,24 +279,54 @@
 
 #[test]
 fn what_cannot_be_played_is_told_with_its_place_or_figure() {
-    let file = File::new("faulty", "fleet {\n routrs 3\n}\nfaults {\n at 1s slow caches 1/8\n}\n");
-    let output = chalkhall().args(["fleet", "check"]).arg(&file.0).output().unwrap();
+    let file = File::new(
+        "faulty",
+        "fleet {\n routrs 3\n}\nfaults {\n at 1s slow caches 1/8\n}\n",
+    );
+    let output = chalkhall()
+        .args(["fleet", "check"])
+        .arg(&file.0)
+        .output()
+        .unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(
         text(&output).contains(":2:2: routrs is not a directive of fleet; routers is"),
         "{}",
         text(&output)
     );
-    assert!(text(&output).contains(":5:"), "all faults at once: {}", text(&output));
+    assert!(
+        text(&output).contains(":5:"),
+        "all faults at once: {}",
+        text(&output)
+    );
     let many = File::new("many", "fleet {\n routers 300\n}\n");
     let program = env!("CARGO_BIN_EXE_chalkhall");
-    let line = format!("ulimit -n 2000; exec {program} fleet play {}", many.0.display());
-    let output = Command::new("/bin/sh").args(["-c", &line]).output().unwrap();
-    assert!(text(&output).contains("need 13000 descriptors here, the limit is 2000"), "{}", text(&output));
+    let line = format!(
+        "ulimit -n 2000; exec {program} fleet play {}",
+        many.0.display()
+    );
+    let output = Command::new("/bin/sh")
+        .args(["-c", &line])
+        .output()
+        .unwrap();
+    assert!(
+        text(&output).contains("need 13000 descriptors here, the limit is 2000"),
+        "{}",
+        text(&output)
+    );
     let library = concat!(env!("CARGO_MANIFEST_DIR"), "/../harness/plays");
-    let plays = std::fs::read_dir(library).unwrap().flatten().map(|entry| entry.path());
-    let plays: Vec<PathBuf> = plays.filter(|path| path.extension().is_some_and(|e| e == "play")).collect();
+    let plays = std::fs::read_dir(library)
+        .unwrap()
+        .flatten()
+        .map(|entry| entry.path());
+    let plays: Vec<PathBuf> = plays
+        .filter(|path| path.extension().is_some_and(|e| e == "play"))
+        .collect();
     assert!(plays.len() >= 16, "{plays:?}");
-    let output = chalkhall().args(["fleet", "check"]).args(&plays).output().unwrap();
+    let output = chalkhall()
+        .args(["fleet", "check"])
+        .args(&plays)
+        .output()
+        .unwrap();
     assert!(output.status.success(), "{}", text(&output));
 }
--- a/crates/cli/tests/fleet_size.rs
+++ b/crates/cli/tests/fleet_size.rs
@@ -7,11 +7,29 @@
 fn what_a_router_needs_does_not_grow_with_the_number_of_cache_servers() {
     let mut proof = Command::new(env!("CARGO_BIN_EXE_proof-fleet-size"));
     proof.args(["--cache-servers", "40", "--times", "16", "--routers", "2"]);
-    proof.args(["--rate", "8", "--seconds", "8", "--seed", "1", "--counted-only"]);
+    proof.args([
+        "--rate",
+        "8",
+        "--seconds",
+        "8",
+        "--seed",
+        "1",
+        "--counted-only",
+    ]);
     let output = proof.output().expect("the proof was built with this test");
     let line = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success() && line.starts_with("proof-fleet-size: ok "), "{line}");
-    for figure in ["descriptors", "connections", "list_bytes", "served", "peak_memory_mb", "kb_a_server"] {
+    assert!(
+        output.status.success() && line.starts_with("proof-fleet-size: ok "),
+        "{line}"
+    );
+    for figure in [
+        "descriptors",
+        "connections",
+        "list_bytes",
+        "served",
+        "peak_memory_mb",
+        "kb_a_server",
+    ] {
         assert!(line.contains(&format!(" {figure}=")), "no {figure}: {line}");
     }
 }
--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -14,19 +14,41 @@
 fn a_disk_that_hangs_holds_nobody_up_and_is_used_again() {
     let disk = Disk::new();
     let files = disk.clone();
-    let wanted =
-        Wanted { bytes: 64 << 20, segment: 1 << 20, least_fresh: Duration::ZERO, ..Wanted::default() };
-    let mut rig = Rig::on(move || Ok(Arc::new(files.clone()) as Arc<dyn Files>), 8 << 20, wanted, 2).unwrap();
+    let wanted = Wanted {
+        bytes: 64 << 20,
+        segment: 1 << 20,
+        least_fresh: Duration::ZERO,
+        ..Wanted::default()
+    };
+    let mut rig = Rig::on(
+        move || Ok(Arc::new(files.clone()) as Arc<dyn Files>),
+        8 << 20,
+        wanted,
+        2,
+    )
+    .unwrap();
     assert!(rig.until(LONG, |rig| rig.is_ready()));
     let piece = |object| Piece { object, part: 0 };
     let keep = |rig: &mut Rig, object| {
         let now = rig.now();
-        rig.store.keep(now, piece(object).version(1, unix_ms(), 20_000), 2, &mut rig.shelf);
+        rig.store.keep(
+            now,
+            piece(object).version(1, unix_ms(), 20_000),
+            2,
+            &mut rig.shelf,
+        );
     };
     let place = |rig: &mut Rig, object: u64| {
         let name = piece(object).name();
         rig.store
-            .find(Part { object: &name, part: 0, group: piece(object).group() }, None)
+            .find(
+                Part {
+                    object: &name,
+                    part: 0,
+                    group: piece(object).group(),
+                },
+                None,
+            )
             .map(|found| found.place)
     };
     // More than memory holds: the first are on disk alone.
@@ -34,14 +56,19 @@
         keep(&mut rig, n);
         rig.turn();
     });
-    assert!(rig.until(LONG, |rig| place(rig, 0) == Some(Place::Disk) && place(rig, 1) == Some(Place::Disk)));
+    assert!(rig.until(LONG, |rig| place(rig, 0) == Some(Place::Disk)
+        && place(rig, 1) == Some(Place::Disk)));
     disk.hang(true);
     // Everything that can be asked of it at once: its mailboxes fill, and take nothing more.
     let (mut taken, mut refused) = (Vec::new(), 0);
     for n in 0..2000 {
         let name = piece(n % 2).name();
         let now = rig.now();
-        let part = Part { object: &name, part: 0, group: piece(n % 2).group() };
+        let part = Part {
+            object: &name,
+            part: 0,
+            group: piece(n % 2).group(),
+        };
         match rig.store.fetch(now, part, &mut rig.shelf) {
             Some(ticket) => taken.push(ticket),
             None => refused += 1,
@@ -49,19 +76,36 @@
         keep(&mut rig, 10_000 + n);
         rig.turn();
     }
-    assert!(taken.len() < 100 && refused > 1900, "{} taken, {refused} refused", taken.len());
+    assert!(
+        taken.len() < 100 && refused > 1900,
+        "{} taken, {refused} refused",
+        taken.len()
+    );
     assert!(rig.shelf.fetched.is_empty());
-    assert_eq!(place(&mut rig, 11_999), Some(Place::Memory), "memory goes on");
-    let waiting =
-        rig.store.bytes() - rig.store.memory().bytes() - rig.store.disk().map_or(0, |d| d.index().bytes());
+    assert_eq!(
+        place(&mut rig, 11_999),
+        Some(Place::Memory),
+        "memory goes on"
+    );
+    let waiting = rig.store.bytes()
+        - rig.store.memory().bytes()
+        - rig.store.disk().map_or(0, |d| d.index().bytes());
     assert!(waiting <= 12 << 20, "{waiting} bytes wait for it");
     disk.hang(false);
     assert!(rig.until(LONG, |rig| rig.shelf.fetched.len() == taken.len()));
-    assert!(rig.shelf.fetched.iter().all(|(_, fetched)| matches!(fetched, Fetched::Copy(_))));
+    assert!(
+        rig.shelf
+            .fetched
+            .iter()
+            .all(|(_, fetched)| matches!(fetched, Fetched::Copy(_)))
+    );
     keep(&mut rig, 50_000);
     (0..500).for_each(|n| {
         keep(&mut rig, 60_000 + n);
         rig.turn();
     });
-    assert!(rig.until(LONG, |rig| place(rig, 50_000) == Some(Place::Disk)), "written to again");
+    assert!(
+        rig.until(LONG, |rig| place(rig, 50_000) == Some(Place::Disk)),
+        "written to again"
+    );
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -17,7 +17,8 @@
 
 pub use values::Amount;
 pub use words::{
-    Bound, CellMembers, Cells, Entry, Log, LogFormat, Peers, Regions, Set, Store, Table, Told, WORDS,
+    Bound, CellMembers, Cells, Entry, Log, LogFormat, Peers, Regions, Set, Store, Table, Told,
+    WORDS,
 };
 
 use lines::{Line, Word};
@@ -83,12 +84,23 @@
 
 impl<T: Default> Reading<T> {
     fn new(words: &'static Table<T>) -> Reading<T> {
-        Reading { words, told: T::default(), faults: Vec::new(), given: Vec::new(), lines: 0 }
+        Reading {
+            words,
+            told: T::default(),
+            faults: Vec::new(),
+            given: Vec::new(),
+            lines: 0,
+        }
     }
 
     fn fault(&mut self, file: Option<&Path>, at: &Word, what: String) {
         let file = file.map(Path::to_path_buf);
-        self.faults.push(Fault { file, line: at.line, column: at.column, what });
+        self.faults.push(Fault {
+            file,
+            line: at.line,
+            column: at.column,
+            what,
+        });
     }
 
     fn file(&mut self, path: &Path, from: Option<(&Path, &Word)>, depth: usize) {
@@ -99,9 +111,16 @@
         };
         match (text, from) {
             (Ok(text), _) => self.text(&text, Some(path), depth),
-            (Err(e), Some((file, word))) => self.fault(Some(file), word, format!("{}: {e}", path.display())),
+            (Err(e), Some((file, word))) => {
+                self.fault(Some(file), word, format!("{}: {e}", path.display()))
+            }
             (Err(e), None) => {
-                self.faults.push(Fault { file: Some(path.to_path_buf()), line: 1, column: 1, what: e });
+                self.faults.push(Fault {
+                    file: Some(path.to_path_buf()),
+                    line: 1,
+                    column: 1,
+                    what: e,
+                });
             }
         }
     }
@@ -109,15 +128,23 @@
     fn text(&mut self, text: &str, file: Option<&Path>, depth: usize) {
         let (lines, faults) = lines::lines(text);
         let file_of = || file.map(Path::to_path_buf);
-        let cut =
-            faults.into_iter().map(|(line, column, what)| Fault { file: file_of(), line, column, what });
+        let cut = faults.into_iter().map(|(line, column, what)| Fault {
+            file: file_of(),
+            line,
+            column,
+            what,
+        });
         self.faults.extend(cut);
         // The section that is open, and where it began.
         let mut section: Option<(&'static str, Word)> = None;
         for line in lines {
             self.lines += 1;
             if self.lines > LINES_MOST {
-                return self.fault(file, &line[0], format!("more than {LINES_MOST} lines in all"));
+                return self.fault(
+                    file,
+                    &line[0],
+                    format!("more than {LINES_MOST} lines in all"),
+                );
             }
             self.line(line, file, depth, &mut section);
         }
@@ -150,11 +177,19 @@
                 self.fault(file, first, what);
             } else if known.is_none() {
                 let near = nearest(&first.text, self.words.sections().copied());
-                self.fault(file, first, format!("{} is not a section{near}", first.text));
+                self.fault(
+                    file,
+                    first,
+                    format!("{} is not a section{near}", first.text),
+                );
             }
             *section = Some((known.copied().unwrap_or(""), first.clone()));
             if let Some(more) = rest.iter().find(|w| *w != brace) {
-                self.fault(file, more, "a section begins with its name and { alone on a line".into());
+                self.fault(
+                    file,
+                    more,
+                    "a section begins with its name and { alone on a line".into(),
+                );
             }
             return;
         }
@@ -167,21 +202,37 @@
             return self.include(first, rest, file, depth);
         }
         let Some(entry) = self.words.find(within, &first.text) else {
-            let names = self.words.names(within).chain(within.is_empty().then_some("include"));
-            let of = if within.is_empty() { String::new() } else { format!(" of {within}") };
-            let elsewhere = self.words.sections().find(|s| self.words.find(s, &first.text).is_some());
+            let names = self
+                .words
+                .names(within)
+                .chain(within.is_empty().then_some("include"));
+            let of = if within.is_empty() {
+                String::new()
+            } else {
+                format!(" of {within}")
+            };
+            let elsewhere = self
+                .words
+                .sections()
+                .find(|s| self.words.find(s, &first.text).is_some());
             let hint = match elsewhere {
                 Some(there) => format!("; it belongs in {there}"),
                 None => nearest(&first.text, names),
             };
-            return self.fault(file, first, format!("{} is not a directive{of}{hint}", first.text));
+            return self.fault(
+                file,
+                first,
+                format!("{} is not a directive{of}{hint}", first.text),
+            );
         };
         let here = match file {
             Some(file) => format!("{}:{}", file.display(), first.line),
             None => first.line.to_string(),
         };
-        if let Some((_, _, before)) =
-            self.given.iter().find(|(s, n, _)| !entry.many && (*s, *n) == (within, entry.name))
+        if let Some((_, _, before)) = self
+            .given
+            .iter()
+            .find(|(s, n, _)| !entry.many && (*s, *n) == (within, entry.name))
         {
             let what = format!("{} was given before, at {before}", entry.name);
             return self.fault(file, first, what);
@@ -206,7 +257,11 @@
             return self.fault(file, first, "include is written: include FILE".into());
         };
         if depth + 1 >= DEPTH_MOST {
-            return self.fault(file, name, format!("more than {DEPTH_MOST} files within one another"));
+            return self.fault(
+                file,
+                name,
+                format!("more than {DEPTH_MOST} files within one another"),
+            );
         }
         let beside = file.and_then(Path::parent).unwrap_or(Path::new(""));
         let path = beside.join(&name.text);
@@ -218,6 +273,8 @@
 /// `; memory is`, where a name is near enough.
 fn nearest<'a>(word: &str, names: impl Iterator<Item = &'a str>) -> String {
     let near = names.map(|name| (strsim::damerau_levenshtein(word, name), name));
-    let best = near.filter(|(far, name)| *far <= name.len().div_ceil(3)).min();
+    let best = near
+        .filter(|(far, name)| *far <= name.len().div_ceil(3))
+        .min();
     best.map_or_else(String::new, |(_, name)| format!("; {name} is"))
 }
--- a/crates/config/src/lines.rs
+++ b/crates/config/src/lines.rs
@@ -40,7 +40,11 @@
                         }
                     }
                     if !closed {
-                        faults.push((n + 1, column, "a quote that does not end on its line".to_owned()));
+                        faults.push((
+                            n + 1,
+                            column,
+                            "a quote that does not end on its line".to_owned(),
+                        ));
                     }
                 }
                 other => {
@@ -51,7 +55,11 @@
                     }
                 }
             }
-            words.push(Word { text: word, line: n + 1, column });
+            words.push(Word {
+                text: word,
+                line: n + 1,
+                column,
+            });
         }
         if !words.is_empty() {
             found.push(words);
--- a/crates/config/src/lines/tests.rs
+++ b/crates/config/src/lines/tests.rs
@@ -5,11 +5,25 @@
 fn words_stand_where_they_are_said_to() {
     let (lines, faults) = lines("a  b# c\n\n  store{ \"x \\\" # y\" }\n\"open");
     let texts = |at: usize| -> Vec<(&str, usize, usize)> {
-        lines[at].iter().map(|w| (w.text.as_str(), w.line, w.column)).collect()
+        lines[at]
+            .iter()
+            .map(|w| (w.text.as_str(), w.line, w.column))
+            .collect()
     };
     assert_eq!(texts(0), [("a", 1, 1), ("b", 1, 4)]);
-    assert_eq!(texts(1), [("store", 3, 3), ("{", 3, 8), ("x \" # y", 3, 10), ("}", 3, 21)]);
-    assert_eq!(faults, [(4, 1, "a quote that does not end on its line".to_owned())]);
+    assert_eq!(
+        texts(1),
+        [
+            ("store", 3, 3),
+            ("{", 3, 8),
+            ("x \" # y", 3, 10),
+            ("}", 3, 21)
+        ]
+    );
+    assert_eq!(
+        faults,
+        [(4, 1, "a quote that does not end on its line".to_owned())]
+    );
 }
 
 proptest! {
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -22,10 +22,15 @@
 
 /// `64MB`, `1.5GiB`, `4096`.
 pub fn bytes(word: &str) -> Result<u64, String> {
-    let found =
-        word.parse::<bytesize::ByteSize>().map_err(|_| format!("{word:?} is not a size, such as 64MB"))?;
+    let found = word
+        .parse::<bytesize::ByteSize>()
+        .map_err(|_| format!("{word:?} is not a size, such as 64MB"))?;
     // The crate takes what it cannot hold for the most it can.
-    if found.0 == u64::MAX { Err(format!("{word:?} is too large")) } else { Ok(found.0) }
+    if found.0 == u64::MAX {
+        Err(format!("{word:?} is too large"))
+    } else {
+        Ok(found.0)
+    }
 }
 
 /// `25%`, or bytes.
@@ -40,7 +45,9 @@
 pub fn share(word: &str) -> Result<f64, String> {
     let percent = word.strip_suffix('%').and_then(|p| p.parse::<f64>().ok());
     let percent = percent.filter(|p| (0.0..=100.0).contains(p));
-    percent.map(|p| p / 100.0).ok_or_else(|| format!("{word:?} is not a share from 0% to 100%"))
+    percent
+        .map(|p| p / 100.0)
+        .ok_or_else(|| format!("{word:?} is not a share from 0% to 100%"))
 }
 
 /// `250ms`, `1m 30s` as one word: `1m30s`.
--- a/crates/config/src/values/tests.rs
+++ b/crates/config/src/values/tests.rs
@@ -10,7 +10,10 @@
     assert_eq!(span("1m30s"), Ok(Duration::from_secs(90)));
     assert_eq!(span("0"), Ok(Duration::ZERO));
     for wrong in ["", "x", "-1", "12 parsecs", "99999999999999999EB"] {
-        assert!(bytes(wrong).is_err() && span(wrong).is_err() && share(wrong).is_err(), "{wrong}");
+        assert!(
+            bytes(wrong).is_err() && span(wrong).is_err() && share(wrong).is_err(),
+            "{wrong}"
+        );
     }
     assert!(share("101%").is_err() && whole("0", 1, 9).is_err());
 }
--- a/crates/config/src/words.rs
+++ b/crates/config/src/words.rs
@@ -175,11 +175,16 @@
     }
 
     pub fn find(&self, section: &str, name: &str) -> Option<&'static Entry<T>> {
-        self.entries.iter().find(|e| e.section == section && e.name == name)
+        self.entries
+            .iter()
+            .find(|e| e.section == section && e.name == name)
     }
 
     pub fn names(&self, section: &str) -> impl Iterator<Item = &'static str> {
-        self.entries.iter().filter(move |e| e.section == section).map(|e| e.name)
+        self.entries
+            .iter()
+            .filter(move |e| e.section == section)
+            .map(|e| e.name)
     }
 
     pub fn sections(&self) -> impl Iterator<Item = &'static &'static str> {
@@ -198,7 +203,10 @@
         return Ok(found);
     }
     let say = |n| bytesize::ByteSize(n).to_string();
-    Err((0, format!("{word} is not from {} to {}", say(least), say(most))))
+    Err((
+        0,
+        format!("{word} is not from {} to {}", say(least), say(most)),
+    ))
 }
 
 fn on_or_off(word: &str) -> Result<bool, (usize, String)> {
@@ -218,9 +226,14 @@
             let [from, to] = [from, to].map(|word| at(1, values::whole(word, 0, u64::MAX)));
             Ok(Bound::Groups(from?..=to?))
         }
-        "customer" => Ok(Bound::Customer(at(1, values::whole(words[1], 0, 1 << 32))? as usize)),
+        "customer" => Ok(Bound::Customer(
+            at(1, values::whole(words[1], 0, 1 << 32))? as usize
+        )),
         "category" => Ok(Bound::Class(words[1].to_owned())),
-        other => Err((0, format!("{other:?} is not prefix, group, customer or category"))),
+        other => Err((
+            0,
+            format!("{other:?} is not prefix, group, customer or category"),
+        )),
     }
 }
 
@@ -231,29 +244,55 @@
     says: &'static str,
     set: Set<Told>,
 ) -> Entry<Told> {
-    Entry { section, name, takes, count: 1..=1, many: false, says, set }
+    Entry {
+        section,
+        name,
+        takes,
+        count: 1..=1,
+        many: false,
+        says,
+        set,
+    }
 }
 
 /// Every directive there is.
 pub const WORDS: Table<Told> = Table::new(
     &["store", "cells", "peers", "regions"],
     &[
-        one("", "log-format", "text|json", "how a log line looks", |told, words| {
-            told.log.format = match words[0] {
-                "text" => LogFormat::Text,
-                "json" => LogFormat::Json,
-                other => return Err((0, format!("{other:?} is neither text nor json"))),
-            };
-            Ok(())
-        }),
-        one("", "log-level", "LEVEL", "what is logged, as RUST_LOG says it", |told, words| {
-            told.log.level = Some(words[0].to_owned());
-            Ok(())
-        }),
-        one("", "control", "PATH", "a Unix socket for chalkhall's commands, mode 0600", |told, words| {
-            told.control = Some(PathBuf::from(words[0]));
-            Ok(())
-        }),
+        one(
+            "",
+            "log-format",
+            "text|json",
+            "how a log line looks",
+            |told, words| {
+                told.log.format = match words[0] {
+                    "text" => LogFormat::Text,
+                    "json" => LogFormat::Json,
+                    other => return Err((0, format!("{other:?} is neither text nor json"))),
+                };
+                Ok(())
+            },
+        ),
+        one(
+            "",
+            "log-level",
+            "LEVEL",
+            "what is logged, as RUST_LOG says it",
+            |told, words| {
+                told.log.level = Some(words[0].to_owned());
+                Ok(())
+            },
+        ),
+        one(
+            "",
+            "control",
+            "PATH",
+            "a Unix socket for chalkhall's commands, mode 0600",
+            |told, words| {
+                told.control = Some(PathBuf::from(words[0]));
+                Ok(())
+            },
+        ),
         one(
             "store",
             "memory",
@@ -272,15 +311,22 @@
             many: false,
             says: "own copies on disk: where, and how many bytes",
             set: |told, words| {
-                let size = bytes_within(words[1], 16 << 20, 1 << 50).map_err(|(_, what)| (1, what))?;
+                let size =
+                    bytes_within(words[1], 16 << 20, 1 << 50).map_err(|(_, what)| (1, what))?;
                 told.store.disk = Some((PathBuf::from(words[0]), size));
                 Ok(())
             },
         },
-        one("store", "segment", "SIZE", "how long a segment file gets", |told, words| {
-            told.store.segment = bytes_within(words[0], 1_000_000, 1 << 30)?;
-            Ok(())
-        }),
+        one(
+            "store",
+            "segment",
+            "SIZE",
+            "how long a segment file gets",
+            |told, words| {
+                told.store.segment = bytes_within(words[0], 1_000_000, 1 << 30)?;
+                Ok(())
+            },
+        ),
         one(
             "store",
             "index-memory",
@@ -291,18 +337,36 @@
                 Ok(())
             },
         ),
-        one("store", "write-rate", "SIZE", "bytes admitted to the disk in a second", |told, words| {
-            told.store.write_rate = Some(bytes_within(words[0], 1 << 10, 1 << 40)?);
-            Ok(())
-        }),
-        one("store", "write-day", "SIZE", "bytes admitted to the disk in a day", |told, words| {
-            told.store.write_day = Some(bytes_within(words[0], 1 << 20, 1 << 50)?);
-            Ok(())
-        }),
-        one("store", "least-fresh", "SPAN", "what is fresh for less is not written", |told, words| {
-            told.store.least_fresh = at(0, values::span(words[0]))?;
-            Ok(())
-        }),
+        one(
+            "store",
+            "write-rate",
+            "SIZE",
+            "bytes admitted to the disk in a second",
+            |told, words| {
+                told.store.write_rate = Some(bytes_within(words[0], 1 << 10, 1 << 40)?);
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "write-day",
+            "SIZE",
+            "bytes admitted to the disk in a day",
+            |told, words| {
+                told.store.write_day = Some(bytes_within(words[0], 1 << 20, 1 << 50)?);
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "least-fresh",
+            "SPAN",
+            "what is fresh for less is not written",
+            |told, words| {
+                told.store.least_fresh = at(0, values::span(words[0]))?;
+                Ok(())
+            },
+        ),
         one(
             "store",
             "carry",
@@ -313,18 +377,36 @@
                 Ok(())
             },
         ),
-        one("store", "readers", "COUNT", "threads that read from the disk", |told, words| {
-            told.store.readers = at(0, values::whole(words[0], 1, 64))? as usize;
-            Ok(())
-        }),
-        one("store", "sync-after", "SPAN", "how long a written part may wait to be synced", |told, words| {
-            told.store.sync_after = at(0, values::span(words[0]))?;
-            Ok(())
-        }),
-        one("store", "sync-bytes", "SIZE", "how many written bytes may wait to be synced", |told, words| {
-            told.store.sync_bytes = bytes_within(words[0], 1, 1 << 40)?;
-            Ok(())
-        }),
+        one(
+            "store",
+            "readers",
+            "COUNT",
+            "threads that read from the disk",
+            |told, words| {
+                told.store.readers = at(0, values::whole(words[0], 1, 64))? as usize;
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "sync-after",
+            "SPAN",
+            "how long a written part may wait to be synced",
+            |told, words| {
+                told.store.sync_after = at(0, values::span(words[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "sync-bytes",
+            "SIZE",
+            "how many written bytes may wait to be synced",
+            |told, words| {
+                told.store.sync_bytes = bytes_within(words[0], 1, 1 << 40)?;
+                Ok(())
+            },
+        ),
         one(
             "store",
             "known-purges",
@@ -335,22 +417,46 @@
                 Ok(())
             },
         ),
-        one("store", "revalidate", "COUNT", "unproven copies asked for again in a second", |told, words| {
-            told.store.revalidate = at(0, values::whole(words[0], 0, 100_000))? as f64;
-            Ok(())
-        }),
-        one("store", "read-ahead", "COUNT", "parts read ahead of one asked for in turn", |told, words| {
-            told.store.read_ahead = at(0, values::whole(words[0], 0, 64))? as usize;
-            Ok(())
-        }),
-        one("store", "scrub", "SIZE", "bytes a second read to find damage", |told, words| {
-            told.store.scrub = at(0, values::bytes(words[0]))?;
-            Ok(())
-        }),
-        one("store", "yield-over", "SPAN", "background work pauses while turns come later", |told, words| {
-            told.store.yield_over = at(0, values::span(words[0]))?;
-            Ok(())
-        }),
+        one(
+            "store",
+            "revalidate",
+            "COUNT",
+            "unproven copies asked for again in a second",
+            |told, words| {
+                told.store.revalidate = at(0, values::whole(words[0], 0, 100_000))? as f64;
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "read-ahead",
+            "COUNT",
+            "parts read ahead of one asked for in turn",
+            |told, words| {
+                told.store.read_ahead = at(0, values::whole(words[0], 0, 64))? as usize;
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "scrub",
+            "SIZE",
+            "bytes a second read to find damage",
+            |told, words| {
+                told.store.scrub = at(0, values::bytes(words[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "store",
+            "yield-over",
+            "SPAN",
+            "background work pauses while turns come later",
+            |told, words| {
+                told.store.yield_over = at(0, values::span(words[0]))?;
+                Ok(())
+            },
+        ),
         one(
             "cells",
             "epoch",
@@ -370,13 +476,17 @@
             says: "a part of the fleet, and which cache servers it has",
             set: |told, words| {
                 let members = match (words[1], &words[2..]) {
-                    ("list", servers) => CellMembers::List(servers.iter().map(|s| (*s).to_owned()).collect()),
+                    ("list", servers) => {
+                        CellMembers::List(servers.iter().map(|s| (*s).to_owned()).collect())
+                    }
                     ("share", [share]) => CellMembers::Share(at(2, values::share(share))?),
                     ("shuffle", [count]) => {
                         CellMembers::Shuffle(at(2, values::whole(count, 1, 10_000))? as usize)
                     }
                     ("share" | "shuffle", _) => return Err((3, "one word too many".into())),
-                    (other, _) => return Err((1, format!("{other:?} is not list, share or shuffle"))),
+                    (other, _) => {
+                        return Err((1, format!("{other:?} is not list, share or shuffle")));
+                    }
                 };
                 told.cells.cells.push((words[0].to_owned(), members));
                 Ok(())
@@ -390,7 +500,9 @@
             many: true,
             says: "what belongs to a cell",
             set: |told, words| {
-                told.cells.bindings.push((bound(words)?, words[2].to_owned()));
+                told.cells
+                    .bindings
+                    .push((bound(words)?, words[2].to_owned()));
                 Ok(())
             },
         },
@@ -416,10 +528,16 @@
                 Ok(())
             },
         ),
-        one("cells", "overlap", "COUNT", "servers that two drawn cells may share", |told, words| {
-            told.cells.overlap = Some(at(0, values::whole(words[0], 0, 10_000))? as usize);
-            Ok(())
-        }),
+        one(
+            "cells",
+            "overlap",
+            "COUNT",
+            "servers that two drawn cells may share",
+            |told, words| {
+                told.cells.overlap = Some(at(0, values::whole(words[0], 0, 10_000))? as usize);
+                Ok(())
+            },
+        ),
         one(
             "regions",
             "in-common",
@@ -458,13 +576,22 @@
             many: true,
             says: "zones that are near one another",
             set: |told, words| {
-                if told.regions.regions.iter().any(|(name, _)| name == words[0]) {
+                if told
+                    .regions
+                    .regions
+                    .iter()
+                    .any(|(name, _)| name == words[0])
+                {
                     return Err((0, format!("region {} is told twice", words[0])));
                 }
                 let zones: Vec<String> = words[1..].iter().map(|w| (*w).to_owned()).collect();
-                let taken = |at: &String| told.regions.regions.iter().any(|(_, all)| all.contains(at));
+                let taken =
+                    |at: &String| told.regions.regions.iter().any(|(_, all)| all.contains(at));
                 if let Some(place) = zones.iter().position(taken) {
-                    return Err((place + 1, format!("{} is in a region already", words[place + 1])));
+                    return Err((
+                        place + 1,
+                        format!("{} is in a region already", words[place + 1]),
+                    ));
                 }
                 told.regions.regions.push((words[0].to_owned(), zones));
                 Ok(())
@@ -482,14 +609,26 @@
                 Ok(())
             },
         },
-        one("peers", "tell", "on|off", "tells the routers of the zone what it sights", |told, words| {
-            told.peers.tell = on_or_off(words[0])?;
-            Ok(())
-        }),
-        one("peers", "even-load", "on|off", "with tell: evens out the load of the caches", |told, words| {
-            told.peers.even_load = on_or_off(words[0])?;
-            Ok(())
-        }),
+        one(
+            "peers",
+            "tell",
+            "on|off",
+            "tells the routers of the zone what it sights",
+            |told, words| {
+                told.peers.tell = on_or_off(words[0])?;
+                Ok(())
+            },
+        ),
+        one(
+            "peers",
+            "even-load",
+            "on|off",
+            "with tell: evens out the load of the caches",
+            |told, words| {
+                told.peers.even_load = on_or_off(words[0])?;
+                Ok(())
+            },
+        ),
         Entry {
             section: "cells",
             name: "tenant-rate",
@@ -499,7 +638,8 @@
             says: "requests a second of one tenant, and how many at once",
             set: |told, words| {
                 let rate = at(0, values::whole(words[0], 1, 1_000_000))? as f64;
-                told.cells.tenant = Some((rate, at(1, values::whole(words[1], 1, 1_000_000))? as f64));
+                told.cells.tenant =
+                    Some((rate, at(1, values::whole(words[1], 1, 1_000_000))? as f64));
                 Ok(())
             },
         },
