--- a/crates/failover/src/decide.rs
+++ b/crates/failover/src/decide.rs
@@ -36,9 +36,27 @@
     chalkhall_latency::LANES[0],
     chalkhall_latency::LANES[1],
     chalkhall_latency::LANES[2],
-    Lane { kind: LOAD, near: true, first: false, keep: 256, lasts: LASTS },
-    Lane { kind: HOME, near: false, first: false, keep: HOME_TELLERS, lasts: LASTS },
-    Lane { kind: PLAN, near: true, first: true, keep: 4, lasts: PLAN_LASTS },
+    Lane {
+        kind: LOAD,
+        near: true,
+        first: false,
+        keep: 256,
+        lasts: LASTS,
+    },
+    Lane {
+        kind: HOME,
+        near: false,
+        first: false,
+        keep: HOME_TELLERS,
+        lasts: LASTS,
+    },
+    Lane {
+        kind: PLAN,
+        near: true,
+        first: true,
+        keep: 4,
+        lasts: PLAN_LASTS,
+    },
 ];
 /// A peer that gave a sign of life so lately asks for something.
 const ALIVE: Duration = Duration::from_secs(5);
@@ -158,8 +176,22 @@
 impl Regions {
     /// None where there is nobody to talk to.
     pub fn start(now: Duration, about: About) -> Option<Regions> {
-        let About { number, routers, place, places, incarnation, seed, .. } = about;
-        let stand = Stand { number, routers, place, incarnation, seed };
+        let About {
+            number,
+            routers,
+            place,
+            places,
+            incarnation,
+            seed,
+            ..
+        } = about;
+        let stand = Stand {
+            number,
+            routers,
+            place,
+            incarnation,
+            seed,
+        };
         let fits = places <= usize::from(u8::MAX) && usize::from(place) < places;
         let gossip = Gossip::start(now, stand, &LANES).filter(|_| fits)?;
         let mut chance = fastrand::Rng::with_seed(seed ^ 0x2e91);
@@ -202,12 +234,18 @@
 
     /// The list tells of caches anew, by zone. More zones than there are are not known.
     pub fn list(&mut self, places: &[Place]) {
-        self.places.iter_mut().zip(places).for_each(|(known, told)| *known = *told);
+        self.places
+            .iter_mut()
+            .zip(places)
+            .for_each(|(known, told)| *known = *told);
     }
 
     /// The operator empties these zones, or takes them into use again.
     pub fn drain(&mut self, places: &[usize]) {
-        self.drained.iter_mut().enumerate().for_each(|(place, drained)| *drained = places.contains(&place));
+        self.drained
+            .iter_mut()
+            .enumerate()
+            .for_each(|(place, drained)| *drained = places.contains(&place));
         self.urgent = true;
     }
 
@@ -226,7 +264,11 @@
     }
 
     fn asks(&self, now: Duration) -> f64 {
-        self.demand.0 * (-now.saturating_sub(self.demand.1).div_duration_f64(DEMAND_OVER)).exp()
+        self.demand.0
+            * (-now
+                .saturating_sub(self.demand.1)
+                .div_duration_f64(DEMAND_OVER))
+            .exp()
     }
 
     /// A request of this zone's clients has its final answer, in time or not.
@@ -245,7 +287,11 @@
 
     pub fn next(&self) -> Duration {
         let own = self.turned + TURN_EVERY;
-        if self.urgent { Duration::ZERO } else { own.min(self.gossip.next()) }
+        if self.urgent {
+            Duration::ZERO
+        } else {
+            own.min(self.gossip.next())
+        }
     }
 
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
@@ -264,24 +310,43 @@
     /// The loads of the zone's routers that are heard of, this one's among them.
     fn loads(&self, now: Duration) -> impl Iterator<Item = (u16, Load)> {
         let (good, bad) = self.seen.now(now);
-        let own = (self.about.number, Load { demand: self.asks(now), good, bad });
+        let own = (
+            self.about.number,
+            Load {
+                demand: self.asks(now),
+                good,
+                bad,
+            },
+        );
         let number = self.about.number;
-        let peers = self.gossip.words(now, LOAD).filter(move |(topic, _)| topic.teller != number);
+        let peers = self
+            .gossip
+            .words(now, LOAD)
+            .filter(move |(topic, _)| topic.teller != number);
         let peers = peers.filter_map(move |(topic, word)| {
             let age = now.saturating_sub(word.told);
             let fades = (-age.div_duration_f64(crate::evidence::HALF_LIFE)).exp2();
             let load = Load::decode(&word.body)?;
-            Some((topic.teller, Load { good: load.good * fades, bad: load.bad * fades, ..load }))
+            Some((
+                topic.teller,
+                Load {
+                    good: load.good * fades,
+                    bad: load.bad * fades,
+                    ..load
+                },
+            ))
         });
         peers.chain([own])
     }
 
     fn judge(&mut self, now: Duration) {
         // No router counts for more than four requests: one that is itself broken is outvoted.
-        let (good, bad, peers) = self.loads(now).fold((0.0, 0.0, 0), |(good, bad, peers), (_, load)| {
-            let scale = (4.0 / (load.good + load.bad).max(4.0)).min(1.0);
-            (good + load.good * scale, bad + load.bad * scale, peers + 1)
-        });
+        let (good, bad, peers) =
+            self.loads(now)
+                .fold((0.0, 0.0, 0), |(good, bad, peers), (_, load)| {
+                    let scale = (4.0 / (load.good + load.bad).max(4.0)).min(1.0);
+                    (good + load.good * scale, bad + load.bad * scale, peers + 1)
+                });
         // Nobody heard: as ever, on its own.
         if peers > 1 {
             self.urgent |= self.health.judge(now, good, bad);
@@ -293,23 +358,35 @@
         if place == usize::from(self.about.place) {
             return Some(self.own_home(now));
         }
-        let words = self.gossip.words(now, HOME).filter(|(_, word)| usize::from(word.place) == place);
-        let told: Vec<Home> = words.filter_map(|(_, word)| Home::decode(&word.body)).collect();
-        let most = |of: fn(&Home) -> bool| told.iter().filter(|home| of(home)).count() * 2 > told.len();
+        let words = self
+            .gossip
+            .words(now, HOME)
+            .filter(|(_, word)| usize::from(word.place) == place);
+        let told: Vec<Home> = words
+            .filter_map(|(_, word)| Home::decode(&word.body))
+            .collect();
+        let most =
+            |of: fn(&Home) -> bool| told.iter().filter(|home| of(home)).count() * 2 > told.len();
         let middle = |of: fn(&Home) -> f64| {
             let mut all: Vec<f64> = told.iter().map(of).collect();
             all.sort_by(f64::total_cmp);
             all.get(all.len() / 2).copied()
         };
         let (bad, drained) = (most(|home| home.bad), most(|home| home.drained));
-        Some(Home { bad, drained, demand: middle(|home| home.demand)?, strain: middle(|home| home.strain)? })
+        Some(Home {
+            bad,
+            drained,
+            demand: middle(|home| home.demand)?,
+            strain: middle(|home| home.strain)?,
+        })
     }
 
     /// What the zone asks for: what is heard of, and for each peer that lives but of whose load nothing
     /// is known just now as much as the others ask for on average. Too little told would overfill this place.
     fn demand_here(&self, now: Duration) -> f64 {
-        let (sum, known) =
-            self.loads(now).fold((0.0, 0.0), |(sum, known), (_, load)| (sum + load.demand, known + 1.0));
+        let (sum, known) = self.loads(now).fold((0.0, 0.0), |(sum, known), (_, load)| {
+            (sum + load.demand, known + 1.0)
+        });
         let alive = self.gossip.peers(now, ALIVE).count() as f64 + 1.0;
         sum * (alive / known).max(1.0)
     }
@@ -320,13 +397,20 @@
             bad: self.health.is_bad(),
             drained: self.drained[usize::from(self.about.place)],
             demand: self.demand_here(now),
-            strain: if good + bad > 1.0 { bad / (good + bad) } else { 0.0 },
+            strain: if good + bad > 1.0 {
+                bad / (good + bad)
+            } else {
+                0.0
+            },
         }
     }
 
     /// The router that speaks for the zone, as far as this one hears.
     pub fn speaker(&self, now: Duration) -> u16 {
-        self.loads(now).map(|(number, _)| number).min().unwrap_or(self.about.number)
+        self.loads(now)
+            .map(|(number, _)| number)
+            .min()
+            .unwrap_or(self.about.number)
     }
 
     /// More than half of the zones heard of are bad.
@@ -338,22 +422,42 @@
 
     /// What this zone may send to each, itself among them.
     fn offers(&self, now: Duration, homes: &[Option<Home>]) -> (Vec<Offer>, Vec<f64>) {
-        let since = self.reckoned.map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
+        let since = self
+            .reckoned
+            .map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
         let mut rooms = vec![0.0; self.places.len()];
         let own = usize::from(self.about.place);
-        let bad = homes.iter().flatten().filter(|home| home.bad).count().max(1) as f64;
+        let bad = homes
+            .iter()
+            .flatten()
+            .filter(|home| home.bad)
+            .count()
+            .max(1) as f64;
         let mut offers = Vec::new();
         for (edge, (place, home)) in self.places.iter().zip(homes).enumerate() {
             if edge == own {
                 // Near while safe: all that it can do now, before anything leaves. One that is drained comes
                 // last, and keeps what nobody else has taken yet: nothing fails there.
-                let last = if self.drained[own] { Duration::from_secs(3600) } else { Duration::ZERO };
-                let way =
-                    Some(Estimate { p50: Some(last), p90: Some(last), lost: 0.0, doubt: 0.0, tellers: 1 });
+                let last = if self.drained[own] {
+                    Duration::from_secs(3600)
+                } else {
+                    Duration::ZERO
+                };
+                let way = Some(Estimate {
+                    p50: Some(last),
+                    p90: Some(last),
+                    lost: 0.0,
+                    doubt: 0.0,
+                    tellers: 1,
+                });
                 offers.push(Offer {
                     edge,
                     way,
-                    room: if self.health.is_bad() { 0.0 } else { place.present },
+                    room: if self.health.is_bad() {
+                        0.0
+                    } else {
+                        place.present
+                    },
                 });
                 continue;
             }
@@ -361,20 +465,27 @@
             let Some(home) = home else { continue };
             let way = self.model.way(now, &self.gossip, edge);
             let silent = way.is_some_and(|way| way.p50.is_none());
-            let usable = self.about.abroad && !home.bad && !home.drained && !self.drained[edge] && !silent;
+            let usable =
+                self.about.abroad && !home.bad && !home.drained && !self.drained[edge] && !silent;
             let strain = 1.0 - (home.strain / STRAIN_MOST).min(1.0);
             let room = (place.warm * FULL - home.demand).max(0.0) * strain;
             let grown = self.rooms[edge] + ROOM_GROWS * place.capacity * since;
             let room = room.min(if self.reckoned.is_some() { grown } else { room });
             rooms[edge] = room;
             let room = room / bad;
-            offers.push(Offer { edge, way, room: if usable { room } else { 0.0 } });
+            offers.push(Offer {
+                edge,
+                way,
+                room: if usable { room } else { 0.0 },
+            });
         }
         (offers, rooms)
     }
 
     fn homes(&self, now: Duration) -> Vec<Option<Home>> {
-        (0..self.about.places).map(|place| self.home(now, place)).collect()
+        (0..self.about.places)
+            .map(|place| self.home(now, place))
+            .collect()
     }
 
     /// Takes up the plan with the greatest number, of those that are told now; none where none is.
@@ -400,7 +511,11 @@
             self.turned = now;
             self.judge(now);
             let home = usize::from(self.about.place);
-            self.trial = match self.model.way(now, &self.gossip, home).filter(|_| self.health.is_bad()) {
+            self.trial = match self
+                .model
+                .way(now, &self.gossip, home)
+                .filter(|_| self.health.is_bad())
+            {
                 None => TRIAL_BLIND,
                 Some(way) if way.p50.is_some() => TRIAL,
                 Some(_) => 0.0,
@@ -409,15 +524,23 @@
             if urgent || now >= self.told + TELL_EVERY {
                 self.told = now;
                 let (good, bad) = self.seen.now(now);
-                let load = Load { demand: self.asks(now), good, bad };
+                let load = Load {
+                    demand: self.asks(now),
+                    good,
+                    bad,
+                };
                 self.gossip.say(now, LOAD, 0, load.encode(), urgent);
                 let home = self.own_home(now);
                 // All zones hear at once only of what turns, and of no more tellers than are kept: a word
                 // in a hurry costs the whole fleet some datagrams each.
                 let now_of = (home.bad, home.drained);
                 let turned = std::mem::replace(&mut self.told_of, now_of) != now_of;
-                let before = self.loads(now).filter(|(number, _)| *number < self.about.number).count();
-                self.gossip.say(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
+                let before = self
+                    .loads(now)
+                    .filter(|(number, _)| *number < self.about.number)
+                    .count();
+                self.gossip
+                    .say(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
                 for (kind, part, body) in self.model.words(now, &self.gossip) {
                     self.gossip.say(now, kind, part, body, false);
                 }
@@ -453,15 +576,27 @@
             }
             self.table.turn(now, demand, &offers);
         }
-        let shares: Vec<(usize, f64)> =
-            self.table.shares().iter().copied().filter(|(_, share)| *share > 0.0).take(TAKERS_MOST).collect();
+        let shares: Vec<(usize, f64)> = self
+            .table
+            .shares()
+            .iter()
+            .copied()
+            .filter(|(_, share)| *share > 0.0)
+            .take(TAKERS_MOST)
+            .collect();
         let moved = |(edge, share): &(usize, f64)| {
-            before.iter().find(|(e, _)| e == edge).is_none_or(|(_, before)| (before - share).abs() > MOVED)
+            before
+                .iter()
+                .find(|(e, _)| e == edge)
+                .is_none_or(|(_, before)| (before - share).abs() > MOVED)
         };
-        let changed =
-            shares.iter().any(moved) || before.iter().filter(|(_, s)| *s > 0.0).count() != shares.len();
+        let changed = shares.iter().any(moved)
+            || before.iter().filter(|(_, s)| *s > 0.0).count() != shares.len();
         let much = shares.iter().any(|(edge, share)| {
-            let known = before.iter().find(|(e, _)| e == edge).map_or(0.0, |(_, share)| *share);
+            let known = before
+                .iter()
+                .find(|(e, _)| e == edge)
+                .map_or(0.0, |(_, share)| *share);
             (known - share).abs() > MUCH
         });
         let home_again = shares == [(own, 1.0)];
@@ -471,8 +606,12 @@
             return;
         }
         self.number += u32::from(changed);
-        let plan = Plan { number: self.number, shares };
-        self.gossip.say(now, PLAN, self.about.place, plan.encode(), urgent || much);
+        let plan = Plan {
+            number: self.number,
+            shares,
+        };
+        self.gossip
+            .say(now, PLAN, self.about.place, plan.encode(), urgent || much);
     }
 
     /// Where a request goes. `at`: from 0 to 1, the same for the same part, so that few move as shares do.
@@ -481,7 +620,11 @@
     pub fn request(&mut self, at: f64, may_leave: bool, worth: f64) -> Where {
         self.worths.note(worth);
         let own = usize::from(self.about.place);
-        let Some((plan, _)) = self.plan.as_ref().filter(|_| may_leave && self.about.abroad) else {
+        let Some((plan, _)) = self
+            .plan
+            .as_ref()
+            .filter(|_| may_leave && self.about.abroad)
+        else {
             return Where::Home;
         };
         let sum: f64 = plan.shares.iter().map(|(_, share)| share).sum();
@@ -527,9 +670,16 @@
         let (homes, own) = (self.homes(now), usize::from(self.about.place));
         let (offers, _) = self.offers(now, &homes);
         let edge = |edge: usize| {
-            let room = offers.iter().find(|o| o.edge == edge).map_or(0.0, |o| o.room);
+            let room = offers
+                .iter()
+                .find(|o| o.edge == edge)
+                .map_or(0.0, |o| o.room);
             let home = self.plan.is_none() && edge == own && !self.health.is_bad();
-            let planned = self.plan_shares().iter().find(|(e, _)| *e == edge).map(|(_, share)| *share);
+            let planned = self
+                .plan_shares()
+                .iter()
+                .find(|(e, _)| *e == edge)
+                .map(|(_, share)| *share);
             Edge {
                 edge,
                 share: planned.unwrap_or(f64::from(u8::from(home))),
@@ -542,11 +692,14 @@
         let mut edges: Vec<Edge> = (0..self.about.places).map(edge).collect();
         let cost = |edge: &Edge| {
             let leg = edge.leg.and_then(|leg| leg.p50).unwrap_or(Duration::ZERO);
-            let way = edge.way.and_then(|way| way.p50).unwrap_or(if edge.edge == own {
-                Duration::ZERO
-            } else {
-                Duration::MAX
-            });
+            let way = edge
+                .way
+                .and_then(|way| way.p50)
+                .unwrap_or(if edge.edge == own {
+                    Duration::ZERO
+                } else {
+                    Duration::MAX
+                });
             if edge.leg.is_some() { leg } else { way }
         };
         edges.sort_by_key(|edge| (edge.room <= 0.0, cost(edge), edge.edge));
@@ -557,7 +710,12 @@
         let homes = self.homes(now);
         let (offers, _) = self.offers(now, &homes);
         let own = usize::from(self.about.place);
-        let room = |edge: usize| offers.iter().find(|o| o.edge == edge).map_or(0.0, |o| o.room);
+        let room = |edge: usize| {
+            offers
+                .iter()
+                .find(|o| o.edge == edge)
+                .map_or(0.0, |o| o.room)
+        };
         let of = |(place, home): (usize, &Option<Home>)| {
             let home = home.unwrap_or_default();
             (home.bad, home.drained, home.demand, room(place))
--- a/crates/failover/src/decide/tests.rs
+++ b/crates/failover/src/decide/tests.rs
@@ -11,7 +11,9 @@
 
 impl Mouth for Said {
     fn say(&mut self, to: To, bytes: &[u8]) {
-        let To::One(to) = to else { panic!("nobody is told all") };
+        let To::One(to) = to else {
+            panic!("nobody is told all")
+        };
         self.0.push((to, bytes.to_vec()));
     }
 }
@@ -45,7 +47,14 @@
 
 const WARM_MS: u64 = 4000;
 
-fn router(now: u64, number: usize, places: usize, routers: usize, incarnation: u32, seed: u64) -> Regions {
+fn router(
+    now: u64,
+    number: usize,
+    places: usize,
+    routers: usize,
+    incarnation: u32,
+    seed: u64,
+) -> Regions {
     let place = (number % places) as u8;
     let about = About {
         number: number as u16,
@@ -64,7 +73,9 @@
         let capacity = 16.0;
         World {
             places,
-            routers: (0..routers).map(|n| Some(router(0, n, places, routers, 1, seed))).collect(),
+            routers: (0..routers)
+                .map(|n| Some(router(0, n, places, routers, 1, seed)))
+                .collect(),
             lives: 1,
             capacity,
             down: vec![false; places],
@@ -96,10 +107,21 @@
             let listed: Vec<Place> = (0..self.places)
                 .map(|p| {
                     // Down, the list goes on telling of it.
-                    let present = if self.down[p] { self.capacity } else { self.present(p, now) };
-                    let warm =
-                        if self.back[p].is_none_or(|at| now >= at + WARM_MS) { self.capacity } else { 0.0 };
-                    Place { capacity: self.capacity, present, warm }
+                    let present = if self.down[p] {
+                        self.capacity
+                    } else {
+                        self.present(p, now)
+                    };
+                    let warm = if self.back[p].is_none_or(|at| now >= at + WARM_MS) {
+                        self.capacity
+                    } else {
+                        0.0
+                    };
+                    Place {
+                        capacity: self.capacity,
+                        present,
+                        warm,
+                    }
                 })
                 .collect();
             // Who sends where: ten requests a router and turn, each a tenth of what it asks for.
@@ -109,9 +131,14 @@
             for (n, went) in went.iter_mut().enumerate() {
                 let place = n % self.places;
                 let work = self.demand[place] / here as f64 / 10.0;
-                let naive_to = self.down[place]
-                    .then(|| (1..self.places).map(|k| (place + k) % self.places).find(|p| !self.down[*p]));
-                let Some(regions) = &mut self.routers[n] else { continue };
+                let naive_to = self.down[place].then(|| {
+                    (1..self.places)
+                        .map(|k| (place + k) % self.places)
+                        .find(|p| !self.down[*p])
+                });
+                let Some(regions) = &mut self.routers[n] else {
+                    continue;
+                };
                 regions.list(&listed);
                 for k in 0..10 {
                     regions.asked(ms(now), work * 0.05);
@@ -130,23 +157,32 @@
                     went.push((to, work));
                 }
             }
-            let total: Vec<f64> = (0..self.places).map(|to| sent.iter().map(|row| row[to]).sum()).collect();
+            let total: Vec<f64> = (0..self.places)
+                .map(|to| sent.iter().map(|row| row[to]).sum())
+                .collect();
             let served: Vec<f64> = (0..self.places)
                 .map(|p| {
                     // What is asked too much of serves less than it could: it works on what comes too late.
                     let present = self.present(p, now);
                     let over = total[p] / present.max(1e-9);
-                    if over > 1.3 { 0.3 / over } else { (1.0 / over).min(1.0) }
+                    if over > 1.3 {
+                        0.3 / over
+                    } else {
+                        (1.0 / over).min(1.0)
+                    }
                 })
                 .collect();
             for (p, share) in served.iter().enumerate() {
-                self.toppled[p] +=
-                    f64::from(!self.down[p] && *share < 0.5 && self.present(p, now) == self.capacity) * 0.05;
+                self.toppled[p] += f64::from(
+                    !self.down[p] && *share < 0.5 && self.present(p, now) == self.capacity,
+                ) * 0.05;
             }
             for (n, went) in went.iter().enumerate() {
                 let place = n % self.places;
                 let broken = self.broken == Some(n);
-                let Some(regions) = &mut self.routers[n] else { continue };
+                let Some(regions) = &mut self.routers[n] else {
+                    continue;
+                };
                 for (to, _) in went.iter().copied() {
                     let good = self.chance.f64() < served[to];
                     if to == place {
@@ -164,9 +200,15 @@
             for p in 0..self.places {
                 let asked: f64 = sent[p].iter().sum::<f64>() + nowhere[p];
                 let got: f64 = (0..self.places).map(|to| sent[p][to] * served[to]).sum();
-                let abroad: f64 = (0..self.places).filter(|to| *to != p).map(|to| sent[p][to]).sum();
-                let needless =
-                    if !self.down[p] && self.present(p, now) >= self.demand[p] { abroad } else { 0.0 };
+                let abroad: f64 = (0..self.places)
+                    .filter(|to| *to != p)
+                    .map(|to| sent[p][to])
+                    .sum();
+                let needless = if !self.down[p] && self.present(p, now) >= self.demand[p] {
+                    abroad
+                } else {
+                    0.0
+                };
                 self.shown[p].push([asked, got, abroad, needless]);
                 let plans: std::collections::BTreeSet<Option<u32>> = self
                     .routers
@@ -176,14 +218,20 @@
                     .filter_map(|(_, r)| r.as_ref())
                     .map(|r| r.report(ms(now)).plan.map(|(plan, _)| plan.number))
                     .collect();
-                self.apart[p] = if plans.len() > 2 { self.apart[p] + 50 } else { 0 };
+                self.apart[p] = if plans.len() > 2 {
+                    self.apart[p] + 50
+                } else {
+                    0
+                };
                 self.apart_most = self.apart_most.max(self.apart[p]);
             }
             for small in (0..50).step_by(10) {
                 let now = now + small;
                 for n in 0..self.routers.len() {
                     let mut said = Said::default();
-                    let Some(regions) = &mut self.routers[n] else { continue };
+                    let Some(regions) = &mut self.routers[n] else {
+                        continue;
+                    };
                     if ms(now) >= regions.next() {
                         regions.tick(ms(now), &mut said);
                     }
@@ -228,17 +276,34 @@
         world.until(5000, 10_000);
         let [early, _, _] = world.shares(1, 5000, 7000);
         let [late, _, _] = world.shares(1, 7000, 10_000);
-        assert!(early > 0.4 && late > 0.9, "seed {seed}: {early} in the first two seconds, {late} then");
+        assert!(
+            early > 0.4 && late > 0.9,
+            "seed {seed}: {early} in the first two seconds, {late} then"
+        );
         world.comes_back(1, 10_000);
         world.until(10_000, 22_000);
         let [back, _, _] = world.shares(1, 10_000, 15_000);
         let [home, abroad, needless] = world.shares(1, 17_000, 22_000);
-        assert!(back > 0.9 && home > 0.98 && abroad < 0.02, "seed {seed}: {back} {home} {abroad} {needless}");
+        assert!(
+            back > 0.9 && home > 0.98 && abroad < 0.02,
+            "seed {seed}: {back} {home} {abroad} {needless}"
+        );
         for other in [0, 2, 3, 4, 5] {
-            assert!(world.shares(other, 5000, 22_000)[0] > 0.97, "takers' own clients come first");
-            assert_eq!(world.shares(other, 0, 22_000)[1], 0.0, "nobody else leaves home");
+            assert!(
+                world.shares(other, 5000, 22_000)[0] > 0.97,
+                "takers' own clients come first"
+            );
+            assert_eq!(
+                world.shares(other, 0, 22_000)[1],
+                0.0,
+                "nobody else leaves home"
+            );
         }
-        assert!(world.apart_most <= 1000, "apart for {} ms", world.apart_most);
+        assert!(
+            world.apart_most <= 1000,
+            "apart for {} ms",
+            world.apart_most
+        );
         assert_eq!(world.toppled.iter().sum::<f64>(), 0.0);
     }
 }
@@ -252,7 +317,10 @@
         world.lose(1);
         world.lose(4);
         world.until(4000, 12_000);
-        let all: f64 = (0..6).map(|p| world.shares(p, 6000, 12_000)[0]).sum::<f64>() / 6.0;
+        let all: f64 = (0..6)
+            .map(|p| world.shares(p, 6000, 12_000)[0])
+            .sum::<f64>()
+            / 6.0;
         (world.toppled.iter().sum::<f64>(), all)
     };
     let ((naive, served_naive), (ours, served)) = (play(true), play(false));
@@ -277,7 +345,10 @@
         world.until(now, now + 1000);
     }
     // From each that went away and came back: changes between mostly home and mostly abroad.
-    let homes: Vec<bool> = world.shown[1][80..].iter().map(|t| t[2] < 0.5 * t[0]).collect();
+    let homes: Vec<bool> = world.shown[1][80..]
+        .iter()
+        .map(|t| t[2] < 0.5 * t[0])
+        .collect();
     let flaps = homes.windows(2).filter(|w| w[0] && !w[1]).count();
     assert!(flaps <= 4, "{flaps} times left in 20 s");
 }
@@ -313,7 +384,10 @@
     world.routers[7] = None;
     world.until(9000, 15_000);
     let [served, abroad, _] = world.shares(1, 12_000, 15_000);
-    assert!(served > 0.85 && abroad > 0.85, "{served} {abroad} after their deaths");
+    assert!(
+        served > 0.85 && abroad > 0.85,
+        "{served} {abroad} after their deaths"
+    );
     world.lives += 1;
     for n in [1, 7] {
         world.routers[n] = Some(router(15_000, n, 6, 60, world.lives, 8));
@@ -322,19 +396,33 @@
     world.comes_back(1, 15_000);
     world.until(15_000, 28_000);
     let [served, abroad, _] = world.shares(1, 24_000, 28_000);
-    assert!(served > 0.98 && abroad < 0.02, "{served} {abroad} healed and back");
+    assert!(
+        served > 0.98 && abroad < 0.02,
+        "{served} {abroad} healed and back"
+    );
 }
 
 #[test]
 fn a_drained_zone_empties_without_a_fault_and_takes_nothing() {
     let mut world = World::new(6, 60, 0.5, 9);
     world.until(0, 3000);
-    world.routers.iter_mut().flatten().for_each(|r| r.drain(&[2]));
+    world
+        .routers
+        .iter_mut()
+        .flatten()
+        .for_each(|r| r.drain(&[2]));
     world.until(3000, 9000);
     let [served, abroad, _] = world.shares(2, 7000, 9000);
     assert!(served > 0.97 && abroad > 0.95, "{served} {abroad}");
-    assert!(world.shares(2, 3000, 9000)[0] > 0.97, "without a lost request on the way");
-    world.routers.iter_mut().flatten().for_each(|r| r.drain(&[]));
+    assert!(
+        world.shares(2, 3000, 9000)[0] > 0.97,
+        "without a lost request on the way"
+    );
+    world
+        .routers
+        .iter_mut()
+        .flatten()
+        .for_each(|r| r.drain(&[]));
     world.until(9000, 16_000);
     assert!(world.shares(2, 14_000, 16_000)[1] < 0.01);
 }
@@ -353,7 +441,10 @@
     assert!((0..100).all(|n| regions.request(f64::from(n) / 100.0, false, 1.0) == Where::Home));
     assert!(
         (0..100)
-            .filter(|n| matches!(regions.request(f64::from(*n) / 100.0, true, 1.0), Where::Abroad(_)))
+            .filter(|n| matches!(
+                regions.request(f64::from(*n) / 100.0, true, 1.0),
+                Where::Abroad(_)
+            ))
             .count()
             > 80
     );
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -31,7 +31,11 @@
 impl Counted {
     pub fn saw(&mut self, now: Duration, good: bool, weight: f64) {
         let ((g, b), leaves) = (self.now(now), LEAVES.powf(weight));
-        let (good, bad) = if good { (g + weight, b * leaves) } else { (g * leaves, b + weight) };
+        let (good, bad) = if good {
+            (g + weight, b * leaves)
+        } else {
+            (g * leaves, b + weight)
+        };
         *self = Counted { good, bad, at: now };
     }
 
@@ -60,7 +64,12 @@
 
 impl Default for Health {
     fn default() -> Health {
-        Health { bad: false, since: Duration::ZERO, hold: HOLD, flaps: 0 }
+        Health {
+            bad: false,
+            since: Duration::ZERO,
+            hold: HOLD,
+            flaps: 0,
+        }
     }
 }
 
@@ -88,7 +97,11 @@
         if !self.bad {
             // A fault that comes and goes is one fault: each return is waited for longer.
             let calm = self.flaps == 0 || now >= self.since + CALM;
-            self.hold = if calm { HOLD } else { (self.hold * 2).min(HOLD_MOST) };
+            self.hold = if calm {
+                HOLD
+            } else {
+                (self.hold * 2).min(HOLD_MOST)
+            };
             self.flaps += 1;
         }
         (self.bad, self.since) = (!self.bad, now);
--- a/crates/failover/src/evidence/tests.rs
+++ b/crates/failover/src/evidence/tests.rs
@@ -37,13 +37,19 @@
         let now = ms(n * 10);
         seen.saw(now, n % 3 != 0, 1.0);
         let (good, bad) = seen.now(now);
-        assert!(!health.judge(now, good, bad), "a third fails: the caches are judged one by one");
+        assert!(
+            !health.judge(now, good, bad),
+            "a third fails: the caches are judged one by one"
+        );
     }
     let (mut seen, mut health) = (Counted::default(), Health::default());
     for n in 0..10 {
         seen.saw(ms(n * 2000), false, 1.0);
         let (good, bad) = seen.now(ms(n * 2000));
-        assert!(!health.judge(ms(n * 2000), good, bad), "one router alone, one request in two seconds");
+        assert!(
+            !health.judge(ms(n * 2000), good, bad),
+            "one router alone, one request in two seconds"
+        );
     }
 }
 
@@ -57,5 +63,9 @@
         let (good, bad) = seen.now(now);
         turns += u32::from(health.judge(now, good, bad));
     }
-    assert!(health.flaps() <= 5 && turns <= 9, "{} flaps, {turns} turns in 20 s", health.flaps());
+    assert!(
+        health.flaps() <= 5 && turns <= 9,
+        "{} flaps, {turns} turns in 20 s",
+        health.flaps()
+    );
 }
--- a/crates/failover/src/words.rs
+++ b/crates/failover/src/words.rs
@@ -37,9 +37,15 @@
     }
 
     pub fn decode(bytes: &[u8]) -> Option<Load> {
-        let [a, b, good, bad] = *bytes else { return None };
+        let [a, b, good, bad] = *bytes else {
+            return None;
+        };
         let demand = f64::from(u16::from_be_bytes([a, b])) / 100.0;
-        Some(Load { demand, good: f64::from(good) / 4.0, bad: f64::from(bad) / 4.0 })
+        Some(Load {
+            demand,
+            good: f64::from(good) / 4.0,
+            bad: f64::from(bad) / 4.0,
+        })
     }
 }
 
@@ -56,14 +62,26 @@
 impl Home {
     pub fn encode(&self) -> Vec<u8> {
         let [a, b] = two(self.demand * 10.0);
-        vec![u8::from(self.bad) | u8::from(self.drained) << 1, a, b, low(self.strain * 255.0)]
+        vec![
+            u8::from(self.bad) | u8::from(self.drained) << 1,
+            a,
+            b,
+            low(self.strain * 255.0),
+        ]
     }
 
     pub fn decode(bytes: &[u8]) -> Option<Home> {
-        let [flags @ 0..=3, a, b, strain] = *bytes else { return None };
+        let [flags @ 0..=3, a, b, strain] = *bytes else {
+            return None;
+        };
         let demand = f64::from(u16::from_be_bytes([a, b])) / 10.0;
         let (bad, drained) = (flags & 1 != 0, flags & 2 != 0);
-        Some(Home { bad, drained, demand, strain: f64::from(strain) / 255.0 })
+        Some(Home {
+            bad,
+            drained,
+            demand,
+            strain: f64::from(strain) / 255.0,
+        })
     }
 }
 
@@ -78,9 +96,14 @@
 impl Plan {
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.number.to_be_bytes().to_vec();
-        let named = self.shares.iter().filter(|(edge, share)| *edge < 256 && low(share * 255.0) > 0);
+        let named = self
+            .shares
+            .iter()
+            .filter(|(edge, share)| *edge < 256 && low(share * 255.0) > 0);
         // Rounded down: together no more than all.
-        named.take(TAKERS_MOST).for_each(|(edge, share)| bytes.extend([*edge as u8, (share * 255.0) as u8]));
+        named
+            .take(TAKERS_MOST)
+            .for_each(|(edge, share)| bytes.extend([*edge as u8, (share * 255.0) as u8]));
         bytes
     }
 
@@ -90,8 +113,10 @@
             return None;
         }
         let number = u32::from_be_bytes([number[0], number[1], number[2], number[3]]);
-        let shares: Vec<_> =
-            rest.chunks_exact(2).map(|c| (usize::from(c[0]), f64::from(c[1]) / 255.0)).collect();
+        let shares: Vec<_> = rest
+            .chunks_exact(2)
+            .map(|c| (usize::from(c[0]), f64::from(c[1]) / 255.0))
+            .collect();
         let sum: f64 = shares.iter().map(|(_, share)| share).sum();
         let twice = |n: usize| shares[..n].iter().any(|(edge, _)| *edge == shares[n].0);
         (sum <= 1.0 + 1e-9 && !(0..shares.len()).any(twice)).then_some(Plan { number, shares })
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -73,7 +73,11 @@
 impl Load {
     /// Work in seconds.
     pub fn new(cache: u8, work: f64, count: f64) -> Load {
-        Load { cache, work_ms: (work * 1e3) as u16, count: count as u8 }
+        Load {
+            cache,
+            work_ms: (work * 1e3) as u16,
+            count: count as u8,
+        }
     }
 
     /// In seconds.
@@ -87,7 +91,12 @@
     let loads = &loads[..loads.len().min((MOST_BYTES - HEAD) / LOAD)];
     let mut bytes = vec![LOADS, 0];
     bytes.extend(zone.to_be_bytes());
-    for Load { cache, work_ms, count } in loads {
+    for Load {
+        cache,
+        work_ms,
+        count,
+    } in loads
+    {
         bytes.push(*cache);
         bytes.extend(work_ms.to_be_bytes());
         bytes.push(*count);
@@ -100,14 +109,20 @@
 /// # Errors
 /// Says what is wrong; of such a datagram nothing counts.
 pub fn decode_loads(bytes: &[u8]) -> Option<Result<(u16, Vec<Load>), Fault>> {
-    let [LOADS, marks, high, low, rest @ ..] = bytes else { return None };
+    let [LOADS, marks, high, low, rest @ ..] = bytes else {
+        return None;
+    };
     if bytes.len() > MOST_BYTES || !rest.len().is_multiple_of(LOAD) {
         return Some(Err(Fault::Length));
     }
     if *marks != 0 {
         return Some(Err(Fault::Format));
     }
-    let load = |l: &[u8]| Load { cache: l[0], work_ms: u16::from_be_bytes([l[1], l[2]]), count: l[3] };
+    let load = |l: &[u8]| Load {
+        cache: l[0],
+        work_ms: u16::from_be_bytes([l[1], l[2]]),
+        count: l[3],
+    };
     let loads: Vec<Load> = rest.chunks_exact(LOAD).map(load).collect();
     if loads.iter().any(|load| load.cache == 0) {
         return Some(Err(Fault::Value));
@@ -137,19 +152,31 @@
     /// # Errors
     /// Says what is wrong; of such a datagram nothing counts.
     pub fn decode(bytes: &[u8]) -> Result<Datagram, Fault> {
-        let [format, marks, high, low, rest @ ..] = bytes else { return Err(Fault::Length) };
+        let [format, marks, high, low, rest @ ..] = bytes else {
+            return Err(Fault::Length);
+        };
         if bytes.len() > MOST_BYTES || rest.len() % FINDING != 0 {
             return Err(Fault::Length);
         }
         if *format != FORMAT || marks & !LOOKING != 0 {
             return Err(Fault::Format);
         }
-        let finding = |f: &[u8]| Finding { part: u32::from_be_bytes([f[0], f[1], f[2], f[3]]), cache: f[4] };
+        let finding = |f: &[u8]| Finding {
+            part: u32::from_be_bytes([f[0], f[1], f[2], f[3]]),
+            cache: f[4],
+        };
         let findings: Vec<Finding> = rest.chunks_exact(FINDING).map(finding).collect();
-        if findings.iter().any(|f| f.part >> KEY_BITS != 0 || f.cache == 0) {
+        if findings
+            .iter()
+            .any(|f| f.part >> KEY_BITS != 0 || f.cache == 0)
+        {
             return Err(Fault::Value);
         }
-        Ok(Datagram { looking: marks & LOOKING != 0, zone: u16::from_be_bytes([*high, *low]), findings })
+        Ok(Datagram {
+            looking: marks & LOOKING != 0,
+            zone: u16::from_be_bytes([*high, *low]),
+            findings,
+        })
     }
 }
 
--- a/crates/gossip/src/codec/tests.rs
+++ b/crates/gossip/src/codec/tests.rs
@@ -3,8 +3,16 @@
 
 fn datagrams() -> impl Strategy<Value = Datagram> {
     let finding = (0u32..1 << KEY_BITS, 1u8..).prop_map(|(part, cache)| Finding { part, cache });
-    let all = (any::<bool>(), any::<u16>(), prop::collection::vec(finding, 0..70));
-    all.prop_map(|(looking, zone, findings)| Datagram { looking, zone, findings })
+    let all = (
+        any::<bool>(),
+        any::<u16>(),
+        prop::collection::vec(finding, 0..70),
+    );
+    all.prop_map(|(looking, zone, findings)| Datagram {
+        looking,
+        zone,
+        findings,
+    })
 }
 
 proptest! {
@@ -67,8 +75,17 @@
 
 #[test]
 fn absurd_values_and_lengths_are_refused() {
-    for finding in [Finding { part: u32::MAX, cache: 1 }, Finding { part: 1, cache: 0 }] {
-        let wrong = Datagram { findings: vec![finding], ..Datagram::default() };
+    for finding in [
+        Finding {
+            part: u32::MAX,
+            cache: 1,
+        },
+        Finding { part: 1, cache: 0 },
+    ] {
+        let wrong = Datagram {
+            findings: vec![finding],
+            ..Datagram::default()
+        };
         assert_eq!(Datagram::decode(&wrong.encode()), Err(Fault::Value));
     }
     let mut long = Datagram::default().encode();
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -143,36 +143,54 @@
 /// # Errors
 /// Says what is wrong.
 pub fn decode(bytes: &[u8]) -> Option<Result<(u8, Vec<Carried>), Fault>> {
-    let [FORMAT, flags, place, count, rest @ ..] = bytes else { return None };
+    let [FORMAT, flags, place, count, rest @ ..] = bytes else {
+        return None;
+    };
     Some(read(*flags, *count, rest).map(|words| (*place, words)))
 }
 
 fn read(flags: u8, count: u8, mut rest: &[u8]) -> Result<Vec<Carried>, Fault> {
     if flags != 0 || rest.len() + HEAD > MOST_BYTES {
-        return Err(if flags == 0 { Fault::Length } else { Fault::Value });
+        return Err(if flags == 0 {
+            Fault::Length
+        } else {
+            Fault::Value
+        });
     }
     let mut words = Vec::new();
     for _ in 0..count {
         let (head, after) = rest.split_at_checked(WORD_HEAD).ok_or(Fault::Length)?;
         let length = usize::from(head[15]);
         let (body, after) = after.split_at_checked(length).ok_or(Fault::Length)?;
-        let four = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let four =
+            |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let two = |at: usize| u16::from_be_bytes([head[at], head[at + 1]]);
         let kind = head[0] & !URGENT;
         if kind == 0 || length > BODY_MOST {
             return Err(Fault::Value);
         }
         words.push(Carried {
-            topic: Topic { kind, part: head[1], teller: two(3) },
+            topic: Topic {
+                kind,
+                part: head[1],
+                teller: two(3),
+            },
             place: head[2],
-            version: Version { incarnation: four(5), number: four(9) },
+            version: Version {
+                incarnation: four(5),
+                number: four(9),
+            },
             age: Duration::from_millis(u64::from(two(13)) * AGE_UNIT_MS),
             urgent: head[0] & URGENT != 0,
             body: body.to_vec(),
         });
         rest = after;
     }
-    if rest.is_empty() { Ok(words) } else { Err(Fault::Length) }
+    if rest.is_empty() {
+        Ok(words)
+    } else {
+        Err(Fault::Length)
+    }
 }
 
 /// Where a router stands among all.
@@ -262,10 +280,27 @@
             return;
         }
         self.last += 1;
-        let version = Version { incarnation: self.stand.incarnation, number: self.last };
-        let topic = Topic { kind, part, teller: self.stand.number };
+        let version = Version {
+            incarnation: self.stand.incarnation,
+            number: self.last,
+        };
+        let topic = Topic {
+            kind,
+            part,
+            teller: self.stand.number,
+        };
         let place = self.stand.place;
-        self.words.insert(topic, Word { place, version, body, told: now, urgent, passed_on: 0 });
+        self.words.insert(
+            topic,
+            Word {
+                place,
+                version,
+                body,
+                told: now,
+                urgent,
+                passed_on: 0,
+            },
+        );
         if urgent {
             self.hurry_up(now, kind);
         }
@@ -284,18 +319,24 @@
         if self.hurries.1 < HURRIES_MOST {
             self.hurries.1 += 1;
             let at = now + HURRY.mul_f64(self.chance.f64());
-            self.hurry = Some(Hurry { at, rounds: HURRY_ROUNDS, far });
+            self.hurry = Some(Hurry {
+                at,
+                rounds: HURRY_ROUNDS,
+                far,
+            });
         }
     }
 
     /// When [`Gossip::tick`] has something to do.
     pub fn next(&self) -> Duration {
-        self.hurry.map_or(self.next, |hurry| hurry.at.min(self.next))
+        self.hurry
+            .map_or(self.next, |hurry| hurry.at.min(self.next))
     }
 
     /// A router that is known to be of this place by other ways, and was alive then.
     pub fn peer(&mut self, number: u16, alive: Duration) {
-        if number != self.stand.number && (self.peers.len() < PEERS_MOST || self.peers.contains_key(&number))
+        if number != self.stand.number
+            && (self.peers.len() < PEERS_MOST || self.peers.contains_key(&number))
         {
             let known = self.peers.entry(number).or_default();
             *known = alive.max(*known);
@@ -304,7 +345,10 @@
 
     /// The peers that gave a sign of life within this span, in order.
     pub fn peers(&self, now: Duration, within: Duration) -> impl Iterator<Item = u16> {
-        self.peers.iter().filter(move |(_, alive)| now <= **alive + within).map(|(number, _)| *number)
+        self.peers
+            .iter()
+            .filter(move |(_, alive)| now <= **alive + within)
+            .map(|(number, _)| *number)
     }
 
     pub fn dropped(&self) -> Dropped {
@@ -318,15 +362,28 @@
 
     pub fn word(&self, now: Duration, topic: &Topic) -> Option<&Word> {
         let word = self.words.get(topic)?;
-        self.lane(topic.kind).filter(|lane| now < word.told + lane.lasts).map(|_| word)
+        self.lane(topic.kind)
+            .filter(|lane| now < word.told + lane.lasts)
+            .map(|_| word)
     }
 
     /// All words of a kind that are not past their age, with their topics, in order.
     pub fn words(&self, now: Duration, kind: u8) -> impl Iterator<Item = (Topic, &Word)> {
         let lasts = self.lane(kind).map_or(Duration::ZERO, |lane| lane.lasts);
-        let from = Topic { kind, part: 0, teller: 0 };
-        let to = Topic { kind, part: u8::MAX, teller: u16::MAX };
-        let all = self.words.range(from..=to).map(|(topic, word)| (*topic, word));
+        let from = Topic {
+            kind,
+            part: 0,
+            teller: 0,
+        };
+        let to = Topic {
+            kind,
+            part: u8::MAX,
+            teller: u16::MAX,
+        };
+        let all = self
+            .words
+            .range(from..=to)
+            .map(|(topic, word)| (*topic, word));
         all.filter(move |(_, word)| now < word.told + lasts)
     }
 
@@ -339,7 +396,11 @@
     pub fn tick(&mut self, now: Duration, mouth: &mut dyn Mouth) {
         if let Some(hurry) = self.hurry.filter(|hurry| now >= hurry.at) {
             let rounds = hurry.rounds - 1;
-            self.hurry = (rounds > 0).then_some(Hurry { at: now + HURRY, rounds, ..hurry });
+            self.hurry = (rounds > 0).then_some(Hurry {
+                at: now + HURRY,
+                rounds,
+                ..hurry
+            });
             for _ in 0..HURRY_TO {
                 if hurry.far {
                     let to = self.any();
@@ -370,8 +431,12 @@
 
     /// Sends a teller a word of its own earlier life, for it to go above that.
     fn return_earlier_word(&mut self, now: Duration, mouth: &mut dyn Mouth) {
-        let Some((teller, topic)) = self.returns.pop_first() else { return };
-        let Some(word) = self.word(now, &topic) else { return };
+        let Some((teller, topic)) = self.returns.pop_first() else {
+            return;
+        };
+        let Some(word) = self.word(now, &topic) else {
+            return;
+        };
         let carried = Carried {
             topic,
             place: word.place,
@@ -380,7 +445,10 @@
             urgent: false,
             body: word.body.clone(),
         };
-        mouth.say(To::One(u64::from(teller)), &encode(self.stand.place, &[carried]));
+        mouth.say(
+            To::One(u64::from(teller)),
+            &encode(self.stand.place, &[carried]),
+        );
     }
 
     fn any(&mut self) -> u16 {
@@ -396,9 +464,14 @@
 
     fn forget(&mut self, now: Duration) {
         let lanes = &self.lanes;
-        let lasts =
-            |kind: u8| lanes.iter().find(|lane| lane.kind == kind).map_or(Duration::ZERO, |l| l.lasts);
-        self.words.retain(|topic, word| now < word.told + lasts(topic.kind));
+        let lasts = |kind: u8| {
+            lanes
+                .iter()
+                .find(|lane| lane.kind == kind)
+                .map_or(Duration::ZERO, |l| l.lasts)
+        };
+        self.words
+            .retain(|topic, word| now < word.told + lasts(topic.kind));
     }
 
     /// One datagram, to a router of this place or not.
@@ -413,14 +486,23 @@
             .words
             .iter_mut()
             .filter(|(topic, word)| {
-                lane(topic.kind).is_some_and(|lane| (near || !lane.near) && now < word.told + lane.lasts)
+                lane(topic.kind)
+                    .is_some_and(|lane| (near || !lane.near) && now < word.told + lane.lasts)
                     && word.passed_on < enough
                     && topic.teller != to
                     && (!urgent || word.urgent)
             })
             .map(|(topic, word)| {
-                let first = if lane(topic.kind).is_some_and(|lane| lane.first) { -1e3 } else { 0.0 };
-                (first + f64::from(word.passed_on) + 2.0 * chance.f64(), *topic, word)
+                let first = if lane(topic.kind).is_some_and(|lane| lane.first) {
+                    -1e3
+                } else {
+                    0.0
+                };
+                (
+                    first + f64::from(word.passed_on) + 2.0 * chance.f64(),
+                    *topic,
+                    word,
+                )
             })
             .collect();
         if fit.is_empty() {
@@ -449,7 +531,9 @@
 
     /// A datagram has come from the router of this number; false: it is none of words.
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
-        let Some(read) = decode(bytes) else { return false };
+        let Some(read) = decode(bytes) else {
+            return false;
+        };
         let Ok((place, words)) = read else {
             self.dropped.faulty += 1;
             return true;
@@ -471,22 +555,35 @@
     }
 
     fn take(&mut self, now: Duration, from: u64, carried: Carried) {
-        let Carried { topic, place, version, age, urgent, body } = carried;
+        let Carried {
+            topic,
+            place,
+            version,
+            age,
+            urgent,
+            body,
+        } = carried;
         if topic.teller == self.stand.number {
             return self.refute(version);
         }
-        let lane = self.lane(topic.kind).filter(|lane| !lane.near || place == self.stand.place);
+        let lane = self
+            .lane(topic.kind)
+            .filter(|lane| !lane.near || place == self.stand.place);
         let (Some(lane), true) = (lane, usize::from(topic.teller) < self.stand.routers) else {
             self.dropped.strange += 1;
             return;
         };
-        let known = self.words.get(&topic).filter(|word| now < word.told + lane.lasts);
+        let known = self
+            .words
+            .get(&topic)
+            .filter(|word| now < word.told + lane.lasts);
         if age >= lane.lasts || known.is_some_and(|word| word.version >= version) {
             self.dropped.old += 1;
             // Others may still pass on what was told by an earlier life; the teller itself speaks as it is now.
             let lower = known.is_some_and(|word| word.version.incarnation > version.incarnation);
             let restarted = lower && from == u64::from(topic.teller);
-            let has_place = self.returns.len() < RETURNS_MOST || self.returns.contains_key(&topic.teller);
+            let has_place =
+                self.returns.len() < RETURNS_MOST || self.returns.contains_key(&topic.teller);
             if restarted && has_place {
                 self.returns.insert(topic.teller, topic);
             }
@@ -500,7 +597,17 @@
         if new && !self.room(&topic, place, told, lane) {
             return;
         }
-        self.words.insert(topic, Word { place, version, body, told, urgent, passed_on: 0 });
+        self.words.insert(
+            topic,
+            Word {
+                place,
+                version,
+                body,
+                told,
+                urgent,
+                passed_on: 0,
+            },
+        );
         self.news.insert(topic);
         // Only what says something new is worth a hurry: the same again goes its usual way.
         if urgent && fresh {
@@ -511,16 +618,26 @@
     /// A word in this router's own name: where it is newer than what this life has told it is of an earlier
     /// one, whose clock was ahead. This life goes above it, and all its words with it.
     fn refute(&mut self, heard: Version) {
-        let told = Version { incarnation: self.stand.incarnation, number: self.last };
+        let told = Version {
+            incarnation: self.stand.incarnation,
+            number: self.last,
+        };
         if heard <= told || heard.incarnation >= self.incarnation_most {
             self.dropped.old += u64::from(heard > told);
             return;
         }
         self.stand.incarnation = heard.incarnation + 1;
         let (number, last) = (self.stand.number, &mut self.last);
-        for (_, word) in self.words.iter_mut().filter(|(topic, _)| topic.teller == number) {
+        for (_, word) in self
+            .words
+            .iter_mut()
+            .filter(|(topic, _)| topic.teller == number)
+        {
             *last += 1;
-            word.version = Version { incarnation: self.stand.incarnation, number: *last };
+            word.version = Version {
+                incarnation: self.stand.incarnation,
+                number: *last,
+            };
             word.passed_on = 0;
         }
     }
@@ -528,13 +645,25 @@
     /// Whether one more teller of this part and place is kept; it may push out the one that was heard longest
     /// ago.
     fn room(&mut self, topic: &Topic, place: u8, told: Duration, lane: Lane) -> bool {
-        let from = Topic { teller: 0, ..*topic };
-        let same = self.words.range(from..=Topic { teller: u16::MAX, ..*topic });
-        let of_place = same.filter(|(t, word)| word.place == place && t.teller != self.stand.number);
-        let (count, oldest) = of_place.fold((0, None::<(Duration, Topic)>), |(count, oldest), (t, word)| {
-            let this = (word.told, *t);
-            (count + 1, Some(oldest.map_or(this, |o| o.min(this))))
-        });
+        let from = Topic {
+            teller: 0,
+            ..*topic
+        };
+        let same = self.words.range(
+            from..=Topic {
+                teller: u16::MAX,
+                ..*topic
+            },
+        );
+        let of_place =
+            same.filter(|(t, word)| word.place == place && t.teller != self.stand.number);
+        let (count, oldest) = of_place.fold(
+            (0, None::<(Duration, Topic)>),
+            |(count, oldest), (t, word)| {
+                let this = (word.told, *t);
+                (count + 1, Some(oldest.map_or(this, |o| o.min(this))))
+            },
+        );
         match oldest {
             Some((at, _)) if count >= lane.keep && at >= told => false,
             Some((_, gone)) if count >= lane.keep => {
--- a/crates/gossip/src/lean.rs
+++ b/crates/gossip/src/lean.rs
@@ -57,20 +57,36 @@
         let mut before = std::mem::take(&mut self.caches);
         for (name, capacity) in caches {
             let mark = mark(&name);
-            let same = before.remove(&mark).flatten().filter(|cache| cache.name == name);
+            let same = before
+                .remove(&mark)
+                .flatten()
+                .filter(|cache| cache.name == name);
             let cache = match same {
                 Some(cache) => Cache { capacity, ..cache },
-                None => Cache { name, capacity, work: 0.0, seen: 0.0, by: 0.0 },
+                None => Cache {
+                    name,
+                    capacity,
+                    work: 0.0,
+                    seen: 0.0,
+                    by: 0.0,
+                },
             };
-            self.caches.entry(mark).and_modify(|taken| *taken = None).or_insert(Some(cache));
+            self.caches
+                .entry(mark)
+                .and_modify(|taken| *taken = None)
+                .or_insert(Some(cache));
         }
         let caches = &self.caches;
-        self.sent.retain(|mark, _| matches!(caches.get(mark), Some(Some(_))));
+        self.sent
+            .retain(|mark, _| matches!(caches.get(mark), Some(Some(_))));
     }
 
     /// Each cache's weight over its capacity.
     pub fn weights(&self) -> impl Iterator<Item = (&Id, f64)> {
-        self.caches.values().flatten().map(|cache| (&cache.name, cache.by.exp()))
+        self.caches
+            .values()
+            .flatten()
+            .map(|cache| (&cache.name, cache.by.exp()))
     }
 
     /// This router has sent a cache so much work.
@@ -85,12 +101,25 @@
     /// A period has passed: what is to be told, and the weights from now on.
     pub fn tick(&mut self, ear: &mut dyn Leaning) -> Vec<Load> {
         let sent = std::mem::take(&mut self.sent);
-        let told = sent.iter().map(|(mark, (work, count))| Load::new(*mark, *work, *count)).collect();
-        self.add(sent.into_iter().map(|(mark, (work, count))| (mark, work, count)));
+        let told = sent
+            .iter()
+            .map(|(mark, (work, count))| Load::new(*mark, *work, *count))
+            .collect();
+        self.add(
+            sent.into_iter()
+                .map(|(mark, (work, count))| (mark, work, count)),
+        );
         let mut caches: Vec<&mut Cache> = self.caches.values_mut().flatten().collect();
-        let (work, seen, capacity) = caches.iter().fold((0.0, 0.0, 0.0), |(work, seen, capacity), cache| {
-            (work + cache.work, seen + cache.seen, capacity + cache.capacity)
-        });
+        let (work, seen, capacity) =
+            caches
+                .iter()
+                .fold((0.0, 0.0, 0.0), |(work, seen, capacity), cache| {
+                    (
+                        work + cache.work,
+                        seen + cache.seen,
+                        capacity + cache.capacity,
+                    )
+                });
         let known = seen >= LEAST_SEEN * caches.len() as f64 && work > 0.0 && capacity > 0.0;
         for cache in &mut caches {
             cache.by = if known {
@@ -104,7 +133,10 @@
         let mean = caches.iter().map(|cache| cache.by).sum::<f64>() / caches.len().max(1) as f64;
         for cache in caches {
             cache.by = (cache.by - mean).clamp(-MOST.ln(), MOST.ln());
-            (cache.work, cache.seen) = (cache.work * (1.0 - 1.0 / MEMORY), cache.seen * (1.0 - 1.0 / MEMORY));
+            (cache.work, cache.seen) = (
+                cache.work * (1.0 - 1.0 / MEMORY),
+                cache.seen * (1.0 - 1.0 / MEMORY),
+            );
             ear.lean(&cache.name, cache.by);
         }
         told
@@ -112,11 +144,20 @@
 
     /// What a peer sent in its last period. No more of it counts than the zone could have done in ten.
     pub fn heard(&mut self, loads: &[Load], period: f64) {
-        let capacity: f64 = self.caches.values().flatten().map(|cache| cache.capacity).sum();
+        let capacity: f64 = self
+            .caches
+            .values()
+            .flatten()
+            .map(|cache| cache.capacity)
+            .sum();
         let most = 10.0 * period * capacity;
         let all: f64 = loads.iter().map(Load::work).sum();
         let part = if all > most { most / all } else { 1.0 };
-        self.add(loads.iter().map(|load| (load.cache, load.work() * part, f64::from(load.count))));
+        self.add(
+            loads
+                .iter()
+                .map(|load| (load.cache, load.work() * part, f64::from(load.count))),
+        );
     }
 
     fn add(&mut self, loads: impl Iterator<Item = (u8, f64, f64)>) {
--- a/crates/gossip/src/lean/tests.rs
+++ b/crates/gossip/src/lean/tests.rs
@@ -12,7 +12,9 @@
 }
 
 fn names(count: usize) -> Vec<Id> {
-    (0..count).map(|n| Id::from(format!("cache-{n}").as_str())).collect()
+    (0..count)
+        .map(|n| Id::from(format!("cache-{n}").as_str()))
+        .collect()
 }
 
 fn lean(count: usize) -> Lean {
@@ -24,9 +26,17 @@
 fn places(weights: &Weights, key: u64, count: usize) -> usize {
     let draw = |n: usize| {
         let drawn = (xxh3_64_with_seed(&key.to_be_bytes(), n as u64) as f64 + 1.0) / 2f64.powi(64);
-        -drawn.ln() / weights.0.get(&names(count)[n]).copied().unwrap_or(0.0).exp()
+        -drawn.ln()
+            / weights
+                .0
+                .get(&names(count)[n])
+                .copied()
+                .unwrap_or(0.0)
+                .exp()
     };
-    (0..count).min_by(|a, b| draw(*a).total_cmp(&draw(*b))).expect("caches")
+    (0..count)
+        .min_by(|a, b| draw(*a).total_cmp(&draw(*b)))
+        .expect("caches")
 }
 
 /// Routers that share a zone and its work, all popular objects included; datagrams may be lost. The
@@ -34,7 +44,9 @@
 fn peaks(routers: usize, loses: f64, seed: u64, liar: bool) -> (f64, f64, Vec<f64>) {
     let mut chance = fastrand::Rng::with_seed(seed);
     let count = 4;
-    let mut all: Vec<(Lean, Weights)> = (0..routers).map(|_| (lean(count), Weights::default())).collect();
+    let mut all: Vec<(Lean, Weights)> = (0..routers)
+        .map(|_| (lean(count), Weights::default()))
+        .collect();
     let popular: Vec<f64> = (1..400).map(|n| (n as f64).powf(-0.8)).collect();
     let sum: f64 = popular.iter().sum();
     let (mut with, mut without, mut track) = (vec![0.0; count], vec![0.0; count], Vec::new());
@@ -47,8 +59,10 @@
             }
             let router = chance.usize(..routers);
             let key = key as u64 ^ seed << 20;
-            let (place, plain) =
-                (places(&all[router].1, key, count), places(&Weights::default(), key, count));
+            let (place, plain) = (
+                places(&all[router].1, key, count),
+                places(&Weights::default(), key, count),
+            );
             all[router].0.sent(&names(count)[place], 0.08);
             if period >= 60 {
                 (with[place], without[plain]) = (with[place] + 1.0, without[plain] + 1.0);
@@ -82,14 +96,24 @@
         for loses in [0.0, 0.3] {
             let (a, b, track) = peaks(6, loses, seed, false);
             (with, without) = (with + a, without + b);
-            assert!(a < 1.25, "seed {seed}, {loses} lost: {a:.3} (the plain hash {b:.3})");
+            assert!(
+                a < 1.25,
+                "seed {seed}, {loses} lost: {a:.3} (the plain hash {b:.3})"
+            );
             // Once there, weights stay: the last ten seconds move them by less than a tenth.
             let late = &track[60..];
-            let moves = late.iter().fold(0.0, |m: f64, by| m.max((by - late[0]).abs()));
+            let moves = late
+                .iter()
+                .fold(0.0, |m: f64, by| m.max((by - late[0]).abs()));
             assert!(moves < 0.15, "seed {seed}: weights move by {moves:.3}");
         }
     }
-    assert!(with / 12.0 < without / 12.0 - 0.1, "{:.3} against {:.3}", with / 12.0, without / 12.0);
+    assert!(
+        with / 12.0 < without / 12.0 - 0.1,
+        "{:.3} against {:.3}",
+        with / 12.0,
+        without / 12.0
+    );
 }
 
 #[test]
@@ -107,7 +131,11 @@
         lean.sent(&names(4)[0], 0.1);
         lean.tick(&mut weights);
     }
-    assert!(weights.0.values().all(|by| *by == 0.0), "{weights:?}", weights = weights.0);
+    assert!(
+        weights.0.values().all(|by| *by == 0.0),
+        "{weights:?}",
+        weights = weights.0
+    );
 }
 
 #[test]
@@ -121,7 +149,10 @@
     lean.caches(names(4).into_iter().skip(1).map(|name| (name, 4.0)));
     lean.sent(&names(3)[0], 0.1);
     let mut weights = Weights::default();
-    assert!(lean.tick(&mut weights).is_empty(), "nothing is told of who is gone");
+    assert!(
+        lean.tick(&mut weights).is_empty(),
+        "nothing is told of who is gone"
+    );
     assert!(!weights.0.contains_key(&names(3)[0]) && weights.0.len() == 3);
 }
 
--- a/crates/gossip/src/talk.rs
+++ b/crates/gossip/src/talk.rs
@@ -111,7 +111,8 @@
 impl Talk {
     /// None where there is nobody to talk to.
     pub fn start(now: Duration, about: About) -> Option<Talk> {
-        let alone = about.routers_here <= 1 || about.routers <= 1 || about.zone > usize::from(u16::MAX);
+        let alone =
+            about.routers_here <= 1 || about.routers <= 1 || about.zone > usize::from(u16::MAX);
         // Routers that start together do not all speak in the same instant.
         let lag = PERIOD.mul_f64(fastrand::Rng::with_seed(about.seed).f64());
         (!alone).then(|| Talk {
@@ -147,17 +148,27 @@
 
     /// This router has sent a server so much work, in seconds at a client's pace.
     pub fn sent(&mut self, server: &Id, work: f64) {
-        self.lean.iter_mut().for_each(|lean| lean.sent(server, work));
+        self.lean
+            .iter_mut()
+            .for_each(|lean| lean.sent(server, work));
     }
 
     /// Tells the peers what was sent to whom, and takes up the weights that follow.
     fn tell_loads(&mut self, now: Duration, mouth: &mut dyn Mouth, ear: &mut dyn Ear) {
-        let Some(loads) = self.lean.as_mut().map(|lean| lean.tick(ear)).filter(|loads| !loads.is_empty())
+        let Some(loads) = self
+            .lean
+            .as_mut()
+            .map(|lean| lean.tick(ear))
+            .filter(|loads| !loads.is_empty())
         else {
             return;
         };
         let bytes = encode_loads(self.about.zone as u16, &loads);
-        for (number, _) in self.peers.iter().filter(|(_, peer)| now < peer.heard + SILENT) {
+        for (number, _) in self
+            .peers
+            .iter()
+            .filter(|(_, peer)| now < peer.heard + SILENT)
+        {
             mouth.say(To::One(*number), &bytes);
         }
     }
@@ -167,7 +178,8 @@
         self.caches.clear();
         for name in names {
             let same = self.caches.entry(mark(name));
-            same.and_modify(|taken| *taken = None).or_insert_with(|| Some(name.clone()));
+            same.and_modify(|taken| *taken = None)
+                .or_insert_with(|| Some(name.clone()));
         }
     }
 
@@ -213,7 +225,15 @@
         self.tell_loads(now, mouth, ear);
         let zone = self.about.zone as u16;
         if now >= self.ask && self.peers.len() + 1 < self.about.routers_here {
-            mouth.say(To::All, &Datagram { looking: true, zone, findings: Vec::new() }.encode());
+            mouth.say(
+                To::All,
+                &Datagram {
+                    looking: true,
+                    zone,
+                    findings: Vec::new(),
+                }
+                .encode(),
+            );
             self.ask = now + self.ask_again;
             self.ask_again = (self.ask_again * 2).min(ASK_MOST);
         }
@@ -223,8 +243,16 @@
             if self.queue.is_empty() && !(alive && n == 0) {
                 break;
             }
-            let findings = self.queue.drain(..self.queue.len().min(FINDINGS_MOST)).collect();
-            let bytes = Datagram { looking: false, zone, findings }.encode();
+            let findings = self
+                .queue
+                .drain(..self.queue.len().min(FINDINGS_MOST))
+                .collect();
+            let bytes = Datagram {
+                looking: false,
+                zone,
+                findings,
+            }
+            .encode();
             // Whoever is away is only shown a sign of life.
             let (short, signs) = (&bytes[..HEAD], alive && n == 0);
             for (number, peer) in &self.peers {
@@ -242,7 +270,8 @@
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8], ear: &mut dyn Ear) {
         let there_is = from < self.about.routers as u64 && from != self.about.number;
         // More than the zone has are not peers, whoever they are.
-        let full = || self.peers.len() + 1 >= self.about.routers_here && !self.peers.contains_key(&from);
+        let full =
+            || self.peers.len() + 1 >= self.about.routers_here && !self.peers.contains_key(&from);
         if let Some(loads) = decode_loads(bytes) {
             match (loads, &mut self.lean) {
                 (Err(_), _) => self.dropped.faulty += 1,
--- a/crates/gossip/tests/stand_ins/mod.rs
+++ b/crates/gossip/tests/stand_ins/mod.rs
@@ -94,7 +94,8 @@
 
 impl Outlet for Orders {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
-        self.attempts.push((request.clone(), server.clone(), fill.clone()));
+        self.attempts
+            .push((request.clone(), server.clone(), fill.clone()));
     }
     fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
         self.answers.push((request.clone(), true));
@@ -154,7 +155,12 @@
 }
 
 fn told(number: usize, seed: u64) -> Deployment {
-    let cold = ColdStart { from: 0.3, warm_within: ms(10_000), multiple: 2.0, span: ms(1000) };
+    let cold = ColdStart {
+        from: 0.3,
+        warm_within: ms(10_000),
+        multiple: 2.0,
+        span: ms(1000),
+    };
     let page = Class {
         window: ms(2000),
         soft_deadline: ms(500),
@@ -192,22 +198,49 @@
     fn new(day: Day) -> World {
         let mut list = Vec::new();
         let mut servers = BTreeMap::new();
-        let mut add = |name: String, tier: Tier, zone: usize, capacity: f64, holds: usize, pace: f64| {
-            let server: Id = name.as_str().into();
-            let member = Member { server: server.clone(), tier, zone, capacity, ..Member::default() };
-            list.push(member);
-            let held = LruCache::new(NonZeroUsize::new(holds).expect("some"));
-            servers.insert(server, Served { capacity, pace, busy: 0, held });
-        };
+        let mut add =
+            |name: String, tier: Tier, zone: usize, capacity: f64, holds: usize, pace: f64| {
+                let server: Id = name.as_str().into();
+                let member = Member {
+                    server: server.clone(),
+                    tier,
+                    zone,
+                    capacity,
+                    ..Member::default()
+                };
+                list.push(member);
+                let held = LruCache::new(NonZeroUsize::new(holds).expect("some"));
+                servers.insert(
+                    server,
+                    Served {
+                        capacity,
+                        pace,
+                        busy: 0,
+                        held,
+                    },
+                );
+            };
         for zone in 0..ZONES {
             for n in 0..CACHES_HERE {
                 let pace = if day.slow && n == 0 { 4.0 } else { 1.0 };
-                add(format!("cache-{zone}-{n}"), Tier::Cache, zone, 4.0, 80, pace);
+                add(
+                    format!("cache-{zone}-{n}"),
+                    Tier::Cache,
+                    zone,
+                    4.0,
+                    80,
+                    pace,
+                );
             }
         }
         (0..PARENTS).for_each(|n| add(format!("parent-{n}"), Tier::Parent, 999, 34.0, 20_000, 1.0));
         add("origin".into(), Tier::Origin, 999, 60.0, 1, 1.0);
-        let nodes = (0..ROUTERS).map(|_| Node { life: 0, router: None, talk: None, taken: HashMap::new() });
+        let nodes = (0..ROUTERS).map(|_| Node {
+            life: 0,
+            router: None,
+            talk: None,
+            taken: HashMap::new(),
+        });
         let mut world = World {
             day,
             now: Duration::ZERO,
@@ -245,10 +278,23 @@
         let mut router = Router::start(self.now, &about, &mut orders);
         router.list(self.now, ListKind::Whole, &self.list, &mut orders);
         let (routers, zone, number_of) = (ROUTERS, about.zone, number as u64);
-        let stands = About { number: number_of, routers, zone, routers_here: ROUTERS_HERE, seed };
-        let mut talk = self.day.talk.then(|| Talk::start(self.now, stands)).flatten();
-        talk.iter_mut().for_each(|talk| talk.caches(router.caches().map(|m| &m.server)));
-        let wait = talk.as_ref().map_or(END, |talk| talk.next().saturating_sub(self.now));
+        let stands = About {
+            number: number_of,
+            routers,
+            zone,
+            routers_here: ROUTERS_HERE,
+            seed,
+        };
+        let mut talk = self
+            .day
+            .talk
+            .then(|| Talk::start(self.now, stands))
+            .flatten();
+        talk.iter_mut()
+            .for_each(|talk| talk.caches(router.caches().map(|m| &m.server)));
+        let wait = talk
+            .as_ref()
+            .map_or(END, |talk| talk.next().saturating_sub(self.now));
         let node = &mut self.nodes[number];
         (node.router, node.talk) = (Some(router), talk);
         self.later(wait, Event::Tick(number));
@@ -257,25 +303,39 @@
     /// Calls the decisions of a living router, and carries out what they order.
     fn call(&mut self, number: usize, call: impl FnOnce(&mut Router, Duration, &mut Orders)) {
         let mut orders = Orders::default();
-        let Some(router) = &mut self.nodes[number].router else { return };
+        let Some(router) = &mut self.nodes[number].router else {
+            return;
+        };
         call(router, self.now, &mut orders);
         let life = self.nodes[number].life;
         for (at, mark) in std::mem::take(&mut orders.wakes) {
             self.later(at.saturating_sub(self.now), Event::Wake(number, life, mark));
         }
         for (part, cache) in std::mem::take(&mut orders.found) {
-            self.nodes[number].talk.iter_mut().for_each(|talk| talk.found(part, &cache));
+            self.nodes[number]
+                .talk
+                .iter_mut()
+                .for_each(|talk| talk.found(part, &cache));
         }
         for (id, rejected) in orders.answers {
-            let taken = self.nodes[number].taken.get_mut(&id).expect("a request that was taken");
-            assert!(std::mem::replace(&mut taken.open, false), "a second answer for {id}");
+            let taken = self.nodes[number]
+                .taken
+                .get_mut(&id)
+                .expect("a request that was taken");
+            assert!(
+                std::mem::replace(&mut taken.open, false),
+                "a second answer for {id}"
+            );
             self.seen.rejected += usize::from(rejected);
         }
         for (id, server, fill) in orders.attempts {
             self.attempt(number, id, server, fill);
         }
         for (id, attempt) in orders.cancels {
-            let out = self.nodes[number].taken.get_mut(&id).and_then(|taken| taken.attempts.get_mut(attempt));
+            let out = self.nodes[number]
+                .taken
+                .get_mut(&id)
+                .and_then(|taken| taken.attempts.get_mut(attempt));
             if let Some(sent) = out.and_then(Option::take) {
                 let took = self.now - sent;
                 self.ended(number, &id, attempt, Outcome::Cancelled, Remark::None, took);
@@ -284,8 +344,14 @@
     }
 
     fn attempt(&mut self, number: usize, id: Id, server: Id, fill: Fill) {
-        let taken = self.nodes[number].taken.get_mut(&id).expect("a request that was taken");
-        assert!(taken.attempts.iter().all(Option::is_none), "two attempts of {id} at once");
+        let taken = self.nodes[number]
+            .taken
+            .get_mut(&id)
+            .expect("a request that was taken");
+        assert!(
+            taken.attempts.iter().all(Option::is_none),
+            "two attempts of {id} at once"
+        );
         taken.attempts.push(Some(self.now));
         let (attempt, key) = (taken.attempts.len() - 1, taken.key);
         let work = taken.arrival.kb / 5000.0;
@@ -301,18 +367,42 @@
             let source = self.servers.get_mut(&fill.source).expect("a listed source");
             source.busy += 1;
             slow = slow.max(f64::from(source.busy) / source.capacity);
-            wait += if source.held.put(key, ()).is_some() { 0.010 } else { 0.080 };
+            wait += if source.held.put(key, ()).is_some() {
+                0.010
+            } else {
+                0.080
+            };
             ends[1] = Some(fill.source.clone());
-            *self.seen.by_parent.entry(fill.source.to_string()).or_default() += 1;
+            *self
+                .seen
+                .by_parent
+                .entry(fill.source.to_string())
+                .or_default() += 1;
             self.seen.fills += 1;
         }
         let keep = (fill.rank > 0).then_some(key);
         let life = self.nodes[number].life;
         let took = Duration::from_secs_f64(wait + work * slow);
-        let mute = self.day.killed && (ms(5000)..ms(7000)).contains(&self.now) && server.ends_with("-1");
+        let mute =
+            self.day.killed && (ms(5000)..ms(7000)).contains(&self.now) && server.ends_with("-1");
         // What a mute cache says reaches nobody: no life has this number.
-        let life = if mute && server.starts_with("cache") { u32::MAX } else { life };
-        self.later(took, Event::End { router: number, life, request: id, attempt, hit, ends, keep });
+        let life = if mute && server.starts_with("cache") {
+            u32::MAX
+        } else {
+            life
+        };
+        self.later(
+            took,
+            Event::End {
+                router: number,
+                life,
+                request: id,
+                attempt,
+                hit,
+                ends,
+                keep,
+            },
+        );
     }
 
     fn ended(
@@ -324,15 +414,26 @@
         remark: Remark,
         took: Duration,
     ) {
-        let Some(taken) = self.nodes[number].taken.get_mut(id) else { return };
+        let Some(taken) = self.nodes[number].taken.get_mut(id) else {
+            return;
+        };
         if outcome == Outcome::Served && std::mem::replace(&mut taken.open, false) {
             self.seen.in_time += usize::from(self.now <= taken.soft);
             self.seen.hits += usize::from(remark == Remark::Hit);
         }
         let over = !taken.open;
         let first_byte = Some(ms(10)).filter(|_| remark == Remark::Filled);
-        let ended = Ended { outcome, remark, took, first_byte, over, load: Load::default() };
-        self.call(number, |router, now, orders| router.result(now, id, attempt, &ended, orders));
+        let ended = Ended {
+            outcome,
+            remark,
+            took,
+            first_byte,
+            over,
+            load: Load::default(),
+        };
+        self.call(number, |router, now, orders| {
+            router.result(now, id, attempt, &ended, orders)
+        });
     }
 
     fn ask(&mut self, number: usize) {
@@ -344,10 +445,18 @@
         }
         // Popularity falls with the place; a third of the objects is wanted at one zone only.
         let place = (300f64.powf(self.chance.f64()) - 1.0) as u64;
-        let local = if place.is_multiple_of(3) { 1 + number as u64 / ROUTERS_HERE as u64 } else { 0 };
+        let local = if place.is_multiple_of(3) {
+            1 + number as u64 / ROUTERS_HERE as u64
+        } else {
+            0
+        };
         let hot = self.day.hot && self.chance.u64(0..7) == 0;
         let (place, local) = if hot { (1 << 20, 0) } else { (place, local) };
-        let part = if hot { self.now.as_millis() as u64 / 250 } else { self.chance.u64(0..PARTS) };
+        let part = if hot {
+            self.now.as_millis() as u64 / 250
+        } else {
+            self.chance.u64(0..PARTS)
+        };
         let n = self.seen.asked;
         self.seen.asked += 1;
         let id: Id = format!("a{n}").as_str().into();
@@ -355,19 +464,36 @@
         let kb = 400.0 + ((place * 7919) % 17) as f64 * 120.0;
         let key = place << 40 | local << 16 | part;
         let left = ms(3000);
-        let arrival = Arrival { id: id.clone(), object, part, kb, left, ..Arrival::default() };
+        let arrival = Arrival {
+            id: id.clone(),
+            object,
+            part,
+            kb,
+            left,
+            ..Arrival::default()
+        };
         let soft = self.now + ms(500) + Duration::from_secs_f64(2.0 * kb / 5000.0);
-        let taken = Taken { arrival: arrival.clone(), key, soft, open: true, attempts: Vec::new() };
+        let taken = Taken {
+            arrival: arrival.clone(),
+            key,
+            soft,
+            open: true,
+            attempts: Vec::new(),
+        };
         let life = self.nodes[number].life;
         self.nodes[number].taken.insert(id.clone(), taken);
         self.later(left, Event::Due(number, life, id));
-        self.call(number, |router, now, orders| router.request(now, arrival, orders));
+        self.call(number, |router, now, orders| {
+            router.request(now, arrival, orders)
+        });
     }
 
     fn tick(&mut self, number: usize) {
         let mut said = Said::default();
         let node = &mut self.nodes[number];
-        let (Some(router), Some(talk)) = (&mut node.router, &mut node.talk) else { return };
+        let (Some(router), Some(talk)) = (&mut node.router, &mut node.talk) else {
+            return;
+        };
         talk.tick(self.now, &mut said, router);
         let wait = talk.next().saturating_sub(self.now);
         self.later(wait, Event::Tick(number));
@@ -421,27 +547,54 @@
                         world.call(number, |router, now, orders| router.wake(now, mark, orders));
                     }
                 }
-                Event::End { router, life, request, attempt, hit, ends, keep } => {
+                Event::End {
+                    router,
+                    life,
+                    request,
+                    attempt,
+                    hit,
+                    ends,
+                    keep,
+                } => {
                     for end in ends.iter().flatten() {
                         world.servers.get_mut(end).expect("listed").busy -= 1;
                     }
                     if let (Some(key), Some(cache)) = (keep, &ends[0]) {
-                        world.servers.get_mut(cache).expect("listed").held.put(key, ());
+                        world
+                            .servers
+                            .get_mut(cache)
+                            .expect("listed")
+                            .held
+                            .put(key, ());
                     }
                     let node = &mut world.nodes[router];
-                    let out = node.taken.get_mut(&request).and_then(|taken| taken.attempts.get_mut(attempt));
+                    let out = node
+                        .taken
+                        .get_mut(&request)
+                        .and_then(|taken| taken.attempts.get_mut(attempt));
                     if node.life == life
                         && let Some(sent) = out.and_then(Option::take)
                     {
                         let remark = if hit { Remark::Hit } else { Remark::Filled };
-                        world.ended(router, &request, attempt, Outcome::Served, remark, at - sent);
+                        world.ended(
+                            router,
+                            &request,
+                            attempt,
+                            Outcome::Served,
+                            remark,
+                            at - sent,
+                        );
                     }
                 }
                 Event::Due(number, life, id) => {
                     // Rule 1: whoever lived until now has answered.
                     if world.nodes[number].life == life {
                         let taken = world.nodes[number].taken.remove(&id).expect("taken");
-                        assert!(!taken.open, "{id} got no answer in its time (seed {})", day.seed);
+                        assert!(
+                            !taken.open,
+                            "{id} got no answer in its time (seed {})",
+                            day.seed
+                        );
                     }
                 }
                 Event::Datagram(number, from, bytes) => {
@@ -452,8 +605,9 @@
                 }
                 Event::Kill => world.kill(),
                 Event::Revive => {
-                    let dead: Vec<usize> =
-                        (0..ROUTERS).filter(|n| world.nodes[*n].router.is_none()).collect();
+                    let dead: Vec<usize> = (0..ROUTERS)
+                        .filter(|n| world.nodes[*n].router.is_none())
+                        .collect();
                     dead.into_iter().for_each(|number| world.begin(number));
                 }
             }
--- a/crates/harness/src/children.rs
+++ b/crates/harness/src/children.rs
@@ -2,7 +2,9 @@
 //! left behind: each is begun by a starter of this program that asks the kernel to kill it when its parent
 //! dies, and becomes the router then.
 
-use rustix::process::{Pid, Resource, Signal, getrlimit, kill_process, set_parent_process_death_signal};
+use rustix::process::{
+    Pid, Resource, Signal, getrlimit, kill_process, set_parent_process_death_signal,
+};
 use std::ffi::OsString;
 use std::fs::File;
 use std::os::unix::process::CommandExt;
@@ -21,7 +23,9 @@
 /// # Errors
 /// Only returns where that failed.
 pub fn become_child(parent: u32, command: &[OsString]) -> Result<std::convert::Infallible, String> {
-    let [program, arguments @ ..] = command else { return Err("no program was named".into()) };
+    let [program, arguments @ ..] = command else {
+        return Err("no program was named".into());
+    };
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| e.to_string())?;
     // A parent that died before that call sends no signal any more.
     if std::os::unix::process::parent_id() != parent {
@@ -45,12 +49,15 @@
         ));
     }
     let memory = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let available = memory.lines().find_map(|line| line.strip_prefix("MemAvailable:"));
+    let available = memory
+        .lines()
+        .find_map(|line| line.strip_prefix("MemAvailable:"));
     let available = available.and_then(|kb| kb.split_whitespace().next()?.parse::<u64>().ok());
     match available.map(|kb| kb / 1024) {
-        Some(mb) if mb < routers * ROUTER_MB => {
-            Err(format!("{routers} routers take up to {} MB, {mb} MB are there", routers * ROUTER_MB))
-        }
+        Some(mb) if mb < routers * ROUTER_MB => Err(format!(
+            "{routers} routers take up to {} MB, {mb} MB are there",
+            routers * ROUTER_MB
+        )),
         _ => Ok(()),
     }
 }
@@ -78,14 +85,26 @@
         directives: Option<&Path>,
         log: Option<File>,
     ) -> std::io::Result<Router> {
-        let (first, rest) = program.starter.split_first().ok_or(std::io::ErrorKind::InvalidInput)?;
+        let (first, rest) = program
+            .starter
+            .split_first()
+            .ok_or(std::io::ErrorKind::InvalidInput)?;
         let mut command = Command::new(first);
-        command.args(rest).arg(std::process::id().to_string()).args(&program.router);
+        command
+            .args(rest)
+            .arg(std::process::id().to_string())
+            .args(&program.router);
         command.args(directives).env("ROUTER_CONFIG", config);
-        command.env_remove("ROUTER_NAME").env_remove("ROUTER_LISTEN");
+        command
+            .env_remove("ROUTER_NAME")
+            .env_remove("ROUTER_LISTEN");
         command.stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(log.map_or_else(Stdio::null, Stdio::from));
-        Ok(Router { child: command.spawn()?, ended: None, frozen: false })
+        Ok(Router {
+            child: command.spawn()?,
+            ended: None,
+            frozen: false,
+        })
     }
 
     /// The id of its process, for as long as it has not been waited for.
@@ -168,12 +187,17 @@
         let thread = thread::spawn(move || {
             for order in taken {
                 match order {
-                    Order::Start(wanted) => started(wanted.router, wanted.life, start(&program, &wanted)),
+                    Order::Start(wanted) => {
+                        started(wanted.router, wanted.life, start(&program, &wanted))
+                    }
                     Order::Reap(router) => drop(router),
                 }
             }
         });
-        Starter { orders, thread: Some(thread) }
+        Starter {
+            orders,
+            thread: Some(thread),
+        }
     }
 
     pub fn start(&self, wanted: Wanted) {
@@ -198,8 +222,11 @@
 fn start(program: &Program, wanted: &Wanted) -> Result<Router, String> {
     let config = &wanted.config;
     std::fs::write(config, &wanted.text).map_err(|e| format!("{}: {e}", config.display()))?;
-    let log =
-        wanted.log.as_ref().map(|path| File::options().create(true).append(true).open(path)).transpose();
+    let log = wanted
+        .log
+        .as_ref()
+        .map(|path| File::options().create(true).append(true).open(path))
+        .transpose();
     let log = log.map_err(|e| format!("logs: {e}"))?;
     let child = Router::start(program, config, Some(&wanted.directives), log);
     child.map_err(|e| format!("a router could not be started: {e}"))
--- a/crates/harness/src/copies.rs
+++ b/crates/harness/src/copies.rs
@@ -24,7 +24,11 @@
 
 impl Copies {
     pub fn new(most: f64) -> Copies {
-        Copies { ranks: std::array::from_fn(|_| LruCache::unbounded()), kb: 0.0, most }
+        Copies {
+            ranks: std::array::from_fn(|_| LruCache::unbounded()),
+            kb: 0.0,
+            most,
+        }
     }
 
     pub fn kb(&self) -> f64 {
@@ -54,7 +58,11 @@
     pub fn keep(&mut self, key: Key, rank: usize, copy: Copy) -> bool {
         self.remove(&key);
         let rank = rank.min(RANKS - 1);
-        let out_of_reach: f64 = self.ranks[rank + 1..].iter().flat_map(|r| r.iter()).map(|(_, c)| c.kb).sum();
+        let out_of_reach: f64 = self.ranks[rank + 1..]
+            .iter()
+            .flat_map(|r| r.iter())
+            .map(|(_, c)| c.kb)
+            .sum();
         if copy.kb + out_of_reach > self.most {
             return false;
         }
--- a/crates/harness/src/copies/tests.rs
+++ b/crates/harness/src/copies/tests.rs
@@ -10,11 +10,17 @@
     let mut copies = Copies::new(30.0);
     assert!(copies.keep((1, 0), 3, copy(10.0)) && copies.keep((2, 0), 1, copy(10.0)));
     assert!(copies.keep((3, 0), 1, copy(10.0)) && copies.hit(&(2, 0), 0).is_some());
-    assert!(copies.keep((4, 0), 1, copy(10.0)), "the one of rank 1 that was used longest ago goes");
+    assert!(
+        copies.keep((4, 0), 1, copy(10.0)),
+        "the one of rank 1 that was used longest ago goes"
+    );
     assert!(copies.peek(&(3, 0)).is_none() && copies.peek(&(2, 0)).is_some());
     assert!(!copies.keep((5, 0), 1, copy(25.0)), "rank 3 holds 10 of 30");
     assert!(copies.peek(&(1, 0)).is_some());
-    assert!(copies.hit(&(1, 0), 1).is_some() && copies.keep((5, 0), 1, copy(25.0)), "it is rank 1 now");
+    assert!(
+        copies.hit(&(1, 0), 1).is_some() && copies.keep((5, 0), 1, copy(25.0)),
+        "it is rank 1 now"
+    );
 }
 
 proptest! {
--- a/crates/harness/src/even.rs
+++ b/crates/harness/src/even.rs
@@ -40,13 +40,17 @@
 
 impl Place {
     pub fn present(&self, now: Duration) -> f64 {
-        let Some(started) = self.started.filter(|started| *started <= now) else { return self.capacity };
+        let Some(started) = self.started.filter(|started| *started <= now) else {
+            return self.capacity;
+        };
         let age = (now - started).as_secs_f64() / self.warm_within.as_secs_f64();
         self.capacity * (self.cold_from + (1.0 - self.cold_from) * age.min(1.0))
     }
 
     pub fn is_there(&self, now: Duration) -> bool {
-        self.there.iter().any(|(from, to)| (*from..*to).contains(&now))
+        self.there
+            .iter()
+            .any(|(from, to)| (*from..*to).contains(&now))
     }
 
     fn all_of(&self, from: Duration, to: Duration) -> bool {
@@ -54,7 +58,8 @@
     }
 
     fn warm(&self, now: Duration) -> bool {
-        self.started.is_none_or(|started| started + self.warm_within <= now)
+        self.started
+            .is_none_or(|started| started + self.warm_within <= now)
     }
 }
 
@@ -84,7 +89,13 @@
 /// Loads by zone and window: server, work over capacity, and how many requests.
 type Windows = BTreeMap<(usize, u64), Vec<(usize, f64, usize)>>;
 
-fn windows(sent: &[Sent], places: &[Place], from: Duration, to: Duration, width: Duration) -> Windows {
+fn windows(
+    sent: &[Sent],
+    places: &[Place],
+    from: Duration,
+    to: Duration,
+    width: Duration,
+) -> Windows {
     let mut sums: HashMap<(usize, u64), (f64, usize)> = HashMap::new();
     for one in sent.iter().filter(|s| (from..to).contains(&s.at)) {
         let window = ((one.at - from).as_nanos() / width.as_nanos()) as u64;
@@ -93,11 +104,22 @@
     }
     let mut found = Windows::new();
     for window in 0..((to.saturating_sub(from)).as_nanos() / width.as_nanos()) as u64 {
-        let (begin, end) = (from + width * window as u32, from + width * (window as u32 + 1));
-        for (server, place) in places.iter().enumerate().filter(|(_, p)| p.all_of(begin, end)) {
+        let (begin, end) = (
+            from + width * window as u32,
+            from + width * (window as u32 + 1),
+        );
+        for (server, place) in places
+            .iter()
+            .enumerate()
+            .filter(|(_, p)| p.all_of(begin, end))
+        {
             let (work, count) = sums.get(&(server, window)).copied().unwrap_or_default();
             let could = place.present(begin + width / 2) * width.as_secs_f64();
-            found.entry((place.zone, window)).or_default().push((server, work / could.max(1e-9), count));
+            found.entry((place.zone, window)).or_default().push((
+                server,
+                work / could.max(1e-9),
+                count,
+            ));
         }
     }
     found.retain(|_, loads| {
@@ -113,7 +135,13 @@
 }
 
 /// From `from` to `to`, by windows of that width.
-pub fn measure(sent: &[Sent], places: &[Place], from: Duration, to: Duration, width: Duration) -> Even {
+pub fn measure(
+    sent: &[Sent],
+    places: &[Place],
+    from: Duration,
+    to: Duration,
+    width: Duration,
+) -> Even {
     let windows = windows(sent, places, from, to, width);
     let (mut peaks, mut jains, mut idle, mut warm) = (Vec::new(), Vec::new(), 0usize, 0usize);
     for ((_, window), loads) in &windows {
@@ -123,7 +151,10 @@
         peaks.push(most / average);
         jains.push(average * average / squares);
         let begin = from + width * *window as u32;
-        for (server, load, _) in loads.iter().filter(|(server, _, _)| places[*server].warm(begin)) {
+        for (server, load, _) in loads
+            .iter()
+            .filter(|(server, _, _)| places[*server].warm(begin))
+        {
             let _ = server;
             warm += 1;
             idle += usize::from(*load < average / 4.0);
@@ -158,11 +189,15 @@
     }
     let back = |turns: &[(u64, i8)]| {
         let high = |side: i8| move |(_, s): &&(u64, i8)| *s == side;
-        turns.iter().enumerate().filter(|(_, t)| t.1 == 1).any(|(n, first)| {
-            let low = turns[n..].iter().position(|t| high(-1)(&t));
-            let again = low.and_then(|low| turns[n + low..].iter().find(high(1)));
-            again.is_some_and(|again| again.0 - first.0 <= 5)
-        })
+        turns
+            .iter()
+            .enumerate()
+            .filter(|(_, t)| t.1 == 1)
+            .any(|(n, first)| {
+                let low = turns[n..].iter().position(|t| high(-1)(&t));
+                let again = low.and_then(|low| turns[n + low..].iter().find(high(1)));
+                again.is_some_and(|again| again.0 - first.0 <= 5)
+            })
     };
     by_server.values().filter(|turns| back(turns)).count()
 }
@@ -173,7 +208,10 @@
 pub fn herd(sent: &[Sent], places: &[Place], zone: usize, at: Duration) -> Option<f64> {
     let until = at + Duration::from_secs(1);
     let mut first: BTreeMap<usize, &Sent> = BTreeMap::new();
-    for one in sent.iter().filter(|s| s.zone == zone && (at..until).contains(&s.at)) {
+    for one in sent
+        .iter()
+        .filter(|s| s.zone == zone && (at..until).contains(&s.at))
+    {
         first.entry(one.router).or_insert(one);
     }
     if first.len() < 6 {
@@ -185,16 +223,24 @@
         counts.values().copied().max().unwrap_or(0) as f64 / first.len() as f64
     };
     let real = share(&mut first.values().map(|s| s.server));
-    let hashed =
-        share(&mut first.values().filter_map(|s| prefers(places, s.zone, s.key, s.at).first().copied()));
+    let hashed = share(
+        &mut first
+            .values()
+            .filter_map(|s| prefers(places, s.zone, s.key, s.at).first().copied()),
+    );
     (hashed > 0.0).then(|| real / hashed)
 }
 
 /// Servers of a zone that are there, in the order in which the hash prefers them for a part.
 pub fn prefers(places: &[Place], zone: usize, key: Key, at: Duration) -> Vec<usize> {
     let name = object(key);
-    let here = places.iter().enumerate().filter(|(_, p)| p.zone == zone && p.is_there(at));
-    let mut drawn: Vec<(f64, usize)> = here.map(|(n, p)| (draw(&p.name, &name, p.capacity), n)).collect();
+    let here = places
+        .iter()
+        .enumerate()
+        .filter(|(_, p)| p.zone == zone && p.is_there(at));
+    let mut drawn: Vec<(f64, usize)> = here
+        .map(|(n, p)| (draw(&p.name, &name, p.capacity), n))
+        .collect();
     drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
     drawn.into_iter().map(|(_, server)| server).collect()
 }
@@ -211,13 +257,20 @@
 }
 
 /// The same requests, sent where a rule sends them. A request counts as under way for its work's time.
-pub fn deal(sent: &[Sent], places: &[Place], rule: Rule, from: Duration, width: Duration) -> Vec<Sent> {
+pub fn deal(
+    sent: &[Sent],
+    places: &[Place],
+    rule: Rule,
+    from: Duration,
+    width: Duration,
+) -> Vec<Sent> {
     let mut out: HashMap<(usize, usize), VecDeque<Duration>> = HashMap::new();
     // What each server of a zone was given in this window, and what the zone is asked for in all of
     // it. What came before the first window is dealt out like the rest, and measured by nobody.
     let mut given: HashMap<(usize, Option<u64>), f64> = HashMap::new();
     let mut asked: HashMap<(usize, Option<u64>), f64> = HashMap::new();
-    let window = |at: Duration| (at >= from).then(|| ((at - from).as_nanos() / width.as_nanos()) as u64);
+    let window =
+        |at: Duration| (at >= from).then(|| ((at - from).as_nanos() / width.as_nanos()) as u64);
     let could = |server: usize, window: Option<u64>| {
         let middle = from + width * window.unwrap_or(0) as u32 + width / 2;
         (places[server].present(middle) * width.as_secs_f64()).max(1e-9)
@@ -239,7 +292,11 @@
                     }
                     under_way.len()
                 };
-                order.iter().take(2).copied().min_by_key(|server| held(*server))
+                order
+                    .iter()
+                    .take(2)
+                    .copied()
+                    .min_by_key(|server| held(*server))
             }
             Rule::SeesAll => {
                 let all: f64 = order.iter().map(|s| could(*s, number)).sum();
@@ -249,7 +306,12 @@
                     (given + one.work) / could(*s, number)
                 };
                 let roomy = order.iter().find(|s| load(s) <= mean).copied();
-                roomy.or_else(|| order.iter().copied().min_by(|a, b| load(a).total_cmp(&load(b))))
+                roomy.or_else(|| {
+                    order
+                        .iter()
+                        .copied()
+                        .min_by(|a, b| load(a).total_cmp(&load(b)))
+                })
             }
         };
         let server = chosen.unwrap_or(one.server);
--- a/crates/harness/src/even/tests.rs
+++ b/crates/harness/src/even/tests.rs
@@ -37,10 +37,16 @@
 fn even_load_is_called_even_and_a_crowd_a_crowd() {
     let places = places(4);
     let even = at(&sent(100, |n| n % 4), &places);
-    assert!((even.peak - 1.0).abs() < 0.01 && even.idle == 0.0 && even.jain > 0.999, "{even:?}");
+    assert!(
+        (even.peak - 1.0).abs() < 0.01 && even.idle == 0.0 && even.jain > 0.999,
+        "{even:?}"
+    );
     assert_eq!((even.windows, even.swing), (2, 0.0));
     let crowd = at(&sent(100, |_| 2), &places);
-    assert!((crowd.peak - 4.0).abs() < 0.01 && (crowd.idle - 0.75).abs() < 0.01, "{crowd:?}");
+    assert!(
+        (crowd.peak - 4.0).abs() < 0.01 && (crowd.idle - 0.75).abs() < 0.01,
+        "{crowd:?}"
+    );
     assert!((crowd.jain - 0.25).abs() < 0.01);
 }
 
@@ -68,9 +74,15 @@
 fn a_herd_is_told_from_what_the_hash_would_do() {
     let places = places(4);
     let herd_of = |to: fn(usize) -> usize| herd(&sent(100, to), &places, 0, Duration::from_secs(2));
-    let (all, spread) = (herd_of(|_| 1).expect("ten routers"), herd_of(|n| n % 4).expect("ten routers"));
+    let (all, spread) = (
+        herd_of(|_| 1).expect("ten routers"),
+        herd_of(|n| n % 4).expect("ten routers"),
+    );
     assert!(all > 1.5 * spread && all > 2.0, "{all} {spread}");
-    assert_eq!(herd(&sent(1, |_| 1), &places, 0, Duration::from_secs(2)), None);
+    assert_eq!(
+        herd(&sent(1, |_| 1), &places, 0, Duration::from_secs(2)),
+        None
+    );
 }
 
 #[test]
@@ -78,13 +90,24 @@
     let places = places(4);
     // A few objects want most: the plain hash is uneven.
     let mut work = sent(200, |_| 0);
-    work.iter_mut().enumerate().for_each(|(n, s)| s.key = (if n % 3 == 0 { 1 } else { n as u64 % 40 }, 0));
+    work.iter_mut()
+        .enumerate()
+        .for_each(|(n, s)| s.key = (if n % 3 == 0 { 1 } else { n as u64 % 40 }, 0));
     let by = |rule| deal(&work, &places, rule, Duration::ZERO, WIDTH);
     let (hash, two, all) = (by(Rule::Hash), by(Rule::LeastOfTwo), by(Rule::SeesAll));
     let peak = |dealt: &[Sent]| at(dealt, &places).peak;
-    assert!(peak(&all) < 1.05 && peak(&hash) > 1.3, "{} {}", peak(&all), peak(&hash));
+    assert!(
+        peak(&all) < 1.05 && peak(&hash) > 1.3,
+        "{} {}",
+        peak(&all),
+        peak(&hash)
+    );
     assert!(peak(&two) < peak(&hash) + 0.01);
-    let moved = hash.iter().zip(&all).filter(|(a, b)| a.server != b.server).count();
+    let moved = hash
+        .iter()
+        .zip(&all)
+        .filter(|(a, b)| a.server != b.server)
+        .count();
     assert!(moved < work.len() / 2, "{moved} of {}", work.len());
     assert_eq!(by(Rule::Hash), hash, "the same work is dealt the same");
 }
--- a/crates/harness/src/net.rs
+++ b/crates/harness/src/net.rs
@@ -51,40 +51,66 @@
     /// Of the system, in words.
     pub async fn open(routers: Vec<SocketAddr>, at: &str) -> Result<Net, String> {
         let mut sockets = Vec::with_capacity(routers.len());
-        let bind =
-            || async { UdpSocket::bind(format!("{at}:0")).await.map_err(|e| format!("datagrams: {e}")) };
+        let bind = || async {
+            UdpSocket::bind(format!("{at}:0"))
+                .await
+                .map_err(|e| format!("datagrams: {e}"))
+        };
         for _ in &routers {
             sockets.push(bind().await?);
         }
-        Ok(Net { sockets: Rc::new(sockets), all: Rc::new(bind().await?), routers: Rc::new(routers) })
+        Ok(Net {
+            sockets: Rc::new(sockets),
+            all: Rc::new(bind().await?),
+            routers: Rc::new(routers),
+        })
     }
 
     /// As routers are told: one address each, and one for all.
     pub fn told(&self) -> (Vec<String>, String) {
-        let at = |socket: &UdpSocket| socket.local_addr().map(|a| a.to_string()).unwrap_or_default();
+        let at = |socket: &UdpSocket| {
+            socket
+                .local_addr()
+                .map(|a| a.to_string())
+                .unwrap_or_default()
+        };
         (self.sockets.iter().map(at).collect(), at(&self.all))
     }
 
     /// Carries until the weather ends.
     pub fn run(&self, weather: &watch::Receiver<Weather>, carried: &watch::Sender<Carried>) {
         for to in 0..=self.routers.len() {
-            let (sockets, all, routers) = (self.sockets.clone(), self.all.clone(), self.routers.clone());
+            let (sockets, all, routers) =
+                (self.sockets.clone(), self.all.clone(), self.routers.clone());
             let (weather, carried) = (weather.clone(), carried.clone());
             spawn_local(async move {
                 let mut chance = fastrand::Rng::with_seed(weather.borrow().seed ^ to as u64);
                 let socket = sockets.get(to).unwrap_or(&all);
                 let mut buffer = [0; 2 * MOST_BYTES];
                 while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
-                    let Some(sender) = routers.iter().position(|at| *at == from) else { continue };
+                    let Some(sender) = routers.iter().position(|at| *at == from) else {
+                        continue;
+                    };
                     carried.send_modify(|c| {
                         c.datagrams += 1;
                         c.bytes += length as u64;
                         c.too_long += u64::from(length > MOST_BYTES);
                     });
-                    let receivers = if to < routers.len() { to..to + 1 } else { 0..routers.len() };
+                    let receivers = if to < routers.len() {
+                        to..to + 1
+                    } else {
+                        0..routers.len()
+                    };
                     for receiver in receivers.filter(|r| *r != sender) {
                         let now = weather.borrow().clone();
-                        carry(&now, &mut chance, &sockets, &routers, (sender, receiver), &buffer[..length]);
+                        carry(
+                            &now,
+                            &mut chance,
+                            &sockets,
+                            &routers,
+                            (sender, receiver),
+                            &buffer[..length],
+                        );
                     }
                 }
             });
@@ -93,9 +119,17 @@
 
     /// A word within the format, in the name of a router, that nobody has found out: parts that are nowhere.
     pub fn lie(&self, liar: usize, zone: usize, peers: &[usize], chance: &mut fastrand::Rng) {
-        let finding = |_| Finding { part: chance.u32(..1 << KEY_BITS), cache: chance.u8(1..) };
+        let finding = |_| Finding {
+            part: chance.u32(..1 << KEY_BITS),
+            cache: chance.u8(1..),
+        };
         let findings = (0..50).map(finding).collect();
-        let bytes = Datagram { looking: chance.bool(), zone: zone as u16, findings }.encode();
+        let bytes = Datagram {
+            looking: chance.bool(),
+            zone: zone as u16,
+            findings,
+        }
+        .encode();
         for peer in peers.iter().filter(|peer| **peer != liar) {
             let _ = self.sockets[liar].try_send_to(&bytes, self.routers[*peer]);
         }
@@ -119,7 +153,9 @@
             let place = |router: usize| router % weather.zones.max(1);
             ways.datagram(place(sender), place(receiver), chance)
         });
-        let Some(way) = way.unwrap_or(Some(Duration::ZERO)) else { continue };
+        let Some(way) = way.unwrap_or(Some(Duration::ZERO)) else {
+            continue;
+        };
         let mut wait = weather.late.mul_f64(chance.f64()) + way;
         if chance.f64() < weather.turned {
             wait += TURNED;
--- a/crates/harness/src/net/tests.rs
+++ b/crates/harness/src/net/tests.rs
@@ -5,10 +5,15 @@
 /// Sends from router 0 to router 1's place in some weather; how many arrive, and from whom they seem to
 /// be.
 fn arrive(weather: Weather, count: u8) -> (Vec<u8>, bool) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let routers =
-            [UdpSocket::bind("127.0.0.1:0").await.unwrap(), UdpSocket::bind("127.0.0.1:0").await.unwrap()];
+        let routers = [
+            UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+            UdpSocket::bind("127.0.0.1:0").await.unwrap(),
+        ];
         let at = routers.iter().map(|r| r.local_addr().unwrap()).collect();
         let net = Net::open(at, "127.0.0.1").await.unwrap();
         let (told, _) = net.told();
@@ -19,8 +24,11 @@
             tokio::task::yield_now().await;
         }
         let (mut came, mut known, mut buffer) = (Vec::new(), true, [0; 8]);
-        while let Ok(Ok((_, from))) =
-            timeout(Duration::from_millis(900), routers[1].recv_from(&mut buffer)).await
+        while let Ok(Ok((_, from))) = timeout(
+            Duration::from_millis(900),
+            routers[1].recv_from(&mut buffer),
+        )
+        .await
         {
             known &= from.to_string() == told[0];
             came.push(buffer[0]);
@@ -32,10 +40,44 @@
 #[test]
 fn datagrams_pass_under_their_senders_address_and_meet_the_weather() {
     assert_eq!(arrive(Weather::default(), 20), ((0..20).collect(), true));
-    let (came, known) = arrive(Weather { lost: 0.5, ..Weather::default() }, 100);
+    let (came, known) = arrive(
+        Weather {
+            lost: 0.5,
+            ..Weather::default()
+        },
+        100,
+    );
     assert!(known && (25..75).contains(&came.len()), "{came:?}");
-    assert_eq!(arrive(Weather { doubled: 1.0, ..Weather::default() }, 10).0.len(), 20);
-    assert!(arrive(Weather { deaf: vec![false, true], ..Weather::default() }, 10).0.is_empty());
-    let (came, _) = arrive(Weather { turned: 0.3, seed: 4, ..Weather::default() }, 40);
+    assert_eq!(
+        arrive(
+            Weather {
+                doubled: 1.0,
+                ..Weather::default()
+            },
+            10
+        )
+        .0
+        .len(),
+        20
+    );
+    assert!(
+        arrive(
+            Weather {
+                deaf: vec![false, true],
+                ..Weather::default()
+            },
+            10
+        )
+        .0
+        .is_empty()
+    );
+    let (came, _) = arrive(
+        Weather {
+            turned: 0.3,
+            seed: 4,
+            ..Weather::default()
+        },
+        40,
+    );
     assert!(came.len() == 40 && !came.is_sorted(), "{came:?}");
 }
--- a/crates/harness/src/places.rs
+++ b/crates/harness/src/places.rs
@@ -56,7 +56,9 @@
     fn sum(&self, zone: usize, from: Duration, to: Duration) -> (f64, f64) {
         let seconds = self.0[zone].iter().enumerate();
         let within = seconds.filter(|(n, _)| (from..to).contains(&Duration::from_secs(*n as u64)));
-        within.fold((0.0, 0.0), |(a, e), (_, (asked, earned))| (a + asked, e + earned))
+        within.fold((0.0, 0.0), |(a, e), (_, (asked, earned))| {
+            (a + asked, e + earned)
+        })
     }
 
     pub fn measure(&self, play: &Play, sent: &[Sent], places: &[Place]) -> Places {
@@ -65,12 +67,15 @@
         for fault in &play.faults {
             let of: Vec<usize> = match fault.what {
                 What::Lose(Whom::Zone(at)) => vec![at],
-                What::LoseRegion(region) => {
-                    (0..zones).filter(|at| ways::region(*at, &play.fleet) == region).collect()
-                }
+                What::LoseRegion(region) => (0..zones)
+                    .filter(|at| ways::region(*at, &play.fleet) == region)
+                    .collect(),
                 _ => Vec::new(),
             };
-            losses.extend(of.into_iter().map(|at| (at, fault.at, fault.at + fault.lasts)));
+            losses.extend(
+                of.into_iter()
+                    .map(|at| (at, fault.at, fault.at + fault.lasts)),
+            );
         }
         let home = |one: &Sent| one.router % zones;
         let (mut asked, mut earned, mut limit, mut plan) = (0.0, 0.0, 0.0, Duration::ZERO);
@@ -78,12 +83,22 @@
         for (at, from, to) in &losses {
             let (a, e) = self.sum(*at, *from, (*to + AFTER).min(lasts));
             (asked, earned) = (asked + a, earned + e);
-            limit +=
-                a * seen_by_one_that_sees_all(play, places, &losses, *at, *from, (*to + AFTER).min(lasts));
+            limit += a * seen_by_one_that_sees_all(
+                play,
+                places,
+                &losses,
+                *at,
+                *from,
+                (*to + AFTER).min(lasts),
+            );
             let of = |one: &&Sent| home(one) == *at && (*from..*to).contains(&one.at);
             let tries: Vec<&Sent> = sent.iter().filter(of).collect();
             let first = tries.iter().enumerate().find(|(n, one)| {
-                let window = || tries[*n..].iter().take_while(|other| other.at < one.at + WINDOW);
+                let window = || {
+                    tries[*n..]
+                        .iter()
+                        .take_while(|other| other.at < one.at + WINDOW)
+                };
                 let elsewhere = window().filter(|other| other.zone != *at).count();
                 window().count() >= LEAST && elsewhere as f64 >= ELSEWHERE * window().count() as f64
             });
@@ -97,18 +112,27 @@
         let whole = |zone: usize, now: Duration| {
             let warm = |place: &Place| {
                 place.is_there(now)
-                    && place.started.is_none_or(|at| at > now || at + place.warm_within <= now)
+                    && place
+                        .started
+                        .is_none_or(|at| at > now || at + place.warm_within <= now)
             };
             places.iter().filter(|place| place.zone == zone).all(warm)
         };
         let abroad = counted().filter(|one| home(one) != one.zone).count();
-        let needless = counted().filter(|one| home(one) != one.zone && whole(home(one), one.at)).count();
-        let toppled = (0..zones).filter(|at| losses.iter().all(|(lost, ..)| lost != at)).map(|at| {
-            let seconds = lead.as_secs()..lasts.as_secs();
-            let second = |n: u64| self.sum(at, Duration::from_secs(n), Duration::from_secs(n + 1));
-            seconds.map(second).filter(|(asked, earned)| *asked >= 20.0 && earned * 2.0 < *asked).count()
-                as u64
-        });
+        let needless = counted()
+            .filter(|one| home(one) != one.zone && whole(home(one), one.at))
+            .count();
+        let toppled = (0..zones)
+            .filter(|at| losses.iter().all(|(lost, ..)| lost != at))
+            .map(|at| {
+                let seconds = lead.as_secs()..lasts.as_secs();
+                let second =
+                    |n: u64| self.sum(at, Duration::from_secs(n), Duration::from_secs(n + 1));
+                seconds
+                    .map(second)
+                    .filter(|(asked, earned)| *asked >= 20.0 && earned * 2.0 < *asked)
+                    .count() as u64
+            });
         let all = counted().count().max(1) as f64;
         Places {
             lost_service: if asked > 0.0 { earned / asked } else { 1.0 },
@@ -138,7 +162,11 @@
     };
     let (mut sum, mut steps, mut now) = (0.0, 0.0, from);
     while now < to {
-        let lost = losses.iter().filter(|(_, a, b)| (*a..*b).contains(&now)).count().max(1) as f64;
+        let lost = losses
+            .iter()
+            .filter(|(_, a, b)| (*a..*b).contains(&now))
+            .count()
+            .max(1) as f64;
         let others = (0..play.fleet.zones).filter(|other| *other != at);
         let spare: f64 = others.map(|other| (can(other, now) - work).max(0.0)).sum();
         sum += ((can(at, now) + spare / lost) / work).min(1.0);
--- a/crates/harness/src/places/tests.rs
+++ b/crates/harness/src/places/tests.rs
@@ -8,13 +8,21 @@
     play.work.lasts = s(10);
     play.work.lead = s(0);
     play.work.rate = 60.0;
-    play.faults.push(Fault { at: s(2), lasts: s(2), what: What::Lose(Whom::Zone(1)) });
+    play.faults.push(Fault {
+        at: s(2),
+        lasts: s(2),
+        what: What::Lose(Whom::Zone(1)),
+    });
     let place = |zone: usize| Place {
         name: format!("c{zone}"),
         zone,
         capacity: 4.0,
         started: None,
-        there: if zone == 1 { vec![(s(0), s(2)), (s(4), s(99))] } else { vec![(s(0), s(99))] },
+        there: if zone == 1 {
+            vec![(s(0), s(2)), (s(4), s(99))]
+        } else {
+            vec![(s(0), s(99))]
+        },
         cold_from: 0.3,
         warm_within: s(2),
     };
@@ -29,11 +37,27 @@
             kept.earned(1, at, 1.0);
         }
         let zone = if away || n == 900 { 2 } else { 1 };
-        sent.push(Sent { at, server: 0, zone, router: 5, key: (1, 0), work: 0.1, hit: true });
+        sent.push(Sent {
+            at,
+            server: 0,
+            zone,
+            router: 5,
+            key: (1, 0),
+            work: 0.1,
+            hit: true,
+        });
     }
     let found = kept.measure(&play, &sent, &places);
     assert!((found.lost_service - 6.0 / 7.0).abs() < 1e-9, "{found:?}");
-    assert!(found.plan.is_some_and(|plan| plan > Duration::from_millis(700) && plan <= s(1)), "{found:?}");
-    assert!((found.needless - 0.001).abs() < 1e-9 && found.toppled == 0, "{found:?}");
+    assert!(
+        found
+            .plan
+            .is_some_and(|plan| plan > Duration::from_millis(700) && plan <= s(1)),
+        "{found:?}"
+    );
+    assert!(
+        (found.needless - 0.001).abs() < 1e-9 && found.toppled == 0,
+        "{found:?}"
+    );
     assert!(found.lost_limit > 0.9);
 }
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -144,7 +144,11 @@
 impl FleetOf {
     /// Groups of routers by address.
     pub fn doors(&self) -> usize {
-        if self.near.is_zero() && self.far.is_zero() { self.groups } else { self.zones }
+        if self.near.is_zero() && self.far.is_zero() {
+            self.groups
+        } else {
+            self.zones
+        }
     }
 
     pub fn group(&self, router: usize) -> usize {
@@ -259,10 +263,13 @@
     pub fn measured_again(&self) -> Duration {
         let (lead, lasts) = (self.work.lead, self.work.lasts);
         let after = self.must.after.unwrap_or(Duration::from_secs(3));
-        let over = self.faults.iter().map(|fault| match fault.at + fault.lasts {
-            end if end >= lasts => fault.at,
-            end => end,
-        });
+        let over = self
+            .faults
+            .iter()
+            .map(|fault| match fault.at + fault.lasts {
+                end if end >= lasts => fault.at,
+                end => end,
+            });
         let again = over.max().map_or(lead, |over| (over + after).max(lead));
         again.min(lasts.saturating_sub(Duration::from_secs(1)))
     }
@@ -271,11 +278,23 @@
     pub fn faults_of_sense(&self) -> Vec<String> {
         let (fleet, mut found) = (&self.fleet, Vec::new());
         let mut wrong = |is: bool, what: String| found.extend(is.then_some(what));
-        wrong(fleet.routers < fleet.zones, format!("{} zones need as many routers", fleet.zones));
-        wrong(fleet.caches < fleet.zones, format!("{} zones need as many caches", fleet.zones));
-        wrong(self.work.lead >= self.work.lasts, "lead: nothing is left to be measured".into());
+        wrong(
+            fleet.routers < fleet.zones,
+            format!("{} zones need as many routers", fleet.zones),
+        );
+        wrong(
+            fleet.caches < fleet.zones,
+            format!("{} zones need as many caches", fleet.zones),
+        );
+        wrong(
+            self.work.lead >= self.work.lasts,
+            "lead: nothing is left to be measured".into(),
+        );
         for fault in &self.faults {
-            wrong(fault.at > self.work.lasts, format!("a fault at {:?} comes after the end", fault.at));
+            wrong(
+                fault.at > self.work.lasts,
+                format!("a fault at {:?} comes after the end", fault.at),
+            );
             let zones: Vec<usize> = match fault.what {
                 What::Shift(from, to) => vec![from, to],
                 What::WaysSlow(a, b, _) | What::WaysCut(a, b) | What::WaysLose(a, b, _) => {
@@ -287,7 +306,12 @@
                 _ => Vec::new(),
             };
             let beyond = zones.into_iter().filter(|at| *at >= fleet.zones);
-            beyond.for_each(|at| wrong(true, format!("zone {at}: they count from 0 to {}", fleet.zones - 1)));
+            beyond.for_each(|at| {
+                wrong(
+                    true,
+                    format!("zone {at}: they count from 0 to {}", fleet.zones - 1),
+                )
+            });
         }
         found
     }
@@ -329,20 +353,31 @@
 /// `caches 1/8`, `parents 1`, `routers 70%`, `zone 2`.
 fn whom(place: usize, words: &[&str]) -> Result<Whom, Fails> {
     let [kind, of] = words else {
-        return Err((place, "whom? caches, parents or routers PART, or location N".into()));
+        return Err((
+            place,
+            "whom? caches, parents or routers PART, or location N".into(),
+        ));
     };
     let of_all = at(place + 1, part(of));
     match *kind {
         "caches" => Ok(Whom::Caches(of_all?)),
         "parents" => Ok(Whom::Parents(of_all?)),
         "routers" => Ok(Whom::Routers(of_all?)),
-        "location" => Ok(Whom::Zone(at(place + 1, values::whole(of, 0, 10_000))? as usize)),
-        other => Err((place, format!("{other:?} is not caches, parents, routers or location"))),
+        "location" => Ok(Whom::Zone(
+            at(place + 1, values::whole(of, 0, 10_000))? as usize
+        )),
+        other => Err((
+            place,
+            format!("{other:?} is not caches, parents, routers or location"),
+        )),
     }
 }
 
 fn times(place: usize, word: &str) -> Result<f64, Fails> {
-    let found = word.parse::<f64>().ok().filter(|by| (0.0..=1000.0).contains(by));
+    let found = word
+        .parse::<f64>()
+        .ok()
+        .filter(|by| (0.0..=1000.0).contains(by));
     found.ok_or_else(|| (place, format!("{word:?} is not a number from 0 to 1000")))
 }
 
@@ -357,16 +392,22 @@
         _ => (Duration::ZERO, 1),
     };
     let rest = words.get(from..).unwrap_or_default();
-    let Some((verb, rest)) = rest.split_first() else { return Err((0, "what breaks?".into())) };
+    let Some((verb, rest)) = rest.split_first() else {
+        return Err((0, "what breaks?".into()));
+    };
     let place = from + 1;
     let share = |place: usize, word: &str| at(place, values::share(word));
     let what = match (*verb, rest) {
         ("slow", [w @ .., "by", by]) => What::Slow(whom(place, w)?, times(place + 3, by)?),
         ("errors", w) => What::Errors(whom(place, w)?),
-        ("silent", [w @ .., "to", "routers", of]) => What::Apart(whom(place, w)?, at(place + 4, part(of))?),
+        ("silent", [w @ .., "to", "routers", of]) => {
+            What::Apart(whom(place, w)?, at(place + 4, part(of))?)
+        }
         ("silent", w) => What::Silent(whom(place, w)?),
         ("resets", [w @ .., of]) => What::Resets(whom(place, w)?, share(place + 2, of)?),
-        ("lose", ["region", of]) => What::LoseRegion(at(place + 1, values::whole(of, 0, 100))? as usize),
+        ("lose", ["region", of]) => {
+            What::LoseRegion(at(place + 1, values::whole(of, 0, 100))? as usize)
+        }
         ("lose", w) => What::Lose(whom(place, w)?),
         ("ways", [from, to, what @ ..]) => {
             let one = |place: usize, word: &str| match word {
@@ -403,9 +444,18 @@
             let of = |place, word| at(place, values::whole(word, 0, 10_000));
             What::Shift(of(place + 1, from)? as usize, of(place + 3, to)? as usize)
         }
-        (other, _) => return Err((from, format!("{other:?} with these words is nothing that breaks"))),
+        (other, _) => {
+            return Err((
+                from,
+                format!("{other:?} with these words is nothing that breaks"),
+            ));
+        }
     };
-    Ok(Fault { at: begins, lasts, what })
+    Ok(Fault {
+        at: begins,
+        lasts,
+        what,
+    })
 }
 
 const fn one(
@@ -415,7 +465,15 @@
     says: &'static str,
     set: fn(&mut Play, &[&str]) -> Result<(), Fails>,
 ) -> Entry<Play> {
-    Entry { section, name, takes, count: 1..=1, many: false, says, set }
+    Entry {
+        section,
+        name,
+        takes,
+        count: 1..=1,
+        many: false,
+        says,
+        set,
+    }
 }
 
 fn whole(word: &str, least: u64, most: u64) -> Result<usize, Fails> {
@@ -423,8 +481,16 @@
 }
 
 fn number(word: &str, least: f64, most: f64) -> Result<f64, Fails> {
-    let found = word.parse::<f64>().ok().filter(|n| (least..=most).contains(n));
-    found.ok_or_else(|| (0, format!("{word:?} is not a number from {least} to {most}")))
+    let found = word
+        .parse::<f64>()
+        .ok()
+        .filter(|n| (least..=most).contains(n));
+    found.ok_or_else(|| {
+        (
+            0,
+            format!("{word:?} is not a number from {least} to {most}"),
+        )
+    })
 }
 
 /// Every word of a play.
@@ -435,46 +501,100 @@
             p.fleet.routers = whole(w[0], 2, 500)?;
             Ok(())
         }),
-        one("fleet", "locations", "COUNT", "among which routers and caches are dealt out", |p, w| {
-            p.fleet.zones = whole(w[0], 1, 100)?;
-            Ok(())
-        }),
-        one("fleet", "caches", "COUNT", "cache servers of all zones", |p, w| {
-            p.fleet.caches = whole(w[0], 1, 500)?;
-            Ok(())
-        }),
-        one("fleet", "parents", "COUNT", "parents of all zones", |p, w| {
-            p.fleet.parents = whole(w[0], 1, 100)?;
-            Ok(())
-        }),
-        one("fleet", "cache-capacity", "NUMBER", "transfers at a client's pace at once", |p, w| {
-            p.fleet.cache_capacity = number(w[0], 0.1, 1e6)?;
-            Ok(())
-        }),
-        one("fleet", "parent-capacity", "NUMBER", "the same of a parent", |p, w| {
-            p.fleet.parent_capacity = number(w[0], 0.1, 1e6)?;
-            Ok(())
-        }),
-        one("fleet", "origin-capacity", "NUMBER", "the same of the origin", |p, w| {
-            p.fleet.origin_capacity = number(w[0], 0.1, 1e6)?;
-            Ok(())
-        }),
-        one("fleet", "link", "NUMBER", "transfers that fills of one zone share", |p, w| {
-            p.fleet.link = number(w[0], 0.1, 1e6)?;
-            Ok(())
-        }),
+        one(
+            "fleet",
+            "locations",
+            "COUNT",
+            "among which routers and caches are dealt out",
+            |p, w| {
+                p.fleet.zones = whole(w[0], 1, 100)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "caches",
+            "COUNT",
+            "cache servers of all zones",
+            |p, w| {
+                p.fleet.caches = whole(w[0], 1, 500)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "parents",
+            "COUNT",
+            "parents of all zones",
+            |p, w| {
+                p.fleet.parents = whole(w[0], 1, 100)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "cache-capacity",
+            "NUMBER",
+            "transfers at a client's pace at once",
+            |p, w| {
+                p.fleet.cache_capacity = number(w[0], 0.1, 1e6)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "parent-capacity",
+            "NUMBER",
+            "the same of a parent",
+            |p, w| {
+                p.fleet.parent_capacity = number(w[0], 0.1, 1e6)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "origin-capacity",
+            "NUMBER",
+            "the same of the origin",
+            |p, w| {
+                p.fleet.origin_capacity = number(w[0], 0.1, 1e6)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "link",
+            "NUMBER",
+            "transfers that fills of one zone share",
+            |p, w| {
+                p.fleet.link = number(w[0], 0.1, 1e6)?;
+                Ok(())
+            },
+        ),
         one("fleet", "memory", "KB", "what a cache holds", |p, w| {
             p.fleet.memory_kb = number(w[0], 1.0, 1e9)?;
             Ok(())
         }),
-        one("fleet", "pace", "KB", "a second of one transfer to a client", |p, w| {
-            p.fleet.pace = number(w[0], 1.0, 1e6)?;
-            Ok(())
-        }),
-        one("fleet", "cold-from", "SHARE", "of its capacity at a start", |p, w| {
-            p.fleet.cold_from = at(0, values::share(w[0]))?.max(0.01);
-            Ok(())
-        }),
+        one(
+            "fleet",
+            "pace",
+            "KB",
+            "a second of one transfer to a client",
+            |p, w| {
+                p.fleet.pace = number(w[0], 1.0, 1e6)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "cold-from",
+            "SHARE",
+            "of its capacity at a start",
+            |p, w| {
+                p.fleet.cold_from = at(0, values::share(w[0]))?.max(0.01);
+                Ok(())
+            },
+        ),
         one("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
             p.fleet.warm_within = at(0, values::span(w[0]))?.max(Duration::from_millis(100));
             Ok(())
@@ -489,30 +609,60 @@
                 Ok(())
             },
         ),
-        one("fleet", "pass-through", "on|off", "parents and origin take attempts too", |p, w| {
-            p.fleet.pass_through = match w[0] {
-                "on" => true,
-                "off" => false,
-                other => return Err((0, format!("{other:?} is neither on nor off"))),
-            };
-            Ok(())
-        }),
-        one("fleet", "regions", "COUNT", "among which the zones lie, in blocks", |p, w| {
-            p.fleet.regions = whole(w[0], 1, 100)?;
-            Ok(())
-        }),
-        one("fleet", "near", "SPAN", "what a word takes one way between zones of a region", |p, w| {
-            p.fleet.near = at(0, values::span(w[0]))?;
-            Ok(())
-        }),
-        one("fleet", "far", "SPAN", "the same between regions", |p, w| {
-            p.fleet.far = at(0, values::span(w[0]))?;
-            Ok(())
-        }),
-        one("fleet", "jitter", "SHARE", "up to how much more it takes", |p, w| {
-            p.fleet.jitter = at(0, values::share(w[0]))?;
-            Ok(())
-        }),
+        one(
+            "fleet",
+            "pass-through",
+            "on|off",
+            "parents and origin take attempts too",
+            |p, w| {
+                p.fleet.pass_through = match w[0] {
+                    "on" => true,
+                    "off" => false,
+                    other => return Err((0, format!("{other:?} is neither on nor off"))),
+                };
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "regions",
+            "COUNT",
+            "among which the zones lie, in blocks",
+            |p, w| {
+                p.fleet.regions = whole(w[0], 1, 100)?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "near",
+            "SPAN",
+            "what a word takes one way between zones of a region",
+            |p, w| {
+                p.fleet.near = at(0, values::span(w[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "far",
+            "SPAN",
+            "the same between regions",
+            |p, w| {
+                p.fleet.far = at(0, values::span(w[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "fleet",
+            "jitter",
+            "SHARE",
+            "up to how much more it takes",
+            |p, w| {
+                p.fleet.jitter = at(0, values::share(w[0]))?;
+                Ok(())
+            },
+        ),
         Entry {
             section: "fleet",
             name: "directive",
@@ -529,18 +679,36 @@
             p.work.lasts = Duration::from_secs(whole(w[0], 2, 3600)? as u64);
             Ok(())
         }),
-        one("work", "lead", "SPAN", "before anything is measured", |p, w| {
-            p.work.lead = at(0, values::span(w[0]))?;
-            Ok(())
-        }),
-        one("work", "rate", "NUMBER", "requests a second over all", |p, w| {
-            p.work.rate = number(w[0], 1.0, 50_000.0)?;
-            Ok(())
-        }),
-        one("work", "uneven", "NUMBER", "the busiest router's rate over the mean", |p, w| {
-            p.work.uneven = number(w[0], 1.0, 100.0)?;
-            Ok(())
-        }),
+        one(
+            "work",
+            "lead",
+            "SPAN",
+            "before anything is measured",
+            |p, w| {
+                p.work.lead = at(0, values::span(w[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "work",
+            "rate",
+            "NUMBER",
+            "requests a second over all",
+            |p, w| {
+                p.work.rate = number(w[0], 1.0, 50_000.0)?;
+                Ok(())
+            },
+        ),
+        one(
+            "work",
+            "uneven",
+            "NUMBER",
+            "the busiest router's rate over the mean",
+            |p, w| {
+                p.work.uneven = number(w[0], 1.0, 100.0)?;
+                Ok(())
+            },
+        ),
         one("work", "objects", "COUNT", "objects there are", |p, w| {
             p.work.objects = whole(w[0], 1, 10_000_000)?;
             Ok(())
@@ -553,26 +721,56 @@
             p.work.kb = number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
-        one("work", "writes", "SHARE", "of requests that must not run twice", |p, w| {
-            p.work.writes = at(0, values::share(w[0]))?;
-            Ok(())
-        }),
-        one("work", "patience", "SPAN", "how long a client waits, all tries together", |p, w| {
-            p.work.patience = at(0, values::span(w[0]))?;
-            Ok(())
-        }),
-        one("work", "soft", "SPAN", "within which an answer earns all of its value", |p, w| {
-            p.work.soft = at(0, values::span(w[0]))?;
-            Ok(())
-        }),
-        one("work", "retries", "COUNT", "how often a client asks again", |p, w| {
-            p.work.retries = whole(w[0], 0, 20)?;
-            Ok(())
-        }),
-        one("work", "heed", "SHARE", "of clients that come back when they are told", |p, w| {
-            p.work.heed = at(0, values::share(w[0]))?;
-            Ok(())
-        }),
+        one(
+            "work",
+            "writes",
+            "SHARE",
+            "of requests that must not run twice",
+            |p, w| {
+                p.work.writes = at(0, values::share(w[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "work",
+            "patience",
+            "SPAN",
+            "how long a client waits, all tries together",
+            |p, w| {
+                p.work.patience = at(0, values::span(w[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "work",
+            "soft",
+            "SPAN",
+            "within which an answer earns all of its value",
+            |p, w| {
+                p.work.soft = at(0, values::span(w[0]))?;
+                Ok(())
+            },
+        ),
+        one(
+            "work",
+            "retries",
+            "COUNT",
+            "how often a client asks again",
+            |p, w| {
+                p.work.retries = whole(w[0], 0, 20)?;
+                Ok(())
+            },
+        ),
+        one(
+            "work",
+            "heed",
+            "SHARE",
+            "of clients that come back when they are told",
+            |p, w| {
+                p.work.heed = at(0, values::share(w[0]))?;
+                Ok(())
+            },
+        ),
         one("work", "fresh", "SPAN", "how long a copy is", |p, w| {
             p.work.fresh = at(0, values::span(w[0]))?;
             Ok(())
@@ -590,14 +788,26 @@
                 Ok(())
             },
         },
-        one("must", "service", "SHARE", "of the value asked for, at least", |p, w| {
-            p.must.service = Some(at(0, values::share(w[0]))?);
-            Ok(())
-        }),
-        one("must", "peak", "NUMBER", "busiest over mean, over that of who sees all, at most", |p, w| {
-            p.must.peak = Some(number(w[0], 0.1, 100.0)?);
-            Ok(())
-        }),
+        one(
+            "must",
+            "service",
+            "SHARE",
+            "of the value asked for, at least",
+            |p, w| {
+                p.must.service = Some(at(0, values::share(w[0]))?);
+                Ok(())
+            },
+        ),
+        one(
+            "must",
+            "peak",
+            "NUMBER",
+            "busiest over mean, over that of who sees all, at most",
+            |p, w| {
+                p.must.peak = Some(number(w[0], 0.1, 100.0)?);
+                Ok(())
+            },
+        ),
         one(
             "must",
             "idle",
@@ -608,30 +818,66 @@
                 Ok(())
             },
         ),
-        one("must", "herd", "NUMBER", "same next server over independence, at most", |p, w| {
-            p.must.herd = Some(number(w[0], 0.1, 100.0)?);
-            Ok(())
-        }),
-        one("must", "swing", "NUMBER", "servers from crowded to idle and back, at most", |p, w| {
-            p.must.swing = Some(number(w[0], 0.0, 1000.0)?);
-            Ok(())
-        }),
-        one("must", "lost-service", "SHARE", "of what lost zones asked for, at least", |p, w| {
-            p.must.lost_service = Some(at(0, values::share(w[0]))?);
-            Ok(())
-        }),
-        one("must", "plan", "SPAN", "from a loss until requests go elsewhere, at most", |p, w| {
-            p.must.plan = Some(at(0, values::span(w[0]))?);
-            Ok(())
-        }),
-        one("must", "needless", "SHARE", "of requests that left without need, at most", |p, w| {
-            p.must.needless = Some(at(0, values::share(w[0]))?);
-            Ok(())
-        }),
-        one("must", "after", "SPAN", "what is measured begins so long after the last fault", |p, w| {
-            p.must.after = Some(at(0, values::span(w[0]))?);
-            Ok(())
-        }),
+        one(
+            "must",
+            "herd",
+            "NUMBER",
+            "same next server over independence, at most",
+            |p, w| {
+                p.must.herd = Some(number(w[0], 0.1, 100.0)?);
+                Ok(())
+            },
+        ),
+        one(
+            "must",
+            "swing",
+            "NUMBER",
+            "servers from crowded to idle and back, at most",
+            |p, w| {
+                p.must.swing = Some(number(w[0], 0.0, 1000.0)?);
+                Ok(())
+            },
+        ),
+        one(
+            "must",
+            "lost-service",
+            "SHARE",
+            "of what lost zones asked for, at least",
+            |p, w| {
+                p.must.lost_service = Some(at(0, values::share(w[0]))?);
+                Ok(())
+            },
+        ),
+        one(
+            "must",
+            "plan",
+            "SPAN",
+            "from a loss until requests go elsewhere, at most",
+            |p, w| {
+                p.must.plan = Some(at(0, values::span(w[0]))?);
+                Ok(())
+            },
+        ),
+        one(
+            "must",
+            "needless",
+            "SHARE",
+            "of requests that left without need, at most",
+            |p, w| {
+                p.must.needless = Some(at(0, values::share(w[0]))?);
+                Ok(())
+            },
+        ),
+        one(
+            "must",
+            "after",
+            "SPAN",
+            "what is measured begins so long after the last fault",
+            |p, w| {
+                p.must.after = Some(at(0, values::span(w[0]))?);
+                Ok(())
+            },
+        ),
     ],
 );
 
--- a/crates/harness/src/play/tests.rs
+++ b/crates/harness/src/play/tests.rs
@@ -9,7 +9,10 @@
     let (_, faults) = read_text(text);
     let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert_eq!(told.len(), 6, "{told:#?}");
-    assert!(told[0].starts_with("2:10:") && told[1].starts_with("3:9:"), "{told:#?}");
+    assert!(
+        told[0].starts_with("2:10:") && told[1].starts_with("3:9:"),
+        "{told:#?}"
+    );
     assert!(told[3].contains("\"all\" is not caches"), "{told:#?}");
     assert!(told[5].contains("; peak is"), "{told:#?}");
 }
@@ -22,10 +25,17 @@
     let (play, faults) = read_text(text);
     assert_eq!(faults, []);
     let whats: Vec<What> = play.faults.iter().map(|f| f.what).collect();
-    assert_eq!(whats[0], What::Apart(Whom::Caches(Part::Count(3)), Part::Share(0.25)));
+    assert_eq!(
+        whats[0],
+        What::Apart(Whom::Caches(Part::Count(3)), Part::Share(0.25))
+    );
     assert_eq!(whats[1], What::Kill(Whom::Routers(Part::Share(0.7))));
     assert_eq!(whats[3], What::Shift(0, 3));
-    assert_eq!(play.measured_again(), Duration::from_secs(9), "the one that lasts to the end began at 5 s");
+    assert_eq!(
+        play.measured_again(),
+        Duration::from_secs(9),
+        "the one that lasts to the end began at 5 s"
+    );
     assert!(play.faults_of_sense().is_empty());
 }
 
--- a/crates/harness/src/report.rs
+++ b/crates/harness/src/report.rs
@@ -15,26 +15,51 @@
         found.push(format!("rules: {breaks:?}"));
     }
     if shown.crashed > 0 {
-        found.push(format!("{} routers ended or could not start", shown.crashed));
+        found.push(format!(
+            "{} routers ended or could not start",
+            shown.crashed
+        ));
     }
     if shown.datagrams.too_long > 0 {
-        found.push(format!("{} datagrams longer than 256 bytes", shown.datagrams.too_long));
+        found.push(format!(
+            "{} datagrams longer than 256 bytes",
+            shown.datagrams.too_long
+        ));
     }
     let mut most = |name: &str, is: f64, may: Option<f64>| {
-        found.extend(may.filter(|may| is > *may).map(|may| format!("{name} {is:.3}, at most {may:.3}")));
+        found.extend(
+            may.filter(|may| is > *may)
+                .map(|may| format!("{name} {is:.3}, at most {may:.3}")),
+        );
     };
-    most("peak over that of who sees all", peak_ratio(shown), must.peak);
+    most(
+        "peak over that of who sees all",
+        peak_ratio(shown),
+        must.peak,
+    );
     most("idle", shown.even["real"].idle, must.idle);
     most("herd", shown.herd, must.herd);
     most("swing", shown.even["real"].swing, must.swing);
     most("needless", shown.of_places.needless, must.needless);
-    let plan = shown.of_places.plan.map_or(f64::INFINITY, |plan| plan.as_secs_f64());
+    let plan = shown
+        .of_places
+        .plan
+        .map_or(f64::INFINITY, |plan| plan.as_secs_f64());
     most("plan", plan, must.plan.map(|may| may.as_secs_f64()));
-    if let Some(least) = must.lost_service.filter(|least| shown.of_places.lost_service < *least) {
-        found.push(format!("lost service {:.3}, at least {least:.3}", shown.of_places.lost_service));
+    if let Some(least) = must
+        .lost_service
+        .filter(|least| shown.of_places.lost_service < *least)
+    {
+        found.push(format!(
+            "lost service {:.3}, at least {least:.3}",
+            shown.of_places.lost_service
+        ));
     }
     if let Some(least) = must.service.filter(|least| shown.service_after < *least) {
-        found.push(format!("service {:.3}, at least {least:.3}", shown.service_after));
+        found.push(format!(
+            "service {:.3}, at least {least:.3}",
+            shown.service_after
+        ));
     }
     found
 }
@@ -42,7 +67,11 @@
 /// `peak` over that of who sees all the same work.
 pub fn peak_ratio(shown: &Shown) -> f64 {
     let limit = shown.even["sees_all"].peak;
-    if limit > 0.0 { shown.even["real"].peak / limit } else { 0.0 }
+    if limit > 0.0 {
+        shown.even["real"].peak / limit
+    } else {
+        0.0
+    }
 }
 
 fn figures(shown: &Shown) -> Vec<(&'static str, String)> {
@@ -67,13 +96,25 @@
         ("strain", three(shown.strain)),
         ("lost_service", three(shown.of_places.lost_service)),
         ("lost_limit", three(shown.of_places.lost_limit)),
-        ("plan_s", shown.of_places.plan.map_or_else(|| "-".into(), |plan| three(plan.as_secs_f64()))),
+        (
+            "plan_s",
+            shown
+                .of_places
+                .plan
+                .map_or_else(|| "-".into(), |plan| three(plan.as_secs_f64())),
+        ),
         ("abroad", three(shown.of_places.abroad)),
         ("needless", three(shown.of_places.needless)),
         ("toppled", shown.of_places.toppled.to_string()),
         ("bytes_s", three(shown.bytes_s())),
-        ("p50_ms", shown.answers_ms.value_at_quantile(0.5).to_string()),
-        ("p99_ms", shown.answers_ms.value_at_quantile(0.99).to_string()),
+        (
+            "p50_ms",
+            shown.answers_ms.value_at_quantile(0.5).to_string(),
+        ),
+        (
+            "p99_ms",
+            shown.answers_ms.value_at_quantile(0.99).to_string(),
+        ),
         ("retries", shown.retries.to_string()),
         ("datagrams", shown.datagrams.datagrams.to_string()),
         ("double_runs", breaks.double_runs.to_string()),
@@ -83,20 +124,27 @@
         ("stale", breaks.stale.to_string()),
         ("strange", breaks.strange.to_string()),
         ("crashed", shown.crashed.to_string()),
-        ("late_p99_ms", shown.late_ms.value_at_quantile(0.99).to_string()),
+        (
+            "late_p99_ms",
+            shown.late_ms.value_at_quantile(0.99).to_string(),
+        ),
     ]
 }
 
 /// `name=value` by blanks.
 pub fn line(shown: &Shown) -> String {
-    let all: Vec<String> =
-        figures(shown).into_iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let all: Vec<String> = figures(shown)
+        .into_iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect();
     all.join(" ")
 }
 
 pub fn json(shown: &Shown, short: &[String]) -> Value {
-    let figures: BTreeMap<&str, f64> =
-        figures(shown).into_iter().filter_map(|(name, value)| Some((name, value.parse().ok()?))).collect();
+    let figures: BTreeMap<&str, f64> = figures(shown)
+        .into_iter()
+        .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
+        .collect();
     let seconds: Vec<Value> = shown
         .seconds
         .iter()
@@ -105,8 +153,11 @@
                 "opened": s.opened, "executions": s.attempts, "fills": s.fills})
         })
         .collect();
-    let events: Vec<Value> =
-        shown.events.iter().map(|(at, what)| json!({"at": at.as_secs_f64(), "what": what})).collect();
+    let events: Vec<Value> = shown
+        .events
+        .iter()
+        .map(|(at, what)| json!({"at": at.as_secs_f64(), "what": what}))
+        .collect();
     json!({"figures": figures, "seconds": seconds, "events": events, "short": short, "void": shown.void,
         "words": shown.words})
 }
@@ -116,67 +167,109 @@
 const SIZE: (u32, u32) = (960, 300);
 
 /// One series over the seconds of the play, with its events as upright lines.
-fn series(shown: &Shown, title: &str, lines: &[(&str, Vec<f64>, RGBColor)], text: &mut String) -> Drawn {
+fn series(
+    shown: &Shown,
+    title: &str,
+    lines: &[(&str, Vec<f64>, RGBColor)],
+    text: &mut String,
+) -> Drawn {
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let seconds = shown.loads.first().map_or(1, Vec::len).max(1);
-    let most =
-        lines.iter().flat_map(|(_, values, _)| values.iter().take(seconds).copied()).fold(1e-9, f64::max);
+    let most = lines
+        .iter()
+        .flat_map(|(_, values, _)| values.iter().take(seconds).copied())
+        .fold(1e-9, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 16))
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..seconds as f64, 0.0..most * 1.1)?;
-    chart.configure_mesh().light_line_style(WHITE).x_desc("seconds").draw()?;
+    chart
+        .configure_mesh()
+        .light_line_style(WHITE)
+        .x_desc("seconds")
+        .draw()?;
     for (at, _) in &shown.events {
         let x = at.as_secs_f64();
-        chart.draw_series([PathElement::new(vec![(x, 0.0), (x, most * 1.1)], BLACK.mix(0.3))])?;
+        chart.draw_series([PathElement::new(
+            vec![(x, 0.0), (x, most * 1.1)],
+            BLACK.mix(0.3),
+        )])?;
     }
     for (name, values, color) in lines {
         let color = *color;
-        let points = values.iter().take(seconds).enumerate().map(|(n, value)| (n as f64 + 0.5, *value));
+        let points = values
+            .iter()
+            .take(seconds)
+            .enumerate()
+            .map(|(n, value)| (n as f64 + 0.5, *value));
         let drawn = chart.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
-        drawn.label(*name).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color));
+        drawn
+            .label(*name)
+            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color));
     }
-    chart.configure_series_labels().border_style(BLACK.mix(0.3)).background_style(WHITE.mix(0.8)).draw()?;
+    chart
+        .configure_series_labels()
+        .border_style(BLACK.mix(0.3))
+        .background_style(WHITE.mix(0.8))
+        .draw()?;
     area.present()?;
     Ok(())
 }
 
 /// Load of every cache by second: white is idle, red more than it can do.
 fn heat(shown: &Shown, text: &mut String) -> Drawn {
-    let mut rows: Vec<usize> =
-        (0..shown.places.len()).filter(|n| shown.places[*n].zone != usize::MAX).collect();
+    let mut rows: Vec<usize> = (0..shown.places.len())
+        .filter(|n| shown.places[*n].zone != usize::MAX)
+        .collect();
     rows.sort_by_key(|n| (shown.places[*n].zone, *n));
     let seconds = shown.loads.first().map_or(1, Vec::len).max(1);
-    let area = SVGBackend::with_string(text, (SIZE.0, 60 + 9 * rows.len() as u32)).into_drawing_area();
+    let area =
+        SVGBackend::with_string(text, (SIZE.0, 60 + 9 * rows.len() as u32)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("load of each cache, by zone (over what it can do)", ("sans-serif", 16))
+        .caption(
+            "load of each cache, by zone (over what it can do)",
+            ("sans-serif", 16),
+        )
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..seconds as f64, 0.0..rows.len() as f64)?;
-    chart.configure_mesh().disable_mesh().y_labels(0).x_desc("seconds").draw()?;
+    chart
+        .configure_mesh()
+        .disable_mesh()
+        .y_labels(0)
+        .x_desc("seconds")
+        .draw()?;
     for (row, server) in rows.iter().enumerate() {
         for (second, load) in shown.loads[*server].iter().enumerate() {
             let over = load.min(1.5) / 1.5;
             let color = HSLColor(0.6 - 0.6 * over, 0.8, 1.0 - 0.5 * over.sqrt());
             let (x, y) = (second as f64, row as f64);
-            chart.draw_series([Rectangle::new([(x, y), (x + 1.0, y + 0.92)], color.filled())])?;
+            chart.draw_series([Rectangle::new(
+                [(x, y), (x + 1.0, y + 0.92)],
+                color.filled(),
+            )])?;
         }
     }
     for (at, _) in &shown.events {
         let x = at.as_secs_f64();
-        chart.draw_series([PathElement::new(vec![(x, 0.0), (x, rows.len() as f64)], BLACK.mix(0.5))])?;
+        chart.draw_series([PathElement::new(
+            vec![(x, 0.0), (x, rows.len() as f64)],
+            BLACK.mix(0.5),
+        )])?;
     }
     area.present()?;
     Ok(())
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// The page of one play.
@@ -184,22 +277,48 @@
 /// # Errors
 /// Of the drawing, in words.
 pub fn html(name: &str, play: &Play, shown: &Shown, short: &[String]) -> Result<String, String> {
-    let of = |get: &dyn Fn(&crate::run::Second) -> f64| shown.seconds.iter().map(get).collect::<Vec<f64>>();
-    let service = of(&|s| if s.asked > 0.0 { s.earned / s.asked } else { 0.0 });
+    let of = |get: &dyn Fn(&crate::run::Second) -> f64| {
+        shown.seconds.iter().map(get).collect::<Vec<f64>>()
+    };
+    let service = of(&|s| {
+        if s.asked > 0.0 {
+            s.earned / s.asked
+        } else {
+            0.0
+        }
+    });
     let mut plots = vec![String::new(); 4];
     let draw = |plots: &mut [String]| -> Drawn {
-        series(shown, "service (value earned over asked for)", &[("service", service, BLUE)], &mut plots[0])?;
+        series(
+            shown,
+            "service (value earned over asked for)",
+            &[("service", service, BLUE)],
+            &mut plots[0],
+        )?;
         let rejected = ("rejected", of(&|s| s.rejected as f64), RED);
         let failed = ("failed", of(&|s| s.failed as f64), MAGENTA);
-        series(shown, "final answers that served nothing, a second", &[rejected, failed], &mut plots[1])?;
+        series(
+            shown,
+            "final answers that served nothing, a second",
+            &[rejected, failed],
+            &mut plots[1],
+        )?;
         let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
         let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
         let opened = ("connections opened", of(&|s| s.opened as f64), RED);
-        series(shown, "attempts and connections opened, a second", &[sent, fills, opened], &mut plots[2])?;
+        series(
+            shown,
+            "attempts and connections opened, a second",
+            &[sent, fills, opened],
+            &mut plots[2],
+        )?;
         heat(shown, &mut plots[3])
     };
     draw(&mut plots).map_err(|what| format!("the plots: {what}"))?;
-    let mut page = format!("<!doctype html><meta charset=\"utf-8\"><title>{}</title>", escaped(name));
+    let mut page = format!(
+        "<!doctype html><meta charset=\"utf-8\"><title>{}</title>",
+        escaped(name)
+    );
     page.push_str(
         "<style>body{font:14px sans-serif;max-width:62em;margin:2em auto}td{padding:0 1em 0 0}</style>",
     );
@@ -208,7 +327,12 @@
         (None, []) => "all that must hold holds".to_owned(),
         (None, short) => format!("falls short: {}", short.join("; ")),
     };
-    let _ = write!(page, "<h1>{}</h1><p>{}</p>", escaped(name), escaped(&verdict));
+    let _ = write!(
+        page,
+        "<h1>{}</h1><p>{}</p>",
+        escaped(name),
+        escaped(&verdict)
+    );
     let _ = write!(
         page,
         "<p>{} routers, {} servers, {} requests a second for {:?}, seed {}.</p><table>",
@@ -221,7 +345,12 @@
     plots.iter().for_each(|plot| page.push_str(plot));
     page.push_str("<h2>What happened</h2><table>");
     for (at, what) in &shown.events {
-        let _ = write!(page, "<tr><td>{:.1} s<td>{}", at.as_secs_f64(), escaped(what));
+        let _ = write!(
+            page,
+            "<tr><td>{:.1} s<td>{}",
+            at.as_secs_f64(),
+            escaped(what)
+        );
     }
     page.push_str("</table>");
     if !shown.words.is_empty() {
--- a/crates/harness/src/run.rs
+++ b/crates/harness/src/run.rs
@@ -106,7 +106,9 @@
 impl Shown {
     /// Bytes of datagrams that a router sent in a second, on average.
     pub fn bytes_s(&self) -> f64 {
-        self.datagrams.bytes as f64 / self.routers.max(1) as f64 / self.lasted.as_secs_f64().max(1.0)
+        self.datagrams.bytes as f64
+            / self.routers.max(1) as f64
+            / self.lasted.as_secs_f64().max(1.0)
     }
 }
 
@@ -272,9 +274,14 @@
         let shift = self.now();
         self.began = Instant::now();
         self.truth.restart(shift);
-        self.noted.iter_mut().for_each(|noted| noted.at = Duration::ZERO);
+        self.noted
+            .iter_mut()
+            .for_each(|noted| noted.at = Duration::ZERO);
         let faults = self.play.faults.clone();
-        faults.iter().enumerate().for_each(|(n, fault)| self.after(fault.at, Timer::Begin(n)));
+        faults
+            .iter()
+            .enumerate()
+            .for_each(|(n, fault)| self.after(fault.at, Timer::Begin(n)));
         if !self.arrivals.is_empty() {
             self.after(self.arrivals[0].at, Timer::Arrive(0));
         }
@@ -287,8 +294,11 @@
                 break;
             }
             bar.set_position(now.as_secs());
-            while let Some(Reverse((at, number))) =
-                self.timers.peek().copied().filter(|Reverse((at, _))| *at <= now)
+            while let Some(Reverse((at, number))) = self
+                .timers
+                .peek()
+                .copied()
+                .filter(|Reverse((at, _))| *at <= now)
             {
                 self.timers.pop();
                 let late = self.now().saturating_sub(at);
@@ -299,7 +309,12 @@
             }
             self.answer();
             let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-            let next = timer.into_iter().chain(self.truth.next()).chain([end]).min().unwrap_or(end);
+            let next = timer
+                .into_iter()
+                .chain(self.truth.next())
+                .chain([end])
+                .min()
+                .unwrap_or(end);
             let next = tokio::time::Instant::from_std(self.began + next);
             let mut come = tokio::select! {
                 biased;
@@ -318,7 +333,9 @@
     fn answer(&mut self) {
         let now = self.now();
         for said in self.truth.said(now) {
-            let Some((server, group, out)) = self.connections.get(&said.connection) else { continue };
+            let Some((server, group, out)) = self.connections.get(&said.connection) else {
+                continue;
+            };
             let at = &self.truth.servers[*server];
             if at.down || at.silent {
                 continue;
@@ -334,7 +351,11 @@
 
     /// Where a server stands, among the ways.
     fn place(&self, server: usize) -> usize {
-        if let Tier::Cache(at) = self.truth.servers[server].tier { at } else { self.play.fleet.zones }
+        if let Tier::Cache(at) = self.truth.servers[server].tier {
+            at
+        } else {
+            self.play.fleet.zones
+        }
     }
 
     /// When bytes that leave now come: not before those that left before. A cut holds them.
@@ -374,10 +395,23 @@
         if let Some(waited) = said.waited {
             fields.push(format!("ttfb={}", waited.as_millis()));
         }
-        let fields = if fields.is_empty() { "-".to_owned() } else { fields.join(",") };
+        let fields = if fields.is_empty() {
+            "-".to_owned()
+        } else {
+            fields.join(",")
+        };
         let kb = work::size(said.key.0, self.play.work.kb);
-        let body = if ok { wire::body(said.key, said.made, kb) } else { Vec::new() };
-        let head = format!("{:016x} {} {fields} {}\r\n", said.id, said.word.text(), body.len());
+        let body = if ok {
+            wire::body(said.key, said.made, kb)
+        } else {
+            Vec::new()
+        };
+        let head = format!(
+            "{:016x} {} {fields} {}\r\n",
+            said.id,
+            said.word.text(),
+            body.len()
+        );
         Bytes::from([head.as_bytes(), &body, b"\r\n"].concat())
     }
 
@@ -390,10 +424,22 @@
     fn take(&mut self, event: Event) {
         let now = self.now();
         let (connection, server, group) = match &event {
-            Event::Asked { connection, server, group, .. } => (*connection, *server, *group),
-            Event::Noop { connection, server, group, .. } => (*connection, *server, *group),
+            Event::Asked {
+                connection,
+                server,
+                group,
+                ..
+            } => (*connection, *server, *group),
+            Event::Noop {
+                connection,
+                server,
+                group,
+                ..
+            } => (*connection, *server, *group),
             Event::Quit { connection, .. } => {
-                let Some((server, group, _)) = self.connections.get(connection) else { return };
+                let Some((server, group, _)) = self.connections.get(connection) else {
+                    return;
+                };
                 (*connection, *server, *group)
             }
             _ => return self.come(event),
@@ -408,7 +454,12 @@
     fn come(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::Noop { connection, server, group, tag } => {
+            Event::Noop {
+                connection,
+                server,
+                group,
+                tag,
+            } => {
                 let at = &self.truth.servers[server];
                 if at.down || at.silent || at.apart.get(group) == Some(&true) {
                     return;
@@ -420,15 +471,23 @@
                     let _ = out.try_send(bytes);
                 }
             }
-            Event::Opened { connection, server, group, out } => {
+            Event::Opened {
+                connection,
+                server,
+                group,
+                out,
+            } => {
                 self.second(now).opened += 1;
                 if !self.truth.servers[server].down {
                     self.connections.insert(connection, (server, group, out));
                 }
             }
-            Event::Asked { connection, server, group, asked } => {
-                self.asked(now, connection, server, group, *asked)
-            }
+            Event::Asked {
+                connection,
+                server,
+                group,
+                asked,
+            } => self.asked(now, connection, server, group, *asked),
             Event::Quit { connection, id } => self.truth.quit(connection, Some(id)),
             Event::Closed { connection } => {
                 self.connections.remove(&connection);
@@ -447,8 +506,14 @@
                     self.tell_router(router);
                 }
             }
-            Event::Started { router, life, child } => match child {
-                Ok(child) if life == self.routers[router].life => self.routers[router].child = Some(child),
+            Event::Started {
+                router,
+                life,
+                child,
+            } => match child {
+                Ok(child) if life == self.routers[router].life => {
+                    self.routers[router].child = Some(child)
+                }
                 Ok(child) => self.starter.kill(child),
                 Err(what) => {
                     self.tell(what);
@@ -456,18 +521,27 @@
                 }
             },
             Event::Answered { id, answer } => self.answered(now, id, answer),
-            Event::Broke { router, ids, refused } => self.broke(now, router, ids, refused),
+            Event::Broke {
+                router,
+                ids,
+                refused,
+            } => self.broke(now, router, ids, refused),
         }
     }
 
     fn asked(&mut self, now: Duration, connection: u64, server: usize, group: usize, asked: Asked) {
-        let source = asked.source.as_ref().map(|name| self.names.get(name).copied());
+        let source = asked
+            .source
+            .as_ref()
+            .map(|name| self.names.get(name).copied());
         if source == Some(None) {
             self.truth.watch.breaks.strange += 1;
             return;
         }
         let source = source.flatten();
-        let Some(router) = self.truth.watch.comes(now, asked.id, server, source) else { return };
+        let Some(router) = self.truth.watch.comes(now, asked.id, server, source) else {
+            return;
+        };
         self.second(now).attempts += 1;
         self.second(now).fills += u64::from(source.is_some());
         let at = &self.truth.servers[server];
@@ -513,9 +587,15 @@
                     self.after(next.at, Timer::Arrive(n + 1));
                 }
                 self.second(arrival.at).asked += 1.0;
-                self.kept.asked(arrival.router % self.play.fleet.zones, arrival.at);
+                self.kept
+                    .asked(arrival.router % self.play.fleet.zones, arrival.at);
                 let due = arrival.at + self.play.work.patience;
-                self.wants.push(Want { arrival, due, tries: 0, done: false });
+                self.wants.push(Want {
+                    arrival,
+                    due,
+                    tries: 0,
+                    done: false,
+                });
                 self.try_it(self.wants.len() - 1);
             }
             Timer::Again(want) => self.try_it(want),
@@ -525,10 +605,17 @@
             Timer::Beat => {
                 let line = Bytes::from(format!("{}\n", self.noted.len()));
                 for process in self.routers.iter().filter(|p| p.told == self.noted.len()) {
-                    process.discovery.iter().for_each(|discovery| drop(discovery.try_send(line.clone())));
+                    process
+                        .discovery
+                        .iter()
+                        .for_each(|discovery| drop(discovery.try_send(line.clone())));
                 }
                 for router in &mut self.routers {
-                    if router.child.as_mut().is_some_and(|child| child.ended().is_some()) {
+                    if router
+                        .child
+                        .as_mut()
+                        .is_some_and(|child| child.ended().is_some())
+                    {
                         // Nobody asked it to: those that are killed or end by order are taken out before.
                         router.child = None;
                         self.crashed += 1;
@@ -538,7 +625,8 @@
             }
             Timer::Look(router) => {
                 let listen = self.routers[router].listen;
-                if std::net::TcpStream::connect_timeout(&listen, Duration::from_millis(20)).is_ok() {
+                if std::net::TcpStream::connect_timeout(&listen, Duration::from_millis(20)).is_ok()
+                {
                     self.routers[router].up = true;
                 } else {
                     self.after(now + FRONT_LOOKS, Timer::Look(router));
@@ -561,12 +649,22 @@
                     }
                     _ => false,
                 };
-                if held { self.after(now + ways::AGAIN, Timer::Come(event)) } else { self.come(*event) }
+                if held {
+                    self.after(now + ways::AGAIN, Timer::Come(event))
+                } else {
+                    self.come(*event)
+                }
             }
             Timer::Say(connection, bytes) => {
-                let Some((server, group, out)) = self.connections.get(&connection) else { return };
+                let Some((server, group, out)) = self.connections.get(&connection) else {
+                    return;
+                };
                 let from = self.place(*server);
-                if self.ways.as_ref().is_some_and(|ways| ways.cut[from][*group]) {
+                if self
+                    .ways
+                    .as_ref()
+                    .is_some_and(|ways| ways.cut[from][*group])
+                {
                     return self.after(now + ways::AGAIN, Timer::Say(connection, bytes));
                 }
                 let at = &self.truth.servers[*server];
@@ -578,8 +676,9 @@
                 let Fault { at, lasts, .. } = self.play.faults[n];
                 for liar in self.struck.get(&n).cloned().unwrap_or_default() {
                     let zone = self.routers[liar].zone;
-                    let peers: Vec<usize> =
-                        (0..self.routers.len()).filter(|r| self.routers[*r].zone == zone).collect();
+                    let peers: Vec<usize> = (0..self.routers.len())
+                        .filter(|r| self.routers[*r].zone == zone)
+                        .collect();
                     self.net.lie(liar, zone, &peers, &mut self.chance);
                 }
                 if now < at + lasts {
@@ -592,23 +691,32 @@
     async fn end(&mut self, mailbox: &mut mpsc::Receiver<Event>) {
         let now = self.now();
         self.truth.watch.close(now);
-        let ended =
-            self.routers.iter_mut().filter_map(|r| r.child.as_mut()).filter_map(Router::ended).count();
+        let ended = self
+            .routers
+            .iter_mut()
+            .filter_map(|r| r.child.as_mut())
+            .filter_map(Router::ended)
+            .count();
         self.crashed += ended;
         for router in &mut self.routers {
             router.child.iter_mut().for_each(|child| child.terminate());
         }
         let end = Instant::now() + Duration::from_millis(1500);
         loop {
-            let all =
-                self.routers.iter_mut().filter_map(|r| r.child.as_mut()).all(|child| child.ended().is_some());
+            let all = self
+                .routers
+                .iter_mut()
+                .filter_map(|r| r.child.as_mut())
+                .all(|child| child.ended().is_some());
             if all || Instant::now() > end {
                 break;
             }
             while mailbox.try_recv().is_ok() {}
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.routers.iter_mut().for_each(|router| router.child = None);
+        self.routers
+            .iter_mut()
+            .for_each(|router| router.child = None);
     }
 }
 
--- a/crates/harness/src/run/asking.rs
+++ b/crates/harness/src/run/asking.rs
@@ -42,16 +42,30 @@
             arrival.kb
         );
         let class = if write { "confirm" } else { "page" };
-        let body = if write { Bytes::from_static(b"confirmed") } else { Bytes::new() };
+        let body = if write {
+            Bytes::from_static(b"confirmed")
+        } else {
+            Bytes::new()
+        };
         let process = &mut self.routers[router];
         process.turn = (process.turn + 1) % process.links.len();
-        if process.links[process.turn].try_send(Request { id, class, fields, body }).is_err() {
+        if process.links[process.turn]
+            .try_send(Request {
+                id,
+                class,
+                fields,
+                body,
+            })
+            .is_err()
+        {
             return self.again(want, now, Duration::ZERO);
         }
         process.open += 1;
         self.tries.insert(id, (want, router));
         self.wants[want].tries += 1;
-        self.truth.watch.begins(id, Life::new(router, write, key, now, due));
+        self.truth
+            .watch
+            .begins(id, Life::new(router, write, key, now, due));
     }
 
     pub(super) fn answered(&mut self, now: Duration, id: u64, answer: Answer) {
@@ -78,13 +92,21 @@
             }
             Answer::Failed | Answer::Wrong => {
                 self.second(now).failed += 1;
-                if write { self.failed(want) } else { self.again(want, now, Duration::ZERO) }
+                if write {
+                    self.failed(want)
+                } else {
+                    self.again(want, now, Duration::ZERO)
+                }
             }
         }
     }
 
     pub(super) fn served(&mut self, want: usize, now: Duration) {
-        let (at, soft, due) = (self.wants[want].arrival.at, self.play.work.soft, self.wants[want].due);
+        let (at, soft, due) = (
+            self.wants[want].arrival.at,
+            self.play.work.soft,
+            self.wants[want].due,
+        );
         self.wants[want].done = true;
         let earned = if now <= at + soft {
             1.0
@@ -93,10 +115,13 @@
         } else {
             0.0
         };
-        let _ = self.answers.record(now.saturating_sub(at).as_millis().max(1) as u64);
+        let _ = self
+            .answers
+            .record(now.saturating_sub(at).as_millis().max(1) as u64);
         self.second(at).earned += earned;
         let zone = self.play.fleet.zones;
-        self.kept.earned(self.wants[want].arrival.router % zone, at, earned);
+        self.kept
+            .earned(self.wants[want].arrival.router % zone, at, earned);
     }
 
     /// The client has what it will get: nothing.
@@ -109,7 +134,11 @@
         let (tries, due) = (self.wants[want].tries, self.wants[want].due);
         let heeds = self.wants[want].arrival.heeds;
         let own = BACK_WITHIN.mul_f64(0.2 + 0.8 * self.chance.f64());
-        let wait = if heeds && !told.is_zero() { told.mul_f64(1.0 + 0.2 * self.chance.f64()) } else { own };
+        let wait = if heeds && !told.is_zero() {
+            told.mul_f64(1.0 + 0.2 * self.chance.f64())
+        } else {
+            own
+        };
         if tries > self.play.work.retries || now + wait >= due {
             return self.failed(want);
         }
@@ -123,7 +152,9 @@
             self.after(now + FRONT_LOOKS, Timer::Look(router));
         }
         for id in ids {
-            let Some((want, at)) = self.tries.remove(&id) else { continue };
+            let Some((want, at)) = self.tries.remove(&id) else {
+                continue;
+            };
             self.routers[at].open = self.routers[at].open.saturating_sub(1);
             // Refused: the router has never taken it. Broken: it has, and owed an answer, if it lives.
             let begun = self.truth.watch.life(id).map_or(now, |life| life.begun);
--- a/crates/harness/src/run/faults.rs
+++ b/crates/harness/src/run/faults.rs
@@ -13,22 +13,40 @@
 impl World {
     /// Who is struck, drawn from the seed.
     pub(super) fn whom(&mut self, whom: Whom) -> Vec<usize> {
-        let servers =
-            self.truth.servers.iter().enumerate().filter(|(_, s)| s.standing == Standing::Active && !s.down);
+        let servers = self
+            .truth
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(_, s)| s.standing == Standing::Active && !s.down);
         let (all, part): (Vec<usize>, Part) = match whom {
-            Whom::Caches(part) => {
-                (servers.filter(|(_, s)| matches!(s.tier, Tier::Cache(_))).map(|(n, _)| n).collect(), part)
-            }
-            Whom::Parents(part) => {
-                (servers.filter(|(_, s)| s.tier == Tier::Parent).map(|(n, _)| n).collect(), part)
-            }
+            Whom::Caches(part) => (
+                servers
+                    .filter(|(_, s)| matches!(s.tier, Tier::Cache(_)))
+                    .map(|(n, _)| n)
+                    .collect(),
+                part,
+            ),
+            Whom::Parents(part) => (
+                servers
+                    .filter(|(_, s)| s.tier == Tier::Parent)
+                    .map(|(n, _)| n)
+                    .collect(),
+                part,
+            ),
             Whom::Zone(at) => (
-                servers.filter(|(_, s)| s.tier == Tier::Cache(at)).map(|(n, _)| n).collect(),
+                servers
+                    .filter(|(_, s)| s.tier == Tier::Cache(at))
+                    .map(|(n, _)| n)
+                    .collect(),
                 Part::Share(1.0),
             ),
-            Whom::Routers(part) => {
-                ((0..self.routers.len()).filter(|r| self.routers[*r].child.is_some()).collect(), part)
-            }
+            Whom::Routers(part) => (
+                (0..self.routers.len())
+                    .filter(|r| self.routers[*r].child.is_some())
+                    .collect(),
+                part,
+            ),
         };
         let mut all = all;
         self.chance.shuffle(&mut all);
@@ -56,8 +74,12 @@
             | What::Lie(whom) => self.whom(whom),
             What::LoseRegion(region) => {
                 let all = 0..self.play.fleet.zones;
-                let of: Vec<usize> = all.filter(|at| ways::region(*at, &self.play.fleet) == region).collect();
-                of.into_iter().flat_map(|at| self.whom(Whom::Zone(at))).collect()
+                let of: Vec<usize> = all
+                    .filter(|at| ways::region(*at, &self.play.fleet) == region)
+                    .collect();
+                of.into_iter()
+                    .flat_map(|at| self.whom(Whom::Zone(at)))
+                    .collect()
             }
             _ => Vec::new(),
         };
@@ -65,15 +87,21 @@
         self.struck.insert(n, struck.clone());
         match what {
             What::Slow(_, by) => struck.iter().for_each(|s| self.truth.servers[*s].slow = by),
-            What::Errors(_) => struck.iter().for_each(|s| self.truth.servers[*s].errors = true),
-            What::Silent(_) => struck.iter().for_each(|s| self.truth.servers[*s].silent = true),
+            What::Errors(_) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].errors = true),
+            What::Silent(_) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].silent = true),
             What::Apart(_, of) => {
                 let groups = of.of(self.play.fleet.doors());
                 for server in struck {
                     self.truth.servers[server].apart[..groups].fill(true);
                 }
             }
-            What::Resets(_, share) => struck.iter().for_each(|s| self.truth.servers[*s].resets = share),
+            What::Resets(_, share) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].resets = share),
             What::Lose(_) | What::LoseRegion(_) => {
                 for server in &struck {
                     self.truth.lose(now, *server);
@@ -81,18 +109,22 @@
                     self.doors[*server].iter().for_each(|door| door.shut());
                 }
                 let lost: HashSet<usize> = struck.into_iter().collect();
-                self.connections.retain(|_, (server, _, _)| !lost.contains(server));
+                self.connections
+                    .retain(|_, (server, _, _)| !lost.contains(server));
             }
             What::Drain(_) => {
-                struck.iter().for_each(|s| self.truth.servers[*s].standing = Standing::Draining);
+                struck
+                    .iter()
+                    .for_each(|s| self.truth.servers[*s].standing = Standing::Draining);
                 struck.iter().for_each(|s| self.there(*s, false));
                 self.note(Notice::Servers(struck));
             }
             What::Replace(_) | What::Restart(_) => return self.step(n, struck),
             What::Join(count) => {
                 let first = self.spare;
-                let joined: Vec<usize> =
-                    (0..count).filter_map(|k| self.fresh((first + k) % self.play.fleet.zones)).collect();
+                let joined: Vec<usize> = (0..count)
+                    .filter_map(|k| self.fresh((first + k) % self.play.fleet.zones))
+                    .collect();
                 self.note(Notice::Servers(joined));
             }
             What::Kill(_) => {
@@ -109,14 +141,19 @@
             }
             What::Freeze(_) => {
                 for router in &struck {
-                    self.routers[*router].child.iter_mut().for_each(Router::freeze);
+                    self.routers[*router]
+                        .child
+                        .iter_mut()
+                        .for_each(Router::freeze);
                     // What it is sent while it is frozen is not its fault.
                     self.routers[*router].up = false;
                     self.truth.watch.killed(*router);
                 }
             }
             What::Reload(_) => {
-                struck.iter().for_each(|r| self.routers[*r].child.iter().for_each(Router::reload));
+                struck
+                    .iter()
+                    .for_each(|r| self.routers[*r].child.iter().for_each(Router::reload));
             }
             What::Purge(count) => {
                 for place in 0..count {
@@ -132,12 +169,16 @@
             What::Doubled(share) => self.weather.send_modify(|w| w.doubled = share),
             What::Turned(share) => self.weather.send_modify(|w| w.turned = share),
             What::Late(by) => self.weather.send_modify(|w| w.late = by),
-            What::Deaf(_) => self.weather.send_modify(|w| struck.iter().for_each(|r| w.deaf[*r] = true)),
+            What::Deaf(_) => self
+                .weather
+                .send_modify(|w| struck.iter().for_each(|r| w.deaf[*r] = true)),
             What::Lie(_) => self.after(now, Timer::Lie(n)),
             What::Hot(_) | What::Shift(..) => {}
             What::WaysSlow(from, to, by) => self.ways(from, to, |ways, a, b| ways.slow[a][b] = by),
             What::WaysCut(from, to) => self.ways(from, to, |ways, a, b| ways.cut[a][b] = true),
-            What::WaysLose(from, to, share) => self.ways(from, to, |ways, a, b| ways.lost[a][b] = share),
+            What::WaysLose(from, to, share) => {
+                self.ways(from, to, |ways, a, b| ways.lost[a][b] = share)
+            }
         }
         if !lasts.is_zero() {
             self.after(now + lasts, Timer::End(n));
@@ -154,7 +195,8 @@
         let Some(ways) = &mut self.ways else { return };
         ways.each(from, to, of);
         let changed = Rc::new(ways.clone());
-        self.weather.send_modify(|weather| weather.ways = Some(changed));
+        self.weather
+            .send_modify(|weather| weather.ways = Some(changed));
     }
 
     /// What broke is whole again.
@@ -164,22 +206,36 @@
         let what = self.play.faults[n].what;
         self.tell(format!("over: {what:?}"));
         match what {
-            What::Slow(..) => struck.iter().for_each(|s| self.truth.servers[*s].slow = 1.0),
-            What::Errors(_) => struck.iter().for_each(|s| self.truth.servers[*s].errors = false),
-            What::Silent(_) => struck.iter().for_each(|s| self.truth.servers[*s].silent = false),
-            What::Apart(..) => struck.iter().for_each(|s| self.truth.servers[*s].apart.fill(false)),
-            What::Resets(..) => struck.iter().for_each(|s| self.truth.servers[*s].resets = 0.0),
+            What::Slow(..) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].slow = 1.0),
+            What::Errors(_) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].errors = false),
+            What::Silent(_) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].silent = false),
+            What::Apart(..) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].apart.fill(false)),
+            What::Resets(..) => struck
+                .iter()
+                .for_each(|s| self.truth.servers[*s].resets = 0.0),
             What::Lose(_) | What::LoseRegion(_) => {
                 for server in &struck {
                     self.truth.back(now, *server);
                     self.there(*server, true);
-                    self.doors[*server].iter().for_each(|door| door.open_again());
+                    self.doors[*server]
+                        .iter()
+                        .for_each(|door| door.open_again());
                     self.joined.push((now, *server));
                 }
                 self.note(Notice::Servers(struck));
             }
             What::Drain(_) => {
-                struck.iter().for_each(|s| self.truth.servers[*s].standing = Standing::Active);
+                struck
+                    .iter()
+                    .for_each(|s| self.truth.servers[*s].standing = Standing::Active);
                 struck.iter().for_each(|s| self.there(*s, true));
                 self.note(Notice::Servers(struck));
             }
@@ -222,7 +278,9 @@
     pub(super) fn fresh(&mut self, zone: usize) -> Option<usize> {
         let now = self.now();
         self.spare += 1;
-        let number = self.server(format!("s{}", self.spare), Tier::Cache(zone)).ok()?;
+        let number = self
+            .server(format!("s{}", self.spare), Tier::Cache(zone))
+            .ok()?;
         self.truth.back(now, number);
         let place = &mut self.places[number];
         (place.started, place.there) = (Some(now), vec![(now, Duration::MAX)]);
@@ -237,7 +295,9 @@
         let Some(next) = left.pop() else { return };
         match what {
             What::Replace(_) => {
-                let Tier::Cache(zone) = self.truth.servers[next].tier else { return };
+                let Tier::Cache(zone) = self.truth.servers[next].tier else {
+                    return;
+                };
                 self.truth.servers[next].standing = Standing::Draining;
                 self.there(next, false);
                 let changed = std::iter::once(next).chain(self.fresh(zone)).collect();
--- a/crates/harness/src/run/opening.rs
+++ b/crates/harness/src/run/opening.rs
@@ -27,7 +27,8 @@
     pub(super) fn new() -> Result<Dir, String> {
         static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = LAST.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("chalkhall-harness-{}-{n}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("chalkhall-harness-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(Dir(path))
     }
@@ -44,7 +45,9 @@
     let first = std::process::id() % 50;
     for n in 0..50 {
         let block = 201 + ((first + n) % 50) as u8;
-        if let Ok(held) = std::net::TcpListener::bind((std::net::Ipv4Addr::new(127, block, 255, 254), 5050)) {
+        if let Ok(held) =
+            std::net::TcpListener::bind((std::net::Ipv4Addr::new(127, block, 255, 254), 5050))
+        {
             return Ok((block, held));
         }
     }
@@ -55,7 +58,11 @@
     let events = events.clone();
     Starter::new(program.clone(), move |router, life, child| {
         // Where nobody hears of it any more it is dropped, which kills it.
-        let _ = events.try_send(Event::Started { router, life, child });
+        let _ = events.try_send(Event::Started {
+            router,
+            life,
+            child,
+        });
     })
 }
 
@@ -68,7 +75,10 @@
             "AimStretch": 0,
             "HardLimit": ms(work.patience), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
     };
-    let zones = (0..fleet.zones).map(|n| format!("z{n}")).chain(["hub".to_owned()]).collect::<Vec<String>>();
+    let zones = (0..fleet.zones)
+        .map(|n| format!("z{n}"))
+        .chain(["hub".to_owned()])
+        .collect::<Vec<String>>();
     let here = |at: usize| (0..fleet.routers).filter(|r| r % fleet.zones == at).count();
     let crews: Vec<usize> = (0..fleet.zones).map(here).chain([0]).collect();
     json!({
@@ -99,12 +109,25 @@
         let (block, held) = block()?;
         // Held until the process ends: the block is this run's.
         std::mem::forget(held);
-        let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+        let unix_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64);
         let fleet = play.fleet.clone();
-        let warmth = Warmth { from: fleet.cold_from, within: fleet.warm_within };
-        let truth = Truth::new(Vec::new(), fleet.zones, fleet.link, fleet.pace, warmth, unix_ms);
-        let listen =
-            |i: usize, port| SocketAddr::from(([127, block, 1 + (i / 250) as u8, 1 + (i % 250) as u8], port));
+        let warmth = Warmth {
+            from: fleet.cold_from,
+            within: fleet.warm_within,
+        };
+        let truth = Truth::new(
+            Vec::new(),
+            fleet.zones,
+            fleet.link,
+            fleet.pace,
+            warmth,
+            unix_ms,
+        );
+        let listen = |i: usize, port| {
+            SocketAddr::from(([127, block, 1 + (i / 250) as u8, 1 + (i % 250) as u8], port))
+        };
         let peers: Vec<SocketAddr> = (0..fleet.routers).map(|i| listen(i, 7946)).collect();
         let at = format!("127.{block}.200.1");
         let net = Net::open(peers, &at).await?;
@@ -126,7 +149,9 @@
                 listen: listen(i, 5050),
                 child: None,
                 up: false,
-                links: (0..links.min(8)).map(|_| wire::client(listen(i, 5050), i, events.clone())).collect(),
+                links: (0..links.min(8))
+                    .map(|_| wire::client(listen(i, 5050), i, events.clone()))
+                    .collect(),
                 open: 0,
                 turn: 0,
                 discovery: None,
@@ -137,7 +162,8 @@
                 config: dir.join(format!("n{i}.json")),
             }
         });
-        let seconds = play.work.lasts.as_secs() as usize + play.work.patience.as_secs() as usize + 3;
+        let seconds =
+            play.work.lasts.as_secs() as usize + play.work.patience.as_secs() as usize + 3;
         let histogram = || Histogram::new_with_bounds(1, 600_000, 3).map_err(|e| e.to_string());
         let mut world = World {
             began: Instant::now(),
@@ -186,7 +212,8 @@
         for n in 0..fleet.caches {
             world.server(format!("c{n}"), Tier::Cache(n % fleet.zones))?;
         }
-        (0..fleet.parents).try_for_each(|n| world.server(format!("p{n}"), Tier::Parent).map(drop))?;
+        (0..fleet.parents)
+            .try_for_each(|n| world.server(format!("p{n}"), Tier::Parent).map(drop))?;
         world.server("o0".into(), Tier::Origin)?;
         world.warm();
         let all = (0..world.truth.servers.len()).collect();
@@ -202,13 +229,31 @@
             Tier::Parent => (fleet.parent_capacity, fleet.memory_kb * 20.0),
             Tier::Origin => (fleet.origin_capacity, 0.0),
         };
-        let number = self.truth.join(Server::new(name.clone(), tier, capacity, memory, fleet.doors()));
+        let number = self.truth.join(Server::new(
+            name.clone(),
+            tier,
+            capacity,
+            memory,
+            fleet.doors(),
+        ));
         let doors = (0..fleet.doors())
-            .map(|group| wire::door(&self.at, number, group, self.numbers.clone(), self.events.clone()))
+            .map(|group| {
+                wire::door(
+                    &self.at,
+                    number,
+                    group,
+                    self.numbers.clone(),
+                    self.events.clone(),
+                )
+            })
             .collect::<Result<Vec<Door>, String>>()?;
         self.doors.push(doors);
         self.names.insert(name.clone(), number);
-        let zone = if let Tier::Cache(at) = tier { at } else { usize::MAX };
+        let zone = if let Tier::Cache(at) = tier {
+            at
+        } else {
+            usize::MAX
+        };
         self.places.push(Place {
             name,
             zone,
@@ -229,9 +274,14 @@
         for place in 0..self.play.work.objects {
             let object = work::object(self.setup.seed, place);
             let (key, kb) = ((object, 0), work::size(object, self.play.work.kb));
-            let copy = Copy { kb, made: unix.saturating_sub(1000) };
+            let copy = Copy {
+                kb,
+                made: unix.saturating_sub(1000),
+            };
             for zone in 0..self.play.fleet.zones {
-                let Some(server) = even::prefers(&self.places, zone, key, Duration::ZERO).first().copied()
+                let Some(server) = even::prefers(&self.places, zone, key, Duration::ZERO)
+                    .first()
+                    .copied()
                 else {
                     continue;
                 };
@@ -243,7 +293,12 @@
             if place > 20_000 {
                 break;
             }
-            for server in self.truth.servers.iter_mut().filter(|s| s.tier == Tier::Parent) {
+            for server in self
+                .truth
+                .servers
+                .iter_mut()
+                .filter(|s| s.tier == Tier::Parent)
+            {
                 server.holds(key, copy);
             }
         }
@@ -252,13 +307,22 @@
     /// Starts a router's process with all that discovery has told up to now.
     pub(super) fn start(&mut self, router: usize) -> Result<(), String> {
         let (now, group) = (self.now(), self.routers[router].group);
-        let notices: Vec<Value> = (0..self.noted.len()).map(|n| self.event(n, group)).collect();
+        let notices: Vec<Value> = (0..self.noted.len())
+            .map(|n| self.event(n, group))
+            .collect();
         let (peers, all) = self.net.told();
         let discovery = wire::discovery(&self.at, router, self.events.clone())?;
         let process = &mut self.routers[router];
         process.life += 1;
         (process.discovery, process.told) = (None, notices.len());
-        (process.since, process.gone) = (if process.life > 1 { now } else { Duration::ZERO }, None);
+        (process.since, process.gone) = (
+            if process.life > 1 {
+                now
+            } else {
+                Duration::ZERO
+            },
+            None,
+        );
         let mut settings = self.settings.clone();
         settings["Locality"] = json!(process.zone);
         settings["MyNumber"] = json!(router);
@@ -278,14 +342,21 @@
             config: process.config.clone(),
             text: file.to_string(),
             directives: self.dir.join("chalkhall.conf"),
-            log: self.setup.logs.as_ref().map(|folder| folder.join(format!("n{router}.log"))),
+            log: self
+                .setup
+                .logs
+                .as_ref()
+                .map(|folder| folder.join(format!("n{router}.log"))),
         };
         self.starter.start(wanted);
         (0..self.noted.len()).for_each(|number| self.heard(now, router, number));
         Ok(())
     }
 
-    pub(super) async fn start_all(&mut self, mailbox: &mut mpsc::Receiver<Event>) -> Result<(), String> {
+    pub(super) async fn start_all(
+        &mut self,
+        mailbox: &mut mpsc::Receiver<Event>,
+    ) -> Result<(), String> {
         let mut sections: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (section, line) in &self.play.fleet.directives {
             sections.entry(section).or_default().push(line);
