--- a/crates/harness/src/run/shown.rs
+++ b/crates/harness/src/run/shown.rs
@@ -12,24 +12,43 @@
         let again = self.play.measured_again();
         let served = |from: Duration, to: Duration| {
             let seconds = &self.seconds[from.as_secs() as usize..to.as_secs() as usize];
-            let (asked, earned) = seconds.iter().fold((0.0, 0.0), |(a, e), s| (a + s.asked, e + s.earned));
+            let (asked, earned) = seconds
+                .iter()
+                .fold((0.0, 0.0), |(a, e), s| (a + s.asked, e + s.earned));
             if asked > 0.0 { earned / asked } else { 0.0 }
         };
-        let five = Duration::from_secs(5).min(lasts.saturating_sub(again).max(Duration::from_secs(1)));
+        let five =
+            Duration::from_secs(5).min(lasts.saturating_sub(again).max(Duration::from_secs(1)));
         let sent = &self.truth.sent;
         let mut even = BTreeMap::new();
-        even.insert("real", even::measure(sent, &self.places, again, lasts, five));
-        even.insert("real_1s", even::measure(sent, &self.places, again, lasts, Duration::from_secs(1)));
-        for (name, rule) in [("hash", Rule::Hash), ("two", Rule::LeastOfTwo), ("sees_all", Rule::SeesAll)] {
+        even.insert(
+            "real",
+            even::measure(sent, &self.places, again, lasts, five),
+        );
+        even.insert(
+            "real_1s",
+            even::measure(sent, &self.places, again, lasts, Duration::from_secs(1)),
+        );
+        for (name, rule) in [
+            ("hash", Rule::Hash),
+            ("two", Rule::LeastOfTwo),
+            ("sees_all", Rule::SeesAll),
+        ] {
             let dealt = even::deal(sent, &self.places, rule, again, five);
-            even.insert(name, even::measure(&dealt, &self.places, again, lasts, five));
+            even.insert(
+                name,
+                even::measure(&dealt, &self.places, again, lasts, five),
+            );
         }
-        let herds = self
-            .joined
-            .iter()
-            .filter_map(|(at, server)| even::herd(sent, &self.places, self.places[*server].zone, *at));
+        let herds = self.joined.iter().filter_map(|(at, server)| {
+            even::herd(sent, &self.places, self.places[*server].zone, *at)
+        });
         let herds: Vec<f64> = herds.collect();
-        let herd = if herds.is_empty() { 1.0 } else { herds.iter().sum::<f64>() / herds.len() as f64 };
+        let herd = if herds.is_empty() {
+            1.0
+        } else {
+            herds.iter().sum::<f64>() / herds.len() as f64
+        };
         let mut loads = vec![vec![0.0; lasts.as_secs() as usize]; self.places.len()];
         for one in sent.iter().filter(|s| s.at < lasts) {
             let could = self.places[one.server].present(one.at);
--- a/crates/harness/src/run/telling.rs
+++ b/crates/harness/src/run/telling.rs
@@ -51,14 +51,22 @@
 
     /// Discovery has something new.
     pub(super) fn note(&mut self, notice: Notice) {
-        let servers = if let Notice::Servers(servers) = &notice { servers.clone() } else { Vec::new() };
+        let servers = if let Notice::Servers(servers) = &notice {
+            servers.clone()
+        } else {
+            Vec::new()
+        };
         let standings = servers.into_iter().map(|s| {
             let server = &self.truth.servers[s];
             (s, server.standing, server.started)
         });
         let standings = standings.collect();
         let at = self.now();
-        self.noted.push(Noted { notice, at, standings });
+        self.noted.push(Noted {
+            notice,
+            at,
+            standings,
+        });
         for router in 0..self.routers.len() {
             let wait = self.lists_late.mul_f64(self.chance.f64());
             if wait.is_zero() {
@@ -76,7 +84,9 @@
     pub(super) fn tell_router(&mut self, router: usize) {
         let (now, group) = (self.now(), self.routers[router].group);
         while self.routers[router].told < self.noted.len() {
-            let Some(discovery) = self.routers[router].discovery.clone() else { return };
+            let Some(discovery) = self.routers[router].discovery.clone() else {
+                return;
+            };
             let number = self.routers[router].told;
             let line = Bytes::from(format!("{}\n", self.event(number, group)));
             let copies = 1 + usize::from(self.lists_doubled);
--- a/crates/harness/src/station.rs
+++ b/crates/harness/src/station.rs
@@ -31,7 +31,10 @@
 impl<K> Ord for Job<K> {
     /// The one that ends first is the greatest.
     fn cmp(&self, other: &Job<K>) -> Ordering {
-        other.end.total_cmp(&self.end).then(other.order.cmp(&self.order))
+        other
+            .end
+            .total_cmp(&self.end)
+            .then(other.order.cmp(&self.order))
     }
 }
 
@@ -49,7 +52,13 @@
 
 impl<K: Clone> Station<K> {
     pub fn new(capacity: f64) -> Station<K> {
-        Station { capacity, at: Duration::ZERO, served: 0.0, jobs: BinaryHeap::new(), count: 0 }
+        Station {
+            capacity,
+            at: Duration::ZERO,
+            served: 0.0,
+            jobs: BinaryHeap::new(),
+            count: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -90,7 +99,11 @@
     pub fn add(&mut self, now: Duration, key: K, work: f64) {
         self.go(now);
         self.count += 1;
-        self.jobs.push(Job { end: self.served + work.max(0.0), order: self.count, key });
+        self.jobs.push(Job {
+            end: self.served + work.max(0.0),
+            order: self.count,
+            key,
+        });
     }
 
     /// The capacity is another from now on.
--- a/crates/harness/src/station/tests.rs
+++ b/crates/harness/src/station/tests.rs
@@ -8,7 +8,10 @@
 fn about(found: Option<(u32, Duration)>, key: u32, at: u64) {
     let (found, when) = found.expect("an end");
     assert_eq!(found, key);
-    assert!(when.abs_diff(ms(at)) < Duration::from_micros(10), "{when:?} is not {at} ms");
+    assert!(
+        when.abs_diff(ms(at)) < Duration::from_micros(10),
+        "{when:?} is not {at} ms"
+    );
 }
 
 #[test]
--- a/crates/harness/src/truth.rs
+++ b/crates/harness/src/truth.rs
@@ -95,13 +95,16 @@
 
     /// What it can do, in transfers at a client's pace.
     pub fn present(&self, now: Duration, warmth: Warmth) -> f64 {
-        let Some(started) = self.started else { return self.capacity };
+        let Some(started) = self.started else {
+            return self.capacity;
+        };
         let age = now.saturating_sub(started).as_secs_f64() / warmth.within.as_secs_f64();
         self.capacity * (warmth.from + (1.0 - warmth.from) * age.min(1.0))
     }
 
     pub fn cold(&self, now: Duration, warmth: Warmth) -> bool {
-        self.started.is_some_and(|started| now < started + warmth.within)
+        self.started
+            .is_some_and(|started| now < started + warmth.within)
     }
 
     /// It holds a copy from before the play.
@@ -291,15 +294,22 @@
     /// Nobody waits for these any more.
     pub fn quit(&mut self, connection: u64, id: Option<u64>) {
         // What is under way ends by itself and is answered to nobody: work that was begun is done.
-        let of = |f: &&mut Flight| f.ask.connection == connection && id.is_none_or(|id| f.ask.id == id);
-        self.flights.values_mut().filter(of).for_each(|flight| flight.ask.connection = u64::MAX);
+        let of =
+            |f: &&mut Flight| f.ask.connection == connection && id.is_none_or(|id| f.ask.id == id);
+        self.flights
+            .values_mut()
+            .filter(of)
+            .for_each(|flight| flight.ask.connection = u64::MAX);
     }
 
     /// Notes work sent to a server; a cold one may be pushed over by it.
     fn note(&mut self, now: Duration, server: usize, work: f64) {
         let (cold, present) = {
             let server = &self.servers[server];
-            (server.cold(now, self.warmth), server.present(now, self.warmth))
+            (
+                server.cold(now, self.warmth),
+                server.present(now, self.warmth),
+            )
         };
         if !cold {
             return;
@@ -321,7 +331,12 @@
     /// The highest share of what pushes a server over that it was sent lately.
     pub fn strain(&self, now: Duration, server: usize) -> f64 {
         let at = &self.servers[server];
-        let sent: f64 = at.sent.iter().filter(|(when, _)| *when + SPAN >= now).map(|(_, work)| work).sum();
+        let sent: f64 = at
+            .sent
+            .iter()
+            .filter(|(when, _)| *when + SPAN >= now)
+            .map(|(_, work)| work)
+            .sum();
         sent / (MULTIPLE * at.present(now, self.warmth) * SPAN.as_secs_f64())
     }
 
@@ -347,7 +362,12 @@
         let source = flight.ask.source;
         let filling = flight.filling;
         self.flights.insert(number, flight);
-        let origin = || self.servers.iter().position(|s| s.tier == Tier::Origin).unwrap_or(0);
+        let origin = || {
+            self.servers
+                .iter()
+                .position(|s| s.tier == Tier::Origin)
+                .unwrap_or(0)
+        };
         match stage {
             Stage::Origin => {
                 let origin = origin();
@@ -403,11 +423,21 @@
         let unix = self.unix(now);
         let young = |copy: &Copy, oldest: Duration| copy.made + oldest.as_millis() as u64 >= unix;
         let at = &mut self.servers[server];
-        let held =
-            at.copies.hit(&flight.ask.key, flight.ask.keep).filter(|copy| young(copy, flight.ask.oldest));
+        let held = at
+            .copies
+            .hit(&flight.ask.key, flight.ask.keep)
+            .filter(|copy| young(copy, flight.ask.oldest));
         if let Tier::Cache(zone) = tier {
             let (router, key) = (flight.ask.router, flight.ask.key);
-            self.sent.push(Sent { at: now, server, zone, router, key, work, hit: held.is_some() });
+            self.sent.push(Sent {
+                at: now,
+                server,
+                zone,
+                router,
+                key,
+                work,
+                hit: held.is_some(),
+            });
         }
         if let Some(copy) = held {
             (flight.made, flight.tell) = (copy.made, "hit");
@@ -454,7 +484,11 @@
         let at = &mut self.servers[source];
         if at.down || at.silent {
             // Silence shows after a while; a refusal at once.
-            let wait = if at.down { AT_ONCE } else { Duration::from_millis(800) };
+            let wait = if at.down {
+                AT_ONCE
+            } else {
+                Duration::from_millis(800)
+            };
             (flight.stage, flight.word, flight.tell) = (Stage::Word, Word::Busy, "src_broke");
             return self.later(now + wait, flight);
         }
@@ -466,7 +500,10 @@
             return self.later(now + ORIGIN_WAIT, flight);
         }
         let oldest = flight.ask.oldest.as_millis() as u64;
-        let held = at.copies.hit(&flight.ask.key, 0).filter(|copy| copy.made + oldest >= unix);
+        let held = at
+            .copies
+            .hit(&flight.ask.key, 0)
+            .filter(|copy| copy.made + oldest >= unix);
         match held {
             Some(copy) => {
                 (flight.stage, flight.tell, flight.made) = (Stage::Parent, "filled", copy.made);
@@ -512,8 +549,11 @@
 
     fn end_all(&mut self, now: Duration, all: &mut Vec<Said>) {
         while let Some(next) = self.next().filter(|next| *next <= now) {
-            if let Some(Reverse((at, number))) =
-                self.delays.peek().copied().filter(|Reverse((at, _))| *at == next)
+            if let Some(Reverse((at, number))) = self
+                .delays
+                .peek()
+                .copied()
+                .filter(|Reverse((at, _))| *at == next)
             {
                 self.delays.pop();
                 if let Some(flight) = self.flights.remove(&number) {
@@ -524,7 +564,10 @@
                 }
                 continue;
             }
-            let of_server = self.servers.iter().position(|s| s.station.next() == Some(next));
+            let of_server = self
+                .servers
+                .iter()
+                .position(|s| s.station.next() == Some(next));
             let ended = match of_server {
                 Some(server) => self.servers[server].station.ended(next),
                 None => self.links.iter_mut().find_map(|link| link.ended(next)),
@@ -538,13 +581,23 @@
 
     /// A transfer has ended: on with the next.
     fn go_on(&mut self, now: Duration, mut flight: Flight, all: &mut Vec<Said>) {
-        let (key, copy) = (flight.ask.key, Copy { kb: flight.ask.kb, made: flight.made });
+        let (key, copy) = (
+            flight.ask.key,
+            Copy {
+                kb: flight.ask.kb,
+                made: flight.made,
+            },
+        );
         let at_cache = matches!(self.servers[flight.server].tier, Tier::Cache(_));
         match flight.stage {
             Stage::Origin if flight.ask.write => flight.stage = Stage::Last,
             Stage::Origin => {
                 flight.waited = Some(now.saturating_sub(flight.came));
-                match flight.ask.source.filter(|s| self.servers[*s].tier == Tier::Parent) {
+                match flight
+                    .ask
+                    .source
+                    .filter(|s| self.servers[*s].tier == Tier::Parent)
+                {
                     Some(parent) => {
                         if flight.ask.parent_keeps {
                             self.servers[parent].copies.keep(key, 0, copy);
@@ -576,7 +629,12 @@
             return;
         }
         if flight.word == Word::Ok && !flight.ask.write {
-            self.watch.answered_from(flight.came, flight.ask.router, flight.ask.key.0, flight.made);
+            self.watch.answered_from(
+                flight.came,
+                flight.ask.router,
+                flight.ask.key.0,
+                flight.made,
+            );
         }
         all.push(Said {
             connection: flight.ask.connection,
--- a/crates/harness/src/truth/tests.rs
+++ b/crates/harness/src/truth/tests.rs
@@ -5,7 +5,10 @@
     Duration::from_millis(ms)
 }
 
-const WARMTH: Warmth = Warmth { from: 0.25, within: Duration::from_millis(8000) };
+const WARMTH: Warmth = Warmth {
+    from: 0.25,
+    within: Duration::from_millis(8000),
+};
 
 /// A cache, a parent and the origin; a KB takes a millisecond.
 fn truth() -> Truth {
@@ -16,7 +19,11 @@
         server("o", Tier::Origin, 4.0),
     ];
     let mut truth = Truth::new(servers, 1, 2.0, 1000.0, WARMTH, 1_000_000);
-    (1..200).for_each(|id| truth.watch.begins(id, Life::new(0, id == 100, (id, 0), ms(0), ms(60_000))));
+    (1..200).for_each(|id| {
+        truth
+            .watch
+            .begins(id, Life::new(0, id == 100, (id, 0), ms(0), ms(60_000)))
+    });
     truth
 }
 
@@ -37,7 +44,11 @@
 }
 
 fn tells(truth: &mut Truth, until: u64) -> Vec<(u64, &'static str, &'static str)> {
-    truth.said(ms(until)).iter().map(|s| (s.id, s.word.text(), s.tell)).collect()
+    truth
+        .said(ms(until))
+        .iter()
+        .map(|s| (s.id, s.word.text(), s.tell))
+        .collect()
 }
 
 #[test]
@@ -58,8 +69,22 @@
 #[test]
 fn who_lacks_refuses_or_is_gone_is_told_apart() {
     let mut truth = truth();
-    truth.ask(ms(0), 0, Ask { source: None, ..ask(1, 1) });
-    truth.ask(ms(0), 0, Ask { only_held: true, ..ask(2, 2) });
+    truth.ask(
+        ms(0),
+        0,
+        Ask {
+            source: None,
+            ..ask(1, 1)
+        },
+    );
+    truth.ask(
+        ms(0),
+        0,
+        Ask {
+            only_held: true,
+            ..ask(2, 2)
+        },
+    );
     truth.servers[1].down = true;
     truth.ask(ms(1), 0, ask(3, 3));
     truth.servers[1].down = false;
@@ -83,8 +108,23 @@
 #[test]
 fn a_write_runs_at_the_origin_and_is_counted() {
     let mut truth = truth();
-    truth.ask(ms(0), 0, Ask { write: true, ..ask(100, 9) });
-    truth.ask(ms(5), 2, Ask { write: true, source: None, ..ask(100, 9) });
+    truth.ask(
+        ms(0),
+        0,
+        Ask {
+            write: true,
+            ..ask(100, 9)
+        },
+    );
+    truth.ask(
+        ms(5),
+        2,
+        Ask {
+            write: true,
+            source: None,
+            ..ask(100, 9)
+        },
+    );
     assert_eq!(tells(&mut truth, 500).len(), 2);
     assert_eq!(truth.watch.breaks.double_runs, 1);
 }
@@ -119,7 +159,13 @@
 #[test]
 fn what_a_lost_server_held_is_gone_and_its_attempts_with_it() {
     let mut truth = truth();
-    truth.servers[0].holds((7, 0), Copy { kb: 100.0, made: 999_999 });
+    truth.servers[0].holds(
+        (7, 0),
+        Copy {
+            kb: 100.0,
+            made: 999_999,
+        },
+    );
     truth.ask(ms(0), 0, ask(1, 7));
     truth.lose(ms(10), 0);
     truth.back(ms(20), 0);
@@ -131,15 +177,37 @@
 #[test]
 fn a_copy_older_than_asked_for_will_not_do() {
     let mut truth = truth();
-    truth.servers[0].holds((7, 0), Copy { kb: 100.0, made: 999_000 });
+    truth.servers[0].holds(
+        (7, 0),
+        Copy {
+            kb: 100.0,
+            made: 999_000,
+        },
+    );
     truth.watch.told_purge(ms(0), 0, 7, 1_000_000);
-    truth.ask(ms(2000), 0, Ask { oldest: ms(1500), ..ask(1, 7) });
+    truth.ask(
+        ms(2000),
+        0,
+        Ask {
+            oldest: ms(1500),
+            ..ask(1, 7)
+        },
+    );
     assert_eq!(tells(&mut truth, 4000), [(1, "OK", "via_origin")]);
     assert_eq!(truth.watch.breaks.stale, 0);
     truth.servers[0].copies.clear();
-    truth.servers[0].holds((7, 0), Copy { kb: 100.0, made: 999_000 });
+    truth.servers[0].holds(
+        (7, 0),
+        Copy {
+            kb: 100.0,
+            made: 999_000,
+        },
+    );
     truth.ask(ms(5000), 0, ask(2, 7));
-    assert_eq!((tells(&mut truth, 6000), truth.watch.breaks.stale), (vec![(2, "OK", "hit")], 1));
+    assert_eq!(
+        (tells(&mut truth, 6000), truth.watch.breaks.stale),
+        (vec![(2, "OK", "hit")], 1)
+    );
 }
 
 #[test]
--- a/crates/harness/src/watch.rs
+++ b/crates/harness/src/watch.rs
@@ -33,7 +33,16 @@
 
 impl Life {
     pub fn new(router: usize, write: bool, key: Key, begun: Duration, due: Duration) -> Life {
-        Life { router, write, key, begun, due, runs: 0, answered: false, excused: false }
+        Life {
+            router,
+            write,
+            key,
+            begun,
+            due,
+            runs: 0,
+            answered: false,
+            excused: false,
+        }
     }
 }
 
@@ -70,7 +79,13 @@
 
 impl Breaks {
     pub fn all(&self) -> u64 {
-        self.lost + self.twice + self.double_runs + self.drain + self.cold + self.stale + self.strange
+        self.lost
+            + self.twice
+            + self.double_runs
+            + self.drain
+            + self.cold
+            + self.stale
+            + self.strange
     }
 }
 
@@ -102,7 +117,10 @@
     }
 
     pub fn told_purge(&mut self, now: Duration, router: usize, object: u64, unix_ms: u64) {
-        let purge = self.purges.entry(object).or_insert_with(|| (unix_ms, HashMap::new()));
+        let purge = self
+            .purges
+            .entry(object)
+            .or_insert_with(|| (unix_ms, HashMap::new()));
         if purge.0 < unix_ms {
             *purge = (unix_ms, HashMap::new());
         }
@@ -120,7 +138,13 @@
     }
 
     /// An attempt has come to a server, with that source for its fill. Returns of which router it is.
-    pub fn comes(&mut self, now: Duration, id: u64, server: usize, source: Option<usize>) -> Option<usize> {
+    pub fn comes(
+        &mut self,
+        now: Duration,
+        id: u64,
+        server: usize,
+        source: Option<usize>,
+    ) -> Option<usize> {
         let Some(life) = self.lives.get(&id) else {
             self.breaks.strange += 1;
             self.say(|| format!("{now:?}: an attempt of {id:016x}, which nobody asked for"));
@@ -131,7 +155,9 @@
             let told = self.drains.get(&(router, end)).copied();
             if let Some(told) = told.filter(|told| now > *told + DRAIN_GRACE + SLACK) {
                 self.breaks.drain += 1;
-                self.say(|| format!("{now:?}: router {router} names server {end}, drained since {told:?}"));
+                self.say(|| {
+                    format!("{now:?}: router {router} names server {end}, drained since {told:?}")
+                });
             }
         }
         Some(router)
@@ -139,7 +165,9 @@
 
     /// The effect of a request has taken place.
     pub fn runs(&mut self, now: Duration, id: u64) {
-        let Some(life) = self.lives.get_mut(&id) else { return };
+        let Some(life) = self.lives.get_mut(&id) else {
+            return;
+        };
         life.runs += 1;
         if life.write && life.runs > 1 {
             let router = life.router;
@@ -150,12 +178,18 @@
 
     /// What `router` asked for at `asked` was answered from a copy of that age.
     pub fn answered_from(&mut self, asked: Duration, router: usize, object: u64, made: u64) {
-        let Some((unix_ms, told)) = self.purges.get(&object) else { return };
-        let bound = told.get(&router).is_some_and(|told| asked > *told + PURGE_GRACE + SLACK);
+        let Some((unix_ms, told)) = self.purges.get(&object) else {
+            return;
+        };
+        let bound = told
+            .get(&router)
+            .is_some_and(|told| asked > *told + PURGE_GRACE + SLACK);
         if bound && made < *unix_ms {
             self.breaks.stale += 1;
             self.say(|| {
-                format!("{asked:?}: router {router} took a copy of {object:016x} from before its purge")
+                format!(
+                    "{asked:?}: router {router} took a copy of {object:016x} from before its purge"
+                )
             });
         }
     }
@@ -172,7 +206,9 @@
 
     /// A client has its final answer, or will have none.
     pub fn ends(&mut self, now: Duration, id: u64, end: Final) {
-        let Some(life) = self.lives.get_mut(&id) else { return };
+        let Some(life) = self.lives.get_mut(&id) else {
+            return;
+        };
         let before = *life;
         if before.excused {
             return;
@@ -189,7 +225,9 @@
             self.breaks.lost += 1;
             let (begun, due) = (before.begun, before.due);
             self.say(|| {
-                format!("{now:?}: {id:016x} of router {router}, {begun:?} to {due:?}, ended by {end:?}")
+                format!(
+                    "{now:?}: {id:016x} of router {router}, {begun:?} to {due:?}, ended by {end:?}"
+                )
             });
         }
         if end == Final::Rejected && before.write && before.runs > 0 {
@@ -203,13 +241,19 @@
 
     /// The router was killed or stopped: what it had open ends with it, and is not its fault.
     pub fn killed(&mut self, router: usize) {
-        let open = self.lives.values_mut().filter(|life| life.router == router && !life.answered);
+        let open = self
+            .lives
+            .values_mut()
+            .filter(|life| life.router == router && !life.answered);
         open.for_each(|life| life.excused = true);
     }
 
     /// What was sent to a router that is no more.
     pub fn excuse(&mut self, id: u64) {
-        self.lives.get_mut(&id).into_iter().for_each(|life| life.excused = true);
+        self.lives
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|life| life.excused = true);
     }
 
     /// At the end: what was never answered is lost.
@@ -227,7 +271,10 @@
     }
 
     pub fn open(&self) -> usize {
-        self.lives.values().filter(|life| !life.answered && !life.excused).count()
+        self.lives
+            .values()
+            .filter(|life| !life.answered && !life.excused)
+            .count()
     }
 }
 
--- a/crates/harness/src/ways.rs
+++ b/crates/harness/src/ways.rs
@@ -44,7 +44,9 @@
                 return fleet.near;
             }
             // No two far ways are just alike.
-            fleet.far.mul_f64(0.7 + 0.6 * ((from * 7 + to * 13) % 11) as f64 / 10.0)
+            fleet
+                .far
+                .mul_f64(0.7 + 0.6 * ((from * 7 + to * 13) % 11) as f64 / 10.0)
         };
         let all = |from: usize| (0..places).map(|to| usual(from, to)).collect();
         Some(Ways {
@@ -81,7 +83,9 @@
 
     /// The median of there and back.
     pub fn truth(&self, from: usize, to: usize) -> Duration {
-        let one = |a: usize, b: usize| self.usual[a][b].mul_f64(self.slow[a][b] * (1.0 + self.jitter / 2.0));
+        let one = |a: usize, b: usize| {
+            self.usual[a][b].mul_f64(self.slow[a][b] * (1.0 + self.jitter / 2.0))
+        };
         one(from, to) + one(to, from)
     }
 
--- a/crates/harness/src/wire.rs
+++ b/crates/harness/src/wire.rs
@@ -124,12 +124,18 @@
         ["QUIT", id] => hex(id).map(Order::Quit),
         ["NOOP", tag] if !tag.is_empty() && tag.len() <= 32 => Some(Order::Noop(tag.to_owned())),
         ["ASK", id, fields, length] => {
-            let mut asked = Asked { id: hex(id)?, parent_keeps: true, ..Asked::default() };
+            let mut asked = Asked {
+                id: hex(id)?,
+                parent_keeps: true,
+                ..Asked::default()
+            };
             for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
                 match name {
                     "cls" => asked.class = value.to_owned(),
                     "item" => asked.key.0 = hex(value)?,
-                    "chunk" => asked.key.1 = value.parse().ok().or(value.is_empty().then_some(0))?,
+                    "chunk" => {
+                        asked.key.1 = value.parse().ok().or(value.is_empty().then_some(0))?
+                    }
                     "src" => asked.source = Some(value.to_owned()),
                     "keep" => asked.keep = value.parse().ok().filter(|rank| *rank < 4)?,
                     "maxage" => asked.oldest_ms = Some(value.parse().ok()?).filter(|ms| *ms > 0),
@@ -140,7 +146,10 @@
                     _ => {}
                 }
             }
-            Some(Order::Ask(Box::new(asked), length.parse().ok().filter(|l| *l <= 64_000)?))
+            Some(Order::Ask(
+                Box::new(asked),
+                length.parse().ok().filter(|l| *l <= 64_000)?,
+            ))
         }
         _ => None,
     }
@@ -215,7 +224,16 @@
 async fn serve(stream: TcpStream, connection: u64, server: usize, group: usize, events: Events) {
     let (out, mut outs) = mpsc::channel(OUT_MOST);
     let _ = stream.set_nodelay(true);
-    if events.send(Event::Opened { connection, server, group, out }).await.is_err() {
+    if events
+        .send(Event::Opened {
+            connection,
+            server,
+            group,
+            out,
+        })
+        .await
+        .is_err()
+    {
         return;
     }
     let (mut reader, mut writer) = stream.into_split();
@@ -294,11 +312,19 @@
         }
     };
     let Some(after) = watch.strip_prefix("watch ").and_then(|n| n.parse().ok()) else {
-        let _ = events.send(Event::Nonsense { what: format!("to discovery: {watch}") }).await;
+        let _ = events
+            .send(Event::Nonsense {
+                what: format!("to discovery: {watch}"),
+            })
+            .await;
         return;
     };
     let (out, mut outs) = mpsc::channel::<Bytes>(OUT_MOST);
-    if events.send(Event::Watching { router, after, out }).await.is_err() {
+    if events
+        .send(Event::Watching { router, after, out })
+        .await
+        .is_err()
+    {
         return;
     }
     loop {
@@ -338,7 +364,9 @@
 fn length(buffer: &[u8], at: usize, sign: u8) -> Option<Result<(usize, usize), ()>> {
     let rest = &buffer[at..];
     let end = rest.iter().position(|b| *b == b'\n')?;
-    let digits = rest.get(1..end.saturating_sub(1)).and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
+    let digits = rest
+        .get(1..end.saturating_sub(1))
+        .and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
     Some(match (rest[0] == sign, digits) {
         (true, Some(n)) if n <= 1 << 20 => Ok((n, at + end + 1)),
         _ => Err(()),
@@ -347,14 +375,21 @@
 
 /// A whole answer: its parts.
 fn answer(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ()> {
-    let Some(head) = (!buffer.is_empty()).then(|| length(buffer, 0, b'*')).flatten() else { return Ok(None) };
+    let Some(head) = (!buffer.is_empty())
+        .then(|| length(buffer, 0, b'*'))
+        .flatten()
+    else {
+        return Ok(None);
+    };
     let (count, mut at) = head?;
     let mut places = Vec::new();
     for _ in 0..count.min(16) {
         if at >= buffer.len() {
             return Ok(None);
         }
-        let Some(part) = length(buffer, at, b'$') else { return Ok(None) };
+        let Some(part) = length(buffer, at, b'$') else {
+            return Ok(None);
+        };
         let (long, from) = part?;
         if buffer.len() < from + long + 2 {
             return Ok(None);
@@ -363,15 +398,20 @@
         at = from + long + 2;
     }
     let whole = buffer.split_to(at).freeze();
-    Ok(Some(places.into_iter().map(|place| whole.slice(place)).collect()))
+    Ok(Some(
+        places.into_iter().map(|place| whole.slice(place)).collect(),
+    ))
 }
 
 /// What a body says of itself, as [`body`] wrote it.
 fn says(body: &[u8]) -> Option<(Key, u64)> {
     let text = std::str::from_utf8(body.get(..body.iter().position(|b| *b == b'|')?)?).ok()?;
     let mut parts = text.split(':');
-    let (object, part, made) =
-        (hex(parts.next()?)?, parts.next()?.parse().ok()?, parts.next()?.parse().ok()?);
+    let (object, part, made) = (
+        hex(parts.next()?)?,
+        parts.next()?.parse().ok()?,
+        parts.next()?.parse().ok()?,
+    );
     Some(((object, part), made))
 }
 
@@ -384,15 +424,25 @@
 }
 
 fn read(parts: &[Bytes]) -> Option<(u64, Answer)> {
-    let [tag, word, fields, body] = parts else { return None };
+    let [tag, word, fields, body] = parts else {
+        return None;
+    };
     let tag = std::str::from_utf8(tag).ok()?.parse().ok()?;
     let fields = String::from_utf8_lossy(fields);
     let of = |name: &str| {
-        fields.split(',').filter_map(|f| f.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+        fields
+            .split(',')
+            .filter_map(|f| f.split_once('='))
+            .find(|(n, _)| *n == name)
+            .map(|(_, v)| v)
     };
     let answer = match &word[..] {
         b"ACK" => Answer::Served(says(body)),
-        b"NAK" => Answer::Rejected(of("w").and_then(|ms| ms.parse().ok()).map(Duration::from_millis)),
+        b"NAK" => Answer::Rejected(
+            of("w")
+                .and_then(|ms| ms.parse().ok())
+                .map(Duration::from_millis),
+        ),
         b"" => Answer::Wrong,
         _ => Answer::Failed,
     };
@@ -414,8 +464,16 @@
             };
             let stream = timeout(CONNECT_WITHIN, TcpStream::connect(at)).await;
             let Ok(Ok(stream)) = stream else {
-                let ids = std::iter::once(first.id).chain(again.drain(..).map(|r| r.id)).collect();
-                let _ = events.send(Event::Broke { router, ids, refused: true }).await;
+                let ids = std::iter::once(first.id)
+                    .chain(again.drain(..).map(|r| r.id))
+                    .collect();
+                let _ = events
+                    .send(Event::Broke {
+                        router,
+                        ids,
+                        refused: true,
+                    })
+                    .await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -423,12 +481,22 @@
             again.push(first);
             let kept = ask(stream, &mut again, &mut open, &mut requests, &events).await;
             let now = Instant::now();
-            let (crossed, broke): (Vec<_>, Vec<_>) =
-                open.into_values().partition(|(_, sent, once)| kept && !once && now < *sent + CROSSED);
+            let (crossed, broke): (Vec<_>, Vec<_>) = open
+                .into_values()
+                .partition(|(_, sent, once)| kept && !once && now < *sent + CROSSED);
             again = crossed.into_iter().map(|(request, _, _)| request).collect();
-            let ids: Vec<u64> = broke.into_iter().map(|(request, _, _)| request.id).collect();
+            let ids: Vec<u64> = broke
+                .into_iter()
+                .map(|(request, _, _)| request.id)
+                .collect();
             if !ids.is_empty() {
-                let _ = events.send(Event::Broke { router, ids, refused: false }).await;
+                let _ = events
+                    .send(Event::Broke {
+                        router,
+                        ids,
+                        refused: false,
+                    })
+                    .await;
             }
         }
     });
@@ -498,7 +566,10 @@
 pub async fn green(at: SocketAddr) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
-        stream.write_all(&array(&[b"HEALTH", b"1", b""])).await.ok()?;
+        stream
+            .write_all(&array(&[b"HEALTH", b"1", b""]))
+            .await
+            .ok()?;
         let mut buffer = BytesMut::new();
         loop {
             if let Some(parts) = answer(&mut buffer).ok()? {
@@ -509,7 +580,11 @@
             }
         }
     };
-    timeout(Duration::from_secs(1), asked).await.ok().flatten().unwrap_or(false)
+    timeout(Duration::from_secs(1), asked)
+        .await
+        .ok()
+        .flatten()
+        .unwrap_or(false)
 }
 
 #[cfg(test)]
--- a/crates/harness/src/wire/tests.rs
+++ b/crates/harness/src/wire/tests.rs
@@ -6,13 +6,27 @@
     let line = "ASK 00000000000000a1 cls=page,item=7f3a9c21e0b4d655,chunk=3,limit=900,src=p1,keep=2,\
                 maxage=500,\
                 flags=collapse+only-if-cached 12";
-    let Some(Order::Ask(asked, 12)) = order(line) else { panic!("not read") };
+    let Some(Order::Ask(asked, 12)) = order(line) else {
+        panic!("not read")
+    };
     assert_eq!((asked.id, asked.key), (0xa1, (0x7f3a9c21e0b4d655, 3)));
-    assert_eq!((asked.source.as_deref(), asked.keep, asked.oldest_ms), (Some("p1"), 2, Some(500)));
+    assert_eq!(
+        (asked.source.as_deref(), asked.keep, asked.oldest_ms),
+        (Some("p1"), 2, Some(500))
+    );
     assert!(asked.only_held && asked.parent_keeps);
-    assert!(matches!(order("QUIT 00000000000000a1"), Some(Order::Quit(0xa1))));
+    assert!(matches!(
+        order("QUIT 00000000000000a1"),
+        Some(Order::Quit(0xa1))
+    ));
     assert!(matches!(order("NOOP 7"), Some(Order::Noop(tag)) if tag == "7"));
-    for wrong in ["ASK x - 0", "ASK a1 keep=9 0", "ASK a1 - 999999", "NOOP", ""] {
+    for wrong in [
+        "ASK x - 0",
+        "ASK a1 keep=9 0",
+        "ASK a1 - 999999",
+        "NOOP",
+        "",
+    ] {
         assert!(order(wrong).is_none(), "{wrong}");
     }
 }
@@ -31,7 +45,10 @@
             }
         }
         assert_eq!(all[0], (7, Answer::Served(Some(((0xabc, 2), 77)))));
-        assert_eq!(all[1], (8, Answer::Rejected(Some(Duration::from_millis(250)))));
+        assert_eq!(
+            all[1],
+            (8, Answer::Rejected(Some(Duration::from_millis(250))))
+        );
     }
 }
 
--- a/crates/harness/src/work.rs
+++ b/crates/harness/src/work.rs
@@ -35,8 +35,9 @@
 /// What each router gets of the work; they sum up to 1. Most get less than the mean, a few several times it.
 pub fn shares(routers: usize, uneven: f64, seed: u64) -> Vec<f64> {
     let mut chance = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    let mut weights: Vec<f64> =
-        (0..routers).map(|_| 0.5 + (uneven - 0.5).max(0.0) * chance.f64().powi(8)).collect();
+    let mut weights: Vec<f64> = (0..routers)
+        .map(|_| 0.5 + (uneven - 0.5).max(0.0) * chance.f64().powi(8))
+        .collect();
     let busiest = chance.usize(..routers);
     let mean = weights.iter().sum::<f64>() / routers as f64;
     weights[busiest] = uneven.max(1.0) * mean;
@@ -58,7 +59,9 @@
 
     pub fn draw(&self, chance: &mut fastrand::Rng) -> usize {
         let at = chance.f64() * self.0.last().copied().unwrap_or(0.0);
-        self.0.partition_point(|sum| *sum <= at).min(self.0.len().saturating_sub(1))
+        self.0
+            .partition_point(|sum| *sum <= at)
+            .min(self.0.len().saturating_sub(1))
     }
 }
 
@@ -88,7 +91,11 @@
         let (mut router, mut place) = (routers.draw(&mut chance), objects.draw(&mut chance));
         let (write, heeds) = (chance.f64() < work.writes, chance.f64() < work.heed);
         let lot = chance.f64();
-        for fault in play.faults.iter().filter(|f| (f.at..f.at + f.lasts).contains(&at)) {
+        for fault in play
+            .faults
+            .iter()
+            .filter(|f| (f.at..f.at + f.lasts).contains(&at))
+        {
             match fault.what {
                 What::Hot(share) if lot < share => place = work.objects + at.as_secs() as usize,
                 What::Shift(from, to) if zone(router, play) == from => {
@@ -98,7 +105,14 @@
             }
         }
         let object = object(seed, place);
-        all.push(Arrival { at, router, key: (object, 0), kb: size(object, work.kb), write, heeds });
+        all.push(Arrival {
+            at,
+            router,
+            key: (object, 0),
+            kb: size(object, work.kb),
+            write,
+            heeds,
+        });
     }
 }
 
--- a/crates/harness/src/work/tests.rs
+++ b/crates/harness/src/work/tests.rs
@@ -18,7 +18,10 @@
     let shares = shares(200, 6.0, 3);
     let most = shares.iter().copied().fold(0.0, f64::max) * 200.0;
     assert!((5.0..=6.5).contains(&most), "{most} times the mean");
-    assert!(shares.iter().filter(|s| **s * 200.0 < 1.0).count() > 120, "most are under the mean");
+    assert!(
+        shares.iter().filter(|s| **s * 200.0 < 1.0).count() > 120,
+        "most are under the mean"
+    );
     let all = arrivals(&play, 3);
     let first = object(3, 0);
     let of_first = all.iter().filter(|a| a.key.0 == first).count() as f64 / all.len() as f64;
@@ -30,13 +33,29 @@
 #[test]
 fn a_hot_object_and_a_shift_change_who_asks_for_what() {
     let at = Duration::from_secs(3);
-    let fault = |what| Fault { at, lasts: Duration::from_secs(4), what };
-    let play = Play { faults: vec![fault(What::Hot(0.4)), fault(What::Shift(0, 1))], ..Play::default() };
+    let fault = |what| Fault {
+        at,
+        lasts: Duration::from_secs(4),
+        what,
+    };
+    let play = Play {
+        faults: vec![fault(What::Hot(0.4)), fault(What::Shift(0, 1))],
+        ..Play::default()
+    };
     let all = arrivals(&play, 3);
-    let within: Vec<&Arrival> = all.iter().filter(|a| (at..at * 2).contains(&a.at)).collect();
-    let hot: Vec<u64> = (3..6).map(|second| object(3, play.work.objects + second)).collect();
-    let share = within.iter().filter(|a| hot.contains(&a.key.0)).count() as f64 / within.len() as f64;
+    let within: Vec<&Arrival> = all
+        .iter()
+        .filter(|a| (at..at * 2).contains(&a.at))
+        .collect();
+    let hot: Vec<u64> = (3..6)
+        .map(|second| object(3, play.work.objects + second))
+        .collect();
+    let share =
+        within.iter().filter(|a| hot.contains(&a.key.0)).count() as f64 / within.len() as f64;
     assert!((0.33..0.47).contains(&share), "{share}");
     assert!(within.iter().all(|a| zone(a.router, &play) != 0));
-    assert!(all.iter().any(|a| a.at > Duration::from_secs(7) && zone(a.router, &play) == 0));
+    assert!(
+        all.iter()
+            .any(|a| a.at > Duration::from_secs(7) && zone(a.router, &play) == 0)
+    );
 }
--- a/crates/latency/src/merge.rs
+++ b/crates/latency/src/merge.rs
@@ -30,7 +30,10 @@
     /// gives nothing back costs the most there is.
     pub fn bounds(&self) -> (f64, f64) {
         let middle = self.p50.map_or(f64::INFINITY, |p50| p50.as_secs_f64());
-        (middle / (1.0 + 2.0 * self.doubt), middle * (1.0 + 2.0 * self.doubt))
+        (
+            middle / (1.0 + 2.0 * self.doubt),
+            middle * (1.0 + 2.0 * self.doubt),
+        )
     }
 }
 
@@ -45,14 +48,25 @@
 
 /// Merges what tellers say, each with the age of its word. None where nobody says anything.
 pub fn merge(told: &[(Share, Duration)]) -> Option<Estimate> {
-    let weighed = |(share, age): &(Share, Duration)| share.count * (-age.div_duration_f64(HALF_LIFE)).exp2();
-    let enough = told.iter().filter(|word| weighed(word) >= COUNT_LEAST).count();
-    let words: Vec<_> = told.iter().filter(|word| enough == 0 || weighed(word) >= COUNT_LEAST).collect();
+    let weighed =
+        |(share, age): &(Share, Duration)| share.count * (-age.div_duration_f64(HALF_LIFE)).exp2();
+    let enough = told
+        .iter()
+        .filter(|word| weighed(word) >= COUNT_LEAST)
+        .count();
+    let words: Vec<_> = told
+        .iter()
+        .filter(|word| enough == 0 || weighed(word) >= COUNT_LEAST)
+        .collect();
     if words.is_empty() {
         return None;
     }
     let rows: Vec<[f64; BUCKETS]> = words.iter().map(|(share, _)| share.below()).collect();
-    let cut = if rows.len() >= 3 { (rows.len() / 4).max(1) } else { 0 };
+    let cut = if rows.len() >= 3 {
+        (rows.len() / 4).max(1)
+    } else {
+        0
+    };
     let middle = |values: &mut Vec<f64>| {
         values.sort_by(f64::total_cmp);
         let left = &values[cut..values.len() - cut];
@@ -72,10 +86,20 @@
     // be lied away either.
     let claimed = middle(&mut words.iter().map(|word| weighed(word)).collect());
     let samples = (claimed * words.len() as f64).max(0.1);
-    let youngest = words.iter().map(|(_, age)| age.as_secs_f64()).fold(f64::INFINITY, f64::min);
+    let youngest = words
+        .iter()
+        .map(|(_, age)| age.as_secs_f64())
+        .fold(f64::INFINITY, f64::min);
     // The median of a normal sample: variance pi/2 over its size.
-    let doubt = (spread.max(0.02).powi(2) * std::f64::consts::FRAC_PI_2 / samples).sqrt() + DRIFT * youngest;
-    Some(Estimate { p50, p90, lost, doubt, tellers: words.len() })
+    let doubt = (spread.max(0.02).powi(2) * std::f64::consts::FRAC_PI_2 / samples).sqrt()
+        + DRIFT * youngest;
+    Some(Estimate {
+        p50,
+        p90,
+        lost,
+        doubt,
+        tellers: words.len(),
+    })
 }
 
 #[cfg(test)]
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -28,9 +28,27 @@
 /// Five tellers of a way are enough to leave out the least and the greatest; three of a matrix to outvote
 /// one.
 pub const LANES: [Lane; 3] = [
-    Lane { kind: WAYS, near: true, first: false, keep: 5, lasts: LASTS },
-    Lane { kind: LEGS, near: true, first: false, keep: 5, lasts: LASTS },
-    Lane { kind: MATRIX, near: false, first: false, keep: 3, lasts: LASTS },
+    Lane {
+        kind: WAYS,
+        near: true,
+        first: false,
+        keep: 5,
+        lasts: LASTS,
+    },
+    Lane {
+        kind: LEGS,
+        near: true,
+        first: false,
+        keep: 5,
+        lasts: LASTS,
+    },
+    Lane {
+        kind: MATRIX,
+        near: false,
+        first: false,
+        keep: 3,
+        lasts: LASTS,
+    },
 ];
 /// Edges there may be: numbers of zones, then of hubs.
 pub const EDGES_MOST: usize = 64;
@@ -69,7 +87,12 @@
         None => [255, 255, 255, 255],
         Some(cell) => {
             let doubt = (cell.doubt * 100.0).round().min(254.0) as u8;
-            [byte(cell.p50), byte(cell.p90), (cell.lost * 255.0) as u8, doubt]
+            [
+                byte(cell.p50),
+                byte(cell.p90),
+                (cell.lost * 255.0) as u8,
+                doubt,
+            ]
         }
     };
     cells.iter().flat_map(cell).collect()
@@ -130,21 +153,30 @@
 
     /// How long a measurement waits between two of this router's own.
     pub fn due(&self, edge: usize) -> Duration {
-        self.measured.get(&edge).map_or(Duration::ZERO, |at| *at + EVERY)
+        self.measured
+            .get(&edge)
+            .map_or(Duration::ZERO, |at| *at + EVERY)
     }
 
     /// The edges that this router is to measure now; each counts as measured from now on.
     pub fn to_measure(&mut self, now: Duration, gossip: &Gossip) -> Vec<usize> {
-        let due: Vec<usize> = (0..self.edges).filter(|edge| now >= self.due(*edge)).collect();
+        let due: Vec<usize> = (0..self.edges)
+            .filter(|edge| now >= self.due(*edge))
+            .collect();
         if due.is_empty() {
             return due;
         }
         let peers: Vec<u16> = gossip.peers(now, ALIVE).collect();
-        let draws =
-            |number: u16, edge: usize| xxh3_64(&[number.to_be_bytes(), (edge as u16).to_be_bytes()].concat());
+        let draws = |number: u16, edge: usize| {
+            xxh3_64(&[number.to_be_bytes(), (edge as u16).to_be_bytes()].concat())
+        };
         let mine = |edge: &usize| {
             let own = draws(self.number, *edge);
-            peers.iter().filter(|peer| draws(**peer, *edge) < own).count() < MEASURERS
+            peers
+                .iter()
+                .filter(|peer| draws(**peer, *edge) < own)
+                .count()
+                < MEASURERS
         };
         let found: Vec<usize> = due.into_iter().filter(mine).collect();
         for edge in &found {
@@ -183,24 +215,40 @@
         let fresh = |sketch: &Sketch| sketch.latest() >= asked && sketch.count(now) > 0.0;
         let told = |kind: u8, sketches: &BTreeMap<usize, Sketch>| {
             let all = sketches.iter().filter(|(_, sketch)| fresh(sketch));
-            let all = all
-                .filter_map(|(edge, sketch)| Some((kind, *edge as u8, sketch.share(now)?.encode().to_vec())));
+            let all = all.filter_map(|(edge, sketch)| {
+                Some((kind, *edge as u8, sketch.share(now)?.encode().to_vec()))
+            });
             all.collect::<Vec<_>>()
         };
         let mut words = told(WAYS, &self.ways);
         words.extend(told(LEGS, &self.legs));
-        let due = self.matrix_told.is_none_or(|told| now >= told + MATRIX_EVERY);
+        let due = self
+            .matrix_told
+            .is_none_or(|told| now >= told + MATRIX_EVERY);
         if !due {
             return words;
         }
         self.matrix_told = Some(now);
         // Only what was measured is told: a belief taken from peers would go round and outlive the truth.
         let least = (gossip.peers(now, ALIVE).count() + 1).min(3);
-        let measured =
-            |edge: usize| self.estimate(now, gossip, WAYS, &self.ways, edge).filter(|e| e.tellers >= least);
+        let measured = |edge: usize| {
+            self.estimate(now, gossip, WAYS, &self.ways, edge)
+                .filter(|e| e.tellers >= least)
+        };
         for (part, first) in (0..self.edges).step_by(CHUNK).enumerate() {
             let edges = first..(first + CHUNK).min(self.edges);
-            let cell = |Estimate { p50, p90, lost, doubt, .. }| Cell { p50, p90, lost, doubt };
+            let cell = |Estimate {
+                            p50,
+                            p90,
+                            lost,
+                            doubt,
+                            ..
+                        }| Cell {
+                p50,
+                p90,
+                lost,
+                doubt,
+            };
             let cells: Vec<Option<Cell>> = edges.map(|edge| measured(edge).map(cell)).collect();
             if cells.iter().any(Option::is_some) {
                 words.push((MATRIX, part as u8, encode(&cells)));
@@ -217,27 +265,45 @@
         own: &BTreeMap<usize, Sketch>,
         edge: usize,
     ) -> Option<Estimate> {
-        let mine = own.get(&edge).filter(|sketch| now < sketch.latest() + LASTS);
+        let mine = own
+            .get(&edge)
+            .filter(|sketch| now < sketch.latest() + LASTS);
         // Decay since the last sample is in the count already.
         let mine = mine.and_then(|sketch| Some((sketch.share(now)?, Duration::ZERO)));
         let told = gossip.words(now, kind).filter(|(topic, word)| {
-            usize::from(topic.part) == edge && word.place == self.place && topic.teller != self.number
+            usize::from(topic.part) == edge
+                && word.place == self.place
+                && topic.teller != self.number
+        });
+        let told = told.filter_map(|(_, word)| {
+            Some((Share::decode(&word.body)?, now.saturating_sub(word.told)))
         });
-        let told =
-            told.filter_map(|(_, word)| Some((Share::decode(&word.body)?, now.saturating_sub(word.told))));
         let all: Vec<_> = mine.into_iter().chain(told).collect();
         merge(&all)
     }
 
     /// What the tellers of a zone say of its way to an edge, and how young the youngest word is: the
     /// middle of them at each figure. And how many they are.
-    fn heard(&self, now: Duration, gossip: &Gossip, from: u8, edge: usize) -> Option<(Cell, usize)> {
+    fn heard(
+        &self,
+        now: Duration,
+        gossip: &Gossip,
+        from: u8,
+        edge: usize,
+    ) -> Option<(Cell, usize)> {
         let of = |(topic, word): (Topic, &chalkhall_gossip::gossip::Word)| {
-            let fits =
-                word.place == from && usize::from(topic.part) == edge / CHUNK && topic.teller != self.number;
+            let fits = word.place == from
+                && usize::from(topic.part) == edge / CHUNK
+                && topic.teller != self.number;
             let age = now.saturating_sub(word.told);
-            fits.then(|| decode(&word.body)?.get(edge % CHUNK).copied().flatten().map(|cell| (cell, age)))
-                .flatten()
+            fits.then(|| {
+                decode(&word.body)?
+                    .get(edge % CHUNK)
+                    .copied()
+                    .flatten()
+                    .map(|cell| (cell, age))
+            })
+            .flatten()
         };
         let cells: Vec<(Cell, Duration)> = gossip.words(now, MATRIX).filter_map(of).collect();
         let middle = |of: &dyn Fn(&Cell) -> f64| {
@@ -266,9 +332,21 @@
             return own;
         }
         match self.heard(now, gossip, self.place, edge) {
-            Some((Cell { p50, p90, lost, doubt }, tellers)) if tellers >= 3 => {
-                Some(Estimate { p50, p90, lost, doubt, tellers })
-            }
+            Some((
+                Cell {
+                    p50,
+                    p90,
+                    lost,
+                    doubt,
+                },
+                tellers,
+            )) if tellers >= 3 => Some(Estimate {
+                p50,
+                p90,
+                lost,
+                doubt,
+                tellers,
+            }),
             _ => own,
         }
     }
@@ -283,8 +361,19 @@
         if from != self.place {
             return self.heard(now, gossip, from, edge).map(|(cell, _)| cell);
         }
-        let Estimate { p50, p90, lost, doubt, .. } = self.way(now, gossip, edge)?;
-        Some(Cell { p50, p90, lost, doubt })
+        let Estimate {
+            p50,
+            p90,
+            lost,
+            doubt,
+            ..
+        } = self.way(now, gossip, edge)?;
+        Some(Cell {
+            p50,
+            p90,
+            lost,
+            doubt,
+        })
     }
 
     /// What was refused since the start: of edges that there are not.
--- a/crates/latency/src/model/tests.rs
+++ b/crates/latency/src/model/tests.rs
@@ -8,7 +8,9 @@
 
 impl Mouth for Said {
     fn say(&mut self, to: To, bytes: &[u8]) {
-        let To::One(to) = to else { panic!("nobody is told all") };
+        let To::One(to) = to else {
+            panic!("nobody is told all")
+        };
         self.0.push((to, bytes.to_vec()));
     }
 }
@@ -31,7 +33,13 @@
 
 fn router(number: usize, places: usize, routers: usize, incarnation: u32) -> (Model, Gossip) {
     let place = (number % places) as u8;
-    let stand = Stand { number: number as u16, routers, place, incarnation, seed: number as u64 };
+    let stand = Stand {
+        number: number as u16,
+        routers,
+        place,
+        incarnation,
+        seed: number as u64,
+    };
     let gossip = Gossip::start(Duration::ZERO, stand, &LANES).expect("not alone");
     (Model::new(number as u16, place, places), gossip)
 }
@@ -44,8 +52,18 @@
             let others = row.iter_mut().enumerate().filter(|(to, _)| *to != from);
             others.for_each(|(_, way)| *way = 5.0 + 60.0 * chance.f64());
         }
-        let routers = (0..routers).map(|n| router(n, places, routers, 1)).collect();
-        World { places, routers, truth, sigma: 0.15, chance, liar: None, loses: 0.1 }
+        let routers = (0..routers)
+            .map(|n| router(n, places, routers, 1))
+            .collect();
+        World {
+            places,
+            routers,
+            truth,
+            sigma: 0.15,
+            chance,
+            liar: None,
+            loses: 0.1,
+        }
     }
 
     fn sample(&mut self, from: usize, to: usize) -> Duration {
@@ -58,7 +76,11 @@
             for n in 0..self.routers.len() {
                 let (model, gossip) = &mut self.routers[n];
                 let turn = (now / 10 + n as u64).is_multiple_of(10);
-                let edges = if turn { model.to_measure(ms(now), gossip) } else { Vec::new() };
+                let edges = if turn {
+                    model.to_measure(ms(now), gossip)
+                } else {
+                    Vec::new()
+                };
                 for edge in edges {
                     let way = self.sample(n % self.places, edge);
                     self.routers[n].0.saw(ms(now), edge, Some(way));
@@ -67,14 +89,27 @@
                     let (model, gossip) = &mut self.routers[n];
                     let mut words = model.words(ms(now), gossip);
                     if self.liar == Some(n) {
-                        let lie = Share { count: 60.0, lost: 0.0, base: 100, wide: false, heights: [15; 16] };
-                        words = (0..self.places).map(|e| (WAYS, e as u8, lie.encode().to_vec())).collect();
-                        let cell = Cell { p50: Some(ms(1)), p90: Some(ms(1)), lost: 0.0, doubt: 0.0 };
+                        let lie = Share {
+                            count: 60.0,
+                            lost: 0.0,
+                            base: 100,
+                            wide: false,
+                            heights: [15; 16],
+                        };
+                        words = (0..self.places)
+                            .map(|e| (WAYS, e as u8, lie.encode().to_vec()))
+                            .collect();
+                        let cell = Cell {
+                            p50: Some(ms(1)),
+                            p90: Some(ms(1)),
+                            lost: 0.0,
+                            doubt: 0.0,
+                        };
                         words.push((MATRIX, 0, super::encode(&vec![Some(cell); self.places])));
                     }
-                    words
-                        .into_iter()
-                        .for_each(|(kind, part, body)| gossip.say(ms(now), kind, part, body, false));
+                    words.into_iter().for_each(|(kind, part, body)| {
+                        gossip.say(ms(now), kind, part, body, false)
+                    });
                 }
                 let mut said = Said::default();
                 self.routers[n].1.tick(ms(now), &mut said);
@@ -103,15 +138,16 @@
                     let Some(way) = model.way(ms(now), gossip, edge) else {
                         panic!("{n} knows nothing of {edge}")
                     };
-                    let ms = |d: Option<Duration>| d.map_or(f64::INFINITY, |d| d.as_secs_f64() * 1e3);
+                    let ms =
+                        |d: Option<Duration>| d.map_or(f64::INFINITY, |d| d.as_secs_f64() * 1e3);
                     e50 += (ms(way.p50) / truth - 1.0).abs();
                     e90 += (ms(way.p90) / ninth - 1.0).abs();
                     count += 1.0;
                     believed.push(ms(way.p50));
                 }
                 let mean = believed.iter().sum::<f64>() / believed.len() as f64;
-                spread +=
-                    believed.iter().map(|b| (b / mean - 1.0).abs()).sum::<f64>() / believed.len() as f64;
+                spread += believed.iter().map(|b| (b / mean - 1.0).abs()).sum::<f64>()
+                    / believed.len() as f64;
                 ways += 1.0;
             }
         }
@@ -132,7 +168,10 @@
         world.until(13_000, 18_000);
         let down = world.errors(18_000);
         for (e50, e90, spread) in [before, up, down] {
-            assert!(e50 <= 0.10 && e90 <= 0.20 && spread <= 0.05, "seed {seed}: {before:?} {up:?} {down:?}");
+            assert!(
+                e50 <= 0.10 && e90 <= 0.20 && spread <= 0.05,
+                "seed {seed}: {before:?} {up:?} {down:?}"
+            );
         }
     }
 }
@@ -147,12 +186,16 @@
     }
     world.until(6000, 11_000);
     let (e50, e90, spread) = world.errors(11_000);
-    assert!(e50 <= 0.10 && e90 <= 0.20 && spread <= 0.05, "{e50} {e90} {spread}");
+    assert!(
+        e50 <= 0.10 && e90 <= 0.20 && spread <= 0.05,
+        "{e50} {e90} {spread}"
+    );
     // The matrix, as another zone hears of it.
     let (model, gossip) = &world.routers[0];
     for edge in 0..6 {
         let cell = model.matrix(ms(11_000), gossip, 1, edge).expect("told");
-        let error = (cell.p50.expect("back").as_secs_f64() * 1e3 / world.truth[1][edge] - 1.0).abs();
+        let error =
+            (cell.p50.expect("back").as_secs_f64() * 1e3 / world.truth[1][edge] - 1.0).abs();
         assert!(error <= 0.25, "{edge}: {error}, of the liar's zone");
     }
 }
@@ -166,7 +209,10 @@
         }
         let mut found = 0;
         for now in (0..40_000).step_by(100) {
-            found += all.iter_mut().map(|(m, r)| m.to_measure(ms(now), r).len()).sum::<usize>();
+            found += all
+                .iter_mut()
+                .map(|(m, r)| m.to_measure(ms(now), r).len())
+                .sum::<usize>();
         }
         found as f64 / 40.0 / 6.0
     };
@@ -186,7 +232,11 @@
     assert!(model.way(ms(5000), &gossip, 2).expect("seen").p50.is_some());
     (10..16).for_each(|n| model.saw(ms(n * 500), 2, None));
     assert_eq!(model.way(ms(8000), &gossip, 2).expect("seen").p50, None);
-    assert_eq!(model.way(ms(8000) + LASTS, &gossip, 2), None, "past its age");
+    assert_eq!(
+        model.way(ms(8000) + LASTS, &gossip, 2),
+        None,
+        "past its age"
+    );
     model.saw(ms(0), 99, Some(ms(1)));
     model.observed(ms(0), 99, ms(1), 9);
     assert_eq!(model.refused(), 2);
@@ -209,7 +259,13 @@
         here.heard(ms(0), 0, bytes);
         there.heard(ms(0), 0, bytes);
     }
-    assert_eq!((here.words(ms(0), LEGS).count(), there.words(ms(0), LEGS).count()), (1, 0));
+    assert_eq!(
+        (
+            here.words(ms(0), LEGS).count(),
+            there.words(ms(0), LEGS).count()
+        ),
+        (1, 0)
+    );
     assert_eq!(datagram(0, &[]).len(), 4);
 }
 
--- a/crates/latency/src/sketch.rs
+++ b/crates/latency/src/sketch.rs
@@ -32,7 +32,11 @@
 /// In which bucket a span lies.
 pub fn bucket(span: Duration) -> usize {
     let ratio = span.as_secs_f64() / LEAST_S;
-    if ratio <= 1.0 { 0 } else { ((ratio.ln() / RATIO.ln()).ceil() as usize).min(BUCKETS - 1) }
+    if ratio <= 1.0 {
+        0
+    } else {
+        ((ratio.ln() / RATIO.ln()).ceil() as usize).min(BUCKETS - 1)
+    }
 }
 
 /// The span at a place among the buckets; halves lie between their bounds.
@@ -52,7 +56,12 @@
 
 impl Default for Sketch {
     fn default() -> Sketch {
-        Sketch { weights: [0.0; BUCKETS], lost: 0.0, since: None, latest: Duration::ZERO }
+        Sketch {
+            weights: [0.0; BUCKETS],
+            lost: 0.0,
+            since: None,
+            latest: Duration::ZERO,
+        }
     }
 }
 
@@ -106,7 +115,13 @@
         let lost = self.lost / (sum + self.lost);
         let mut heights = [0u8; HEIGHTS];
         if sum <= 0.0 {
-            return Some(Share { count, lost: 1.0, base: 0, wide: false, heights });
+            return Some(Share {
+                count,
+                lost: 1.0,
+                base: 0,
+                wide: false,
+                heights,
+            });
         }
         let at = |share: f64| {
             let mut left = share * sum;
@@ -127,7 +142,13 @@
         for (height, sum) in heights.iter_mut().zip(sums) {
             *height = (sum / most * 15.0).round() as u8;
         }
-        Some(Share { count, lost, base: base as u8, wide, heights })
+        Some(Share {
+            count,
+            lost,
+            base: base as u8,
+            wide,
+            heights,
+        })
     }
 }
 
@@ -160,7 +181,9 @@
 
     /// None where it makes no sense: of it nothing counts.
     pub fn decode(bytes: &[u8]) -> Option<Share> {
-        let [count, lost, base, rest @ ..] = bytes else { return None };
+        let [count, lost, base, rest @ ..] = bytes else {
+            return None;
+        };
         let mut heights = [0; HEIGHTS];
         if rest.len() != HEIGHTS / 2 || *count == 0 || usize::from(base & 0x7f) >= BUCKETS {
             return None;
@@ -174,12 +197,21 @@
             return None;
         }
         let (count, lost) = (f64::from(*count) * COUNT_UNIT, f64::from(*lost) / 255.0);
-        Some(Share { count, lost, base: base & 0x7f, wide: base & 0x80 != 0, heights })
+        Some(Share {
+            count,
+            lost,
+            base: base & 0x7f,
+            wide: base & 0x80 != 0,
+            heights,
+        })
     }
 
     /// Share of all samples at or below the end of each bucket: it ends at what was not lost.
     pub fn below(&self) -> [f64; BUCKETS] {
-        let (sum, mut below) = (self.heights.iter().map(|h| f64::from(*h)).sum::<f64>(), [0.0; BUCKETS]);
+        let (sum, mut below) = (
+            self.heights.iter().map(|h| f64::from(*h)).sum::<f64>(),
+            [0.0; BUCKETS],
+        );
         let (step, came) = (1 + usize::from(self.wide), 1.0 - self.lost);
         for (n, height) in self.heights.iter().enumerate() {
             for k in 0..step {
--- a/crates/latency/src/sketch/tests.rs
+++ b/crates/latency/src/sketch/tests.rs
@@ -12,7 +12,10 @@
         if span < Duration::from_secs(10) {
             let back = value(bucket(span) as f64).as_secs_f64();
             let error = (back / span.as_secs_f64() - 1.0).abs();
-            assert!(error <= ALPHA + 1e-3 || bucket(span) == 0, "{span:?} as {back}: {error}");
+            assert!(
+                error <= ALPHA + 1e-3 || bucket(span) == 0,
+                "{span:?} as {back}: {error}"
+            );
         }
     }
 }
@@ -28,7 +31,10 @@
     assert!((9.5..11.5).contains(&usual), "{usual}");
     assert!((sketch.count(end + HALF_LIFE) / usual - 0.5).abs() < 1e-9);
     (0..50).for_each(|n| sketch.came(end + Duration::from_millis(n * 100), ms(25.0)));
-    let below = sketch.share(end + Duration::from_secs(5)).expect("seen").below();
+    let below = sketch
+        .share(end + Duration::from_secs(5))
+        .expect("seen")
+        .below();
     assert!(below[bucket(ms(10.0))] < 0.08, "five seconds after a step");
 }
 
@@ -39,7 +45,10 @@
     (0..60).for_each(|n| sketch.lost(Duration::from_millis(40 + n)));
     let share = sketch.share(Duration::from_millis(100)).expect("seen");
     assert!((share.lost - 0.6).abs() < 0.02);
-    assert!(share.below().iter().all(|below| *below < 0.42), "no half of them came back at all");
+    assert!(
+        share.below().iter().all(|below| *below < 0.42),
+        "no half of them came back at all"
+    );
     let mut none = Sketch::default();
     (0..9).for_each(|_| none.lost(Duration::ZERO));
     let told = none.share(Duration::ZERO).expect("seen").encode();
@@ -55,7 +64,10 @@
 fn assert_told_as_seen(spans: &[f64], scale: f64, told: &Share) {
     let below = told.below();
     let seen_below = |end: usize| {
-        let count = spans.iter().filter(|span| bucket(ms(**span * scale)) <= end).count();
+        let count = spans
+            .iter()
+            .filter(|span| bucket(ms(**span * scale)) <= end)
+            .count();
         count as f64 / spans.len() as f64
     };
     let buckets_of_height = 1 + usize::from(told.wide);
@@ -64,10 +76,19 @@
         let first = at - at.saturating_sub(usize::from(told.base)) % buckets_of_height;
         let last = (first + buckets_of_height - 1).min(BUCKETS - 1);
         let error = (below[last] - seen_below(last)).abs();
-        assert!(error <= STEP_ERROR, "{span}: {} told, {} seen", below[last], seen_below(last));
+        assert!(
+            error <= STEP_ERROR,
+            "{span}: {} told, {} seen",
+            below[last],
+            seen_below(last)
+        );
         let before = first.checked_sub(1).map_or(0.0, seen_below);
         let between = before - STEP_ERROR..=seen_below(last) + STEP_ERROR;
-        assert!(between.contains(&below[at]), "{span}: {} told, {between:?} seen", below[at]);
+        assert!(
+            between.contains(&below[at]),
+            "{span}: {} told, {between:?} seen",
+            below[at]
+        );
     }
 }
 
@@ -76,7 +97,9 @@
 fn a_wide_height_tells_its_samples_as_spread_over_both_of_its_buckets() {
     let (spans, scale) = ([7.058_411, 6.664_706, 7.266_600, 1.0], 33.278_082);
     let mut sketch = Sketch::default();
-    spans.iter().for_each(|span| sketch.came(Duration::ZERO, ms(span * scale)));
+    spans
+        .iter()
+        .for_each(|span| sketch.came(Duration::ZERO, ms(span * scale)));
     let share = sketch.share(Duration::ZERO).expect("seen");
     assert!(share.wide);
     assert_told_as_seen(&spans, scale, &share);
--- a/crates/latency/src/steer.rs
+++ b/crates/latency/src/steer.rs
@@ -44,7 +44,9 @@
 }
 
 fn bounds(offer: &Offer) -> (f64, f64) {
-    offer.way.map_or((f64::INFINITY, f64::INFINITY), |way| way.bounds())
+    offer
+        .way
+        .map_or((f64::INFINITY, f64::INFINITY), |way| way.bounds())
 }
 
 impl Table {
@@ -72,7 +74,12 @@
 
     /// Time has passed, or something is known anew. Offers may come in any order, each edge once.
     pub fn turn(&mut self, now: Duration, demand: f64, offers: &[Offer]) {
-        let place = |edge: usize| self.shares.iter().position(|(e, _)| *e == edge).unwrap_or(usize::MAX);
+        let place = |edge: usize| {
+            self.shares
+                .iter()
+                .position(|(e, _)| *e == edge)
+                .unwrap_or(usize::MAX)
+        };
         let mut order: Vec<&Offer> = offers.iter().collect();
         // Those that are new go by their way; those known keep their order.
         let middle = |offer: &Offer| offer.way.and_then(|way| way.p50).unwrap_or(Duration::MAX);
@@ -85,28 +92,52 @@
                 at -= 1;
             }
         }
-        let elapsed = self.at.map_or(FIRST / STEP, |at| now.saturating_sub(at).as_secs_f64());
+        let elapsed = self
+            .at
+            .map_or(FIRST / STEP, |at| now.saturating_sub(at).as_secs_f64());
         self.at = Some(now);
         let step = STEP * elapsed.min(1.0);
         let mut left = 1.0;
         let mut next: Vec<(usize, f64, f64)> = Vec::new();
         for offer in &order {
-            let fits = if demand > 0.0 { (offer.room / demand).clamp(0.0, 1.0) } else { 1.0 };
+            let fits = if demand > 0.0 {
+                (offer.room / demand).clamp(0.0, 1.0)
+            } else {
+                1.0
+            };
             let target = fits.min(left);
             left -= target;
-            let before = self.shares.iter().find(|(e, _)| *e == offer.edge).map_or(0.0, |(_, share)| *share);
-            next.push((offer.edge, before, if offer.room > 0.0 { target } else { 0.0 }));
+            let before = self
+                .shares
+                .iter()
+                .find(|(e, _)| *e == offer.edge)
+                .map_or(0.0, |(_, share)| *share);
+            next.push((
+                offer.edge,
+                before,
+                if offer.room > 0.0 { target } else { 0.0 },
+            ));
         }
         // What leaves who takes nothing any more is free at once; what else moves, moves by the step.
         let gone = |at: usize| order[at].room <= 0.0;
-        let freed: f64 = (0..next.len()).filter(|at| gone(*at)).map(|at| next[at].1).sum();
+        let freed: f64 = (0..next.len())
+            .filter(|at| gone(*at))
+            .map(|at| next[at].1)
+            .sum();
         let step = step + freed * AT_ONCE;
         for (at, (_, share, target)) in next.iter_mut().enumerate() {
-            let fits = if demand > 0.0 { order[at].room / demand } else { 1.0 };
+            let fits = if demand > 0.0 {
+                order[at].room / demand
+            } else {
+                1.0
+            };
             // Past its room it gives way though nobody else may take it yet.
             let over = (*share - fits).clamp(0.0, step);
-            *share =
-                if gone(at) { 0.0 } else { *share - over + (*target - (*share - over)).clamp(0.0, step) };
+            *share = if gone(at) {
+                0.0
+            } else {
+                *share - over + (*target - (*share - over)).clamp(0.0, step)
+            };
         }
         // The rest is given up only as others take it, by who comes last in the order: nothing hangs between.
         let mut many = next.iter().map(|(_, share, _)| share).sum::<f64>() - 1.0;
@@ -120,7 +151,10 @@
             *share = if *share < LEAST { 0.0 } else { *share };
             sum += *share;
         }
-        self.shares = next.into_iter().map(|(edge, share, _)| (edge, share)).collect();
+        self.shares = next
+            .into_iter()
+            .map(|(edge, share, _)| (edge, share))
+            .collect();
     }
 }
 
--- a/crates/latency/src/steer/tests.rs
+++ b/crates/latency/src/steer/tests.rs
@@ -3,11 +3,21 @@
 
 fn way(ms: f64, doubt: f64) -> Option<Estimate> {
     let p50 = Some(Duration::from_secs_f64(ms / 1e3));
-    Some(Estimate { p50, p90: p50, lost: 0.0, doubt, tellers: 3 })
+    Some(Estimate {
+        p50,
+        p90: p50,
+        lost: 0.0,
+        doubt,
+        tellers: 3,
+    })
 }
 
 fn offer(edge: usize, ms: f64, room: f64) -> Offer {
-    Offer { edge, way: way(ms, 0.05), room }
+    Offer {
+        edge,
+        way: way(ms, 0.05),
+        room,
+    }
 }
 
 fn s(seconds: f64) -> Duration {
@@ -17,7 +27,11 @@
 #[test]
 fn near_first_as_far_as_there_is_room_and_the_rest_has_nowhere_to_go() {
     let mut table = Table::default();
-    let offers = [offer(2, 30.0, 50.0), offer(1, 5.0, 40.0), offer(3, 60.0, 0.0)];
+    let offers = [
+        offer(2, 30.0, 50.0),
+        offer(1, 5.0, 40.0),
+        offer(3, 60.0, 0.0),
+    ];
     (0..20).for_each(|n| table.turn(s(f64::from(n) * 0.25), 100.0, &offers));
     assert_eq!(table.shares(), [(1, 0.4), (2, 0.5), (3, 0.0)]);
     assert_eq!(
@@ -39,45 +53,90 @@
             room: 100.0,
         };
         let slow = if n < 200 { 10.4 } else { 30.0 };
-        let offers = [noisy(0, 10.0, &mut chance), noisy(1, slow, &mut chance), noisy(2, 10.2, &mut chance)];
+        let offers = [
+            noisy(0, 10.0, &mut chance),
+            noisy(1, slow, &mut chance),
+            noisy(2, 10.2, &mut chance),
+        ];
         table.turn(s(f64::from(n) * 0.25), 50.0, &offers);
         let order: Vec<usize> = table.shares().iter().map(|(edge, _)| *edge).collect();
         orders += usize::from(order != last);
         last = order;
     }
-    assert!(orders <= 2, "{orders} orders: the first, and one after the change");
+    assert!(
+        orders <= 2,
+        "{orders} orders: the first, and one after the change"
+    );
     assert_eq!(last.last(), Some(&1));
 }
 
 #[test]
 fn shares_move_by_the_step_but_leave_who_is_gone_at_once() {
     let mut table = Table::default();
-    table.turn(s(0.0), 100.0, &[offer(1, 5.0, 200.0), offer(2, 20.0, 200.0)]);
+    table.turn(
+        s(0.0),
+        100.0,
+        &[offer(1, 5.0, 200.0), offer(2, 20.0, 200.0)],
+    );
     assert_eq!(table.shares()[0], (1, FIRST));
     let mut before = FIRST;
     for n in 1..10 {
-        table.turn(s(f64::from(n) * 0.1), 100.0, &[offer(1, 5.0, 200.0), offer(2, 20.0, 200.0)]);
+        table.turn(
+            s(f64::from(n) * 0.1),
+            100.0,
+            &[offer(1, 5.0, 200.0), offer(2, 20.0, 200.0)],
+        );
         let share = table.shares()[0].1;
         assert!(share - before <= STEP * 0.1 + 1e-9);
         before = share;
     }
     let full = table.shares()[0].1;
     table.turn(s(1.0), 100.0, &[offer(1, 5.0, 0.0), offer(2, 20.0, 200.0)]);
-    assert_eq!(table.shares().iter().find(|(e, _)| *e == 1), Some(&(1, 0.0)));
-    let other = table.shares().iter().find(|(e, _)| *e == 2).expect("there").1;
-    assert!(other < full, "what it had does not fall on the next one at once: {other}");
+    assert_eq!(
+        table.shares().iter().find(|(e, _)| *e == 1),
+        Some(&(1, 0.0))
+    );
+    let other = table
+        .shares()
+        .iter()
+        .find(|(e, _)| *e == 2)
+        .expect("there")
+        .1;
+    assert!(
+        other < full,
+        "what it had does not fall on the next one at once: {other}"
+    );
 }
 
 #[test]
 fn what_goes_back_is_held_by_somebody_all_the_way() {
     let mut table = Table::default();
-    let all = [offer(0, 0.0, 200.0), offer(1, 5.0, 40.0), offer(2, 20.0, 40.0), offer(3, 30.0, 40.0)];
-    let away = |home: f64| [Offer { room: home, ..all[0] }, all[1], all[2], all[3]];
+    let all = [
+        offer(0, 0.0, 200.0),
+        offer(1, 5.0, 40.0),
+        offer(2, 20.0, 40.0),
+        offer(3, 30.0, 40.0),
+    ];
+    let away = |home: f64| {
+        [
+            Offer {
+                room: home,
+                ..all[0]
+            },
+            all[1],
+            all[2],
+            all[3],
+        ]
+    };
     table.adopt(s(0.0), &[(0, 1.0)]);
     (1..20).for_each(|n| table.turn(s(f64::from(n) * 0.25), 100.0, &away(0.0)));
     assert_eq!(table.shares()[0], (0, 0.0));
     for n in 20..40 {
-        table.turn(s(f64::from(n) * 0.25), 100.0, &away(if n < 24 { 30.0 } else { 200.0 }));
+        table.turn(
+            s(f64::from(n) * 0.25),
+            100.0,
+            &away(if n < 24 { 30.0 } else { 200.0 }),
+        );
         let sum: f64 = table.shares().iter().map(|(_, share)| share).sum();
         assert!(sum > 0.999, "{sum} at {n}: {:?}", table.shares());
     }
@@ -92,7 +151,9 @@
     let (mut history, mut load) = (Vec::new(), [0.0f64; 3]);
     for n in 0..400 {
         // Its owner tells the room that is left under nine tenths of its capacity, a second late.
-        let late: &[f64; 3] = history.get(history.len().saturating_sub(4)).unwrap_or(&load);
+        let late: &[f64; 3] = history
+            .get(history.len().saturating_sub(4))
+            .unwrap_or(&load);
         let offers: Vec<Offer> = (0..3)
             .map(|e| {
                 let own = 20.0;
@@ -104,14 +165,19 @@
             .collect();
         table.turn(s(f64::from(n) * 0.25), demand, &offers);
         load = [0.0; 3];
-        table.shares().iter().for_each(|(e, share)| load[*e] = share * demand);
+        table
+            .shares()
+            .iter()
+            .for_each(|(e, share)| load[*e] = share * demand);
         history.push(load);
     }
     let mean = |e: usize| history[200..].iter().map(|l| l[e]).sum::<f64>() / 200.0;
     for e in 0..3 {
         let swings = history[200..].windows(20).filter(|w| {
-            let (low, high) =
-                w.iter().map(|l| l[e]).fold((f64::INFINITY, 0.0f64), |(a, b), l| (a.min(l), b.max(l)));
+            let (low, high) = w
+                .iter()
+                .map(|l| l[e])
+                .fold((f64::INFINITY, 0.0f64), |(a, b), l| (a.min(l), b.max(l)));
             high > 1.5 * mean(e) && low < 0.5 * mean(e)
         });
         assert_eq!(swings.count(), 0, "edge {e}: mean {}", mean(e));
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/abroad.rs
@@ -44,7 +44,10 @@
 /// Names one that there is not.
 pub fn places(names: &[String], wished: &[String]) -> Result<Vec<usize>, String> {
     let place = |name: &String| {
-        names.iter().position(|known| known == name).ok_or_else(|| format!("regions: {name} is not a zone"))
+        names
+            .iter()
+            .position(|known| known == name)
+            .ok_or_else(|| format!("regions: {name} is not a zone"))
     };
     wished.iter().map(place).collect()
 }
@@ -72,8 +75,10 @@
                 region_of[place] = Some(region.clone());
             }
         }
-        let (Ok(number), Ok(place)) = (u16::try_from(deployment.number), u8::try_from(deployment.zone))
-        else {
+        let (Ok(number), Ok(place)) = (
+            u16::try_from(deployment.number),
+            u8::try_from(deployment.zone),
+        ) else {
             log::warn!("regions: this router's number or zone does not fit; it decides alone");
             return Ok(None);
         };
@@ -95,7 +100,11 @@
         regions.drain(&drained);
         // What may run again, and what a cache answers.
         let may = |c: &chalkhall::interface::Class| c.effect == Effect::Idempotent && c.cacheable;
-        let classes = deployment.classes.iter().map(|c| (may(c), c.soft_deadline, c.value)).collect();
+        let classes = deployment
+            .classes
+            .iter()
+            .map(|c| (may(c), c.soft_deadline, c.value))
+            .collect();
         let (abroad, measure) = (wishes.abroad, wishes.measure);
         log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
         Ok(Some(Abroad {
@@ -135,12 +144,24 @@
     }
 
     /// Tells, decides, measures. `dial`: where a server is reached.
-    pub fn tick(&mut self, now: Duration, router: &Router, dial: impl Fn(&Id) -> Option<SocketAddr>) {
+    pub fn tick(
+        &mut self,
+        now: Duration,
+        router: &Router,
+        dial: impl Fn(&Id) -> Option<SocketAddr>,
+    ) {
         let mut places = vec![Place::default(); self.names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
-        for member in router.members().filter(|m| m.tier == Tier::Cache && m.standing == Standing::Active) {
-            let Some(place) = places.get_mut(member.zone) else { continue };
-            let age = member.started.map(|at| now.saturating_sub(at).as_secs_f64());
+        for member in router
+            .members()
+            .filter(|m| m.tier == Tier::Cache && m.standing == Standing::Active)
+        {
+            let Some(place) = places.get_mut(member.zone) else {
+                continue;
+            };
+            let age = member
+                .started
+                .map(|at| now.saturating_sub(at).as_secs_f64());
             let within = self.cold.warm_within.as_secs_f64().max(1e-9);
             let warmth = age.map_or(1.0, |age| (age / within).min(1.0));
             place.capacity += member.capacity;
@@ -167,8 +188,11 @@
         let (plan, bad) = (self.regions.plan_number(), self.regions.is_bad());
         if (plan, bad) != self.logged {
             self.logged = (plan, bad);
-            let shares: Vec<String> =
-                self.shares().iter().map(|(name, share)| format!("{name} {share:.2}")).collect();
+            let shares: Vec<String> = self
+                .shares()
+                .iter()
+                .map(|(name, share)| format!("{name} {share:.2}"))
+                .collect();
             let (shares, at_ms) = (shares.join(", "), now.as_millis() as u64);
             log::info!(plan = plan, bad = bad, at_ms = at_ms; "regions: plan {shares}");
         }
@@ -176,7 +200,11 @@
 
     fn shares(&self) -> Vec<(&str, f64)> {
         let name = |edge: usize| self.names.get(edge).map_or("", String::as_str);
-        self.regions.plan_shares().iter().map(|(edge, share)| (name(*edge), *share)).collect()
+        self.regions
+            .plan_shares()
+            .iter()
+            .map(|(edge, share)| (name(*edge), *share))
+            .collect()
     }
 
     /// A request comes: its zone is set. Err: there is no room for it anywhere.
@@ -198,7 +226,13 @@
     }
 
     /// An attempt has ended at a server: what that says of the own zone's caches.
-    pub fn ended(&mut self, now: Duration, server: Option<&Member>, outcome: Outcome, remark: Remark) {
+    pub fn ended(
+        &mut self,
+        now: Duration,
+        server: Option<&Member>,
+        outcome: Outcome,
+        remark: Remark,
+    ) {
         use Outcome::{Broken, Error, Full, Missing, Served, Unreachable};
         let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.zone == self.zone) else {
             return;
@@ -217,15 +251,21 @@
 
     /// A request has its final answer.
     pub fn answered(&mut self, now: Duration, class: usize, begun: Duration, served: bool) {
-        let soft = self.classes.get(class).map_or(Duration::ZERO, |(_, soft, _)| *soft);
-        self.regions.answered(now, served && now.saturating_sub(begun) <= soft);
+        let soft = self
+            .classes
+            .get(class)
+            .map_or(Duration::ZERO, |(_, soft, _)| *soft);
+        self.regions
+            .answered(now, served && now.saturating_sub(begun) <= soft);
     }
 
     /// `latency observe REGION EDGE MS [COUNT]`: what a front has measured of its clients' way to an edge.
     pub fn observe(&mut self, now: Duration, words: &[&str]) -> Value {
         let wrong = |what: String| json!({"error": what});
         let ([region, edge, ms] | [region, edge, ms, _]) = *words else {
-            return wrong("latency observe is written: latency observe REGION EDGE MS [COUNT]".into());
+            return wrong(
+                "latency observe is written: latency observe REGION EDGE MS [COUNT]".into(),
+            );
         };
         let own = self.names.get(self.zone).is_some_and(|name| name == region)
             || self.region_of.get(self.zone).and_then(Option::as_deref) == Some(region);
@@ -235,15 +275,22 @@
         let Some(edge) = self.names.iter().position(|name| name == edge) else {
             return wrong(format!("{edge} is not a zone"));
         };
-        let ms = ms.parse::<f64>().ok().filter(|ms| (0.0..=60_000.0).contains(ms));
+        let ms = ms
+            .parse::<f64>()
+            .ok()
+            .filter(|ms| (0.0..=60_000.0).contains(ms));
         let count = words
             .get(3)
             .map_or(Some(1), |word| word.parse().ok())
             .filter(|n| (1..=OBSERVED_MOST).contains(n));
         let (Some(ms), Some(count)) = (ms, count) else {
-            return wrong(format!("MS is from 0 to 60000, COUNT from 1 to {OBSERVED_MOST}"));
+            return wrong(format!(
+                "MS is from 0 to 60000, COUNT from 1 to {OBSERVED_MOST}"
+            ));
         };
-        self.regions.model().observed(now, edge, Duration::from_secs_f64(ms / 1e3), count);
+        self.regions
+            .model()
+            .observed(now, edge, Duration::from_secs_f64(ms / 1e3), count);
         json!({"observed": count})
     }
 
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -17,7 +17,11 @@
 
 impl Default for Backoff {
     fn default() -> Backoff {
-        Backoff { not_before: None, next: FIRST, chance: fastrand::Rng::new() }
+        Backoff {
+            not_before: None,
+            next: FIRST,
+            chance: fastrand::Rng::new(),
+        }
     }
 }
 
--- a/crates/router/src/backoff/tests.rs
+++ b/crates/router/src/backoff/tests.rs
@@ -18,7 +18,10 @@
     let grown = pauses(&mut backoff, 8);
     for (n, pause) in grown.iter().enumerate() {
         let most = (FIRST * (1 << n)).min(LONGEST);
-        assert!(*pause > most / 2 - Duration::from_nanos(1) && *pause <= most, "{n}: {pause:?}");
+        assert!(
+            *pause > most / 2 - Duration::from_nanos(1) && *pause <= most,
+            "{n}: {pause:?}"
+        );
     }
     backoff.succeeded();
     assert!(backoff.allows(Instant::now()));
@@ -38,9 +41,13 @@
 fn pauses_are_spread() {
     let mut tenths = [0; 10];
     for seed in 0..300 {
-        let mut backoff = Backoff { chance: fastrand::Rng::with_seed(seed), ..Backoff::default() };
+        let mut backoff = Backoff {
+            chance: fastrand::Rng::with_seed(seed),
+            ..Backoff::default()
+        };
         let pause = pauses(&mut backoff, 1)[0];
-        tenths[((pause - FIRST / 2).as_secs_f64() / (FIRST / 2).as_secs_f64() * 9.999) as usize] += 1;
+        tenths[((pause - FIRST / 2).as_secs_f64() / (FIRST / 2).as_secs_f64() * 9.999) as usize] +=
+            1;
     }
     assert!(tenths.iter().all(|n| (12..=60).contains(n)), "{tenths:?}");
 }
--- a/crates/router/src/boot_time.rs
+++ b/crates/router/src/boot_time.rs
@@ -30,7 +30,10 @@
 impl BootTime {
     /// By the wall clock that this router ties its stamps to. None: the system does not tell.
     pub fn read(clock: &Clock) -> Option<BootTime> {
-        let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?.trim().to_owned();
+        let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")
+            .ok()?
+            .trim()
+            .to_owned();
         for _ in 0..READS_MOST {
             let before = clock.now();
             let uptime = fs::read_to_string("/proc/uptime").ok()?;
@@ -38,7 +41,10 @@
             if after - before <= READ_WITHIN {
                 let seconds: f64 = uptime.split(' ').next()?.parse().ok()?;
                 let uptime = Duration::try_from_secs_f64(seconds).ok()?;
-                return Some(BootTime { boot, unix_ms: clock.unix_ms(after.saturating_sub(uptime)) });
+                return Some(BootTime {
+                    boot,
+                    unix_ms: clock.unix_ms(after.saturating_sub(uptime)),
+                });
             }
         }
         None
@@ -46,7 +52,10 @@
 
     fn parse(text: &str) -> Option<BootTime> {
         let (boot, unix_ms) = text.trim().split_once(' ')?;
-        Some(BootTime { boot: boot.to_owned(), unix_ms: unix_ms.parse().ok()? })
+        Some(BootTime {
+            boot: boot.to_owned(),
+            unix_ms: unix_ms.parse().ok()?,
+        })
     }
 
     /// By how many milliseconds this start's wall clock stands before that of an earlier start that used the
@@ -56,7 +65,9 @@
     /// # Errors
     /// The directory's file cannot be written: a later start may not find a step out.
     pub fn set_back_by(&self, directory: &Path) -> (u64, io::Result<()>) {
-        let recorded = fs::read_to_string(directory.join(FILE)).ok().and_then(|text| BootTime::parse(&text));
+        let recorded = fs::read_to_string(directory.join(FILE))
+            .ok()
+            .and_then(|text| BootTime::parse(&text));
         match recorded.filter(|recorded| recorded.boot == self.boot) {
             Some(recorded) if recorded.unix_ms.saturating_add(TOLERANCE_MS) >= self.unix_ms => {
                 let behind = recorded.unix_ms.saturating_sub(self.unix_ms);
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client.rs
@@ -136,17 +136,29 @@
     }
 
     fn rejected(&mut self, tag: u64, advice: Option<Duration>) {
-        self.line(tag, "NAK", &advice.map_or(String::new(), |advice| format!("w={}", advice.as_millis())));
+        self.line(
+            tag,
+            "NAK",
+            &advice.map_or(String::new(), |advice| format!("w={}", advice.as_millis())),
+        );
     }
 
     fn push(&mut self, head: Bytes, body: Bytes) {
         self.object += body.len();
-        self.pieces
-            .extend([head, body, Bytes::from_static(END)].into_iter().filter(|piece| !piece.is_empty()));
+        self.pieces.extend(
+            [head, body, Bytes::from_static(END)]
+                .into_iter()
+                .filter(|piece| !piece.is_empty()),
+        );
     }
 
     async fn write(&mut self, writer: &mut (impl AsyncWriteExt + Unpin)) -> io::Result<()> {
-        let slices: Vec<IoSlice> = self.pieces.iter().take(16).map(|p| IoSlice::new(p)).collect();
+        let slices: Vec<IoSlice> = self
+            .pieces
+            .iter()
+            .take(16)
+            .map(|p| IoSlice::new(p))
+            .collect();
         let written = Uninterrupted::new(writer).write_vectored(&slices).await?;
         self.advance(written);
         Ok(())
@@ -175,7 +187,15 @@
         let mut open = HashMap::new();
         let mut unwritten = Unwritten::default();
         let (replies, mut mailbox) = mpsc::channel(REPLIES_MOST);
-        let Err(how) = self.serve(&mut stream, &replies, &mut mailbox, &mut open, &mut unwritten).await;
+        let Err(how) = self
+            .serve(
+                &mut stream,
+                &replies,
+                &mut mailbox,
+                &mut open,
+                &mut unwritten,
+            )
+            .await;
         // Before anybody is told, lest a connection begins one meanwhile.
         open.values().for_each(|open: &Open| open.wanted.end());
         if let End::Nonsense(_) = how {
@@ -183,7 +203,10 @@
             open.keys().for_each(|tag| unwritten.line(*tag, "FAIL", ""));
         }
         for (tag, open) in open.drain() {
-            let _ = self.decider.send(Message::Left(open.id, tag, replies.clone())).await;
+            let _ = self
+                .decider
+                .send(Message::Left(open.id, tag, replies.clone()))
+                .await;
         }
         match how {
             End::Gone(what) => log::debug!("client: {what}"),
@@ -193,9 +216,13 @@
             }
             End::Nonsense(what) => {
                 log::debug!("client: {what}");
-                let until = unwritten.awaited_until.max(Some(Instant::now() + LAST_WORDS));
+                let until = unwritten
+                    .awaited_until
+                    .max(Some(Instant::now() + LAST_WORDS));
                 let last = async {
-                    while !unwritten.pieces.is_empty() && unwritten.write(&mut stream).await.is_ok() {}
+                    while !unwritten.pieces.is_empty() && unwritten.write(&mut stream).await.is_ok()
+                    {
+                    }
                 };
                 tokio::select! {
                     () = last => {}
@@ -255,7 +282,11 @@
             let idle = open.is_empty() && unwritten.pieces.is_empty() && begun.is_none();
             if (idle, asked) != said {
                 said = (idle, asked);
-                let word = Word { number: self.place.number, idle, asked };
+                let word = Word {
+                    number: self.place.number,
+                    idle,
+                    asked,
+                };
                 let _ = self.place.says.send(word).await;
             }
             if idle && leaves && timeout(LAST_LOOK, reader.readable()).await.is_err() {
@@ -263,7 +294,9 @@
             }
             // What has come is read before anything is held against a client: the program itself may be late.
             let wait = match begun {
-                _ if !unwritten.pieces.is_empty() => unwritten.awaited_until.max(Some(moved + STUCK)),
+                _ if !unwritten.pieces.is_empty() => {
+                    unwritten.awaited_until.max(Some(moved + STUCK))
+                }
                 Some(since) => Some(since + WHOLE),
                 None if !open.is_empty() => None,
                 None => Some(moved + if asked { IDLE } else { WHOLE }),
@@ -310,8 +343,9 @@
                     let received_after = self.door.clock.now().saturating_sub(unread_for);
                     while let Some(frame) = frames.next(&mut buffer)? {
                         (moved, asked, begun) = (Instant::now(), true, None);
-                        let taken =
-                            self.frame(frame, received_after, replies, mailbox, open, unwritten).await;
+                        let taken = self
+                            .frame(frame, received_after, replies, mailbox, open, unwritten)
+                            .await;
                         if taken.is_err() {
                             self.refuse_rest(&mut frames, &mut buffer, open, unwritten);
                         }
@@ -340,7 +374,10 @@
     /// Tells the decider of bodies that take no place any more.
     async fn written(&self, unwritten: &mut Unwritten) {
         if unwritten.pieces.is_empty() && unwritten.object > 0 {
-            let _ = self.decider.send(Message::Written(std::mem::take(&mut unwritten.object))).await;
+            let _ = self
+                .decider
+                .send(Message::Written(std::mem::take(&mut unwritten.object)))
+                .await;
         }
     }
 
@@ -354,7 +391,10 @@
         open.values().for_each(|open| open.wanted.end());
         for (tag, open) in open.drain() {
             unwritten.line(tag, "FAIL", "");
-            let _ = self.decider.send(Message::Left(open.id, tag, replies.clone())).await;
+            let _ = self
+                .decider
+                .send(Message::Left(open.id, tag, replies.clone()))
+                .await;
         }
     }
 
@@ -378,8 +418,13 @@
 
     /// What has come behind the last that is taken, or as the router ended: it never ran.
     fn too_late(&self, frame: Vec<Bytes>, unwritten: &mut Unwritten) {
-        let tag = frame.get(1).and_then(|tag| number(tag)).filter(|tag| *tag > 0);
-        let (Some(verb), Some(tag)) = (frame.first(), tag) else { return };
+        let tag = frame
+            .get(1)
+            .and_then(|tag| number(tag))
+            .filter(|tag| *tag > 0);
+        let (Some(verb), Some(tag)) = (frame.first(), tag) else {
+            return;
+        };
         match &verb[..] {
             b"ABORT" => {}
             b"REQ" => unwritten.rejected(tag, self.door.advice),
@@ -423,7 +468,10 @@
     ) -> Result<(), End> {
         let mut parts = frame.into_iter();
         let verb = parts.next().unwrap_or_default();
-        let tag = parts.next().and_then(|tag| number(&tag)).filter(|tag| *tag > 0);
+        let tag = parts
+            .next()
+            .and_then(|tag| number(&tag))
+            .filter(|tag| *tag > 0);
         let tag = tag.ok_or(End::Nonsense("no tag"))?;
         if open.contains_key(&tag) && &verb[..] != b"ABORT" {
             // Two answers under one tag could not be told apart: it gets one, and no more is read.
@@ -434,7 +482,10 @@
             b"ABORT" => {
                 if let Some(Open { id, wanted }) = open.remove(&tag) {
                     wanted.end();
-                    let _ = self.decider.send(Message::Left(id, tag, replies.clone())).await;
+                    let _ = self
+                        .decider
+                        .send(Message::Left(id, tag, replies.clone()))
+                        .await;
                 }
             }
             b"REQ" => {
@@ -442,7 +493,13 @@
                 let (class, list) = (class.unwrap_or_default(), list.unwrap_or_default());
                 let read = self.request(class, &list, body.unwrap_or_default());
                 let crowded = open.len() >= OPEN_MOST;
-                match read.and_then(|read| if crowded { Err("too many open") } else { Ok(read) }) {
+                match read.and_then(|read| {
+                    if crowded {
+                        Err("too many open")
+                    } else {
+                        Ok(read)
+                    }
+                }) {
                     Ok(_) if unwritten.pieces.len() >= REJECT_FROM => {
                         unwritten.rejected(tag, self.door.advice);
                     }
@@ -451,9 +508,27 @@
                         unwritten.awaited_until = unwritten.awaited_until.max(Some(awaited_until));
                         let client = Self::place(replies, mailbox, open, unwritten).await?;
                         let wanted = Wanted::default();
-                        open.insert(tag, Open { id: arrival.id.clone(), wanted: wanted.clone() });
-                        let new = New { arrival, passed, received_after, tag, client, wanted };
-                        if self.decider.send(Message::Request(Box::new(new))).await.is_err() {
+                        open.insert(
+                            tag,
+                            Open {
+                                id: arrival.id.clone(),
+                                wanted: wanted.clone(),
+                            },
+                        );
+                        let new = New {
+                            arrival,
+                            passed,
+                            received_after,
+                            tag,
+                            client,
+                            wanted,
+                        };
+                        if self
+                            .decider
+                            .send(Message::Request(Box::new(new)))
+                            .await
+                            .is_err()
+                        {
                             // The router has ended meanwhile.
                             open.remove(&tag);
                             unwritten.rejected(tag, self.door.advice);
@@ -470,13 +545,33 @@
         Ok(())
     }
 
-    fn request(&self, class: Bytes, list: &Bytes, body: Bytes) -> Result<(Arrival, Passed), &'static str> {
-        let at = self.door.classes.iter().position(|name| name.as_bytes() == class);
-        let mut arrival = Arrival { class: at.ok_or("unknown category")?, ..Arrival::default() };
-        let mut passed = Passed { class, body, part: Bytes::from_static(b"0"), ..Passed::default() };
+    fn request(
+        &self,
+        class: Bytes,
+        list: &Bytes,
+        body: Bytes,
+    ) -> Result<(Arrival, Passed), &'static str> {
+        let at = self
+            .door
+            .classes
+            .iter()
+            .position(|name| name.as_bytes() == class);
+        let mut arrival = Arrival {
+            class: at.ok_or("unknown category")?,
+            ..Arrival::default()
+        };
+        let mut passed = Passed {
+            class,
+            body,
+            part: Bytes::from_static(b"0"),
+            ..Passed::default()
+        };
         // What could not be sent while any client waits would bend what is known of its class.
-        let kb_most =
-            if self.door.kb_per_s > 0.0 { self.door.kb_per_s * WAIT_MOST.as_secs_f64() } else { 1e9 };
+        let kb_most = if self.door.kb_per_s > 0.0 {
+            self.door.kb_per_s * WAIT_MOST.as_secs_f64()
+        } else {
+            1e9
+        };
         let mut names = Vec::with_capacity(8);
         for (name, value) in fields(list) {
             if names.contains(&name) {
@@ -498,8 +593,12 @@
                 b"t" => arrival.customer = self.door.tenant(&value).ok_or("unknown tenant")?,
                 b"r" => arrival.repeated = &value[..] == b"1",
                 b"m" => {
-                    let kb = std::str::from_utf8(&value).ok().and_then(|v| v.parse::<f64>().ok());
-                    arrival.kb = kb.filter(|kb| (0.0..=kb_most).contains(kb)).ok_or("a size that is none")?;
+                    let kb = std::str::from_utf8(&value)
+                        .ok()
+                        .and_then(|v| v.parse::<f64>().ok());
+                    arrival.kb = kb
+                        .filter(|kb| (0.0..=kb_most).contains(kb))
+                        .ok_or("a size that is none")?;
                 }
                 b"ver" => passed.have = Some(value).filter(|tag| hex(tag).is_ok()),
                 b"k" => passed.idempotency_key = Some(key(value)?),
@@ -543,7 +642,11 @@
 /// An id of 16 hex digits.
 fn hex(value: &[u8]) -> Result<Id, &'static str> {
     let fine = value.len() == 16 && value.iter().all(u8::is_ascii_hexdigit);
-    std::str::from_utf8(value).ok().filter(|_| fine).map(Id::from).ok_or("an id that is not 16 hex digits")
+    std::str::from_utf8(value)
+        .ok()
+        .filter(|_| fine)
+        .map(Id::from)
+        .ok_or("an id that is not 16 hex digits")
 }
 
 /// An idempotency key, of what can't end the field or the line that it goes on in.
--- a/crates/router/src/client/read_watch.rs
+++ b/crates/router/src/client/read_watch.rs
@@ -21,7 +21,10 @@
     /// The watch of a connection that has just been accepted; what came on it may have waited for that.
     pub fn of_new_connection() -> ReadWatch {
         let now = Instant::now();
-        ReadWatch { watched_until: event_loop::unread_since().unwrap_or(now), watched_from: now }
+        ReadWatch {
+            watched_until: event_loop::unread_since().unwrap_or(now),
+            watched_from: now,
+        }
     }
 
     /// To be called before each wait for something to read.
@@ -39,7 +42,11 @@
         let now = Instant::now();
         let unwatched = self.watched_from >= self.watched_until + UNWATCHED_FROM
             && now < self.watched_from + UNWATCHED_FROM;
-        let since = event_loop::unread_since().into_iter().chain(unwatched.then_some(self.watched_until));
-        since.min().map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+        let since = event_loop::unread_since()
+            .into_iter()
+            .chain(unwatched.then_some(self.watched_until));
+        since
+            .min()
+            .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client/tests.rs
@@ -24,7 +24,9 @@
 /// The same, with a decider whose mailbox takes so many messages.
 async fn rig_with_mailbox(messages_most: usize, phase: Phase, come: &[u8]) -> Rig {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let mut peer = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let mut peer = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     peer.write_all(come).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
     let (decider, messages) = mpsc::channel(messages_most);
@@ -38,14 +40,31 @@
         advice: Some(Duration::from_millis(70)),
         clock: Clock::start(),
     };
-    let place = Place { number: 1, leave: told, says };
-    let client = Client { door: Rc::new(door), decider, phase: phase_of, place };
+    let place = Place {
+        number: 1,
+        leave: told,
+        says,
+    };
+    let client = Client {
+        door: Rc::new(door),
+        decider,
+        phase: phase_of,
+        place,
+    };
     spawn_local(client.run(stream));
-    Rig { peer, messages, phase, leave, _words: words }
+    Rig {
+        peer,
+        messages,
+        phase,
+        leave,
+        _words: words,
+    }
 }
 
 fn message(parts: &[&str]) -> Vec<u8> {
-    let parts = parts.iter().map(|part| format!("${}\r\n{part}\r\n", part.len()));
+    let parts = parts
+        .iter()
+        .map(|part| format!("${}\r\n{part}\r\n", part.len()));
     format!("*{}\r\n{}", parts.len(), parts.collect::<String>()).into_bytes()
 }
 
@@ -81,7 +100,11 @@
             assert_eq!(new.tag, tag);
             let body = Bytes::from(vec![7; if tag == 1 { LARGE } else { 1 }]);
             let last = Last::Served { etag: None, body };
-            drop(new.client.send(Reply { tag, id: new.arrival.id, last }));
+            drop(new.client.send(Reply {
+                tag,
+                id: new.arrival.id,
+                last,
+            }));
         }
         self.settle().await;
     }
@@ -128,7 +151,10 @@
         bytes.advance(2);
     }
     let text = |at: usize| String::from_utf8_lossy(&parts[at]).into_owned();
-    Some((text(0), format!("{} {}", text(1), text(2)).trim().to_owned()))
+    Some((
+        text(0),
+        format!("{} {}", text(1), text(2)).trim().to_owned(),
+    ))
 }
 
 /// Keeps paused time from moving by itself.
@@ -150,8 +176,14 @@
     let inside = async {
         let come = [request(1), request(2), b"*5\r\n$3\r\nREQ".to_vec()].concat();
         let mut rig = rig(Phase::Ended, &come).await;
-        assert_eq!(rig.rest().await.unwrap(), [told(1, "NAK w=70"), told(2, "NAK w=70")]);
-        assert!(rig.messages.try_recv().is_err_and(|_| true), "nothing was sent on");
+        assert_eq!(
+            rig.rest().await.unwrap(),
+            [told(1, "NAK w=70"), told(2, "NAK w=70")]
+        );
+        assert!(
+            rig.messages.try_recv().is_err_and(|_| true),
+            "nothing was sent on"
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
@@ -177,14 +209,23 @@
 async fn a_request_that_meets_a_wish_for_its_place_is_answered_first() {
     let inside = async {
         let mut rig = rig(Phase::Serving, b"").await;
-        rig.peer.write_all(&message(&["HEALTH", "1", ""])).await.unwrap();
+        rig.peer
+            .write_all(&message(&["HEALTH", "1", ""]))
+            .await
+            .unwrap();
         assert_eq!(rig.peer.peek(&mut [0]).await.unwrap(), 1);
         // Both are there before the connection has its next turn.
         rig.leave.try_send(()).unwrap();
         assert!(rig.peer.try_write(&request(2)).unwrap() > 0);
-        let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("not heard") };
+        let Some(Message::Request(new)) = rig.messages.recv().await else {
+            panic!("not heard")
+        };
         let last = Last::Rejected(None);
-        drop(new.client.send(Reply { tag: 2, id: new.arrival.id, last }));
+        drop(new.client.send(Reply {
+            tag: 2,
+            id: new.arrival.id,
+            last,
+        }));
         let said = rig.rest().await.unwrap();
         assert!(said.contains(&told(2, "NAK")), "{said:?}");
     };
@@ -216,7 +257,11 @@
                     Message::Request(new) => {
                         answered += 1;
                         let last = Last::Rejected(None);
-                        drop(new.client.send(Reply { tag: new.tag, id: new.arrival.id, last }));
+                        drop(new.client.send(Reply {
+                            tag: new.tag,
+                            id: new.arrival.id,
+                            last,
+                        }));
                     }
                     Message::Left(..) => left += 1,
                     _ => {}
@@ -226,7 +271,11 @@
         assert!(most <= 2 * REPLIES_MOST + 1, "{most} without an answer");
         rig.phase.send_replace(Phase::Ended);
         let said = rig.rest().await.unwrap();
-        assert!(said.contains(&told(1000, "NAK")), "{} answers, {left} left", said.len());
+        assert!(
+            said.contains(&told(1000, "NAK")),
+            "{} answers, {left} left",
+            said.len()
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
@@ -237,14 +286,18 @@
     let inside = async {
         for called_off in [true, false] {
             let mut rig = rig(Phase::Serving, &request(1)).await;
-            let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("not heard") };
+            let Some(Message::Request(new)) = rig.messages.recv().await else {
+                panic!("not heard")
+            };
             assert!(new.wanted.still());
             if called_off {
                 rig.peer.write_all(&message(&["ABORT", "1"])).await.unwrap();
             } else {
                 rig.peer.shutdown().await.unwrap();
             }
-            let Some(Message::Left(..)) = rig.messages.recv().await else { panic!("not heard") };
+            let Some(Message::Left(..)) = rig.messages.recv().await else {
+                panic!("not heard")
+            };
             assert!(!new.wanted.still());
         }
     };
@@ -256,7 +309,9 @@
 async fn nonsense_with_much_behind_it_reads_its_last_word() {
     let inside = async {
         let mut rig = rig(Phase::Serving, &request(1)).await;
-        let Some(Message::Request(_new)) = rig.messages.recv().await else { panic!("not heard") };
+        let Some(Message::Request(_new)) = rig.messages.recv().await else {
+            panic!("not heard")
+        };
         rig.peer.write_all(b"*99\r\n").await.unwrap();
         rig.peer.write_all(&[b'x'; 60_000]).await.unwrap();
         assert_eq!(rig.rest().await.unwrap(), [told(1, "FAIL")]);
@@ -274,8 +329,14 @@
         // Its turn comes with the timer fired and nothing to read; then the request is there.
         tokio::time::advance(IDLE).await;
         assert!(rig.peer.try_write(&request(2)).unwrap() > 0);
-        let Some(Message::Request(new)) = rig.messages.recv().await else { panic!("closed over it") };
-        drop(new.client.send(Reply { tag: 2, id: new.arrival.id, last: Last::Rejected(None) }));
+        let Some(Message::Request(new)) = rig.messages.recv().await else {
+            panic!("closed over it")
+        };
+        drop(new.client.send(Reply {
+            tag: 2,
+            id: new.arrival.id,
+            last: Last::Rejected(None),
+        }));
         let said = rig.rest().await.unwrap();
         assert!(said.contains(&told(2, "NAK")), "{said:?}");
     };
@@ -323,9 +384,15 @@
     let (mut unwritten, mut writer) = (Unwritten::default(), Interrupted::default());
     unwritten.push(answer(7, "ACK", "", 3), Bytes::from_static(b"abc"));
     while !unwritten.pieces.is_empty() {
-        unwritten.write(&mut writer).await.expect("an interrupted write is no break");
+        unwritten
+            .write(&mut writer)
+            .await
+            .expect("an interrupted write is no break");
     }
-    assert_eq!(writer.taken, b"*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$0\r\n\r\n$3\r\nabc\r\n");
+    assert_eq!(
+        writer.taken,
+        b"*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$0\r\n\r\n$3\r\nabc\r\n"
+    );
 }
 
 /// A client takes no answers: it is read on, for what it calls off or its close ends what is still open.
@@ -338,7 +405,10 @@
             rig.serve(1..=31).await;
             let open = rig.request().await;
             if called_off {
-                rig.peer.write_all(&message(&["ABORT", "32"])).await.unwrap();
+                rig.peer
+                    .write_all(&message(&["ABORT", "32"]))
+                    .await
+                    .unwrap();
             } else {
                 rig.peer.shutdown().await.unwrap();
             }
@@ -363,11 +433,18 @@
         rig.peer.write_all(&request(34)).await.unwrap();
         rig.settle().await;
         while let Ok(message) = rig.messages.try_recv() {
-            assert!(!matches!(message, Message::Request(new) if new.tag == 34), "handed on");
+            assert!(
+                !matches!(message, Message::Request(new) if new.tag == 34),
+                "handed on"
+            );
         }
         rig.phase.send_replace(Phase::Ended);
         let said = rig.rest().await.unwrap();
-        assert!(said.contains(&told(34, "NAK w=70")), "{} answers", said.len());
+        assert!(
+            said.contains(&told(34, "NAK w=70")),
+            "{} answers",
+            said.len()
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
@@ -385,7 +462,10 @@
         rig.peer.write_all(&health).await.unwrap();
         rig.settle().await;
         assert!(!open.wanted.still());
-        assert!(matches!(rig.messages.try_recv(), Ok(Message::Left(_, 2, _))));
+        assert!(matches!(
+            rig.messages.try_recv(),
+            Ok(Message::Left(_, 2, _))
+        ));
         drop(open);
         rig.phase.send_replace(Phase::Ended);
         let said = rig.rest().await.unwrap();
@@ -435,11 +515,20 @@
     let inside = async {
         let no_tag = message(&["REQ", "x", "page", "", ""]);
         for nonsense in [request(1), no_tag] {
-            let behind = [request(2), message(&["HEALTH", "3", ""]), request(2), request(1)].concat();
+            let behind = [
+                request(2),
+                message(&["HEALTH", "3", ""]),
+                request(2),
+                request(1),
+            ]
+            .concat();
             let mut rig = rig(Phase::Serving, &[request(1), nonsense, behind].concat()).await;
             let mut said = rig.rest().await.unwrap();
             said.sort();
-            assert_eq!(said, [told(1, "FAIL"), told(2, "NAK w=70"), told(3, "GREEN")]);
+            assert_eq!(
+                said,
+                [told(1, "FAIL"), told(2, "NAK w=70"), told(3, "GREEN")]
+            );
         }
     };
     LocalSet::new().run_until(inside).await;
@@ -456,15 +545,27 @@
         rig.settle().await;
         rig.peer.write_all(&request(3)).await.unwrap();
         tokio::time::advance(Duration::from_millis(700)).await;
-        let [first, second, third] =
-            [rig.request().await, rig.request().await, rig.request().await].map(|new| new.received_after);
+        let [first, second, third] = [
+            rig.request().await,
+            rig.request().await,
+            rig.request().await,
+        ]
+        .map(|new| new.received_after);
         assert_eq!(first, second);
-        assert!(third < first + Duration::from_millis(60), "{:?} later", third.saturating_sub(first));
+        assert!(
+            third < first + Duration::from_millis(60),
+            "{:?} later",
+            third.saturating_sub(first)
+        );
         tokio::time::advance(Duration::from_millis(700)).await;
         rig.settle().await;
         rig.peer.write_all(&request(4)).await.unwrap();
         let fourth = rig.request().await.received_after;
-        assert!(clock.now() - fourth < Duration::from_millis(60), "{:?} ago", clock.now() - fourth);
+        assert!(
+            clock.now() - fourth < Duration::from_millis(60),
+            "{:?} ago",
+            clock.now() - fourth
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -23,8 +23,14 @@
     /// The clock of a start. Nothing else reads the wall clock (`clippy.toml`).
     #[allow(clippy::disallowed_methods)]
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { zero: Instant::now(), past: BEFORE_START, unix: unix.saturating_sub(BEFORE_START) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            zero: Instant::now(),
+            past: BEFORE_START,
+            unix: unix.saturating_sub(BEFORE_START),
+        }
     }
 
     pub fn now(&self) -> Duration {
@@ -34,7 +40,9 @@
     pub fn instant(&self, at: Duration) -> Instant {
         // What lies beyond any clock's reach never comes.
         let far = || self.zero + BEFORE_START;
-        self.zero.checked_add(at.saturating_sub(self.past)).unwrap_or_else(far)
+        self.zero
+            .checked_add(at.saturating_sub(self.past))
+            .unwrap_or_else(far)
     }
 
     /// A span since the zero as a stamp of the system's clock, in milliseconds.
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/confined.rs
@@ -54,8 +54,16 @@
             What::Class(found.unwrap_or(usize::MAX))
         }
     };
-    let bindings = wishes.bindings.iter().map(|(bound, cell)| (what(bound), cell.clone())).collect();
-    let moves: Vec<(What, &String)> = wishes.moves.iter().map(|(bound, cell)| (what(bound), cell)).collect();
+    let bindings = wishes
+        .bindings
+        .iter()
+        .map(|(bound, cell)| (what(bound), cell.clone()))
+        .collect();
+    let moves: Vec<(What, &String)> = wishes
+        .moves
+        .iter()
+        .map(|(bound, cell)| (what(bound), cell))
+        .collect();
     let cells = wishes.cells.iter().map(|(name, members)| {
         let members = match members {
             CellMembers::List(names) => Members::List(names.clone()),
@@ -67,7 +75,14 @@
     let (otherwise, overlap) = (wishes.otherwise.clone(), wishes.overlap);
     // What moves to a cell belongs to it as well.
     let arriving: Vec<String> = moves.iter().map(|(_, cell)| (*cell).clone()).collect();
-    let told = Told { epoch: wishes.epoch, cells: cells.collect(), bindings, arriving, otherwise, overlap };
+    let told = Told {
+        epoch: wishes.epoch,
+        cells: cells.collect(),
+        bindings,
+        arriving,
+        otherwise,
+        overlap,
+    };
     let map = match Map::new(told) {
         Ok(map) => map,
         Err(more) => {
@@ -83,7 +98,11 @@
             _ => faults.push(format!("{what:?} moves to where it is")),
         }
     }
-    if faults.is_empty() { Ok(Plan { map, moves: found }) } else { Err(faults.join("; ")) }
+    if faults.is_empty() {
+        Ok(Plan { map, moves: found })
+    } else {
+        Err(faults.join("; "))
+    }
 }
 
 impl Confined {
@@ -103,11 +122,24 @@
             return Ok(None);
         }
         let Plan { map, moves } = plan(wishes, classes).map_err(|what| format!("cells: {what}"))?;
-        let tenants = wishes.tenant.map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
+        let tenants = wishes
+            .tenant
+            .map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
         log::info!(cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some(); "cells");
-        let moves = moves.into_iter().map(|(what, from, to)| (what, Move::new(from, to, settle))).collect();
+        let moves = moves
+            .into_iter()
+            .map(|(what, from, to)| (what, Move::new(from, to, settle)))
+            .collect();
         let members = BTreeMap::new();
-        Ok(Some(Confined { map, moves, settle, members, tenants, by_customer, zone }))
+        Ok(Some(Confined {
+            map,
+            moves,
+            settle,
+            members,
+            tenants,
+            by_customer,
+            zone,
+        }))
     }
 
     /// Takes over another map; a move that both tell goes on from where it stands. None: it is older than the
@@ -117,15 +149,25 @@
             return None;
         }
         let (before, settle) = (std::mem::take(&mut self.moves), self.settle);
-        let names =
-            |map: &Map, moved: &Move| (map.name(moved.from).to_owned(), map.name(moved.to).to_owned());
-        let mut before: Vec<(What, (String, String), Move)> =
-            before.into_iter().map(|(what, moved)| (what, names(&self.map, &moved), moved)).collect();
+        let names = |map: &Map, moved: &Move| {
+            (
+                map.name(moved.from).to_owned(),
+                map.name(moved.to).to_owned(),
+            )
+        };
+        let mut before: Vec<(What, (String, String), Move)> = before
+            .into_iter()
+            .map(|(what, moved)| (what, names(&self.map, &moved), moved))
+            .collect();
         for (what, from, to) in plan.moves {
             let same = |(w, ends, _): &(What, (String, String), Move)| {
-                *w == what && *ends == (plan.map.name(from).to_owned(), plan.map.name(to).to_owned())
+                *w == what
+                    && *ends == (plan.map.name(from).to_owned(), plan.map.name(to).to_owned())
             };
-            let known = before.iter().position(same).map(|at| before.swap_remove(at).2);
+            let known = before
+                .iter()
+                .position(same)
+                .map(|at| before.swap_remove(at).2);
             let mut moved = known.unwrap_or_else(|| Move::new(from, to, settle));
             (moved.from, moved.to) = (from, to);
             self.moves.push((what, moved));
@@ -147,18 +189,32 @@
         for member in members {
             self.members.insert(member.server.clone(), member);
         }
-        let moved: BTreeSet<Id> = self.draw(now).into_iter().map(|member| member.server).collect();
-        let known =
-            self.members.values().filter(|m| whole || told.contains(&m.server) || moved.contains(&m.server));
+        let moved: BTreeSet<Id> = self
+            .draw(now)
+            .into_iter()
+            .map(|member| member.server)
+            .collect();
+        let known = self
+            .members
+            .values()
+            .filter(|m| whole || told.contains(&m.server) || moved.contains(&m.server));
         let out = known.cloned().collect();
-        self.members.retain(|_, member| member.standing != Standing::Gone);
+        self.members
+            .retain(|_, member| member.standing != Standing::Gone);
         out
     }
 
     /// Draws the map over the caches of this zone; who is in other cells now.
     fn draw(&mut self, now: Duration) -> Vec<Member> {
-        let here = |m: &&Member| m.tier == Tier::Cache && m.zone == self.zone && m.standing != Standing::Gone;
-        let servers = self.members.values().filter(here).map(|m| m.server.clone()).collect();
+        let here = |m: &&Member| {
+            m.tier == Tier::Cache && m.zone == self.zone && m.standing != Standing::Gone
+        };
+        let servers = self
+            .members
+            .values()
+            .filter(here)
+            .map(|m| m.server.clone())
+            .collect();
         self.map.place(&servers);
         let mut moved = Vec::new();
         for member in self.members.values_mut() {
@@ -172,11 +228,17 @@
             log::warn!(epoch = self.map.epoch(); "cells: {fault}");
         }
         let active = |m: &&Member| m.tier == Tier::Cache && m.standing == Standing::Active;
-        let alive: BTreeSet<Cell> =
-            self.members.values().filter(active).flat_map(|m| m.cells.iter().copied()).collect();
+        let alive: BTreeSet<Cell> = self
+            .members
+            .values()
+            .filter(active)
+            .flat_map(|m| m.cells.iter().copied())
+            .collect();
         for at in 0..self.moves.len() {
             let (from, to) = (self.moves[at].1.from, self.moves[at].1.to);
-            self.step(at, |moved| moved.alive(now, alive.contains(&from), alive.contains(&to)));
+            self.step(at, |moved| {
+                moved.alive(now, alive.contains(&from), alive.contains(&to))
+            });
         }
         moved
     }
@@ -195,7 +257,9 @@
 
     /// An attempt at a server ended: the moves that it belongs to go by it.
     pub fn ended(&mut self, now: Duration, arrival: &Arrival, outcome: Outcome, remark: Remark) {
-        let Some(cell) = arrival.cell.filter(|_| !self.moves.is_empty()) else { return };
+        let Some(cell) = arrival.cell.filter(|_| !self.moves.is_empty()) else {
+            return;
+        };
         for at in 0..self.moves.len() {
             if self.moves[at].0.covers(arrival) {
                 self.step(at, |moved| {
@@ -221,16 +285,28 @@
     }
 
     /// A request comes: its cell is set. Err: its tenant asks for too much, and may come back after so long.
-    pub fn request(&mut self, now: Duration, arrival: &mut Arrival, once: bool) -> Result<(), Duration> {
+    pub fn request(
+        &mut self,
+        now: Duration,
+        arrival: &mut Arrival,
+        once: bool,
+    ) -> Result<(), Duration> {
         arrival.cell = self.map.cell_of(arrival);
-        let moved =
-            self.moves.iter().find(|(what, moved)| arrival.cell == Some(moved.from) && what.covers(arrival));
+        let moved = self
+            .moves
+            .iter()
+            .find(|(what, moved)| arrival.cell == Some(moved.from) && what.covers(arrival));
         if let Some((_, moved)) = moved {
             arrival.cell = Some(moved.cell(xxh3_64(arrival.object.as_bytes())));
         }
         let tenant = tenant(arrival, self.by_customer);
         // What must not run twice is the last to be turned away: no tenant's rate does it.
-        match self.tenants.as_mut().filter(|_| !once).map(|t| t.request(now, &tenant, arrival.repeated)) {
+        match self
+            .tenants
+            .as_mut()
+            .filter(|_| !once)
+            .map(|t| t.request(now, &tenant, arrival.repeated))
+        {
             Some(Verdict::Late(wait)) => Err(wait),
             _ => Ok(()),
         }
@@ -238,6 +314,8 @@
 
     pub fn served(&mut self, now: Duration, arrival: &Arrival) {
         let tenant = tenant(arrival, self.by_customer);
-        self.tenants.iter_mut().for_each(|tenants| tenants.served(now, &tenant));
+        self.tenants
+            .iter_mut()
+            .for_each(|tenants| tenants.served(now, &tenant));
     }
 }
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -4,7 +4,9 @@
 //! from its first byte on may it have run. Each ends in one `Report::Ended`.
 
 use crate::event_loop;
-use crate::io_errors::{ConnectFailure, INTERRUPTIONS_MOST, MEMORY_PAUSE, StreamFailure, set_nodelay};
+use crate::io_errors::{
+    ConnectFailure, INTERRUPTIONS_MOST, MEMORY_PAUSE, StreamFailure, set_nodelay,
+};
 use crate::lines::{Answer, Answers, ask, quit};
 use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
 use crate::uninterrupted::Uninterrupted;
@@ -62,7 +64,12 @@
             ConnectionOrder::Ask(ask) => self.unwritten.push_back(ask),
             ConnectionOrder::Quit(key) => {
                 self.withdraw(|ask| ask.key == key);
-                if let Some(id) = self.out.iter().find(|(_, o)| o.key == key).map(|(id, _)| id.clone()) {
+                if let Some(id) = self
+                    .out
+                    .iter()
+                    .find(|(_, o)| o.key == key)
+                    .map(|(id, _)| id.clone())
+                {
                     self.abandon(id, Outcome::Cancelled);
                 }
             }
@@ -72,19 +79,24 @@
     /// Takes back attempts of which not a byte has gone.
     fn withdraw(&mut self, which: impl Fn(&Ask) -> bool) {
         if let Some(ask) = self.beginning.take_if(|ask| which(ask)) {
-            self.ended.push_back((ask.key, Outcome::NeverSent, None, false));
+            self.ended
+                .push_back((ask.key, Outcome::NeverSent, None, false));
         }
         while let Some(at) = self.unwritten.iter().position(|ask| which(ask)) {
             let ask = self.unwritten.remove(at);
-            self.ended.extend(ask.map(|ask| (ask.key, Outcome::NeverSent, None, false)));
+            self.ended
+                .extend(ask.map(|ask| (ask.key, Outcome::NeverSent, None, false)));
         }
     }
 
     /// Gives up one that may have run. Where nothing was heard since it went out, for as long as a new
     /// connection may take to come up, this one may be dead.
     fn abandon(&mut self, id: Bytes, outcome: Outcome) {
-        let Some(out) = self.out.remove(&id) else { return };
-        let silent = self.heard.is_none_or(|heard| heard < out.sent) && out.sent.elapsed() >= self.patience;
+        let Some(out) = self.out.remove(&id) else {
+            return;
+        };
+        let silent =
+            self.heard.is_none_or(|heard| heard < out.sent) && out.sent.elapsed() >= self.patience;
         self.ended.push_back((out.key, outcome, None, silent));
         self.quits.push_back(quit(&id));
     }
@@ -99,7 +111,12 @@
         // Sent later than this it could reach a server after the grace of a drain or a purge told meanwhile,
         // or run for a client that has left or has its answer.
         self.withdraw(|ask| now >= ask.due.min(ask.leave_by) || !ask.wanted.still());
-        while let Some(id) = self.out.iter().find(|(_, o)| now >= o.due).map(|(id, _)| id.clone()) {
+        while let Some(id) = self
+            .out
+            .iter()
+            .find(|(_, o)| now >= o.due)
+            .map(|(id, _)| id.clone())
+        {
             self.abandon(id, Outcome::TimedOut);
         }
     }
@@ -127,7 +144,11 @@
     ///
     /// An attempt is worded here, for its line says how much time its client has left: since the decision it
     /// may have waited for a connection to come up or behind a full socket.
-    fn write(&mut self, now: Instant, write: impl FnOnce(&[u8]) -> io::Result<usize>) -> io::Result<()> {
+    fn write(
+        &mut self,
+        now: Instant,
+        write: impl FnOnce(&[u8]) -> io::Result<usize>,
+    ) -> io::Result<()> {
         let Some(beginning) = &self.beginning else {
             let bytes = write(&self.writing)?;
             self.gone(now, bytes);
@@ -151,27 +172,49 @@
         self.writing.advance(bytes);
         if let Some(ask) = self.beginning.take_if(|_| bytes > 0) {
             let ask = *ask;
-            self.out.insert(ask.passed.id, Out { key: ask.key, due: ask.due, sent: now });
+            self.out.insert(
+                ask.passed.id,
+                Out {
+                    key: ask.key,
+                    due: ask.due,
+                    sent: now,
+                },
+            );
         }
     }
 
     fn answer(&mut self, answer: Answer) {
         // Answers that crossed a QUIT come for nobody.
-        let Some(out) = self.out.remove(&answer.id) else { return };
-        self.ended.push_back((out.key, answer.outcome, Some(Box::new(answer)), false));
+        let Some(out) = self.out.remove(&answer.id) else {
+            return;
+        };
+        self.ended
+            .push_back((out.key, answer.outcome, Some(Box::new(answer)), false));
     }
 
     /// The connection is gone: what was written of may have run, the rest did not.
     fn broken(&mut self, unwritten: Outcome) {
-        let not_begun = self.beginning.take().into_iter().chain(self.unwritten.drain(..));
-        self.ended.extend(not_begun.map(|ask| (ask.key, unwritten, None, false)));
-        self.ended.extend(self.out.drain().map(|(_, out)| (out.key, Outcome::Broken, None, false)));
+        let not_begun = self
+            .beginning
+            .take()
+            .into_iter()
+            .chain(self.unwritten.drain(..));
+        self.ended
+            .extend(not_begun.map(|ask| (ask.key, unwritten, None, false)));
+        self.ended.extend(
+            self.out
+                .drain()
+                .map(|(_, out)| (out.key, Outcome::Broken, None, false)),
+        );
     }
 }
 
 impl Connection {
     pub async fn run(mut self) {
-        let mut state = State { patience: self.connect_timeout, ..State::default() };
+        let mut state = State {
+            patience: self.connect_timeout,
+            ..State::default()
+        };
         match self.connect(&mut state).await {
             Some(Ok(stream)) => {
                 self.report(Report::Up).await;
@@ -201,18 +244,30 @@
     }
 
     async fn report(&self, report: Report) {
-        let _ = self.server.send(Order::Connection(self.number, report)).await;
+        let _ = self
+            .server
+            .send(Order::Connection(self.number, report))
+            .await;
     }
 
     async fn tell(&self, state: &mut State) {
         while let Some((key, outcome, answer, silent)) = state.ended.pop_front() {
-            self.report(Report::Ended { key, outcome, answer, silent }).await;
+            self.report(Report::Ended {
+                key,
+                outcome,
+                answer,
+                silent,
+            })
+            .await;
         }
     }
 
     /// None: nobody wants the connection any more.
     async fn connect(&mut self, state: &mut State) -> Option<io::Result<TcpStream>> {
-        let connecting = timeout(self.connect_timeout, connect_with(|| TcpStream::connect(self.dial)));
+        let connecting = timeout(
+            self.connect_timeout,
+            connect_with(|| TcpStream::connect(self.dial)),
+        );
         tokio::pin!(connecting);
         loop {
             self.tell(state).await;
@@ -240,7 +295,9 @@
             let due = state.next_due();
             // One that stops short holds up all behind it, and one that nobody wants any more may trickle for
             // ever.
-            let wanted = answers.coming().is_some_and(|id| state.out.contains_key(id));
+            let wanted = answers
+                .coming()
+                .is_some_and(|id| state.out.contains_key(id));
             let last = if wanted { state.heard } else { begun };
             let stops = begun.and(last).map(|last| last + self.connect_timeout);
             tokio::select! {
--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/connection/tests.rs
@@ -21,7 +21,11 @@
     let into = |bytes: &[u8]| {
         let part = &bytes[..bytes.len().min(most)];
         taken = String::from_utf8_lossy(part).into_owned();
-        if part.is_empty() { Err(io::ErrorKind::WouldBlock.into()) } else { Ok(part.len()) }
+        if part.is_empty() {
+            Err(io::ErrorKind::WouldBlock.into())
+        } else {
+            Ok(part.len())
+        }
     };
     let result = state.write(Instant::now(), into);
     assert_eq!(result.is_err(), taken.is_empty());
@@ -29,7 +33,10 @@
 }
 
 fn ask(id: &'static str, due: Duration, leave_by: Duration) -> Box<Ask> {
-    let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
+    let passed = Passed {
+        id: Bytes::from_static(id.as_bytes()),
+        ..Passed::default()
+    };
     let now = Instant::now();
     Box::new(Ask {
         key: (id.into(), 0),
@@ -44,22 +51,40 @@
 }
 
 fn ends(state: &mut State) -> Vec<(String, Outcome)> {
-    state.ended.drain(..).map(|(key, outcome, _, _)| (key.0.to_string(), outcome)).collect()
+    state
+        .ended
+        .drain(..)
+        .map(|(key, outcome, _, _)| (key.0.to_string(), outcome))
+        .collect()
 }
 
 #[test]
 fn a_server_is_not_blamed_for_our_descriptors() {
     let outcome = |error: io::Error| not_connected(ConnectFailure::from(&error));
-    assert_eq!(outcome(io::Error::from_raw_os_error(libc::EMFILE)), Outcome::NeverSent);
-    assert_eq!(outcome(io::ErrorKind::ConnectionRefused.into()), Outcome::Unreachable);
-    assert_eq!(outcome(io::ErrorKind::TimedOut.into()), Outcome::Unreachable);
+    assert_eq!(
+        outcome(io::Error::from_raw_os_error(libc::EMFILE)),
+        Outcome::NeverSent
+    );
+    assert_eq!(
+        outcome(io::ErrorKind::ConnectionRefused.into()),
+        Outcome::Unreachable
+    );
+    assert_eq!(
+        outcome(io::ErrorKind::TimedOut.into()),
+        Outcome::Unreachable
+    );
 }
 
 #[test]
 fn only_what_was_written_may_have_run() {
     let (long, none) = (Duration::from_secs(60), Duration::ZERO);
     let mut state = State::default();
-    for (id, due, leave_by) in [("a", long, long), ("b", long, long), ("c", long, none), ("d", none, long)] {
+    for (id, due, leave_by) in [
+        ("a", long, long),
+        ("b", long, long),
+        ("c", long, none),
+        ("d", none, long),
+    ] {
         state.take(ConnectionOrder::Ask(ask(id, due, leave_by)));
     }
     state.fill();
@@ -68,7 +93,15 @@
     state.take(ConnectionOrder::Quit(("b".into(), 0)));
     state.expire(Instant::now());
     let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
-    assert_eq!(ends(&mut state), [("a".into(), Outcome::Cancelled), never("b"), never("c"), never("d")]);
+    assert_eq!(
+        ends(&mut state),
+        [
+            ("a".into(), Outcome::Cancelled),
+            never("b"),
+            never("c"),
+            never("d")
+        ]
+    );
     state.take(ConnectionOrder::Ask(ask("e", long, long)));
     state.writing.clear();
     state.fill();
@@ -103,7 +136,10 @@
     for mut state in [left, late, off, broken] {
         assert_eq!(ends(&mut state), never);
         state.fill();
-        assert!(!state.has_to_write() && state.quits.is_empty(), "nothing of it goes out any more");
+        assert!(
+            !state.has_to_write() && state.quits.is_empty(),
+            "nothing of it goes out any more"
+        );
     }
     // From its first byte on it may have run.
     let (mut state, wanted) = front(none);
@@ -119,23 +155,42 @@
 #[test]
 fn what_waits_for_a_connection_ends_with_its_client() {
     let long = Duration::from_secs(60);
-    let (mut state, asks) = (State::default(), [ask("a", long, long), ask("b", long, long)]);
+    let (mut state, asks) = (
+        State::default(),
+        [ask("a", long, long), ask("b", long, long)],
+    );
     let wanted = asks[0].wanted.clone();
-    asks.into_iter().for_each(|ask| state.take(ConnectionOrder::Ask(ask)));
+    asks.into_iter()
+        .for_each(|ask| state.take(ConnectionOrder::Ask(ask)));
     wanted.end();
     state.expire(Instant::now());
     assert_eq!(ends(&mut state), [("a".to_owned(), Outcome::NeverSent)]);
     state.fill();
-    assert_eq!(state.beginning.map(|ask| ask.key.0.to_string()).as_deref(), Some("b"));
+    assert_eq!(
+        state.beginning.map(|ask| ask.key.0.to_string()).as_deref(),
+        Some("b")
+    );
 }
 
 /// The errors by which Linux says that this machine, for a moment, can make no connection at all.
 #[test]
 fn a_server_is_not_blamed_for_what_this_machine_lacks() {
     use libc::{EADDRNOTAVAIL, EAGAIN, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM};
-    for errno in [ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN] {
+    for errno in [
+        ENFILE,
+        ENOBUFS,
+        ENOMEM,
+        EADDRNOTAVAIL,
+        EAGAIN,
+        ENETUNREACH,
+        ENETDOWN,
+    ] {
         let failure = io::Error::from_raw_os_error(errno);
-        assert_eq!(not_connected(ConnectFailure::from(&failure)), Outcome::NeverSent, "{failure}");
+        assert_eq!(
+            not_connected(ConnectFailure::from(&failure)),
+            Outcome::NeverSent,
+            "{failure}"
+        );
     }
 }
 
@@ -148,7 +203,9 @@
     let inside = async {
         let listener = tokio::net::TcpSocket::new_v4().unwrap();
         listener.set_recv_buffer_size(1).unwrap();
-        listener.bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+        listener
+            .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
+            .unwrap();
         let listener = listener.listen(1).unwrap();
         let (orders, receiver) = mpsc::channel(8);
         let (server, mut reports) = mpsc::channel(8);
@@ -172,7 +229,10 @@
         while !line.ends_with(b"\r\n") {
             line.push(stream.read_u8().await.unwrap());
         }
-        assert!(line.starts_with(b"ASK a ") && line.ends_with(b" 200000\r\n"), "{line:?}");
+        assert!(
+            line.starts_with(b"ASK a ") && line.ends_with(b" 200000\r\n"),
+            "{line:?}"
+        );
         let mut read = vec![0; BODY + 2];
         // Many reads of a few bytes; the writer meets a full socket again and again.
         for piece in read.chunks_mut(97) {
@@ -185,12 +245,20 @@
         }
         let ended = loop {
             match reports.recv().await.unwrap() {
-                Order::Connection(1, Report::Ended { outcome, answer, .. }) => break (outcome, answer),
+                Order::Connection(
+                    1,
+                    Report::Ended {
+                        outcome, answer, ..
+                    },
+                ) => break (outcome, answer),
                 Order::Connection(1, Report::Up) => {}
                 _ => panic!("another report"),
             }
         };
-        assert_eq!((ended.0, ended.1.map(|answer| answer.body)), (Outcome::Served, Some("hello".into())));
+        assert_eq!(
+            (ended.0, ended.1.map(|answer| answer.body)),
+            (Outcome::Served, Some("hello".into()))
+        );
         drop(orders);
         while reports.recv().await.is_some() {}
         running.await.unwrap();
@@ -226,7 +294,11 @@
 async fn what_has_no_time_left_does_not_begin() {
     let mut state = State::default();
     for (id, due) in [("a", 300), ("b", 299)] {
-        state.take(ConnectionOrder::Ask(ask(id, Duration::from_micros(due), Duration::from_secs(1))));
+        state.take(ConnectionOrder::Ask(ask(
+            id,
+            Duration::from_micros(due),
+            Duration::from_secs(1),
+        )));
     }
     tokio::time::advance(Duration::from_micros(299)).await;
     state.expire(Instant::now());
@@ -240,7 +312,9 @@
     let (begin, mut tries) = (Instant::now(), 0);
     let made = connect_with(|| {
         tries += 1;
-        let failure = failures.get(tries - 1).map(|errno| io::Error::from_raw_os_error(*errno));
+        let failure = failures
+            .get(tries - 1)
+            .map(|errno| io::Error::from_raw_os_error(*errno));
         std::future::ready(failure.map_or(Ok(()), Err))
     });
     (made.await.is_ok(), tries, begin.elapsed())
@@ -250,7 +324,10 @@
 async fn a_connect_is_tried_again_where_nothing_speaks_against_it() {
     use libc::{ECONNREFUSED, EINTR, ENOBUFS};
     assert_eq!(connected(&[EINTR, EINTR]).await, (true, 3, Duration::ZERO));
-    assert_eq!(connected(&[EINTR; 99]).await, (false, 1 + INTERRUPTIONS_MOST, Duration::ZERO));
+    assert_eq!(
+        connected(&[EINTR; 99]).await,
+        (false, 1 + INTERRUPTIONS_MOST, Duration::ZERO)
+    );
     // Once more, a moment later; after that others decide.
     let (made, tries, took) = connected(&[ENOBUFS]).await;
     assert!(made && tries == 2 && took >= LOCAL_RETRY);
@@ -266,17 +343,29 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (to_connection, orders) = mpsc::channel(4);
         let (server, _reports) = mpsc::channel(8);
-        let place = std::sync::Arc::new(tokio::sync::Semaphore::new(1)).try_acquire_owned().unwrap();
+        let place = std::sync::Arc::new(tokio::sync::Semaphore::new(1))
+            .try_acquire_owned()
+            .unwrap();
         let (number, dial) = (1, listener.local_addr().unwrap());
         let connect_timeout = Duration::from_secs(60);
         event_loop::before_wait();
         tokio::time::advance(Duration::from_millis(100)).await;
-        let connection = Connection { number, dial, connect_timeout, orders, server, _place: place };
+        let connection = Connection {
+            number,
+            dial,
+            connect_timeout,
+            orders,
+            server,
+            _place: place,
+        };
         tokio::task::spawn_local(connection.run());
         let long = Duration::from_secs(60);
         for turn in 0..200 {
             let order = ConnectionOrder::Ask(ask("a", long, long));
-            assert!(to_connection.try_send(order).is_ok(), "no room in turn {turn}");
+            assert!(
+                to_connection.try_send(order).is_ok(),
+                "no room in turn {turn}"
+            );
             tokio::task::yield_now().await;
         }
     };
--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -42,13 +42,19 @@
 pub fn listen(path: &Path) -> io::Result<ControlSocket> {
     if fs::symlink_metadata(path).is_ok_and(|found| found.file_type().is_socket()) {
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
-            return Err(io::Error::new(io::ErrorKind::AddrInUse, "another router listens there"));
+            return Err(io::Error::new(
+                io::ErrorKind::AddrInUse,
+                "another router listens there",
+            ));
         }
         fs::remove_file(path)?;
     }
     let listener = UnixListener::bind(path)?;
     fs::set_permissions(path, Permissions::from_mode(0o600))?;
-    Ok(ControlSocket { listener, path: path.to_path_buf() })
+    Ok(ControlSocket {
+        listener,
+        path: path.to_path_buf(),
+    })
 }
 
 pub async fn run(socket: ControlSocket, decider: mpsc::Sender<Message>) {
@@ -87,10 +93,14 @@
     let (reader, writer) = stream.into_split();
     let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
     let mut line = String::new();
-    BufReader::new(reader.take(LINE_MOST)).read_line(&mut line).await?;
+    BufReader::new(reader.take(LINE_MOST))
+        .read_line(&mut line)
+        .await?;
     let words = line.split_whitespace().map(str::to_owned).collect();
     let (answer, told) = oneshot::channel();
-    let asked = decider.send(Message::Question(Question { words, answer })).await;
+    let asked = decider
+        .send(Message::Question(Question { words, answer }))
+        .await;
     let said = match (asked, told.await) {
         (Ok(()), Ok(said)) => said,
         _ => json!({"error": "the router has ended"}),
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -90,11 +90,18 @@
         messages: mpsc::Sender<Message>,
         beside: Beside,
     ) -> Decider {
-        let Beside { own, confined, talk, abroad } = beside;
+        let Beside {
+            own,
+            confined,
+            talk,
+            abroad,
+        } = beside;
         let now = clock.now();
         let places = own.as_ref().map(Own::members).unwrap_or_default();
         // What clients may hold, and some of each kind on their way out, is theirs.
-        let connections_most = limits.sockets.saturating_sub(limits.sockets / 3 + DESCRIPTORS_BESIDE);
+        let connections_most = limits
+            .sockets
+            .saturating_sub(limits.sockets / 3 + DESCRIPTORS_BESIDE);
         let mut desk = Desk {
             now,
             clock,
@@ -128,11 +135,20 @@
             confined,
             abroad,
             warm_within: deployment.cold_cache.warm_within,
-            once: deployment.classes.iter().map(|c| c.effect == Effect::NonIdempotent).collect(),
+            once: deployment
+                .classes
+                .iter()
+                .map(|c| c.effect == Effect::NonIdempotent)
+                .collect(),
             bodies_most: limits.memory as f64 / 2.0,
             limits,
             phase,
-            longest_deadline: deployment.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
+            longest_deadline: deployment
+                .classes
+                .iter()
+                .map(|c| c.deadline)
+                .max()
+                .unwrap_or_default(),
             longest_advice: deployment.longest_advice,
             peers_list_stale: false,
             nonsense: Brief::default(),
@@ -142,7 +158,11 @@
     /// What discovery tells goes before all else: after a pause of the whole program, as on a machine
     /// that others share, a drain or a purge may wait unread for longer than its grace, behind requests and
     /// timers.
-    pub async fn run(mut self, mut mailbox: mpsc::Receiver<Message>, mut notices: mpsc::Receiver<Notice>) {
+    pub async fn run(
+        mut self,
+        mut mailbox: mpsc::Receiver<Message>,
+        mut notices: mpsc::Receiver<Notice>,
+    ) {
         let mut due_at = self.desk.now;
         loop {
             self.desk.now = self.desk.clock.now();
@@ -153,11 +173,24 @@
                 return self.finish(mailbox);
             }
             let due = self.desk.timers.peek().map(|Reverse((at, _))| *at);
-            let own = self.desk.own.as_ref().and_then(|own| own.next_look(self.desk.now));
+            let own = self
+                .desk
+                .own
+                .as_ref()
+                .and_then(|own| own.next_look(self.desk.now));
             let talk = self.desk.talk.as_ref().map(|(talk, _)| talk.next());
-            let talk = talk.into_iter().chain(self.abroad.as_ref().map(Abroad::next));
-            let look = due.into_iter().chain(phase.next_look(self.desk.now)).chain(own).chain(talk).min();
-            let look = look.unwrap_or(Duration::MAX).min(self.desk.now + LOOK_EVERY);
+            let talk = talk
+                .into_iter()
+                .chain(self.abroad.as_ref().map(Abroad::next));
+            let look = due
+                .into_iter()
+                .chain(phase.next_look(self.desk.now))
+                .chain(own)
+                .chain(talk)
+                .min();
+            let look = look
+                .unwrap_or(Duration::MAX)
+                .min(self.desk.now + LOOK_EVERY);
             due_at = look;
             let message = tokio::select! {
                 biased;
@@ -204,9 +237,15 @@
         // Nobody looks into the mailbox any more: what still lies in it never ran.
         mailbox.close();
         while let Ok(message) = mailbox.try_recv() {
-            let Message::Request(new) = message else { continue };
+            let Message::Request(new) = message else {
+                continue;
+            };
             let last = Last::Rejected(self.router.advice);
-            new.client.send(Reply { tag: new.tag, id: new.arrival.id, last });
+            new.client.send(Reply {
+                tag: new.tag,
+                id: new.arrival.id,
+                last,
+            });
         }
         let open: Vec<Id> = self.desk.requests.keys().cloned().collect();
         for id in open {
@@ -251,7 +290,9 @@
             Message::ServerRests(server) => self.desk.servers.rests(&server),
             Message::Disk(end) => self.disk(end),
             Message::Way(edge, way) => {
-                self.abroad.iter_mut().for_each(|abroad| abroad.way(self.desk.now, edge, way));
+                self.abroad
+                    .iter_mut()
+                    .for_each(|abroad| abroad.way(self.desk.now, edge, way));
             }
             Message::Peer(from, bytes) => {
                 if let Some(abroad) = &mut self.abroad
@@ -259,7 +300,9 @@
                 {
                     return;
                 }
-                let Some((talk, _)) = &mut self.desk.talk else { return };
+                let Some((talk, _)) = &mut self.desk.talk else {
+                    return;
+                };
                 talk.heard(self.desk.now, from, &bytes, &mut self.router);
             }
             Message::Question(Question { words, answer }) => {
@@ -268,22 +311,37 @@
             }
             Message::Stop => {
                 let phase = *self.phase.borrow();
-                log::info!("asked to stop, with {} requests open", self.desk.requests.len());
-                self.phase.send_replace(phase.asked_to_stop(self.desk.now, self.longest_deadline));
+                log::info!(
+                    "asked to stop, with {} requests open",
+                    self.desk.requests.len()
+                );
+                self.phase
+                    .send_replace(phase.asked_to_stop(self.desk.now, self.longest_deadline));
             }
         }
         self.settle();
     }
 
     fn request(&mut self, new: New) {
-        let New { mut arrival, passed, received_after, tag, client, wanted } = new;
+        let New {
+            mut arrival,
+            passed,
+            received_after,
+            tag,
+            client,
+            wanted,
+        } = new;
         let refused = arrival.id.clone();
         if !wanted.still() {
             // It left before it was looked at.
             return;
         }
         let refuse = |client: mpsc::OwnedPermit<Reply>, last| {
-            client.send(Reply { tag, id: refused, last });
+            client.send(Reply {
+                tag,
+                id: refused,
+                last,
+            });
         };
         if self.desk.requests.contains_key(&arrival.id) {
             self.nonsense.log("a request with an id that is in use");
@@ -297,13 +355,18 @@
         if bodies > self.bodies_most || self.desk.requests.len() >= self.limits.open_requests {
             return refuse(client, Last::Rejected(self.router.advice));
         }
-        arrival.left = arrival.left.saturating_sub(self.desk.now.saturating_sub(received_after));
+        arrival.left = arrival
+            .left
+            .saturating_sub(self.desk.now.saturating_sub(received_after));
         let once = self.once.get(arrival.class) == Some(&true);
         if let Some(confined) = &mut self.confined
             && let Err(wait) = confined.request(self.desk.now, &mut arrival, once)
         {
             // The client is told to come back when its tenant may, as far as it heeds that.
-            return refuse(client, Last::Rejected(self.longest_advice.map(|longest| wait.min(longest))));
+            return refuse(
+                client,
+                Last::Rejected(self.longest_advice.map(|longest| wait.min(longest))),
+            );
         }
         if let Some(abroad) = &mut self.abroad
             && abroad.request(self.desk.now, &mut arrival).is_err()
@@ -313,16 +376,33 @@
         let (attempts, kept) = (Vec::new(), arrival.clone());
         let client = Some(To::Client(client));
         let begun = self.desk.now;
-        let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, attempts };
+        let taken = Taken {
+            client,
+            tag,
+            wanted,
+            arrival: kept,
+            passed,
+            once,
+            begun,
+            attempts,
+        };
         self.desk.requests.insert(arrival.id.clone(), taken);
         self.router.request(self.desk.now, arrival, &mut self.desk);
     }
 
     fn ended(&mut self, ended: Ended) {
-        let Ended { key: (id, n), outcome, answer } = ended;
+        let Ended {
+            key: (id, n),
+            outcome,
+            answer,
+        } = ended;
         let desk = &mut self.desk;
-        let Some(taken) = desk.requests.get_mut(&id) else { return };
-        let Some(attempt) = taken.attempts.get_mut(n).filter(|e| e.open) else { return };
+        let Some(taken) = desk.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = taken.attempts.get_mut(n).filter(|e| e.open) else {
+            return;
+        };
         attempt.open = false;
         let by_server = attempt.server.is_some();
         desk.out -= 1;
@@ -340,10 +420,12 @@
             if let (true, Some(own)) = (by_server, &mut desk.own) {
                 answer.made = answer.made.and_then(|made| own.bounded(made));
             }
-            (told.remark, told.first_byte, told.load) = (answer.remark, answer.first_byte, answer.load);
+            (told.remark, told.first_byte, told.load) =
+                (answer.remark, answer.first_byte, answer.load);
             // That a copy holds is passed on only of the very one that the server names.
             if answer.same && (have.is_none() || have != answer.etag) {
-                self.nonsense.log("a server says that a copy holds which nobody named");
+                self.nonsense
+                    .log("a server says that a copy holds which nobody named");
                 (told.outcome, told.remark) = (Outcome::Error, interface::Remark::None);
             }
             if told.outcome == Outcome::Served {
@@ -353,25 +435,40 @@
                 let last = if answer.same {
                     Last::Unchanged { etag }
                 } else {
-                    Last::Served { etag, body: answer.body.clone() }
+                    Last::Served {
+                        etag,
+                        body: answer.body.clone(),
+                    }
                 };
                 desk.reply(&id, last);
-                if let (Some(confined), Some(taken)) = (&mut self.confined, desk.requests.get(&id)) {
+                if let (Some(confined), Some(taken)) = (&mut self.confined, desk.requests.get(&id))
+                {
                     confined.served(desk.now, &taken.arrival);
                 }
-                if let (true, Some(own), Some(taken)) = (by_server, &mut desk.own, desk.requests.get(&id)) {
+                if let (true, Some(own), Some(taken)) =
+                    (by_server, &mut desk.own, desk.requests.get(&id))
+                {
                     own.answered(&taken.arrival, &answer, taken.passed.have.as_ref());
                 }
                 desk.brought = (by_server && !answer.same).then(|| (id.clone(), answer));
             }
         }
-        if let (true, Some(confined), Some(taken)) = (by_server, &mut self.confined, desk.requests.get(&id)) {
+        if let (true, Some(confined), Some(taken)) =
+            (by_server, &mut self.confined, desk.requests.get(&id))
+        {
             confined.ended(desk.now, &taken.arrival, told.outcome, told.remark);
         }
-        told.over =
-            desk.requests.get(&id).is_some_and(|taken| taken.client.is_none() || !taken.wanted.still());
-        if let (true, Some(abroad), Some(taken)) = (by_server, &mut self.abroad, desk.requests.get(&id)) {
-            let server = taken.attempts.get(n).and_then(|attempt| self.router.member(&attempt.at));
+        told.over = desk
+            .requests
+            .get(&id)
+            .is_some_and(|taken| taken.client.is_none() || !taken.wanted.still());
+        if let (true, Some(abroad), Some(taken)) =
+            (by_server, &mut self.abroad, desk.requests.get(&id))
+        {
+            let server = taken
+                .attempts
+                .get(n)
+                .and_then(|attempt| self.router.member(&attempt.at));
             abroad.ended(desk.now, server, told.outcome, told.remark);
         }
         desk.answered.push(id.clone());
@@ -381,14 +478,22 @@
 
     /// An order to the disk has ended: with it perhaps attempts that waited for it.
     fn disk(&mut self, end: End) {
-        let Some(own) = &mut self.desk.own else { return };
+        let Some(own) = &mut self.desk.own else {
+            return;
+        };
         own.ended(end);
         let got = own.got();
         for (key, fetched) in got {
-            let (Some(own), Some(taken)) = (&self.desk.own, self.desk.requests.get(&key.0)) else { continue };
+            let (Some(own), Some(taken)) = (&self.desk.own, self.desk.requests.get(&key.0)) else {
+                continue;
+            };
             let (outcome, answer): Got =
                 own.answer_from(&fetched, &taken.arrival, taken.passed.have.as_ref());
-            self.desk.ends.push_back(Ended { key, outcome, answer });
+            self.desk.ends.push_back(Ended {
+                key,
+                outcome,
+                answer,
+            });
         }
     }
 
@@ -432,7 +537,12 @@
 
     /// Background work of own copies, and the requests by which unproven ones are asked about.
     fn tick(&mut self, late: Duration) {
-        if self.desk.talk.as_ref().is_some_and(|(talk, _)| self.desk.now >= talk.next()) {
+        if self
+            .desk
+            .talk
+            .as_ref()
+            .is_some_and(|(talk, _)| self.desk.now >= talk.next())
+        {
             self.refresh_peers_list();
         }
         if let Some((talk, saying)) = &mut self.desk.talk
@@ -440,17 +550,34 @@
         {
             talk.tick(self.desk.now, saying, &mut self.router);
         }
-        if let Some(abroad) = self.abroad.as_mut().filter(|abroad| self.desk.now >= abroad.next()) {
+        if let Some(abroad) = self
+            .abroad
+            .as_mut()
+            .filter(|abroad| self.desk.now >= abroad.next())
+        {
             let servers = &self.desk.servers;
-            abroad.tick(self.desk.now, &self.router, |server| servers.address(server));
+            abroad.tick(self.desk.now, &self.router, |server| {
+                servers.address(server)
+            });
         }
-        let Some(own) = &mut self.desk.own else { return };
+        let Some(own) = &mut self.desk.own else {
+            return;
+        };
         own.tick(late);
         for (arrival, passed) in own.asks() {
             let (client, kept, attempts) = (Some(To::Store), arrival.clone(), Vec::new());
             let begun = self.desk.now;
             let (tag, wanted, once) = (0, Wanted::default(), false);
-            let taken = Taken { client, tag, wanted, arrival: kept, passed, once, begun, attempts };
+            let taken = Taken {
+                client,
+                tag,
+                wanted,
+                arrival: kept,
+                passed,
+                once,
+                begun,
+                attempts,
+            };
             self.desk.requests.insert(arrival.id.clone(), taken);
             self.router.request(self.desk.now, arrival, &mut self.desk);
             self.settle();
@@ -463,10 +590,13 @@
             self.ended(ended);
         }
         for (class, begun, served) in self.desk.finals.drain(..) {
-            self.abroad.iter_mut().for_each(|a| a.answered(self.desk.now, class, begun, served));
+            self.abroad
+                .iter_mut()
+                .for_each(|a| a.answered(self.desk.now, class, begun, served));
         }
         for id in std::mem::take(&mut self.desk.answered) {
-            let over = |taken: &Taken| taken.client.is_none() && taken.attempts.iter().all(|e| !e.open);
+            let over =
+                |taken: &Taken| taken.client.is_none() && taken.attempts.iter().all(|e| !e.open);
             if self.desk.requests.get(&id).is_some_and(over) {
                 self.desk.requests.remove(&id);
             }
@@ -476,13 +606,19 @@
     pub fn notice(&mut self, notice: Notice) {
         let now = self.desk.clock.now();
         match notice {
-            Notice::Drained(places) => self.abroad.iter_mut().for_each(|abroad| abroad.drain(&places)),
+            Notice::Drained(places) => self
+                .abroad
+                .iter_mut()
+                .for_each(|abroad| abroad.drain(&places)),
             Notice::Cells(plan) => {
-                let (Some(confined), epoch) = (&mut self.confined, plan.epoch()) else { return };
+                let (Some(confined), epoch) = (&mut self.confined, plan.epoch()) else {
+                    return;
+                };
                 match confined.renew(now, *plan) {
                     Some(moved) => {
                         log::info!(epoch = epoch, moved = moved.len(); "cells: taken over");
-                        self.router.list(now, ListKind::Changes, &moved, &mut self.desk);
+                        self.router
+                            .list(now, ListKind::Changes, &moved, &mut self.desk);
                     }
                     None => {
                         let in_force = confined.epoch();
@@ -499,16 +635,24 @@
                 self.router.purged(now, object, group, ago);
             }
             Notice::List { whole, members } => {
-                let kind = if whole { ListKind::Whole } else { ListKind::Changes };
+                let kind = if whole {
+                    ListKind::Whole
+                } else {
+                    ListKind::Changes
+                };
                 if whole {
-                    let listed: HashSet<&Id> = members.iter().map(|(member, _)| &member.server).collect();
+                    let listed: HashSet<&Id> =
+                        members.iter().map(|(member, _)| &member.server).collect();
                     self.desk.servers.keep_only(&listed);
                 }
-                let share = self.limits.sockets / 3 / (2 * members.len().max(self.desk.servers.len()).max(1));
+                let share = self.limits.sockets
+                    / 3
+                    / (2 * members.len().max(self.desk.servers.len()).max(1));
                 for (member, dial) in &members {
                     self.post(member, *dial, share.clamp(1, CONNECTIONS_MOST));
                 }
-                let mut members: Vec<Member> = members.into_iter().map(|(member, _)| member).collect();
+                let mut members: Vec<Member> =
+                    members.into_iter().map(|(member, _)| member).collect();
                 if let Some(confined) = &mut self.confined {
                     members = confined.list(now, whole, members);
                 }
@@ -526,7 +670,9 @@
     /// hundreds in a release, and each would have the whole list walked: they are taken over together before
     /// the next word to the peers.
     fn refresh_peers_list(&mut self) {
-        let Some((talk, _)) = &mut self.desk.talk else { return };
+        let Some((talk, _)) = &mut self.desk.talk else {
+            return;
+        };
         if !std::mem::take(&mut self.peers_list_stale) {
             return;
         }
@@ -535,7 +681,12 @@
         let now = self.desk.now;
         let warm = |at: Duration| now >= at + self.warm_within;
         let even = |m: &&Member| m.standing == Standing::Active && m.started.is_none_or(warm);
-        talk.even(self.router.caches().filter(even).map(|m| (m.server.clone(), m.capacity)));
+        talk.even(
+            self.router
+                .caches()
+                .filter(even)
+                .map(|m| (m.server.clone(), m.capacity)),
+        );
     }
 
     fn post(&mut self, member: &Member, address: SocketAddr, connections_most: usize) {
@@ -543,14 +694,21 @@
             return self.desk.servers.remove(&member.server);
         }
         let started_at = member.started.map(|at| self.desk.clock.instant(at));
-        let listed = Listed { address, started: member.started, started_at, connections_most };
+        let listed = Listed {
+            address,
+            started: member.started,
+            started_at,
+            connections_most,
+        };
         self.desk.servers.list(&member.server, listed);
     }
 }
 
 /// The shortest grace of a drain or a purge: a send that leaves within it was decided before the grace ended.
 fn shortest(deployment: &Deployment) -> Duration {
-    let graces = [deployment.drain_grace, deployment.purge_grace].into_iter().filter(|g| !g.is_zero());
+    let graces = [deployment.drain_grace, deployment.purge_grace]
+        .into_iter()
+        .filter(|g| !g.is_zero());
     graces.min().unwrap_or(Duration::from_millis(500))
 }
 
--- a/crates/router/src/decider/desk.rs
+++ b/crates/router/src/decider/desk.rs
@@ -74,16 +74,28 @@
 impl Desk {
     /// False: there is nobody any more who waits for it.
     pub(super) fn reply(&mut self, id: &Id, last: Last) -> bool {
-        let Some(taken) = self.requests.get_mut(id) else { return false };
-        let Some(to) = taken.client.take() else { return false };
-        let bytes = if let Last::Served { body, .. } = &last { body.len() } else { 0 };
+        let Some(taken) = self.requests.get_mut(id) else {
+            return false;
+        };
+        let Some(to) = taken.client.take() else {
+            return false;
+        };
+        let bytes = if let Last::Served { body, .. } = &last {
+            body.len()
+        } else {
+            0
+        };
         if let To::Client(_) = to {
             let served = matches!(last, Last::Served { .. } | Last::Unchanged { .. });
             self.finals.push((taken.arrival.class, taken.begun, served));
         }
         taken.wanted.end();
         if let To::Client(client) = to {
-            client.send(Reply { tag: taken.tag, id: id.clone(), last });
+            client.send(Reply {
+                tag: taken.tag,
+                id: id.clone(),
+                last,
+            });
             self.in_hand += bytes;
         }
         self.answered.push(id.clone());
@@ -93,14 +105,25 @@
 
 impl Outlet for Desk {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        let Some(taken) = self.requests.get_mut(request) else { return };
+        let Some(taken) = self.requests.get_mut(request) else {
+            return;
+        };
         let key = (request.clone(), taken.attempts.len());
         if let Some(own) = self.own.as_mut().filter(|own| own.is_place(server)) {
             let got = own.attempt(&key, server, &taken.arrival, taken.passed.have.as_ref());
             if let Some((outcome, answer)) = got {
-                self.ends.push_back(Ended { key, outcome, answer });
+                self.ends.push_back(Ended {
+                    key,
+                    outcome,
+                    answer,
+                });
             }
-            taken.attempts.push(Attempt { server: None, at: server.clone(), sent: self.now, open: true });
+            taken.attempts.push(Attempt {
+                server: None,
+                at: server.clone(),
+                sent: self.now,
+                open: true,
+            });
             self.out += 1;
             return;
         }
@@ -115,14 +138,29 @@
             leave_by: self.clock.instant(self.now + self.leave_within),
         });
         let work = taken.arrival.kb / self.pace;
-        self.talk.iter_mut().for_each(|(talk, _)| talk.sent(server, work));
+        self.talk
+            .iter_mut()
+            .for_each(|(talk, _)| talk.sent(server, work));
         let post = self.servers.orders_to(server);
-        if post.as_ref().is_none_or(|orders| orders.try_send(Order::Ask(ask)).is_err()) {
-            self.refused
-                .log(&format!("an attempt for {server}, which is not listed or takes no more orders"));
-            self.ends.push_back(Ended { key, outcome: Outcome::NeverSent, answer: None });
+        if post
+            .as_ref()
+            .is_none_or(|orders| orders.try_send(Order::Ask(ask)).is_err())
+        {
+            self.refused.log(&format!(
+                "an attempt for {server}, which is not listed or takes no more orders"
+            ));
+            self.ends.push_back(Ended {
+                key,
+                outcome: Outcome::NeverSent,
+                answer: None,
+            });
         }
-        taken.attempts.push(Attempt { server: post, at: server.clone(), sent: self.now, open: true });
+        taken.attempts.push(Attempt {
+            server: post,
+            at: server.clone(),
+            sent: self.now,
+            open: true,
+        });
         self.out += 1;
     }
 
@@ -137,7 +175,11 @@
     fn cancel(&mut self, request: &Id, attempt: usize) {
         let key = (request.clone(), attempt);
         if self.own.as_mut().is_some_and(|own| own.cancel(&key)) {
-            return self.ends.push_back(Ended { key, outcome: Outcome::Cancelled, answer: None });
+            return self.ends.push_back(Ended {
+                key,
+                outcome: Outcome::Cancelled,
+                answer: None,
+            });
         }
         let attempts = self.requests.get(request).map(|taken| &taken.attempts);
         let out = attempts.and_then(|e| e.get(attempt)).filter(|e| e.open);
@@ -157,15 +199,21 @@
 
     fn held(&mut self, request: &Id) -> Option<Held> {
         let taken = self.requests.get(request)?;
-        self.own.as_mut()?.held(&taken.arrival, taken.passed.have.as_ref())
+        self.own
+            .as_mut()?
+            .held(&taken.arrival, taken.passed.have.as_ref())
     }
 
     fn found(&mut self, part: u32, cache: &Id) {
-        self.talk.iter_mut().for_each(|(talk, _)| talk.found(part, cache));
+        self.talk
+            .iter_mut()
+            .for_each(|(talk, _)| talk.found(part, cache));
     }
 
     fn keep(&mut self, request: &Id, rank: u8) {
-        let (Some(own), Some(taken)) = (&mut self.own, self.requests.get(request)) else { return };
+        let (Some(own), Some(taken)) = (&mut self.own, self.requests.get(request)) else {
+            return;
+        };
         match self.brought.take_if(|(id, _)| id == request) {
             Some((_, answer)) => own.keep(&taken.arrival, &answer, rank),
             None => own.rank(&taken.arrival, rank),
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -35,7 +35,10 @@
 
 impl ServerHandles {
     pub(super) fn new(actors: ServerActors) -> ServerHandles {
-        ServerHandles { handles: HashMap::new(), actors }
+        ServerHandles {
+            handles: HashMap::new(),
+            actors,
+        }
     }
 
     pub(super) fn len(&self) -> usize {
@@ -50,7 +53,9 @@
     pub(super) fn orders_to(&mut self, server: &Id) -> Option<mpsc::Sender<Order>> {
         let handle = self.handles.get_mut(server)?;
         if handle.orders.as_ref().is_none_or(mpsc::Sender::is_closed) {
-            let orders = self.actors.spawn(server.clone(), handle.address, handle.connections_most);
+            let orders = self
+                .actors
+                .spawn(server.clone(), handle.address, handle.connections_most);
             handle.orders = Some(orders);
         }
         handle.orders.clone()
@@ -67,13 +72,21 @@
     /// The list tells of a server. It is known by its name: one of another name at an old address has an actor of
     /// its own.
     pub(super) fn list(&mut self, server: &Id, listed: Listed) {
-        let Listed { address, started, started_at, connections_most } = listed;
-        let handle = self.handles.entry(server.clone()).or_insert_with(|| ServerHandle {
-            orders: None,
+        let Listed {
             address,
             started,
+            started_at,
             connections_most,
-        });
+        } = listed;
+        let handle = self
+            .handles
+            .entry(server.clone())
+            .or_insert_with(|| ServerHandle {
+                orders: None,
+                address,
+                started,
+                connections_most,
+            });
         if (handle.address, handle.started) == (address, started) {
             return;
         }
@@ -81,7 +94,12 @@
         // One that takes no more orders would go on at the old address, or on connections from before the
         // start: what is out there ends with it, and one of its own follows it.
         let moved = |orders: &mut mpsc::Sender<Order>| {
-            orders.try_send(Order::Anew { dial: address, started: started_at }).is_ok()
+            orders
+                .try_send(Order::Anew {
+                    dial: address,
+                    started: started_at,
+                })
+                .is_ok()
         };
         handle.orders.take_if(|orders| !moved(orders));
     }
@@ -98,7 +116,10 @@
     /// How many have an actor.
     #[cfg(test)]
     pub(super) fn with_actor(&self) -> usize {
-        self.handles.values().filter(|handle| handle.orders.is_some()).count()
+        self.handles
+            .values()
+            .filter(|handle| handle.orders.is_some())
+            .count()
     }
 }
 
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -26,7 +26,12 @@
 }
 
 fn listed(address: SocketAddr) -> Listed {
-    Listed { address, started: None, started_at: None, connections_most: 1 }
+    Listed {
+        address,
+        started: None,
+        started_at: None,
+        connections_most: 1,
+    }
 }
 
 fn nowhere() -> SocketAddr {
@@ -35,7 +40,10 @@
 
 fn ask(id: &str) -> Order {
     let due = Instant::now() + LONG;
-    let passed = Passed { id: Bytes::copy_from_slice(id.as_bytes()), ..Passed::default() };
+    let passed = Passed {
+        id: Bytes::copy_from_slice(id.as_bytes()),
+        ..Passed::default()
+    };
     let (key, server, wanted) = ((id.into(), 0), Id::from("a"), Wanted::default());
     let fill = Fill {
         source: server.clone(),
@@ -46,7 +54,16 @@
         parent_keeps: true,
         renew: false,
     };
-    Order::Ask(Box::new(Ask { key, passed, server, fill, once: true, wanted, due, leave_by: due }))
+    Order::Ask(Box::new(Ask {
+        key,
+        passed,
+        server,
+        fill,
+        once: true,
+        wanted,
+        due,
+        leave_by: due,
+    }))
 }
 
 async fn rested(messages: &mut mpsc::Receiver<Message>) -> Id {
@@ -61,18 +78,31 @@
     let inside = async {
         let (mut handles, mut messages) = handles(1);
         let names = ["a", "b", "c"].map(Id::from);
-        names.iter().for_each(|name| handles.list(name, listed(nowhere())));
+        names
+            .iter()
+            .for_each(|name| handles.list(name, listed(nowhere())));
         assert_eq!(handles.with_actor(), 0, "nothing was sent to any");
         let begun = Instant::now();
         let orders = handles.orders_to(&names[1]).expect("it is listed");
         assert!(orders.try_send(Order::Quit(("x".into(), 0))).is_ok());
-        assert!(orders.same_channel(&handles.orders_to(&names[1]).unwrap()), "one actor a server");
+        assert!(
+            orders.same_channel(&handles.orders_to(&names[1]).unwrap()),
+            "one actor a server"
+        );
         assert_eq!(handles.with_actor(), 1);
         let name = rested(&mut messages).await;
         assert_eq!((&*name, orders.is_closed()), ("b", true));
-        assert!(begun.elapsed() >= ENDS_AFTER && begun.elapsed() < ENDS_AFTER * 2, "{:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() >= ENDS_AFTER && begun.elapsed() < ENDS_AFTER * 2,
+            "{:?}",
+            begun.elapsed()
+        );
         handles.rests(&name);
-        assert_eq!(handles.with_actor(), 0, "its mailbox takes memory for nothing");
+        assert_eq!(
+            handles.with_actor(),
+            0,
+            "its mailbox takes memory for nothing"
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
@@ -105,12 +135,23 @@
         handles.list(&name, listed(nowhere()));
         for round in 0..200 {
             let last = Instant::now();
-            handles.orders_to(&name).unwrap().try_send(Order::Quit(("x".into(), 0))).ok().unwrap();
+            handles
+                .orders_to(&name)
+                .unwrap()
+                .try_send(Order::Quit(("x".into(), 0)))
+                .ok()
+                .unwrap();
             sleep_until(last + ENDS_AFTER).await;
             let id = format!("r{round}");
-            assert!(handles.orders_to(&name).unwrap().try_send(ask(&id)).is_ok(), "round {round}");
+            assert!(
+                handles.orders_to(&name).unwrap().try_send(ask(&id)).is_ok(),
+                "round {round}"
+            );
             loop {
-                match timeout(ENDS_AFTER / 2, messages.recv()).await.expect("nothing was said of it") {
+                match timeout(ENDS_AFTER / 2, messages.recv())
+                    .await
+                    .expect("nothing was said of it")
+                {
                     Some(Message::ServerRests(name)) => handles.rests(&name),
                     Some(Message::Ended(Ended { key, outcome, .. })) => {
                         assert_eq!((&*key.0, outcome), (&*id, Outcome::NeverSent));
@@ -141,7 +182,9 @@
         resume();
         assert!(handles.orders_to(&name).unwrap().try_send(ask("x")).is_ok());
         handles.rests(&told_late);
-        assert!(handles.with_actor() == 1 && timeout(LONG, listener.accept()).await.unwrap().is_ok());
+        assert!(
+            handles.with_actor() == 1 && timeout(LONG, listener.accept()).await.unwrap().is_ok()
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -21,15 +21,30 @@
         longest_advice: Some(Duration::from_millis(90)),
         ..Deployment::default()
     };
-    let beside = Beside { own: None, confined: None, talk: None, abroad: None };
+    let beside = Beside {
+        own: None,
+        confined: None,
+        talk: None,
+        abroad: None,
+    };
     let to = messages.clone();
-    (Decider::start(Clock::start(), &deployment, limits, phase, messages, beside), to, phase_of)
+    (
+        Decider::start(Clock::start(), &deployment, limits, phase, messages, beside),
+        to,
+        phase_of,
+    )
 }
 
 fn new(tag: u64, client: &mpsc::Sender<Reply>) -> New {
     let id: Id = format!("{tag:016x}").as_str().into();
     let left = Duration::from_secs(4);
-    let arrival = Arrival { id: id.clone(), object: id, left, kb: 1.0, ..Arrival::default() };
+    let arrival = Arrival {
+        id: id.clone(),
+        object: id,
+        left,
+        kb: 1.0,
+        ..Arrival::default()
+    };
     let client = client.clone().try_reserve_owned().unwrap();
     New {
         arrival,
@@ -45,22 +60,33 @@
 /// lost.
 #[tokio::test(flavor = "current_thread")]
 async fn what_lies_in_the_mailbox_as_the_router_ends_is_rejected() {
-    let (decider, _messages, phase) =
-        decider(Phase::Draining { since: Duration::ZERO, until: Duration::from_secs(1) });
+    let (decider, _messages, phase) = decider(Phase::Draining {
+        since: Duration::ZERO,
+        until: Duration::from_secs(1),
+    });
     let (to_decider, mailbox) = mpsc::channel(8);
     let (_noticed, notices) = mpsc::channel(1);
     let (client, mut answers) = mpsc::channel(8);
     for tag in 1..=3 {
-        to_decider.try_send(Message::Request(Box::new(new(tag, &client)))).unwrap_or_else(|_| panic!("full"));
+        to_decider
+            .try_send(Message::Request(Box::new(new(tag, &client))))
+            .unwrap_or_else(|_| panic!("full"));
     }
-    tokio::task::LocalSet::new().run_until(decider.run(mailbox, notices)).await;
+    tokio::task::LocalSet::new()
+        .run_until(decider.run(mailbox, notices))
+        .await;
     assert_eq!(*phase.borrow(), Phase::Ended);
     for tag in 1..=3 {
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
-        assert!(matches!(reply.last, Last::Rejected(Some(wait)) if wait == Duration::from_millis(90)));
+        assert!(
+            matches!(reply.last, Last::Rejected(Some(wait)) if wait == Duration::from_millis(90))
+        );
     }
-    assert!(to_decider.try_send(Message::Stop).is_err(), "it takes nothing more");
+    assert!(
+        to_decider.try_send(Message::Stop).is_err(),
+        "it takes nothing more"
+    );
 }
 
 /// One that left before it was looked at goes nowhere, and its place comes back.
@@ -98,8 +124,15 @@
         let [old, new] = [0, 1].map(|n| listeners[n].local_addr().unwrap());
         let id: Id = "c1".into();
         let mut list = |dial, started| {
-            let member = Member { server: id.clone(), started, ..Member::default() };
-            decider.notice(Notice::List { whole: false, members: vec![(member, dial)] });
+            let member = Member {
+                server: id.clone(),
+                started,
+                ..Member::default()
+            };
+            decider.notice(Notice::List {
+                whole: false,
+                members: vec![(member, dial)],
+            });
             decider.desk.servers.orders_to(&id).expect("it is listed")
         };
         let before = list(old, None);
@@ -128,7 +161,10 @@
             due,
             leave_by: due,
         };
-        assert!(after.try_send(Order::Ask(Box::new(ask))).is_ok(), "it takes no orders");
+        assert!(
+            after.try_send(Order::Ask(Box::new(ask))).is_ok(),
+            "it takes no orders"
+        );
         tokio::select! {
             _ = listeners[0].accept() => panic!("sent to where the server was"),
             at_new = listeners[1].accept() => drop(at_new.unwrap()),
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -45,7 +45,13 @@
 
 /// A descriptor to connect to an address with.
 pub fn socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
-    retry_at_once(|| if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() })
+    retry_at_once(|| {
+        if address.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        }
+    })
 }
 
 /// What a configuration read anew says of discovery.
@@ -76,7 +82,11 @@
                 }
             };
             // While it is down each try fails alike: said once.
-            let level = if self.last > before || what != said { log::Level::Info } else { log::Level::Debug };
+            let level = if self.last > before || what != said {
+                log::Level::Info
+            } else {
+                log::Level::Debug
+            };
             log::log!(level, "discovery: {what}; watching anew from {}", self.last);
             said = what;
             if self.last > before {
@@ -111,12 +121,20 @@
                 return;
             }
         }
-        log::info!("discovery: {} from now on, from {}", self.address, self.last);
+        log::info!(
+            "discovery: {} from now on, from {}",
+            self.address,
+            self.last
+        );
     }
 
     /// Given up while it waits, it has passed nothing and counts nothing.
     async fn pass(&mut self, number: u64, notice: Option<Notice>) -> Result<(), String> {
-        let place = self.decider.reserve().await.map_err(|_| "the router has ended")?;
+        let place = self
+            .decider
+            .reserve()
+            .await
+            .map_err(|_| "the router has ended")?;
         self.last = number;
         if let Some(mut notice) = notice {
             self.times.bound(&mut notice);
@@ -127,7 +145,11 @@
     }
 
     /// `silent`: an earlier watch that has not spoken yet.
-    async fn follow(&mut self, pause: &mut Duration, silent: &mut Option<Watch>) -> Result<(), String> {
+    async fn follow(
+        &mut self,
+        pause: &mut Duration,
+        silent: &mut Option<Watch>,
+    ) -> Result<(), String> {
         self.times.interrupted();
         let mut watch = Watch::first_to_speak(self.watch().await?, silent).await?;
         // Only what shows that nothing newer is held back counts: a discovery service that stays behind, or
@@ -143,17 +165,29 @@
     }
 
     async fn watch(&mut self) -> Result<Watch, String> {
-        let socket = self.spare.take().map_or_else(|| socket(self.address), Ok).map_err(|e| e.to_string())?;
+        let socket = self
+            .spare
+            .take()
+            .map_or_else(|| socket(self.address), Ok)
+            .map_err(|e| e.to_string())?;
         let watch = async {
             let stream = socket.connect(self.address).await?;
             set_nodelay(&stream);
             let mut stream = Uninterrupted::new(stream);
-            stream.write_all(format!("watch {}\n", self.last).as_bytes()).await?;
+            stream
+                .write_all(format!("watch {}\n", self.last).as_bytes())
+                .await?;
             std::io::Result::Ok(stream)
         };
-        let stream = timeout(CONNECT, watch).await.map_err(|_| "no connection in time")?;
+        let stream = timeout(CONNECT, watch)
+            .await
+            .map_err(|_| "no connection in time")?;
         let lines = BufReader::new(stream.map_err(|e| e.to_string())?);
-        Ok(Watch { lines, line: Vec::new(), since: Instant::now() })
+        Ok(Watch {
+            lines,
+            line: Vec::new(),
+            since: Instant::now(),
+        })
     }
 
     /// Whether it shows that discovery is not behind this router.
@@ -171,7 +205,10 @@
             let _ = self.decider.try_send(Notice::Heard);
             return Ok(true);
         }
-        let number = value.get("rev").and_then(Value::as_u64).ok_or("an event without a number")?;
+        let number = value
+            .get("rev")
+            .and_then(Value::as_u64)
+            .ok_or("an event without a number")?;
         if number <= self.last {
             return Ok(false);
         }
@@ -208,8 +245,15 @@
             self.line.clear();
         }
         let mut bounded = (&mut self.lines).take(LINE_MOST - self.line.len() as u64);
-        bounded.read_until(b'\n', &mut self.line).await.map_err(|e| e.to_string())?;
-        if self.line.last() == Some(&b'\n') { Ok(()) } else { Err("closed, or a line too long".into()) }
+        bounded
+            .read_until(b'\n', &mut self.line)
+            .await
+            .map_err(|e| e.to_string())?;
+        if self.line.last() == Some(&b'\n') {
+            Ok(())
+        } else {
+            Err("closed, or a line too long".into())
+        }
     }
 
     /// Waits for the first line of a new watch, or of an earlier one that has been silent so far.
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -3,10 +3,24 @@
 fn discovery(seed: u64) -> Discovery {
     let (decider, _) = mpsc::channel(1);
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let places = Places { zones: vec!["here".into()], kinds: vec!["cache".into()], ..Places::default() };
+    let places = Places {
+        zones: vec!["here".into()],
+        kinds: vec!["cache".into()],
+        ..Places::default()
+    };
     let (clock, chance) = (Clock::start(), fastrand::Rng::with_seed(seed));
     let times = EventTimes::new(clock);
-    Discovery { address, last: 0, faulty: None, places, clock, times, decider, chance, spare: None }
+    Discovery {
+        address,
+        last: 0,
+        faulty: None,
+        places,
+        clock,
+        times,
+        decider,
+        chance,
+        spare: None,
+    }
 }
 
 /// A fleet that lost its discovery service in one moment does not come back to it in one.
@@ -39,25 +53,49 @@
         format!("{{\"rev\":{number},\"flush\":{{\"collection\":{number},\"ms\":5}}}}\n")
     }
     let inside = |file_knows: bool| async move {
-        let (a, b) = (TcpListener::bind("127.0.0.1:0").await.unwrap(), TcpListener::bind("127.0.0.1:0"));
+        let (a, b) = (
+            TcpListener::bind("127.0.0.1:0").await.unwrap(),
+            TcpListener::bind("127.0.0.1:0"),
+        );
         let b = b.await.unwrap();
         let (decider, mut notices) = mpsc::channel(1);
         let address = a.local_addr().unwrap();
         let (anew, told) = mpsc::channel(1);
-        spawn_local(Discovery { address, decider, ..discovery(1) }.run(told));
+        spawn_local(
+            Discovery {
+                address,
+                decider,
+                ..discovery(1)
+            }
+            .run(told),
+        );
         let (mut old, line) = watched(&a).await;
         assert_eq!(line, "watch 0\n");
         // Both in one piece: when the first is seen here, the second waits for its place.
-        old.write_all([purge(1), purge(2)].concat().as_bytes()).await.unwrap();
+        old.write_all([purge(1), purge(2)].concat().as_bytes())
+            .await
+            .unwrap();
         while notices.is_empty() {
             yield_now().await;
         }
         let known = if file_knows {
-            vec![(2, Some(Notice::Purge { object: None, group: 2, ms: 5 }))]
+            vec![(
+                2,
+                Some(Notice::Purge {
+                    object: None,
+                    group: 2,
+                    ms: 5,
+                }),
+            )]
         } else {
             vec![]
         };
-        anew.send(Anew { address: b.local_addr().unwrap(), known }).await.unwrap();
+        anew.send(Anew {
+            address: b.local_addr().unwrap(),
+            known,
+        })
+        .await
+        .unwrap();
         let mut groups = Vec::new();
         let mut take = |notice| match notice {
             Some(Notice::Purge { group, .. }) => groups.push(group),
@@ -70,9 +108,13 @@
         }
         let (mut new, line) = watched(&b).await;
         assert_eq!(line, if file_knows { "watch 2\n" } else { "watch 1\n" });
-        new.write_all([purge(2), purge(3)].concat().as_bytes()).await.unwrap();
+        new.write_all([purge(2), purge(3)].concat().as_bytes())
+            .await
+            .unwrap();
         while groups.last() != Some(&3) {
-            let Some(Notice::Purge { group, .. }) = notices.recv().await else { panic!("not a purge") };
+            let Some(Notice::Purge { group, .. }) = notices.recv().await else {
+                panic!("not a purge")
+            };
             groups.push(group);
         }
         assert_eq!(groups, [1, 2, 3]);
@@ -114,7 +156,14 @@
         let address = listener.local_addr().unwrap();
         let (decider, mut notices) = mpsc::channel(64);
         let (_anew, told) = mpsc::channel(1);
-        tokio::task::spawn_local(Discovery { address, decider, ..discovery(1) }.run(told));
+        tokio::task::spawn_local(
+            Discovery {
+                address,
+                decider,
+                ..discovery(1)
+            }
+            .run(told),
+        );
         turns().await;
         let (mut stream, _) = listener.accept().unwrap();
         listener.set_nonblocking(true).unwrap();
@@ -142,7 +191,11 @@
                 break stream;
             }
             advance(STEP).await;
-            assert!(back.elapsed() <= PAUSE_MOST + STEP, "no watch {:?} after its return", back.elapsed());
+            assert!(
+                back.elapsed() <= PAUSE_MOST + STEP,
+                "no watch {:?} after its return",
+                back.elapsed()
+            );
         };
         let drain = "{\"rev\":1,\"pool\":{\"hosts\":[{\"host\":\"c1\",\"dial\":\"127.0.0.1:9\",\
             \"site\":\"here\",\"class\":\"cache\",\"health\":\"leaving\"}]}}\n";
@@ -164,13 +217,18 @@
     let inside = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (decider, mut notices) = mpsc::channel(4);
-        let watcher = Discovery { address: listener.local_addr().unwrap(), decider, ..discovery(1) };
+        let watcher = Discovery {
+            address: listener.local_addr().unwrap(),
+            decider,
+            ..discovery(1)
+        };
         let clock = watcher.clock;
         let (_anew, told) = mpsc::channel(1);
         spawn_local(watcher.run(told));
         let hour_ago = clock.unix_ms(clock.now()) - HOUR_MS;
-        let event =
-            |number: u64| format!("{{\"rev\":{number},\"flush\":{{\"collection\":7,\"ms\":{hour_ago}}}}}\n");
+        let event = |number: u64| {
+            format!("{{\"rev\":{number},\"flush\":{{\"collection\":7,\"ms\":{hour_ago}}}}}\n")
+        };
         let mut counts_as = async |said: String, stream: &mut tokio::net::TcpStream| {
             stream.write_all(said.as_bytes()).await.unwrap();
             loop {
@@ -182,10 +240,20 @@
             }
         };
         let (mut first, _) = listener.accept().await.unwrap();
-        assert_eq!(counts_as(event(1), &mut first).await, hour_ago, "at the start");
+        assert_eq!(
+            counts_as(event(1), &mut first).await,
+            hour_ago,
+            "at the start"
+        );
         let before = clock.unix_ms(clock.now());
-        assert!(counts_as(format!("1\n{}", event(2)), &mut first).await >= before, "live");
-        assert!(counts_as(event(3), &mut first).await >= before, "behind a live event");
+        assert!(
+            counts_as(format!("1\n{}", event(2)), &mut first).await >= before,
+            "live"
+        );
+        assert!(
+            counts_as(event(3), &mut first).await >= before,
+            "behind a live event"
+        );
         drop(first);
         let (mut second, _) = listener.accept().await.unwrap();
         assert!(counts_as(event(4), &mut second).await >= before, "replayed");
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -39,7 +39,10 @@
 
 impl EventLoop {
     fn start(now: Instant) -> EventLoop {
-        EventLoop { waits_since: now, hold_up: None }
+        EventLoop {
+            waits_since: now,
+            hold_up: None,
+        }
     }
 
     fn before_wait(&mut self, now: Instant) {
@@ -60,7 +63,11 @@
 
     fn note_hold_up(&mut self, now: Instant) {
         if self.is_held_up(now) {
-            self.hold_up = Some(HoldUp { from: self.waits_since, until: now, caught_up: false });
+            self.hold_up = Some(HoldUp {
+                from: self.waits_since,
+                until: now,
+                caught_up: false,
+            });
         }
     }
 
@@ -70,18 +77,24 @@
 
     fn caught_up(&mut self, now: Instant) {
         self.before_wait(now);
-        self.hold_up.iter_mut().for_each(|hold_up| hold_up.caught_up = true);
+        self.hold_up
+            .iter_mut()
+            .for_each(|hold_up| hold_up.caught_up = true);
     }
 
     /// The start of a hold-up that had ended shortly before `now`: what came during it may be read then.
     fn recent_hold_up(&self, now: Instant) -> Option<Instant> {
-        self.hold_up.filter(|hold_up| now < hold_up.until + HELD_UP_FROM).map(|hold_up| hold_up.from)
+        self.hold_up
+            .filter(|hold_up| now < hold_up.until + HELD_UP_FROM)
+            .map(|hold_up| hold_up.from)
     }
 
     fn unread_since(&self, now: Instant) -> Option<Instant> {
         if self.is_held_up(now) {
             // What came during the one before may not have had its turn yet.
-            return self.recent_hold_up(self.waits_since).or(Some(self.waits_since));
+            return self
+                .recent_hold_up(self.waits_since)
+                .or(Some(self.waits_since));
         }
         self.recent_hold_up(now)
     }
@@ -106,14 +119,19 @@
 
 /// Since when what is read now may have lain unread, where the loop was held up; `None` where it was not.
 pub fn unread_since() -> Option<Instant> {
-    EVENT_LOOP.get().and_then(|event_loop| event_loop.unread_since(Instant::now()))
+    EVENT_LOOP
+        .get()
+        .and_then(|event_loop| event_loop.unread_since(Instant::now()))
 }
 
 /// Lets all other tasks read what came during a hold-up, once; without one returns at once.
 ///
 /// `after_turn` is called after each of their turns: whoever waits here may have a mailbox that they fill.
 pub async fn catch_up(mut after_turn: impl FnMut()) {
-    if EVENT_LOOP.get().is_some_and(|event_loop| event_loop.has_to_catch_up(Instant::now())) {
+    if EVENT_LOOP
+        .get()
+        .is_some_and(|event_loop| event_loop.has_to_catch_up(Instant::now()))
+    {
         for _ in 0..CATCH_UP_TURNS {
             yield_now().await;
             after_turn();
