--- a/crates/router/src/event_loop/tests.rs
+++ b/crates/router/src/event_loop/tests.rs
@@ -45,7 +45,11 @@
     let (mut event_loop, start) = quiet();
     event_loop.after_wait(start + 20 * MS);
     let late = start + 700 * MS;
-    assert_eq!(event_loop.unread_since(late), Some(start), "not noticed by a wait yet");
+    assert_eq!(
+        event_loop.unread_since(late),
+        Some(start),
+        "not noticed by a wait yet"
+    );
     event_loop.before_wait(late);
     event_loop.after_wait(late);
     assert_eq!(event_loop.unread_since(late + MS), Some(start));
@@ -70,7 +74,11 @@
     assert!(event_loop.has_to_catch_up(held_up));
     event_loop.caught_up(held_up);
     assert!(!event_loop.has_to_catch_up(held_up + MS));
-    assert_eq!(event_loop.unread_since(held_up + MS), Some(start), "what is read then came before");
+    assert_eq!(
+        event_loop.unread_since(held_up + MS),
+        Some(start),
+        "what is read then came before"
+    );
     event_loop.before_wait(held_up + 2 * MS);
     event_loop.after_wait(held_up + 90 * MS);
     assert!(event_loop.has_to_catch_up(held_up + 90 * MS));
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -7,8 +7,8 @@
 
 use libc::{
     EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, ECONNABORTED, ECONNREFUSED, ECONNRESET, EHOSTDOWN,
-    EHOSTUNREACH, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM, ENONET, ENOPROTOOPT,
-    EOPNOTSUPP, EPERM, EPROTO, ETIMEDOUT,
+    EHOSTUNREACH, EINTR, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOMEM, ENONET,
+    ENOPROTOOPT, EOPNOTSUPP, EPERM, EPROTO, ETIMEDOUT,
 };
 use std::io;
 use std::time::Duration;
@@ -114,7 +114,10 @@
 impl AcceptFailure {
     /// The next call may be made at once: nothing is short, and the listener is fine.
     pub fn is_passing(self) -> bool {
-        matches!(self, AcceptFailure::Interrupted | AcceptFailure::PerConnection)
+        matches!(
+            self,
+            AcceptFailure::Interrupted | AcceptFailure::PerConnection
+        )
     }
 }
 
@@ -126,7 +129,11 @@
             // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH and the like: TCP has given up this
             // connection, for whatever reason, and reports it once.
             Some(_) => StreamFailure::Broken,
-            None if matches!(error.kind(), io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock) => {
+            None if matches!(
+                error.kind(),
+                io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock
+            ) =>
+            {
                 StreamFailure::Retry
             }
             None => StreamFailure::Broken,
@@ -150,8 +157,18 @@
 /// Whether a socket that could not be created, bound or listened on may be had a moment later: for want of
 /// resources, or as its address is not there yet.
 pub fn is_momentary(error: &io::Error) -> bool {
-    let resources = [EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EINTR];
-    error.raw_os_error().is_some_and(|errno| resources.contains(&errno))
+    let resources = [
+        EMFILE,
+        ENFILE,
+        ENOBUFS,
+        ENOMEM,
+        EADDRNOTAVAIL,
+        EAGAIN,
+        EINTR,
+    ];
+    error
+        .raw_os_error()
+        .is_some_and(|errno| resources.contains(&errno))
 }
 
 /// How often a call is made at once, in all, that must not wait.
--- a/crates/router/src/io_errors/tests.rs
+++ b/crates/router/src/io_errors/tests.rs
@@ -32,14 +32,24 @@
         (EINVAL, Server),
     ];
     for (errno, expected) in rows {
-        assert_eq!(classified::<ConnectFailure>(errno), expected, "errno {errno}");
+        assert_eq!(
+            classified::<ConnectFailure>(errno),
+            expected,
+            "errno {errno}"
+        );
     }
-    assert_eq!(ConnectFailure::from(&io::ErrorKind::TimedOut.into()), Server, "a time-out of our own");
+    assert_eq!(
+        ConnectFailure::from(&io::ErrorKind::TimedOut.into()),
+        Server,
+        "a time-out of our own"
+    );
 }
 
 #[test]
 fn an_accept_fails_for_one_connection_or_for_want_of_something_here() {
-    use AcceptFailure::{DescriptorsExhausted, Interrupted, Listener, MemoryExhausted, PerConnection};
+    use AcceptFailure::{
+        DescriptorsExhausted, Interrupted, Listener, MemoryExhausted, PerConnection,
+    };
     let rows = [
         (EINTR, Interrupted),
         (EAGAIN, Interrupted),
@@ -64,7 +74,11 @@
         (ENOTSOCK, Listener),
     ];
     for (errno, expected) in rows {
-        assert_eq!(classified::<AcceptFailure>(errno), expected, "errno {errno}");
+        assert_eq!(
+            classified::<AcceptFailure>(errno),
+            expected,
+            "errno {errno}"
+        );
     }
 }
 
@@ -88,10 +102,20 @@
         (EIO, Broken),
     ];
     for (errno, expected) in rows {
-        assert_eq!(classified::<StreamFailure>(errno), expected, "errno {errno}");
+        assert_eq!(
+            classified::<StreamFailure>(errno),
+            expected,
+            "errno {errno}"
+        );
     }
-    assert_eq!(StreamFailure::from(&io::ErrorKind::WouldBlock.into()), Retry);
-    assert_eq!(StreamFailure::from(&io::ErrorKind::UnexpectedEof.into()), Broken);
+    assert_eq!(
+        StreamFailure::from(&io::ErrorKind::WouldBlock.into()),
+        Retry
+    );
+    assert_eq!(
+        StreamFailure::from(&io::ErrorKind::UnexpectedEof.into()),
+        Broken
+    );
 }
 
 #[test]
@@ -112,15 +136,35 @@
         (EBADF, Lasting),
     ];
     for (errno, expected) in rows {
-        assert_eq!(classified::<DatagramFailure>(errno), expected, "errno {errno}");
+        assert_eq!(
+            classified::<DatagramFailure>(errno),
+            expected,
+            "errno {errno}"
+        );
     }
 }
 
 #[test]
 fn a_start_waits_for_what_may_come_and_for_nothing_else() {
     let momentary = |errno| is_momentary(&io::Error::from_raw_os_error(errno));
-    assert!([EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, EINTR].into_iter().all(momentary));
-    assert!(![EADDRINUSE, EACCES, EINVAL, EAFNOSUPPORT].into_iter().any(momentary));
+    assert!(
+        [
+            EMFILE,
+            ENFILE,
+            ENOBUFS,
+            ENOMEM,
+            EADDRNOTAVAIL,
+            EAGAIN,
+            EINTR
+        ]
+        .into_iter()
+        .all(momentary)
+    );
+    assert!(
+        ![EADDRINUSE, EACCES, EINVAL, EAFNOSUPPORT]
+            .into_iter()
+            .any(momentary)
+    );
 }
 
 #[test]
@@ -129,7 +173,11 @@
         let mut calls = 0;
         let done = retry_at_once(|| {
             calls += 1;
-            if calls > failures { Ok(()) } else { Err(io::Error::from_raw_os_error(errno)) }
+            if calls > failures {
+                Ok(())
+            } else {
+                Err(io::Error::from_raw_os_error(errno))
+            }
         });
         (done.is_ok(), calls)
     };
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -85,53 +85,102 @@
 async fn run(clock: Clock, directives: Directives, file: Option<PathBuf>) -> Result<(), String> {
     // Taken up before all else: by default either signal ends the program where it stands.
     let listen_to = |kind| signal(kind).map_err(|e| e.to_string());
-    let (stop, reload) = (listen_to(SignalKind::terminate())?, listen_to(SignalKind::hangup())?);
+    let (stop, reload) = (
+        listen_to(SignalKind::terminate())?,
+        listen_to(SignalKind::hangup())?,
+    );
     let mut told = read(&clock)?;
     let (phase_of, phase) = watch::channel(Phase::Starting);
     let (decider, mailbox) = mpsc::channel(MESSAGES_MOST);
     let (limits, serving) = (told.limits.clone(), phase_of.clone());
     let (own, disk) = Own::open(&directives.store, &told, clock)?.unzip();
-    let disk = disk.flatten().map(|ends| spawn_local(pass_on(ends, decider.clone())));
+    let disk = disk
+        .flatten()
+        .map(|ends| spawn_local(pass_on(ends, decider.clone())));
     let deployment = &told.deployment;
     // The longest that a request, or what remembers its repeats, lasts.
-    let lasts = deployment.classes.iter().map(|class| class.deadline.max(class.window));
+    let lasts = deployment
+        .classes
+        .iter()
+        .map(|class| class.deadline.max(class.window));
     let settle = lasts.max().unwrap_or_default();
     let (zone, by_customer) = (deployment.zone, !deployment.customers.is_empty());
-    let confined =
-        Confined::new(&directives.cells, &told.classes, zone, by_customer, settle, deployment.seed)?;
-    let talk = told.peers.as_ref().filter(|_| directives.peers.tell).and_then(|_| {
-        let here = deployment.routers_at.get(zone).copied().unwrap_or(0);
-        let (number, routers, seed) = (deployment.number, deployment.routers, deployment.seed);
-        let mut talk = Talk::start(clock.now(), About { number, routers, zone, routers_here: here, seed })?;
-        if directives.peers.even_load {
-            talk.even_load();
-        }
-        Some(talk)
-    });
+    let confined = Confined::new(
+        &directives.cells,
+        &told.classes,
+        zone,
+        by_customer,
+        settle,
+        deployment.seed,
+    )?;
+    let talk = told
+        .peers
+        .as_ref()
+        .filter(|_| directives.peers.tell)
+        .and_then(|_| {
+            let here = deployment.routers_at.get(zone).copied().unwrap_or(0);
+            let (number, routers, seed) = (deployment.number, deployment.routers, deployment.seed);
+            let mut talk = Talk::start(
+                clock.now(),
+                About {
+                    number,
+                    routers,
+                    zone,
+                    routers_here: here,
+                    seed,
+                },
+            )?;
+            if directives.peers.even_load {
+                talk.even_load();
+            }
+            Some(talk)
+        });
     let (saying, sayings) = peers::saying();
     let socket_of_peers = match &told.peers {
         Some(peers) if talk.is_some() || directives.regions.in_common => peers::bind(peers).await,
         _ => None,
     };
     if directives.regions.in_common && socket_of_peers.is_none() {
-        log::warn!("regions: the platform lets routers not talk; each decides by what it sees itself");
+        log::warn!(
+            "regions: the platform lets routers not talk; each decides by what it sees itself"
+        );
     }
-    let talk = talk.filter(|_| socket_of_peers.is_some()).map(|talk| (talk, saying.clone()));
+    let talk = talk
+        .filter(|_| socket_of_peers.is_some())
+        .map(|talk| (talk, saying.clone()));
     let (probes, to_probe) = mpsc::channel(probes::PROBES_MOST);
     let abroad = match socket_of_peers {
-        Some(_) => Abroad::new(clock, &directives.regions, deployment, &told.places.zones, saying, probes)?,
+        Some(_) => Abroad::new(
+            clock,
+            &directives.regions,
+            deployment,
+            &told.places.zones,
+            saying,
+            probes,
+        )?,
         None => None,
     };
-    let beside = Beside { own, confined, talk, abroad };
-    let mut decisions = Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
+    let beside = Beside {
+        own,
+        confined,
+        talk,
+        abroad,
+    };
+    let mut decisions =
+        Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
     let advice = decisions.advice();
     // The list comes before the first request.
     let mut times = EventTimes::new(clock);
-    for mut notice in std::mem::take(&mut told.known).into_iter().filter_map(|(_, notice)| notice) {
+    for mut notice in std::mem::take(&mut told.known)
+        .into_iter()
+        .filter_map(|(_, notice)| notice)
+    {
         times.bound(&mut notice);
         decisions.notice(notice);
     }
-    let socket = listener::bind(told.listen).await.map_err(|e| format!("listen: {}: {e}", told.listen))?;
+    let socket = listener::bind(told.listen)
+        .await
+        .map_err(|e| format!("listen: {}: {e}", told.listen))?;
     let socket_of = |path: &std::path::Path| {
         control_socket::listen(path).map_err(|e| format!("control: {}: {e}", path.display()))
     };
@@ -180,11 +229,20 @@
         spawn_local(control_socket::run(questions, decider.clone()));
     }
     let name = told.name.clone();
-    let again = Again { told, file, clock, discovery: anew, cells, spare: Cell::new(spare()) };
+    let again = Again {
+        told,
+        file,
+        clock,
+        discovery: anew,
+        cells,
+        spare: Cell::new(spare()),
+    };
     spawn_local(again.run(reload));
     listener::run(socket, most, door, decider, phase).await;
     // Without decisions nothing can be answered: better to be started anew than to go on.
-    let ended = deciding.await.map_err(|what| format!("the decisions failed: {what}"))?;
+    let ended = deciding
+        .await
+        .map_err(|what| format!("the decisions failed: {what}"))?;
     if let Some(disk) = disk {
         wait_for_disk(ended, disk).await;
     }
@@ -252,11 +310,24 @@
         };
         let otherwise = self.told.fixed_otherwise(&anew);
         if !otherwise.is_empty() {
-            log::warn!("the new configuration has other {}: a restart is needed", otherwise.join(", "));
+            log::warn!(
+                "the new configuration has other {}: a restart is needed",
+                otherwise.join(", ")
+            );
         }
         // Its events are read by the names in its settings, which are not those that the router runs with.
-        let known = if otherwise.contains(&"settings") { Vec::new() } else { anew.known };
-        let _ = self.discovery.send(Anew { address: anew.discovery, known }).await;
+        let known = if otherwise.contains(&"settings") {
+            Vec::new()
+        } else {
+            anew.known
+        };
+        let _ = self
+            .discovery
+            .send(Anew {
+                address: anew.discovery,
+                known,
+            })
+            .await;
     }
 
     /// Of the operator's file the map of cells and the drained zones are taken over; all else needs a
@@ -265,7 +336,10 @@
         let Some(file) = &self.file else { return };
         let (directives, faults) = self.with_spare_descriptor(|| chalkhall_config::read(file));
         if let Some(fault) = faults.first() {
-            return log::warn!("the operator's file is not taken over: {fault} ({} faults)", faults.len());
+            return log::warn!(
+                "the operator's file is not taken over: {fault} ({} faults)",
+                faults.len()
+            );
         }
         match abroad::places(&self.told.places.zones, &directives.regions.drained) {
             Ok(drained) => drop(self.cells.send(Notice::Drained(drained)).await),
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/lines.rs
@@ -59,7 +59,10 @@
         (!fill.parent_keeps, "no-store-up"),
         (fill.renew, "refresh"),
     ];
-    let flags: Vec<_> = flags.into_iter().filter_map(|(set, word)| set.then_some(word)).collect();
+    let flags: Vec<_> = flags
+        .into_iter()
+        .filter_map(|(set, word)| set.then_some(word))
+        .collect();
     if !flags.is_empty() {
         let _ = write!(line, ",flags={}", flags.join("+"));
     }
@@ -110,8 +113,13 @@
 
 fn load(meter: &[u8]) -> Load {
     let mut load = Load::default();
-    for entry in meter.split(|b| *b == b';').filter_map(|entry| std::str::from_utf8(entry).ok()) {
-        let Some((name, value)) = entry.split_once(':') else { continue };
+    for entry in meter
+        .split(|b| *b == b';')
+        .filter_map(|entry| std::str::from_utf8(entry).ok())
+    {
+        let Some((name, value)) = entry.split_once(':') else {
+            continue;
+        };
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
         match name {
             "inflight" | "rif" => load.in_hand = value,
@@ -149,14 +157,20 @@
                 if &buffer[length..length + 2] != b"\r\n" {
                     return Err(Nonsense("a body that does not end where it says"));
                 }
-                let Some((mut answer, _)) = self.begun.take() else { return Ok(None) };
+                let Some((mut answer, _)) = self.begun.take() else {
+                    return Ok(None);
+                };
                 answer.body = buffer.split_to(length).freeze();
                 buffer.advance(2);
                 return Ok(Some(answer));
             }
             let Some(end) = buffer.iter().take(LINE_MOST).position(|b| *b == b'\n') else {
                 let long = buffer.len() >= LINE_MOST;
-                return if long { Err(Nonsense("a line too long")) } else { Ok(None) };
+                return if long {
+                    Err(Nonsense("a line too long"))
+                } else {
+                    Ok(None)
+                };
             };
             let line = buffer.split_to(end + 1).freeze();
             let line = line.slice(..line.len() - if line.ends_with(b"\r\n") { 2 } else { 1 });
@@ -168,9 +182,13 @@
 /// The line of an answer, and how long a body follows.
 fn begin(line: &Bytes) -> Result<(Answer, usize), Nonsense> {
     let mut words = line.split(|b| *b == b' ').map(|word| line.slice_ref(word));
-    let (Some(id), Some(word), Some(list), Some(length), None) =
-        (words.next(), words.next(), words.next(), words.next(), words.next())
-    else {
+    let (Some(id), Some(word), Some(list), Some(length), None) = (
+        words.next(),
+        words.next(),
+        words.next(),
+        words.next(),
+        words.next(),
+    ) else {
         return Err(Nonsense("an answer that is not four words"));
     };
     let (outcome, same) = match &word[..] {
@@ -182,7 +200,9 @@
         b"VOID" => (Outcome::NeverSent, false),
         _ => return Err(Nonsense("an answer of an unknown word")),
     };
-    let length = number(&length).filter(|n| *n <= BODY_MOST as u64).ok_or(Nonsense("a body too long"))?;
+    let length = number(&length)
+        .filter(|n| *n <= BODY_MOST as u64)
+        .ok_or(Nonsense("a body too long"))?;
     let mut answer = Answer {
         id,
         outcome,
@@ -198,7 +218,9 @@
         match name {
             b"tell" => answer.remark = remark(&value),
             b"ttfb" => {
-                let ms = std::str::from_utf8(&value).ok().and_then(|v| v.parse::<f64>().ok());
+                let ms = std::str::from_utf8(&value)
+                    .ok()
+                    .and_then(|v| v.parse::<f64>().ok());
                 answer.first_byte = ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok());
             }
             b"meter" => answer.load = load(&value),
--- a/crates/router/src/lines/tests.rs
+++ b/crates/router/src/lines/tests.rs
@@ -13,9 +13,15 @@
     let stream = b"a1 OK tell=hit,etag=4be0,made=17,meter=inflight:7;util:0.61 6\r\nx\r\ny\r\n\r\nb2 MISS - 0\r\n\r\nc3 SAME tell=via_origin,ttfb=12.5,etag=q 0\r\n\r\n";
     let whole = all(&mut Answers::default(), &mut BytesMut::from(&stream[..])).unwrap();
     assert_eq!(whole.len(), 3);
-    assert_eq!((whole[0].outcome, whole[0].remark), (Outcome::Served, Remark::Hit));
+    assert_eq!(
+        (whole[0].outcome, whole[0].remark),
+        (Outcome::Served, Remark::Hit)
+    );
     assert_eq!(whole[0].body, &b"x\r\ny\r\n"[..]);
-    assert_eq!((whole[0].load.in_hand, whole[0].load.busy), (Some(7.0), Some(0.61)));
+    assert_eq!(
+        (whole[0].load.in_hand, whole[0].load.busy),
+        (Some(7.0), Some(0.61))
+    );
     assert_eq!(whole[1].outcome, Outcome::Missing);
     assert!(whole[2].same);
     assert_eq!(whole[2].first_byte, Some(Duration::from_micros(12_500)));
@@ -39,7 +45,10 @@
         "a OK - -1\r\n",
     ];
     for text in bad {
-        assert!(all(&mut Answers::default(), &mut BytesMut::from(text)).is_err(), "{text:?}");
+        assert!(
+            all(&mut Answers::default(), &mut BytesMut::from(text)).is_err(),
+            "{text:?}"
+        );
     }
     let long = "a".repeat(LINE_MOST);
     assert!(all(&mut Answers::default(), &mut BytesMut::from(long.as_str())).is_err());
@@ -48,8 +57,12 @@
 #[test]
 fn a_request_says_what_was_ordered() {
     let bytes = Bytes::from_static;
-    let mut passed =
-        Passed { id: bytes(b"a1"), class: bytes(b"page"), object: bytes(b"o1"), ..Passed::default() };
+    let mut passed = Passed {
+        id: bytes(b"a1"),
+        class: bytes(b"page"),
+        object: bytes(b"o1"),
+        ..Passed::default()
+    };
     passed.part = bytes(b"3");
     let mut fill = Fill {
         source: "p1".into(),
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -62,7 +62,11 @@
 }
 
 fn try_bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(WAITING_TO_BE_TAKEN)
@@ -102,13 +106,30 @@
         let (leave, told) = mpsc::channel(1);
         self.last += 1;
         let number = self.last;
-        self.held.insert(number, Held { leave, idle: None, leaving: false });
-        self.note(Word { number, idle: true, asked: false });
-        Place { number, leave: told, says }
+        self.held.insert(
+            number,
+            Held {
+                leave,
+                idle: None,
+                leaving: false,
+            },
+        );
+        self.note(Word {
+            number,
+            idle: true,
+            asked: false,
+        });
+        Place {
+            number,
+            leave: told,
+            says,
+        }
     }
 
     fn note(&mut self, word: Word) {
-        let Some(held) = self.held.get_mut(&word.number) else { return };
+        let Some(held) = self.held.get_mut(&word.number) else {
+            return;
+        };
         if held.leaving {
             // Its word crossed ours: it leaves once it has nothing open, and nobody else need go for it.
             return;
@@ -124,7 +145,11 @@
     }
 
     fn gone(&mut self, number: u64) {
-        self.note(Word { number, idle: false, asked: false });
+        self.note(Word {
+            number,
+            idle: false,
+            asked: false,
+        });
         let left = self.held.remove(&number);
         self.leaving -= usize::from(left.is_some_and(|held| held.leaving));
     }
@@ -133,9 +158,17 @@
     /// who has had nothing open for longest. One that has asked for something meanwhile is answered first.
     fn make_room(&mut self) {
         let [silent, rested] = &mut self.idle;
-        let kind = if silent.len() > NEWEST || rested.is_empty() { silent } else { rested };
-        let Some((_, number)) = kind.pop_first() else { return };
-        let Some(held) = self.held.get_mut(&number) else { return };
+        let kind = if silent.len() > NEWEST || rested.is_empty() {
+            silent
+        } else {
+            rested
+        };
+        let Some((_, number)) = kind.pop_first() else {
+            return;
+        };
+        let Some(held) = self.held.get_mut(&number) else {
+            return;
+        };
         held.idle = None;
         held.leaving = held.leave.try_send(()).is_ok();
         self.leaving += usize::from(held.leaving);
@@ -153,7 +186,11 @@
 
 /// What follows an accept that failed, the last of so many in a row: idle clients make room where there is no
 /// descriptor left and a pause did not bring one, and nothing is accepted for the time that is returned.
-fn after_failed_accept(failure: AcceptFailure, in_a_row: usize, places: &mut Places) -> Option<Duration> {
+fn after_failed_accept(
+    failure: AcceptFailure,
+    in_a_row: usize,
+    places: &mut Places,
+) -> Option<Duration> {
     match failure {
         AcceptFailure::Interrupted | AcceptFailure::PerConnection => {
             in_a_row.is_multiple_of(FAILED_IN_A_ROW).then_some(PAUSE)
@@ -204,8 +241,12 @@
     // After a failed accept: none before then. Clients' words are heard meanwhile, lest they wait with
     // theirs.
     let (mut pause, mut failed_in_a_row) = (None, 0);
-    let client =
-        |place| Client { door: door.clone(), decider: decider.clone(), phase: phase_of.clone(), place };
+    let client = |place| Client {
+        door: door.clone(),
+        decider: decider.clone(),
+        phase: phase_of.clone(),
+        place,
+    };
     loop {
         let full = places.staying() >= most || places.held.len() >= most + LEAVING_MOST;
         tokio::select! {
@@ -256,7 +297,9 @@
     // The system has taken connections that wait here: what came on them is owed an end too.
     let give_up = Instant::now() + FAILED_LOOKS;
     for _ in 0..WAITING_TO_BE_TAKEN {
-        let Some(stream) = next_waiting(&listener, give_up).await else { break };
+        let Some(stream) = next_waiting(&listener, give_up).await else {
+            break;
+        };
         clients.spawn_local(client(places.take(says.clone())).run(stream));
     }
     drop(listener);
--- a/crates/router/src/logs.rs
+++ b/crates/router/src/logs.rs
@@ -6,7 +6,9 @@
 
 /// Begins logging; once in a process. `RUST_LOG` goes before what the operator's file says.
 pub fn begin(told: &Log) {
-    let level = std::env::var("RUST_LOG").ok().or_else(|| told.level.clone());
+    let level = std::env::var("RUST_LOG")
+        .ok()
+        .or_else(|| told.level.clone());
     let level = level.unwrap_or_else(|| "info".to_owned());
     match told.format {
         LogFormat::Text => env_logger::Builder::new().parse_filters(&level).init(),
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -22,9 +22,14 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let file = arguments.directives;
-    let (told, faults) = file.as_deref().map(chalkhall_config::read).unwrap_or_default();
+    let (told, faults) = file
+        .as_deref()
+        .map(chalkhall_config::read)
+        .unwrap_or_default();
     if !faults.is_empty() {
-        faults.iter().for_each(|fault| eprintln!("chalkhall-router: {fault}"));
+        faults
+            .iter()
+            .for_each(|fault| eprintln!("chalkhall-router: {fault}"));
         return ExitCode::FAILURE;
     }
     chalkhall_router::logs::begin(&told.log);
--- a/crates/router/src/notices.rs
+++ b/crates/router/src/notices.rs
@@ -35,13 +35,26 @@
 }
 
 /// One numbered event; an event of a kind that is not known is none.
-pub fn numbered(event: &Value, places: &Places, clock: &Clock) -> Result<(u64, Option<Notice>), String> {
-    let number = event.get("rev").and_then(Value::as_u64).ok_or("rev is not a whole number")?;
+pub fn numbered(
+    event: &Value,
+    places: &Places,
+    clock: &Clock,
+) -> Result<(u64, Option<Notice>), String> {
+    let number = event
+        .get("rev")
+        .and_then(Value::as_u64)
+        .ok_or("rev is not a whole number")?;
     let notice = match (event.get("pool"), event.get("flush")) {
         (Some(list), _) => {
-            let entries = list.get("hosts").and_then(Value::as_array).ok_or("pool.hosts is not an array")?;
+            let entries = list
+                .get("hosts")
+                .and_then(Value::as_array)
+                .ok_or("pool.hosts is not an array")?;
             let whole = list.get("whole").and_then(Value::as_bool).unwrap_or(false);
-            let members = entries.iter().map(|e| member(e, places, clock)).collect::<Result<_, _>>()?;
+            let members = entries
+                .iter()
+                .map(|e| member(e, places, clock))
+                .collect::<Result<_, _>>()?;
             Some(Notice::List { whole, members })
         }
         (_, Some(purge)) => {
@@ -50,8 +63,15 @@
             if object.is_none() && group.is_none() {
                 return Err("flush names neither asset nor collection".into());
             }
-            let ms = purge.get("ms").and_then(Value::as_u64).ok_or("flush.ms is not a whole number")?;
-            Some(Notice::Purge { object, group: group.unwrap_or(0), ms })
+            let ms = purge
+                .get("ms")
+                .and_then(Value::as_u64)
+                .ok_or("flush.ms is not a whole number")?;
+            Some(Notice::Purge {
+                object,
+                group: group.unwrap_or(0),
+                ms,
+            })
         }
         _ => None,
     };
@@ -59,8 +79,12 @@
 }
 
 fn member(entry: &Value, places: &Places, clock: &Clock) -> Result<(Member, SocketAddr), String> {
-    let text =
-        |name: &str| entry.get(name).and_then(Value::as_str).ok_or_else(|| format!("{name} is not a text"));
+    let text = |name: &str| {
+        entry
+            .get(name)
+            .and_then(Value::as_str)
+            .ok_or_else(|| format!("{name} is not a text"))
+    };
     let whole = |name: &str| entry.get(name).and_then(Value::as_u64);
     let place = |among: &[String], name: &str| {
         let called = text(name)?;
@@ -84,11 +108,21 @@
             "left" => Standing::Gone,
             other => return Err(format!("unknown health {other:?}")),
         },
-        capacity: entry.get("share").and_then(Value::as_f64).filter(|v| *v >= 0.0).unwrap_or(1.0),
-        started: whole("born_ms").filter(|ms| *ms > 0).map(|ms| clock.at_unix_ms(ms)),
+        capacity: entry
+            .get("share")
+            .and_then(Value::as_f64)
+            .filter(|v| *v >= 0.0)
+            .unwrap_or(1.0),
+        started: whole("born_ms")
+            .filter(|ms| *ms > 0)
+            .map(|ms| clock.at_unix_ms(ms)),
         ..Member::default()
     };
-    Ok((member, dial.parse().map_err(|_| format!("dial {dial:?} is not an address"))?))
+    Ok((
+        member,
+        dial.parse()
+            .map_err(|_| format!("dial {dial:?} is not an address"))?,
+    ))
 }
 
 #[cfg(test)]
--- a/crates/router/src/notices/tests.rs
+++ b/crates/router/src/notices/tests.rs
@@ -2,12 +2,24 @@
 
 fn places() -> Places {
     let named = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
-    let (zones, kinds) = (named(&["west", "east"]), named(&["std", "parent", "origin"]));
-    Places { zones, kinds, parent: Some(1), origin: Some(2) }
+    let (zones, kinds) = (
+        named(&["west", "east"]),
+        named(&["std", "parent", "origin"]),
+    );
+    Places {
+        zones,
+        kinds,
+        parent: Some(1),
+        origin: Some(2),
+    }
 }
 
 fn read(text: &str) -> Result<(u64, Option<Notice>), String> {
-    numbered(&serde_json::from_str(text).unwrap(), &places(), &Clock::start())
+    numbered(
+        &serde_json::from_str(text).unwrap(),
+        &places(),
+        &Clock::start(),
+    )
 }
 
 const HOST: &str = r#"{"rev":41,"pool":{"seq":7,"whole":true,"hosts":[{"host":"s-1","dial":"10.1.0.9:5050",
@@ -15,11 +27,19 @@
 
 #[test]
 fn lists_and_purges_are_read() {
-    let (number, Some(Notice::List { whole, members })) = read(HOST).unwrap() else { panic!("no list") };
+    let (number, Some(Notice::List { whole, members })) = read(HOST).unwrap() else {
+        panic!("no list")
+    };
     assert_eq!((number, whole, members.len()), (41, true, 1));
     let (member, dial) = &members[0];
-    assert_eq!((member.zone, member.tier, member.standing), (1, Tier::Parent, Standing::Draining));
-    assert_eq!((member.started, dial.port(), member.capacity), (None, 5050, 4.0));
+    assert_eq!(
+        (member.zone, member.tier, member.standing),
+        (1, Tier::Parent, Standing::Draining)
+    );
+    assert_eq!(
+        (member.started, dial.port(), member.capacity),
+        (None, 5050, 4.0)
+    );
     let (_, Some(Notice::Purge { object, group, ms })) =
         read(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#).unwrap()
     else {
--- a/crates/router/src/own.rs
+++ b/crates/router/src/own.rs
@@ -8,7 +8,9 @@
 use crate::stamps::CopyTimes;
 use crate::told::Told;
 use bytes::Bytes;
-use chalkhall::interface::{Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier};
+use chalkhall::interface::{
+    Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier,
+};
 use chalkhall_config::Store as Wishes;
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, SEGMENTS_LEAST, Wanted};
@@ -80,7 +82,9 @@
         }
         let limit = told.limits.memory;
         let usable = (limit.saturating_sub(BESIDE) as f64 * USABLE) as u64;
-        let most = wishes.memory.map_or(0, |memory| memory.of(limit).min(usable));
+        let most = wishes
+            .memory
+            .map_or(0, |memory| memory.of(limit).min(usable));
         let mut shelf = Shelf::default();
         let (mut disk, mut ends) = (None, None);
         let set_back_ms = Arc::new(AtomicU64::new(0));
@@ -95,13 +99,16 @@
                 Ok(Arc::new(taken) as Arc<dyn Files>)
             };
             let number = fastrand::u64(1..);
-            let started =
-                threads::start(take, number, wishes.readers).map_err(|e| format!("store: disk: {e}"))?;
+            let started = threads::start(take, number, wishes.readers)
+                .map_err(|e| format!("store: disk: {e}"))?;
             (shelf.threads, ends) = (Some(started.0), Some(started.1));
             disk = Some(Disk::new(wanted, clock.now(), clock.unix_ms(clock.now())));
         }
         log::info!(memory_bytes = most, disk_bytes = wishes.disk.as_ref().map_or(0, |d| d.1); "own copies");
-        let names = told.classes.iter().map(|name| Bytes::copy_from_slice(name.as_bytes()));
+        let names = told
+            .classes
+            .iter()
+            .map(|name| Bytes::copy_from_slice(name.as_bytes()));
         let own = Own {
             store: Store::new(most, disk),
             shelf,
@@ -121,7 +128,10 @@
 
     /// The places that a request can go to, for the decisions' list.
     pub fn members(&self) -> Vec<Member> {
-        let places = self.places.iter().take(1 + usize::from(self.store.disk().is_some()));
+        let places = self
+            .places
+            .iter()
+            .take(1 + usize::from(self.store.disk().is_some()));
         let member = |server: &Id| Member {
             server: server.clone(),
             tier: Tier::Own,
@@ -139,7 +149,11 @@
     pub fn held(&mut self, arrival: &Arrival, have: Option<&Bytes>) -> Option<Held> {
         let found = self.store.find(part(arrival), have.map(|tag| &tag[..]))?;
         let place = &self.places[usize::from(found.place == Place::Disk)];
-        Some(Held { place: place.clone(), made: self.clock.at_unix_ms(found.made), same: found.same })
+        Some(Held {
+            place: place.clone(),
+            made: self.clock.at_unix_ms(found.made),
+            same: found.same,
+        })
     }
 
     /// An attempt at an own copy: how it ended; none: it will be among the `got` later.
@@ -162,16 +176,26 @@
             };
         }
         let copy = self.store.take(now, part(arrival));
-        Some(copy.map_or((Outcome::Missing, None), |copy| self.answer(&copy, arrival, have)))
+        Some(copy.map_or((Outcome::Missing, None), |copy| {
+            self.answer(&copy, arrival, have)
+        }))
     }
 
     /// An attempt that waits for the disk is called off. False: it does not.
     pub fn cancel(&mut self, key: &Key) -> bool {
-        let Some(ticket) = self.waiting.iter().find(|(_, k)| *k == key).map(|(ticket, _)| *ticket) else {
+        let Some(ticket) = self
+            .waiting
+            .iter()
+            .find(|(_, k)| *k == key)
+            .map(|(ticket, _)| *ticket)
+        else {
             return false;
         };
         self.waiting.remove(&ticket);
-        self.store.disk_mut().into_iter().for_each(|disk| disk.leave(ticket));
+        self.store
+            .disk_mut()
+            .into_iter()
+            .for_each(|disk| disk.leave(ticket));
         true
     }
 
@@ -193,19 +217,33 @@
     }
 
     fn answer(&self, copy: &Rc<Copy>, arrival: &Arrival, have: Option<&Bytes>) -> Got {
-        let age = self.clock.now().saturating_sub(self.clock.at_unix_ms(copy.made));
-        let fresh = self.classes.get(arrival.class).and_then(|(_, class)| class.fresh);
+        let age = self
+            .clock
+            .now()
+            .saturating_sub(self.clock.at_unix_ms(copy.made));
+        let fresh = self
+            .classes
+            .get(arrival.class)
+            .and_then(|(_, class)| class.fresh);
         let same = have.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
         let answer = Answer {
             id: Bytes::new(),
             outcome: Outcome::Served,
             same,
-            remark: if fresh.is_some_and(|fresh| age >= fresh) { Remark::Stale } else { Remark::Hit },
+            remark: if fresh.is_some_and(|fresh| age >= fresh) {
+                Remark::Stale
+            } else {
+                Remark::Hit
+            },
             first_byte: None,
             load: Load::default(),
             etag: Some(copy.tag.clone()).filter(|tag| !tag.is_empty()),
             made: Some(copy.made),
-            body: if same { Bytes::new() } else { copy.body.clone() },
+            body: if same {
+                Bytes::new()
+            } else {
+                copy.body.clone()
+            },
         };
         (Outcome::Served, Some(Box::new(answer)))
     }
@@ -217,8 +255,12 @@
 
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
     pub fn keep(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
-        let Some(made) = answer.made.filter(|made| *made > 0) else { return };
-        let Some((class, told)) = self.classes.get(arrival.class) else { return };
+        let Some(made) = answer.made.filter(|made| *made > 0) else {
+            return;
+        };
+        let Some((class, told)) = self.classes.get(arrival.class) else {
+            return;
+        };
         // Texts and bodies are parts of larger buffers as they came: kept as they are, they would keep all of
         // those.
         let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
@@ -234,7 +276,8 @@
             tag: answer.etag.as_deref().map(own).unwrap_or_default(),
             body: own(&answer.body),
         };
-        self.store.keep(self.clock.now(), copy, rank, &mut self.shelf);
+        self.store
+            .keep(self.clock.now(), copy, rank, &mut self.shelf);
     }
 
     pub fn rank(&mut self, arrival: &Arrival, rank: u8) {
@@ -253,19 +296,35 @@
     /// A purge was told. By a clock that was set back it reaches the copies of the one that was ahead too, for
     /// when that comes back.
     pub fn purged(&mut self, object: Option<&Id>, group: u64, ms: u64) {
-        let is_opening = self.store.disk().is_some_and(|disk| *disk.phase() == Phase::Opening);
+        let is_opening = self
+            .store
+            .disk()
+            .is_some_and(|disk| *disk.phase() == Phase::Opening);
         if is_opening && self.early_purges.len() < EARLY_PURGES_MOST {
-            self.early_purges.push(Purge { object: object.cloned(), group, ms });
+            self.early_purges.push(Purge {
+                object: object.cloned(),
+                group,
+                ms,
+            });
         }
-        let lead = self.set_back_ms.load(Ordering::Acquire).min(PURGE_LEAD_MOST_MS);
+        let lead = self
+            .set_back_ms
+            .load(Ordering::Acquire)
+            .min(PURGE_LEAD_MOST_MS);
         let ms = ms.saturating_add(lead);
-        self.store.purge(object.map(|o| o.as_bytes()), group, ms, &mut self.shelf);
+        self.store
+            .purge(object.map(|o| o.as_bytes()), group, ms, &mut self.shelf);
     }
 
     /// Discovery has nothing that was not told.
     pub fn heard(&mut self) {
-        let ms = self.clock.unix_ms(self.clock.now().saturating_sub(TOLD_WITHIN));
-        self.store.disk_mut().into_iter().for_each(|disk| disk.heard(ms));
+        let ms = self
+            .clock
+            .unix_ms(self.clock.now().saturating_sub(TOLD_WITHIN));
+        self.store
+            .disk_mut()
+            .into_iter()
+            .for_each(|disk| disk.heard(ms));
     }
 
     /// Bodies of so many bytes are in hand or to come: own copies give way first.
@@ -291,7 +350,10 @@
         if self.set_back_ms.load(Ordering::Acquire) == 0 {
             return;
         }
-        self.store.disk_mut().into_iter().for_each(Disk::distrust_earlier_starts);
+        self.store
+            .disk_mut()
+            .into_iter()
+            .for_each(Disk::distrust_earlier_starts);
         for Purge { object, group, ms } in early_purges {
             self.purged(object.as_ref(), group, ms);
         }
@@ -300,7 +362,10 @@
     /// Whatever is due of background work; the router's own turns come so late.
     pub fn tick(&mut self, late: Duration) {
         let now = self.clock.now();
-        self.store.disk_mut().into_iter().for_each(|disk| disk.turn(now, late));
+        self.store
+            .disk_mut()
+            .into_iter()
+            .for_each(|disk| disk.turn(now, late));
         self.store.tick(now, &mut self.shelf);
     }
 
@@ -312,7 +377,10 @@
     pub fn asks(&mut self) -> Vec<(Arrival, Passed)> {
         let unproven = std::mem::take(&mut self.shelf.unproven);
         let asks = unproven.into_iter().filter_map(|copy| {
-            let class = self.classes.iter().position(|(name, _)| *name == copy.class)?;
+            let class = self
+                .classes
+                .iter()
+                .position(|(name, _)| *name == copy.class)?;
             let object = std::str::from_utf8(&copy.object).ok()?;
             let id = format!("{:016x}", self.chance.u64(..));
             let arrival = Arrival {
@@ -365,7 +433,9 @@
             "gave_way": counts.gave_way, "outdated": counts.outdated, "purges": counts.purges,
         }
     });
-    let Some(disk) = store.disk() else { return told };
+    let Some(disk) = store.disk() else {
+        return told;
+    };
     let (counts, (bytes, live)) = (disk.counts(), disk.segments().bytes());
     let phase = match disk.phase() {
         Phase::Opening => "opening".to_owned(),
@@ -409,13 +479,20 @@
         );
     }
     if let Err(what) = recorded {
-        log::warn!("store: {}: a later step of the clock may not be seen: {what}", directory.display());
+        log::warn!(
+            "store: {}: a later step of the clock may not be seen: {what}",
+            directory.display()
+        );
     }
     set_back
 }
 
 fn part(arrival: &Arrival) -> Part<'_> {
-    Part { object: arrival.object.as_bytes(), part: arrival.part, group: arrival.group }
+    Part {
+        object: arrival.object.as_bytes(),
+        part: arrival.part,
+        group: arrival.group,
+    }
 }
 
 fn wanted(wishes: &Wishes, bytes: u64, limit: u64, usable: u64) -> Result<Wanted, String> {
@@ -429,7 +506,9 @@
     let index = wishes.index.of(limit).min(usable / 2);
     let parts = chalkhall_store::decide::index::Index::parts_most(index);
     if parts < 1000 {
-        return Err(format!("store: index-memory {index} bytes is too small: it holds {parts} parts"));
+        return Err(format!(
+            "store: index-memory {index} bytes is too small: it holds {parts} parts"
+        ));
     }
     log::info!(index_bytes = index, parts_at_most = parts; "store: index");
     Ok(Wanted {
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -70,7 +70,14 @@
 /// still has the address for a moment.
 pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
     let bound = bind_with(|| try_bind(peers.listen)).await;
-    bound.map_err(|what| log::warn!("peer_listen: {}: {what}; peers are not talked to", peers.listen)).ok()
+    bound
+        .map_err(|what| {
+            log::warn!(
+                "peer_listen: {}: {what}; peers are not talked to",
+                peers.listen
+            )
+        })
+        .ok()
 }
 
 /// Sends a datagram, again where a signal interrupted it. What fails otherwise is lost.
@@ -78,7 +85,9 @@
     let mut sent = socket.send(bytes, to);
     for _ in 1..INTERRUPTIONS_MOST {
         match &sent {
-            Err(error) if error.kind() == io::ErrorKind::Interrupted => sent = socket.send(bytes, to),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {
+                sent = socket.send(bytes, to)
+            }
             _ => break,
         }
     }
--- a/crates/router/src/peers/tests.rs
+++ b/crates/router/src/peers/tests.rs
@@ -48,7 +48,12 @@
     }
 
     fn send(&self, bytes: &[u8], _: SocketAddr) -> io::Result<usize> {
-        if let Some(errno) = self.sending.borrow_mut().pop_front().filter(|errno| *errno != 0) {
+        if let Some(errno) = self
+            .sending
+            .borrow_mut()
+            .pop_front()
+            .filter(|errno| *errno != 0)
+        {
             return Err(io::Error::from_raw_os_error(errno));
         }
         self.sent.borrow_mut().push(bytes.to_vec());
@@ -61,23 +66,42 @@
 }
 
 fn peers() -> Peers {
-    Peers { listen: peer(), all: peer(), each: vec![peer()] }
+    Peers {
+        listen: peer(),
+        all: peer(),
+        each: vec![peer()],
+    }
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn whatever_receiving_fails_with_is_no_busy_loop() {
-    for errno in [libc::EPERM, libc::ENOBUFS, libc::ENOMEM, libc::EINTR, libc::ECONNREFUSED] {
+    for errno in [
+        libc::EPERM,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+        libc::EINTR,
+        libc::ECONNREFUSED,
+    ] {
         let socket = Failing::new(&[errno], true, &[]);
         let (_saying, sayings) = saying();
         let (decider, _messages) = mpsc::channel(8);
         let running = run(socket.clone(), peers(), sayings, decider);
-        assert!(timeout(Duration::from_secs(1), running).await.is_err(), "errno {errno}: it has ended");
+        assert!(
+            timeout(Duration::from_secs(1), running).await.is_err(),
+            "errno {errno}: it has ended"
+        );
     }
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn datagrams_come_after_any_failure() {
-    let failures = [libc::ECONNREFUSED, libc::EINTR, libc::ENOBUFS, libc::EPERM, libc::ENOMEM];
+    let failures = [
+        libc::ECONNREFUSED,
+        libc::EINTR,
+        libc::ENOBUFS,
+        libc::EPERM,
+        libc::ENOMEM,
+    ];
     let socket = Failing::new(&failures, false, &[]);
     let (_saying, sayings) = saying();
     let (decider, mut messages) = mpsc::channel(8);
--- a/crates/router/src/phase.rs
+++ b/crates/router/src/phase.rs
@@ -32,7 +32,8 @@
     pub fn asked_to_stop(self, now: Duration, longest_deadline: Duration) -> Phase {
         match self {
             Phase::Starting | Phase::Serving => {
-                let until = now + longest_deadline.min(DEADLINE_MOST) + KILL_AFTER_DEADLINE - FINAL_WRITES;
+                let until =
+                    now + longest_deadline.min(DEADLINE_MOST) + KILL_AFTER_DEADLINE - FINAL_WRITES;
                 Phase::Draining { since: now, until }
             }
             later => later,
@@ -57,7 +58,10 @@
         match self {
             Phase::Draining { since, until } => {
                 // With short deadlines the latest end comes before all that may still come has.
-                let next = [since + ARRIVALS_END_AFTER, until].into_iter().filter(|at| *at > now).min();
+                let next = [since + ARRIVALS_END_AFTER, until]
+                    .into_iter()
+                    .filter(|at| *at > now)
+                    .min();
                 Some(next.unwrap_or(until))
             }
             _ => None,
--- a/crates/router/src/phase/tests.rs
+++ b/crates/router/src/phase/tests.rs
@@ -20,7 +20,10 @@
 fn draining_ends_before_a_kill_for_any_longest_deadline() {
     let ms = Duration::from_millis;
     for longest in (0..=10_000).step_by(50).map(ms) {
-        let (since, kill) = (ms(7000), ms(7000) + longest.min(DEADLINE_MOST) + KILL_AFTER_DEADLINE);
+        let (since, kill) = (
+            ms(7000),
+            ms(7000) + longest.min(DEADLINE_MOST) + KILL_AFTER_DEADLINE,
+        );
         let phase = Phase::Serving.asked_to_stop(since, longest);
         let end = |open: usize| {
             let mut now = since;
@@ -34,7 +37,11 @@
             "{longest:?}: something open, ends after {:?}",
             end(1)
         );
-        assert!(end(0) <= end(1) && end(0) <= ARRIVALS_END_AFTER, "{longest:?}: nothing open, {:?}", end(0));
+        assert!(
+            end(0) <= end(1) && end(0) <= ARRIVALS_END_AFTER,
+            "{longest:?}: nothing open, {:?}",
+            end(0)
+        );
         assert!(
             end(1) >= longest.min(DEADLINE_MOST) + ms(450),
             "{longest:?}: what came late gets little time"
--- a/crates/router/src/probes.rs
+++ b/crates/router/src/probes.rs
@@ -48,7 +48,11 @@
     }
 }
 
-async fn measure(dial: SocketAddr, mut edges: mpsc::Receiver<usize>, decider: mpsc::Sender<Message>) {
+async fn measure(
+    dial: SocketAddr,
+    mut edges: mpsc::Receiver<usize>,
+    decider: mpsc::Sender<Message>,
+) {
     let (mut stream, mut tag) = (None, 0u64);
     while let Ok(Some(edge)) = timeout(IDLE, edges.recv()).await {
         tag += 1;
@@ -83,10 +87,13 @@
 }
 
 async fn connect(dial: SocketAddr) -> Result<TcpStream, Failure> {
-    let made = TcpStream::connect(dial).await.map_err(|error| match ConnectFailure::from(&error) {
-        ConnectFailure::Interrupted | ConnectFailure::LocalResources => Failure::Local,
-        ConnectFailure::Server => Failure::Lost,
-    })?;
+    let made =
+        TcpStream::connect(dial)
+            .await
+            .map_err(|error| match ConnectFailure::from(&error) {
+                ConnectFailure::Interrupted | ConnectFailure::LocalResources => Failure::Local,
+                ConnectFailure::Server => Failure::Lost,
+            })?;
     set_nodelay(&made);
     Ok(made)
 }
@@ -99,12 +106,19 @@
     if stream.is_none() {
         *stream = Some(BufReader::new(Uninterrupted::new(connect(dial).await?)));
     }
-    let Some(stream) = stream else { return Err(Failure::Lost) };
+    let Some(stream) = stream else {
+        return Err(Failure::Lost);
+    };
     let (sent, tag) = (Instant::now(), tag.to_string());
-    stream.get_mut().write_all(format!("NOOP {tag}\r\n").as_bytes()).await?;
+    stream
+        .get_mut()
+        .write_all(format!("NOOP {tag}\r\n").as_bytes())
+        .await?;
     loop {
         let mut line = String::new();
-        let read = tokio::io::AsyncReadExt::take(&mut *stream, LINE_MOST).read_line(&mut line).await?;
+        let read = tokio::io::AsyncReadExt::take(&mut *stream, LINE_MOST)
+            .read_line(&mut line)
+            .await?;
         if read == 0 {
             return Err(Failure::Lost);
         }
--- a/crates/router/src/probes/tests.rs
+++ b/crates/router/src/probes/tests.rs
@@ -3,7 +3,10 @@
 
 #[test]
 fn what_comes_back_is_measured_and_what_does_not_is_lost() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (decider, mut messages) = mpsc::channel(8);
         let (probes, receiver) = mpsc::channel(8);
@@ -19,8 +22,15 @@
         let mut line = String::new();
         stream.read_line(&mut line).await.unwrap();
         assert_eq!(line, "NOOP 1\r\n");
-        stream.get_mut().write_all(b"9 UP - 0\r\n\r\n1 UP - 0\r\n\r\n").await.unwrap();
-        assert!(matches!(messages.recv().await, Some(Message::Way(3, Some(_)))));
+        stream
+            .get_mut()
+            .write_all(b"9 UP - 0\r\n\r\n1 UP - 0\r\n\r\n")
+            .await
+            .unwrap();
+        assert!(matches!(
+            messages.recv().await,
+            Some(Message::Way(3, Some(_)))
+        ));
         // The connection is used again; where it breaks the word is lost, and the next one opens another.
         probes.send(Probe { edge: 3, dial }).await.unwrap();
         line.clear();
@@ -28,7 +38,13 @@
         assert_eq!(line, "NOOP 2\r\n");
         drop(stream);
         assert!(matches!(messages.recv().await, Some(Message::Way(3, None))));
-        probes.send(Probe { edge: 4, dial: nobody }).await.unwrap();
+        probes
+            .send(Probe {
+                edge: 4,
+                dial: nobody,
+            })
+            .await
+            .unwrap();
         assert!(matches!(messages.recv().await, Some(Message::Way(4, None))));
         probes.send(Probe { edge: 3, dial }).await.unwrap();
         assert!(listener.accept().await.is_ok());
@@ -43,7 +59,12 @@
         let (edges, receiver) = mpsc::channel(8);
         edges.send(3).await.unwrap();
         drop(edges);
-        measure(SocketAddr::from(([127, 255, 255, 255], 9)), receiver, decider).await;
+        measure(
+            SocketAddr::from(([127, 255, 255, 255], 9)),
+            receiver,
+            decider,
+        )
+        .await;
         assert!(messages.recv().await.is_none());
     };
     tokio::task::LocalSet::new().run_until(inside).await;
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/resp.rs
@@ -37,7 +37,9 @@
                     None => return Ok(None),
                     // Nothing answers an empty one, so a stream of them would go on for ever.
                     Some(0) => return Err(Nonsense("an empty array")),
-                    Some(n) if n > PARTS_MOST.len() => return Err(Nonsense("an array of too many parts")),
+                    Some(n) if n > PARTS_MOST.len() => {
+                        return Err(Nonsense("an array of too many parts"));
+                    }
                     some => self.wanted = some,
                 }
                 continue;
@@ -49,7 +51,9 @@
             let Some(length) = self.length else {
                 match head(buffer, b'$')? {
                     None => return Ok(None),
-                    Some(n) if n > PARTS_MOST[self.parts.len()] => return Err(Nonsense("a part too long")),
+                    Some(n) if n > PARTS_MOST[self.parts.len()] => {
+                        return Err(Nonsense("a part too long"));
+                    }
                     some => self.length = some,
                 }
                 continue;
@@ -70,13 +74,25 @@
 
 /// A length behind its sign: `*3` or `$12`.
 fn head(buffer: &mut BytesMut, sign: u8) -> Result<Option<usize>, Nonsense> {
-    let Some(end) = buffer.iter().take(DIGITS_MOST + 3).position(|b| *b == b'\n') else {
+    let Some(end) = buffer
+        .iter()
+        .take(DIGITS_MOST + 3)
+        .position(|b| *b == b'\n')
+    else {
         let wrong = buffer.first().is_some_and(|b| *b != sign) || buffer.len() > DIGITS_MOST + 2;
-        return if wrong { Err(Nonsense("no length where one is due")) } else { Ok(None) };
+        return if wrong {
+            Err(Nonsense("no length where one is due"))
+        } else {
+            Ok(None)
+        };
     };
     let line = buffer.split_to(end + 1);
-    let digits = line.strip_prefix(&[sign]).and_then(|l| l.strip_suffix(b"\r\n"));
-    let length = digits.and_then(number).ok_or(Nonsense("no length where one is due"))?;
+    let digits = line
+        .strip_prefix(&[sign])
+        .and_then(|l| l.strip_suffix(b"\r\n"));
+    let length = digits
+        .and_then(number)
+        .ok_or(Nonsense("no length where one is due"))?;
     Ok(Some(length as usize))
 }
 
@@ -98,7 +114,9 @@
 pub fn answer(tag: u64, word: &str, fields: &str, body: usize) -> Bytes {
     let tag = tag.to_string();
     let (t, w, f) = (tag.len(), word.len(), fields.len());
-    Bytes::from(format!("*4\r\n${t}\r\n{tag}\r\n${w}\r\n{word}\r\n${f}\r\n{fields}\r\n${body}\r\n"))
+    Bytes::from(format!(
+        "*4\r\n${t}\r\n{tag}\r\n${w}\r\n{word}\r\n${f}\r\n{fields}\r\n${body}\r\n"
+    ))
 }
 
 pub const END: &[u8] = b"\r\n";
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server.rs
@@ -58,7 +58,11 @@
 impl ConnectionPlaces {
     pub fn new(most: usize) -> ConnectionPlaces {
         let kept_free = most / PLACES_KEPT_FREE;
-        ConnectionPlaces { free: Arc::new(Semaphore::new(most)), kept_free, short: Notify::new() }
+        ConnectionPlaces {
+            free: Arc::new(Semaphore::new(most)),
+            kept_free,
+            short: Notify::new(),
+        }
     }
 
     /// None: all are taken. Where few are left, an idle connection of some server is let go of: with many servers
@@ -84,7 +88,12 @@
 
 impl ServerActors {
     /// The mailbox of a new actor. It closes the mailbox as it ends: what finds it closed was not taken.
-    pub fn spawn(&self, name: Id, dial: SocketAddr, connections_most: usize) -> mpsc::Sender<Order> {
+    pub fn spawn(
+        &self,
+        name: Id,
+        dial: SocketAddr,
+        connections_most: usize,
+    ) -> mpsc::Sender<Order> {
         let (sender, orders) = mpsc::channel(MAILBOX_MOST);
         let (orders_of_connections, from_connections) = mpsc::channel(MAILBOX_MOST);
         let server = Server {
@@ -127,16 +136,27 @@
 
 impl Hands {
     fn next_idle(&self, idle: Duration) -> Option<Instant> {
-        self.connections.iter().filter(|l| l.open == 0).map(|l| l.used + idle).min()
+        self.connections
+            .iter()
+            .filter(|l| l.open == 0)
+            .map(|l| l.used + idle)
+            .min()
     }
 
     fn has_idle(&self) -> bool {
-        self.connections.iter().any(|connection| connection.open == 0)
+        self.connections
+            .iter()
+            .any(|connection| connection.open == 0)
     }
 
     fn retire_longest_idle(&mut self) {
-        let idle = self.connections.iter_mut().filter(|connection| connection.open == 0);
-        idle.min_by_key(|connection| connection.used).into_iter().for_each(|longest| longest.retired = true);
+        let idle = self
+            .connections
+            .iter_mut()
+            .filter(|connection| connection.open == 0);
+        idle.min_by_key(|connection| connection.used)
+            .into_iter()
+            .for_each(|longest| longest.retired = true);
     }
 
     /// It has neither a connection nor anything out.
@@ -195,12 +215,22 @@
     /// Closed before the other side does it: a request that crosses a close may have run.
     fn retire(&self, hands: &mut Hands) {
         let now = Instant::now();
-        hands.connections.iter_mut().for_each(|l| l.retired |= l.open == 0 && now >= l.used + self.idle);
+        hands
+            .connections
+            .iter_mut()
+            .for_each(|l| l.retired |= l.open == 0 && now >= l.used + self.idle);
         hands.connections.retain(|l| !(l.retired && l.open == 0));
     }
 
     async fn end(&self, key: Key, outcome: Outcome, answer: Option<Box<Answer>>) {
-        let _ = self.decider.send(Message::Ended(Ended { key, outcome, answer })).await;
+        let _ = self
+            .decider
+            .send(Message::Ended(Ended {
+                key,
+                outcome,
+                answer,
+            }))
+            .await;
     }
 
     async fn order(&mut self, hands: &mut Hands, order: Order) {
@@ -212,7 +242,9 @@
                 }
             }
             Order::Quit(key) => {
-                let Some(number) = hands.out.get(&key) else { return };
+                let Some(number) = hands.out.get(&key) else {
+                    return;
+                };
                 // Where the connection takes no orders its end is on the way.
                 if let Some(connection) = hands.connections.iter().find(|l| l.number == *number) {
                     let _ = connection.orders.try_send(ConnectionOrder::Quit(key));
@@ -225,24 +257,48 @@
                     // What kept the old address from being reached says nothing of the new one.
                     hands.backoff = Backoff::default();
                 }
-                let before = |connection: &Held| elsewhere || started.is_some_and(|at| connection.made < at);
-                hands.connections.iter_mut().filter(|l| before(l)).for_each(|l| l.retired = true);
+                let before =
+                    |connection: &Held| elsewhere || started.is_some_and(|at| connection.made < at);
+                hands
+                    .connections
+                    .iter_mut()
+                    .filter(|l| before(l))
+                    .for_each(|l| l.retired = true);
             }
             Order::Connection(number, Report::Up) => {
-                hands.connections.iter_mut().filter(|l| l.number == number).for_each(|l| l.up = true);
+                hands
+                    .connections
+                    .iter_mut()
+                    .filter(|l| l.number == number)
+                    .for_each(|l| l.up = true);
                 hands.backoff.succeeded();
             }
             Order::Connection(number, Report::LocalFailure) => {
                 // What comes before its last report must find it gone already.
-                hands.connections.iter_mut().filter(|l| l.number == number).for_each(|l| l.retired = true);
+                hands
+                    .connections
+                    .iter_mut()
+                    .filter(|l| l.number == number)
+                    .for_each(|l| l.retired = true);
                 hands.backoff.failed(Instant::now());
             }
-            Order::Connection(number, Report::Down) => hands.connections.retain(|l| l.number != number),
-            Order::Connection(number, Report::Ended { key, outcome, answer, silent }) => {
+            Order::Connection(number, Report::Down) => {
+                hands.connections.retain(|l| l.number != number)
+            }
+            Order::Connection(
+                number,
+                Report::Ended {
+                    key,
+                    outcome,
+                    answer,
+                    silent,
+                },
+            ) => {
                 if hands.out.remove(&key).is_none() {
                     return;
                 }
-                if let Some(connection) = hands.connections.iter_mut().find(|l| l.number == number) {
+                if let Some(connection) = hands.connections.iter_mut().find(|l| l.number == number)
+                {
                     connection.open -= 1;
                     connection.used = Instant::now();
                     // A machine that vanished says nothing; a new connection to it will not come up, which
@@ -250,7 +306,9 @@
                     connection.retired |= silent;
                     if outcome != Outcome::NeverSent {
                         connection.old.push_back(key.0.clone());
-                        connection.old.drain(..connection.old.len().saturating_sub(OLD_IDS_MOST));
+                        connection
+                            .old
+                            .drain(..connection.old.len().saturating_sub(OLD_IDS_MOST));
                     }
                 }
                 self.end(key, outcome, answer).await;
@@ -268,18 +326,28 @@
         // A connection that broke a moment ago takes no orders; the next one may.
         for _ in 0..=self.connections_most {
             let usable = |l: &Held| {
-                !l.retired && l.open < self.streams && !l.old.contains(&key.0) && (fresh(l) || !once)
+                !l.retired
+                    && l.open < self.streams
+                    && !l.old.contains(&key.0)
+                    && (fresh(l) || !once)
             };
             let best = |connections: &[Held]| {
                 let usable = connections.iter().enumerate().filter(|(_, l)| usable(l));
-                usable.min_by_key(|(_, l)| (!l.up, l.open)).map(|(at, _)| at)
+                usable
+                    .min_by_key(|(_, l)| (!l.up, l.open))
+                    .map(|(at, _)| at)
             };
             let found = best(&hands.connections);
             let crowded = found.is_none_or(|at| hands.connections[at].open >= SHARED_FROM);
             let connecting = hands.connections.iter().any(|l| !l.up && !l.retired);
-            if found.is_none() || crowded && !connecting && hands.connections.len() < self.connections_most {
+            if found.is_none()
+                || crowded && !connecting && hands.connections.len() < self.connections_most
+            {
                 if once && hands.connections.len() >= self.connections_most {
-                    hands.connections.iter_mut().for_each(|l| l.retired |= !fresh(l));
+                    hands
+                        .connections
+                        .iter_mut()
+                        .for_each(|l| l.retired |= !fresh(l));
                     hands.connections.retain(|l| !(l.retired && l.open == 0));
                 }
                 // Past the bound only where no other can take it: silent ones still hold descriptors.
@@ -288,7 +356,8 @@
                 }
                 self.open(hands);
             }
-            let Some(connection) = best(&hands.connections).map(|at| &mut hands.connections[at]) else {
+            let Some(connection) = best(&hands.connections).map(|at| &mut hands.connections[at])
+            else {
                 return false;
             };
             match connection.orders.try_send(ConnectionOrder::Ask(ask)) {
@@ -313,7 +382,9 @@
         if !hands.backoff.allows(Instant::now()) {
             return;
         }
-        let Some(place) = self.places.take() else { return };
+        let Some(place) = self.places.take() else {
+            return;
+        };
         hands.last += 1;
         let (orders, receiver) = mpsc::channel(ORDERS_MOST);
         let now = Instant::now();
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server/tests.rs
@@ -40,16 +40,35 @@
 
 fn ask(id: &'static str) -> Box<Ask> {
     let due = Instant::now() + WAIT;
-    let passed = Passed { id: Bytes::from_static(id.as_bytes()), ..Passed::default() };
+    let passed = Passed {
+        id: Bytes::from_static(id.as_bytes()),
+        ..Passed::default()
+    };
     let (server, fill) = (Id::from("s"), no_fill());
     let (key, wanted) = ((id.into(), 0), Wanted::default());
-    Box::new(Ask { key, passed, server, fill, once: false, wanted, due, leave_by: due })
+    Box::new(Ask {
+        key,
+        passed,
+        server,
+        fill,
+        once: false,
+        wanted,
+        due,
+        leave_by: due,
+    })
 }
 
 async fn ended(server: &mut Server, hands: &mut Hands, connection: u64, id: &str) {
     let key: Key = (id.into(), 0);
-    let ended = Report::Ended { key, outcome: Outcome::Served, answer: None, silent: false };
-    server.order(hands, Order::Connection(connection, ended)).await;
+    let ended = Report::Ended {
+        key,
+        outcome: Outcome::Served,
+        answer: None,
+        silent: false,
+    };
+    server
+        .order(hands, Order::Connection(connection, ended))
+        .await;
 }
 
 #[tokio::test(flavor = "current_thread")]
@@ -62,8 +81,16 @@
         assert_eq!(hands.connections.len(), 1, "shared while it may be");
         ended(&mut server, &mut hands, 1, "a").await;
         assert!(server.pass(&mut hands, ask("a")));
-        let open: Vec<usize> = hands.connections.iter().map(|connection| connection.open).collect();
-        assert_eq!(open, [0, 1], "a second copy would pass for the second one's");
+        let open: Vec<usize> = hands
+            .connections
+            .iter()
+            .map(|connection| connection.open)
+            .collect();
+        assert_eq!(
+            open,
+            [0, 1],
+            "a second copy would pass for the second one's"
+        );
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
@@ -77,11 +104,18 @@
         assert!(server.pass(&mut hands, ask("a")));
         hands.connections[0].up = true;
         ended(&mut server, &mut hands, 1, "a").await;
-        assert_eq!(hands.next_idle(WAIT), Some(hands.connections[0].used + WAIT), "the timer is exact");
+        assert_eq!(
+            hands.next_idle(WAIT),
+            Some(hands.connections[0].used + WAIT),
+            "the timer is exact"
+        );
         hands.connections[0].used = Instant::now() - WAIT;
         assert!(server.pass(&mut hands, ask("b")));
-        let open: Vec<(u64, usize)> =
-            hands.connections.iter().map(|connection| (connection.number, connection.open)).collect();
+        let open: Vec<(u64, usize)> = hands
+            .connections
+            .iter()
+            .map(|connection| (connection.number, connection.open))
+            .collect();
         assert_eq!(open, [(2, 1)]);
         // One that carries something is in use, however long ago the last was passed to it.
         hands.connections[0].used = Instant::now() - WAIT;
@@ -102,7 +136,10 @@
         assert!(one.pass(&mut hands, ask("a")) && other.pass(&mut others, ask("b")));
         assert!(one.pass(&mut hands, ask("c")), "shared");
         one.streams = 2;
-        assert!(!one.pass(&mut hands, ask("d")), "there is no place, and no connection that takes it");
+        assert!(
+            !one.pass(&mut hands, ask("d")),
+            "there is no place, and no connection that takes it"
+        );
         assert_eq!((hands.connections.len(), hands.out.len()), (1, 2));
     };
     tokio::task::LocalSet::new().run_until(inside).await;
@@ -119,7 +156,8 @@
         let (decider, mut messages) = mpsc::channel(8);
         let (from, mut reports) = mpsc::channel(1024);
         (server.decider, server.orders_of_connections) = (decider, from);
-        (server.dial, server.streams, server.connections_most) = (listener.local_addr().unwrap(), 1000, 1);
+        (server.dial, server.streams, server.connections_most) =
+            (listener.local_addr().unwrap(), 1000, 1);
         let mut wanted = Vec::new();
         for n in 0..ORDERS_MOST {
             let mut ask = ask("a");
@@ -128,23 +166,37 @@
             wanted.push(ask.wanted.clone());
             server.order(&mut hands, Order::Ask(ask)).await;
         }
-        assert_eq!((hands.connections[0].orders.capacity(), hands.out.len()), (0, ORDERS_MOST));
+        assert_eq!(
+            (hands.connections[0].orders.capacity(), hands.out.len()),
+            (0, ORDERS_MOST)
+        );
         server.order(&mut hands, Order::Ask(ask("b"))).await;
-        let Ok(Message::Ended(ended)) = messages.try_recv() else { panic!("nothing was said of it") };
+        let Ok(Message::Ended(ended)) = messages.try_recv() else {
+            panic!("nothing was said of it")
+        };
         assert_eq!((&*ended.key.0, ended.outcome), ("b", Outcome::NeverSent));
         // Called off: the flag ends with the final answer or the client, the QUIT finds no place.
         wanted[7].end();
         server.order(&mut hands, Order::Quit(("a".into(), 7))).await;
-        assert_eq!(hands.connections[0].orders.capacity(), 0, "it took the QUIT");
+        assert_eq!(
+            hands.connections[0].orders.capacity(),
+            0,
+            "it took the QUIT"
+        );
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = Vec::new();
         let last = format!("ASK a{} ", ORDERS_MOST - 1);
-        while !read.windows(last.len()).any(|part| part == last.as_bytes()) || !read.ends_with(b"\r\n\r\n") {
+        while !read.windows(last.len()).any(|part| part == last.as_bytes())
+            || !read.ends_with(b"\r\n\r\n")
+        {
             assert!(stream.read_buf(&mut read).await.unwrap() > 0);
         }
         let text = String::from_utf8(read).unwrap();
         assert_eq!(text.matches("ASK").count(), ORDERS_MOST - 1);
-        assert!(!text.contains("ASK a7 ") && !text.contains("QUIT"), "{text}");
+        assert!(
+            !text.contains("ASK a7 ") && !text.contains("QUIT"),
+            "{text}"
+        );
         let mut never = Vec::new();
         while let Ok(order) = reports.try_recv() {
             if let Order::Connection(_, Report::Ended { key, outcome, .. }) = order {
@@ -168,7 +220,10 @@
         assert!(!hands.is_resting(), "an idle connection");
         assert!(server.pass(&mut hands, ask("b")));
         hands.connections.clear();
-        assert!(!hands.is_resting(), "the end of an attempt is still to come");
+        assert!(
+            !hands.is_resting(),
+            "the end of an attempt is still to come"
+        );
         ended(&mut server, &mut hands, 1, "b").await;
         assert!(hands.is_resting());
     };
@@ -195,7 +250,13 @@
     let inside = async {
         let (decider, mut messages) = mpsc::channel(8);
         let places = Rc::new(ConnectionPlaces::new(2));
-        let actors = ServerActors { streams: 100, connect_timeout: WAIT, idle: WAIT * 60, decider, places };
+        let actors = ServerActors {
+            streams: 100,
+            connect_timeout: WAIT,
+            idle: WAIT * 60,
+            decider,
+            places,
+        };
         let mut streams = Vec::new();
         let mut senders = Vec::new();
         for name in ["first", "second", "third"] {
@@ -203,7 +264,9 @@
             let orders = actors.spawn(name.into(), listener.local_addr().unwrap(), 1);
             assert!(orders.try_send(Order::Ask(ask("x"))).is_ok());
             streams.push(answers_once(&listener).await);
-            let Some(Message::Ended(ended)) = messages.recv().await else { panic!("{name}: nothing came") };
+            let Some(Message::Ended(ended)) = messages.recv().await else {
+                panic!("{name}: nothing came")
+            };
             assert_eq!(ended.outcome, Outcome::Served, "{name}");
             senders.push(orders);
             if name == "second" {
@@ -243,10 +306,18 @@
                     Some(Message::Ended(ended)) = messages.recv() => break ended,
                 }
             };
-            assert_eq!(ended.outcome, Outcome::NeverSent, "nothing ran, and it is not the server's fault");
+            assert_eq!(
+                ended.outcome,
+                Outcome::NeverSent,
+                "nothing ran, and it is not the server's fault"
+            );
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert!(sent > 1000 && (8..=20).contains(&hands.last), "{} connections, {sent} requests", hands.last);
+        assert!(
+            sent > 1000 && (8..=20).contains(&hands.last),
+            "{} connections, {sent} requests",
+            hands.last
+        );
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
--- a/crates/router/src/stamps.rs
+++ b/crates/router/src/stamps.rs
@@ -46,7 +46,11 @@
 impl EventTimes {
     /// At the start of the router, before anything was heard.
     pub fn new(clock: Clock) -> EventTimes {
-        EventTimes { clock, evidence: Evidence::Startup, starts: HashMap::new() }
+        EventTimes {
+            clock,
+            evidence: Evidence::Startup,
+            starts: HashMap::new(),
+        }
     }
 
     /// Discovery says that it has nothing newer than what it told.
@@ -67,9 +71,13 @@
         match notice {
             Notice::List { whole, members } => {
                 if *whole {
-                    self.starts.values_mut().for_each(|start| start.is_listed = false);
+                    self.starts
+                        .values_mut()
+                        .for_each(|start| start.is_listed = false);
                 }
-                members.iter_mut().for_each(|(member, _)| self.bound_start(now, member));
+                members
+                    .iter_mut()
+                    .for_each(|(member, _)| self.bound_start(now, member));
             }
             Notice::Purge { ms, .. } => {
                 if !self.is_possible(now, self.clock.at_unix_ms(*ms)) {
@@ -99,7 +107,11 @@
             self.starts.retain(|_, start| start.is_listed);
         }
         let counted = if possible { stamp } else { now };
-        let start = self.starts.entry(member.server.clone()).or_insert(Start { stamp, counted, is_listed });
+        let start = self.starts.entry(member.server.clone()).or_insert(Start {
+            stamp,
+            counted,
+            is_listed,
+        });
         if start.stamp != stamp {
             (start.stamp, start.counted) = (stamp, counted);
         }
--- a/crates/router/src/stamps/tests.rs
+++ b/crates/router/src/stamps/tests.rs
@@ -22,15 +22,23 @@
         ..Member::default()
     };
     let dial = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    Notice::List { whole, members: entries.iter().map(|entry| (member(entry), dial)).collect() }
+    Notice::List {
+        whole,
+        members: entries.iter().map(|entry| (member(entry), dial)).collect(),
+    }
 }
 
 /// How long ago the only server of an event counts as started; none: long ago.
 fn age_of_start(clock: &Clock, times: &mut EventTimes, mut notice: Notice) -> Option<Duration> {
     times.bound(&mut notice);
     times.passed();
-    let Notice::List { members, .. } = notice else { panic!("no list") };
-    assert!(members[0].0.started.is_none_or(|at| at <= clock.now()), "a start in the future");
+    let Notice::List { members, .. } = notice else {
+        panic!("no list")
+    };
+    assert!(
+        members[0].0.started.is_none_or(|at| at <= clock.now()),
+        "a start in the future"
+    );
     members[0].0.started.map(|at| clock.now() - at)
 }
 
@@ -40,11 +48,19 @@
 
 /// How long ago a purge counts as made, in milliseconds.
 fn age_of_purge(clock: &Clock, times: &mut EventTimes, stamp: u64) -> u64 {
-    let mut notice = Notice::Purge { object: None, group: 1, ms: stamp };
+    let mut notice = Notice::Purge {
+        object: None,
+        group: 1,
+        ms: stamp,
+    };
     times.bound(&mut notice);
     times.passed();
-    let Notice::Purge { ms, .. } = notice else { panic!("no purge") };
-    now_ms(clock).checked_sub(ms).expect("a purge in the future")
+    let Notice::Purge { ms, .. } = notice else {
+        panic!("no purge")
+    };
+    now_ms(clock)
+        .checked_sub(ms)
+        .expect("a purge in the future")
 }
 
 #[tokio::test(start_paused = true)]
@@ -63,16 +79,25 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_live_stamp_from_before_the_last_word_or_from_the_future_counts_as_of_its_arrival() {
-    for stamp in
-        [|now| now - 1100, |now| now - HOUR_MS, |now| now + HOUR_MS, |now| now + 5, |_| 1, |_| u64::MAX]
-    {
+    for stamp in [
+        |now| now - 1100,
+        |now| now - HOUR_MS,
+        |now| now + HOUR_MS,
+        |now| now + 5,
+        |_| 1,
+        |_| u64::MAX,
+    ] {
         let (clock, mut times) = event_times();
         advance(SECOND * 100).await;
         times.nothing_newer();
         advance(SECOND).await;
         let stamp = stamp(now_ms(&clock));
         assert_eq!(age_of_purge(&clock, &mut times, stamp), 0, "{stamp}");
-        assert_eq!(age_of_start(&clock, &mut times, started(&clock, stamp)), Some(Duration::ZERO), "{stamp}");
+        assert_eq!(
+            age_of_start(&clock, &mut times, started(&clock, stamp)),
+            Some(Duration::ZERO),
+            "{stamp}"
+        );
     }
 }
 
@@ -93,7 +118,10 @@
     times.nothing_newer();
     advance(SECOND).await;
     let stamp = now_ms(&clock) - HOUR_MS;
-    assert_eq!(age_of_start(&clock, &mut times, started(&clock, stamp)), Some(Duration::ZERO));
+    assert_eq!(
+        age_of_start(&clock, &mut times, started(&clock, stamp)),
+        Some(Duration::ZERO)
+    );
     advance(SECOND * 7).await;
     // Told again by a change, by a whole list after a lost connection, and as it comes back from having left.
     let again = started(&clock, stamp);
@@ -118,7 +146,10 @@
     times.interrupted();
     let stamp = now_ms(&clock) - 5000;
     assert_eq!(age_of_purge(&clock, &mut times, stamp), 0);
-    assert_eq!(age_of_start(&clock, &mut times, started(&clock, stamp)), Some(Duration::ZERO));
+    assert_eq!(
+        age_of_start(&clock, &mut times, started(&clock, stamp)),
+        Some(Duration::ZERO)
+    );
     // Once discovery has nothing newer again, stamps are believed again.
     times.nothing_newer();
     advance(SECOND).await;
@@ -137,7 +168,10 @@
     assert_eq!(age.as_secs(), 60);
     let ahead = now_ms(&clock) + HOUR_MS;
     assert_eq!(age_of_purge(&clock, &mut times, ahead), 0);
-    assert_eq!(age_of_start(&clock, &mut times, started(&clock, ahead)), Some(Duration::ZERO));
+    assert_eq!(
+        age_of_start(&clock, &mut times, started(&clock, ahead)),
+        Some(Duration::ZERO)
+    );
     // It is warm in its time, not in an hour: told again it did not start again.
     advance(SECOND * 20).await;
     let again = started(&clock, ahead);
@@ -152,7 +186,11 @@
     for number in 0..STARTS_MOST * 2 {
         let name = format!("c{number}");
         let stamp = now_ms(&clock);
-        times.bound(&mut list(&clock, false, &[(&name, stamp, Standing::Active)]));
+        times.bound(&mut list(
+            &clock,
+            false,
+            &[(&name, stamp, Standing::Active)],
+        ));
         times.bound(&mut list(&clock, false, &[(&name, stamp, Standing::Gone)]));
     }
     assert!(times.starts.len() <= STARTS_MOST, "{}", times.starts.len());
@@ -163,13 +201,33 @@
     let clock = Clock::start();
     let mut times = CopyTimes::default();
     let now = now_ms(&clock);
-    assert_eq!(times.bound(&clock, now - 700), Some(now - 700), "by an ordinary stamp");
-    assert_eq!(times.bound(&clock, now + 20), Some(now), "clocks differ a little");
-    assert_eq!(times.bound(&clock, now + HOUR_MS), None, "its age is not known");
+    assert_eq!(
+        times.bound(&clock, now - 700),
+        Some(now - 700),
+        "by an ordinary stamp"
+    );
+    assert_eq!(
+        times.bound(&clock, now + 20),
+        Some(now),
+        "clocks differ a little"
+    );
+    assert_eq!(
+        times.bound(&clock, now + HOUR_MS),
+        None,
+        "its age is not known"
+    );
     // The clock that stamps is an hour ahead at least.
     assert_eq!(times.bound(&clock, now + HOUR_MS - 300), Some(now - 300));
-    assert_eq!(times.bound(&clock, now), Some(now - HOUR_MS), "older than it is, to be safe");
-    assert_eq!(times.bound(&clock, now + HOUR_MS + 400), None, "further ahead than was known");
+    assert_eq!(
+        times.bound(&clock, now),
+        Some(now - HOUR_MS),
+        "older than it is, to be safe"
+    );
+    assert_eq!(
+        times.bound(&clock, now + HOUR_MS + 400),
+        None,
+        "further ahead than was known"
+    );
     assert_eq!(times.bound(&clock, u64::MAX), None);
 }
 
@@ -180,7 +238,11 @@
     assert_eq!(times.bound(&clock, now_ms(&clock) + HOUR_MS), None);
     advance(LEAD_WINDOW).await;
     let now = now_ms(&clock);
-    assert_eq!(times.bound(&clock, now), Some(now - HOUR_MS), "it still counts in the next window");
+    assert_eq!(
+        times.bound(&clock, now),
+        Some(now - HOUR_MS),
+        "it still counts in the next window"
+    );
     advance(LEAD_WINDOW).await;
     let now = now_ms(&clock);
     assert_eq!(times.bound(&clock, now), Some(now));
--- a/crates/router/src/tests.rs
+++ b/crates/router/src/tests.rs
@@ -13,7 +13,11 @@
         let ended = Instant::now();
         advance(ms(200)).await;
         wait_for_disk(ended, spawn_local(pending())).await;
-        assert!(ms(850) + ended.elapsed() < ms(400 + 700), "{:?} after the end", ended.elapsed());
+        assert!(
+            ms(850) + ended.elapsed() < ms(400 + 700),
+            "{:?} after the end",
+            ended.elapsed()
+        );
     };
     LocalSet::new().run_until(inside).await;
 }
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -61,7 +61,9 @@
     /// The keys in which another configuration differs where only a restart takes it over.
     pub fn fixed_otherwise(&self, anew: &Told) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&anew.fixed).zip(FIXED);
-        pairs.filter_map(|((old, new), name)| (old != new).then_some(name)).collect()
+        pairs
+            .filter_map(|((old, new), name)| (old != new).then_some(name))
+            .collect()
     }
 }
 
@@ -81,27 +83,41 @@
 pub fn told(env: impl Fn(&str) -> Option<String>, clock: &Clock) -> Result<Told, String> {
     let path = env("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
-    let file: Value = serde_json::from_str(&text).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
-    let file = file.as_object().ok_or("ROUTER_CONFIG: the file does not hold an object")?;
+    let file: Value =
+        serde_json::from_str(&text).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
+    let file = file
+        .as_object()
+        .ok_or("ROUTER_CONFIG: the file does not hold an object")?;
     read(file, env, clock)
 }
 
-fn read(file: &Fields, env: impl Fn(&str) -> Option<String>, clock: &Clock) -> Result<Told, String> {
+fn read(
+    file: &Fields,
+    env: impl Fn(&str) -> Option<String>,
+    clock: &Clock,
+) -> Result<Told, String> {
     let text = |name: &str, variable: &str| match env(variable) {
         Some(found) => Ok((found, variable.to_owned())),
         None => deployment::text(file, name).map(|found| (found.to_owned(), name.to_owned())),
     };
     let address = |(found, name): (String, String)| match found.as_str() {
         "" => Err(format!("{name} is missing")),
-        found => found.parse().map_err(|_| format!("{name} is not an address: {found:?}")),
+        found => found
+            .parse()
+            .map_err(|_| format!("{name} is not an address: {found:?}")),
     };
     let (name, _) = text("name", "ROUTER_NAME")?;
     let listen = address(text("listen", "ROUTER_LISTEN")?)?;
-    let discovery = address((deployment::text(file, "board")?.to_owned(), "board".to_owned()))?;
+    let discovery = address((
+        deployment::text(file, "board")?.to_owned(),
+        "board".to_owned(),
+    ))?;
 
     let seed = match file.get("seed") {
         None | Some(Value::Null) => 0,
-        Some(Value::String(hex)) => u64::from_str_radix(hex, 16).map_err(|_| "seed is not 16 hex digits")?,
+        Some(Value::String(hex)) => {
+            u64::from_str_radix(hex, 16).map_err(|_| "seed is not 16 hex digits")?
+        }
         Some(Value::Number(n)) => n.as_u64().ok_or("seed is not a whole number")?,
         Some(_) => return Err("seed is not 16 hex digits".into()),
     };
@@ -113,13 +129,23 @@
         return Err("settings: Classes is empty".into());
     }
     let [parent, origin] = deployment::parent_and_origin(settings);
-    let places = Places { zones: names.zones, kinds: names.kinds, parent, origin };
+    let places = Places {
+        zones: names.zones,
+        kinds: names.kinds,
+        parent,
+        origin,
+    };
 
     let known = object(file, "known")?;
     let last_event = deployment::whole(known, "rev").map_err(|e| format!("known: {e}"))?;
-    let events = known.get("notices").and_then(Value::as_array).ok_or("known: notices is not an array")?;
+    let events = known
+        .get("notices")
+        .and_then(Value::as_array)
+        .ok_or("known: notices is not an array")?;
     let events = events.iter().map(|event| numbered(event, &places, clock));
-    let events = events.collect::<Result<Vec<_>, _>>().map_err(|e| format!("known: {e}"))?;
+    let events = events
+        .collect::<Result<Vec<_>, _>>()
+        .map_err(|e| format!("known: {e}"))?;
 
     Ok(Told {
         name,
@@ -134,14 +160,21 @@
         limits: limits(file, settings)?,
         own_link: own_link(file)?,
         peers: peers(file, settings)?,
-        fixed: FIXED.map(|name| file.get(name).cloned().unwrap_or_default()).to_vec(),
+        fixed: FIXED
+            .map(|name| file.get(name).cloned().unwrap_or_default())
+            .to_vec(),
     })
 }
 
 fn limits(file: &Fields, settings: &Fields) -> Result<Limits, String> {
     let empty = Fields::new();
-    let given = file.get("limits").map_or(Ok(&empty), |v| v.as_object().ok_or("limits is not an object"))?;
-    let of_site = settings.get("Limits").and_then(Value::as_object).unwrap_or(&empty);
+    let given = file.get("limits").map_or(Ok(&empty), |v| {
+        v.as_object().ok_or("limits is not an object")
+    })?;
+    let of_site = settings
+        .get("Limits")
+        .and_then(Value::as_object)
+        .unwrap_or(&empty);
     let or = |from: &Fields, name: &str, default: u64| match deployment::whole(from, name)? {
         0 => Ok::<_, String>(default),
         found => Ok(found),
@@ -167,15 +200,24 @@
 fn peers(file: &Fields, settings: &Fields) -> Result<Option<Peers>, String> {
     let limits = settings.get("Limits").and_then(Value::as_object);
     let allowed = limits.map_or(Ok(false), |limits| deployment::flag(limits, "PeerMessages"));
-    let told = ["peer_listen", "peers", "peers_all"].iter().all(|key| file.contains_key(*key));
+    let told = ["peer_listen", "peers", "peers_all"]
+        .iter()
+        .all(|key| file.contains_key(*key));
     if !allowed.map_err(|what| format!("settings: {what}"))? || !told {
         return Ok(None);
     }
     let address = |name: &str, found: &str| {
-        found.parse::<SocketAddr>().map_err(|_| format!("{name} is not an address: {found:?}"))
+        found
+            .parse::<SocketAddr>()
+            .map_err(|_| format!("{name} is not an address: {found:?}"))
     };
-    let each = file.get("peers").and_then(Value::as_array).ok_or("peers is not an array")?;
-    let each = each.iter().map(|one| address("peers", one.as_str().unwrap_or("")));
+    let each = file
+        .get("peers")
+        .and_then(Value::as_array)
+        .ok_or("peers is not an array")?;
+    let each = each
+        .iter()
+        .map(|one| address("peers", one.as_str().unwrap_or("")));
     Ok(Some(Peers {
         listen: address("peer_listen", deployment::text(file, "peer_listen")?)?,
         all: address("peers_all", deployment::text(file, "peers_all")?)?,
@@ -192,6 +234,8 @@
 fn object<'a>(from: &'a Fields, name: &str) -> Result<&'a Fields, String> {
     match from.get(name) {
         None | Some(Value::Null) => Err(format!("{name} is missing")),
-        Some(found) => found.as_object().ok_or_else(|| format!("{name} is not an object")),
+        Some(found) => found
+            .as_object()
+            .ok_or_else(|| format!("{name} is not an object")),
     }
 }
--- a/crates/router/src/uninterrupted.rs
+++ b/crates/router/src/uninterrupted.rs
@@ -20,7 +20,10 @@
 impl<S> Uninterrupted<S> {
     /// Wraps a stream, or a reference to one.
     pub fn new(stream: S) -> Uninterrupted<S> {
-        Uninterrupted { stream, pause: None }
+        Uninterrupted {
+            stream,
+            pause: None,
+        }
     }
 
     /// Makes a call until it has moved something, has to wait, or shows that the connection is gone.
@@ -58,7 +61,9 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.poll_call(context, |stream, context| Pin::new(stream).poll_read(context, buffer))
+        self.poll_call(context, |stream, context| {
+            Pin::new(stream).poll_read(context, buffer)
+        })
     }
 }
 
@@ -68,7 +73,9 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.poll_call(context, |stream, context| Pin::new(stream).poll_write(context, bytes))
+        self.poll_call(context, |stream, context| {
+            Pin::new(stream).poll_write(context, bytes)
+        })
     }
 
     fn poll_write_vectored(
@@ -76,7 +83,9 @@
         context: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_call(context, |stream, context| Pin::new(stream).poll_write_vectored(context, slices))
+        self.poll_call(context, |stream, context| {
+            Pin::new(stream).poll_write_vectored(context, slices)
+        })
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -84,11 +93,15 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.poll_call(context, |stream, context| Pin::new(stream).poll_flush(context))
+        self.poll_call(context, |stream, context| {
+            Pin::new(stream).poll_flush(context)
+        })
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.poll_call(context, |stream, context| Pin::new(stream).poll_shutdown(context))
+        self.poll_call(context, |stream, context| {
+            Pin::new(stream).poll_shutdown(context)
+        })
     }
 }
 
--- a/crates/router/src/uninterrupted/tests.rs
+++ b/crates/router/src/uninterrupted/tests.rs
@@ -17,7 +17,9 @@
 impl Scripted {
     fn next(&mut self) -> io::Result<()> {
         self.calls += 1;
-        self.script.pop_front().map_or(Ok(()), |errno| Err(io::Error::from_raw_os_error(errno)))
+        self.script
+            .pop_front()
+            .map_or(Ok(()), |errno| Err(io::Error::from_raw_os_error(errno)))
     }
 }
 
@@ -34,7 +36,11 @@
 }
 
 impl AsyncWrite for Scripted {
-    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.next()?;
         self.written.extend_from_slice(&bytes[..1]);
         Poll::Ready(Ok(1))
@@ -50,7 +56,10 @@
 }
 
 fn scripted(script: &[i32]) -> Uninterrupted<Scripted> {
-    Uninterrupted::new(Scripted { script: script.iter().copied().collect(), ..Scripted::default() })
+    Uninterrupted::new(Scripted {
+        script: script.iter().copied().collect(),
+        ..Scripted::default()
+    })
 }
 
 #[tokio::test(start_paused = true)]
@@ -82,7 +91,11 @@
     let begin = Instant::now();
     let mut stream = scripted(&vec![EINTR; INTERRUPTIONS_MOST * 10]);
     stream.write_all(b"a").await.unwrap();
-    assert!(begin.elapsed() >= MEMORY_PAUSE * 10, "{:?}", begin.elapsed());
+    assert!(
+        begin.elapsed() >= MEMORY_PAUSE * 10,
+        "{:?}",
+        begin.elapsed()
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -90,8 +103,14 @@
     for errno in [ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH] {
         let mut stream = scripted(&[errno]);
         let error = stream.write_all(b"a").await.unwrap_err();
-        assert_eq!((error.raw_os_error(), stream.stream.calls), (Some(errno), 1));
+        assert_eq!(
+            (error.raw_os_error(), stream.stream.calls),
+            (Some(errno), 1)
+        );
         let mut stream = scripted(&[errno]);
-        assert_eq!(stream.read_u8().await.unwrap_err().raw_os_error(), Some(errno));
+        assert_eq!(
+            stream.read_u8().await.unwrap_err().raw_os_error(),
+            Some(errno)
+        );
     }
 }
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -24,8 +24,17 @@
 ) -> BTreeSet<String> {
     let mut who = BTreeSet::new();
     for tag in from..from + 20 {
-        let fields = format!("i={:016x},o={tag:016x},lot={group},m=1,d=4000", tag + 0xcc00);
-        client.send(&[b"REQ", tag.to_string().as_bytes(), b"page", fields.as_bytes(), b""]);
+        let fields = format!(
+            "i={:016x},o={tag:016x},lot={group},m=1,d=4000",
+            tag + 0xcc00
+        );
+        client.send(&[
+            b"REQ",
+            tag.to_string().as_bytes(),
+            b"page",
+            fields.as_bytes(),
+            b"",
+        ]);
     }
     // Looked at without a rest: a move takes many requests.
     let (end, mut answered) = (Instant::now() + LONG, 0);
@@ -65,14 +74,22 @@
     let mut world = world(&told(5, "c1"));
     let program = world.start();
     let (mut client, mut lines) = (program.client(), Vec::new());
-    assert_eq!(asked(&world, &mut client, &mut lines, 100, 2), names(&["c1"]));
-    assert_eq!(asked(&world, &mut client, &mut lines, 200, 7), names(&["c2", "c3"]));
+    assert_eq!(
+        asked(&world, &mut client, &mut lines, 100, 2),
+        names(&["c1"])
+    );
+    assert_eq!(
+        asked(&world, &mut client, &mut lines, 200, 7),
+        names(&["c2", "c3"])
+    );
     // An older map is never gone back to, a faulty one counts for nothing; neither stops anything.
     let file = world.path().with_file_name("chalkhall.conf");
     let mut from = 300;
-    for (text, gold) in
-        [(told(4, "c2"), "c1"), ("cells {\n cell x list\n}\n".into(), "c1"), (told(6, "c3"), "c3")]
-    {
+    for (text, gold) in [
+        (told(4, "c2"), "c1"),
+        ("cells {\n cell x list\n}\n".into(), "c1"),
+        (told(6, "c3"), "c3"),
+    ] {
         std::fs::write(&file, text).unwrap();
         program.signal("HUP");
         let mut who = BTreeSet::new();
@@ -95,7 +112,13 @@
     let mut rejected = 0;
     for tag in 1000..1100u64 {
         let fields = format!("i={tag:016x},o={tag:016x},lot=1,m=1,d=4000");
-        client.send(&[b"REQ", tag.to_string().as_bytes(), b"page", fields.as_bytes(), b""]);
+        client.send(&[
+            b"REQ",
+            tag.to_string().as_bytes(),
+            b"page",
+            fields.as_bytes(),
+            b"",
+        ]);
         until("an answer", || {
             for (_, line) in lines.iter_mut() {
                 if line.ready() {
@@ -137,16 +160,25 @@
 
 #[test]
 fn a_map_that_makes_no_sense_is_refused_at_the_start_with_every_fault() {
-    let mut world =
-        world("cells {\n cell a list c1\n cell b share 150%\n bind category cakes a\n bind group 1 z\n}\n");
+    let mut world = world(
+        "cells {\n cell a list c1\n cell b share 150%\n bind category cakes a\n bind group 1 z\n}\n",
+    );
     let (status, text) = world.spawn("").ended();
-    assert!(!status.success() && text.contains(":3:15: \"150%\" is not a share"), "{text}");
+    assert!(
+        !status.success() && text.contains(":3:15: \"150%\" is not a share"),
+        "{text}"
+    );
     world.directives =
-        "cells {\n cell a list c1\n cell b share 50%\n bind category cakes a\n bind group 1 z\n}\n".into();
+        "cells {\n cell a list c1\n cell b share 50%\n bind category cakes a\n bind group 1 z\n}\n"
+            .into();
     world.file["name"] = json!("n2");
     let (status, text) = world.spawn("").ended();
     assert!(!status.success());
-    for part in ["z is not a cell", "nothing belongs to cell b", "cakes is not a category"] {
+    for part in [
+        "z is not a cell",
+        "nothing belongs to cell b",
+        "cakes is not a category",
+    ] {
         assert!(text.contains(part), "{part} in {text}");
     }
 }
--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -25,12 +25,26 @@
         ("page", format!("i={id},o={id},d=900,d=900")),
     ];
     for (tag, (class, fields)) in (1..).zip(&faulty) {
-        client.send(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), b""]);
-        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{class} {fields}");
+        client.send(&[
+            b"REQ",
+            tag.to_string().as_bytes(),
+            class.as_bytes(),
+            fields.as_bytes(),
+            b"",
+        ]);
+        assert_eq!(
+            client.answer(),
+            (tag, "FAIL".into(), "".into(), vec![]),
+            "{class} {fields}"
+        );
     }
     client.send(&[b"WHAT", b"18"]);
     assert_eq!(client.word(), "FAIL");
-    for bad in ["*1\r\n$99999999\r\n", "PING\r\n", "*2\r\n$3\r\nREQ\r\n$1\r\nx\r\n"] {
+    for bad in [
+        "*1\r\n$99999999\r\n",
+        "PING\r\n",
+        "*2\r\n$3\r\nREQ\r\n$1\r\nx\r\n",
+    ] {
         let mut other = program.client();
         other.write(bad.as_bytes());
         assert!(other.closed(), "{bad:?}");
@@ -46,11 +60,23 @@
     // An id that is in use.
     let id = client.ask(20, "page", "", b"");
     let asked = server.asked();
-    client.send(&[b"REQ", b"21", b"page", format!("i={id},o={id},d=900").as_bytes(), b""]);
+    client.send(&[
+        b"REQ",
+        b"21",
+        b"page",
+        format!("i={id},o={id},d=900").as_bytes(),
+        b"",
+    ]);
     assert_eq!(client.answer().1, "FAIL");
     // Nor is one client's request ended by another that names its id and goes.
     let mut other = program.client();
-    other.send(&[b"REQ", b"20", b"page", format!("i={id},o={id},d=900").as_bytes(), b""]);
+    other.send(&[
+        b"REQ",
+        b"20",
+        b"page",
+        format!("i={id},o={id},d=900").as_bytes(),
+        b"",
+    ]);
     other.send(&[b"ABORT", b"20"]);
     other.send(&[b"HEALTH", b"1000", b""]);
     // Its own answer may cross its calling off; nothing else comes before what it asked last.
@@ -63,7 +89,10 @@
     drop(other);
     assert_eq!(client.health(), "GREEN");
     server.answer(&asked, "OK", "tell=hit", b"x");
-    assert_eq!(client.answer(), (20, "ACK".into(), "".into(), b"x".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (20, "ACK".into(), "".into(), b"x".to_vec())
+    );
     // One more than a connection carries.
     let mut many = program.client();
     (1..=33).for_each(|tag| drop(many.ask(tag, "page", "", b"")));
@@ -89,7 +118,10 @@
     assert_eq!(quick.word(), "ACK");
     for tag in 1..=32 {
         let (of, word, _, body) = slow.answer();
-        assert!((of, word.as_str()) == (tag, "ACK") && body == object, "answer {tag}");
+        assert!(
+            (of, word.as_str()) == (tag, "ACK") && body == object,
+            "answer {tag}"
+        );
     }
 }
 
@@ -110,7 +142,11 @@
     }
     client.ask(4, "page", "", b"");
     server.serve(b"x");
-    assert_eq!(client.word(), "ACK", "what has been written takes no place any more");
+    assert_eq!(
+        client.word(),
+        "ACK",
+        "what has been written takes no place any more"
+    );
     // Where objects are small more may be out: to reckon with the largest would reject half of them.
     for tag in 1..=100 {
         client.ask(tag, "page", "", b"");
@@ -121,7 +157,9 @@
         client.ask(tag, "page", "", b"");
     }
     let asked: Vec<_> = (1..=5).map(|_| server.asked()).collect();
-    asked.iter().for_each(|asked| server.answer(asked, "OK", "tell=hit", b"x"));
+    asked
+        .iter()
+        .for_each(|asked| server.answer(asked, "OK", "tell=hit", b"x"));
     (1..=5).for_each(|_| assert_eq!(client.word(), "ACK"));
 }
 
@@ -138,7 +176,9 @@
     assert_eq!(tags, [(1, "FAIL".into()), (2, "FAIL".into())]);
     assert!(client.closed(), "a second answer under the same tag");
     assert!([server.line(), server.line()].contains(&format!("QUIT {id}")));
-    asked.iter().for_each(|asked| server.answer(asked, "OK", "tell=hit", b"late"));
+    asked
+        .iter()
+        .for_each(|asked| server.answer(asked, "OK", "tell=hit", b"late"));
 }
 
 #[test]
@@ -146,16 +186,26 @@
     let (world, program, mut client) = started();
     let begun = Instant::now();
     let mut silent = program.client();
-    let mut halves = ["*", "*5\r\n$3\r\nREQ\r\n", "*5\r\n$3\r\nREQ\r\n$1\r\n2\r\n$4\r\npage\r\n$9\r\ni="]
-        .map(|half| (half, program.client()));
-    halves.iter_mut().for_each(|(half, client)| client.write(half.as_bytes()));
+    let mut halves = [
+        "*",
+        "*5\r\n$3\r\nREQ\r\n",
+        "*5\r\n$3\r\nREQ\r\n$1\r\n2\r\n$4\r\npage\r\n$9\r\ni=",
+    ]
+    .map(|half| (half, program.client()));
+    halves
+        .iter_mut()
+        .for_each(|(half, client)| client.write(half.as_bytes()));
     // One with something open is told that it failed.
     client.ask(1, "page", "", b"");
     world.server("c1").accept().asked();
     client.write(b"*2\r\n$6\r\nHEA");
     assert!(silent.closed() && halves.iter_mut().all(|(_, client)| client.closed()));
     assert_eq!(client.word(), "FAIL");
-    assert!(client.closed() && begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+    assert!(
+        client.closed() && begun.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 #[test]
@@ -164,7 +214,11 @@
         let mut world = World::new();
         world.file["limits"]["sockets"] = json!(if limits.is_empty() { 64 } else { 1024 });
         let program = world.spawn(limits);
-        until("GREEN", || program.connect().is_some_and(|mut client| client.health() == "GREEN"));
+        until("GREEN", || {
+            program
+                .connect()
+                .is_some_and(|mut client| client.health() == "GREEN")
+        });
         let begun = Instant::now();
         let mut busy = program.client();
         busy.ask(1, "page", "", b"");
@@ -180,7 +234,10 @@
         last.ask(2, "page", "", b"");
         server.serve(b"x");
         assert_eq!(last.word(), "ACK");
-        assert!(begun.elapsed() < Duration::from_millis(1900), "not for want of a whole message");
+        assert!(
+            begun.elapsed() < Duration::from_millis(1900),
+            "not for want of a whole message"
+        );
         server.answer(&asked, "OK", "tell=hit", b"y");
         assert_eq!(busy.answer().3, b"y", "who has something open stays");
     }
--- a/crates/router/tests/program/clock_steps.rs
+++ b/crates/router/tests/program/clock_steps.rs
@@ -34,7 +34,10 @@
 }
 
 fn purge(number: u64, ms: u64) -> String {
-    format!("{}\n", json!({"rev": number, "flush": {"collection": 1, "ms": ms}}))
+    format!(
+        "{}\n",
+        json!({"rev": number, "flush": {"collection": 1, "ms": ms}})
+    )
 }
 
 /// Connections that the servers have accepted.
@@ -49,7 +52,9 @@
             lines.extend(server.try_accept());
             lines.retain_mut(|line| {
                 while line.ready() {
-                    let Some(asked) = line.asked_or_closed() else { return false };
+                    let Some(asked) = line.asked_or_closed() else {
+                        return false;
+                    };
                     take(&server.name, line, asked);
                 }
                 true
@@ -73,7 +78,10 @@
             });
             client.ready()
         });
-        Served { body: client.answer().3, max_age }
+        Served {
+            body: client.answer().3,
+            max_age,
+        }
     }
 
     /// Asks for other objects until a request carries the bound of a purge.
@@ -122,7 +130,10 @@
     assert_eq!(taken_at_once_after_a_start(|| 0), ASKED_AT_ONCE, "warm");
     for step in STEPS_MS {
         let taken = taken_at_once_after_a_start(|| stamp(step));
-        assert!(taken < ASKED_AT_ONCE / 2, "{taken} at once, stepped by {step} ms");
+        assert!(
+            taken < ASKED_AT_ONCE / 2,
+            "{taken} at once, stepped by {step} ms"
+        );
     }
 }
 
@@ -138,7 +149,11 @@
         }
         client.ask(7, "page", "", b"");
         let own = connections.serve_until_answered(&world, &mut client, &copy, b"not asked for");
-        assert_eq!((own.body, own.max_age), (b"old".to_vec(), None), "it is a copy of the router's own");
+        assert_eq!(
+            (own.body, own.max_age),
+            (b"old".to_vec(), None),
+            "it is a copy of the router's own"
+        );
         watch.say(purge(2, stamp(step)));
         connections.until_the_purge_is_heeded(&world, &mut client);
         client.ask(7, "page", "", b"");
@@ -160,13 +175,19 @@
     }
     client.ask(7, "page", "", b"");
     let own = connections.serve_until_answered(&world, &mut client, HIT, b"not asked for");
-    assert_eq!((own.body, own.max_age), (b"third".to_vec(), None), "kept by its stamp less the lead");
+    assert_eq!(
+        (own.body, own.max_age),
+        (b"third".to_vec(), None),
+        "kept by its stamp less the lead"
+    );
 }
 
 /// Waits until a router has found out what an earlier life left on its disk.
 fn until_recovered(control: &Path) {
     until("the recovery", || {
-        let Ok(mut stream) = UnixStream::connect(control) else { return false };
+        let Ok(mut stream) = UnixStream::connect(control) else {
+            return false;
+        };
         stream.write_all(b"store stat\n").unwrap();
         let mut said = String::new();
         stream.read_to_string(&mut said).unwrap();
@@ -180,7 +201,11 @@
     let file = disk.join("clock");
     let recorded = std::fs::read_to_string(&file).unwrap();
     let (boot, unix_ms) = recorded.trim().split_once(' ').unwrap();
-    let other = unix_ms.parse::<u64>().unwrap().checked_add_signed(-step_ms).unwrap();
+    let other = unix_ms
+        .parse::<u64>()
+        .unwrap()
+        .checked_add_signed(-step_ms)
+        .unwrap();
     std::fs::write(&file, format!("{boot} {other}\n")).unwrap();
 }
 
@@ -202,7 +227,9 @@
     };
     let mut program = world.start();
     let mut client = program.client();
-    until("a copy on disk", || ask(&world, &mut client, b"before").max_age.is_none());
+    until("a copy on disk", || {
+        ask(&world, &mut client, b"before").max_age.is_none()
+    });
     program.terminate();
     program.ended();
     step_since_the_last_start(&disk, step_ms);
@@ -216,7 +243,11 @@
     // Set forward, what is on disk only looks older than it is.
     for step in [0, 2000] {
         let served = served_after_a_step_and_a_restart(step);
-        assert_eq!((&served.body[..], served.max_age), (&b"before"[..], None), "stepped by {step} ms");
+        assert_eq!(
+            (&served.body[..], served.max_age),
+            (&b"before"[..], None),
+            "stepped by {step} ms"
+        );
     }
     for step in [-2000, -HOUR_MS] {
         let served = served_after_a_step_and_a_restart(step);
@@ -248,7 +279,10 @@
         if known_at_the_start {
             let known: Value = serde_json::from_str(&event).unwrap();
             world.file["known"]["rev"] = json!(2);
-            world.file["known"]["notices"].as_array_mut().unwrap().push(known);
+            world.file["known"]["notices"]
+                .as_array_mut()
+                .unwrap()
+                .push(known);
         }
         let program = world.start();
         until_recovered(&control);
@@ -262,7 +296,10 @@
             client.ask(7, "page", "", b"");
             let made = format!("tell=filled,{TAG},made={}", unix_ms());
             let served = connections.serve_until_answered(&world, &mut client, &made, b"new");
-            assert!(served.max_age.is_some(), "kept; known at the start: {known_at_the_start}");
+            assert!(
+                served.max_age.is_some(),
+                "kept; known at the start: {known_at_the_start}"
+            );
         }
     }
 }
--- a/crates/router/tests/program/crossings.rs
+++ b/crates/router/tests/program/crossings.rs
@@ -31,7 +31,10 @@
     let mut world = rejecting();
     let mut program = world.start();
     let (mut resting, mut half) = (program.client(), program.client());
-    assert_eq!((resting.health(), half.health()), ("GREEN".into(), "GREEN".into()));
+    assert_eq!(
+        (resting.health(), half.health()),
+        ("GREEN".into(), "GREEN".into())
+    );
     program.terminate();
     until("RED", || resting.health() == "RED");
     program.signal("STOP");
@@ -41,7 +44,9 @@
     resting.ask(2, "confirm", "", b"write");
     half.write(b"*5\r\n$3\r\nREQ\r\n$1\r\n7");
     let mut waiting: Vec<Client> = (0..3).map(|_| program.client()).collect();
-    waiting.iter_mut().for_each(|client| drop(client.ask(1, "page", "", b"")));
+    waiting
+        .iter_mut()
+        .for_each(|client| drop(client.ask(1, "page", "", b"")));
     program.signal("CONT");
     let rejected = ("NAK".to_owned(), "w=200".to_owned());
     for tag in [1, 2] {
@@ -71,7 +76,13 @@
     resting.ask(1, "page", "", b"");
     let (status, log) = program.ended();
     assert!(status.success(), "{log}");
-    assert!(world.servers.iter().all(|server| server.try_accept().is_none()), "sent on");
+    assert!(
+        world
+            .servers
+            .iter()
+            .all(|server| server.try_accept().is_none()),
+        "sent on"
+    );
 }
 
 /// Answers that a slow reader has not taken yet are waited for, while there is time.
@@ -98,7 +109,10 @@
     pass(1300 * MS);
     for tag in 1..=32 {
         let (of, word, _, body) = slow.answer();
-        assert!((of, word.as_str(), body.len()) == (tag, "ACK", 240_000), "answer {tag}");
+        assert!(
+            (of, word.as_str(), body.len()) == (tag, "ACK", 240_000),
+            "answer {tag}"
+        );
     }
     assert!(program.ended().0.success());
 }
@@ -112,7 +126,13 @@
     let mut client = program.client();
     let mut bytes = Vec::new();
     for tag in 1..=400u64 {
-        bytes.extend(frame(&[b"REQ", tag.to_string().as_bytes(), b"page", &fields(tag), b""]));
+        bytes.extend(frame(&[
+            b"REQ",
+            tag.to_string().as_bytes(),
+            b"page",
+            &fields(tag),
+            b"",
+        ]));
         bytes.extend(frame(&[b"ABORT", tag.to_string().as_bytes()]));
     }
     bytes.extend(frame(&[b"REQ", b"1000", b"page", &fields(1000), b""]));
@@ -193,7 +213,10 @@
         let mut parent = world.server("p1").accept();
         parent.serve(b"whole");
         let (_, word, told, body) = client.answer();
-        assert!(word == "ACK" && !told.contains("unchanged") && body == b"whole", "{word} {told}");
+        assert!(
+            word == "ACK" && !told.contains("unchanged") && body == b"whole",
+            "{word} {told}"
+        );
     }
 }
 
@@ -234,7 +257,11 @@
             pass(50 * MS);
             world.discovery.is_watched()
         });
-        assert!(begun.elapsed() < 2600 * MS, "{words:?}: {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < 2600 * MS,
+            "{words:?}: {:?}",
+            begun.elapsed()
+        );
     }
 }
 
@@ -260,13 +287,21 @@
     let at = world.discovery.goes_down(discovery);
     // They come again as often as they are let go of.
     let crowd = Crowd::of(clients, program.address(), true);
-    until("no descriptor left", || program.descriptors() + 2 >= descriptors as usize);
-    until("more than there are", || crowd.held() as usize >= clients * 2 / 3);
+    until("no descriptor left", || {
+        program.descriptors() + 2 >= descriptors as usize
+    });
+    until("more than there are", || {
+        crowd.held() as usize >= clients * 2 / 3
+    });
     pass(1000 * MS);
     let back = Instant::now();
     world.discovery.comes_back(at);
     let (mut discovery, after) = world.discovery.accept();
-    assert!(back.elapsed() < 1000 * MS, "followed {:?} after its return", back.elapsed());
+    assert!(
+        back.elapsed() < 1000 * MS,
+        "followed {:?} after its return",
+        back.elapsed()
+    );
     assert_eq!(after, 1);
     discovery.say("1\n");
     server.answer(&asked, "OK", HIT, b"x");
@@ -277,7 +312,11 @@
     program.signal("HUP");
     let moved = Instant::now();
     assert_eq!(world.discovery.accept().1, 1);
-    assert!(moved.elapsed() < 1000 * MS, "moved {:?} after SIGHUP", moved.elapsed());
+    assert!(
+        moved.elapsed() < 1000 * MS,
+        "moved {:?} after SIGHUP",
+        moved.elapsed()
+    );
     drop(crowd);
 }
 
@@ -289,7 +328,11 @@
     world.file["limits"]["sockets"] = json!(1024);
     // More rest than are let go of at once: who has asked for something stays.
     let program = world.spawn("ulimit -n 96;");
-    until("GREEN", || program.connect().is_some_and(|mut client| client.health() == "GREEN"));
+    until("GREEN", || {
+        program
+            .connect()
+            .is_some_and(|mut client| client.health() == "GREEN")
+    });
     let mut busy = program.client();
     busy.ask(1, "page", "", b"");
     assert_eq!(busy.word(), "NAK");
@@ -331,17 +374,32 @@
         new.say("2\n");
         drop(new);
         assert_eq!(world.discovery.accept().1, 2);
-        let class = world.file["settings"]["Classes"][0]["Name"].as_str().unwrap().to_owned();
+        let class = world.file["settings"]["Classes"][0]["Name"]
+            .as_str()
+            .unwrap()
+            .to_owned();
         let mut client = program.client();
         for tag in 1..=4 {
-            client.ask(tag, &class, if class == "picture" { "t=archive" } else { "d=800" }, b"");
+            client.ask(
+                tag,
+                &class,
+                if class == "picture" {
+                    "t=archive"
+                } else {
+                    "d=800"
+                },
+                b"",
+            );
         }
         let mut server = world.server("c1").accept();
         for _ in 1..=4 {
             server.serve(b"x");
             assert_eq!(client.word(), "ACK");
         }
-        assert!(world.server("c2").try_accept().is_none(), "sent to one that drains");
+        assert!(
+            world.server("c2").try_accept().is_none(),
+            "sent to one that drains"
+        );
     }
 }
 
@@ -362,7 +420,11 @@
     server.answer(&asked, "OK", HIT, b"x");
     assert_eq!(client.word(), "ACK");
     let (status, log) = program.ended();
-    assert!(status.success() && begun.elapsed() < 1500 * MS, "{:?} {log}", begun.elapsed());
+    assert!(
+        status.success() && begun.elapsed() < 1500 * MS,
+        "{:?} {log}",
+        begun.elapsed()
+    );
 }
 
 /// Asked to stop while it still reads its file: it serves as it was told, says that it goes, and ends in order
@@ -387,7 +449,11 @@
     world.server("c1").accept().serve(b"x");
     assert_eq!(client.word(), "ACK", "what still comes is answered");
     let (status, log) = program.ended();
-    assert!(status.success() && begun.elapsed() < 1500 * MS, "{status} {:?} {log}", begun.elapsed());
+    assert!(
+        status.success() && begun.elapsed() < 1500 * MS,
+        "{status} {:?} {log}",
+        begun.elapsed()
+    );
 }
 
 /// What the system has taken for a server that hangs cannot be taken back: its QUIT follows right behind it.
@@ -413,7 +479,9 @@
 /// server reads on a moment later; also where settings forbid calling off what has begun.
 #[test]
 fn who_waits_behind_a_full_socket_and_leaves_is_never_sent_on() {
-    [true, false].into_iter().for_each(waits_behind_a_full_socket);
+    [true, false]
+        .into_iter()
+        .for_each(waits_behind_a_full_socket);
 }
 
 fn waits_behind_a_full_socket(may_cancel: bool) {
@@ -457,10 +525,20 @@
             asked.id
         })
         .collect();
-    assert!(left.iter().all(|id| !come.contains(id)), "sent on for one that has left");
-    assert!(busy.iter_mut().all(|client| (1..=32).all(|_| client.word() == "ACK")));
+    assert!(
+        left.iter().all(|id| !come.contains(id)),
+        "sent on for one that has left"
+    );
+    assert!(
+        busy.iter_mut()
+            .all(|client| (1..=32).all(|_| client.word() == "ACK"))
+    );
     let last = busy[0].ask(33, "page", "", b"");
-    assert_eq!(server.asked().id, last, "nothing else has come, not even a QUIT");
+    assert_eq!(
+        server.asked().id,
+        last,
+        "nothing else has come, not even a QUIT"
+    );
     assert!(world.server("c1").try_accept().is_none());
 }
 
--- a/crates/router/tests/program/customers.rs
+++ b/crates/router/tests/program/customers.rs
@@ -24,8 +24,13 @@
         limited("pay-voucher", "side_effect", 400, 1000, 600),
     ]);
     let family = &mut settings["FamilyInfo"];
-    (family["ClassFresh"], family["ClassWrite"]) = (json!([4000, 0, 0]), json!([false, true, true]));
-    (family["ObeyAfter"], family["PurgeDone"], family["ClientKbPerS"]) = (json!(250), json!(4000), json!(20));
+    (family["ClassFresh"], family["ClassWrite"]) =
+        (json!([4000, 0, 0]), json!([false, true, true]));
+    (
+        family["ObeyAfter"],
+        family["PurgeDone"],
+        family["ClientKbPerS"],
+    ) = (json!(250), json!(4000), json!(20));
     settings["Limits"] = json!({"ConnectTimeout": 150, "IdleClose": 3000, "MaxAttempts": 3, "MaxOpen": 200,
         "MaxRetryAfter": 300, "MayCancel": true, "RetryAfter": true, "StreamsPerConn": 8});
     settings["Obligations"]["DrainGrace"] = json!(200);
@@ -52,8 +57,11 @@
         "MaxRetryAfter": 2000, "MayCancel": false, "RetryAfter": true, "StreamsPerConn": 16});
     settings["Obligations"]["DrainGrace"] = json!(1000);
     let tenant = |name: &str, share: f64| json!({"Name": name, "QuotaPerS": 50, "Share": share});
-    settings["Tenants"] =
-        json!([tenant("city-museum", 0.5), tenant("harbour-museum", 0.3), tenant("archive", 0.2)]);
+    settings["Tenants"] = json!([
+        tenant("city-museum", 0.5),
+        tenant("harbour-museum", 0.3),
+        tenant("archive", 0.2)
+    ]);
     world
 }
 
@@ -65,11 +73,18 @@
         let program = world.start();
         let mut client = program.client();
         let key = "f1ff6cd8ff9b0f19bc938ad4212f62a0";
-        let tenant = if class == "hold-seat" { "" } else { ",t=archive" };
+        let tenant = if class == "hold-seat" {
+            ""
+        } else {
+            ",t=archive"
+        };
         client.ask(1, class, &format!("d=700,k={key}{tenant}"), b"row 4");
         let mut origin = world.server("o1").accept();
         let asked = origin.asked();
-        assert_eq!((asked.get("cls"), asked.get("nonce"), &asked.body[..]), (class, key, &b"row 4"[..]));
+        assert_eq!(
+            (asked.get("cls"), asked.get("nonce"), &asked.body[..]),
+            (class, key, &b"row 4"[..])
+        );
         origin.answer(&asked, "ERR", "-", b"");
         let mut server = world.server("c1").accept();
         let again = server.asked();
@@ -93,7 +108,11 @@
     }
     for (tag, tenant) in [(3, "nobody"), (4, "0"), (5, "")] {
         client.ask(tag, "picture", &format!("t={tenant}"), b"");
-        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{tenant}");
+        assert_eq!(
+            client.answer(),
+            (tag, "FAIL".into(), "".into(), vec![]),
+            "{tenant}"
+        );
     }
 }
 
@@ -105,7 +124,14 @@
     let long = "a".repeat(65);
     for (tag, key) in (1..).zip(["", "a b", "a\r\nQUIT", "a=b", "\u{e9}", &long]) {
         client.ask(tag, "hold-seat", &format!("k={key}"), b"");
-        assert_eq!(client.answer(), (tag, "FAIL".into(), "".into(), vec![]), "{key:?}");
-        assert!(world.server("o1").try_accept().is_none(), "sent on: {key:?}");
+        assert_eq!(
+            client.answer(),
+            (tag, "FAIL".into(), "".into(), vec![]),
+            "{key:?}"
+        );
+        assert!(
+            world.server("o1").try_accept().is_none(),
+            "sent on: {key:?}"
+        );
     }
 }
--- a/crates/router/tests/program/deadlines.rs
+++ b/crates/router/tests/program/deadlines.rs
@@ -39,7 +39,10 @@
     client.ask(1, "confirm", "", b"");
     pass(300 * MS);
     // Its queue has room again: the system tries once more, a second after the first time.
-    let local: Vec<_> = others.iter().map(|o| o.local_addr().unwrap().port()).collect();
+    let local: Vec<_> = others
+        .iter()
+        .map(|o| o.local_addr().unwrap().port())
+        .collect();
     let mut own = loop {
         let (stream, from) = world.server("o1").listener.accept().unwrap();
         if !local.contains(&from.port()) {
@@ -50,8 +53,16 @@
     assert!(up > 500 * MS, "it was not held up: {up:?}");
     let asked = own.asked();
     let left = (4000 * MS).saturating_sub(up);
-    assert!(limit(&asked) <= left + SLACK, "told {:?}, left {left:?}", limit(&asked));
-    assert!(limit(&asked) > 1000 * MS, "what is left is passed on: {:?}", limit(&asked));
+    assert!(
+        limit(&asked) <= left + SLACK,
+        "told {:?}, left {left:?}",
+        limit(&asked)
+    );
+    assert!(
+        limit(&asked) > 1000 * MS,
+        "what is left is passed on: {:?}",
+        limit(&asked)
+    );
     own.answer(&asked, "OK", "tell=via_origin", b"done");
     assert_eq!(client.word(), "ACK");
 }
@@ -64,14 +75,20 @@
         let mut world = patient();
         let program = world.start();
         let (mut client, mut other) = (program.client(), program.client());
-        assert_eq!((client.health(), other.health()), ("GREEN".into(), "GREEN".into()));
+        assert_eq!(
+            (client.health(), other.health()),
+            ("GREEN".into(), "GREEN".into())
+        );
         let others = world.server("o1").vanish();
         client.ask(1, "confirm", "", b"");
         assert_eq!(client.health(), "GREEN", "the request was read");
         pass(100 * MS);
         program.signal("STOP");
         until("the pause", || program.is_stopped());
-        let local: Vec<_> = others.iter().map(|o| o.local_addr().unwrap().port()).collect();
+        let local: Vec<_> = others
+            .iter()
+            .map(|o| o.local_addr().unwrap().port())
+            .collect();
         let own = loop {
             let (stream, from) = world.server("o1").listener.accept().unwrap();
             if !local.contains(&from.port()) {
@@ -110,7 +127,10 @@
     let mut world = patient();
     let program = world.start();
     let (mut known, mut rested) = (program.client(), program.client());
-    assert_eq!((known.health(), rested.health()), ("GREEN".into(), "GREEN".into()));
+    assert_eq!(
+        (known.health(), rested.health()),
+        ("GREEN".into(), "GREEN".into())
+    );
     program.signal("STOP");
     until("the pause", || program.is_stopped());
     let mut new = program.client();
@@ -123,7 +143,11 @@
     for _ in 0..2 {
         let asked = server.asked();
         let left = (4000 * MS).saturating_sub(asked_at.elapsed());
-        assert!(limit(&asked) <= left + SLACK, "told {:?}, left {left:?}", limit(&asked));
+        assert!(
+            limit(&asked) <= left + SLACK,
+            "told {:?}, left {left:?}",
+            limit(&asked)
+        );
         assert!(limit(&asked) > 2500 * MS, "{:?}", limit(&asked));
         server.answer(&asked, "OK", HIT, b"x");
     }
@@ -149,5 +173,11 @@
     pass(500 * MS);
     program.signal("CONT");
     assert_eq!(client.word(), "NAK");
-    assert!(world.servers.iter().all(|server| server.try_accept().is_none()), "sent on");
+    assert!(
+        world
+            .servers
+            .iter()
+            .all(|server| server.try_accept().is_none()),
+        "sent on"
+    );
 }
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -9,7 +9,9 @@
 
 /// The inodes of the sockets that a process holds.
 fn sockets_of(process: u32) -> Vec<u64> {
-    let held = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().flatten();
+    let held = std::fs::read_dir(format!("/proc/{process}/fd"))
+        .unwrap()
+        .flatten();
     let inode = |path: &Path| std::fs::metadata(path).ok().map(|m| m.ino());
     let sockets = held.filter(|fd| {
         std::fs::read_link(fd.path()).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
@@ -21,7 +23,10 @@
 fn open_at(process: u32, table: &str, state: &str) -> Vec<String> {
     let held = sockets_of(process);
     let text = std::fs::read_to_string(format!("/proc/{process}/net/{table}")).unwrap_or_default();
-    let lines = text.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let lines = text
+        .lines()
+        .skip(1)
+        .map(|line| line.split_whitespace().collect::<Vec<_>>());
     let own = lines.filter(|words| words[3] == state && held.contains(&words[9].parse().unwrap()));
     own.map(|words| words[1].to_owned()).collect()
 }
@@ -30,10 +35,19 @@
 fn line_run() -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
-    let line = deploy.lines().find_map(|line| line.strip_prefix("run = \"")).expect("run");
+    let line = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("run = \""))
+        .expect("run");
     let line = line.split_once('"').expect("its end").0;
-    assert!(line.starts_with("exec target/release/chalkhall-router "), "{line}");
-    let line = line.replace("target/release/chalkhall-router", env!("CARGO_BIN_EXE_chalkhall-router"));
+    assert!(
+        line.starts_with("exec target/release/chalkhall-router "),
+        "{line}"
+    );
+    let line = line.replace(
+        "target/release/chalkhall-router",
+        env!("CARGO_BIN_EXE_chalkhall-router"),
+    );
     format!("cd {} && {line}", root.display())
 }
 
@@ -47,26 +61,49 @@
     let of = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap();
     assert!(of("comm").starts_with("chalkhall-route"), "{}", of("comm"));
     let maps = of("maps");
-    assert!(maps.contains("/libc.so.6") && maps.contains("/ld-linux"), "linked statically:\n{maps}");
+    assert!(
+        maps.contains("/libc.so.6") && maps.contains("/ld-linux"),
+        "linked statically:\n{maps}"
+    );
     let mut client = program.client();
     client.ask(1, "page", "", b"");
     world.server("c1").accept().serve(b"body");
     assert_eq!(client.word(), "ACK");
-    for task in std::fs::read_dir(format!("/proc/{process}/task")).unwrap().flatten() {
+    for task in std::fs::read_dir(format!("/proc/{process}/task"))
+        .unwrap()
+        .flatten()
+    {
         let children = std::fs::read_to_string(task.path().join("children")).unwrap();
         assert_eq!(children, "", "it has started another process");
     }
     let listens = open_at(process, "tcp", "0A");
     assert_eq!(listens.len(), 1, "it listens at {listens:?}");
-    assert!(listens[0].ends_with(":13BA"), "{listens:?} is not port 5050");
+    assert!(
+        listens[0].ends_with(":13BA"),
+        "{listens:?} is not port 5050"
+    );
     for table in ["tcp6", "udp", "udp6"] {
-        assert_eq!(open_at(process, table, "0A"), Vec::<String>::new(), "{table}");
-        assert_eq!(open_at(process, table, "07"), Vec::<String>::new(), "{table}");
+        assert_eq!(
+            open_at(process, table, "0A"),
+            Vec::<String>::new(),
+            "{table}"
+        );
+        assert_eq!(
+            open_at(process, table, "07"),
+            Vec::<String>::new(),
+            "{table}"
+        );
     }
     // The signals come through a pair of sockets that have no name, so that nobody can come to them.
     let (held, unix) = (sockets_of(process), of("net/unix"));
-    let own = |line: &&str| line.split_whitespace().any(|word| word.parse().is_ok_and(|n| held.contains(&n)));
-    assert!(unix.lines().filter(own).all(|line| !line.contains('/')), "a Unix socket with a name:\n{unix}");
+    let own = |line: &&str| {
+        line.split_whitespace()
+            .any(|word| word.parse().is_ok_and(|n| held.contains(&n)))
+    };
+    assert!(
+        unix.lines().filter(own).all(|line| !line.contains('/')),
+        "a Unix socket with a name:\n{unix}"
+    );
     drop(client);
     program.terminate();
     assert_eq!(program.ended().0.code(), Some(0));
@@ -103,7 +140,11 @@
     let (mut world, peer, all) = with_a_peer("on");
     let program = world.start();
     let (looking, router) = heard(&all);
-    assert_eq!(looking, [0xC1, 1, 0, 0], "its format, looking for peers, at zone 0");
+    assert_eq!(
+        looking,
+        [0xC1, 1, 0, 0],
+        "its format, looking for peers, at zone 0"
+    );
     // Nonsense, and a stranger's word, change nothing: the router goes on, and tells its peer.
     peer.send_to(&[0xC1, 0xFF, 0, 0, 1], router).unwrap();
     all.send_to(&[0xC1, 0, 0, 0], router).unwrap();
@@ -117,7 +158,11 @@
     while told.len() == 4 {
         told = heard(&peer).0;
     }
-    assert_eq!((&told[..4], told.len()), (&[0xC1, 0, 0, 0][..], 9), "one finding");
+    assert_eq!(
+        (&told[..4], told.len()),
+        (&[0xC1, 0, 0, 0][..], 9),
+        "one finding"
+    );
 }
 
 #[test]
@@ -129,7 +174,10 @@
     client.ask(1, "page", "", b"");
     world.server("c1").accept().serve(b"body");
     assert_eq!(client.word(), "ACK");
-    assert_eq!(open_at(program.child.id(), "udp", "07"), Vec::<String>::new());
+    assert_eq!(
+        open_at(program.child.id(), "udp", "07"),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
@@ -138,7 +186,10 @@
         let (mut world, _peer, all) = with_a_peer(tell);
         world.file["settings"]["Limits"]["PeerMessages"] = json!(allowed);
         let program = world.start();
-        assert_eq!(open_at(program.child.id(), "udp", "07"), Vec::<String>::new());
+        assert_eq!(
+            open_at(program.child.id(), "udp", "07"),
+            Vec::<String>::new()
+        );
         all.set_nonblocking(true).unwrap();
         assert!(all.recv(&mut [0; 16]).is_err(), "something was said");
     }
@@ -173,16 +224,35 @@
         ("latency observe north", "is written"),
         ("regions nonsense", "unknown words"),
     ] {
-        let said = ask(&control, words)["error"].as_str().unwrap_or_default().to_owned();
+        let said = ask(&control, words)["error"]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned();
         assert!(said.contains(what), "{words}: {said}");
     }
-    assert_eq!(ask(&control, "latency observe north z2 40 20")["observed"], 20);
-    assert_eq!(ask(&control, "latency observe north z1 90 20")["observed"], 20);
+    assert_eq!(
+        ask(&control, "latency observe north z2 40 20")["observed"],
+        20
+    );
+    assert_eq!(
+        ask(&control, "latency observe north z1 90 20")["observed"],
+        20
+    );
     let shown = ask(&control, "steer show");
-    let of =
-        |edge: &str| shown["edges"].as_array().unwrap().iter().find(|e| e["edge"] == edge).unwrap().clone();
+    let of = |edge: &str| {
+        shown["edges"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .find(|e| e["edge"] == edge)
+            .unwrap()
+            .clone()
+    };
     let ms = |edge: &str| of(edge)["clients_ms"].as_f64().unwrap();
-    assert!((ms("z2") / 40.0 - 1.0).abs() < 0.06 && (ms("z1") / 90.0 - 1.0).abs() < 0.06, "{shown}");
+    assert!(
+        (ms("z2") / 40.0 - 1.0).abs() < 0.06 && (ms("z1") / 90.0 - 1.0).abs() < 0.06,
+        "{shown}"
+    );
     assert_eq!(
         (shown["region"].as_str(), of("here")["share"].as_f64()),
         (Some("north"), Some(1.0)),
@@ -193,7 +263,9 @@
     let (bytes, router) = heard(&peer);
     assert_eq!(bytes[0], 0xC3);
     peer.send_to(&[0xC3, 0, 0, 9, 1], router).unwrap();
-    until("the nonsense", || ask(&control, "regions stat")["faulty"] == 1);
+    until("the nonsense", || {
+        ask(&control, "regions stat")["faulty"] == 1
+    });
     drop(program);
 }
 
@@ -202,5 +274,8 @@
     let (mut world, _peer, _all) = with_a_peer("off");
     world.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
     let (status, log) = world.spawn("").ended();
-    assert!(!status.success() && log.contains("atlantis is not a zone"), "{log}");
+    assert!(
+        !status.success() && log.contains("atlantis is not a zone"),
+        "{log}"
+    );
 }
--- a/crates/router/tests/program/local_failures.rs
+++ b/crates/router/tests/program/local_failures.rs
@@ -36,7 +36,10 @@
     program.terminate();
     let (status, log) = program.ended();
     assert!(status.success(), "{log}");
-    for named in ["the new configuration is not taken over", "the operator's file is not taken over"] {
+    for named in [
+        "the new configuration is not taken over",
+        "the operator's file is not taken over",
+    ] {
         assert!(log.contains(named), "{named}: {log}");
     }
 }
@@ -52,7 +55,9 @@
     let (_old, _) = world.discovery.accept();
     let crowd = Crowd::of(300, program.address(), true);
     for _ in 0..5 {
-        until("no descriptor left", || program.descriptors() + 2 >= DESCRIPTORS);
+        until("no descriptor left", || {
+            program.descriptors() + 2 >= DESCRIPTORS
+        });
         world.move_discovery();
         world.write();
         program.signal("HUP");
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -39,12 +39,26 @@
     let id = client.ask(7, "page", "piece=3", b"");
     let mut server = world.server("c1").accept();
     let asked = server.asked();
-    assert_eq!((&asked.id, asked.get("item"), asked.get("chunk")), (&id, "0000000000000007", "3"));
-    assert_eq!((asked.get("cls"), asked.get("src"), asked.get("maxage")), ("page", "p1", "12000"));
+    assert_eq!(
+        (&asked.id, asked.get("item"), asked.get("chunk")),
+        (&id, "0000000000000007", "3")
+    );
+    assert_eq!(
+        (asked.get("cls"), asked.get("src"), asked.get("maxage")),
+        ("page", "p1", "12000")
+    );
     assert!((3000..4000).contains(&asked.get("limit").parse::<u64>().unwrap()));
     let object = bytes(240_000);
-    server.answer(&asked, "OK", "tell=hit,etag=4be0c1927d55a6f3,made=1", &object);
-    assert_eq!(client.answer(), (7, "ACK".into(), "ver=4be0c1927d55a6f3".into(), object));
+    server.answer(
+        &asked,
+        "OK",
+        "tell=hit,etag=4be0c1927d55a6f3,made=1",
+        &object,
+    );
+    assert_eq!(
+        client.answer(),
+        (7, "ACK".into(), "ver=4be0c1927d55a6f3".into(), object)
+    );
 }
 
 #[test]
@@ -56,7 +70,10 @@
     let asked = origin.asked();
     assert_eq!((asked.body == body, asked.get("src")), (true, ""));
     origin.answer(&asked, "OK", "-", b"done");
-    assert_eq!(client.answer(), (1, "ACK".into(), "".into(), b"done".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (1, "ACK".into(), "".into(), b"done".to_vec())
+    );
 }
 
 #[test]
@@ -82,9 +99,15 @@
     let mut server = world.server("c1").accept();
     let (first, second) = (server.asked(), server.asked());
     server.answer(&second, "OK", "tell=hit", b"two");
-    assert_eq!(client.answer(), (2, "ACK".into(), "".into(), b"two".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (2, "ACK".into(), "".into(), b"two".to_vec())
+    );
     server.answer(&first, "OK", "tell=hit", b"one");
-    assert_eq!(client.answer(), (1, "ACK".into(), "".into(), b"one".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (1, "ACK".into(), "".into(), b"one".to_vec())
+    );
 }
 
 #[test]
@@ -127,7 +150,11 @@
     let mut origin = world.server("o1").accept();
     origin.asked();
     drop(origin);
-    assert_eq!(client.word(), "FAIL", "written, then broken: no second attempt, no rejection");
+    assert_eq!(
+        client.word(),
+        "FAIL",
+        "written, then broken: no second attempt, no rejection"
+    );
 }
 
 #[test]
@@ -170,7 +197,13 @@
     let mut client = program.client();
     // Of one object, so both go to one cache.
     client.ask(1, "page", "", b"");
-    client.send(&[b"REQ", b"2", b"page", b"i=00000000000000ff,o=0000000000000001,m=1,d=4000,lot=1", b""]);
+    client.send(&[
+        b"REQ",
+        b"2",
+        b"page",
+        b"i=00000000000000ff,o=0000000000000001,m=1,d=4000,lot=1",
+        b"",
+    ]);
     let (home, mut server) = world.first();
     let other = if home == "c1" { "c2" } else { "c1" };
     let asked = [server.asked(), server.asked()];
@@ -181,7 +214,11 @@
     second.serve(b"x");
     second.serve(b"x");
     assert_eq!((client.word(), client.word()), ("ACK".into(), "ACK".into()));
-    assert!(begun.elapsed() < Duration::from_millis(1000), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_millis(1000),
+        "{:?}",
+        begun.elapsed()
+    );
     assert_eq!(server.line(), "");
 }
 
@@ -197,14 +234,24 @@
     let asked = server.asked();
     server.say(format!("{} OK {HIT} 240000\r\n", asked.id));
     // Its end is the connection's too: either may be seen first, and the other with it.
-    until("the end of its time", || !server.still_takes("x") || client.ready());
+    until("the end of its time", || {
+        !server.still_takes("x") || client.ready()
+    });
     let ended = Instant::now();
     assert_eq!(client.word(), "NAK");
-    assert!(ended.elapsed() < Duration::from_millis(100), "closed before its time: {:?}", ended.elapsed());
+    assert!(
+        ended.elapsed() < Duration::from_millis(100),
+        "closed before its time: {:?}",
+        ended.elapsed()
+    );
     assert_eq!(server.line(), format!("QUIT {id}"));
     let late = Instant::now();
     until("a close", || !server.still_takes("x"));
-    assert!(late.elapsed() < Duration::from_secs(2), "{:?}", late.elapsed());
+    assert!(
+        late.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        late.elapsed()
+    );
 }
 
 #[test]
@@ -215,7 +262,11 @@
     let mut silent = world.server("c1").accept();
     silent.asked();
     assert_eq!(client.word(), "NAK");
-    assert!(asked_at.elapsed() < Duration::from_millis(650), "{:?}", asked_at.elapsed());
+    assert!(
+        asked_at.elapsed() < Duration::from_millis(650),
+        "{:?}",
+        asked_at.elapsed()
+    );
     assert_eq!(silent.line(), format!("QUIT {id}"));
     assert_eq!(silent.line(), "", "nothing is out on it any more");
     client.ask(2, "page", "", b"");
@@ -237,11 +288,18 @@
     // Reported never sent, so it may go another way.
     let mut server = world.server("c1").accept();
     let asked = server.asked();
-    assert!(begun.elapsed() >= Duration::from_millis(295), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() >= Duration::from_millis(295),
+        "{:?}",
+        begun.elapsed()
+    );
     server.answer(&asked, "OK", "tell=via_origin", b"done");
     assert_eq!(client.word(), "ACK");
     // When the server is back its connection comes up at last, and carries nothing.
-    let local: Vec<_> = others.iter().map(|o| o.local_addr().unwrap().port()).collect();
+    let local: Vec<_> = others
+        .iter()
+        .map(|o| o.local_addr().unwrap().port())
+        .collect();
     let mut own = loop {
         let (stream, from) = world.server("o1").listener.accept().unwrap();
         if !local.contains(&from.port()) {
@@ -321,9 +379,16 @@
     let second = new.asked();
     old.say(format!("{} OK tell=hit 3\r\nold\r\n", second.id));
     old.answer(&first, "OK", "tell=hit", b"first");
-    assert_eq!(client.answer().3, b"first", "what was out at the old one still ends");
+    assert_eq!(
+        client.answer().3,
+        b"first",
+        "what was out at the old one still ends"
+    );
     new.answer(&second, "OK", "tell=hit", b"new");
-    assert_eq!(client.answer(), (tag, "ACK".into(), "".into(), b"new".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (tag, "ACK".into(), "".into(), b"new".to_vec())
+    );
     assert_eq!(old.line(), "", "nothing is kept of the old one");
 }
 
@@ -400,7 +465,9 @@
     let program = world.start();
     let (mut discovery, _) = world.discovery.accept();
     let mut clients: Vec<Client> = (0..8).map(|_| program.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.health(), "GREEN"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.health(), "GREEN"));
     // Held up, as a machine that others share may be, for long enough to be noticed.
     program.signal("STOP");
     until("the pause", || program.is_stopped());
@@ -409,14 +476,19 @@
         client.ask(tag, "page", "", b"");
     }
     discovery.say(list(2, &[world.server("c1").entry("leaving")]));
-    until("a long pause", || paused.elapsed() > Duration::from_millis(300));
+    until("a long pause", || {
+        paused.elapsed() > Duration::from_millis(300)
+    });
     program.signal("CONT");
     let mut server = world.server("c2").accept();
     for _ in 0..4 {
         server.asked();
     }
     world.server("c1").listener.set_nonblocking(true).unwrap();
-    assert!(world.server("c1").listener.accept().is_err(), "sent to a server that drains");
+    assert!(
+        world.server("c1").listener.accept().is_err(),
+        "sent to a server that drains"
+    );
 }
 
 #[test]
@@ -436,7 +508,9 @@
     until("the pause", || program.is_stopped());
     let paused = Instant::now();
     server.answer(&asked, "OK", "tell=hit", b"y");
-    until("a long pause", || paused.elapsed() > Duration::from_millis(600));
+    until("a long pause", || {
+        paused.elapsed() > Duration::from_millis(600)
+    });
     program.signal("CONT");
     assert_eq!(client.answer(), (1, "ACK".into(), "".into(), b"y".to_vec()));
 }
@@ -455,7 +529,10 @@
     let program = world.start();
     let (mut discovery, _) = world.discovery.accept();
     let purged = unix_ms();
-    discovery.say(format!("{}\n", json!({"rev": 2, "flush": {"collection": 1, "ms": purged}})));
+    discovery.say(format!(
+        "{}\n",
+        json!({"rev": 2, "flush": {"collection": 1, "ms": purged}})
+    ));
     let mut client = program.client();
     client.ask(1, "page", "", b"");
     let mut server = world.server("c1").accept();
@@ -506,7 +583,11 @@
     let asked = Instant::now();
     program.terminate();
     assert_eq!(client.word(), "FAIL");
-    assert!(asked.elapsed() < Duration::from_millis(3700), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_millis(3700),
+        "{:?}",
+        asked.elapsed()
+    );
     assert!(program.ended().0.success());
 }
 
@@ -520,9 +601,13 @@
     old.say("{\"rev\":2,");
     // An event of the new file, one that both have, and one that the new discovery service alone tells.
     world.move_discovery();
-    let leaving: Value = serde_json::from_str(&list(2, &[world.server("c1").entry("leaving")])).unwrap();
+    let leaving: Value =
+        serde_json::from_str(&list(2, &[world.server("c1").entry("leaving")])).unwrap();
     world.file["known"]["rev"] = json!(2);
-    world.file["known"]["notices"].as_array_mut().unwrap().push(leaving);
+    world.file["known"]["notices"]
+        .as_array_mut()
+        .unwrap()
+        .push(leaving);
     world.file["limits"]["sockets"] = json!(512);
     world.write();
     let told = Instant::now();
@@ -531,7 +616,11 @@
     }
     let (_discovery, after) = world.discovery.accept();
     assert_eq!(after, 2);
-    assert!(told.elapsed() < Duration::from_millis(1500), "not for silence: {:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(1500),
+        "not for silence: {:?}",
+        told.elapsed()
+    );
     let mut client = program.client();
     client.ask(1, "page", "", b"");
     let mut server = world.server("c2").accept();
@@ -550,7 +639,10 @@
     assert_eq!(client.word(), "ACK");
     let (status, log) = program.ended();
     assert!(status.success(), "{log}");
-    assert!(log.contains("board is not an address") && log.contains("limits: a restart is needed"), "{log}");
+    assert!(
+        log.contains("board is not an address") && log.contains("limits: a restart is needed"),
+        "{log}"
+    );
 }
 
 #[test]
@@ -565,12 +657,24 @@
         ("/settings", json!(null), "settings"),
         ("/settings/Classes", json!([]), "Classes"),
         ("/settings/Classes/0/Effect", json!("odd"), "Effect"),
-        ("/settings/Obligations/DrainGrace", json!("long"), "DrainGrace"),
-        ("/settings/Limits/ConnectTimeout", json!([]), "ConnectTimeout"),
+        (
+            "/settings/Obligations/DrainGrace",
+            json!("long"),
+            "DrainGrace",
+        ),
+        (
+            "/settings/Limits/ConnectTimeout",
+            json!([]),
+            "ConnectTimeout",
+        ),
         ("/settings/FamilyInfo", json!(3), "FamilyInfo"),
         ("/settings/Zones", json!([1]), "Zones"),
         ("/settings/Limits/IdleClose", json!(true), "IdleClose"),
-        ("/settings/Limits/StreamsPerConn", json!(1.5), "StreamsPerConn"),
+        (
+            "/settings/Limits/StreamsPerConn",
+            json!(1.5),
+            "StreamsPerConn",
+        ),
         ("/settings/Limits/MaxOpen", json!("all"), "MaxOpen"),
         ("/limits", json!([]), "limits"),
         ("/known/rev", json!("x"), "rev"),
@@ -587,7 +691,10 @@
         let (status, log) = world.spawn("").ended();
         assert!(!status.success(), "{at}");
         let last = log.lines().last().unwrap_or_default();
-        assert!(last.starts_with("chalkhall-router: ") && last.contains(named), "{at}: {log}");
+        assert!(
+            last.starts_with("chalkhall-router: ") && last.contains(named),
+            "{at}: {log}"
+        );
     }
     let mut world = World::new();
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/router/tests/program/moments.rs
+++ b/crates/router/tests/program/moments.rs
@@ -57,9 +57,15 @@
                     sleep(MS);
                 }
             }
-            connections.into_iter().for_each(|thread| drop(thread.join()));
+            connections
+                .into_iter()
+                .for_each(|thread| drop(thread.join()));
         });
-        Station { server, shared, thread: Some(thread) }
+        Station {
+            server,
+            shared,
+            thread: Some(thread),
+        }
     }
 
     fn come(&self) -> MutexGuard<'_, Vec<Come>> {
@@ -77,14 +83,21 @@
     fn tell(&self, id: &str, word: &str) {
         let come = self.come();
         let last = come.iter().rev().find(|come| come.id == id).unwrap();
-        let _ = last.to.lock().unwrap().write_all(format!("{id} {word} - 0\r\n\r\n").as_bytes());
+        let _ = last
+            .to
+            .lock()
+            .unwrap()
+            .write_all(format!("{id} {word} - 0\r\n\r\n").as_bytes());
     }
 }
 
 impl Drop for Station {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::Relaxed);
-        self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
+        self.thread
+            .take()
+            .into_iter()
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -112,7 +125,11 @@
             if !skip(of, &mut reader, length) {
                 return;
             }
-            let source = fields.split(',').find_map(|f| f.strip_prefix("src=")).unwrap_or("").to_owned();
+            let source = fields
+                .split(',')
+                .find_map(|f| f.strip_prefix("src="))
+                .unwrap_or("")
+                .to_owned();
             let (id, to) = (id.to_owned(), to.clone());
             if answers {
                 let answer = format!("{id} OK {HIT} 1\r\nx\r\n");
@@ -169,22 +186,32 @@
 fn leavings(each: usize) -> (usize, usize) {
     let (mut left, mut late) = (0, Vec::new());
     for may_cancel in [true, false] {
-        let [c1, c2, p1, o1] = [("c1", "cache"), ("c2", "cache"), ("p1", "parent"), ("o1", "origin")]
-            .map(|(name, kind)| Station::of(Server::new(name, kind), false));
+        let [c1, c2, p1, o1] = [
+            ("c1", "cache"),
+            ("c2", "cache"),
+            ("p1", "parent"),
+            ("o1", "origin"),
+        ]
+        .map(|(name, kind)| Station::of(Server::new(name, kind), false));
         let all = [&c1, &c2, &p1, &o1];
         let mut world = world_of(wide(), &all);
         let settings = &mut world.file["settings"];
         settings["Limits"]["MayCancel"] = json!(may_cancel);
         settings["Limits"]["ConnectTimeout"] = json!(3000);
-        (settings["Obligations"]["DrainGrace"], settings["FamilyInfo"]["ObeyAfter"]) =
-            (json!(3000), json!(3000));
+        (
+            settings["Obligations"]["DrainGrace"],
+            settings["FamilyInfo"]["ObeyAfter"],
+        ) = (json!(3000), json!(3000));
         let program = world.start();
         let mut check = |gone: &[(String, Instant)]| {
             left += gone.len();
             for (id, at) in gone {
-                let begun = all
-                    .iter()
-                    .flat_map(|s| s.come().iter().map(|c| (c.id.clone(), c.at)).collect::<Vec<_>>());
+                let begun = all.iter().flat_map(|s| {
+                    s.come()
+                        .iter()
+                        .map(|c| (c.id.clone(), c.at))
+                        .collect::<Vec<_>>()
+                });
                 late.extend(begun.filter(|(of, begun)| of == id && *begun > *at + 100 * MS));
             }
         };
@@ -195,7 +222,10 @@
             // more.
             for attempts in [1, 2] {
                 let mut client = Some(program.client());
-                let id = client.as_mut().unwrap().ask(1, "catalogue-card", "t=archive", b"");
+                let id = client
+                    .as_mut()
+                    .unwrap()
+                    .ask(1, "catalogue-card", "t=archive", b"");
                 let mut out = None;
                 until("the first attempt", || {
                     out = at(&id);
@@ -205,7 +235,9 @@
                     let first = out.unwrap();
                     first.tell(&id, "BUSY");
                     until("the second", || {
-                        out = all.into_iter().find(|s| s.server.name != first.server.name && s.has(&id));
+                        out = all
+                            .into_iter()
+                            .find(|s| s.server.name != first.server.name && s.has(&id));
                         out.is_some()
                     });
                 }
@@ -220,7 +252,10 @@
                 out.unwrap().tell(&id, "BUSY");
                 until("time for one more", || gone.elapsed() > 130 * MS);
                 let after: usize = all.iter().map(|s| s.come().len()).sum();
-                assert_eq!(before, after, "one more began for a client that had left ({how:?})");
+                assert_eq!(
+                    before, after,
+                    "one more began for a client that had left ({how:?})"
+                );
                 check(&[(id, gone)]);
             }
         }
@@ -230,8 +265,15 @@
         let mut queued = Vec::new();
         for n in 0..each {
             let mut client = Some(program.client());
-            let id = client.as_mut().unwrap().ask(1, "loan-request", "t=archive", b"later");
-            assert_eq!(client.as_mut().unwrap().health(), "GREEN", "it has been read");
+            let id = client
+                .as_mut()
+                .unwrap()
+                .ask(1, "loan-request", "t=archive", b"later");
+            assert_eq!(
+                client.as_mut().unwrap().health(),
+                "GREEN",
+                "it has been read"
+            );
             queued.push((client, id, LEAVINGS[n % LEAVINGS.len()]));
         }
         let gone = queued.into_iter().map(|(mut client, id, how)| {
@@ -263,8 +305,11 @@
         let told = over.clone();
         let thread = spawn(move || {
             let (mut asked, mut words) = (0, HashMap::new());
-            let Some(mut client) = Client::at(address) else { return (0, words) };
-            let (mut open, mut next, mut chance) = (0, Instant::now(), fastrand::Rng::with_seed(seed));
+            let Some(mut client) = Client::at(address) else {
+                return (0, words);
+            };
+            let (mut open, mut next, mut chance) =
+                (0, Instant::now(), fastrand::Rng::with_seed(seed));
             let mut tag = 0;
             loop {
                 let over = told.load(Ordering::Relaxed);
@@ -294,7 +339,10 @@
                 }
             }
         });
-        Load { over, thread: Some(thread) }
+        Load {
+            over,
+            thread: Some(thread),
+        }
     }
 
     fn end(mut self) -> (usize, HashMap<String, usize>) {
@@ -318,8 +366,12 @@
     let mut worlds: Vec<World> = (0..processes)
         .map(|n| {
             let mut world = world_of(World::new(), &[&c1, &c2, &p1, &o1]);
-            let hosts = world.file["known"]["notices"][0]["pool"]["hosts"].as_array_mut().unwrap();
-            for host in hosts.iter_mut().filter(|host| ["c1", "p1"].contains(&host["host"].as_str().unwrap()))
+            let hosts = world.file["known"]["notices"][0]["pool"]["hosts"]
+                .as_array_mut()
+                .unwrap();
+            for host in hosts
+                .iter_mut()
+                .filter(|host| ["c1", "p1"].contains(&host["host"].as_str().unwrap()))
             {
                 host["born_ms"] = json!(born);
             }
@@ -333,11 +385,24 @@
         })
         .collect();
     let mut programs: Vec<Program> = worlds.iter_mut().map(|world| world.spawn("")).collect();
-    until("all ready", || programs.iter().all(|p| p.connect().is_some_and(|mut c| c.health() == "GREEN")));
+    until("all ready", || {
+        programs
+            .iter()
+            .all(|p| p.connect().is_some_and(|mut c| c.health() == "GREEN"))
+    });
     // A fifth of them get half of the traffic.
-    let every = |n: usize| if n.is_multiple_of(5) { 25 * MS } else { 100 * MS };
-    let mut loads: Vec<Load> =
-        programs.iter().enumerate().map(|(n, p)| Load::at(p.address(), every(n), seed + n as u64)).collect();
+    let every = |n: usize| {
+        if n.is_multiple_of(5) {
+            25 * MS
+        } else {
+            100 * MS
+        }
+    };
+    let mut loads: Vec<Load> = programs
+        .iter()
+        .enumerate()
+        .map(|(n, p)| Load::at(p.address(), every(n), seed + n as u64))
+        .collect();
     let since = Instant::now();
     until("two seconds of it", || since.elapsed() > 2000 * MS);
     let again: Vec<usize> = (0..processes).filter(|n| n % 4 == 1).collect();
@@ -347,7 +412,11 @@
         programs[*n] = worlds[*n].spawn("");
     }
     until("ready again", || {
-        again.iter().all(|n| programs[*n].connect().is_some_and(|mut c| c.health() == "GREEN"))
+        again.iter().all(|n| {
+            programs[*n]
+                .connect()
+                .is_some_and(|mut c| c.health() == "GREEN")
+        })
     });
     for n in again {
         let load = Load::at(programs[n].address(), every(n), seed + 1000 + n as u64);
@@ -372,7 +441,12 @@
     };
     let at_cache = used(c1.come().iter().map(|come| come.at).collect(), 17.0, 0.3);
     let fills = [&c1, &c2].into_iter().flat_map(|station| {
-        station.come().iter().filter(|come| come.source == "p1").map(|come| come.at).collect::<Vec<_>>()
+        station
+            .come()
+            .iter()
+            .filter(|come| come.source == "p1")
+            .map(|come| come.at)
+            .collect::<Vec<_>>()
     });
     let mut fills: Vec<Instant> = fills.chain(p1.come().iter().map(|come| come.at)).collect();
     fills.sort();
@@ -392,11 +466,21 @@
         })
         .collect();
     let begun = Instant::now();
-    let programs: Vec<Program> = worlds.iter_mut().map(|world| world.spawn("ulimit -n 128;")).collect();
-    let crowds: Vec<Crowd> = programs.iter().map(|p| Crowd::of(clients, p.address(), true)).collect();
+    let programs: Vec<Program> = worlds
+        .iter_mut()
+        .map(|world| world.spawn("ulimit -n 128;"))
+        .collect();
+    let crowds: Vec<Crowd> = programs
+        .iter()
+        .map(|p| Crowd::of(clients, p.address(), true))
+        .collect();
     let mut ready = vec![None; processes];
     until("all ready", || {
-        for (program, ready) in programs.iter().zip(&mut ready).filter(|(_, ready)| ready.is_none()) {
+        for (program, ready) in programs
+            .iter()
+            .zip(&mut ready)
+            .filter(|(_, ready)| ready.is_none())
+        {
             if program
                 .connect()
                 .and_then(|mut client| client.try_health())
@@ -414,29 +498,46 @@
         sleep(MS);
     }
     let back = Instant::now();
-    let discoveries: Vec<TcpListener> =
-        discoveries.into_iter().map(|at| TcpListener::bind(at).unwrap()).collect();
+    let discoveries: Vec<TcpListener> = discoveries
+        .into_iter()
+        .map(|at| TcpListener::bind(at).unwrap())
+        .collect();
     for discovery in &discoveries {
         discovery.set_nonblocking(true).unwrap();
     }
     let mut followed = vec![false; processes];
     until("all discovery services followed", || {
-        for (discovery, followed) in discoveries.iter().zip(&mut followed).filter(|(_, followed)| !**followed)
+        for (discovery, followed) in discoveries
+            .iter()
+            .zip(&mut followed)
+            .filter(|(_, followed)| !**followed)
         {
             *followed = discovery.accept().is_ok();
         }
         followed.iter().all(|followed| *followed)
     });
-    assert!(back.elapsed() < 1000 * MS, "followed {:?} after their return", back.elapsed());
+    assert!(
+        back.elapsed() < 1000 * MS,
+        "followed {:?} after their return",
+        back.elapsed()
+    );
     drop(crowds);
-    [ready[processes / 2], ready[processes * 9 / 10], ready[processes - 1]]
+    [
+        ready[processes / 2],
+        ready[processes * 9 / 10],
+        ready[processes - 1],
+    ]
 }
 
 /// Stopped in order and started anew, so often, under load: new connections come for 0.3 s after the signal,
 /// requests on open ones for 0.2 s more. How many were asked, and how many got no final answer.
 fn restarts(times: usize, seed: u64) -> (usize, usize) {
     let station = |name, kind| Station::of(Server::new(name, kind), true);
-    let (c1, p1, o1) = (station("c1", "cache"), station("p1", "parent"), station("o1", "origin"));
+    let (c1, p1, o1) = (
+        station("c1", "cache"),
+        station("p1", "parent"),
+        station("o1", "origin"),
+    );
     let mut world = world_of(World::new(), &[&c1, &p1, &o1]);
     let (mut asked, mut lost) = (0, 0);
     for n in 0..times {
@@ -455,7 +556,12 @@
         for load in loads {
             let (of_it, words) = load.end();
             asked += of_it;
-            lost += of_it - words.iter().filter(|(word, _)| *word != "lost").map(|(_, n)| n).sum::<usize>();
+            lost += of_it
+                - words
+                    .iter()
+                    .filter(|(word, _)| *word != "lost")
+                    .map(|(_, n)| n)
+                    .sum::<usize>();
         }
         assert!(resting.parted(), "one that rested was reset");
         let (status, log) = program.ended();
@@ -485,7 +591,8 @@
     world.file["known"] =
         json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": entries}}]});
     world.file["limits"]["memory_mb"] = json!(if short == Short::Memory { 2 } else { 64 });
-    world.file["settings"]["Classes"][0]["Aim"] = json!(if short == Short::Pace { 150 } else { 3000 });
+    world.file["settings"]["Classes"][0]["Aim"] =
+        json!(if short == Short::Pace { 150 } else { 3000 });
     world.file["settings"]["FamilyInfo"]["ClientKbPerS"] = json!(4000);
     let program = world.start();
     // It answers each after its sending time, so that large ones are longer out; or one after the other.
@@ -507,14 +614,22 @@
     });
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut clients: Vec<Client> = (0..20).map(|_| program.client()).collect();
-    let mut sizes: Vec<u64> = (0..asked).map(|_| 4 + (chance.f64().powi(3) * 236.0) as u64).collect();
+    let mut sizes: Vec<u64> = (0..asked)
+        .map(|_| 4 + (chance.f64().powi(3) * 236.0) as u64)
+        .collect();
     let (mut answers, per) = (Vec::new(), asked / clients.len());
     for round in 0..per {
         for (c, client) in clients.iter_mut().enumerate() {
             let kb = sizes[round * 20 + c];
             let (id, object) = (chance.u64(..), kb * 1000 + c as u64);
             let fields = format!("i={id:016x},o={object:016x},lot=1,m={kb},d=3000");
-            client.send(&[b"REQ", (round + 1).to_string().as_bytes(), b"page", fields.as_bytes(), b""]);
+            client.send(&[
+                b"REQ",
+                (round + 1).to_string().as_bytes(),
+                b"page",
+                fields.as_bytes(),
+                b"",
+            ]);
         }
         for (c, client) in clients.iter_mut().enumerate() {
             answers.push((sizes[round * 20 + c], client.word() == "ACK"));
@@ -526,7 +641,11 @@
     sizes.sort();
     let large = sizes[asked - asked / 10];
     let share = |of: &dyn Fn(u64) -> bool| {
-        let of: Vec<bool> = answers.iter().filter(|(kb, _)| of(*kb)).map(|(_, answered)| *answered).collect();
+        let of: Vec<bool> = answers
+            .iter()
+            .filter(|(kb, _)| of(*kb))
+            .map(|(_, answered)| *answered)
+            .collect();
         of.iter().filter(|answered| **answered).count() as f64 / of.len() as f64
     };
     (share(&|kb| kb >= large), share(&|_| true))
@@ -547,7 +666,10 @@
             Ok(_) => {
                 let words: Vec<&str> = line.split_whitespace().collect();
                 if let ["ASK", id, fields, _] = words[..] {
-                    let item = fields.split(',').find_map(|f| f.strip_prefix("item=")).unwrap();
+                    let item = fields
+                        .split(',')
+                        .find_map(|f| f.strip_prefix("item="))
+                        .unwrap();
                     let kb = u64::from_str_radix(item, 16).unwrap() / 1000;
                     let mut at = Instant::now() + MS * kb as u32 / 4;
                     if let Some(free) = free {
@@ -562,7 +684,11 @@
         }
         while let Some(at) = due.iter().position(|(at, ..)| Instant::now() >= *at) {
             let (_, id, length) = due.swap_remove(at);
-            let tell = if free.is_some() { HIT.replace("hit", "filled") } else { HIT.to_owned() };
+            let tell = if free.is_some() {
+                HIT.replace("hit", "filled")
+            } else {
+                HIT.to_owned()
+            };
             let head = format!("{id} OK {tell} {length}\r\n");
             let answer = [head.as_bytes(), &vec![7; length], b"\r\n"].concat();
             if to.write_all(&answer).is_err() {
@@ -578,7 +704,10 @@
 }
 
 fn seed() -> u64 {
-    std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1)
+    std::env::var("SEED")
+        .ok()
+        .and_then(|seed| seed.parse().ok())
+        .unwrap_or(1)
 }
 
 #[test]
@@ -589,22 +718,41 @@
     let (mut at_cache, mut at_parent) = (0.0_f64, 0.0_f64);
     for processes in &fleets {
         let (cache, parent, _) = cold(*processes, seed);
-        assert!(cache <= 1.0 && parent <= 1.0, "of what cold servers bear: {cache:.2}, {parent:.2}");
-        assert!(cache > 0.1, "hardly anything was sent to a cold cache: {cache:.2}");
+        assert!(
+            cache <= 1.0 && parent <= 1.0,
+            "of what cold servers bear: {cache:.2}, {parent:.2}"
+        );
+        assert!(
+            cache > 0.1,
+            "hardly anything was sent to a cold cache: {cache:.2}"
+        );
         (at_cache, at_parent) = (at_cache.max(cache), at_parent.max(parent));
     }
-    let (at_once, down) = if whole { (30, 8000 * MS) } else { (8, 1000 * MS) };
+    let (at_once, down) = if whole {
+        (30, 8000 * MS)
+    } else {
+        (8, 1000 * MS)
+    };
     let [half, nine, last] = all_at_once(at_once, down, if whole { 100 } else { 30 });
-    assert!(nine < 10_000 * MS && last < 30_000 * MS, "{nine:?} {last:?}");
+    assert!(
+        nine < 10_000 * MS && last < 30_000 * MS,
+        "{nine:?} {last:?}"
+    );
     let (asked, lost) = restarts(if whole { 10 } else { 2 }, seed);
     assert_eq!(lost, 0, "of {asked}");
     let requests = if whole { 4000 } else { 1000 };
     let (quiet_large, quiet) = sizes(requests, Short::Nothing, seed);
     assert!(quiet > 0.95, "a quiet day answers nearly all: {quiet:.2}");
-    assert!(quiet_large >= quiet * 2.0 / 3.0, "quiet: {quiet_large:.2} of the largest, {quiet:.2} of all");
+    assert!(
+        quiet_large >= quiet * 2.0 / 3.0,
+        "quiet: {quiet_large:.2} of the largest, {quiet:.2} of all"
+    );
     let strained = [Short::Memory, Short::Pace].map(|short| sizes(requests, short, seed));
     for (large, all) in strained {
-        assert!((0.1..0.95).contains(&all), "no strain that it can work under: {strained:.2?}");
+        assert!(
+            (0.1..0.95).contains(&all),
+            "no strain that it can work under: {strained:.2?}"
+        );
         assert!(large >= all / 2.0, "largest and all: {strained:.2?}");
     }
     let [(memory_large, memory), (pace_large, pace)] = strained;
--- a/crates/router/tests/program/own.rs
+++ b/crates/router/tests/program/own.rs
@@ -30,10 +30,21 @@
     let (world, _program, mut client) = started("store {\n memory 25%\n}\n");
     let mut server = keep_after(&world, &mut client);
     client.ask(7, "page", "", b"");
-    assert_eq!(client.answer(), (7, "ACK".into(), format!("ver={}", &TAG[5..]), b"two".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (
+            7,
+            "ACK".into(),
+            format!("ver={}", &TAG[5..]),
+            b"two".to_vec()
+        )
+    );
     client.ask(7, "page", &format!("ver={}", &TAG[5..]), b"");
     let (_, word, fields, body) = client.answer();
-    assert!(word == "ACK" && fields.contains("unchanged=1") && body.is_empty(), "{word} {fields}");
+    assert!(
+        word == "ACK" && fields.contains("unchanged=1") && body.is_empty(),
+        "{word} {fields}"
+    );
     // Another part is another copy; nothing of all this came to the server.
     client.ask(7, "page", "piece=1", b"");
     assert_eq!(server.asked().get("chunk"), "1");
@@ -113,7 +124,13 @@
         .map(|tag| {
             let id = format!("{:016x}", 0xabc0 + tag);
             let fields = format!("i={id},o=00000000000000aa,lot=1,m=10.5,d=4000");
-            client.send(&[b"REQ", tag.to_string().as_bytes(), b"page", fields.as_bytes(), b""]);
+            client.send(&[
+                b"REQ",
+                tag.to_string().as_bytes(),
+                b"page",
+                fields.as_bytes(),
+                b"",
+            ]);
             id
         })
         .collect();
@@ -151,7 +168,11 @@
         server.asked();
     }
     ask_first(&mut client);
-    assert_eq!(server.asked().get("item"), "0000000000000007", "its copy has left, and nothing is rejected");
+    assert_eq!(
+        server.asked().get("item"),
+        "0000000000000007",
+        "its copy has left, and nothing is rejected"
+    );
 }
 
 #[test]
@@ -160,9 +181,11 @@
     world.directives = "store {\n memry 5MB\n disk /x\n}\nlog-format yaml\n".into();
     let (status, text) = world.spawn("").ended();
     assert_eq!(status.code(), Some(1));
-    for part in
-        [":2:2: memry is not a directive of store; memory is", ":3:2: disk is written", ":5:12: \"yaml\""]
-    {
+    for part in [
+        ":2:2: memry is not a directive of store; memory is",
+        ":3:2: disk is written",
+        ":5:12: \"yaml\"",
+    ] {
         assert!(text.contains(part), "{part} in {text}");
     }
 }
@@ -170,8 +193,9 @@
 fn on_disk(world: &mut World, more: &str) -> std::path::PathBuf {
     let path = world.path().with_file_name("copies");
     let disk = path.display();
-    world.directives =
-        format!("store {{\n disk {disk} 64MB\n segment 1MB\n sync-after 20ms\n least-fresh 0\n{more}\n}}\n");
+    world.directives = format!(
+        "store {{\n disk {disk} 64MB\n segment 1MB\n sync-after 20ms\n least-fresh 0\n{more}\n}}\n"
+    );
     path
 }
 
@@ -234,7 +258,8 @@
             });
             let (_, word, fields, found) = client.answer();
             assert_eq!((word.as_str(), &found), ("ACK", &body));
-            fields == format!("ver={}", &TAG[5..]) && !first.as_mut().is_some_and(|line| line.ready())
+            fields == format!("ver={}", &TAG[5..])
+                && !first.as_mut().is_some_and(|line| line.ready())
         });
     }
 }
@@ -257,7 +282,10 @@
     // Before any client asks: nothing says that no purge was told meanwhile.
     let mut server = world.server("c1").accept();
     let asked = server.asked();
-    assert_eq!((asked.get("item"), asked.get("have")), ("0000000000000007", &TAG[5..]));
+    assert_eq!(
+        (asked.get("item"), asked.get("have")),
+        ("0000000000000007", &TAG[5..])
+    );
     server.answer(&asked, "SAME", &made(0), b"");
     let mut client = program.client();
     until_own(&mut client, &mut server, &body);
@@ -278,7 +306,10 @@
     second.terminate();
     let (_, text) = second.ended();
     let holder = format!("is held by process {}", first.child.id());
-    assert!(text.contains("store: the disk is not used") && text.contains(&holder), "{text}");
+    assert!(
+        text.contains("store: the disk is not used") && text.contains(&holder),
+        "{text}"
+    );
 }
 
 #[test]
@@ -288,9 +319,15 @@
     use std::os::unix::net::UnixStream;
     let mut world = World::new();
     let socket = world.path().with_file_name("control");
-    world.directives = format!("control {}\nlog-format json\nstore {{\n memory 10MB\n}}\n", socket.display());
+    world.directives = format!(
+        "control {}\nlog-format json\nstore {{\n memory 10MB\n}}\n",
+        socket.display()
+    );
     let mut program = world.start();
-    assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
+    assert_eq!(
+        std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777,
+        0o600
+    );
     let ask = |words: &str| {
         let mut stream = UnixStream::connect(&socket).unwrap();
         stream.write_all(words.as_bytes()).unwrap();
@@ -302,13 +339,28 @@
     let _server = keep_after(&world, &mut client);
     let told = ask("store stat\n");
     assert_eq!(
-        (told["memory"]["parts"].as_u64(), told["memory"]["most"].as_u64()),
+        (
+            told["memory"]["parts"].as_u64(),
+            told["memory"]["most"].as_u64()
+        ),
         (Some(1), Some(10_000_000))
     );
-    assert!(ask("make tea\n")["error"].as_str().is_some_and(|e| e.contains("make tea")));
+    assert!(
+        ask("make tea\n")["error"]
+            .as_str()
+            .is_some_and(|e| e.contains("make tea"))
+    );
     program.terminate();
     let (status, log) = program.ended();
     assert!(status.success() && !socket.exists());
-    let lines: Vec<serde_json::Value> = log.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
-    assert!(lines.iter().any(|line| line["memory_bytes"].as_u64() == Some(10_000_000)), "{log}");
+    let lines: Vec<serde_json::Value> = log
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
+    assert!(
+        lines
+            .iter()
+            .any(|line| line["memory_bytes"].as_u64() == Some(10_000_000)),
+        "{log}"
+    );
 }
--- a/crates/router/tests/program/quiet_then_faults.rs
+++ b/crates/router/tests/program/quiet_then_faults.rs
@@ -29,7 +29,11 @@
                 "{class}, closes {closes}: after {:?}",
                 sent.elapsed()
             );
-            assert_eq!(word, if class == "page" { "NAK" } else { "FAIL" }, "{class}, closes {closes}");
+            assert_eq!(
+                word,
+                if class == "page" { "NAK" } else { "FAIL" },
+                "{class}, closes {closes}"
+            );
             assert_eq!(client.health(), "GREEN", "and no second answer");
         }
     }
@@ -59,7 +63,15 @@
     forgotten.reset();
     let mut again = world.server("p1").accept();
     again.serve(b"second");
-    assert_eq!(client.answer(), (2, "ACK".into(), "ver=4be0c1927d55a6f3".into(), b"second".to_vec()));
+    assert_eq!(
+        client.answer(),
+        (
+            2,
+            "ACK".into(),
+            "ver=4be0c1927d55a6f3".into(),
+            b"second".to_vec()
+        )
+    );
 
     let mut client = program.client();
     let forgotten = rested(&world, &mut client, "confirm", "o1");
@@ -69,7 +81,10 @@
     again.serve(b"once");
     assert_eq!(client.answer().3, b"once");
     assert!(world.server("o1").try_accept().is_none(), "asked twice");
-    assert!(world.server("c1").try_accept().is_none(), "asked elsewhere too");
+    assert!(
+        world.server("c1").try_accept().is_none(),
+        "asked elsewhere too"
+    );
 }
 
 /// A machine is gone, and its connections with it: nothing tells the router, what is written goes nowhere, and
@@ -111,7 +126,9 @@
         assert_eq!(hangs.line(), format!("QUIT {id}"));
         let mut last = None;
         until("another attempt", || {
-            last = ["p1", "o1"].iter().find_map(|name| world.server(name).try_accept());
+            last = ["p1", "o1"]
+                .iter()
+                .find_map(|name| world.server(name).try_accept());
             last.is_some()
         });
         last.unwrap().serve(b"served");
@@ -151,7 +168,9 @@
             until("both answers", || {
                 lines.extend(world.servers.iter().filter_map(Server::try_accept));
                 for line in &mut lines {
-                    let Some(ask) = line.try_asked() else { continue };
+                    let Some(ask) = line.try_asked() else {
+                        continue;
+                    };
                     asked += usize::from(ask.id == id);
                     let _ = line.still_takes(&format!("{} OK {HIT} 1\r\nx\r\n", ask.id));
                 }
@@ -160,10 +179,16 @@
                 }
                 answered.len() == 2
             });
-            assert!(sent.elapsed() < 2000 * MS, "{class}, resets {resets}: {:?}", sent.elapsed());
+            assert!(
+                sent.elapsed() < 2000 * MS,
+                "{class}, resets {resets}: {:?}",
+                sent.elapsed()
+            );
             answered.sort();
-            let words: Vec<(u64, &str)> =
-                answered.iter().map(|(tag, word, ..)| (*tag, word.as_str())).collect();
+            let words: Vec<(u64, &str)> = answered
+                .iter()
+                .map(|(tag, word, ..)| (*tag, word.as_str()))
+                .collect();
             match class {
                 "page" => assert_eq!(words, [(1, "ACK"), (2, "ACK")], "resets {resets}"),
                 _ => assert!(
@@ -195,9 +220,13 @@
         }
         // One that the router has given up shows its end.
         watches.retain_mut(|(_, watch)| !watch.ready());
-        watches.first().is_some_and(|(since, _)| since.elapsed() > SLOW)
+        watches
+            .first()
+            .is_some_and(|(since, _)| since.elapsed() > SLOW)
     });
-    watches[0].1.say(list(2, &[world.server("c1").entry("leaving")]));
+    watches[0]
+        .1
+        .say(list(2, &[world.server("c1").entry("leaving")]));
     assert!(begun.elapsed() < TOLD_WITHIN, "{:?}", begun.elapsed());
     until_drained(&world, &mut program.client(), None);
 }
@@ -229,7 +258,13 @@
 /// Asks for one thing after another until it goes past `c1`, which drains; on connections of which one to `c1`
 /// may have been taken before. A router that watches discovery anew meanwhile is told of the drain again.
 fn until_drained(world: &World, client: &mut Client, taken: Option<Line>) {
-    let (mut lines, mut tag) = (taken.into_iter().map(|line| ("c1", line)).collect::<Vec<_>>(), 10_000);
+    let (mut lines, mut tag) = (
+        taken
+            .into_iter()
+            .map(|line| ("c1", line))
+            .collect::<Vec<_>>(),
+        10_000,
+    );
     let mut watch = None;
     until("the drain", || {
         if world.discovery.is_watched() {
@@ -248,8 +283,14 @@
 /// The local ends of connections to this address that have been begun and have not come up.
 fn connecting(to: SocketAddr) -> HashSet<String> {
     const SYN_SENT: &str = "02";
-    let SocketAddr::V4(to) = to else { return HashSet::new() };
-    let remote = format!("{:08X}:{:04X}", u32::from_le_bytes(to.ip().octets()), to.port());
+    let SocketAddr::V4(to) = to else {
+        return HashSet::new();
+    };
+    let remote = format!(
+        "{:08X}:{:04X}",
+        u32::from_le_bytes(to.ip().octets()),
+        to.port()
+    );
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let local_end = |line: &str| match line.split_whitespace().collect::<Vec<_>>()[..] {
         [_, local, of, SYN_SENT, ..] if of == remote => Some(local.to_owned()),
@@ -286,7 +327,11 @@
     let last = Moment::now(program.child.id());
     program.signal("HUP");
     let (mut discovery, after) = world.discovery.accept();
-    assert!(last.elapsed() < 1000 * MS, "followed {:?} after the last", last.elapsed());
+    assert!(
+        last.elapsed() < 1000 * MS,
+        "followed {:?} after the last",
+        last.elapsed()
+    );
     assert_eq!(after, 1);
     server.answer(&out, "OK", HIT, b"x");
     assert_eq!(client.word(), "ACK");
@@ -316,30 +361,48 @@
         let listener = (how != Crowded::Refuses).then(|| TcpListener::bind(at).unwrap());
         let queue = (how == Crowded::TakesNone).then(|| fill_queue(at));
         let shuts = listener.as_ref().filter(|_| how == Crowded::ShutsAtOnce);
-        shuts.into_iter().for_each(|listener| listener.set_nonblocking(true).unwrap());
+        shuts
+            .into_iter()
+            .for_each(|listener| listener.set_nonblocking(true).unwrap());
         let (begun, mut client, mut server) = (Instant::now(), program.client(), None);
         let (mut tag, mut shut, mut given_up) = (0, 0, HashSet::new());
         until("three seconds of it", || {
             tag += 1;
             client.ask(tag, "page", "", b"");
-            server.get_or_insert_with(|| world.server("c1").accept()).serve(b"x");
+            server
+                .get_or_insert_with(|| world.server("c1").accept())
+                .serve(b"x");
             assert_eq!(client.word(), "ACK");
-            shut += shuts.map_or(0, |listener| std::iter::from_fn(|| listener.accept().ok()).count());
+            shut += shuts.map_or(0, |listener| {
+                std::iter::from_fn(|| listener.accept().ok()).count()
+            });
             given_up.extend(connecting(at));
             begun.elapsed() > 3000 * MS
         });
         // Each pause is half of 320 ms at least, but for the first few; each try to connect lasts 500 ms.
         match how {
             Crowded::Refuses => {}
-            Crowded::TakesNone => assert!((2..=8).contains(&given_up.len()), "{} tries", given_up.len()),
+            Crowded::TakesNone => assert!(
+                (2..=8).contains(&given_up.len()),
+                "{} tries",
+                given_up.len()
+            ),
             Crowded::ShutsAtOnce => assert!((6..=32).contains(&shut), "{shut} tries"),
         }
         drop((queue, listener));
         let back = Moment::now(program.child.id());
         world.discovery.comes_back(at);
         let (mut discovery, after) = world.discovery.accept();
-        let within = if how == Crowded::TakesNone { 1000 * MS } else { 500 * MS };
-        assert!(back.elapsed() < within, "{how:?}: followed after {:?}", back.elapsed());
+        let within = if how == Crowded::TakesNone {
+            1000 * MS
+        } else {
+            500 * MS
+        };
+        assert!(
+            back.elapsed() < within,
+            "{how:?}: followed after {:?}",
+            back.elapsed()
+        );
         assert_eq!(after, 1);
         discovery.say(list(2, &[world.server("c1").entry("leaving")]));
         until_drained(&world, &mut client, server);
@@ -381,7 +444,10 @@
         assert_eq!(client.health(), "GREEN");
         program.descriptors() <= at_rest
     });
-    assert!(used.iter_mut().all(|line| line.line().is_empty()), "closed by the router, with nothing written");
+    assert!(
+        used.iter_mut().all(|line| line.line().is_empty()),
+        "closed by the router, with nothing written"
+    );
 
     let at = world.discovery.goes_down(watch);
     assert_eq!(served_by(&world, &mut client, &mut Vec::new(), 33), "c1");
--- a/crates/router/tests/program/shutdown.rs
+++ b/crates/router/tests/program/shutdown.rs
@@ -21,7 +21,11 @@
 
 /// All servers drain: whatever is asked is rejected at once.
 fn all_leaving(mut world: World) -> World {
-    let entries: Vec<_> = world.servers.iter().map(|server| server.entry("leaving")).collect();
+    let entries: Vec<_> = world
+        .servers
+        .iter()
+        .map(|server| server.entry("leaving"))
+        .collect();
     world.file["known"] =
         json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": entries}}]});
     world
@@ -63,7 +67,10 @@
                 outcome.lost = open.iter().filter(|(_, sent)| !crossed(sent)).count();
                 return outcome;
             };
-            let at = open.iter().position(|(tag, _)| *tag == of).expect("an answer to an open request");
+            let at = open
+                .iter()
+                .position(|(tag, _)| *tag == of)
+                .expect("an answer to an open request");
             let (_, sent) = open.swap_remove(at);
             outcome.answered += 1;
             outcome.latest = outcome.latest.max(sent.elapsed().saturating_sub(limit));
@@ -82,12 +89,19 @@
     let (status, log) = program.ended();
     assert!(status.success(), "{log}");
     for client in clients {
-        let Outcome { answered, latest, lost } = client.join().expect("no connection was reset");
+        let Outcome {
+            answered,
+            latest,
+            lost,
+        } = client.join().expect("no connection was reset");
         assert!(answered > 0);
         assert_eq!(lost, 0, "lost, with {answered} answered");
         assert!(latest <= SLACK, "answered {latest:?} after its time");
     }
-    assert!(took < Duration::from_millis(longest_ms) + KILL_AFTER_LONGEST, "ended after {took:?}");
+    assert!(
+        took < Duration::from_millis(longest_ms) + KILL_AFTER_LONGEST,
+        "ended after {took:?}"
+    );
 }
 
 /// Short deadlines bring a kill soon. Clients that send the next request as soon as they have an answer, on
@@ -96,7 +110,9 @@
 fn a_router_with_short_deadlines_ends_before_a_kill_though_clients_go_on_sending() {
     let mut world = all_leaving(world_with_deadline(400));
     let program = world.start();
-    let clients = (0..16).map(|_| keeps_sending(&program, 4, "page", 400)).collect();
+    let clients = (0..16)
+        .map(|_| keeps_sending(&program, 4, "page", 400))
+        .collect();
     ends_in_time(program, clients, 400);
 }
 
@@ -108,12 +124,17 @@
         let program = world.start();
         let mut clients = Vec::new();
         for class in ["page", "confirm"] {
-            clients.extend([longest / 2, longest].map(|limit| keeps_sending(&program, 4, class, limit)));
+            clients.extend(
+                [longest / 2, longest].map(|limit| keeps_sending(&program, 4, class, limit)),
+            );
         }
         until("requests at the servers", || {
-            ["c1", "o1"]
-                .iter()
-                .all(|name| world.server(name).try_accept().is_some_and(|mut line| line.ready()))
+            ["c1", "o1"].iter().all(|name| {
+                world
+                    .server(name)
+                    .try_accept()
+                    .is_some_and(|mut line| line.ready())
+            })
         });
         ends_in_time(program, clients, longest);
     }
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -23,8 +23,11 @@
         if let ["ASK", id, _, length] = words[..] {
             let mut rest = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
             reader.read_exact(&mut rest)?;
-            let head =
-                format!("{id} OK tell=filled,etag=4be0c1927d55a6f3,made={} {}\r\n", unix_ms(), body.len());
+            let head = format!(
+                "{id} OK tell=filled,etag=4be0c1927d55a6f3,made={} {}\r\n",
+                unix_ms(),
+                body.len()
+            );
             writer.write_all(&[head.as_bytes(), &body, b"\r\n"].concat())?;
             served.fetch_add(1, Ordering::Relaxed);
         }
@@ -50,24 +53,39 @@
 /// Memory in KB that a process has in place.
 fn resident(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
-    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("VmRSS");
-    line.split_whitespace().next().and_then(|kb| kb.parse().ok()).expect("KB")
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("VmRSS");
+    line.split_whitespace()
+        .next()
+        .and_then(|kb| kb.parse().ok())
+        .expect("KB")
 }
 
 #[test]
 fn memory_is_flat_under_ever_new_clients_objects_and_servers() {
-    let seconds = std::env::var("SOAK_SECONDS").ok().and_then(|s| s.parse().ok()).unwrap_or(8);
+    let seconds = std::env::var("SOAK_SECONDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(8);
     let mut world = World::new();
     world.file["limits"]["memory_mb"] = serde_json::json!(64);
     world.file["settings"]["FamilyInfo"]["ClientKbPerS"] = serde_json::json!(10_000);
     world.directives = "store {\n memory 25%\n}\n".into();
-    let (ended, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (ended, served) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicUsize::new(0)),
+    );
     let threads: Vec<_> = world
         .servers
         .iter()
         .map(|server| {
-            let (listener, ended, served) =
-                (server.listener.try_clone().unwrap(), ended.clone(), served.clone());
+            let (listener, ended, served) = (
+                server.listener.try_clone().unwrap(),
+                ended.clone(),
+                served.clone(),
+            );
             thread::spawn(move || serve(listener, ended, served))
         })
         .collect();
@@ -105,14 +123,28 @@
         quarters.push(resident(program.child.id()));
     }
     ended.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| thread.join().unwrap());
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
     let counted = (asked * 16, served.load(Ordering::Relaxed), rev, &words);
-    eprintln!("soak: {seconds} s, {counted:?} asked, served, lists, answers; KB by quarters {quarters:?}");
+    eprintln!(
+        "soak: {seconds} s, {counted:?} asked, served, lists, answers; KB by quarters {quarters:?}"
+    );
     let served = words.get("ACK").copied().unwrap_or(0);
-    assert!(served > 1000 && counted.1 > 1000 && rev > 2, "hardly any load: {counted:?}");
+    assert!(
+        served > 1000 && counted.1 > 1000 && rev > 2,
+        "hardly any load: {counted:?}"
+    );
     // Own copies fill their 16 MB in the first quarter of a long run, later in a short one.
     let (most, grown) = (48 << 10, quarters[3].saturating_sub(quarters[0]));
     assert!(quarters[3] < most, "{quarters:?} KB");
-    let allowed = if seconds >= 60 { quarters[0] / 10 + 1024 } else { 20 << 10 };
-    assert!(grown < allowed, "grown by {grown} KB after the first quarter: {quarters:?}");
+    let allowed = if seconds >= 60 {
+        quarters[0] / 10 + 1024
+    } else {
+        20 << 10
+    };
+    assert!(
+        grown < allowed,
+        "grown by {grown} KB after the first quarter: {quarters:?}"
+    );
 }
