--- a/crates/router/tests/program/stand_ins/mod.rs
+++ b/crates/router/tests/program/stand_ins/mod.rs
@@ -29,7 +29,10 @@
 /// The wall clock, by which the stand-ins stamp.
 #[allow(clippy::disallowed_methods)]
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
 }
 
 /// A loopback address that nobody else is given, and nobody listens at. One that had been listened at would
@@ -38,7 +41,15 @@
     static LAST: AtomicU32 = AtomicU32::new(0);
     let (n, process) = (LAST.fetch_add(1, Ordering::Relaxed), std::process::id());
     let [_, _, high, low] = n.to_be_bytes();
-    SocketAddr::from(([127, 1 + (process % 200) as u8, high ^ (process >> 8) as u8, low], 5050))
+    SocketAddr::from((
+        [
+            127,
+            1 + (process % 200) as u8,
+            high ^ (process >> 8) as u8,
+            low,
+        ],
+        5050,
+    ))
 }
 
 fn listen() -> TcpListener {
@@ -82,14 +93,18 @@
 
 impl Line {
     pub fn new(stream: TcpStream) -> Line {
-        Line { reader: BufReader::new(stream) }
+        Line {
+            reader: BufReader::new(stream),
+        }
     }
 
     /// The next line; empty at the end of the connection.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
-            Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => panic!("no line came: {e}"),
+            Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => {
+                panic!("no line came: {e}")
+            }
             _ => line.trim_end().to_owned(),
         }
     }
@@ -144,13 +159,22 @@
 
     fn asked_by(&mut self, line: &str) -> Asked {
         let words: Vec<&str> = line.split(' ').collect();
-        assert!(words.len() == 4 && words[0] == "ASK", "not a request: {line:?}");
+        assert!(
+            words.len() == 4 && words[0] == "ASK",
+            "not a request: {line:?}"
+        );
         let fields = words[2].split(',').filter_map(|f| f.split_once('='));
-        let fields = fields.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
+        let fields = fields
+            .map(|(name, value)| (name.to_owned(), value.to_owned()))
+            .collect();
         let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
         self.reader.read_exact(&mut body).unwrap();
         assert_eq!(body.split_off(body.len() - 2), b"\r\n");
-        Asked { id: words[1].to_owned(), fields, body }
+        Asked {
+            id: words[1].to_owned(),
+            fields,
+            body,
+        }
     }
 
     /// Takes a request and answers it as a hit.
@@ -161,7 +185,12 @@
 
     pub fn answer(&mut self, asked: &Asked, word: &str, fields: &str, body: &[u8]) {
         self.say(
-            [format!("{} {word} {fields} {}\r\n", asked.id, body.len()).as_bytes(), body, b"\r\n"].concat(),
+            [
+                format!("{} {word} {fields} {}\r\n", asked.id, body.len()).as_bytes(),
+                body,
+                b"\r\n",
+            ]
+            .concat(),
         );
     }
 }
@@ -189,7 +218,12 @@
     pub fn new(name: &str, kind: &'static str) -> Server {
         let listener = listen();
         let dial = listener.local_addr().unwrap();
-        Server { name: name.to_owned(), kind, listener, dial }
+        Server {
+            name: name.to_owned(),
+            kind,
+            listener,
+            dial,
+        }
     }
 
     pub fn entry(&self, health: &str) -> Value {
@@ -215,7 +249,9 @@
 
     /// Whoever writes to it finds the socket full soon, unless it reads.
     pub fn reads_little(&self) {
-        socket2::SockRef::from(&self.listener).set_recv_buffer_size(4096).unwrap();
+        socket2::SockRef::from(&self.listener)
+            .set_recv_buffer_size(4096)
+            .unwrap();
     }
 
     /// Fills the queue of connections that nobody takes: further ones do not come up.
@@ -262,12 +298,18 @@
         let mut line = Line::new(self.come.take().unwrap_or_else(|| accept(&self.listener)));
         let watch = line.line();
         let after = watch.strip_prefix("watch ").and_then(|n| n.parse().ok());
-        (line, after.unwrap_or_else(|| panic!("not a watch: {watch:?}")))
+        (
+            line,
+            after.unwrap_or_else(|| panic!("not a watch: {watch:?}")),
+        )
     }
 }
 
 pub fn list(number: u64, entries: &[Value]) -> String {
-    format!("{}\n", json!({"rev": number, "pool": {"seq": number, "whole": false, "hosts": entries}}))
+    format!(
+        "{}\n",
+        json!({"rev": number, "pool": {"seq": number, "whole": false, "hosts": entries}})
+    )
 }
 
 /// An id that no other request of the tests has.
@@ -302,7 +344,9 @@
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(LONG)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Some(Client { reader: BufReader::new(stream) })
+        Some(Client {
+            reader: BufReader::new(stream),
+        })
     }
 
     /// A whole answer; none: the connection has ended without one.
@@ -313,7 +357,10 @@
 
     /// Its word, unless the connection ends first.
     pub fn try_health(&mut self) -> Option<String> {
-        self.reader.get_mut().write_all(&frame(&[b"HEALTH", b"1000", b""])).ok()?;
+        self.reader
+            .get_mut()
+            .write_all(&frame(&[b"HEALTH", b"1000", b""]))
+            .ok()?;
         let come = self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
         come.then(|| self.word())
     }
@@ -340,10 +387,22 @@
     /// Asks for the object of the same number as the tag.
     pub fn ask(&mut self, tag: u64, class: &str, more: &str, body: &[u8]) -> String {
         let id = new_id();
-        let fields =
-            format!("i={id},o={tag:016x},lot=1,m=10.5{}{more}", if more.is_empty() { "" } else { "," });
-        let fields = if more.contains("d=") { fields } else { format!("{fields},d=4000") };
-        self.send(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), body]);
+        let fields = format!(
+            "i={id},o={tag:016x},lot=1,m=10.5{}{more}",
+            if more.is_empty() { "" } else { "," }
+        );
+        let fields = if more.contains("d=") {
+            fields
+        } else {
+            format!("{fields},d=4000")
+        };
+        self.send(&[
+            b"REQ",
+            tag.to_string().as_bytes(),
+            class.as_bytes(),
+            fields.as_bytes(),
+            body,
+        ]);
         id
     }
 
@@ -351,7 +410,13 @@
     pub fn try_ask(&mut self, tag: u64, class: &str, limit_ms: u64) -> bool {
         let id = new_id();
         let fields = format!("i={id},o={tag:016x},lot=1,m=1,d={limit_ms}");
-        let request = frame(&[b"REQ", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), b""]);
+        let request = frame(&[
+            b"REQ",
+            tag.to_string().as_bytes(),
+            class.as_bytes(),
+            fields.as_bytes(),
+            b"",
+        ]);
         self.reader.get_mut().write_all(&request).is_ok()
     }
 
@@ -373,7 +438,12 @@
             read.push(part);
         }
         let text = |part: &Vec<u8>| String::from_utf8(part.clone()).unwrap();
-        (text(&read[0]).parse().unwrap(), text(&read[1]), text(&read[2]), read[3].clone())
+        (
+            text(&read[0]).parse().unwrap(),
+            text(&read[1]),
+            text(&read[2]),
+            read[3].clone(),
+        )
     }
 
     fn length(&mut self) -> usize {
@@ -432,14 +502,20 @@
 impl World {
     /// A cache server `c1`, a parent `p1` and the origin `o1`.
     pub fn new() -> World {
-        let servers =
-            vec![Server::new("c1", "cache"), Server::new("p1", "parent"), Server::new("o1", "origin")];
+        let servers = vec![
+            Server::new("c1", "cache"),
+            Server::new("p1", "parent"),
+            Server::new("o1", "origin"),
+        ];
         let listener = listen();
         let discovery = listener.local_addr().unwrap();
         let listen = address();
         static LAST: AtomicU32 = AtomicU32::new(0);
-        let name =
-            format!("chalkhall-router-{}-{}", std::process::id(), LAST.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "chalkhall-router-{}-{}",
+            std::process::id(),
+            LAST.fetch_add(1, Ordering::Relaxed)
+        );
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
         // At this pace a part takes a second, so that no attempt is looked into while a test is held up.
@@ -459,7 +535,10 @@
             "limits": {"cores": 1, "memory_mb": 192, "sockets": 1024}, "board": discovery.to_string(),
             "known": null, "settings": settings});
         World {
-            discovery: Discovery { listener, come: Cell::default() },
+            discovery: Discovery {
+                listener,
+                come: Cell::default(),
+            },
             servers,
             file,
             directives: String::new(),
@@ -484,7 +563,10 @@
 
     /// Discovery is somewhere else from now on.
     pub fn move_discovery(&mut self) {
-        self.discovery = Discovery { listener: listen(), come: Cell::default() };
+        self.discovery = Discovery {
+            listener: listen(),
+            come: Cell::default(),
+        };
         self.file["board"] = json!(self.discovery.listener.local_addr().unwrap().to_string());
     }
 
@@ -506,11 +588,21 @@
     /// Starts the program and holds it where it reads its file, until that is written to what is returned.
     pub fn spawn_before_its_file(&mut self) -> (Program, File) {
         self.list_known();
-        assert!(Command::new("mkfifo").arg(self.path()).status().unwrap().success());
+        assert!(
+            Command::new("mkfifo")
+                .arg(self.path())
+                .status()
+                .unwrap()
+                .success()
+        );
         let (program, mut pipe) = (self.run(""), None);
         until("its reading", || {
             // Without a wait: nobody can be written to before the program reads.
-            pipe = File::options().write(true).custom_flags(NONBLOCK).open(self.path()).ok();
+            pipe = File::options()
+                .write(true)
+                .custom_flags(NONBLOCK)
+                .open(self.path())
+                .ok();
             pipe.is_some()
         });
         (program, pipe.unwrap())
@@ -527,15 +619,25 @@
         let run = self.instead.clone().unwrap_or(run);
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &run]).env("ROUTER_CONFIG", &path);
-        let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
-        Program { child, listen: self.listen }
+        let child = command
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        Program {
+            child,
+            listen: self.listen,
+        }
     }
 
     /// The first connection to any server, and to which.
     pub fn first(&self) -> (&str, Line) {
         let mut found = None;
         until("a connection to any server", || {
-            found = self.servers.iter().find_map(|s| Some((s.name.as_str(), taken(&s.listener)?)));
+            found = self
+                .servers
+                .iter()
+                .find_map(|s| Some((s.name.as_str(), taken(&s.listener)?)));
             found.is_some()
         });
         let (name, stream) = found.unwrap();
@@ -545,7 +647,11 @@
     /// Starts the program and waits until it is ready.
     pub fn start(&mut self) -> Program {
         let program = self.spawn("");
-        until("GREEN", || program.connect().is_some_and(|mut client| client.health() == "GREEN"));
+        until("GREEN", || {
+            program
+                .connect()
+                .is_some_and(|mut client| client.health() == "GREEN")
+        });
         program
     }
 }
@@ -571,7 +677,11 @@
 
 impl Crowd {
     pub fn of(clients: usize, at: SocketAddr, asks: bool) -> Crowd {
-        let mut crowd = Crowd { held: Arc::default(), over: Arc::default(), threads: Vec::new() };
+        let mut crowd = Crowd {
+            held: Arc::default(),
+            over: Arc::default(),
+            threads: Vec::new(),
+        };
         for _ in 0..2 {
             let (held, over) = (crowd.held.clone(), crowd.over.clone());
             crowd.threads.push(std::thread::spawn(move || {
@@ -611,7 +721,9 @@
 impl Drop for Crowd {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
-        self.threads.drain(..).for_each(|thread| drop(thread.join()));
+        self.threads
+            .drain(..)
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -633,8 +745,9 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let sent =
-            Command::new("/bin/sh").args(["-c", &format!("kill -{name} {}", self.child.id())]).status();
+        let sent = Command::new("/bin/sh")
+            .args(["-c", &format!("kill -{name} {}", self.child.id())])
+            .status();
         assert!(sent.unwrap().success());
     }
 
@@ -649,12 +762,16 @@
 
     fn is_in_state(&self, state: char) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with(state))
+        stat.rsplit(") ")
+            .next()
+            .is_some_and(|rest| rest.starts_with(state))
     }
 
     /// How many it holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .unwrap()
+            .count()
     }
 
     pub fn ended(&mut self) -> (ExitStatus, String) {
@@ -664,7 +781,12 @@
             status.is_some()
         });
         let mut text = String::new();
-        self.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
+        self.child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut text)
+            .unwrap();
         (status.unwrap(), text)
     }
 }
@@ -673,7 +795,12 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        if let Some(mut log) = self.child.stderr.take().filter(|_| std::thread::panicking()) {
+        if let Some(mut log) = self
+            .child
+            .stderr
+            .take()
+            .filter(|_| std::thread::panicking())
+        {
             let mut text = String::new();
             let _ = log.read_to_string(&mut text);
             eprintln!("the program's log:\n{text}");
--- a/crates/router/tests/program/stand_ins/moment.rs
+++ b/crates/router/tests/program/stand_ins/moment.rs
@@ -6,7 +6,10 @@
 /// run. Nothing that a router does shortens it: it is no part of the time that a test holds against one.
 fn waited_for_processor(task: &str) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{task}/schedstat")).unwrap_or_default();
-    let nanoseconds = stat.split_whitespace().nth(1).and_then(|waited| waited.parse().ok());
+    let nanoseconds = stat
+        .split_whitespace()
+        .nth(1)
+        .and_then(|waited| waited.parse().ok());
     Duration::from_nanos(nanoseconds.unwrap_or_default())
 }
 
@@ -20,8 +23,13 @@
 
 impl Moment {
     pub fn now(program: u32) -> Moment {
-        let waited = waited_for_processor(&program.to_string()) + waited_for_processor("thread-self");
-        Moment { at: Instant::now(), program, waited }
+        let waited =
+            waited_for_processor(&program.to_string()) + waited_for_processor("thread-self");
+        Moment {
+            at: Instant::now(),
+            program,
+            waited,
+        }
     }
 
     /// The time since, less what the machine was busy with others.
--- a/crates/router/tests/program/wire_oracle.rs
+++ b/crates/router/tests/program/wire_oracle.rs
@@ -57,7 +57,9 @@
             step.attempts += 1;
             *step
         };
-        let Some((word, fields, body)) = scripted_answer(attempt, &words[2]) else { return };
+        let Some((word, fields, body)) = scripted_answer(attempt, &words[2]) else {
+            return;
+        };
         let answer = format!("{} {word} {fields} {}\r\n{body}\r\n", words[1], body.len());
         if reader.get_mut().write_all(answer.as_bytes()).is_err() {
             return;
@@ -69,10 +71,16 @@
 fn scripted_answer(step: Step, fields: &str) -> Option<(&'static str, &'static str, &'static str)> {
     let served = match (fields.contains("have="), step.number % 3) {
         (true, _) => ("SAME", "tell=hit,etag=4be0c1927d55a6f3,ttfb=2", ""),
-        (false, 0) => ("OK", "tell=hit,etag=4be0c1927d55a6f3,made=1,ttfb=1", "a copy"),
-        (false, 1) => {
-            ("OK", "tell=filled,etag=00c1927d55a6f34b,ttfb=40,meter=inflight:2", "a longer body\r\n")
-        }
+        (false, 0) => (
+            "OK",
+            "tell=hit,etag=4be0c1927d55a6f3,made=1,ttfb=1",
+            "a copy",
+        ),
+        (false, 1) => (
+            "OK",
+            "tell=filled,etag=00c1927d55a6f34b,ttfb=40,meter=inflight:2",
+            "a longer body\r\n",
+        ),
         (false, _) => ("OK", "tell=joined,ttfb=9", ""),
     };
     match (step.number % 29, step.attempts) {
@@ -88,7 +96,12 @@
 }
 
 fn record(records: &Records, name: &str, what: &str) {
-    records.lock().unwrap().entry(name.to_owned()).or_default().push(what.to_owned());
+    records
+        .lock()
+        .unwrap()
+        .entry(name.to_owned())
+        .or_default()
+        .push(what.to_owned());
 }
 
 /// A line without the values that depend on how long things took.
@@ -106,24 +119,44 @@
     for server in &world.servers {
         let listener = server.listener.try_clone().unwrap();
         listener.set_nonblocking(false).unwrap();
-        serve(format!("{name} {}", server.name), listener, records.clone(), step.clone());
+        serve(
+            format!("{name} {}", server.name),
+            listener,
+            records.clone(),
+            step.clone(),
+        );
     }
     let program = world.start();
     let mut client = program.client();
     let mut seen = HashMap::new();
     for number in 1..=REQUESTS {
-        *step.lock().unwrap() = Step { number, attempts: 0 };
+        *step.lock().unwrap() = Step {
+            number,
+            attempts: 0,
+        };
         let class = classes[number as usize % classes.len()];
         let object = number * number % 23;
-        let tag_of_copy = if number % 11 == 0 { ",ver=4be0c1927d55a6f3" } else { "" };
-        let idempotency_key = if class == "hold" { format!(",k={number:032x}") } else { String::new() };
+        let tag_of_copy = if number % 11 == 0 {
+            ",ver=4be0c1927d55a6f3"
+        } else {
+            ""
+        };
+        let idempotency_key = if class == "hold" {
+            format!(",k={number:032x}")
+        } else {
+            String::new()
+        };
         let fields = format!(
             "i={number:016x},d=4500,o={object:016x},piece={},lot={},m={}.5{tag_of_copy}{idempotency_key}",
             number % 3,
             number % 5,
             1 + number % 7,
         );
-        let body = if class == "page" { "".to_owned() } else { "x".repeat(number as usize * 10) };
+        let body = if class == "page" {
+            "".to_owned()
+        } else {
+            "x".repeat(number as usize * 10)
+        };
         client.send(&[
             b"REQ",
             number.to_string().as_bytes(),
@@ -135,8 +168,14 @@
         *seen.entry(answer.1.clone()).or_insert(0) += 1;
         record(records, &format!("{name} client"), &format!("{answer:?}"));
     }
-    assert!(seen.get("ACK").is_some_and(|served| *served > REQUESTS / 2), "{name}: {seen:?}");
-    assert!(seen.len() > 1, "{name}: every request was served, so rejections and failures are not covered");
+    assert!(
+        seen.get("ACK").is_some_and(|served| *served > REQUESTS / 2),
+        "{name}: {seen:?}"
+    );
+    assert!(
+        seen.len() > 1,
+        "{name}: every request was served, so rejections and failures are not covered"
+    );
 }
 
 /// A cache server, parent or origin beside those that every world has.
@@ -148,8 +187,16 @@
     ]);
 }
 
-fn known(world: &mut World, health: impl Fn(&str) -> &'static str, purge: Option<serde_json::Value>) {
-    let entries: Vec<_> = world.servers.iter().map(|s| s.entry(health(&s.name))).collect();
+fn known(
+    world: &mut World,
+    health: impl Fn(&str) -> &'static str,
+    purge: Option<serde_json::Value>,
+) {
+    let entries: Vec<_> = world
+        .servers
+        .iter()
+        .map(|s| s.entry(health(&s.name)))
+        .collect();
     let mut notices = vec![json!({"rev": 1, "pool": {"seq": 1, "whole": true, "hosts": entries}})];
     notices.extend(purge.map(|purge| json!({"rev": 2, "flush": purge})));
     world.file["known"] = json!({"rev": notices.len(), "notices": notices});
@@ -157,8 +204,11 @@
 
 fn with_three_effects(world: &mut World) {
     let settings = &mut world.file["settings"];
-    settings["Classes"] =
-        json!([class("page", "pure"), class("confirm", "side_effect"), class("hold", "token")]);
+    settings["Classes"] = json!([
+        class("page", "pure"),
+        class("confirm", "side_effect"),
+        class("hold", "token")
+    ]);
     settings["FamilyInfo"]["ClassFresh"] = json!([0, 0, 0]);
     settings["FamilyInfo"]["ClassWrite"] = json!([false, true, true]);
 }
@@ -171,27 +221,52 @@
     more_servers(&mut plain);
     with_three_effects(&mut plain);
     known(&mut plain, |_| "active", None);
-    play(&mut plain, &["page", "page", "confirm", "page", "hold"], &records, "plain");
+    play(
+        &mut plain,
+        &["page", "page", "confirm", "page", "hold"],
+        &records,
+        "plain",
+    );
 
     let mut draining = World::new();
     more_servers(&mut draining);
     with_three_effects(&mut draining);
-    let health = |name: &str| if name == "c2" || name == "p1" { "leaving" } else { "active" };
-    known(&mut draining, health, Some(json!({"collection": 2, "ms": unix_ms()})));
+    let health = |name: &str| {
+        if name == "c2" || name == "p1" {
+            "leaving"
+        } else {
+            "active"
+        }
+    };
+    known(
+        &mut draining,
+        health,
+        Some(json!({"collection": 2, "ms": unix_ms()})),
+    );
     play(&mut draining, &["page"], &records, "draining and purged");
 
     let mut cached = World::new();
     with_three_effects(&mut cached);
     cached.directives = "store {\n  memory 4MB\n}\n".into();
     known(&mut cached, |_| "active", None);
-    play(&mut cached, &["page", "page", "page", "hold"], &records, "local cache");
+    play(
+        &mut cached,
+        &["page", "page", "page", "hold"],
+        &records,
+        "local cache",
+    );
 
     let records = records.lock().unwrap();
-    let text: String =
-        records.iter().map(|(name, lines)| format!("{name}\n{}\n", lines.join("\n"))).collect();
+    let text: String = records
+        .iter()
+        .map(|(name, lines)| format!("{name}\n{}\n", lines.join("\n")))
+        .collect();
     if let Some(path) = std::env::var_os("WIRE_ORACLE_TEXT") {
         std::fs::write(path, &text).unwrap();
     }
     let hash = xxh3_64(text.as_bytes());
-    assert_eq!(hash, RECORDED, "what the router writes has changed; the hash is now {hash:#018x}");
+    assert_eq!(
+        hash, RECORDED,
+        "what the router writes has changed; the hash is now {hash:#018x}"
+    );
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -43,7 +43,10 @@
 impl Rate {
     /// With a purse of one second.
     pub fn a_second(a_second: f64) -> Rate {
-        Rate { a_second, purse: 1.0 }
+        Rate {
+            a_second,
+            purse: 1.0,
+        }
     }
 }
 
@@ -96,7 +99,10 @@
 
 impl Purse {
     fn new(rate: Rate) -> Purse {
-        Purse { rate, held: rate.a_second * rate.purse }
+        Purse {
+            rate,
+            held: rate.a_second * rate.purse,
+        }
     }
 
     fn fill(&mut self, seconds: f64) {
@@ -140,7 +146,10 @@
 
     fn affords(&self, cost: &Cost) -> bool {
         let costs = [cost.bytes, cost.operations, cost.core];
-        self.purses.iter().zip(costs).all(|(purse, cost)| purse.as_ref().is_none_or(|p| p.affords(cost)))
+        self.purses
+            .iter()
+            .zip(costs)
+            .all(|(purse, cost)| purse.as_ref().is_none_or(|p| p.affords(cost)))
     }
 
     fn pay(&mut self, cost: &Cost, sign: f64) {
@@ -183,7 +192,13 @@
             done: Done::default(),
         };
         let rows = kinds.into_iter().map(row).collect();
-        Scheduler { rows, filled: Duration::ZERO, late_over, delay: (Duration::ZERO, 0.0), paused: false }
+        Scheduler {
+            rows,
+            filled: Duration::ZERO,
+            late_over,
+            delay: (Duration::ZERO, 0.0),
+            paused: false,
+        }
     }
 
     /// A turn of the program came so much later than it was due.
@@ -201,7 +216,9 @@
 
     /// A piece of work of a kind waits from now on. False: too many do already.
     pub fn offer(&mut self, now: Duration, kind: usize, cost: Cost) -> bool {
-        let Some(row) = self.rows.get_mut(kind) else { return false };
+        let Some(row) = self.rows.get_mut(kind) else {
+            return false;
+        };
         if row.waiting.len() >= WAITING_MOST {
             row.done.refused += 1;
             return false;
@@ -212,17 +229,26 @@
 
     /// Pieces of a kind that wait, and that are under way.
     pub fn held(&self, kind: usize) -> (usize, usize) {
-        self.rows.get(kind).map_or((0, 0), |row| (row.waiting.len(), row.out.len()))
+        self.rows
+            .get(kind)
+            .map_or((0, 0), |row| (row.waiting.len(), row.out.len()))
     }
 
     /// The kind whose oldest piece goes now. Its guessed cost is paid; `done` settles the rest.
     pub fn next(&mut self, now: Duration) -> Option<usize> {
         let since = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = self.filled.max(now);
-        self.rows.iter_mut().flat_map(|row| &mut row.purses).flatten().for_each(|purse| purse.fill(since));
+        self.rows
+            .iter_mut()
+            .flat_map(|row| &mut row.purses)
+            .flatten()
+            .for_each(|purse| purse.fill(since));
         let paused = self.is_paused(now);
         let ready = self.rows.iter().enumerate().filter_map(|(n, row)| {
-            let (offered, cost) = row.waiting.front().filter(|_| row.out.len() < row.kind.at_once)?;
+            let (offered, cost) = row
+                .waiting
+                .front()
+                .filter(|_| row.out.len() < row.kind.at_once)?;
             let waited = now.saturating_sub(*offered);
             let urgency = match waited {
                 waited if waited >= row.kind.starves => Urgency::Starved,
@@ -258,8 +284,12 @@
 
     /// A piece of a kind has ended, and took so much. The oldest one's guess is settled.
     pub fn done(&mut self, kind: usize, cost: Cost) {
-        let Some(row) = self.rows.get_mut(kind) else { return };
-        let Some(guess) = row.out.pop_front() else { return };
+        let Some(row) = self.rows.get_mut(kind) else {
+            return;
+        };
+        let Some(guess) = row.out.pop_front() else {
+            return;
+        };
         row.pay(&guess, -1.0);
         row.pay(&cost, 1.0);
         row.done.pieces += 1;
@@ -270,7 +300,10 @@
     /// When something that waits may go that may not now, if nothing else happens; none: nothing waits.
     pub fn next_look(&self, now: Duration) -> Option<Duration> {
         let of_row = |row: &Row| {
-            let (offered, cost) = row.waiting.front().filter(|_| row.out.len() < row.kind.at_once)?;
+            let (offered, cost) = row
+                .waiting
+                .front()
+                .filter(|_| row.out.len() < row.kind.at_once)?;
             let starves = *offered + row.kind.starves;
             if self.is_paused(now) {
                 return Some(starves.min(self.delay.0 + DELAY_HOLDS));
@@ -279,17 +312,27 @@
             let waits = row.purses.iter().zip(costs).filter_map(|(purse, cost)| {
                 let purse = purse.as_ref()?;
                 let need = cost.min(purse.rate.a_second * purse.rate.purse) - purse.held;
-                Some(if need <= 0.0 { 0.0 } else { (need / purse.rate.a_second.max(1e-9)).min(3600.0) })
+                Some(if need <= 0.0 {
+                    0.0
+                } else {
+                    (need / purse.rate.a_second.max(1e-9)).min(3600.0)
+                })
             });
             let wait = Duration::from_secs_f64(waits.fold(0.0, f64::max));
             Some(starves.min(now + wait))
         };
-        self.rows.iter().filter_map(of_row).min().map(|at| at.max(now))
+        self.rows
+            .iter()
+            .filter_map(of_row)
+            .min()
+            .map(|at| at.max(now))
     }
 
     /// Of each kind: its name, what waits, what is under way, what was done.
     pub fn report(&self) -> impl Iterator<Item = (&'static str, usize, usize, Done)> {
-        self.rows.iter().map(|row| (row.kind.name, row.waiting.len(), row.out.len(), row.done))
+        self.rows
+            .iter()
+            .map(|row| (row.kind.name, row.waiting.len(), row.out.len(), row.done))
     }
 }
 
--- a/crates/scheduler/src/tests.rs
+++ b/crates/scheduler/src/tests.rs
@@ -6,11 +6,19 @@
 }
 
 fn kind(priority: u8) -> Kind {
-    Kind { priority, deadline: ms(1000), starves: ms(5000), ..Kind::default() }
+    Kind {
+        priority,
+        deadline: ms(1000),
+        starves: ms(5000),
+        ..Kind::default()
+    }
 }
 
 fn one() -> Cost {
-    Cost { operations: 1.0, ..Cost::default() }
+    Cost {
+        operations: 1.0,
+        ..Cost::default()
+    }
 }
 
 #[test]
@@ -18,9 +26,13 @@
     let mut work = Scheduler::new(vec![kind(0), kind(1)], ms(5));
     let mut went = [0; 2];
     for _ in 0..500 {
-        (0..2).filter(|n| work.held(*n).0 < 5).collect::<Vec<_>>().into_iter().for_each(|n| {
-            work.offer(ms(0), n, one());
-        });
+        (0..2)
+            .filter(|n| work.held(*n).0 < 5)
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|n| {
+                work.offer(ms(0), n, one());
+            });
         let next = work.next(ms(0)).unwrap();
         went[next] += 1;
         work.done(next, one());
@@ -71,7 +83,14 @@
     let mut work = Scheduler::new(vec![low, kind(3)], ms(5));
     (0..2).for_each(|n| assert!(work.offer(ms(n), 0, one())));
     work.offer(ms(1500), 1, one());
-    assert_eq!([work.next(ms(1500)), work.next(ms(1500)), work.next(ms(1500))], [Some(0), Some(1), None]);
+    assert_eq!(
+        [
+            work.next(ms(1500)),
+            work.next(ms(1500)),
+            work.next(ms(1500))
+        ],
+        [Some(0), Some(1), None]
+    );
     work.done(0, one());
     assert_eq!(work.next(ms(1500)), Some(0));
 }
@@ -80,7 +99,10 @@
 fn a_wrong_guess_is_settled_when_the_work_is_done() {
     let bytes = Some(Rate::a_second(100.0));
     let mut work = Scheduler::new(vec![Kind { bytes, ..kind(0) }], ms(5));
-    let cost = |bytes| Cost { bytes, ..Cost::default() };
+    let cost = |bytes| Cost {
+        bytes,
+        ..Cost::default()
+    };
     (0..3).for_each(|_| assert!(work.offer(ms(0), 0, cost(10.0))));
     assert_eq!(work.next(ms(0)), Some(0));
     work.done(0, cost(290.0));
@@ -92,8 +114,13 @@
 #[test]
 fn what_waits_is_bounded() {
     let mut work = Scheduler::new(vec![kind(0)], ms(5));
-    let taken = (0..2 * WAITING_MOST).filter(|_| work.offer(ms(0), 0, one())).count();
-    assert_eq!((taken, work.report().next().map(|r| r.3.refused)), (WAITING_MOST, Some(WAITING_MOST as u64)));
+    let taken = (0..2 * WAITING_MOST)
+        .filter(|_| work.offer(ms(0), 0, one()))
+        .count();
+    assert_eq!(
+        (taken, work.report().next().map(|r| r.3.refused)),
+        (WAITING_MOST, Some(WAITING_MOST as u64))
+    );
 }
 
 proptest! {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,9 @@
 //! assert!(what.contains("Effect"));
 //! ```
 
-use chalkhall::interface::{Class, ColdStart, Customer, Deployment, Effect, Group, Hints, Siblings, Telling};
+use chalkhall::interface::{
+    Class, ColdStart, Customer, Deployment, Effect, Group, Hints, Siblings, Telling,
+};
 use serde_json::{Map, Value};
 use std::time::Duration;
 
@@ -46,7 +48,11 @@
         None | Some(Value::Null) => Ok(0),
         Some(v) => v
             .as_u64()
-            .or_else(|| v.as_f64().filter(|f| *f >= 0.0 && f.fract() == 0.0).map(|f| f as u64))
+            .or_else(|| {
+                v.as_f64()
+                    .filter(|f| *f >= 0.0 && f.fract() == 0.0)
+                    .map(|f| f as u64)
+            })
             .ok_or_else(|| format!("{name} is not a whole number")),
     }
 }
@@ -54,7 +60,9 @@
 pub fn flag(fields: &Fields, name: &str) -> Result<bool, String> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(false),
-        Some(v) => v.as_bool().ok_or_else(|| format!("{name} is not true or false")),
+        Some(v) => v
+            .as_bool()
+            .ok_or_else(|| format!("{name} is not true or false")),
     }
 }
 
@@ -83,7 +91,10 @@
 
 fn numbers(options: &Fields, name: &str) -> Result<Vec<f64>, String> {
     let wrong = || format!("{name} holds something that is not a number");
-    list(options, name)?.iter().map(|v| v.as_f64().ok_or_else(wrong)).collect::<Result<_, String>>()
+    list(options, name)?
+        .iter()
+        .map(|v| v.as_f64().ok_or_else(wrong))
+        .collect::<Result<_, String>>()
 }
 
 fn objects(options: &Fields, name: &str) -> Result<Vec<Fields>, String> {
@@ -97,17 +108,26 @@
 /// The kinds that are parents and origin, where there are such.
 pub fn parent_and_origin(options: &Fields) -> [Option<u64>; 2] {
     let family = options.get("FamilyInfo");
-    ["ShieldKind", "SourceKind"].map(|name| family.and_then(|f| f.get(name)).and_then(Value::as_u64))
+    ["ShieldKind", "SourceKind"]
+        .map(|name| family.and_then(|f| f.get(name)).and_then(Value::as_u64))
 }
 
 pub fn report_fields(options: &Fields) -> Vec<String> {
-    let names = options.get("Feedback").and_then(|f| f.get("Fields")).and_then(Value::as_array);
-    names.into_iter().flatten().map(|v| v.as_str().unwrap_or("").to_owned()).collect()
+    let names = options
+        .get("Feedback")
+        .and_then(|f| f.get("Fields"))
+        .and_then(Value::as_array);
+    names
+        .into_iter()
+        .flatten()
+        .map(|v| v.as_str().unwrap_or("").to_owned())
+        .collect()
 }
 
 fn class_of(i: usize, class: &Fields, family: &Fields) -> Result<Class, String> {
     let by_class = |name| Ok::<_, String>(numbers(family, name)?.get(i).copied().unwrap_or(0.0));
-    let marked = |name| list(family, name).map(|l| l.get(i).and_then(Value::as_bool).unwrap_or(false));
+    let marked =
+        |name| list(family, name).map(|l| l.get(i).and_then(Value::as_bool).unwrap_or(false));
     let fresh = by_class("ClassFresh")?;
     Ok(Class {
         effect: match text(class, "Effect")? {
@@ -143,7 +163,14 @@
     let rules = part(options, "Obligations")?;
     let classes = objects(options, "Classes")?;
     let span_of = |from: &Fields, name: &str| number(from, name).map(span);
-    let count_all = |name| Ok::<_, String>(numbers(&family, name)?.iter().map(|n| *n as usize).collect());
+    let count_all = |name| {
+        Ok::<_, String>(
+            numbers(&family, name)?
+                .iter()
+                .map(|n| *n as usize)
+                .collect(),
+        )
+    };
     let fall = span_of(&rules, "Fall")?;
     Ok(Deployment {
         number: whole(options, "MyNumber")?,
@@ -160,7 +187,12 @@
             .collect::<Result<_, _>>()?,
         customers: objects(options, "Tenants")?
             .iter()
-            .map(|t| Ok(Customer { per_second: number(t, "QuotaPerS")?, share: number(t, "Share")? }))
+            .map(|t| {
+                Ok(Customer {
+                    per_second: number(t, "QuotaPerS")?,
+                    share: number(t, "Share")?,
+                })
+            })
             .collect::<Result<_, String>>()?,
         tick: span_of(options, "Granularity")?,
 
@@ -230,7 +262,9 @@
     };
     let called = |name: &str| {
         let all = objects(options, name)?;
-        all.iter().map(|one| text(one, "Name").map(str::to_owned)).collect::<Result<_, String>>()
+        all.iter()
+            .map(|one| text(one, "Name").map(str::to_owned))
+            .collect::<Result<_, String>>()
     };
     Ok(Names {
         zones: texts("Zones")?,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -50,7 +50,10 @@
     }
 
     fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.put("Refuse", json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}));
+        self.put(
+            "Refuse",
+            json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}),
+        );
     }
 
     fn fail(&mut self, request: &Id) {
@@ -72,7 +75,9 @@
 
 /// An entry of a list with its kind: which of them are parents or the origin each router is told.
 fn member(entry: &Value) -> Result<(Member, u64), String> {
-    let f = entry.as_object().ok_or("an entry of Members is not an object")?;
+    let f = entry
+        .as_object()
+        .ok_or("an entry of Members is not an object")?;
     let started = number(f, "LastStart")?;
     let member = Member {
         server: id(f, "Server")?,
@@ -134,7 +139,9 @@
 impl Hosted {
     fn load(&self, fields: &Fields) -> Result<Load, String> {
         let mut load = Load::default();
-        let Some(values) = fields.get("Metrics").filter(|v| !v.is_null()) else { return Ok(load) };
+        let Some(values) = fields.get("Metrics").filter(|v| !v.is_null()) else {
+            return Ok(load);
+        };
         let values = values.as_array().ok_or("Metrics is not an array")?;
         for (name, value) in self.report.iter().zip(values) {
             match name.as_str() {
@@ -173,7 +180,10 @@
 impl Host {
     fn event(&mut self, name: &str, f: &Fields, output: &mut impl Write) -> Result<(), String> {
         if name == "Table" {
-            let entries = f.get("Members").and_then(Value::as_array).ok_or("Members is not an array")?;
+            let entries = f
+                .get("Members")
+                .and_then(Value::as_array)
+                .ok_or("Members is not an array")?;
             let entries = entries.iter().map(member).collect::<Result<_, _>>()?;
             self.sheets.insert(whole(f, "Sheet")?, entries);
             return Ok(());
@@ -182,19 +192,36 @@
             return Err("Router is missing".into());
         }
         let number_of = whole(f, "Router")?;
-        let out = &mut Lines { router: number_of, output, failed: None };
+        let out = &mut Lines {
+            router: number_of,
+            output,
+            failed: None,
+        };
         let now = self.now;
         if name == "Boot" {
-            let options = f.get("Options").and_then(Value::as_object).ok_or("Options is not an object")?;
+            let options = f
+                .get("Options")
+                .and_then(Value::as_object)
+                .ok_or("Options is not an object")?;
             let told = deployment::deployment(whole(f, "Salt")?, options)?;
             let router = Router::start(now, &told, out);
             let (report, classes) = (deployment::report_fields(options), told.classes.len());
             let parent_and_origin = deployment::parent_and_origin(options);
-            self.routers.insert(number_of, Hosted { router, report, classes, parent_and_origin });
+            self.routers.insert(
+                number_of,
+                Hosted {
+                    router,
+                    report,
+                    classes,
+                    parent_and_origin,
+                },
+            );
             return out.failed.take().map_or(Ok(()), Err);
         }
-        let hosted =
-            self.routers.get_mut(&number_of).ok_or_else(|| format!("router {number_of} was not started"))?;
+        let hosted = self
+            .routers
+            .get_mut(&number_of)
+            .ok_or_else(|| format!("router {number_of} was not started"))?;
         match name {
             "Killed" => drop(self.routers.remove(&number_of)),
             "Discovery" => {
@@ -244,14 +271,23 @@
             }
             "Result" => {
                 let ended = hosted.ended(f)?;
-                hosted.router.result(now, &id(f, "OpId")?, whole(f, "N")? as usize, &ended, out);
+                hosted
+                    .router
+                    .result(now, &id(f, "OpId")?, whole(f, "N")? as usize, &ended, out);
             }
             "First" => hosted.router.begun(&id(f, "OpId")?),
             "TimedOutClient" => hosted.router.left(now, &id(f, "OpId")?, out),
             "Timer" => hosted.router.wake(now, whole(f, "Mark")?, out),
             "ExpiredNow" => {
-                let object = Some(text(f, "Item")?).filter(|item| !item.is_empty()).map(Id::from);
-                hosted.router.purged(now, object, whole(f, "FamilyId")?, span(number(f, "HowOld")?));
+                let object = Some(text(f, "Item")?)
+                    .filter(|item| !item.is_empty())
+                    .map(Id::from);
+                hosted.router.purged(
+                    now,
+                    object,
+                    whole(f, "FamilyId")?,
+                    span(number(f, "HowOld")?),
+                );
             }
             // Routers neither probe nor tell one another anything.
             "ProbeDone" | "Message" => {}
@@ -269,7 +305,11 @@
     for at in 1u64.. {
         line.clear();
         let wrong = |what: String| format!("line {at}: {what}");
-        if input.read_line(&mut line).map_err(|e| wrong(format!("cannot be read: {e}")))? == 0 {
+        if input
+            .read_line(&mut line)
+            .map_err(|e| wrong(format!("cannot be read: {e}")))?
+            == 0
+        {
             break;
         }
         if line.trim().is_empty() {
@@ -277,16 +317,28 @@
         }
         let message: Value =
             serde_json::from_str(&line).map_err(|e| wrong(format!("not a JSON message: {e}")))?;
-        let Some((name, fields)) = message.as_object().filter(|m| m.len() == 1).and_then(|m| m.iter().next())
+        let Some((name, fields)) = message
+            .as_object()
+            .filter(|m| m.len() == 1)
+            .and_then(|m| m.iter().next())
         else {
-            return Err(wrong("a message must be an object with a single key".into()));
+            return Err(wrong(
+                "a message must be an object with a single key".into(),
+            ));
         };
-        let fields = fields.as_object().ok_or_else(|| wrong(format!("{name} does not hold an object")))?;
+        let fields = fields
+            .as_object()
+            .ok_or_else(|| wrong(format!("{name} does not hold an object")))?;
         let within = |what: String| wrong(format!("{name}: {what}"));
         match (name.as_str(), &turn) {
             ("Turn", None) => {
                 host.now = span(number(fields, "Ts").map_err(within)?);
-                turn = Some(fields.get("turn").cloned().ok_or_else(|| within("turn is missing".into()))?);
+                turn = Some(
+                    fields
+                        .get("turn")
+                        .cloned()
+                        .ok_or_else(|| within("turn is missing".into()))?,
+                );
             }
             ("Turn", Some(_)) => return Err(within("the batch before it has not ended".into())),
             (_, None) => return Err(within("no batch has begun".into())),
@@ -299,5 +351,7 @@
             (_, Some(_)) => host.event(name, fields, output).map_err(within)?,
         }
     }
-    turn.map_or(Ok(()), |number| Err(format!("input ended within batch {number}")))
+    turn.map_or(Ok(()), |number| {
+        Err(format!("input ended within batch {number}"))
+    })
 }
--- a/crates/stats/src/name_map.rs
+++ b/crates/stats/src/name_map.rs
@@ -14,7 +14,11 @@
 
 impl<V> Default for NameMap<V> {
     fn default() -> NameMap<V> {
-        NameMap { entries: Vec::new(), positions: HashMap::new(), added: false }
+        NameMap {
+            entries: Vec::new(),
+            positions: HashMap::new(),
+            added: false,
+        }
     }
 }
 
@@ -42,17 +46,23 @@
         }
         self.entries.sort_by(|(a, _), (b, _)| a.cmp(b));
         let names = self.entries.iter().enumerate();
-        self.positions = names.map(|(position, (name, _))| (name.clone(), position)).collect();
+        self.positions = names
+            .map(|(position, (name, _))| (name.clone(), position))
+            .collect();
     }
 
     /// The value of a name.
     pub fn get(&self, name: &str) -> Option<&V> {
-        self.positions.get(name).map(|position| &self.entries[*position].1)
+        self.positions
+            .get(name)
+            .map(|position| &self.entries[*position].1)
     }
 
     /// The value of a name, to be changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut V> {
-        self.positions.get(name).map(|position| &mut self.entries[*position].1)
+        self.positions
+            .get(name)
+            .map(|position| &mut self.entries[*position].1)
     }
 
     /// The value at a position in the order of names.
--- a/crates/stats/src/recent.rs
+++ b/crates/stats/src/recent.rs
@@ -13,7 +13,11 @@
 impl Recent {
     /// Holds so many values; at least one.
     pub fn new(most: usize) -> Recent {
-        Recent { most: most.max(1), arrived: VecDeque::new(), sorted: Vec::new() }
+        Recent {
+            most: most.max(1),
+            arrived: VecDeque::new(),
+            sorted: Vec::new(),
+        }
     }
 
     /// Takes a value in, and the oldest out where there are too many. Not a number is no value.
@@ -23,10 +27,12 @@
         }
         if self.arrived.len() == self.most {
             let oldest = self.arrived.pop_front().unwrap_or(value);
-            self.sorted.remove(self.sorted.partition_point(|v| *v < oldest));
+            self.sorted
+                .remove(self.sorted.partition_point(|v| *v < oldest));
         }
         self.arrived.push_back(value);
-        self.sorted.insert(self.sorted.partition_point(|v| *v < value), value);
+        self.sorted
+            .insert(self.sorted.partition_point(|v| *v < value), value);
     }
 
     pub fn len(&self) -> usize {
@@ -39,7 +45,10 @@
 
     /// The value below which a share of them lies, from 0 to under 1; 0 where there is none.
     pub fn quantile(&self, share: f64) -> f64 {
-        self.sorted.get((self.sorted.len() as f64 * share) as usize).copied().unwrap_or(0.0)
+        self.sorted
+            .get((self.sorted.len() as f64 * share) as usize)
+            .copied()
+            .unwrap_or(0.0)
     }
 }
 
--- a/crates/stats/src/window.rs
+++ b/crates/stats/src/window.rs
@@ -14,12 +14,21 @@
 impl Window {
     /// Forgets what is a span old or older, and takes a weight in. Times must not fall.
     pub fn note(&mut self, now: Duration, span: Duration, weight: f64) {
-        while let Some((_, gone)) = self.noted.front().filter(|(at, _)| *at + span <= now).copied() {
+        while let Some((_, gone)) = self
+            .noted
+            .front()
+            .filter(|(at, _)| *at + span <= now)
+            .copied()
+        {
             self.noted.pop_front();
             self.sum -= gone;
         }
         // What is left of rounding goes with the last one.
-        self.sum = if self.noted.is_empty() { weight } else { self.sum + weight };
+        self.sum = if self.noted.is_empty() {
+            weight
+        } else {
+            self.sum + weight
+        };
         self.noted.push_back((now, weight));
     }
 
--- a/crates/store/examples/catalogues.rs
+++ b/crates/store/examples/catalogues.rs
@@ -33,8 +33,26 @@
 }
 
 fn spot(entry: &Entry, segment: u32) -> Spot {
-    let Entry { at, length, tag, made, group, rank, .. } = *entry;
-    Spot { segment, at, length, tag, made, group, rank, heat: 0, proven: true }
+    let Entry {
+        at,
+        length,
+        tag,
+        made,
+        group,
+        rank,
+        ..
+    } = *entry;
+    Spot {
+        segment,
+        at,
+        length,
+        tag,
+        made,
+        group,
+        rank,
+        heat: 0,
+        proven: true,
+    }
 }
 
 fn row(entry: &Entry) -> [u8; 32] {
@@ -55,8 +73,12 @@
 /// Bytes of memory that are this process's own.
 fn resident() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:"));
-    line.and_then(|n| n.trim().trim_end_matches(" kB").parse::<u64>().ok()).unwrap_or(0) << 10
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("RssAnon:"));
+    line.and_then(|n| n.trim().trim_end_matches(" kB").parse::<u64>().ok())
+        .unwrap_or(0)
+        << 10
 }
 
 fn report(name: &str, parts: u64, wrote: u64, filled: f64, memory: u64, reopened: f64) {
@@ -72,16 +94,22 @@
     let (before, wrote, begun) = (resident(), written(), Instant::now());
     let mut index = Index::new(u64::MAX);
     for segment in 0..parts / PARTS_A_SEGMENT {
-        let entries: Vec<Entry> =
-            (0..PARTS_A_SEGMENT).map(|n| entry(segment * PARTS_A_SEGMENT + n)).collect();
+        let entries: Vec<Entry> = (0..PARTS_A_SEGMENT)
+            .map(|n| entry(segment * PARTS_A_SEGMENT + n))
+            .collect();
         for entry in &entries {
             let _ = index.put(entry.key, &spot(entry, segment as u32));
         }
         let mut file = fs::File::create(folder.join(format!("{segment}"))).expect("a file");
-        file.write_all(&footer(&entries, 1, segment as u32, 0)).expect("written");
+        file.write_all(&footer(&entries, 1, segment as u32, 0))
+            .expect("written");
         file.sync_data().expect("synced");
     }
-    let (filled, memory, wrote) = (begun.elapsed().as_secs_f64(), resident() - before, written() - wrote);
+    let (filled, memory, wrote) = (
+        begun.elapsed().as_secs_f64(),
+        resident() - before,
+        written() - wrote,
+    );
     drop(index);
     let begun = Instant::now();
     let mut index = Index::new(u64::MAX);
@@ -92,7 +120,14 @@
         }
     }
     assert_eq!(index.len() as u64, parts);
-    report("index from footers", parts, wrote, filled, memory, begun.elapsed().as_secs_f64());
+    report(
+        "index from footers",
+        parts,
+        wrote,
+        filled,
+        memory,
+        begun.elapsed().as_secs_f64(),
+    );
 }
 
 fn redb(folder: &Path, parts: u64) {
@@ -114,24 +149,45 @@
         }
         write.commit().expect("durable");
     }
-    let (filled, memory, wrote) = (begun.elapsed().as_secs_f64(), resident() - before, written() - wrote);
+    let (filled, memory, wrote) = (
+        begun.elapsed().as_secs_f64(),
+        resident() - before,
+        written() - wrote,
+    );
     // As after a kill: it is not closed.
     std::mem::forget(database);
     fs::copy(folder.join("redb"), folder.join("redb-again")).expect("copied");
     let begun = Instant::now();
     let database = Database::open(folder.join("redb-again")).expect("opens");
     let read = database.begin_read().expect("begins");
-    let count = read.open_table(TABLE).expect("opens").iter().expect("walks").count();
+    let count = read
+        .open_table(TABLE)
+        .expect("opens")
+        .iter()
+        .expect("walks")
+        .count();
     assert_eq!(count as u64, parts);
-    report("redb", parts, wrote, filled, memory, begun.elapsed().as_secs_f64());
+    report(
+        "redb",
+        parts,
+        wrote,
+        filled,
+        memory,
+        begun.elapsed().as_secs_f64(),
+    );
 }
 
 fn fjall(folder: &Path, parts: u64) {
     use fjall::{Database, KeyspaceCreateOptions, PersistMode};
     let (before, wrote, begun) = (resident(), written(), Instant::now());
     let open = || {
-        let database = Database::builder(folder.join("fjall")).cache_size(16 << 20).open().expect("opens");
-        let rows = database.keyspace("parts", KeyspaceCreateOptions::default).expect("opens");
+        let database = Database::builder(folder.join("fjall"))
+            .cache_size(16 << 20)
+            .open()
+            .expect("opens");
+        let rows = database
+            .keyspace("parts", KeyspaceCreateOptions::default)
+            .expect("opens");
         (database, rows)
     };
     let (database, rows) = open();
@@ -144,19 +200,38 @@
         write.commit().expect("written");
         database.persist(PersistMode::SyncData).expect("durable");
     }
-    let (filled, memory, wrote) = (begun.elapsed().as_secs_f64(), resident() - before, written() - wrote);
+    let (filled, memory, wrote) = (
+        begun.elapsed().as_secs_f64(),
+        resident() - before,
+        written() - wrote,
+    );
     drop((database, rows));
     let begun = Instant::now();
     let (_database, rows) = open();
     assert_eq!(rows.iter().count() as u64, parts);
-    report("fjall", parts, wrote, filled, memory, begun.elapsed().as_secs_f64());
+    report(
+        "fjall",
+        parts,
+        wrote,
+        filled,
+        memory,
+        begun.elapsed().as_secs_f64(),
+    );
 }
 
 fn main() {
-    let parts: u64 = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(200_000);
+    let parts: u64 = std::env::args()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(200_000);
     let parts = parts / PARTS_A_SEGMENT * PARTS_A_SEGMENT;
-    let folder: PathBuf = std::env::temp_dir().join(format!("chalkhall-catalogues-{}", std::process::id()));
-    for (name, run) in [("index", rebuilt as fn(&Path, u64)), ("redb", redb), ("fjall", fjall)] {
+    let folder: PathBuf =
+        std::env::temp_dir().join(format!("chalkhall-catalogues-{}", std::process::id()));
+    for (name, run) in [
+        ("index", rebuilt as fn(&Path, u64)),
+        ("redb", redb),
+        ("fjall", fjall),
+    ] {
         let folder = folder.join(name);
         fs::create_dir_all(&folder).expect("a folder");
         run(&folder, parts);
--- a/crates/store/src/boot_clock.rs
+++ b/crates/store/src/boot_clock.rs
@@ -24,7 +24,10 @@
         let uptime = parse_uptime(&fs::read_to_string("/proc/uptime").ok()?)?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
         let unix_at_boot_ms = unix.saturating_sub(uptime).as_millis() as u64;
-        Some(BootClock { boot: xxh3_64(&boot_id), unix_at_boot_ms })
+        Some(BootClock {
+            boot: xxh3_64(&boot_id),
+            unix_at_boot_ms,
+        })
     }
 
     /// The wall clock was stepped between two readings. After a restart of the machine this is not known.
--- a/crates/store/src/catalogue.rs
+++ b/crates/store/src/catalogue.rs
@@ -6,7 +6,9 @@
 use crate::decide::purges::Mark;
 use crate::files::{File, Files, read_exactly};
 use redb::backends::InMemoryBackend;
-use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError};
+use redb::{
+    Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
+};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io;
@@ -95,7 +97,10 @@
 }
 
 fn is_damage(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData)
+    matches!(
+        error.kind(),
+        io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData
+    )
 }
 
 fn database(backend: impl redb::StorageBackend) -> Result<Database, Unusable> {
@@ -127,14 +132,17 @@
         let bytes = read_exactly(file, 0, length as usize).map_err(Unusable::Io)?;
         let copy = InMemoryBackend::new();
         copy.set_len(length).map_err(other)?;
-        copy.write(0, &bytes.ok_or_else(|| other("it was cut short"))?).map_err(other)?;
+        copy.write(0, &bytes.ok_or_else(|| other("it was cut short"))?)
+            .map_err(other)?;
         Rows::load(&database(copy)?)
     }
 
     fn load(database: &Database) -> Result<Rows, Unusable> {
         let read = database.begin_read().map_err(failed)?;
         let about = match read.open_table(ABOUT) {
-            Err(TableError::TableDoesNotExist(_)) => return Err(other("it does not say what it is")),
+            Err(TableError::TableDoesNotExist(_)) => {
+                return Err(other("it does not say what it is"));
+            }
             found => found.map_err(failed)?,
         };
         let get = |name: &str| Ok(about.get(name).map_err(failed)?.map(|value| value.value()));
@@ -148,7 +156,10 @@
             heard: get("heard")?,
             uncovered: get("uncovered")?.unwrap_or(0) as u32,
             undated: get("undated")?.unwrap_or(0) as u32,
-            clock: boot.map(|(boot, unix_at_boot_ms)| BootClock { boot, unix_at_boot_ms }),
+            clock: boot.map(|(boot, unix_at_boot_ms)| BootClock {
+                boot,
+                unix_at_boot_ms,
+            }),
             objects: table(&read, OBJECTS)?,
             folded: table(&read, FOLDED)?,
             groups: table(&read, GROUPS)?,
@@ -185,9 +196,11 @@
                 about.insert("boot", clock.boot)?;
                 about.insert("unix at boot", clock.unix_at_boot_ms)?;
             }
-            for (definition, rows) in
-                [(OBJECTS, &self.objects), (FOLDED, &self.folded), (GROUPS, &self.groups)]
-            {
+            for (definition, rows) in [
+                (OBJECTS, &self.objects),
+                (FOLDED, &self.folded),
+                (GROUPS, &self.groups),
+            ] {
                 let mut table = write.open_table(definition)?;
                 for (key, ms) in rows {
                     table.insert(key, ms)?;
@@ -198,9 +211,18 @@
     }
 
     fn known(&self) -> Known {
-        let folded = self.folded.iter().map(|(slot, ms)| Mark::Folded(0, *slot as usize, *ms));
-        let groups = self.groups.iter().map(|(slot, ms)| Mark::Group(*slot as usize, *ms));
-        let objects = self.objects.iter().map(|(object, ms)| Mark::Object(*object, *ms));
+        let folded = self
+            .folded
+            .iter()
+            .map(|(slot, ms)| Mark::Folded(0, *slot as usize, *ms));
+        let groups = self
+            .groups
+            .iter()
+            .map(|(slot, ms)| Mark::Group(*slot as usize, *ms));
+        let objects = self
+            .objects
+            .iter()
+            .map(|(object, ms)| Mark::Object(*object, *ms));
         Known {
             store: self.store,
             marks: folded.chain(groups).chain(objects).collect(),
@@ -221,7 +243,11 @@
         found => found.map_err(failed)?,
     };
     let rows = table.iter().map_err(failed)?;
-    rows.map(|row| row.map(|(key, ms)| (key.value(), ms.value())).map_err(failed)).collect()
+    rows.map(|row| {
+        row.map(|(key, ms)| (key.value(), ms.value()))
+            .map_err(failed)
+    })
+    .collect()
 }
 
 /// The catalogue of a directory. A file of it is written only by the `Catalogue` that made it, and not again
@@ -251,17 +277,38 @@
             let mut rows = Rows::read(&*files.open(NAME).map_err(Unusable::Io)?)?;
             // The name may stem from an opening whose sync of the names failed.
             files.sync_names().map_err(Unusable::Io)?;
-            let clock_stepped = rows.clock.zip(clock).is_some_and(|(then, now)| now.has_stepped_since(then));
+            let clock_stepped = rows
+                .clock
+                .zip(clock)
+                .is_some_and(|(then, now)| now.has_stepped_since(then));
             if clock_stepped {
                 // A time by a clock that is no longer kept says nothing.
                 rows.heard = None;
             }
-            let known = Known { clock_stepped, ..rows.known() };
+            let known = Known {
+                clock_stepped,
+                ..rows.known()
+            };
             rows.clock = clock.or(rows.clock);
-            return Ok((Catalogue { files, rows, database: None }, known));
+            return Ok((
+                Catalogue {
+                    files,
+                    rows,
+                    database: None,
+                },
+                known,
+            ));
         }
-        let rows = Rows { store, clock, ..Rows::default() };
-        let mut catalogue = Catalogue { files, rows, database: None };
+        let rows = Rows {
+            store,
+            clock,
+            ..Rows::default()
+        };
+        let mut catalogue = Catalogue {
+            files,
+            rows,
+            database: None,
+        };
         catalogue.rewrite()?;
         let known = catalogue.rows.known();
         Ok((catalogue, known))
@@ -271,7 +318,9 @@
     /// may not do so, and the next write includes them.
     pub fn write(&mut self, lines: &[Line]) -> Result<(), Unusable> {
         lines.iter().for_each(|line| self.rows.apply(line));
-        let Some(database) = &self.database else { return self.rewrite() };
+        let Some(database) = &self.database else {
+            return self.rewrite();
+        };
         let written = append(database, lines, &self.rows).map_err(failed);
         if written.is_err() {
             self.database = None;
@@ -287,9 +336,15 @@
             self.files.remove(BEGUN).map_err(Unusable::Io)?;
         }
         let file = self.files.create(BEGUN).map_err(Unusable::Io)?;
-        let database = database(Backend { file, failed: AtomicBool::new(false) })?;
+        let database = database(Backend {
+            file,
+            failed: AtomicBool::new(false),
+        })?;
         self.rows.write_all(&database).map_err(failed)?;
-        self.files.rename(BEGUN, NAME).and_then(|()| self.files.sync_names()).map_err(Unusable::Io)?;
+        self.files
+            .rename(BEGUN, NAME)
+            .and_then(|()| self.files.sync_names())
+            .map_err(Unusable::Io)?;
         self.database = Some(database);
         Ok(())
     }
--- a/crates/store/src/catalogue/tests.rs
+++ b/crates/store/src/catalogue/tests.rs
@@ -10,8 +10,15 @@
     let disk = Disk::new();
     let (mut catalogue, known) = open(&disk, 77).unwrap();
     assert_eq!((known.store, known.heard), (77, None));
-    catalogue.write(&[Line::Purge(Mark::Object(1, 10)), Line::Purge(Mark::Group(3, 20))]).unwrap();
-    catalogue.write(&[Line::Purge(Mark::Folded(1, 5, 10)), Line::Heard(30)]).unwrap();
+    catalogue
+        .write(&[
+            Line::Purge(Mark::Object(1, 10)),
+            Line::Purge(Mark::Group(3, 20)),
+        ])
+        .unwrap();
+    catalogue
+        .write(&[Line::Purge(Mark::Folded(1, 5, 10)), Line::Heard(30)])
+        .unwrap();
     drop(catalogue);
     let (_, known) = open(&disk.crashed(1), 5).unwrap();
     assert_eq!((known.store, known.heard), (77, Some(30)));
@@ -22,11 +29,17 @@
 fn a_crash_at_any_operation_loses_nothing_written_down() {
     for crash_at in 1.. {
         let disk = Disk::new();
-        disk.set(Faults { crash_at: Some(crash_at), ..Faults::default() });
+        disk.set(Faults {
+            crash_at: Some(crash_at),
+            ..Faults::default()
+        });
         let mut written = 0;
         if let Ok((mut catalogue, _)) = open(&disk, 77) {
             while written < 8 {
-                let lines = [Line::Purge(Mark::Object(written, written + 1)), Line::Heard(written + 1)];
+                let lines = [
+                    Line::Purge(Mark::Object(written, written + 1)),
+                    Line::Heard(written + 1),
+                ];
                 if catalogue.write(&lines).is_err() {
                     break;
                 }
--- a/crates/store/src/decide/admission.rs
+++ b/crates/store/src/decide/admission.rs
@@ -40,10 +40,24 @@
 }
 
 impl Admission {
-    pub fn new(a_second: Option<u64>, a_day: Option<u64>, least_fresh: Duration, now: Duration) -> Admission {
+    pub fn new(
+        a_second: Option<u64>,
+        a_day: Option<u64>,
+        least_fresh: Duration,
+        now: Duration,
+    ) -> Admission {
         let [a_second, a_day] = [a_second, a_day].map(|bytes| bytes.map(|bytes| bytes as f64));
         let purses = [a_second.unwrap_or(0.0) * PURSE, a_day.unwrap_or(0.0)];
-        Admission { a_second, a_day, purses, started: now, at: now, least_fresh, admitted: 0, carried: 0 }
+        Admission {
+            a_second,
+            a_day,
+            purses,
+            started: now,
+            at: now,
+            least_fresh,
+            admitted: 0,
+            carried: 0,
+        }
     }
 
     /// May a copy of this rank be written, that is fresh for so long from now (none: until it is purged)?
@@ -94,7 +108,9 @@
     }
 
     fn spend(&mut self, bytes: usize) {
-        self.purses.iter_mut().for_each(|purse| *purse = (*purse - bytes as f64).max(0.0));
+        self.purses
+            .iter_mut()
+            .for_each(|purse| *purse = (*purse - bytes as f64).max(0.0));
     }
 
     fn fill(&mut self, now: Duration) {
--- a/crates/store/src/decide/admission/tests.rs
+++ b/crates/store/src/decide/admission/tests.rs
@@ -24,7 +24,9 @@
 #[test]
 fn a_day_has_an_end() {
     let mut admission = Admission::new(None, Some(10_000), s(0.0), s(0.0));
-    let count = (0..1000).filter(|_| admission.admits(s(1.0), 100, 3, None).is_ok()).count();
+    let count = (0..1000)
+        .filter(|_| admission.admits(s(1.0), 100, 3, None).is_ok())
+        .count();
     assert_eq!(count, 100);
     assert_eq!(admission.admits(s(2.0), 100, 3, None), Err(Refusal::Budget));
     assert_eq!(admission.admits(s(43_200.0), 100, 3, None), Ok(()));
@@ -33,7 +35,10 @@
 #[test]
 fn what_expires_soon_is_not_written_and_little_is_carried() {
     let mut admission = Admission::new(None, None, s(60.0), s(0.0));
-    assert_eq!(admission.admits(s(0.0), 10, 3, Some(s(59.0))), Err(Refusal::Expires));
+    assert_eq!(
+        admission.admits(s(0.0), 10, 3, Some(s(59.0))),
+        Err(Refusal::Expires)
+    );
     assert_eq!(admission.admits(s(0.0), 1000, 1, Some(s(61.0))), Ok(()));
     assert!(admission.carries(s(0.0), 200, 0.25) && !admission.carries(s(0.0), 51, 0.25));
     assert_eq!(admission.written(), (1000, 200));
--- a/crates/store/src/decide/disk/marks.rs
+++ b/crates/store/src/decide/disk/marks.rs
@@ -41,8 +41,10 @@
             self.counts.write_faults += 1;
             self.mark_retry.failed();
             let heard = |line: &Line| matches!(line, Line::Heard(_));
-            let later =
-                std::mem::replace(&mut self.unmarked, lines.into_iter().filter(|l| !heard(l)).collect());
+            let later = std::mem::replace(
+                &mut self.unmarked,
+                lines.into_iter().filter(|l| !heard(l)).collect(),
+            );
             self.unmarked.extend(later);
             return;
         }
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -329,12 +329,24 @@
     pub fn new(wanted: Wanted, now: Duration, start_ms: u64) -> Disk {
         let most = (wanted.bytes / u64::from(wanted.segment).max(1)) as usize;
         let s = Duration::from_secs;
-        let kind = |name, priority| Kind { name, priority, ..Kind::default() };
+        let kind = |name, priority| Kind {
+            name,
+            priority,
+            ..Kind::default()
+        };
         let at_once = |n, kind: Kind| Kind { at_once: n, ..kind };
         // A demotion that waits holds memory, a reclaim that waits holds up writes: both go soon, also under
         // load.
-        let reclaim = Kind { deadline: s(1), starves: s(5), ..at_once(1, kind("reclaim", 3)) };
-        let demote = Kind { deadline: s(2), starves: s(10), ..kind("demote", 2) };
+        let reclaim = Kind {
+            deadline: s(1),
+            starves: s(5),
+            ..at_once(1, kind("reclaim", 3))
+        };
+        let demote = Kind {
+            deadline: s(2),
+            starves: s(10),
+            ..kind("demote", 2)
+        };
         let revalidate = Kind {
             operations: (wanted.revalidate > 0.0).then(|| Rate::a_second(wanted.revalidate)),
             ..at_once(REVALIDATING_MOST, kind("revalidate", 2))
@@ -344,8 +356,15 @@
             starves: Duration::MAX / 4,
             ..at_once(1, kind("scrub", 0))
         };
-        let sweep = Kind { operations: Some(Rate::a_second(50.0)), ..at_once(1, kind("sweep", 0)) };
-        let ahead = Kind { deadline: s(1), starves: Duration::MAX / 4, ..at_once(4, kind("read-ahead", 3)) };
+        let sweep = Kind {
+            operations: Some(Rate::a_second(50.0)),
+            ..at_once(1, kind("sweep", 0))
+        };
+        let ahead = Kind {
+            deadline: s(1),
+            starves: Duration::MAX / 4,
+            ..at_once(4, kind("read-ahead", 3))
+        };
         let kinds = vec![reclaim, demote, revalidate, scrub, sweep, ahead];
         Disk {
             phase: Phase::Opening,
@@ -402,7 +421,10 @@
 
     pub fn counts(&self) -> Counts {
         let (admitted_bytes, _) = self.admission.written();
-        Counts { admitted_bytes, ..self.counts }
+        Counts {
+            admitted_bytes,
+            ..self.counts
+        }
     }
 
     pub fn index(&self) -> &Index {
@@ -428,7 +450,10 @@
             && self.unmarked.is_empty()
             && self.marking.is_none()
             && self.reclaim.is_none()
-            && self.written.values().all(|(_, unsynced)| unsynced.bytes == 0 && unsynced.under_way.is_none())
+            && self
+                .written
+                .values()
+                .all(|(_, unsynced)| unsynced.bytes == 0 && unsynced.under_way.is_none())
     }
 
     /// What waits here of memory: copies and records on their way.
--- a/crates/store/src/decide/disk/reclaim.rs
+++ b/crates/store/src/decide/disk/reclaim.rs
@@ -8,10 +8,20 @@
         let Some(segment) = victim.filter(|segment| out.list(*segment)) else {
             return self.work.done(RECLAIM, Cost::default());
         };
-        let was = self.segments.get(segment).map_or(State::Failed, |found| found.state);
+        let was = self
+            .segments
+            .get(segment)
+            .map_or(State::Failed, |found| found.state);
         self.segments.set(segment, State::Reclaimed);
         let (todo, into) = (VecDeque::new(), None);
-        self.reclaim = Some(Reclaim { segment, was, todo, open: 1, into, removing: false });
+        self.reclaim = Some(Reclaim {
+            segment,
+            was,
+            todo,
+            open: 1,
+            into,
+            removing: false,
+        });
     }
 
     /// What the segment that is reclaimed lists. The best of what is still wanted is carried over, within a
@@ -24,7 +34,9 @@
         purges: &Purges,
         out: &mut dyn Outlet,
     ) {
-        let Some(mut reclaim) = self.reclaim.take_if(|reclaim| reclaim.segment == segment) else { return };
+        let Some(mut reclaim) = self.reclaim.take_if(|reclaim| reclaim.segment == segment) else {
+            return;
+        };
         if matches!(result, Err(Fault::Io(_) | Fault::Full)) {
             self.reclaim_retry.failed();
             if self.reclaim_retry.failures() < LIST_FAILURES_MOST {
@@ -54,7 +66,10 @@
         }
         wanted.sort_by_key(|(worth, _)| std::cmp::Reverse(*worth));
         for (_, entry) in wanted {
-            if self.admission.carries(now, entry.length as usize, self.wanted.carry) {
+            if self
+                .admission
+                .carries(now, entry.length as usize, self.wanted.carry)
+            {
                 reclaim.todo.push_back(entry);
             } else {
                 self.forget(entry.key, out);
@@ -73,11 +88,18 @@
         out: &mut dyn Outlet,
     ) {
         let segment = self.reclaim.as_ref().map_or(0, |reclaim| reclaim.segment);
-        let spot = self.index.get(entry.key).filter(|spot| (spot.segment, spot.at) == (segment, entry.at));
-        let good = spot.filter(|spot| purges.survives(entry.object, spot.group as usize, spot.made));
+        let spot = self
+            .index
+            .get(entry.key)
+            .filter(|spot| (spot.segment, spot.at) == (segment, entry.at));
+        let good =
+            spot.filter(|spot| purges.survives(entry.object, spot.group as usize, spot.made));
         let written = match (result, good) {
             (Ok((copy, _)), Some(spot)) if self.may_write(now, entry.length as usize) => {
-                let copy = Copy { made: spot.made, ..copy };
+                let copy = Copy {
+                    made: spot.made,
+                    ..copy
+                };
                 self.write(now, &copy, spot.rank, true, out)
             }
             _ => None,
@@ -102,15 +124,24 @@
     /// Goes on with the reclaim: reads what is carried over, syncs it where it is now, then removes the
     /// segment.
     pub(super) fn reclaim_on(&mut self, now: Duration, out: &mut dyn Outlet) {
-        let Some(mut reclaim) = self.reclaim.take() else { return };
+        let Some(mut reclaim) = self.reclaim.take() else {
+            return;
+        };
         while reclaim.open < CARRYING_MOST {
-            let Some(entry) = reclaim.todo.pop_front() else { break };
-            let Some(spot) =
-                self.index.get(entry.key).filter(|s| (s.segment, s.at) == (reclaim.segment, entry.at))
+            let Some(entry) = reclaim.todo.pop_front() else {
+                break;
+            };
+            let Some(spot) = self
+                .index
+                .get(entry.key)
+                .filter(|s| (s.segment, s.at) == (reclaim.segment, entry.at))
             else {
                 continue;
             };
-            if self.order_read(spot, Purpose::Carry { entry }, out).is_none() {
+            if self
+                .order_read(spot, Purpose::Carry { entry }, out)
+                .is_none()
+            {
                 reclaim.todo.push_front(entry);
                 break;
             }
@@ -120,18 +151,22 @@
             // What was synced there must outlive a crash here, before it goes there: what was carried over, and
             // what has replaced a copy there.
             let all = || {
-                let unsynced = self.written.iter().filter(|(_, (_, unsynced))| unsynced.bytes > 0);
+                let unsynced = self
+                    .written
+                    .iter()
+                    .filter(|(_, (_, unsynced))| unsynced.bytes > 0);
                 unsynced.map(|(segment, _)| *segment).collect()
             };
             let into: &mut HashSet<u32> = reclaim.into.get_or_insert_with(all);
             into.retain(|into| {
-                let unsynced =
-                    self.written.get(into).is_some_and(|(_, u)| u.bytes > 0 || u.under_way.is_some());
+                let unsynced = self
+                    .written
+                    .get(into)
+                    .is_some_and(|(_, u)| u.bytes > 0 || u.under_way.is_some());
                 unsynced
-                    && self
-                        .segments
-                        .get(*into)
-                        .is_some_and(|s| matches!(s.state, State::Open | State::Sealing | State::Failed))
+                    && self.segments.get(*into).is_some_and(|s| {
+                        matches!(s.state, State::Open | State::Sealing | State::Failed)
+                    })
             });
             if !into.is_empty() {
                 self.sync(now, out, true);
@@ -145,15 +180,32 @@
         self.reclaim = Some(reclaim);
     }
 
-    pub fn removed(&mut self, now: Duration, segment: u32, result: Result<(), Fault>, out: &mut dyn Outlet) {
+    pub fn removed(
+        &mut self,
+        now: Duration,
+        segment: u32,
+        result: Result<(), Fault>,
+        out: &mut dyn Outlet,
+    ) {
         if self.removing_again && self.unremoved.front() == Some(&segment) {
             return self.removed_again(result);
         }
-        if self.reclaim.take_if(|reclaim| reclaim.segment == segment).is_none() {
+        if self
+            .reclaim
+            .take_if(|reclaim| reclaim.segment == segment)
+            .is_none()
+        {
             return;
         }
         let gone = self.segments.get(segment).map_or(0, |s| s.end);
-        self.work.done(RECLAIM, Cost { bytes: f64::from(gone), operations: 1.0, core: 0.0 });
+        self.work.done(
+            RECLAIM,
+            Cost {
+                bytes: f64::from(gone),
+                operations: 1.0,
+                core: 0.0,
+            },
+        );
         self.written.remove(&segment);
         self.segments.removed(segment);
         match result {
--- a/crates/store/src/decide/disk/retry.rs
+++ b/crates/store/src/decide/disk/retry.rs
@@ -14,7 +14,12 @@
 
 impl Retry {
     pub fn new((first, longest): (Duration, Duration)) -> Retry {
-        Retry { first, longest, failures: 0, due: None }
+        Retry {
+            first,
+            longest,
+            failures: 0,
+            due: None,
+        }
     }
 
     /// Failures in a row.
--- a/crates/store/src/decide/disk/serve.rs
+++ b/crates/store/src/decide/disk/serve.rs
@@ -7,7 +7,10 @@
     pub fn find(&mut self, key: Key, object: Key, group: usize, purges: &Purges) -> Option<Spot> {
         let spot = self.index.get(key)?;
         // What leads to a segment that has gone leads nowhere.
-        let there = self.segments.get(spot.segment).is_some_and(|s| s.state != State::Removing);
+        let there = self
+            .segments
+            .get(spot.segment)
+            .is_some_and(|s| s.state != State::Removing);
         let sound = there
             && purges.survives(object, spot.group as usize, spot.made)
             && purges.survives(object, group, spot.made);
@@ -27,11 +30,22 @@
         group: usize,
         out: &mut dyn Outlet,
     ) -> Option<u64> {
-        let purpose = Purpose::Answer { key, spot, object: object.to_vec(), part, group };
+        let purpose = Purpose::Answer {
+            key,
+            spot,
+            object: object.to_vec(),
+            part,
+            group,
+        };
         self.order_read(spot, purpose, out)
     }
 
-    pub(super) fn order_read(&mut self, spot: Spot, purpose: Purpose, out: &mut dyn Outlet) -> Option<u64> {
+    pub(super) fn order_read(
+        &mut self,
+        spot: Spot,
+        purpose: Purpose,
+        out: &mut dyn Outlet,
+    ) -> Option<u64> {
         let ticket = self.tickets + 1;
         if !out.read(ticket, spot.segment, spot.at, spot.length) {
             return None;
@@ -43,7 +57,10 @@
 
     /// Nobody waits for this read any more.
     pub fn leave(&mut self, ticket: u64) {
-        self.reads.get_mut(&ticket).into_iter().for_each(|purpose| *purpose = Purpose::Nobody);
+        self.reads
+            .get_mut(&ticket)
+            .into_iter()
+            .for_each(|purpose| *purpose = Purpose::Nobody);
     }
 
     /// A read has ended. Returned is what goes to memory, and at which rank.
@@ -65,13 +82,21 @@
             }
         };
         match purpose {
-            Purpose::Answer { key, spot, object, part, group } => {
+            Purpose::Answer {
+                key,
+                spot,
+                object,
+                part,
+                group,
+            } => {
                 settle(self, key, &spot);
                 let fetched = match result {
                     Ok((copy, rank)) => {
                         // Purged or replaced while it was read: it must not be served any more.
-                        let current =
-                            self.index.get(key).filter(|c| (c.segment, c.at) == (spot.segment, spot.at));
+                        let current = self
+                            .index
+                            .get(key)
+                            .filter(|c| (c.segment, c.at) == (spot.segment, spot.at));
                         let object_key = key::object(&object);
                         let good = current.filter(|current| {
                             current.proven
@@ -81,9 +106,15 @@
                                 && purges.survives(object_key, group, current.made)
                         });
                         good.map_or((Fetched::Gone, None), |current| {
-                            let copy = Rc::new(Copy { made: current.made, ..copy });
+                            let copy = Rc::new(Copy {
+                                made: current.made,
+                                ..copy
+                            });
                             self.hit(now, key, &current, &copy);
-                            (Fetched::Copy(copy.clone()), Some((copy, rank.max(current.rank))))
+                            (
+                                Fetched::Copy(copy.clone()),
+                                Some((copy, rank.max(current.rank))),
+                            )
                         })
                     }
                     Err(Fault::Damaged) => (Fetched::Gone, None),
@@ -94,24 +125,53 @@
             }
             Purpose::Ahead { key, spot } => {
                 settle(self, key, &spot);
-                self.work.done(AHEAD, Cost { bytes: f64::from(spot.length), operations: 1.0, core: 0.0 });
+                self.work.done(
+                    AHEAD,
+                    Cost {
+                        bytes: f64::from(spot.length),
+                        operations: 1.0,
+                        core: 0.0,
+                    },
+                );
                 let (copy, rank) = result.ok()?;
                 let good = self.leads_to(key, spot.segment, spot.at)
                     && purges.survives(key::object(&copy.object), spot.group as usize, spot.made);
                 self.counts.read_ahead += u64::from(good);
-                good.then(|| (Rc::new(Copy { made: spot.made, ..copy }), rank))
+                good.then(|| {
+                    (
+                        Rc::new(Copy {
+                            made: spot.made,
+                            ..copy
+                        }),
+                        rank,
+                    )
+                })
             }
             Purpose::Scrub { key, spot } => {
                 settle(self, key, &spot);
                 self.counts.scrubbed += 1;
-                self.work.done(SCRUB, Cost { bytes: f64::from(spot.length), ..Cost::default() });
+                self.work.done(
+                    SCRUB,
+                    Cost {
+                        bytes: f64::from(spot.length),
+                        ..Cost::default()
+                    },
+                );
                 None
             }
             Purpose::Revalidate { key, spot } => {
                 settle(self, key, &spot);
-                self.work.done(REVALIDATE, Cost { operations: 1.0, ..Cost::default() });
+                self.work.done(
+                    REVALIDATE,
+                    Cost {
+                        operations: 1.0,
+                        ..Cost::default()
+                    },
+                );
                 match result {
-                    Ok((copy, _)) if self.leads_to(key, spot.segment, spot.at) => out.revalidate(&copy),
+                    Ok((copy, _)) if self.leads_to(key, spot.segment, spot.at) => {
+                        out.revalidate(&copy)
+                    }
                     _ => self.forget_at(key, spot.segment, spot.at, out),
                 }
                 None
@@ -127,7 +187,8 @@
     pub(super) fn hit(&mut self, now: Duration, key: Key, spot: &Spot, copy: &Copy) {
         self.counts.hits += 1;
         self.counts.hit_bytes += copy.body.len() as u64;
-        self.index.change(key, |spot| spot.heat = (spot.heat + 1).min(3));
+        self.index
+            .change(key, |spot| spot.heat = (spot.heat + 1).min(3));
         self.segments.used(spot.segment, now);
     }
 
@@ -146,7 +207,14 @@
         let before = std::mem::replace(last, (object, part));
         if before.0 == object && before.1.checked_add(1) == Some(part) {
             self.in_turn = Some((object, part));
-            self.work.offer(now, AHEAD, Cost { operations: 1.0, ..Cost::default() });
+            self.work.offer(
+                now,
+                AHEAD,
+                Cost {
+                    operations: 1.0,
+                    ..Cost::default()
+                },
+            );
         }
     }
 }
--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -4,7 +4,13 @@
 
 impl Disk {
     /// The directory is open: what its catalogue says, and which segments there are.
-    pub fn opened(&mut self, known: &Known, segments: Vec<u32>, purges: &mut Purges, out: &mut dyn Outlet) {
+    pub fn opened(
+        &mut self,
+        known: &Known,
+        segments: Vec<u32>,
+        purges: &mut Purges,
+        out: &mut dyn Outlet,
+    ) {
         self.store = known.store;
         known.marks.iter().for_each(|mark| purges.restore(*mark));
         self.heard_before = known.heard;
@@ -44,18 +50,22 @@
 
     /// What is known at this start reaches back to when discovery was last heard.
     fn is_gap_covered(&self) -> bool {
-        self.heard_before.is_some_and(|heard| heard >= self.known_since)
+        self.heard_before
+            .is_some_and(|heard| heard >= self.known_since)
     }
 
     /// The directory cannot be used: nothing is read from it or written to it.
     pub fn refused(&mut self, why: String) {
         self.phase = Phase::Refused(why);
-        (self.to_recover, self.demoting, self.demoting_bytes) = (VecDeque::new(), VecDeque::new(), 0);
+        (self.to_recover, self.demoting, self.demoting_bytes) =
+            (VecDeque::new(), VecDeque::new(), 0);
     }
 
     pub(super) fn recover(&mut self, out: &mut dyn Outlet) {
         while self.recovering < RECOVERING_MOST {
-            let Some(segment) = self.to_recover.front().copied() else { break };
+            let Some(segment) = self.to_recover.front().copied() else {
+                break;
+            };
             if !out.recover(segment) {
                 break;
             }
@@ -95,7 +105,8 @@
                     self.read_retry.succeeded();
                     self.segments.most += 1;
                 }
-                self.segments.found(segment, found.class as usize, found.end, now);
+                self.segments
+                    .found(segment, found.class as usize, found.end, now);
                 self.counts.damaged += found.damaged;
                 self.counts.torn_bytes += found.torn;
                 let mut held = 0;
@@ -139,7 +150,11 @@
 
     /// Tries again what failed at files: one removal and one reading at a time.
     pub(super) fn retry_files(&mut self, now: Duration, out: &mut dyn Outlet) {
-        let unremoved = self.unremoved.front().copied().filter(|_| !self.removing_again);
+        let unremoved = self
+            .unremoved
+            .front()
+            .copied()
+            .filter(|_| !self.removing_again);
         if let Some(segment) = unremoved.filter(|_| self.remove_retry.is_due(now)) {
             self.removing_again = out.remove(segment);
         }
@@ -158,8 +173,26 @@
             self.counts.dropped_unproven += 1;
             return false;
         }
-        let Entry { at, length, made, group, rank, tag, .. } = entry;
-        let spot = Spot { segment, at, length, tag, made, group, rank, heat: 0, proven };
+        let Entry {
+            at,
+            length,
+            made,
+            group,
+            rank,
+            tag,
+            ..
+        } = entry;
+        let spot = Spot {
+            segment,
+            at,
+            length,
+            tag,
+            made,
+            group,
+            rank,
+            heat: 0,
+            proven,
+        };
         if self
             .index
             .get(entry.key)
@@ -178,7 +211,8 @@
     pub(super) fn put(&mut self, key: Key, spot: Spot) -> bool {
         match self.index.put(key, &spot) {
             Ok(old) => {
-                old.into_iter().for_each(|old| self.segments.take(old.segment, old.length));
+                old.into_iter()
+                    .for_each(|old| self.segments.take(old.segment, old.length));
                 self.segments.add(spot.segment, spot.length);
                 true
             }
@@ -201,6 +235,8 @@
     }
 
     pub(super) fn leads_to(&self, key: Key, segment: u32, at: u32) -> bool {
-        self.index.get(key).is_some_and(|spot| (spot.segment, spot.at) == (segment, at))
+        self.index
+            .get(key)
+            .is_some_and(|spot| (spot.segment, spot.at) == (segment, at))
     }
 }
--- a/crates/store/src/decide/disk/work.rs
+++ b/crates/store/src/decide/disk/work.rs
@@ -29,7 +29,9 @@
         self.offer(now);
         // No more at a turn than requests can wait for.
         for _ in 0..64 {
-            let Some(kind) = self.work.next(now) else { break };
+            let Some(kind) = self.work.next(now) else {
+                break;
+            };
             self.go(kind, now, purges, in_memory, out);
         }
         self.reclaim_on(now, out);
@@ -38,21 +40,42 @@
     /// When `tick` has something to do, if nothing else happens.
     pub fn next_look(&self, now: Duration) -> Option<Duration> {
         // One that is due and was not taken is tried again soon, not at once.
-        let waits = self.written.values().filter(|(_, unsynced)| unsynced.under_way.is_none());
-        let syncs =
-            waits.filter_map(|(_, u)| Some((u.since? + self.wanted.sync_after).max(now + SYNC_AGAIN)));
-        let retries = [&self.mark_retry, &self.reclaim_retry, &self.remove_retry, &self.read_retry];
-        let retries =
-            retries.into_iter().filter_map(|retry| retry.due()).map(|due| due.max(now + SYNC_AGAIN));
-        self.work.next_look(now).into_iter().chain(syncs).chain(retries).min()
+        let waits = self
+            .written
+            .values()
+            .filter(|(_, unsynced)| unsynced.under_way.is_none());
+        let syncs = waits
+            .filter_map(|(_, u)| Some((u.since? + self.wanted.sync_after).max(now + SYNC_AGAIN)));
+        let retries = [
+            &self.mark_retry,
+            &self.reclaim_retry,
+            &self.remove_retry,
+            &self.read_retry,
+        ];
+        let retries = retries
+            .into_iter()
+            .filter_map(|retry| retry.due())
+            .map(|due| due.max(now + SYNC_AGAIN));
+        self.work
+            .next_look(now)
+            .into_iter()
+            .chain(syncs)
+            .chain(retries)
+            .min()
     }
 
     pub(super) fn offer(&mut self, now: Duration) {
         let none = |work: &Scheduler, kind| work.held(kind) == (0, 0);
-        let one = Cost { operations: 1.0, ..Cost::default() };
+        let one = Cost {
+            operations: 1.0,
+            ..Cost::default()
+        };
         let short = self.segments.free() <= RESERVE || self.index.is_full();
         let short = short && self.reclaim_retry.is_due(now);
-        if short && self.reclaim.is_none() && none(&self.work, RECLAIM) && self.segments.victim(now).is_some()
+        if short
+            && self.reclaim.is_none()
+            && none(&self.work, RECLAIM)
+            && self.segments.victim(now).is_some()
         {
             self.work.offer(now, RECLAIM, one);
         }
@@ -63,7 +86,14 @@
         if self.phase == Phase::Ready && !self.index.is_empty() {
             if self.wanted.scrub > 0 && none(&self.work, SCRUB) {
                 let mean = self.segments.bytes().1 as f64 / self.index.len() as f64;
-                self.work.offer(now, SCRUB, Cost { bytes: mean, ..Cost::default() });
+                self.work.offer(
+                    now,
+                    SCRUB,
+                    Cost {
+                        bytes: mean,
+                        ..Cost::default()
+                    },
+                );
             }
             if none(&self.work, SWEEP) {
                 self.work.offer(now, SWEEP, one);
@@ -86,13 +116,19 @@
                     let _ = self.admit(now, &copy, rank, purges, out);
                     copy.body.len()
                 });
-                self.work.done(DEMOTE, Cost { bytes: bytes as f64, ..Cost::default() });
+                self.work.done(
+                    DEMOTE,
+                    Cost {
+                        bytes: bytes as f64,
+                        ..Cost::default()
+                    },
+                );
             }
             RECLAIM => self.begin_reclaim(now, out),
             REVALIDATE => {
-                let ordered = self
-                    .next_unproven()
-                    .and_then(|(key, spot)| self.order_read(spot, Purpose::Revalidate { key, spot }, out));
+                let ordered = self.next_unproven().and_then(|(key, spot)| {
+                    self.order_read(spot, Purpose::Revalidate { key, spot }, out)
+                });
                 if ordered.is_none() {
                     self.work.done(REVALIDATE, Cost::default());
                 }
@@ -101,10 +137,13 @@
                 let (found, next) = self.index.some(self.scrub, 1);
                 let found: Vec<(Key, Spot)> = found.collect();
                 // One of a bucket a round: which one changes from round to round.
-                let pick = found.get(self.tickets as usize % found.len().max(1)).copied();
+                let pick = found
+                    .get(self.tickets as usize % found.len().max(1))
+                    .copied();
                 self.scrub = next.unwrap_or(0);
-                let ordered =
-                    pick.and_then(|(key, spot)| self.order_read(spot, Purpose::Scrub { key, spot }, out));
+                let ordered = pick.and_then(|(key, spot)| {
+                    self.order_read(spot, Purpose::Scrub { key, spot }, out)
+                });
                 if ordered.is_none() {
                     self.work.done(SCRUB, Cost::default());
                 }
@@ -112,10 +151,19 @@
             SWEEP => {
                 let (found, next) = self.index.some(self.sweep, SWEEP_BUCKETS);
                 let stale = |spot: &Spot| self.segments.get(spot.segment).is_none();
-                let stale: Vec<Key> = found.filter(|(_, spot)| stale(spot)).map(|(key, _)| key).collect();
+                let stale: Vec<Key> = found
+                    .filter(|(_, spot)| stale(spot))
+                    .map(|(key, _)| key)
+                    .collect();
                 self.sweep = next.unwrap_or(0);
                 stale.into_iter().for_each(|key| self.forget(key, out));
-                self.work.done(SWEEP, Cost { operations: 1.0, ..Cost::default() });
+                self.work.done(
+                    SWEEP,
+                    Cost {
+                        operations: 1.0,
+                        ..Cost::default()
+                    },
+                );
             }
             AHEAD => {
                 let ordered = self
@@ -139,7 +187,10 @@
         (1..=self.wanted.read_ahead as u64).find_map(|step| {
             let key = key::part(object, part.checked_add(step)?);
             let spot = self.find(key, object, 0, purges)?;
-            let coming = self.reads.values().any(|p| matches!(p, Purpose::Ahead { key: k, .. } if *k == key));
+            let coming = self
+                .reads
+                .values()
+                .any(|p| matches!(p, Purpose::Ahead { key: k, .. } if *k == key));
             (!coming && !in_memory(key)).then_some((key, spot))
         })
     }
@@ -161,7 +212,8 @@
             })
             .collect();
         let (found, next) = self.index.some(from, SWEEP_BUCKETS);
-        let mut found = found.filter(|(key, spot)| !spot.proven && spot.rank == rank && !busy.contains(key));
+        let mut found =
+            found.filter(|(key, spot)| !spot.proven && spot.rank == rank && !busy.contains(key));
         let first = found.next();
         let more = found.next().is_some();
         drop(found);
@@ -177,10 +229,15 @@
 
     /// A source says that a copy still holds, as of a copy made at `made`.
     pub fn proven(&mut self, key: Key, tag: &[u8], made: u64) {
-        let holds = self.index.get(key).is_some_and(|spot| spot.tag == tag_sum(tag));
+        let holds = self
+            .index
+            .get(key)
+            .is_some_and(|spot| spot.tag == tag_sum(tag));
         if holds {
             self.counts.revalidated += 1;
-            self.index.change(key, |spot| (spot.proven, spot.made) = (true, spot.made.max(made)));
+            self.index.change(key, |spot| {
+                (spot.proven, spot.made) = (true, spot.made.max(made))
+            });
         }
     }
 
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -6,8 +6,18 @@
     /// A copy that memory has no place for. It waits for its turn to be written, or is let go of.
     pub fn demote(&mut self, now: Duration, copy: Rc<Copy>, rank: u8) {
         let bytes = copy.body.len();
-        let taken = !matches!(self.phase, Phase::Refused(_)) && self.demoting_bytes + bytes <= DEMOTING_MOST;
-        if !taken || !self.work.offer(now, DEMOTE, Cost { bytes: bytes as f64, ..Cost::default() }) {
+        let taken = !matches!(self.phase, Phase::Refused(_))
+            && self.demoting_bytes + bytes <= DEMOTING_MOST;
+        if !taken
+            || !self.work.offer(
+                now,
+                DEMOTE,
+                Cost {
+                    bytes: bytes as f64,
+                    ..Cost::default()
+                },
+            )
+        {
             self.counts.refused_disk += 1;
             return;
         }
@@ -50,13 +60,21 @@
         if !purges.survives(object, group_slot(copy.group), copy.made) {
             return Err(Refusal::Outdated);
         }
-        let held = self.index.get(key).filter(|spot| self.segments.get(spot.segment).is_some());
-        let same = |held: Spot| held.made == copy.made && held.tag == tag_sum(&copy.tag) && held.proven;
+        let held = self
+            .index
+            .get(key)
+            .filter(|spot| self.segments.get(spot.segment).is_some());
+        let same =
+            |held: Spot| held.made == copy.made && held.tag == tag_sum(&copy.tag) && held.proven;
         if held.is_some_and(|held| held.made > copy.made || same(held)) {
             self.rank(key, rank);
             return Err(Refusal::Outdated);
         }
-        if self.writing.values().any(|w| w.key == key && w.spot.made >= copy.made) {
+        if self
+            .writing
+            .values()
+            .any(|w| w.key == key && w.spot.made >= copy.made)
+        {
             return Err(Refusal::Outdated);
         }
         let length = record_length(copy);
@@ -68,7 +86,12 @@
         }
         let age = self.unix_ms(now).saturating_sub(copy.made);
         let fresh = (copy.fresh > 0).then(|| Duration::from_millis(copy.fresh.saturating_sub(age)));
-        self.admission.admits(now, length, if self.wanted.admit_all { 3 } else { rank }, fresh)?;
+        self.admission.admits(
+            now,
+            length,
+            if self.wanted.admit_all { 3 } else { rank },
+            fresh,
+        )?;
         if self.write(now, copy, rank, false, out).is_none() {
             return Err(Refusal::Disk);
         }
@@ -120,7 +143,11 @@
                 (segment, head)
             }
         };
-        let place = format::Place { store: self.store, segment, at };
+        let place = format::Place {
+            store: self.store,
+            segment,
+            at,
+        };
         let mut record = Vec::with_capacity(length);
         format::write_record(&mut record, copy, rank, place);
         debug_assert_eq!(record.len(), length);
@@ -132,16 +159,46 @@
         self.writes.sent(now);
         self.segments.wrote(segment, length, now);
         let object = key::object(&copy.object);
-        let (key, group, tag) =
-            (key::part(object, copy.part), group_slot(copy.group) as u16, tag_sum(&copy.tag));
+        let (key, group, tag) = (
+            key::part(object, copy.part),
+            group_slot(copy.group) as u16,
+            tag_sum(&copy.tag),
+        );
         let (length, made) = (length as u32, copy.made);
-        let entry = Entry { key, object, at, length, made, group, rank, tag };
+        let entry = Entry {
+            key,
+            object,
+            at,
+            length,
+            made,
+            group,
+            rank,
+            tag,
+        };
         let (entries, unsynced) = self.written.entry(segment).or_default();
         entries.push(entry);
         unsynced.bytes += u64::from(length);
         unsynced.since.get_or_insert(now);
-        let spot = Spot { segment, at, length, tag, made, group, rank, heat: 0, proven: true };
-        self.writing.insert(ticket, Writing { key, object, spot, carried });
+        let spot = Spot {
+            segment,
+            at,
+            length,
+            tag,
+            made,
+            group,
+            rank,
+            heat: 0,
+            proven: true,
+        };
+        self.writing.insert(
+            ticket,
+            Writing {
+                key,
+                object,
+                spot,
+                carried,
+            },
+        );
         self.writing_bytes += length as usize;
         self.counts.written_bytes += u64::from(length);
         Some(segment)
@@ -150,17 +207,32 @@
     /// Where a record goes in the open segment of its size group, with room for the footer behind it.
     pub(super) fn place(&self, class: usize, length: usize) -> Option<(u32, u32)> {
         let (segment, _) = self.segments.place(class, length)?;
-        let entries = self.written.get(&segment).map_or(0, |(entries, _)| entries.len());
-        self.segments.place(class, length + (entries + 1) * format::ENTRY + TRAILER)
+        let entries = self
+            .written
+            .get(&segment)
+            .map_or(0, |(entries, _)| entries.len());
+        self.segments
+            .place(class, length + (entries + 1) * format::ENTRY + TRAILER)
     }
 
     pub(super) fn seal(&mut self, class: usize, out: &mut dyn Outlet) {
-        let Some(segment) = self.segments.open(class) else { return };
-        let Some(end) = self.segments.get(segment).map(|s| s.end) else { return };
-        let entries = self.written.get(&segment).map_or(&[][..], |(entries, _)| entries);
+        let Some(segment) = self.segments.open(class) else {
+            return;
+        };
+        let Some(end) = self.segments.get(segment).map(|s| s.end) else {
+            return;
+        };
+        let entries = self
+            .written
+            .get(&segment)
+            .map_or(&[][..], |(entries, _)| entries);
         let footer = format::footer(entries, self.store, segment, end);
         // Where the order is not taken nothing is lost: the next start walks through it.
-        let state = if out.seal(segment, end, footer) { State::Sealing } else { State::Failed };
+        let state = if out.seal(segment, end, footer) {
+            State::Sealing
+        } else {
+            State::Failed
+        };
         self.segments.set(segment, state);
     }
 
@@ -172,7 +244,15 @@
         purges: &Purges,
         out: &mut dyn Outlet,
     ) {
-        let Some(Writing { key, object, spot, carried }) = self.writing.remove(&ticket) else { return };
+        let Some(Writing {
+            key,
+            object,
+            spot,
+            carried,
+        }) = self.writing.remove(&ticket)
+        else {
+            return;
+        };
         self.writing_bytes -= spot.length as usize;
         match result {
             Ok(()) => {
@@ -181,7 +261,10 @@
                 self.counts.carried += u64::from(carried);
                 // Purged or replaced while it waited to be written.
                 let stale = !purges.survives(object, spot.group as usize, spot.made)
-                    || self.index.get(key).is_some_and(|held| held.made > spot.made);
+                    || self
+                        .index
+                        .get(key)
+                        .is_some_and(|held| held.made > spot.made);
                 if !stale && !self.put(key, spot) {
                     self.counts.unknown += 1;
                 }
@@ -190,7 +273,11 @@
                 self.counts.write_faults += 1;
                 self.writes.judge(now, true, 1.0);
                 // What stands behind it there can be read, but nothing more is written: its end is not known.
-                if self.segments.get(spot.segment).is_some_and(|s| s.state == State::Open) {
+                if self
+                    .segments
+                    .get(spot.segment)
+                    .is_some_and(|s| s.state == State::Open)
+                {
                     self.segments.set(spot.segment, State::Failed);
                 }
             }
@@ -239,12 +326,21 @@
     ) {
         let before = self.segments.get(segment).map_or(0, |s| s.synced);
         self.writes.judge(now, !synced, 1.0);
-        let Some((entries, unsynced)) = self.written.get_mut(&segment) else { return };
+        let Some((entries, unsynced)) = self.written.get_mut(&segment) else {
+            return;
+        };
         unsynced.under_way = None;
-        let settled: Vec<Entry> =
-            entries.iter().filter(|e| e.at >= before && e.at < up_to).copied().collect();
+        let settled: Vec<Entry> = entries
+            .iter()
+            .filter(|e| e.at >= before && e.at < up_to)
+            .copied()
+            .collect();
         if synced {
-            unsynced.bytes = entries.iter().filter(|e| e.at >= up_to).map(|e| u64::from(e.length)).sum();
+            unsynced.bytes = entries
+                .iter()
+                .filter(|e| e.at >= up_to)
+                .map(|e| u64::from(e.length))
+                .sum();
             unsynced.since = (unsynced.bytes > 0).then_some(now);
             self.segments.synced(segment, up_to);
             for entry in settled {
@@ -269,8 +365,10 @@
     pub(super) fn sync(&mut self, now: Duration, out: &mut dyn Outlet, all: bool) {
         let (after, most) = (self.wanted.sync_after, self.wanted.sync_bytes);
         for (segment, (_, unsynced)) in &mut self.written {
-            let due =
-                unsynced.bytes >= most || unsynced.since.is_some_and(|since| all || now >= since + after);
+            let due = unsynced.bytes >= most
+                || unsynced
+                    .since
+                    .is_some_and(|since| all || now >= since + after);
             // Of one that failed, what was written before lasts all the same once it is synced.
             let written = self.segments.get(*segment);
             let written = written.filter(|s| matches!(s.state, State::Open | State::Failed));
--- a/crates/store/src/decide/index.rs
+++ b/crates/store/src/decide/index.rs
@@ -54,7 +54,14 @@
             | u64::from(spot.rank.min(3)) << 58
             | u64::from(spot.heat.min(3)) << 60
             | u64::from(spot.proven) << 62;
-        Packed { key, facts, segment: spot.segment, at: spot.at, length: spot.length, tag: spot.tag }
+        Packed {
+            key,
+            facts,
+            segment: spot.segment,
+            at: spot.at,
+            length: spot.length,
+            tag: spot.tag,
+        }
     }
 
     fn spot(&self) -> Spot {
@@ -87,7 +94,12 @@
 impl Index {
     /// Holds so many bytes at the most, its own overhead counted.
     pub fn new(most: u64) -> Index {
-        Index { buckets: vec![Vec::new()], parts: 0, room: 0, most }
+        Index {
+            buckets: vec![Vec::new()],
+            parts: 0,
+            room: 0,
+            most,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -123,7 +135,10 @@
     }
 
     pub fn get(&self, key: Key) -> Option<Spot> {
-        self.buckets[self.bucket(key)].iter().find(|e| e.key == key).map(Packed::spot)
+        self.buckets[self.bucket(key)]
+            .iter()
+            .find(|e| e.key == key)
+            .map(Packed::spot)
     }
 
     /// Puts a part in place of an older copy, which is returned.
@@ -158,7 +173,8 @@
     /// Splits the bucket whose turn it is: its entries have one bit more to choose by.
     fn split(&mut self) {
         if self.buckets.len() == self.buckets.capacity() {
-            self.buckets.reserve_exact((self.buckets.len() / 16).clamp(64, 8192));
+            self.buckets
+                .reserve_exact((self.buckets.len() / 16).clamp(64, 8192));
         }
         let n = self.buckets.len();
         let from = n - n.next_power_of_two() / if n.is_power_of_two() { 1 } else { 2 };
@@ -202,9 +218,19 @@
     }
 
     /// The parts of some buckets from the `from`th on, and where to go on; none: that was the end.
-    pub fn some(&self, from: usize, buckets: usize) -> (impl Iterator<Item = (Key, Spot)>, Option<usize>) {
-        let (from, end) = (from.min(self.buckets.len()), (from + buckets).min(self.buckets.len()));
-        let found = self.buckets[from..end].iter().flatten().map(|e| (e.key, e.spot()));
+    pub fn some(
+        &self,
+        from: usize,
+        buckets: usize,
+    ) -> (impl Iterator<Item = (Key, Spot)>, Option<usize>) {
+        let (from, end) = (
+            from.min(self.buckets.len()),
+            (from + buckets).min(self.buckets.len()),
+        );
+        let found = self.buckets[from..end]
+            .iter()
+            .flatten()
+            .map(|e| (e.key, e.spot()));
         (found, (end < self.buckets.len()).then_some(end))
     }
 }
--- a/crates/store/src/decide/index/tests.rs
+++ b/crates/store/src/decide/index/tests.rs
@@ -4,7 +4,17 @@
 fn spot(n: u32) -> Spot {
     let (at, made) = (n * 8, 1_700_000_000_000 + u64::from(n));
     let (group, rank, heat) = ((n % 1024) as u16, 1 + (n % 3) as u8, (n % 4) as u8);
-    Spot { segment: n, at, length: 64, tag: !n, made, group, rank, heat, proven: n.is_multiple_of(2) }
+    Spot {
+        segment: n,
+        at,
+        length: 64,
+        tag: !n,
+        made,
+        group,
+        rank,
+        heat,
+        proven: n.is_multiple_of(2),
+    }
 }
 
 #[test]
@@ -20,7 +30,11 @@
         }
     }
     assert_eq!(index.len(), plain.len());
-    assert!(index.iter().all(|(key, spot)| plain.get(&key) == Some(&spot)));
+    assert!(
+        index
+            .iter()
+            .all(|(key, spot)| plain.get(&key) == Some(&spot))
+    );
     let (mut walked, mut from) = (0, Some(0));
     while let Some(at) = from {
         let (some, next) = index.some(at, 7);
@@ -38,7 +52,10 @@
             assert!(index.bytes() <= most);
         }
         let (fit, promised) = (index.len() as f64, Index::parts_most(most) as f64);
-        assert!(fit > 0.8 * promised && fit < 1.2 * promised, "{fit} of {promised} in {most}");
+        assert!(
+            fit > 0.8 * promised && fit < 1.2 * promised,
+            "{fit} of {promised} in {most}"
+        );
     }
 }
 
--- a/crates/store/src/decide/memory.rs
+++ b/crates/store/src/decide/memory.rs
@@ -27,7 +27,11 @@
 
 impl Memory {
     pub fn new(most: u64) -> Memory {
-        Memory { most, bytes: 0, ranks: std::array::from_fn(|_| LruCache::unbounded()) }
+        Memory {
+            most,
+            bytes: 0,
+            ranks: std::array::from_fn(|_| LruCache::unbounded()),
+        }
     }
 
     pub fn bytes(&self) -> u64 {
@@ -52,12 +56,16 @@
 
     /// Takes a copy for an answer: it is the one used last in its rank from now on.
     pub fn take(&mut self, key: Key) -> Option<Rc<Copy>> {
-        self.ranks.iter_mut().find_map(|rank| rank.get(&key).cloned())
+        self.ranks
+            .iter_mut()
+            .find_map(|rank| rank.get(&key).cloned())
     }
 
     /// Sets a copy's rank anew, as a further sighting gives it.
     pub fn rank(&mut self, key: Key, rank: u8) {
-        let Some(copy) = self.ranks.iter_mut().find_map(|r| r.pop(&key)) else { return };
+        let Some(copy) = self.ranks.iter_mut().find_map(|r| r.pop(&key)) else {
+            return;
+        };
         self.ranks[place(rank)].put(key, copy);
     }
 
@@ -69,12 +77,20 @@
 
     /// Keeps a copy at a rank, in place of an older one of the same part. False: there is no place for it.
     /// What had to leave is handed to `left`, with its rank.
-    pub fn keep(&mut self, key: Key, copy: Rc<Copy>, rank: u8, left: &mut dyn FnMut(Rc<Copy>, u8)) -> bool {
+    pub fn keep(
+        &mut self,
+        key: Key,
+        copy: Rc<Copy>,
+        rank: u8,
+        left: &mut dyn FnMut(Rc<Copy>, u8),
+    ) -> bool {
         self.drop(key);
         let (size, rank) = (takes(&copy), place(rank));
         // Counted before anything leaves: a copy that finds no place pushes nothing out.
         let room = || {
-            let lower = self.ranks[..=rank].iter().flat_map(|r| r.iter().map(|(_, copy)| takes(copy)));
+            let lower = self.ranks[..=rank]
+                .iter()
+                .flat_map(|r| r.iter().map(|(_, copy)| takes(copy)));
             let mut free = self.most.saturating_sub(self.bytes);
             free >= size
                 || lower.into_iter().any(|bytes| {
@@ -105,7 +121,9 @@
     fn make_room(&mut self, to: u64, up_to: usize, left: &mut dyn FnMut(Rc<Copy>, u8)) {
         for at in 0..=up_to {
             while self.bytes > to {
-                let Some((_, gone)) = self.ranks[at].pop_lru() else { break };
+                let Some((_, gone)) = self.ranks[at].pop_lru() else {
+                    break;
+                };
                 self.bytes -= takes(&gone);
                 left(gone, at as u8 + 1);
             }
--- a/crates/store/src/decide/memory/tests.rs
+++ b/crates/store/src/decide/memory/tests.rs
@@ -2,7 +2,10 @@
 use bytes::Bytes;
 
 fn copy(bytes: usize) -> Rc<Copy> {
-    Rc::new(Copy { body: Bytes::from(vec![1; bytes]), ..Copy::default() })
+    Rc::new(Copy {
+        body: Bytes::from(vec![1; bytes]),
+        ..Copy::default()
+    })
 }
 
 fn keep(memory: &mut Memory, key: Key, bytes: usize, rank: u8) -> (bool, usize) {
@@ -20,10 +23,21 @@
     assert!(memory.take(2).is_some(), "used last");
     assert_eq!(keep(&mut memory, 5, 1000, 2), (true, 1));
     assert!(memory.peek(4).is_none() && memory.peek(2).is_some());
-    assert_eq!(keep(&mut memory, 6, 1000, 1), (true, 1), "in place of its own rank");
+    assert_eq!(
+        keep(&mut memory, 6, 1000, 1),
+        (true, 1),
+        "in place of its own rank"
+    );
     assert!(memory.peek(2).is_none());
-    assert_eq!(keep(&mut memory, 7, 2500, 1), (false, 0), "two of rank 1 would have to go, there is one");
-    assert!(memory.peek(6).is_some(), "what finds no place pushes nothing out");
+    assert_eq!(
+        keep(&mut memory, 7, 2500, 1),
+        (false, 0),
+        "two of rank 1 would have to go, there is one"
+    );
+    assert!(
+        memory.peek(6).is_some(),
+        "what finds no place pushes nothing out"
+    );
     assert_eq!(keep(&mut memory, 8, 10_000, 3), (false, 0));
     assert_eq!(memory.len(), 4);
     memory.rank(6, 3);
--- a/crates/store/src/decide/mod.rs
+++ b/crates/store/src/decide/mod.rs
@@ -76,7 +76,13 @@
     /// Holds so many bytes in memory at the most.
     pub fn new(memory_most: u64, disk: Option<Disk>) -> Store {
         let (memory, counts) = (Memory::new(memory_most), Counts::default());
-        Store { memory, disk, purges: Purges::default(), counts, left: Vec::new() }
+        Store {
+            memory,
+            disk,
+            purges: Purges::default(),
+            counts,
+            left: Vec::new(),
+        }
     }
 
     pub fn counts(&self) -> Counts {
@@ -99,19 +105,37 @@
     pub fn find(&mut self, part: Part, have: Option<&[u8]>) -> Option<Found> {
         let (object, key) = part.keys();
         let have = have.filter(|tag| !tag.is_empty());
-        if let Some(copy) = self.memory.peek(key).filter(|copy| self.is_good(copy, part, object)) {
+        if let Some(copy) = self
+            .memory
+            .peek(key)
+            .filter(|copy| self.is_good(copy, part, object))
+        {
             let same = have.is_some_and(|tag| *tag == *copy.tag);
-            return Some(Found { place: Place::Memory, made: copy.made, same });
+            return Some(Found {
+                place: Place::Memory,
+                made: copy.made,
+                same,
+            });
         }
-        let spot = self.disk.as_mut()?.find(key, object, group_slot(part.group), &self.purges)?;
+        let spot = self
+            .disk
+            .as_mut()?
+            .find(key, object, group_slot(part.group), &self.purges)?;
         let same = have.is_some_and(|tag| tag_sum(tag) == spot.tag);
-        Some(Found { place: Place::Disk, made: spot.made, same })
+        Some(Found {
+            place: Place::Disk,
+            made: spot.made,
+            same,
+        })
     }
 
     /// Takes the copy in memory for an answer.
     pub fn take(&mut self, now: Duration, part: Part) -> Option<Rc<Copy>> {
         let (object, key) = part.keys();
-        let copy = self.memory.take(key).filter(|copy| self.is_good(copy, part, object))?;
+        let copy = self
+            .memory
+            .take(key)
+            .filter(|copy| self.is_good(copy, part, object))?;
         self.counts.hits += 1;
         self.counts.hit_bytes += copy.body.len() as u64;
         if let Some(disk) = &mut self.disk {
@@ -135,26 +159,48 @@
     fn is_good(&self, copy: &Copy, part: Part, object: Key) -> bool {
         *copy.object == *part.object
             && copy.part == part.part
-            && self.purges.survives(object, group_slot(copy.group), copy.made)
-            && self.purges.survives(object, group_slot(part.group), copy.made)
+            && self
+                .purges
+                .survives(object, group_slot(copy.group), copy.made)
+            && self
+                .purges
+                .survives(object, group_slot(part.group), copy.made)
     }
 
     /// Keeps a copy at a rank from 1 to 3, unless it is older than a purge or than the one that is held.
     pub fn keep(&mut self, now: Duration, copy: Copy, rank: u8, out: &mut dyn Outlet) {
         let object = key::object(&copy.object);
         let key = key::part(object, copy.part);
-        if !self.purges.survives(object, group_slot(copy.group), copy.made) {
+        if !self
+            .purges
+            .survives(object, group_slot(copy.group), copy.made)
+        {
             self.counts.outdated += 1;
             return;
         }
-        let on_disk =
-            self.disk.as_ref().and_then(|disk| disk.index().get(key)).map(|spot| (spot.made, spot.tag));
-        let in_memory = self.memory.peek(key).filter(|held| held.object == copy.object);
-        let held = in_memory.map(|held| (held.made, tag_sum(&held.tag))).or(on_disk);
+        let on_disk = self
+            .disk
+            .as_ref()
+            .and_then(|disk| disk.index().get(key))
+            .map(|spot| (spot.made, spot.tag));
+        let in_memory = self
+            .memory
+            .peek(key)
+            .filter(|held| held.object == copy.object);
+        let held = in_memory
+            .map(|held| (held.made, tag_sum(&held.tag)))
+            .or(on_disk);
         if let Some((made, tag)) = held {
             if made > copy.made {
                 self.counts.outdated += 1;
-                return self.rank(Part { object: &copy.object, part: copy.part, group: copy.group }, rank);
+                return self.rank(
+                    Part {
+                        object: &copy.object,
+                        part: copy.part,
+                        group: copy.group,
+                    },
+                    rank,
+                );
             }
             if tag != tag_sum(&copy.tag) && copy.in_parts {
                 // The object has changed: of its other parts, what was made before belongs to the older
@@ -172,7 +218,11 @@
 
     fn put(&mut self, now: Duration, key: Key, copy: Rc<Copy>, rank: u8) {
         let (left, counts) = (&mut self.left, &mut self.counts);
-        let kept = self.memory.keep(key, copy.clone(), rank, &mut |copy, rank| left.push((copy, rank)));
+        let kept = self
+            .memory
+            .keep(key, copy.clone(), rank, &mut |copy, rank| {
+                left.push((copy, rank))
+            });
         if kept {
             counts.kept += 1;
         } else {
@@ -187,7 +237,8 @@
     fn demote(&mut self, now: Duration) {
         let left = std::mem::take(&mut self.left);
         if let Some(disk) = &mut self.disk {
-            left.into_iter().for_each(|(copy, rank)| disk.demote(now, copy, rank));
+            left.into_iter()
+                .for_each(|(copy, rank)| disk.demote(now, copy, rank));
         }
     }
 
@@ -274,7 +325,13 @@
         }
     }
 
-    pub fn appended(&mut self, now: Duration, ticket: u64, result: Result<(), Fault>, out: &mut dyn Outlet) {
+    pub fn appended(
+        &mut self,
+        now: Duration,
+        ticket: u64,
+        result: Result<(), Fault>,
+        out: &mut dyn Outlet,
+    ) {
         if let Some(disk) = &mut self.disk {
             disk.appended(now, ticket, result, &self.purges, out);
         }
@@ -306,7 +363,13 @@
         }
     }
 
-    pub fn removed(&mut self, now: Duration, segment: u32, result: Result<(), Fault>, out: &mut dyn Outlet) {
+    pub fn removed(
+        &mut self,
+        now: Duration,
+        segment: u32,
+        result: Result<(), Fault>,
+        out: &mut dyn Outlet,
+    ) {
         if let Some(disk) = &mut self.disk {
             disk.removed(now, segment, result, out);
         }
--- a/crates/store/src/decide/purges.rs
+++ b/crates/store/src/decide/purges.rs
@@ -30,7 +30,11 @@
 
 impl Default for Purges {
     fn default() -> Purges {
-        Purges { exact: LruCache::new(EXACT), folded: vec![0; SLOTS], groups: vec![0; GROUPS] }
+        Purges {
+            exact: LruCache::new(EXACT),
+            folded: vec![0; SLOTS],
+            groups: vec![0; GROUPS],
+        }
     }
 }
 
@@ -38,7 +42,10 @@
     /// A purge of an object, told or read back. Returns what is to be written down.
     pub fn object(&mut self, object: Key, ms: u64) -> [Option<Mark>; 2] {
         let latest = self.exact.get(&object).copied().unwrap_or(0).max(ms);
-        let pushed = self.exact.push(object, latest).filter(|(old, _)| *old != object);
+        let pushed = self
+            .exact
+            .push(object, latest)
+            .filter(|(old, _)| *old != object);
         let folded = pushed.map(|(old, at)| {
             let slot = key::slot(old, SLOTS);
             self.folded[slot] = self.folded[slot].max(at);
@@ -73,7 +80,9 @@
     /// The last purge that may concern a copy of this object, in the slot of its group; 0: none.
     pub fn last(&self, object: Key, group_slot: usize) -> u64 {
         let exact = self.exact.peek(&object).copied().unwrap_or(0);
-        exact.max(self.folded[key::slot(object, SLOTS)]).max(self.groups[group_slot % GROUPS])
+        exact
+            .max(self.folded[key::slot(object, SLOTS)])
+            .max(self.groups[group_slot % GROUPS])
     }
 
     /// Rule 5: a copy made in the very millisecond of a purge may be the one that was purged.
--- a/crates/store/src/decide/purges/tests.rs
+++ b/crates/store/src/decide/purges/tests.rs
@@ -3,7 +3,9 @@
 #[test]
 fn a_flood_of_purges_forgets_none() {
     let mut purges = Purges::default();
-    let all: Vec<Key> = (0..20_000u64).map(|n| key::object(&n.to_be_bytes())).collect();
+    let all: Vec<Key> = (0..20_000u64)
+        .map(|n| key::object(&n.to_be_bytes()))
+        .collect();
     let mut marks = Vec::new();
     for (n, key) in all.iter().enumerate() {
         marks.extend(purges.object(*key, 1000 + n as u64).into_iter().flatten());
@@ -12,13 +14,20 @@
     marks.iter().for_each(|mark| again.restore(*mark));
     for (n, key) in all.iter().enumerate() {
         for purges in [&purges, &again] {
-            assert!(!purges.survives(*key, 0, 1000 + n as u64), "copy of object {n}");
+            assert!(
+                !purges.survives(*key, 0, 1000 + n as u64),
+                "copy of object {n}"
+            );
             assert!(purges.survives(*key, 0, 1000 + all.len() as u64));
         }
     }
-    let others = (50_000..60_000u64).filter(|n| !purges.survives(key::object(&n.to_be_bytes()), 0, 500));
+    let others =
+        (50_000..60_000u64).filter(|n| !purges.survives(key::object(&n.to_be_bytes()), 0, 500));
     let share = others.count() as f64 / 10_000.0;
-    assert!((0.01..0.4).contains(&share), "{share} of the others went along");
+    assert!(
+        (0.01..0.4).contains(&share),
+        "{share} of the others went along"
+    );
 }
 
 #[test]
--- a/crates/store/src/decide/segments.rs
+++ b/crates/store/src/decide/segments.rs
@@ -11,7 +11,10 @@
 const FADES: Duration = Duration::from_secs(600);
 
 pub fn class_of(record: usize) -> usize {
-    CLASS_ENDS.iter().position(|end| record <= *end).unwrap_or(CLASSES - 1)
+    CLASS_ENDS
+        .iter()
+        .position(|end| record <= *end)
+        .unwrap_or(CLASSES - 1)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +69,13 @@
 
 impl Segments {
     pub fn new(size: u32, most: usize) -> Segments {
-        Segments { all: BTreeMap::new(), open: [None; CLASSES], next: 1, size, most }
+        Segments {
+            all: BTreeMap::new(),
+            open: [None; CLASSES],
+            next: 1,
+            size,
+            most,
+        }
     }
 
     pub fn get(&self, segment: u32) -> Option<&Segment> {
@@ -87,7 +96,9 @@
 
     /// Bytes of all segments, and of what the index leads to.
     pub fn bytes(&self) -> (u64, u64) {
-        self.all.values().fold((0, 0), |(all, live), s| (all + u64::from(s.end), live + s.live))
+        self.all.values().fold((0, 0), |(all, live), s| {
+            (all + u64::from(s.end), live + s.live)
+        })
     }
 
     /// New ones begin after this number.
@@ -99,7 +110,14 @@
     pub fn found(&mut self, number: u32, class: usize, end: u32, now: Duration) {
         self.number_from(number);
         let class = class.min(CLASSES - 1);
-        let found = Segment { state: State::Sealed, class, end, synced: end, live: 0, used: now };
+        let found = Segment {
+            state: State::Sealed,
+            class,
+            end,
+            synced: end,
+            live: 0,
+            used: now,
+        };
         self.all.insert(number, found);
     }
 
@@ -112,7 +130,8 @@
     pub fn place(&self, class: usize, length: usize) -> Option<(u32, u32)> {
         let number = self.open[class]?;
         let segment = self.all.get(&number)?;
-        (u64::from(segment.end) + length as u64 <= u64::from(self.size)).then_some((number, segment.end))
+        (u64::from(segment.end) + length as u64 <= u64::from(self.size))
+            .then_some((number, segment.end))
     }
 
     pub fn open(&self, class: usize) -> Option<u32> {
@@ -127,7 +146,17 @@
         }
         self.next = next;
         let (state, end) = (State::Open, head);
-        self.all.insert(number, Segment { state, class, end, synced: 0, live: 0, used: now });
+        self.all.insert(
+            number,
+            Segment {
+                state,
+                class,
+                end,
+                synced: 0,
+                live: 0,
+                used: now,
+            },
+        );
         self.open[class] = Some(number);
         Some(number)
     }
@@ -157,17 +186,26 @@
     }
 
     pub fn used(&mut self, segment: u32, now: Duration) {
-        self.all.get_mut(&segment).into_iter().for_each(|s| s.used = now);
+        self.all
+            .get_mut(&segment)
+            .into_iter()
+            .for_each(|s| s.used = now);
     }
 
     /// The index leads to so many bytes more in it.
     pub fn add(&mut self, segment: u32, bytes: u32) {
-        self.all.get_mut(&segment).into_iter().for_each(|s| s.live += u64::from(bytes));
+        self.all
+            .get_mut(&segment)
+            .into_iter()
+            .for_each(|s| s.live += u64::from(bytes));
     }
 
     pub fn take(&mut self, segment: u32, bytes: u32) {
         if let Some(segment) = self.all.get_mut(&segment) {
-            debug_assert!(segment.live >= u64::from(bytes), "more taken than there was");
+            debug_assert!(
+                segment.live >= u64::from(bytes),
+                "more taken than there was"
+            );
             segment.live = segment.live.saturating_sub(u64::from(bytes));
         }
     }
@@ -178,10 +216,18 @@
 
     /// Which goes next: one that failed, else the sealed one whose bytes are worth least.
     pub fn victim(&self, now: Duration) -> Option<u32> {
-        let worth = |s: &Segment| if s.state == State::Failed { -1.0 } else { s.worth(now) };
+        let worth = |s: &Segment| {
+            if s.state == State::Failed {
+                -1.0
+            } else {
+                s.worth(now)
+            }
+        };
         let may_go = |s: &&Segment| matches!(s.state, State::Sealed | State::Failed);
         let victims = self.all.iter().filter(|(_, s)| may_go(s));
-        victims.min_by(|(_, a), (_, b)| worth(a).total_cmp(&worth(b))).map(|(number, _)| *number)
+        victims
+            .min_by(|(_, a), (_, b)| worth(a).total_cmp(&worth(b)))
+            .map(|(number, _)| *number)
     }
 }
 
--- a/crates/store/src/decide/segments/tests.rs
+++ b/crates/store/src/decide/segments/tests.rs
@@ -43,5 +43,8 @@
     assert_eq!(segments.begin(2, 64, s(0)), Some(9));
     assert_eq!(segments.begin(1, 64, s(0)), None, "no more than two");
     segments.set(8, State::Sealed);
-    assert_eq!((segments.victim(s(0)), segments.open(2)), (Some(8), Some(9)));
+    assert_eq!(
+        (segments.victim(s(0)), segments.open(2)),
+        (Some(8), Some(9))
+    );
 }
--- a/crates/store/src/decide/tests.rs
+++ b/crates/store/src/decide/tests.rs
@@ -1,12 +1,25 @@
 use super::*;
 use bytes::Bytes;
 
-const PART: Part = Part { object: b"o", part: 3, group: 17 };
+const PART: Part = Part {
+    object: b"o",
+    part: 3,
+    group: 17,
+};
 
 fn copy(made: u64, tag: &'static str, part: u64) -> Copy {
     let (object, tag) = (Bytes::from_static(b"o"), Bytes::from_static(tag.as_bytes()));
     let body = Bytes::from_static(b"body");
-    Copy { object, part, group: 17, made, tag, body, in_parts: true, ..Copy::default() }
+    Copy {
+        object,
+        part,
+        group: 17,
+        made,
+        tag,
+        body,
+        in_parts: true,
+        ..Copy::default()
+    }
 }
 
 /// No disk: nothing is ordered.
@@ -48,7 +61,10 @@
 fn nothing_older_than_a_purge_is_found_or_kept() {
     let mut store = Store::new(1 << 20, None);
     store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
-    assert_eq!(store.find(PART, Some(b"a")).map(|f| (f.made, f.same)), Some((100, true)));
+    assert_eq!(
+        store.find(PART, Some(b"a")).map(|f| (f.made, f.same)),
+        Some((100, true))
+    );
     store.purge(Some(b"o"), 0, 99, &mut NoDisk);
     assert!(store.take(NOW, PART).is_some(), "made after the purge");
     store.purge(None, 17, 100, &mut NoDisk);
@@ -67,12 +83,22 @@
     store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
     store.keep(NOW, copy(150, "a", 3), 2, &mut NoDisk);
     store.keep(NOW, copy(200, "b", 3), 2, &mut NoDisk);
-    assert!(store.find(Part { part: 2, ..PART }, None).is_none(), "of the older version");
+    assert!(
+        store.find(Part { part: 2, ..PART }, None).is_none(),
+        "of the older version"
+    );
     assert!(store.find(PART, None).is_some());
     store.keep(NOW, copy(180, "a", 2), 2, &mut NoDisk);
-    assert!(store.find(Part { part: 2, ..PART }, None).is_none(), "came late");
+    assert!(
+        store.find(Part { part: 2, ..PART }, None).is_none(),
+        "came late"
+    );
     store.keep(NOW, copy(190, "a", 3), 2, &mut NoDisk);
-    assert_eq!(store.find(PART, None).map(|f| f.made), Some(200), "the newer one stays");
+    assert_eq!(
+        store.find(PART, None).map(|f| f.made),
+        Some(200),
+        "the newer one stays"
+    );
 }
 
 #[test]
--- a/crates/store/src/files/real.rs
+++ b/crates/store/src/files/real.rs
@@ -23,7 +23,14 @@
     /// Another process holds it: the message says which.
     pub fn take(path: &Path) -> io::Result<Directory> {
         create_durable(path)?;
-        let options = || OpenOptions::new().read(true).write(true).create(true).truncate(false).clone();
+        let options = || {
+            OpenOptions::new()
+                .read(true)
+                .write(true)
+                .create(true)
+                .truncate(false)
+                .clone()
+        };
         let mut lock = options().open(path.join(LOCK))?;
         match lock.try_lock() {
             Ok(()) => {}
@@ -31,7 +38,9 @@
             Err(TryLockError::WouldBlock) => {
                 let mut holder = String::new();
                 let _ = lock.read_to_string(&mut holder);
-                let holder = Some(holder.trim()).filter(|h| !h.is_empty()).unwrap_or("another process");
+                let holder = Some(holder.trim())
+                    .filter(|h| !h.is_empty())
+                    .unwrap_or("another process");
                 let what = format!("{} is held by {holder}", path.display());
                 return Err(io::Error::new(io::ErrorKind::ResourceBusy, what));
             }
@@ -39,7 +48,10 @@
         lock.set_len(0)?;
         lock.seek(SeekFrom::Start(0))?;
         writeln!(lock, "process {}", std::process::id())?;
-        Ok(Directory { path: path.to_path_buf(), _lock: lock })
+        Ok(Directory {
+            path: path.to_path_buf(),
+            _lock: lock,
+        })
     }
 }
 
@@ -48,7 +60,10 @@
     if path.is_dir() {
         return Ok(());
     }
-    let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let parent = path
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     create_durable(parent)?;
     match fs::create_dir(path) {
         Err(error) if error.kind() == io::ErrorKind::AlreadyExists && path.is_dir() => {}
@@ -59,18 +74,29 @@
 
 impl Files for Directory {
     fn list(&self) -> io::Result<Vec<String>> {
-        let names =
-            fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()));
-        names.filter(|name| name.as_ref().map_or(true, |name| name != LOCK)).collect()
+        let names = fs::read_dir(&self.path)?
+            .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()));
+        names
+            .filter(|name| name.as_ref().map_or(true, |name| name != LOCK))
+            .collect()
     }
 
     fn create(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        let options = OpenOptions::new().read(true).write(true).create_new(true).clone();
+        let options = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .clone();
         Ok(Arc::new(options.open(self.path.join(name))?))
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        Ok(Arc::new(OpenOptions::new().read(true).write(true).open(self.path.join(name))?))
+        Ok(Arc::new(
+            OpenOptions::new()
+                .read(true)
+                .write(true)
+                .open(self.path.join(name))?,
+        ))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -43,7 +43,9 @@
         match self {
             Wrong::Short => f.write_str("ends too soon"),
             Wrong::Damaged => f.write_str("damaged"),
-            Wrong::Version(found) => write!(f, "of format version {found}, this program reads {VERSION}"),
+            Wrong::Version(found) => {
+                write!(f, "of format version {found}, this program reads {VERSION}")
+            }
             Wrong::Other => f.write_str("of another part"),
         }
     }
@@ -93,7 +95,11 @@
         && u64_at(head, 56) == xxh3_64_with_seed(&head[..56], store)
         && u64_at(head, 16) == store
         && u32_at(head, 12) == segment;
-    if sound { Ok(u32_at(head, 24)) } else { Err(Wrong::Damaged) }
+    if sound {
+        Ok(u32_at(head, 24))
+    } else {
+        Err(Wrong::Damaged)
+    }
 }
 
 /// What a record's head says of it.
@@ -164,7 +170,13 @@
     let texts = [&copy.object, &copy.tag, &copy.class];
     out.extend(texts.iter().map(|text| text.len() as u8));
     out.push(0);
-    for number in [copy.part, copy.group, copy.made, copy.fresh, copy.kb.to_bits()] {
+    for number in [
+        copy.part,
+        copy.group,
+        copy.made,
+        copy.fresh,
+        copy.kb.to_bits(),
+    ] {
         out.extend_from_slice(&number.to_le_bytes());
     }
     out.extend_from_slice(&xxh3_64_with_seed(&copy.body, place.seed()).to_le_bytes());
@@ -203,8 +215,25 @@
     });
     let [part, group, made, fresh] = [16, 24, 32, 40].map(|at| u64_at(head, at));
     let (in_parts, body_none) = (head[7] & 1 == 1, Bytes::new());
-    let copy = Copy { object, part, group, class, made, fresh, kb, in_parts, tag, body: body_none };
-    Ok(Head { length, body, rank: head[6], copy, body_sum: u64_at(head, 56) })
+    let copy = Copy {
+        object,
+        part,
+        group,
+        class,
+        made,
+        fresh,
+        kb,
+        in_parts,
+        tag,
+        body: body_none,
+    };
+    Ok(Head {
+        length,
+        body,
+        rank: head[6],
+        copy,
+        body_sum: u64_at(head, 56),
+    })
 }
 
 /// Reads a whole record. The body is a part of `bytes`: nothing is copied.
@@ -224,7 +253,9 @@
 /// on.
 pub fn next_mark(bytes: &[u8], from: usize) -> Option<usize> {
     let from = from.next_multiple_of(8);
-    (from..bytes.len().saturating_sub(3)).step_by(8).find(|at| &bytes[*at..*at + 4] == RECORD_MAGIC)
+    (from..bytes.len().saturating_sub(3))
+        .step_by(8)
+        .find(|at| &bytes[*at..*at + 4] == RECORD_MAGIC)
 }
 
 /// One record, as the footer of its segment lists it.
@@ -282,7 +313,8 @@
     let listed = &bytes[..bytes.len() - TRAILER];
     let whole = listed.len().is_multiple_of(ENTRY)
         && footer_span(&bytes[listed.len()..], u64::from(at) + bytes.len() as u64).is_some()
-        && u64_at(bytes, end) == xxh3_64_with_seed(&bytes[..end], Place { store, segment, at }.seed());
+        && u64_at(bytes, end)
+            == xxh3_64_with_seed(&bytes[..end], Place { store, segment, at }.seed());
     if !whole {
         return Err(Wrong::Damaged);
     }
--- a/crates/store/src/format/tests.rs
+++ b/crates/store/src/format/tests.rs
@@ -1,15 +1,37 @@
 use super::*;
 use proptest::prelude::*;
 
-const PLACE: Place = Place { store: 77, segment: 5, at: 4096 };
+const PLACE: Place = Place {
+    store: 77,
+    segment: 5,
+    at: 4096,
+};
 
 fn copies() -> impl Strategy<Value = Copy> {
     let text = || prop::collection::vec(any::<u8>(), 0..40).prop_map(Bytes::from);
     let body = prop::collection::vec(any::<u8>(), 0..3000).prop_map(Bytes::from);
-    let numbers = (any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>(), 0.0f64..1e6, any::<bool>());
+    let numbers = (
+        any::<u64>(),
+        any::<u64>(),
+        any::<u64>(),
+        any::<u64>(),
+        0.0f64..1e6,
+        any::<bool>(),
+    );
     (text(), text(), text(), body, numbers).prop_map(|(object, tag, class, body, numbers)| {
         let (part, group, made, fresh, kb, in_parts) = numbers;
-        Copy { object, part, group, class, made, fresh, kb, in_parts, tag, body }
+        Copy {
+            object,
+            part,
+            group,
+            class,
+            made,
+            fresh,
+            kb,
+            in_parts,
+            tag,
+            body,
+        }
     })
 }
 
--- a/crates/store/src/hands.rs
+++ b/crates/store/src/hands.rs
@@ -23,7 +23,10 @@
 }
 
 fn number(name: &str) -> Option<u32> {
-    name.strip_prefix(PREFIX).filter(|digits| digits.len() == 10)?.parse().ok()
+    name.strip_prefix(PREFIX)
+        .filter(|digits| digits.len() == 10)?
+        .parse()
+        .ok()
 }
 
 fn fault(what: io::Error) -> Fault {
@@ -44,7 +47,11 @@
 ) -> Result<(Catalogue, Known, Vec<u32>), Unusable> {
     let (catalogue, known) = Catalogue::open(files.clone(), store, clock)?;
     let names = files.list().map_err(Unusable::Io)?;
-    Ok((catalogue, known, names.iter().filter_map(|name| number(name)).collect()))
+    Ok((
+        catalogue,
+        known,
+        names.iter().filter_map(|name| number(name)).collect(),
+    ))
 }
 
 /// The files of one store, for one thread.
@@ -68,7 +75,12 @@
 
 impl Hands {
     pub fn new(files: Arc<dyn Files>, store: u64) -> Hands {
-        Hands { files, store, open: LruCache::new(OPEN_MOST), broken: HashMap::new() }
+        Hands {
+            files,
+            store,
+            open: LruCache::new(OPEN_MOST),
+            broken: HashMap::new(),
+        }
     }
 
     fn file(&mut self, segment: u32) -> io::Result<Arc<dyn File>> {
@@ -83,9 +95,14 @@
     /// A record, if it proves whole.
     pub fn read(&mut self, segment: u32, at: u32, length: u32) -> Result<(Copy, u8), Fault> {
         let file = self.file(segment).map_err(fault)?;
-        let bytes =
-            read_exactly(&*file, u64::from(at), length as usize).map_err(fault)?.ok_or(Fault::Damaged)?;
-        let place = Place { store: self.store, segment, at };
+        let bytes = read_exactly(&*file, u64::from(at), length as usize)
+            .map_err(fault)?
+            .ok_or(Fault::Damaged)?;
+        let place = Place {
+            store: self.store,
+            segment,
+            at,
+        };
         read_record(&Bytes::from(bytes), place).map_err(|_: Wrong| Fault::Damaged)
     }
 
@@ -117,9 +134,17 @@
 
     /// Lists these records alone from now on; what stands behind the last of them is cut off.
     pub fn rewrite(&mut self, segment: u32, entries: Vec<Entry>) -> Result<(), Fault> {
-        let end = entries.iter().map(|e| e.at + e.length).max().unwrap_or(SEGMENT_HEAD as u32);
+        let end = entries
+            .iter()
+            .map(|e| e.at + e.length)
+            .max()
+            .unwrap_or(SEGMENT_HEAD as u32);
         let file = self.file(segment).map_err(fault)?;
-        let found = Recovered { entries, end, ..Recovered::default() };
+        let found = Recovered {
+            entries,
+            end,
+            ..Recovered::default()
+        };
         seal(&*file, self.store, segment, &found).map_err(fault)
     }
 
@@ -139,7 +164,9 @@
 
     pub fn append(&mut self, segment: u32, at: u32, record: &[u8]) -> Result<(), Fault> {
         self.refuse_broken(segment, &[Broken::Unwritten, Broken::Unsynced])?;
-        let written = self.file(segment).and_then(|file| file.write_at(record, u64::from(at)));
+        let written = self
+            .file(segment)
+            .and_then(|file| file.write_at(record, u64::from(at)));
         self.note(segment, Broken::Unwritten, written)
     }
 
@@ -167,7 +194,9 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
             removed => removed,
         };
-        removed.and_then(|()| self.files.sync_names()).map_err(fault)?;
+        removed
+            .and_then(|()| self.files.sync_names())
+            .map_err(fault)?;
         self.broken.remove(&segment);
         Ok(())
     }
@@ -190,7 +219,9 @@
 }
 
 pub fn mark(catalogue: &mut Catalogue, lines: &[Line]) -> Result<(), Fault> {
-    catalogue.write(lines).map_err(|what| Fault::Io(what.to_string()))
+    catalogue
+        .write(lines)
+        .map_err(|what| Fault::Io(what.to_string()))
 }
 
 #[cfg(test)]
--- a/crates/store/src/hands/tests.rs
+++ b/crates/store/src/hands/tests.rs
@@ -18,7 +18,11 @@
 
 fn fail_next_call(disk: &Disk, after: u64) {
     let call = disk.calls() + 1 + after;
-    disk.set(Faults { failing_calls: call..call + 1, error_number: Some(5), ..Faults::default() });
+    disk.set(Faults {
+        failing_calls: call..call + 1,
+        error_number: Some(5),
+        ..Faults::default()
+    });
 }
 
 #[test]
@@ -29,7 +33,10 @@
         let mut hands = worker(&disk);
         fail_next_call(&disk, failing);
         assert!(hands.begin(SEGMENT, 0).is_err());
-        assert!(hands.append(SEGMENT, 64, &[1; 100]).is_err(), "call {failing}");
+        assert!(
+            hands.append(SEGMENT, 64, &[1; 100]).is_err(),
+            "call {failing}"
+        );
         assert!(
             hands.sync(SEGMENT).is_err() && hands.seal(SEGMENT, 164, &[2; 40]).is_err(),
             "call {failing}"
@@ -44,9 +51,15 @@
     hands.append(SEGMENT, 168, &[2; 100]).expect("sound");
     fail_next_call(&disk, 0);
     assert!(hands.append(SEGMENT, 272, &[3; 100]).is_err());
-    assert!(hands.append(SEGMENT, 376, &[4; 100]).is_err(), "nothing is added");
+    assert!(
+        hands.append(SEGMENT, 376, &[4; 100]).is_err(),
+        "nothing is added"
+    );
     hands.sync(SEGMENT).expect("what stands there lasts");
-    assert!(hands.seal(SEGMENT, 476, &[5; 40]).is_err(), "its footer would list the missing record");
+    assert!(
+        hands.seal(SEGMENT, 476, &[5; 40]).is_err(),
+        "its footer would list the missing record"
+    );
     let left = disk.crashed(1).bytes(&name(SEGMENT));
     assert_eq!(left[168..], [2; 100]);
 }
@@ -59,7 +72,11 @@
         hands.append(SEGMENT, 168, &[2; 100]).expect("sound");
         // The seal writes its footer first.
         fail_next_call(&disk, u64::from(seal));
-        let failed = if seal { hands.seal(SEGMENT, 272, &[5; 40]) } else { hands.sync(SEGMENT) };
+        let failed = if seal {
+            hands.seal(SEGMENT, 272, &[5; 40])
+        } else {
+            hands.sync(SEGMENT)
+        };
         assert!(failed.is_err());
         assert!(hands.sync(SEGMENT).is_err() && hands.append(SEGMENT, 272, &[3; 100]).is_err());
         assert!(hands.seal(SEGMENT, 272, &[5; 40]).is_err());
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -3,8 +3,8 @@
 
 use crate::files::{File, read_exactly};
 use crate::format::{
-    Entry, Place, RECORD_HEAD_LEAST, RECORD_HEAD_MOST, SEGMENT_HEAD, TRAILER, Wrong, footer, footer_span,
-    next_mark, padded, read_footer, read_head, read_segment_head,
+    Entry, Place, RECORD_HEAD_LEAST, RECORD_HEAD_MOST, SEGMENT_HEAD, TRAILER, Wrong, footer,
+    footer_span, next_mark, padded, read_footer, read_head, read_segment_head,
 };
 use std::io;
 
@@ -50,32 +50,70 @@
         Err(_) => u32::MAX,
     };
     if let Some(entries) = listed(file, store, segment, length)? {
-        let end = entries.iter().map(|e| e.at + e.length).max().unwrap_or(SEGMENT_HEAD as u32);
-        return Ok(Recovered { class, entries, sealed: true, end, damaged: 0, torn: 0 });
+        let end = entries
+            .iter()
+            .map(|e| e.at + e.length)
+            .max()
+            .unwrap_or(SEGMENT_HEAD as u32);
+        return Ok(Recovered {
+            class,
+            entries,
+            sealed: true,
+            end,
+            damaged: 0,
+            torn: 0,
+        });
     }
-    let mut found = Recovered { class, end: SEGMENT_HEAD as u32, ..Recovered::default() };
-    walk(file, store, segment, length.min(u64::from(u32::MAX)), &mut found)?;
+    let mut found = Recovered {
+        class,
+        end: SEGMENT_HEAD as u32,
+        ..Recovered::default()
+    };
+    walk(
+        file,
+        store,
+        segment,
+        length.min(u64::from(u32::MAX)),
+        &mut found,
+    )?;
     found.torn = length.saturating_sub(u64::from(found.end));
     Ok(found)
 }
 
 /// The entries of a sealed segment; none: it has no footer, or a damaged one.
-pub fn listed(file: &dyn File, store: u64, segment: u32, length: u64) -> io::Result<Option<Vec<Entry>>> {
+pub fn listed(
+    file: &dyn File,
+    store: u64,
+    segment: u32,
+    length: u64,
+) -> io::Result<Option<Vec<Entry>>> {
     if length < (SEGMENT_HEAD + TRAILER) as u64 {
         return Ok(None);
     }
     let trailer = read_exactly(file, length - TRAILER as u64, TRAILER)?.unwrap_or_default();
-    let Some((at, span)) = footer_span(&trailer, length) else { return Ok(None) };
+    let Some((at, span)) = footer_span(&trailer, length) else {
+        return Ok(None);
+    };
     let bytes = read_exactly(file, u64::from(at), span)?.unwrap_or_default();
     Ok(read_footer(&bytes, store, segment, at).ok())
 }
 
 /// Walks through records from the head on. Bodies are read too: without a footer nothing says that they came
 /// whole.
-fn walk(file: &dyn File, store: u64, segment: u32, length: u64, found: &mut Recovered) -> io::Result<()> {
+fn walk(
+    file: &dyn File,
+    store: u64,
+    segment: u32,
+    length: u64,
+    found: &mut Recovered,
+) -> io::Result<()> {
     let (mut at, mut lost) = (SEGMENT_HEAD as u64, false);
     while at + RECORD_HEAD_LEAST as u64 <= length {
-        let place = Place { store, segment, at: at as u32 };
+        let place = Place {
+            store,
+            segment,
+            at: at as u32,
+        };
         let head = read_part(file, at, RECORD_HEAD_MOST, length)?;
         if let Ok(head) = read_head(&head, place) {
             let record = head.record() as u64;
--- a/crates/store/src/recovery/tests.rs
+++ b/crates/store/src/recovery/tests.rs
@@ -11,7 +11,16 @@
         let at = bytes.len() as u32;
         places.push(at);
         let copy = Piece { object: 5, part }.version(1, 1000 + part, sizes);
-        write_record(&mut bytes, &copy, 2, Place { store: 9, segment: 4, at });
+        write_record(
+            &mut bytes,
+            &copy,
+            2,
+            Place {
+                store: 9,
+                segment: 4,
+                at,
+            },
+        );
     }
     (bytes, places)
 }
@@ -66,9 +75,16 @@
     disk.swap("s", &bytes[..cut]);
     let file = disk.open("s").expect("there");
     let first = recover(&*file, 9, 4).expect("no fault");
-    assert_eq!((first.entries.len(), first.torn, first.damaged, first.sealed), (4, 100, 1, false));
+    assert_eq!(
+        (first.entries.len(), first.torn, first.damaged, first.sealed),
+        (4, 100, 1, false)
+    );
     seal(&*file, 9, 4, &first).expect("no fault");
     let again = recover(&*file, 9, 4).expect("no fault");
-    assert_eq!((first.class, again.class, again.end), (1, 1, first.end), "as it was begun");
+    assert_eq!(
+        (first.class, again.class, again.end),
+        (1, 1, first.end),
+        "as it was begun"
+    );
     assert_eq!((again.entries, again.sealed), (first.entries, true));
 }
--- a/crates/store/src/stand_ins/crashes.rs
+++ b/crates/store/src/stand_ins/crashes.rs
@@ -57,7 +57,10 @@
     fn piece(&mut self) -> Piece {
         // A few are asked for often, most seldom.
         let object = (self.chance.f64().powi(3) * OBJECTS as f64) as u64;
-        Piece { object, part: self.chance.u64(..PARTS) }
+        Piece {
+            object,
+            part: self.chance.u64(..PARTS),
+        }
     }
 
     fn purged(&self, piece: Piece) -> u64 {
@@ -75,7 +78,9 @@
                 let copy = piece.version(version, made, size_of(piece, LARGEST));
                 driver.keep(copy, 1 + self.chance.u8(..3));
             }
-            55..=69 => get(driver, piece).iter().for_each(|copy| self.check(piece, copy, seen)),
+            55..=69 => get(driver, piece)
+                .iter()
+                .for_each(|copy| self.check(piece, copy, seen)),
             70..=73 => {
                 let ms = driver.purge(Some(&piece.name()), 0);
                 self.objects.insert(piece.object, ms);
@@ -109,7 +114,13 @@
 
 fn get(driver: &mut Driver, piece: Piece) -> Option<Copy> {
     let name = piece.name();
-    driver.get(Part { object: &name, part: piece.part, group: piece.group() }).map(|(_, copy)| copy)
+    driver
+        .get(Part {
+            object: &name,
+            part: piece.part,
+            group: piece.group(),
+        })
+        .map(|(_, copy)| copy)
 }
 
 fn wanted() -> Wanted {
@@ -141,8 +152,17 @@
 
 /// Plays the day of this seed, crashes it at an operation, and looks at what is found.
 pub fn crash_point(seed: u64, crash_at: u64) -> Seen {
-    let faults = Faults { crash_at: Some(crash_at), ..Faults::default() };
-    play(&Scenario { seed, actions: ACTIONS, faults, restart_faults: Faults::default(), heals: false })
+    let faults = Faults {
+        crash_at: Some(crash_at),
+        ..Faults::default()
+    };
+    play(&Scenario {
+        seed,
+        actions: ACTIONS,
+        faults,
+        restart_faults: Faults::default(),
+        heals: false,
+    })
 }
 
 /// Plays a day, kills the program and looks at what the next start finds.
@@ -151,14 +171,25 @@
     let chance = fastrand::Rng::with_seed(seed);
     let (versions, changed) = (HashMap::new(), HashMap::new());
     let (objects, groups, told) = (HashMap::new(), HashMap::new(), Vec::new());
-    let mut day = Day { chance, versions, changed, objects, groups, told };
+    let mut day = Day {
+        chance,
+        versions,
+        changed,
+        objects,
+        groups,
+        told,
+    };
     let disk = Disk::new();
     disk.set(scenario.faults.clone());
     let mut driver = Driver::start(Arc::new(disk.clone()), 30_000, wanted(), START);
     let mut seen = Seen::default();
     for _ in 0..scenario.actions {
         day.act(&mut driver, &mut seen);
-        if scenario.faults.crash_at.is_some_and(|crash_at| disk.operations().0 >= crash_at) {
+        if scenario
+            .faults
+            .crash_at
+            .is_some_and(|crash_at| disk.operations().0 >= crash_at)
+        {
             seen.crashed = true;
             break;
         }
@@ -171,27 +202,48 @@
         day.look(&mut driver, &durable, true, &mut seen);
     }
     seen.calls = disk.calls();
-    seen.reclaimed = driver.store.disk().map_or(0, |disk| disk.counts().reclaimed);
+    seen.reclaimed = driver
+        .store
+        .disk()
+        .map_or(0, |disk| disk.counts().reclaimed);
     let died = driver.unix_ms();
     let durable = std::mem::take(&mut driver.orders.durable);
     drop(driver);
     // The next life is told of purges some way back, or of none that is old; sometimes the clock was set
     // back.
     let down = day.chance.u64(..20_000);
-    let window = *day.chance.choice(&[500, 5_000, 30_000, 10_000_000]).unwrap_or(&0);
-    let start = if day.chance.u8(..10) == 0 { died - day.chance.u64(1..60_000) } else { died + down };
-    let mut known = Wanted { known_purges: Duration::from_millis(window), ..wanted() };
+    let window = *day
+        .chance
+        .choice(&[500, 5_000, 30_000, 10_000_000])
+        .unwrap_or(&0);
+    let start = if day.chance.u8(..10) == 0 {
+        died - day.chance.u64(1..60_000)
+    } else {
+        died + down
+    };
+    let mut known = Wanted {
+        known_purges: Duration::from_millis(window),
+        ..wanted()
+    };
     if !scenario.restart_faults.failing_calls.is_empty() {
         // Time passes after this start: nothing is to be let go of for want of space.
         known.bytes *= 4;
     }
-    let after = disk.crashed(seed ^ scenario.faults.crash_at.unwrap_or(seen.calls).rotate_left(32));
+    let after = disk.crashed(
+        seed ^ scenario
+            .faults
+            .crash_at
+            .unwrap_or(seen.calls)
+            .rotate_left(32),
+    );
     after.set(scenario.restart_faults.clone());
     let mut again = Driver::start(Arc::new(after.clone()), 60_000, known, start);
     for (object, group, ms) in &day.told {
         if *ms + window >= start {
             let name = object.map(|object| Piece { object, part: 0 }.name());
-            again.store.purge(name.as_deref(), *group, *ms, &mut again.orders);
+            again
+                .store
+                .purge(name.as_deref(), *group, *ms, &mut again.orders);
         }
     }
     let trusted = window == 10_000_000 && start >= died;
@@ -211,26 +263,41 @@
 /// Offers new copies, one a second and more than memory holds, and counts those that do not come to outlive a
 /// crash: the first few may be held back, as a tier that was set aside takes its writes one by one.
 fn not_kept(driver: &mut Driver) -> u64 {
-    let pieces: Vec<Piece> = (0..14).map(|object| Piece { object: 10_000 + object, part: 0 }).collect();
+    let pieces: Vec<Piece> = (0..14)
+        .map(|object| Piece {
+            object: 10_000 + object,
+            part: 0,
+        })
+        .collect();
     for piece in &pieces {
         let made = driver.unix_ms();
         driver.keep(piece.version(1, made, 10_000), 3);
         driver.pass(Duration::from_secs(1));
     }
-    pieces[HELD_BACK..10].iter().filter(|piece| !driver.orders.durable.contains_key(&piece.key())).count()
-        as u64
+    pieces[HELD_BACK..10]
+        .iter()
+        .filter(|piece| !driver.orders.durable.contains_key(&piece.key()))
+        .count() as u64
 }
 
 impl Day {
     /// Asks for every part, and holds what is answered against what the day knows. `durable`: copies that must
     /// be there, if it is known that they may be served.
-    fn look(&self, driver: &mut Driver, durable: &HashMap<Key, u64>, trusted: bool, seen: &mut Seen) {
+    fn look(
+        &self,
+        driver: &mut Driver,
+        durable: &HashMap<Key, u64>,
+        trusted: bool,
+        seen: &mut Seen,
+    ) {
         for object in 0..OBJECTS {
             for part in 0..PARTS {
                 let piece = Piece { object, part };
                 let found = get(driver, piece);
                 found.iter().for_each(|copy| self.check(piece, copy, seen));
-                let Some(made) = durable.get(&piece.key()).filter(|_| trusted) else { continue };
+                let Some(made) = durable.get(&piece.key()).filter(|_| trusted) else {
+                    continue;
+                };
                 let let_go = *made <= self.purged(piece) || self.changed.contains_key(&object);
                 if !let_go {
                     seen.durable += 1;
@@ -243,8 +310,11 @@
     /// A copy that was answered is whole, of the part asked for, and not older than its last purge.
     fn check(&self, piece: Piece, copy: &Copy, seen: &mut Seen) {
         seen.answers += 1;
-        let version = std::str::from_utf8(&copy.tag).ok().and_then(|tag| u64::from_str_radix(tag, 16).ok());
-        let right = version.map(|version| piece.version(version, copy.made, size_of(piece, LARGEST)));
+        let version = std::str::from_utf8(&copy.tag)
+            .ok()
+            .and_then(|tag| u64::from_str_radix(tag, 16).ok());
+        let right =
+            version.map(|version| piece.version(version, copy.made, size_of(piece, LARGEST)));
         seen.torn += u64::from(right.as_ref() != Some(copy));
         seen.stale += u64::from(copy.made <= self.purged(piece));
     }
--- a/crates/store/src/stand_ins/disk.rs
+++ b/crates/store/src/stand_ins/disk.rs
@@ -79,14 +79,21 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.shared.0.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.shared
+            .0
+            .lock()
+            .unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// Waits while the disk hangs.
     fn awake(&self) -> MutexGuard<'_, State> {
         let mut state = self.state();
         while state.hung {
-            state = self.shared.1.wait(state).unwrap_or_else(|broken| broken.into_inner());
+            state = self
+                .shared
+                .1
+                .wait(state)
+                .unwrap_or_else(|broken| broken.into_inner());
         }
         state
     }
@@ -121,7 +128,12 @@
         // at none.
         let mut names = state.durable_names.clone();
         let differ = |name: &&String| state.names.get(*name) != state.durable_names.get(*name);
-        for name in state.names.keys().chain(state.durable_names.keys()).filter(differ) {
+        for name in state
+            .names
+            .keys()
+            .chain(state.durable_names.keys())
+            .filter(differ)
+        {
             if chance.bool() {
                 match state.names.get(name) {
                     Some(file) => names.insert(name.clone(), *file),
@@ -134,13 +146,17 @@
             after.names.insert(name, after.files.len() - 1);
         }
         after.durable_names = after.names.clone();
-        Disk { shared: Arc::new((Mutex::new(after), Condvar::new())) }
+        Disk {
+            shared: Arc::new((Mutex::new(after), Condvar::new())),
+        }
     }
 
     /// Flips a bit of a file, as a disk that ages does.
     pub fn rot(&self, name: &str, at: usize) {
         let mut state = self.state();
-        let Some(file) = state.names.get(name).copied() else { return };
+        let Some(file) = state.names.get(name).copied() else {
+            return;
+        };
         let content = &mut state.files[file];
         for bytes in [&mut content.seen, &mut content.durable] {
             bytes.get_mut(at).into_iter().for_each(|byte| *byte ^= 1);
@@ -150,13 +166,23 @@
     /// Puts bytes in place of a file's, behind the program's back.
     pub fn swap(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state();
-        let Some(file) = state.names.get(name).copied() else { return };
-        state.files[file] = Content { durable: bytes.to_vec(), seen: bytes.to_vec(), pending: Vec::new() };
+        let Some(file) = state.names.get(name).copied() else {
+            return;
+        };
+        state.files[file] = Content {
+            durable: bytes.to_vec(),
+            seen: bytes.to_vec(),
+            pending: Vec::new(),
+        };
     }
 
     pub fn bytes(&self, name: &str) -> Vec<u8> {
         let state = self.state();
-        state.names.get(name).map(|file| state.files[*file].seen.clone()).unwrap_or_default()
+        state
+            .names
+            .get(name)
+            .map(|file| state.files[*file].seen.clone())
+            .unwrap_or_default()
     }
 }
 
@@ -189,7 +215,11 @@
             }
         }
     }
-    Content { durable: bytes.clone(), seen: bytes, pending: Vec::new() }
+    Content {
+        durable: bytes.clone(),
+        seen: bytes,
+        pending: Vec::new(),
+    }
 }
 
 impl Content {
@@ -249,7 +279,9 @@
     }
 
     fn error(&self) -> io::Error {
-        self.faults.error_number.map_or_else(|| failed("call failed"), io::Error::from_raw_os_error)
+        self.faults
+            .error_number
+            .map_or_else(|| failed("call failed"), io::Error::from_raw_os_error)
     }
 }
 
@@ -269,14 +301,20 @@
         state.files.push(Content::default());
         let file = state.files.len() - 1;
         state.names.insert(name.to_owned(), file);
-        Ok(Arc::new(Handle { disk: self.clone(), file }))
+        Ok(Arc::new(Handle {
+            disk: self.clone(),
+            file,
+        }))
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn File>> {
         let mut state = self.awake();
         state.alive()?;
         let file = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
-        Ok(Arc::new(Handle { disk: self.clone(), file }))
+        Ok(Arc::new(Handle {
+            disk: self.clone(),
+            file,
+        }))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
@@ -285,7 +323,11 @@
         if state.faults.removals_fail {
             return Err(failed("removal failed"));
         }
-        state.names.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
+        state
+            .names
+            .remove(name)
+            .map(|_| ())
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -335,15 +377,27 @@
         }
         let end = at as usize + bytes.len();
         let grows = end.saturating_sub(state.files[self.file].seen.len()) as u64;
-        let held =
-            |state: &State| state.names.values().map(|f| state.files[*f].seen.len() as u64).sum::<u64>();
-        if state.faults.room.is_some_and(|room| held(&state) + grows > room) {
+        let held = |state: &State| {
+            state
+                .names
+                .values()
+                .map(|f| state.files[*f].seen.len() as u64)
+                .sum::<u64>()
+        };
+        if state
+            .faults
+            .room
+            .is_some_and(|room| held(&state) + grows > room)
+        {
             return Err(io::ErrorKind::StorageFull.into());
         }
         state.written += bytes.len() as u64;
         let content = &mut state.files[self.file];
         write_into(&mut content.seen, at as usize, bytes);
-        content.pending.push(Change::Write { at, bytes: bytes.to_vec() });
+        content.pending.push(Change::Write {
+            at,
+            bytes: bytes.to_vec(),
+        });
         Ok(())
     }
 
@@ -359,7 +413,11 @@
     fn sync(&self) -> io::Result<()> {
         let mut state = self.disk.awake();
         let alive = state.operate();
-        let (fails, evicts, crashed) = (state.faults.syncs_fail, state.faults.evicts, state.has_crashed());
+        let (fails, evicts, crashed) = (
+            state.faults.syncs_fail,
+            state.faults.evicts,
+            state.has_crashed(),
+        );
         let content = &mut state.files[self.file];
         if !crashed && (fails || alive.is_err()) {
             content.fail_sync(evicts);
--- a/crates/store/src/stand_ins/disk/tests.rs
+++ b/crates/store/src/stand_ins/disk/tests.rs
@@ -18,5 +18,8 @@
         torn += usize::from(bytes.len() > 2000 && bytes[2000..].contains(&0));
         named += usize::from(after.list().unwrap().len() == 2);
     }
-    assert!(lost > 10 && torn > 10 && named > 50 && named < 150, "{lost} {torn} {named}");
+    assert!(
+        lost > 10 && torn > 10 && named > 50 && named < 150,
+        "{lost} {torn} {named}"
+    );
 }
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -83,7 +83,10 @@
         self.fetched.insert(ticket, fetched);
     }
     fn revalidate(&mut self, copy: &Copy) {
-        self.revalidate.push(Copy { body: Bytes::new(), ..copy.clone() });
+        self.revalidate.push(Copy {
+            body: Bytes::new(),
+            ..copy.clone()
+        });
     }
     fn outlives(&mut self, key: Key, made: u64) {
         self.durable.insert(key, made);
@@ -123,7 +126,14 @@
         let now = Duration::from_secs(1000);
         let store = Store::new(memory, Some(Tier::new(wanted, now, start_ms)));
         let orders = Orders::default();
-        let mut driver = Driver { store, orders, now, start_ms, hands: None, opening: None };
+        let mut driver = Driver {
+            store,
+            orders,
+            now,
+            start_ms,
+            hands: None,
+            opening: None,
+        };
         driver.open(files, clock);
         driver
     }
@@ -136,7 +146,11 @@
                 self.store.opened(&known, segments, &mut self.orders);
             }
             Err(Unusable::Io(_)) => self.opening = Some((files, clock, self.now + OPEN_AGAIN)),
-            Err(why) => self.store.disk_mut().into_iter().for_each(|disk| disk.refused(why.to_string())),
+            Err(why) => self
+                .store
+                .disk_mut()
+                .into_iter()
+                .for_each(|disk| disk.refused(why.to_string())),
         }
     }
 
@@ -146,7 +160,8 @@
 
     /// Carries out the next order. False: there is none.
     pub fn step(&mut self) -> bool {
-        let (Some(job), Some((hands, catalogue))) = (self.orders.row.pop_front(), &mut self.hands) else {
+        let (Some(job), Some((hands, catalogue))) = (self.orders.row.pop_front(), &mut self.hands)
+        else {
             return false;
         };
         let (now, store, out) = (self.now, &mut self.store, &mut self.orders);
@@ -160,7 +175,9 @@
             Job::Append(ticket, segment, at, record) => {
                 store.appended(now, ticket, hands.append(segment, at, &record), out);
             }
-            Job::Sync(segment, up_to) => store.synced(now, segment, up_to, hands.sync(segment), out),
+            Job::Sync(segment, up_to) => {
+                store.synced(now, segment, up_to, hands.sync(segment), out)
+            }
             Job::Seal(segment, at, footer) => {
                 store.sealed(now, segment, at, hands.seal(segment, at, &footer), out)
             }
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -74,13 +74,33 @@
 }
 
 enum Job {
-    Read { ticket: u64, segment: u32, at: u32, length: u32 },
+    Read {
+        ticket: u64,
+        segment: u32,
+        at: u32,
+        length: u32,
+    },
     List(u32),
     Recover(u32),
-    Begin { segment: u32, class: u32 },
-    Append { ticket: u64, segment: u32, at: u32, record: Vec<u8> },
-    Sync { segment: u32, up_to: u32 },
-    Seal { segment: u32, at: u32, footer: Vec<u8> },
+    Begin {
+        segment: u32,
+        class: u32,
+    },
+    Append {
+        ticket: u64,
+        segment: u32,
+        at: u32,
+        record: Vec<u8>,
+    },
+    Sync {
+        segment: u32,
+        up_to: u32,
+    },
+    Seal {
+        segment: u32,
+        at: u32,
+        footer: Vec<u8>,
+    },
     Remove(u32),
 }
 
@@ -106,9 +126,9 @@
     pub fn of(path: &Path, error: &io::Error) -> NotTaken {
         let what = format!("{}: {error}", path.display());
         match error.kind() {
-            io::ErrorKind::ResourceBusy | io::ErrorKind::PermissionDenied | io::ErrorKind::NotADirectory => {
-                NotTaken::Refused(what)
-            }
+            io::ErrorKind::ResourceBusy
+            | io::ErrorKind::PermissionDenied
+            | io::ErrorKind::NotADirectory => NotTaken::Refused(what),
             _ => NotTaken::Io(what),
         }
     }
@@ -127,18 +147,25 @@
     let clock = BootClock::read();
     // The threads wait for the files, each behind its mailbox, so that all orders can be given from the
     // start.
-    let (readers, reads): (Vec<_>, Vec<_>) = (0..readers.max(1)).map(|_| sync_channel(READS_MOST)).unzip();
+    let (readers, reads): (Vec<_>, Vec<_>) = (0..readers.max(1))
+        .map(|_| sync_channel(READS_MOST))
+        .unzip();
     let (writer, writes) = sync_channel(WRITES_MOST);
     let (recoverer, recovers) = sync_channel(RECOVERS_MOST);
     let (marker, marks) = sync_channel(MARKS_MOST);
     let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
-        thread::Builder::new().name(format!("store-{name}")).spawn(run).map(|_| ())
+        thread::Builder::new()
+            .name(format!("store-{name}"))
+            .spawn(run)
+            .map(|_| ())
     };
     spawn(
         "open",
         Box::new(move || {
             let opened = open(&mut take, store, clock, &marks, &ends);
-            let Some((files, (catalogue, known, segments))) = opened else { return };
+            let Some((files, (catalogue, known, segments))) = opened else {
+                return;
+            };
             let store = known.store;
             let _ = ends.blocking_send(End::Opened { known, segments });
             let jobs = reads.into_iter().chain([writes, recovers]);
@@ -154,7 +181,16 @@
             write_down(marks, ends, catalogue);
         }),
     )?;
-    Ok((Threads { readers, writer, recoverer, marker, next: 0 }, receiver))
+    Ok((
+        Threads {
+            readers,
+            writer,
+            recoverer,
+            marker,
+            next: 0,
+        },
+        receiver,
+    ))
 }
 
 type OpenDirectory = (Arc<dyn Files>, (Catalogue, Known, Vec<u32>));
@@ -197,11 +233,23 @@
 fn work(jobs: Receiver<Job>, ends: Sender<End>, mut hands: Hands) {
     while let Ok(job) = jobs.recv() {
         let end = match job {
-            Job::Read { ticket, segment, at, length } => {
-                End::Read { ticket, result: hands.read(segment, at, length) }
-            }
-            Job::List(segment) => End::Listed { segment, result: hands.list(segment) },
-            Job::Recover(segment) => End::Recovered { segment, result: hands.recover(segment) },
+            Job::Read {
+                ticket,
+                segment,
+                at,
+                length,
+            } => End::Read {
+                ticket,
+                result: hands.read(segment, at, length),
+            },
+            Job::List(segment) => End::Listed {
+                segment,
+                result: hands.list(segment),
+            },
+            Job::Recover(segment) => End::Recovered {
+                segment,
+                result: hands.recover(segment),
+            },
             Job::Begin { segment, class } => {
                 // Shows in what is written to it.
                 if let Err(what) = hands.begin(segment, class) {
@@ -209,14 +257,33 @@
                 }
                 continue;
             }
-            Job::Append { ticket, segment, at, record } => {
-                End::Appended { ticket, result: hands.append(segment, at, &record) }
-            }
-            Job::Sync { segment, up_to } => End::Synced { segment, up_to, result: hands.sync(segment) },
-            Job::Seal { segment, at, footer } => {
-                End::Sealed { segment, at, result: hands.seal(segment, at, &footer) }
-            }
-            Job::Remove(segment) => End::Removed { segment, result: hands.remove(segment) },
+            Job::Append {
+                ticket,
+                segment,
+                at,
+                record,
+            } => End::Appended {
+                ticket,
+                result: hands.append(segment, at, &record),
+            },
+            Job::Sync { segment, up_to } => End::Synced {
+                segment,
+                up_to,
+                result: hands.sync(segment),
+            },
+            Job::Seal {
+                segment,
+                at,
+                footer,
+            } => End::Sealed {
+                segment,
+                at,
+                result: hands.seal(segment, at, &footer),
+            },
+            Job::Remove(segment) => End::Removed {
+                segment,
+                result: hands.remove(segment),
+            },
         };
         if ends.blocking_send(end).is_err() {
             return;
@@ -226,7 +293,10 @@
 
 fn write_down(marks: Receiver<Vec<Line>>, ends: Sender<End>, mut catalogue: Catalogue) {
     while let Ok(lines) = marks.recv() {
-        if ends.blocking_send(End::Marked(hands::mark(&mut catalogue, &lines))).is_err() {
+        if ends
+            .blocking_send(End::Marked(hands::mark(&mut catalogue, &lines)))
+            .is_err()
+        {
             return;
         }
     }
@@ -237,8 +307,17 @@
     pub fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
         let count = self.readers.len();
         self.next = (self.next + 1) % count;
-        let job = || Job::Read { ticket, segment, at, length };
-        (0..count).any(|n| self.readers[(self.next + n) % count].try_send(job()).is_ok())
+        let job = || Job::Read {
+            ticket,
+            segment,
+            at,
+            length,
+        };
+        (0..count).any(|n| {
+            self.readers[(self.next + n) % count]
+                .try_send(job())
+                .is_ok()
+        })
     }
 
     pub fn list(&mut self, segment: u32) -> bool {
@@ -254,7 +333,14 @@
     }
 
     pub fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
-        self.writer.try_send(Job::Append { ticket, segment, at, record }).is_ok()
+        self.writer
+            .try_send(Job::Append {
+                ticket,
+                segment,
+                at,
+                record,
+            })
+            .is_ok()
     }
 
     pub fn sync(&mut self, segment: u32, up_to: u32) -> bool {
@@ -262,7 +348,13 @@
     }
 
     pub fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
-        self.writer.try_send(Job::Seal { segment, at, footer }).is_ok()
+        self.writer
+            .try_send(Job::Seal {
+                segment,
+                at,
+                footer,
+            })
+            .is_ok()
     }
 
     pub fn remove(&mut self, segment: u32) -> bool {
@@ -305,13 +397,18 @@
             End::Refused(why) => {
                 log::error!("store: the disk is not used: {why}");
                 self.threads = None;
-                store.disk_mut().into_iter().for_each(|disk| disk.refused(why.clone()));
+                store
+                    .disk_mut()
+                    .into_iter()
+                    .for_each(|disk| disk.refused(why.clone()));
             }
             End::Read { ticket, result } => store.read(now, ticket, result, self),
             End::Listed { segment, result } => store.listed(now, segment, result, self),
             End::Recovered { segment, result } => {
                 if let Err(Failed::Version(found)) = &result {
-                    log::warn!("store: segment {segment} is of format version {found}: it is left alone");
+                    log::warn!(
+                        "store: segment {segment} is of format version {found}: it is left alone"
+                    );
                 }
                 store.recovered(now, segment, result, self);
                 if let Some(disk) = store.disk().filter(|disk| *disk.phase() == Phase::Ready) {
@@ -326,8 +423,16 @@
                 }
             }
             End::Appended { ticket, result } => store.appended(now, ticket, result, self),
-            End::Synced { segment, up_to, result } => store.synced(now, segment, up_to, result, self),
-            End::Sealed { segment, at, result } => store.sealed(now, segment, at, result, self),
+            End::Synced {
+                segment,
+                up_to,
+                result,
+            } => store.synced(now, segment, up_to, result, self),
+            End::Sealed {
+                segment,
+                at,
+                result,
+            } => store.sealed(now, segment, at, result, self),
             End::Removed { segment, result } => store.removed(now, segment, result, self),
             End::Marked(result) => store.marked(result, self),
         }
@@ -369,10 +474,18 @@
         // Its body is not needed, and would keep the whole record.
         let own = |bytes: &Bytes| Bytes::copy_from_slice(bytes);
         let (object, tag, class) = (own(&copy.object), own(&copy.tag), own(&copy.class));
-        self.unproven.push(Copy { object, tag, class, body: Bytes::new(), ..copy.clone() });
+        self.unproven.push(Copy {
+            object,
+            tag,
+            class,
+            body: Bytes::new(),
+            ..copy.clone()
+        });
     }
     fn outlives(&mut self, key: Key, made: u64) {
-        self.said.iter_mut().for_each(|said| said.push((key, Some(made))));
+        self.said
+            .iter_mut()
+            .for_each(|said| said.push((key, Some(made))));
     }
     fn lets_go(&mut self, key: Key) {
         self.said.iter_mut().for_each(|said| said.push((key, None)));
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -23,5 +23,8 @@
         all.durable += seen.durable;
         all.reclaimed += seen.reclaimed;
     }
-    assert!(all.answers > 300 && all.durable > 100 && all.reclaimed > 10, "{all:?}");
+    assert!(
+        all.answers > 300 && all.durable > 100 && all.reclaimed > 10,
+        "{all:?}"
+    );
 }
--- a/crates/store/tests/disk_faults.rs
+++ b/crates/store/tests/disk_faults.rs
@@ -19,7 +19,12 @@
 const ENOSPC: i32 = 28;
 
 fn wanted(known_purges: Duration) -> Wanted {
-    Wanted { bytes: 16 << 20, segment: 1 << 20, known_purges, ..Wanted::default() }
+    Wanted {
+        bytes: 16 << 20,
+        segment: 1 << 20,
+        known_purges,
+        ..Wanted::default()
+    }
 }
 
 fn started(disk: &Disk, known_purges: Duration, start_ms: u64) -> Driver {
@@ -39,8 +44,16 @@
 /// When the copy was made that a part is answered with; its bytes must be those of that copy.
 fn get(driver: &mut Driver, object: u64) -> Option<u64> {
     let (piece, name) = (piece(object), name(object));
-    let (_, copy) = driver.get(Part { object: &name, part: 0, group: piece.group() })?;
-    assert_eq!(copy, piece.copy(copy.made, copy.body.len()), "object {object}");
+    let (_, copy) = driver.get(Part {
+        object: &name,
+        part: 0,
+        group: piece.group(),
+    })?;
+    assert_eq!(
+        copy,
+        piece.copy(copy.made, copy.body.len()),
+        "object {object}"
+    );
     Some(copy.made)
 }
 
@@ -67,7 +80,11 @@
 
 fn fail_from_now(disk: &Disk, error_number: i32) {
     let failing_calls = disk.calls() + 1..u64::MAX;
-    disk.set(Faults { failing_calls, error_number: Some(error_number), ..Faults::default() });
+    disk.set(Faults {
+        failing_calls,
+        error_number: Some(error_number),
+        ..Faults::default()
+    });
 }
 
 /// A purge came while the program was down for an hour, and discovery's first list no longer names it. The
@@ -79,13 +96,22 @@
     let ended = first.unix_ms();
     first.close();
     let mut second = started(&disk, 600 * SECOND, ended + 3_600_000);
-    assert!((0..5).all(|object| get(&mut second, object).is_none()), "a purge may have been missed");
+    assert!(
+        (0..5).all(|object| get(&mut second, object).is_none()),
+        "a purge may have been missed"
+    );
     keep(&mut second, 9);
     hear(&mut second);
     let ended = second.unix_ms();
     let mut third = started(&disk.crashed(1), 600 * SECOND, ended + 5000);
-    assert!((0..5).all(|object| get(&mut third, object).is_none()), "it is missed still");
-    assert!(get(&mut third, 9).is_some(), "what the second start wrote is covered");
+    assert!(
+        (0..5).all(|object| get(&mut third, object).is_none()),
+        "it is missed still"
+    );
+    assert!(
+        get(&mut third, 9).is_some(),
+        "what the second start wrote is covered"
+    );
 }
 
 #[test]
@@ -97,14 +123,20 @@
             fail_from_now(&disk, error_number);
             driver.purge(Some(&name(2)), 0);
             driver.pass(5 * SECOND);
-            disk.set(Faults { evicts, ..Faults::default() });
+            disk.set(Faults {
+                evicts,
+                ..Faults::default()
+            });
             driver.pass(30 * SECOND);
             hear(&mut driver);
             let ended = driver.unix_ms();
             // Discovery's first list reaches back forty seconds: the catalogue alone names the purge.
             let mut again = started(&disk.crashed(3), 40 * SECOND, ended + 5000);
             assert_eq!(get(&mut again, 2), None, "purged");
-            assert!(get(&mut again, 3).is_some(), "discovery was heard until shortly before");
+            assert!(
+                get(&mut again, 3).is_some(),
+                "discovery was heard until shortly before"
+            );
         }
     }
 }
@@ -112,12 +144,23 @@
 const DAY_ACTIONS: usize = 120;
 
 fn faults(failing_calls: Range<u64>, error_number: i32, evicts: bool) -> Faults {
-    Faults { failing_calls, error_number: Some(error_number), evicts, ..Faults::default() }
+    Faults {
+        failing_calls,
+        error_number: Some(error_number),
+        evicts,
+        ..Faults::default()
+    }
 }
 
 fn day(seed: u64) -> Scenario {
     let (faults, restart_faults) = (Faults::default(), Faults::default());
-    Scenario { seed, actions: DAY_ACTIONS, faults, restart_faults, heals: false }
+    Scenario {
+        seed,
+        actions: DAY_ACTIONS,
+        faults,
+        restart_faults,
+        heals: false,
+    }
 }
 
 fn assert_kept(scenario: &Scenario, seen: &Seen) {
@@ -140,7 +183,11 @@
     for call in 1..=play(&day(0)).calls {
         let mut chance = fastrand::Rng::with_seed(call);
         let (faults, heals) = (drawn_faults(call, &mut chance), chance.bool());
-        let scenario = Scenario { faults, heals, ..day(chance.u64(..40)) };
+        let scenario = Scenario {
+            faults,
+            heals,
+            ..day(chance.u64(..40))
+        };
         let seen = play(&scenario);
         assert_kept(&scenario, &seen);
         all.answers += seen.answers;
@@ -158,7 +205,10 @@
         for seed in 0..4 {
             let mut chance = fastrand::Rng::with_seed(call * 10 + seed);
             let restart_faults = drawn_faults(call, &mut chance);
-            let scenario = Scenario { restart_faults, ..day(chance.u64(..40)) };
+            let scenario = Scenario {
+                restart_faults,
+                ..day(chance.u64(..40))
+            };
             let seen = play(&scenario);
             assert_kept(&scenario, &seen);
             all.answers += seen.answers;
@@ -186,7 +236,10 @@
 const HOUR_MS: i64 = 3_600_000;
 
 fn boot_clock(unix_at_boot_ms: u64) -> Option<BootClock> {
-    Some(BootClock { boot: 1, unix_at_boot_ms })
+    Some(BootClock {
+        boot: 1,
+        unix_at_boot_ms,
+    })
 }
 
 fn started_with_clock(
@@ -213,15 +266,32 @@
         first.pass(3 * SECOND);
         first.close();
         // An hour and a little more goes by where the clock is set back, so that it stands after the copies.
-        let down = if step < 0 { step.unsigned_abs() + 5000 } else { 5000 };
+        let down = if step < 0 {
+            step.unsigned_abs() + 5000
+        } else {
+            5000
+        };
         let start = (first.unix_ms() + down).saturating_add_signed(step);
         let stepped = boot_clock(boot.saturating_add_signed(step));
         let mut second = started_with_clock(&disk.crashed(1), 8 * 3600 * SECOND, start, stepped);
-        assert!((0..3).all(|object| get(&mut second, object).is_none()), "stepped by {step}");
+        assert!(
+            (0..3).all(|object| get(&mut second, object).is_none()),
+            "stepped by {step}"
+        );
         // The same clock, and another start of the machine, say nothing against them.
-        for clock in [boot_clock(boot), Some(BootClock { boot: 2, unix_at_boot_ms: 5 }), None] {
+        for clock in [
+            boot_clock(boot),
+            Some(BootClock {
+                boot: 2,
+                unix_at_boot_ms: 5,
+            }),
+            None,
+        ] {
             let mut second = started_with_clock(&disk.crashed(1), 8 * 3600 * SECOND, start, clock);
-            assert!((0..3).all(|object| get(&mut second, object).is_some()), "{clock:?}");
+            assert!(
+                (0..3).all(|object| get(&mut second, object).is_some()),
+                "{clock:?}"
+            );
         }
     }
 }
@@ -237,8 +307,10 @@
     first.pass(3 * SECOND);
     hear(&mut first);
     first.close();
-    let (start, stepped) =
-        (first.unix_ms() + 65 * 60_000 - HOUR_MS as u64, boot_clock(boot - HOUR_MS as u64));
+    let (start, stepped) = (
+        first.unix_ms() + 65 * 60_000 - HOUR_MS as u64,
+        boot_clock(boot - HOUR_MS as u64),
+    );
     let mut second = started_with_clock(&disk, 600 * SECOND, start, stepped);
     keep(&mut second, 9);
     second.pass(3 * SECOND);
@@ -246,8 +318,14 @@
     let start = second.unix_ms() + 5000;
     second.close();
     let mut third = started_with_clock(&disk, 600 * SECOND, start, stepped);
-    assert!((0..3).all(|object| get(&mut third, object).is_none()), "undated still");
-    assert!(get(&mut third, 9).is_some(), "by the clock of its own start");
+    assert!(
+        (0..3).all(|object| get(&mut third, object).is_none()),
+        "undated still"
+    );
+    assert!(
+        get(&mut third, 9).is_some(),
+        "by the clock of its own start"
+    );
 }
 
 /// The second copy of a part is not written while other writes of its segment and its footer are under way: the
@@ -258,16 +336,30 @@
     let mut driver = written(&disk, 1);
     let first = driver.orders.durable[&piece(0).key()];
     // In one part: a new version leaves the old one to be replaced, and purges nothing.
-    let second = Copy { in_parts: false, ..piece(0).copy(driver.unix_ms(), 9000) };
+    let second = Copy {
+        in_parts: false,
+        ..piece(0).copy(driver.unix_ms(), 9000)
+    };
     driver.keep(second, 3);
-    let written_bytes = |driver: &Driver| driver.store.disk().expect("a disk").counts().written_bytes;
+    let written_bytes =
+        |driver: &Driver| driver.store.disk().expect("a disk").counts().written_bytes;
     let before = written_bytes(&driver);
     driver.now += SECOND / 10;
     driver.store.tick(driver.now, &mut driver.orders);
-    assert!(written_bytes(&driver) > before, "the record was not ordered");
+    assert!(
+        written_bytes(&driver) > before,
+        "the record was not ordered"
+    );
     // The record is ordered; the end of the program orders the footer behind it.
-    driver.store.disk_mut().expect("a disk").close(driver.now, &mut driver.orders);
-    disk.set(Faults { writes_fail: true, ..Faults::default() });
+    driver
+        .store
+        .disk_mut()
+        .expect("a disk")
+        .close(driver.now, &mut driver.orders);
+    disk.set(Faults {
+        writes_fail: true,
+        ..Faults::default()
+    });
     let failed = |driver: &Driver| driver.store.disk().expect("a disk").counts().write_faults > 0;
     while !failed(&driver) {
         assert!(driver.step(), "the record was not ordered");
@@ -292,7 +384,10 @@
         let tier = driver.store.disk().expect("a disk");
         fewest = fewest.min(tier.segments().most);
         if object == 150 {
-            disk.set(Faults { removals_fail: true, ..Faults::default() });
+            disk.set(Faults {
+                removals_fail: true,
+                ..Faults::default()
+            });
         }
         if fewest < most - 2 {
             break;
@@ -302,7 +397,12 @@
     disk.set(Faults::default());
     driver.pass(120 * SECOND);
     assert_eq!(driver.store.disk().expect("a disk").segments().most, most);
-    let files = disk.list().expect("names").iter().filter(|name| name.starts_with("segment")).count();
+    let files = disk
+        .list()
+        .expect("names")
+        .iter()
+        .filter(|name| name.starts_with("segment"))
+        .count();
     assert!(files <= most, "{files}");
 }
 
@@ -313,12 +413,21 @@
     let start = driver.unix_ms() + 1000;
     driver.close();
     let mut again = Driver::start(Arc::new(disk.clone()), 0, wanted(1000 * SECOND), start);
-    disk.set(Faults { reads_fail: true, ..Faults::default() });
+    disk.set(Faults {
+        reads_fail: true,
+        ..Faults::default()
+    });
     again.pass(10 * SECOND);
-    assert!((0..6).all(|object| get(&mut again, object).is_none()), "absent while it cannot be read");
+    assert!(
+        (0..6).all(|object| get(&mut again, object).is_none()),
+        "absent while it cannot be read"
+    );
     disk.set(Faults::default());
     again.pass(31 * SECOND);
-    assert!((0..6).all(|object| get(&mut again, object).is_some()), "there again");
+    assert!(
+        (0..6).all(|object| get(&mut again, object).is_some()),
+        "there again"
+    );
     let tier = again.store.disk().expect("a disk");
     assert_eq!((tier.segments().most, tier.counts().foreign), (16, 0));
 }
@@ -338,10 +447,16 @@
     let tries = driver.store.disk().expect("a disk").counts().write_faults - before;
     assert!((100..=140).contains(&tries), "{tries}");
     assert_eq!(get(&mut driver, 0), None, "it counts meanwhile");
-    assert!(!driver.store.disk().expect("a disk").is_quiet(), "it waits still");
+    assert!(
+        !driver.store.disk().expect("a disk").is_quiet(),
+        "it waits still"
+    );
     disk.set(Faults::default());
     driver.pass(6 * SECOND);
-    assert!(driver.store.disk().expect("a disk").is_quiet(), "written down within the longest backoff");
+    assert!(
+        driver.store.disk().expect("a disk").is_quiet(),
+        "written down within the longest backoff"
+    );
 }
 
 fn hear_without_waiting(driver: &mut Driver) {
@@ -395,7 +510,10 @@
     let mut driver = Driver::start(Arc::new(disk.clone()), 0, rarely_synced, START);
     driver.settle();
     let offer = |driver: &mut Driver, object: u64, bytes: usize| {
-        let copy = Copy { in_parts: false, ..piece(object).copy(driver.unix_ms(), bytes) };
+        let copy = Copy {
+            in_parts: false,
+            ..piece(object).copy(driver.unix_ms(), bytes)
+        };
         driver.keep(copy, 2);
         driver.pass(SECOND / 10);
     };
@@ -404,8 +522,12 @@
     let key = piece(0).key();
     assert!(driver.orders.durable.contains_key(&key), "sealed");
     offer(&mut driver, 0, 30_000);
-    let first =
-        disk.list().expect("names").into_iter().find(|name| name.starts_with("segment")).expect("one");
+    let first = disk
+        .list()
+        .expect("names")
+        .into_iter()
+        .find(|name| name.starts_with("segment"))
+        .expect("one");
     let mut object = 100;
     while disk.list().expect("names").contains(&first) {
         offer(&mut driver, object, 200_000);
@@ -416,8 +538,15 @@
     for seed in 0..30 {
         let mut again = started(&disk.crashed(seed), 1000 * SECOND, driver.unix_ms() + 1000);
         let name = name(0);
-        let found = again.get(Part { object: &name, part: 0, group: piece(0).group() });
-        assert!(found.is_some_and(|(_, copy)| copy.made >= durable), "lost, seed {seed}");
+        let found = again.get(Part {
+            object: &name,
+            part: 0,
+            group: piece(0).group(),
+        });
+        assert!(
+            found.is_some_and(|(_, copy)| copy.made >= durable),
+            "lost, seed {seed}"
+        );
     }
 }
 
@@ -430,7 +559,10 @@
         driver.pass(SECOND / 10);
     };
     offer(&mut driver, 1);
-    disk.set(Faults { writes_fail: true, ..Faults::default() });
+    disk.set(Faults {
+        writes_fail: true,
+        ..Faults::default()
+    });
     offer(&mut driver, 2);
     disk.set(Faults::default());
     driver.pass(3 * SECOND);
@@ -441,7 +573,12 @@
 
 /// A tier that is about to reclaim the segment of its first three copies, which are read often.
 fn short_of_space(disk: &Disk) -> Driver {
-    let wanted = Wanted { bytes: 10 << 20, carry: 0.5, scrub: 0, ..wanted(1000 * SECOND) };
+    let wanted = Wanted {
+        bytes: 10 << 20,
+        carry: 0.5,
+        scrub: 0,
+        ..wanted(1000 * SECOND)
+    };
     let mut driver = Driver::start(Arc::new(disk.clone()), 0, wanted, START);
     driver.settle();
     let mut object = 0;
@@ -464,7 +601,10 @@
 fn a_segment_that_cannot_be_listed_for_a_moment_is_not_reclaimed_with_all_it_holds() {
     let disk = Disk::new();
     let mut driver = short_of_space(&disk);
-    disk.set(Faults { reads_fail: true, ..Faults::default() });
+    disk.set(Faults {
+        reads_fail: true,
+        ..Faults::default()
+    });
     let failed = |driver: &Driver| driver.store.disk().expect("a disk").counts().read_faults > 0;
     for object in 1000..1030 {
         driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
@@ -476,6 +616,12 @@
     assert!(failed(&driver), "no listing failed");
     disk.set(Faults::default());
     driver.pass(10 * SECOND);
-    assert!(driver.store.disk().expect("a disk").counts().reclaimed > 0, "nothing was reclaimed");
-    assert!((0..3).all(|hot| get(&mut driver, hot).is_some()), "carried over once it could be listed");
+    assert!(
+        driver.store.disk().expect("a disk").counts().reclaimed > 0,
+        "nothing was reclaimed"
+    );
+    assert!(
+        (0..3).all(|hot| get(&mut driver, hot).is_some()),
+        "carried over once it could be listed"
+    );
 }
