--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use chalkhall::interface::Id;
 use chalkhall_cells::plan::{Place, Tenant, Why, plan as plan_of};
-use chalkhall_router::confined::plan;
+use chalkhall_router::cell_routing::plan;
 use chalkhall_settings as deployment;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -143,7 +143,7 @@
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         return Err(Failure::new(all.join("\nchalkhall: ")));
     }
-    chalkhall_router::logs::begin(&told.log);
+    chalkhall_router::logging::begin(&told.log);
     chalkhall_router::serve(told, file).map_err(Failure::new)
 }
 
--- a/crates/router/src/confined.rs
+++ b/crates/router/src/cell_routing.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-pub struct Confined {
+pub struct CellRouting {
     map: Map,
     moves: Vec<(What, Move)>,
     /// What is in flight, or remembered of it, has ended after this long.
@@ -105,7 +105,7 @@
     }
 }
 
-impl Confined {
+impl CellRouting {
     /// None: there are neither cells nor limits.
     ///
     /// # Errors
@@ -117,7 +117,7 @@
         by_customer: bool,
         settle: Duration,
         seed: u64,
-    ) -> Result<Option<Confined>, String> {
+    ) -> Result<Option<CellRouting>, String> {
         if wishes.cells.is_empty() && wishes.tenant.is_none() {
             return Ok(None);
         }
@@ -131,7 +131,7 @@
             .map(|(what, from, to)| (what, Move::new(from, to, settle)))
             .collect();
         let members = BTreeMap::new();
-        Ok(Some(Confined {
+        Ok(Some(CellRouting {
             map,
             moves,
             settle,
--- a/crates/router/src/client.rs
+++ b/crates/router/src/client_connection.rs
@@ -2,13 +2,15 @@
 
 mod read_watch;
 
+use crate::client_protocol::{END, Frames, ProtocolError, answer, fields, number};
 use crate::clock::Clock;
-use crate::connection::at;
 use crate::io_errors::set_nodelay;
-use crate::lines::Passed;
-use crate::messages::{Last, Message, New, Place, Reply, Wanted, Word};
-use crate::phase::Phase;
-use crate::resp::{END, Frames, Nonsense, answer, fields, number};
+use crate::lifecycle::Phase;
+use crate::messages::{
+    CancellationFlag, ClientReply, FinalAnswer, Message, NewRequest, Place, Word,
+};
+use crate::server_connection::at;
+use crate::server_protocol::ForwardedFields;
 use crate::uninterrupted::Uninterrupted;
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::{Arrival, Id};
@@ -63,7 +65,7 @@
 const READ_AT_ONCE: usize = 8 * 1024;
 
 /// What all clients share: how the classes are called, how long one may take.
-pub struct Door {
+pub struct ClientFrontend {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     /// Top pace of one answer, in KB a second; 0: not told.
@@ -73,7 +75,7 @@
     pub clock: Clock,
 }
 
-impl Door {
+impl ClientFrontend {
     /// By its name in the settings; by its number where they name none.
     fn tenant(&self, name: &[u8]) -> Option<usize> {
         match &self.tenants[..] {
@@ -84,7 +86,7 @@
 }
 
 pub struct Client {
-    pub door: Rc<Door>,
+    pub door: Rc<ClientFrontend>,
     pub decider: mpsc::Sender<Message>,
     pub phase: watch::Receiver<Phase>,
     pub place: Place,
@@ -93,7 +95,7 @@
 /// What a connection has waited for.
 enum Event {
     Wrote(io::Result<()>),
-    Reply(Reply),
+    ClientReply(ClientReply),
     Read(io::Result<usize>),
     AskedToLeave,
     WaitedLongEnough,
@@ -106,7 +108,7 @@
     /// With nothing open on it, by this side; or the router has ended.
     Idle(&'static str),
     /// What came cannot be read or must not come: no more is read, and what is open is answered as failed.
-    Nonsense(&'static str),
+    ProtocolError(&'static str),
 }
 
 impl From<io::Error> for End {
@@ -115,9 +117,9 @@
     }
 }
 
-impl From<Nonsense> for End {
-    fn from(what: Nonsense) -> End {
-        End::Nonsense(what.0)
+impl From<ProtocolError> for End {
+    fn from(what: ProtocolError) -> End {
+        End::ProtocolError(what.0)
     }
 }
 
@@ -179,7 +181,7 @@
 /// A request of this connection, until its final answer or its client's leaving.
 struct Open {
     id: Id,
-    wanted: Wanted,
+    wanted: CancellationFlag,
 }
 
 impl Client {
@@ -198,7 +200,7 @@
             .await;
         // Before anybody is told, lest a connection begins one meanwhile.
         open.values().for_each(|open: &Open| open.wanted.end());
-        if let End::Nonsense(_) = how {
+        if let End::ProtocolError(_) = how {
             // Answered here, once: whatever comes for them from now on finds them closed.
             open.keys().for_each(|tag| unwritten.line(*tag, "FAIL", ""));
         }
@@ -214,7 +216,7 @@
                 log::debug!("client: {what}");
                 part(stream).await;
             }
-            End::Nonsense(what) => {
+            End::ProtocolError(what) => {
                 log::debug!("client: {what}");
                 let until = unwritten
                     .awaited_until
@@ -244,8 +246,8 @@
     async fn serve(
         &mut self,
         stream: &mut TcpStream,
-        replies: &mpsc::Sender<Reply>,
-        mailbox: &mut mpsc::Receiver<Reply>,
+        replies: &mpsc::Sender<ClientReply>,
+        mailbox: &mut mpsc::Receiver<ClientReply>,
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) -> Result<Infallible, End> {
@@ -311,7 +313,7 @@
             let event = tokio::select! {
                 biased;
                 wrote = unwritten.write(&mut writer), if !unwritten.pieces.is_empty() => Event::Wrote(wrote),
-                Some(reply) = mailbox.recv() => Event::Reply(reply),
+                Some(reply) = mailbox.recv() => Event::ClientReply(reply),
                 _ = phase.wait_for(|phase| *phase == Phase::Ended), if ended.is_none() => continue,
                 read = read(&mut reader, &mut buffer), if may_read => Event::Read(read),
                 // What it has just asked for is answered first.
@@ -328,7 +330,7 @@
                     moved = Instant::now();
                     self.written(unwritten).await;
                 }
-                Event::Reply(reply) => {
+                Event::ClientReply(reply) => {
                     if unwritten.pieces.is_empty() {
                         moved = Instant::now();
                     }
@@ -362,7 +364,7 @@
                 Event::WaitedLongEnough => {
                     return Err(match begun {
                         _ if !unwritten.pieces.is_empty() => End::Gone("takes no answers".into()),
-                        Some(_) => End::Nonsense("no whole message in time"),
+                        Some(_) => End::ProtocolError("no whole message in time"),
                         None if timeout(LAST_LOOK, reader.readable()).await.is_ok() => continue,
                         None => End::Idle("idle"),
                     });
@@ -384,7 +386,7 @@
     /// Gives the final answer to all that is open.
     async fn fail_open(
         &self,
-        replies: &mpsc::Sender<Reply>,
+        replies: &mpsc::Sender<ClientReply>,
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) {
@@ -441,11 +443,11 @@
     /// A place for an answer. There are more than may be open: of those that the client has called off they
     /// come back as soon as the decider has heard of it.
     async fn place(
-        replies: &mpsc::Sender<Reply>,
-        mailbox: &mut mpsc::Receiver<Reply>,
+        replies: &mpsc::Sender<ClientReply>,
+        mailbox: &mut mpsc::Receiver<ClientReply>,
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
-    ) -> Result<mpsc::OwnedPermit<Reply>, End> {
+    ) -> Result<mpsc::OwnedPermit<ClientReply>, End> {
         loop {
             tokio::select! {
                 biased;
@@ -461,8 +463,8 @@
         &mut self,
         frame: Vec<Bytes>,
         received_after: Duration,
-        replies: &mpsc::Sender<Reply>,
-        mailbox: &mut mpsc::Receiver<Reply>,
+        replies: &mpsc::Sender<ClientReply>,
+        mailbox: &mut mpsc::Receiver<ClientReply>,
         open: &mut HashMap<u64, Open>,
         unwritten: &mut Unwritten,
     ) -> Result<(), End> {
@@ -472,10 +474,10 @@
             .next()
             .and_then(|tag| number(&tag))
             .filter(|tag| *tag > 0);
-        let tag = tag.ok_or(End::Nonsense("no tag"))?;
+        let tag = tag.ok_or(End::ProtocolError("no tag"))?;
         if open.contains_key(&tag) && &verb[..] != b"ABORT" {
             // Two answers under one tag could not be told apart: it gets one, and no more is read.
-            return Err(End::Nonsense("a tag in use"));
+            return Err(End::ProtocolError("a tag in use"));
         }
         match &verb[..] {
             b"HEALTH" => self.health(tag, unwritten),
@@ -507,7 +509,7 @@
                         let awaited_until = self.door.clock.instant(received_after + arrival.left);
                         unwritten.awaited_until = unwritten.awaited_until.max(Some(awaited_until));
                         let client = Self::place(replies, mailbox, open, unwritten).await?;
-                        let wanted = Wanted::default();
+                        let wanted = CancellationFlag::default();
                         open.insert(
                             tag,
                             Open {
@@ -515,7 +517,7 @@
                                 wanted: wanted.clone(),
                             },
                         );
-                        let new = New {
+                        let new = NewRequest {
                             arrival,
                             passed,
                             received_after,
@@ -550,7 +552,7 @@
         class: Bytes,
         list: &Bytes,
         body: Bytes,
-    ) -> Result<(Arrival, Passed), &'static str> {
+    ) -> Result<(Arrival, ForwardedFields), &'static str> {
         let at = self
             .door
             .classes
@@ -560,11 +562,11 @@
             class: at.ok_or("unknown category")?,
             ..Arrival::default()
         };
-        let mut passed = Passed {
+        let mut passed = ForwardedFields {
             class,
             body,
             part: Bytes::from_static(b"0"),
-            ..Passed::default()
+            ..ForwardedFields::default()
         };
         // What could not be sent while any client waits would bend what is known of its class.
         let kb_most = if self.door.kb_per_s > 0.0 {
@@ -657,10 +659,10 @@
 }
 
 /// Words a request's final answer, unless the client has given it up.
-fn say(reply: Reply, open: &mut HashMap<u64, Open>, unwritten: &mut Unwritten) {
-    let Reply { tag, id, last } = reply;
+fn say(reply: ClientReply, open: &mut HashMap<u64, Open>, unwritten: &mut Unwritten) {
+    let ClientReply { tag, id, last } = reply;
     if open.get(&tag).is_none_or(|open| open.id != id) {
-        if let Last::Served { body, .. } = last {
+        if let FinalAnswer::Served { body, .. } = last {
             unwritten.object += body.len();
         }
         return;
@@ -671,12 +673,14 @@
         None => before.trim_end_matches(',').to_owned(),
     };
     match last {
-        Last::Served { etag, body } => {
+        FinalAnswer::Served { etag, body } => {
             unwritten.push(answer(tag, "ACK", &version(etag, ""), body.len()), body);
         }
-        Last::Unchanged { etag } => unwritten.line(tag, "ACK", &version(etag, "unchanged=1,")),
-        Last::Rejected(advice) => unwritten.rejected(tag, advice),
-        Last::Failed => unwritten.line(tag, "FAIL", ""),
+        FinalAnswer::Unchanged { etag } => {
+            unwritten.line(tag, "ACK", &version(etag, "unchanged=1,"))
+        }
+        FinalAnswer::Rejected(advice) => unwritten.rejected(tag, advice),
+        FinalAnswer::Failed => unwritten.line(tag, "FAIL", ""),
     }
 }
 
--- a/crates/router/src/client/read_watch.rs
+++ b/crates/router/src/client_connection/read_watch.rs
@@ -1,6 +1,6 @@
 //! Bounds how long what is read from a client's connection may have lain unread.
 
-use crate::event_loop;
+use crate::scheduling_delay;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
     pub fn of_new_connection() -> ReadWatch {
         let now = Instant::now();
         ReadWatch {
-            watched_until: event_loop::unread_since().unwrap_or(now),
+            watched_until: scheduling_delay::unread_since().unwrap_or(now),
             watched_from: now,
         }
     }
@@ -42,7 +42,7 @@
         let now = Instant::now();
         let unwatched = self.watched_from >= self.watched_until + UNWATCHED_FROM
             && now < self.watched_from + UNWATCHED_FROM;
-        let since = event_loop::unread_since()
+        let since = scheduling_delay::unread_since()
             .into_iter()
             .chain(unwatched.then_some(self.watched_until));
         since
--- a/crates/router/src/client/tests.rs
+++ b/crates/router/src/client_connection/tests.rs
@@ -33,7 +33,7 @@
     let (phase, phase_of) = watch::channel(phase);
     let (leave, told) = mpsc::channel(1);
     let (says, words) = mpsc::channel(4096);
-    let door = Door {
+    let door = ClientFrontend {
         classes: vec!["page".into()],
         tenants: Vec::new(),
         kb_per_s: 0.0,
@@ -79,7 +79,7 @@
 }
 
 impl Rig {
-    async fn request(&mut self) -> Box<New> {
+    async fn request(&mut self) -> Box<NewRequest> {
         match self.messages.recv().await {
             Some(Message::Request(new)) => new,
             _ => panic!("not heard"),
@@ -99,8 +99,8 @@
             let new = self.request().await;
             assert_eq!(new.tag, tag);
             let body = Bytes::from(vec![7; if tag == 1 { LARGE } else { 1 }]);
-            let last = Last::Served { etag: None, body };
-            drop(new.client.send(Reply {
+            let last = FinalAnswer::Served { etag: None, body };
+            drop(new.client.send(ClientReply {
                 tag,
                 id: new.arrival.id,
                 last,
@@ -220,8 +220,8 @@
         let Some(Message::Request(new)) = rig.messages.recv().await else {
             panic!("not heard")
         };
-        let last = Last::Rejected(None);
-        drop(new.client.send(Reply {
+        let last = FinalAnswer::Rejected(None);
+        drop(new.client.send(ClientReply {
             tag: 2,
             id: new.arrival.id,
             last,
@@ -256,8 +256,8 @@
                 match message {
                     Message::Request(new) => {
                         answered += 1;
-                        let last = Last::Rejected(None);
-                        drop(new.client.send(Reply {
+                        let last = FinalAnswer::Rejected(None);
+                        drop(new.client.send(ClientReply {
                             tag: new.tag,
                             id: new.arrival.id,
                             last,
@@ -332,10 +332,10 @@
         let Some(Message::Request(new)) = rig.messages.recv().await else {
             panic!("closed over it")
         };
-        drop(new.client.send(Reply {
+        drop(new.client.send(ClientReply {
             tag: 2,
             id: new.arrival.id,
-            last: Last::Rejected(None),
+            last: FinalAnswer::Rejected(None),
         }));
         let said = rig.rest().await.unwrap();
         assert!(said.contains(&told(2, "NAK")), "{said:?}");
@@ -491,7 +491,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Nonsense ends the connection of a slow reader: all that it is owed is written while its time lasts.
+/// ProtocolError ends the connection of a slow reader: all that it is owed is written while its time lasts.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn what_is_owed_before_nonsense_reaches_a_slow_reader() {
     let inside = async {
--- a/crates/router/src/resp.rs
+++ b/crates/router/src/client_protocol.rs
@@ -10,7 +10,7 @@
 const DIGITS_MOST: usize = 12;
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Nonsense(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// Takes frames from a stream that may be split anywhere. What has been read of an unfinished frame is kept,
 /// so that a long one is not walked through again with every piece that comes.
@@ -30,15 +30,15 @@
     }
 
     /// The next whole frame, its parts as the bytes that came.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, Nonsense> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ProtocolError> {
         loop {
             let Some(wanted) = self.wanted else {
                 match head(buffer, b'*')? {
                     None => return Ok(None),
                     // Nothing answers an empty one, so a stream of them would go on for ever.
-                    Some(0) => return Err(Nonsense("an empty array")),
+                    Some(0) => return Err(ProtocolError("an empty array")),
                     Some(n) if n > PARTS_MOST.len() => {
-                        return Err(Nonsense("an array of too many parts"));
+                        return Err(ProtocolError("an array of too many parts"));
                     }
                     some => self.wanted = some,
                 }
@@ -52,7 +52,7 @@
                 match head(buffer, b'$')? {
                     None => return Ok(None),
                     Some(n) if n > PARTS_MOST[self.parts.len()] => {
-                        return Err(Nonsense("a part too long"));
+                        return Err(ProtocolError("a part too long"));
                     }
                     some => self.length = some,
                 }
@@ -63,7 +63,7 @@
                 return Ok(None);
             }
             if &buffer[length..length + 2] != b"\r\n" {
-                return Err(Nonsense("a part that does not end where it says"));
+                return Err(ProtocolError("a part that does not end where it says"));
             }
             self.parts.push(buffer.split_to(length).freeze());
             buffer.advance(2);
@@ -73,7 +73,7 @@
 }
 
 /// A length behind its sign: `*3` or `$12`.
-fn head(buffer: &mut BytesMut, sign: u8) -> Result<Option<usize>, Nonsense> {
+fn head(buffer: &mut BytesMut, sign: u8) -> Result<Option<usize>, ProtocolError> {
     let Some(end) = buffer
         .iter()
         .take(DIGITS_MOST + 3)
@@ -81,7 +81,7 @@
     else {
         let wrong = buffer.first().is_some_and(|b| *b != sign) || buffer.len() > DIGITS_MOST + 2;
         return if wrong {
-            Err(Nonsense("no length where one is due"))
+            Err(ProtocolError("no length where one is due"))
         } else {
             Ok(None)
         };
@@ -92,7 +92,7 @@
         .and_then(|l| l.strip_suffix(b"\r\n"));
     let length = digits
         .and_then(number)
-        .ok_or(Nonsense("no length where one is due"))?;
+        .ok_or(ProtocolError("no length where one is due"))?;
     Ok(Some(length as usize))
 }
 
--- a/crates/router/src/resp/tests.rs
+++ b/crates/router/src/client_protocol/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn all(frames: &mut Frames, buffer: &mut BytesMut) -> Result<Vec<Vec<Bytes>>, Nonsense> {
+fn all(frames: &mut Frames, buffer: &mut BytesMut) -> Result<Vec<Vec<Bytes>>, ProtocolError> {
     let mut found = Vec::new();
     while let Some(frame) = frames.next(buffer)? {
         found.push(frame);
--- a/crates/router/src/told.rs
+++ b/crates/router/src/configuration.rs
@@ -2,7 +2,7 @@
 //! A message names the key that is at fault.
 
 use crate::clock::Clock;
-use crate::notices::{Notice, Places, numbered};
+use crate::discovery_events::{DiscoveryEvent, Places, numbered};
 use chalkhall::interface::Deployment;
 use chalkhall_settings::{self as deployment, Fields};
 use serde_json::Value;
@@ -17,13 +17,13 @@
 const IDLE_CLOSE: Duration = Duration::from_secs(30);
 
 #[derive(Debug)]
-pub struct Told {
+pub struct Configuration {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// The number of the last event in `known`, and the events.
     pub last_event: u64,
-    pub known: Vec<(u64, Option<Notice>)>,
+    pub known: Vec<(u64, Option<DiscoveryEvent>)>,
     pub places: Places,
     pub deployment: Deployment,
     pub classes: Vec<String>,
@@ -57,9 +57,9 @@
     "link_bytes_per_s",
 ];
 
-impl Told {
+impl Configuration {
     /// The keys in which another configuration differs where only a restart takes it over.
-    pub fn fixed_otherwise(&self, anew: &Told) -> Vec<&'static str> {
+    pub fn fixed_otherwise(&self, anew: &Configuration) -> Vec<&'static str> {
         let pairs = self.fixed.iter().zip(&anew.fixed).zip(FIXED);
         pairs
             .filter_map(|((old, new), name)| (old != new).then_some(name))
@@ -80,7 +80,7 @@
     pub open_requests: usize,
 }
 
-pub fn told(env: impl Fn(&str) -> Option<String>, clock: &Clock) -> Result<Told, String> {
+pub fn told(env: impl Fn(&str) -> Option<String>, clock: &Clock) -> Result<Configuration, String> {
     let path = env("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
     let file: Value =
@@ -95,7 +95,7 @@
     file: &Fields,
     env: impl Fn(&str) -> Option<String>,
     clock: &Clock,
-) -> Result<Told, String> {
+) -> Result<Configuration, String> {
     let text = |name: &str, variable: &str| match env(variable) {
         Some(found) => Ok((found, variable.to_owned())),
         None => deployment::text(file, name).map(|found| (found.to_owned(), name.to_owned())),
@@ -147,7 +147,7 @@
         .collect::<Result<Vec<_>, _>>()
         .map_err(|e| format!("known: {e}"))?;
 
-    Ok(Told {
+    Ok(Configuration {
         name,
         listen,
         discovery,
--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -1,9 +1,9 @@
 //! The control socket: one line of words in, one JSON object out, for `chalkhall`'s commands against a live
 //! router.
 
-use crate::brief::Brief;
 use crate::io_errors::AcceptFailure;
-use crate::messages::{Message, Question};
+use crate::messages::{Message, OperatorQuery};
+use crate::rate_limited_log::RateLimitedLog;
 use crate::uninterrupted::Uninterrupted;
 use serde_json::json;
 use std::fs::{self, Permissions};
@@ -59,7 +59,7 @@
 
 pub async fn run(socket: ControlSocket, decider: mpsc::Sender<Message>) {
     let (done, mut ended) = mpsc::channel::<()>(ASKING_MOST);
-    let (mut asking, mut failed_in_a_row, mut refused) = (0, 0, Brief::default());
+    let (mut asking, mut failed_in_a_row, mut refused) = (0, 0, RateLimitedLog::default());
     loop {
         tokio::select! {
             taken = socket.listener.accept(), if asking < ASKING_MOST => match taken {
@@ -99,7 +99,7 @@
     let words = line.split_whitespace().map(str::to_owned).collect();
     let (answer, told) = oneshot::channel();
     let asked = decider
-        .send(Message::Question(Question { words, answer }))
+        .send(Message::OperatorQuery(OperatorQuery { words, answer }))
         .await;
     let said = match (asked, told.await) {
         (Ok(()), Ok(said)) => said,
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -1,24 +1,26 @@
 //! Owns the decisions: hands them what happens, and does what they order. Nothing is decided here.
 
-mod desk;
+mod dispatcher;
 mod servers;
 
-use crate::abroad::Abroad;
-use crate::brief::Brief;
+use crate::cell_routing::CellRouting;
 use crate::clock::Clock;
-use crate::confined::Confined;
-use crate::messages::{Ended, Last, Message, New, Question, Reply, Wanted};
-use crate::notices::Notice;
-use crate::own::{Got, Own};
-use crate::peers::Saying;
-use crate::phase::Phase;
-use crate::server::{ConnectionPlaces, ServerActors};
-use crate::told::Limits;
+use crate::configuration::Limits;
+use crate::discovery_events::DiscoveryEvent;
+use crate::gossip_socket::GossipSender;
+use crate::lifecycle::Phase;
+use crate::local_cache::{Got, LocalCache};
+use crate::messages::{
+    CancellationFlag, ClientReply, Ended, FinalAnswer, Message, NewRequest, OperatorQuery,
+};
+use crate::rate_limited_log::RateLimitedLog;
+use crate::server_pool::{ConnectionPlaces, ServerActors};
+use crate::zone_failover::ZoneFailover;
 use chalkhall::control::Router;
 use chalkhall::interface::{self, Deployment, Effect, Id, ListKind, Member, Outcome, Standing};
 use chalkhall_gossip::Talk;
 use chalkhall_store::threads::End;
-use desk::{Desk, Taken, To};
+use dispatcher::{Dispatcher, PendingRequest, To};
 use serde_json::{Value, json};
 use servers::{Listed, ServerHandles};
 use std::cmp::Reverse;
@@ -47,21 +49,21 @@
 const HOPS: usize = 8;
 
 /// What stands beside the decisions, where it is turned on: own copies, the map of cells, talk with peers.
-pub struct Beside {
-    pub own: Option<Own>,
-    pub confined: Option<Confined>,
-    pub talk: Option<(Talk, Saying)>,
-    pub abroad: Option<Abroad>,
+pub struct Subsystems {
+    pub own: Option<LocalCache>,
+    pub confined: Option<CellRouting>,
+    pub talk: Option<(Talk, GossipSender)>,
+    pub abroad: Option<ZoneFailover>,
 }
 
 pub struct Decider {
     router: Router,
-    desk: Desk,
+    desk: Dispatcher,
     /// Places of own copies, until they have gone to the decisions with the first list.
     places: Vec<Member>,
-    confined: Option<Confined>,
+    confined: Option<CellRouting>,
     /// What is decided in common with the routers of all zones.
-    abroad: Option<Abroad>,
+    abroad: Option<ZoneFailover>,
     warm_within: Duration,
     limits: Limits,
     /// By class: whether its requests must not run twice.
@@ -73,7 +75,7 @@
     longest_advice: Option<Duration>,
     /// The list has changed since the talk with the peers took it over.
     peers_list_stale: bool,
-    nonsense: Brief,
+    nonsense: RateLimitedLog,
 }
 
 impl Decider {
@@ -88,21 +90,21 @@
         limits: Limits,
         phase: watch::Sender<Phase>,
         messages: mpsc::Sender<Message>,
-        beside: Beside,
+        beside: Subsystems,
     ) -> Decider {
-        let Beside {
+        let Subsystems {
             own,
             confined,
             talk,
             abroad,
         } = beside;
         let now = clock.now();
-        let places = own.as_ref().map(Own::members).unwrap_or_default();
+        let places = own.as_ref().map(LocalCache::members).unwrap_or_default();
         // What clients may hold, and some of each kind on their way out, is theirs.
         let connections_most = limits
             .sockets
             .saturating_sub(limits.sockets / 3 + DESCRIPTORS_BESIDE);
-        let mut desk = Desk {
+        let mut desk = Dispatcher {
             now,
             clock,
             requests: HashMap::new(),
@@ -125,7 +127,7 @@
             in_hand: 0,
             out: 0,
             object: OBJECT_MOST,
-            refused: Brief::default(),
+            refused: RateLimitedLog::default(),
             pace: deployment.client_kb_per_s.max(1e-9),
         };
         Decider {
@@ -151,7 +153,7 @@
                 .unwrap_or_default(),
             longest_advice: deployment.longest_advice,
             peers_list_stale: false,
-            nonsense: Brief::default(),
+            nonsense: RateLimitedLog::default(),
         }
     }
 
@@ -161,7 +163,7 @@
     pub async fn run(
         mut self,
         mut mailbox: mpsc::Receiver<Message>,
-        mut notices: mpsc::Receiver<Notice>,
+        mut notices: mpsc::Receiver<DiscoveryEvent>,
     ) {
         let mut due_at = self.desk.now;
         loop {
@@ -181,7 +183,7 @@
             let talk = self.desk.talk.as_ref().map(|(talk, _)| talk.next());
             let talk = talk
                 .into_iter()
-                .chain(self.abroad.as_ref().map(Abroad::next));
+                .chain(self.abroad.as_ref().map(ZoneFailover::next));
             let look = due
                 .into_iter()
                 .chain(phase.next_look(self.desk.now))
@@ -228,7 +230,7 @@
 
     /// What clients wait for: requests, and whether a slow reader has not taken all of its answers yet.
     fn open(&self) -> usize {
-        let waits = |taken: &&Taken| matches!(taken.client, Some(To::Client(_)));
+        let waits = |taken: &&PendingRequest| matches!(taken.client, Some(To::Client(_)));
         self.desk.requests.values().filter(waits).count() + usize::from(self.desk.in_hand > 0)
     }
 
@@ -240,8 +242,8 @@
             let Message::Request(new) = message else {
                 continue;
             };
-            let last = Last::Rejected(self.router.advice);
-            new.client.send(Reply {
+            let last = FinalAnswer::Rejected(self.router.advice);
+            new.client.send(ClientReply {
                 tag: new.tag,
                 id: new.arrival.id,
                 last,
@@ -249,11 +251,11 @@
         }
         let open: Vec<Id> = self.desk.requests.keys().cloned().collect();
         for id in open {
-            if self.desk.reply(&id, Last::Failed) {
+            if self.desk.reply(&id, FinalAnswer::Failed) {
                 self.router.left(self.desk.now, &id, &mut self.desk);
             }
         }
-        self.desk.own.take().into_iter().for_each(Own::close);
+        self.desk.own.take().into_iter().for_each(LocalCache::close);
         self.phase.send_replace(Phase::Ended);
     }
 
@@ -274,7 +276,7 @@
             Message::Request(new) => self.request(*new),
             Message::Left(id, tag, client) => {
                 // Another's request may bear the same id: it is not this client's to end.
-                let own = |taken: &&mut Taken| {
+                let own = |taken: &&mut PendingRequest| {
                     taken.tag == tag
                         && matches!(&taken.client, Some(To::Client(c)) if c.same_channel_as_sender(&client))
                 };
@@ -305,7 +307,7 @@
                 };
                 talk.heard(self.desk.now, from, &bytes, &mut self.router);
             }
-            Message::Question(Question { words, answer }) => {
+            Message::OperatorQuery(OperatorQuery { words, answer }) => {
                 // Who asked may have gone.
                 let _ = answer.send(self.say(&words));
             }
@@ -322,8 +324,8 @@
         self.settle();
     }
 
-    fn request(&mut self, new: New) {
-        let New {
+    fn request(&mut self, new: NewRequest) {
+        let NewRequest {
             mut arrival,
             passed,
             received_after,
@@ -336,8 +338,8 @@
             // It left before it was looked at.
             return;
         }
-        let refuse = |client: mpsc::OwnedPermit<Reply>, last| {
-            client.send(Reply {
+        let refuse = |client: mpsc::OwnedPermit<ClientReply>, last| {
+            client.send(ClientReply {
                 tag,
                 id: refused,
                 last,
@@ -345,7 +347,7 @@
         };
         if self.desk.requests.contains_key(&arrival.id) {
             self.nonsense.log("a request with an id that is in use");
-            return refuse(client, Last::Failed);
+            return refuse(client, FinalAnswer::Failed);
         }
         // Rather an early rejection than being killed for memory or losing count of what is open.
         let bodies = self.desk.in_hand as f64 + (self.desk.out + 1) as f64 * self.desk.object;
@@ -353,7 +355,7 @@
             own.beside(bodies);
         }
         if bodies > self.bodies_most || self.desk.requests.len() >= self.limits.open_requests {
-            return refuse(client, Last::Rejected(self.router.advice));
+            return refuse(client, FinalAnswer::Rejected(self.router.advice));
         }
         arrival.left = arrival
             .left
@@ -365,18 +367,18 @@
             // The client is told to come back when its tenant may, as far as it heeds that.
             return refuse(
                 client,
-                Last::Rejected(self.longest_advice.map(|longest| wait.min(longest))),
+                FinalAnswer::Rejected(self.longest_advice.map(|longest| wait.min(longest))),
             );
         }
         if let Some(abroad) = &mut self.abroad
             && abroad.request(self.desk.now, &mut arrival).is_err()
         {
-            return refuse(client, Last::Rejected(self.router.advice));
+            return refuse(client, FinalAnswer::Rejected(self.router.advice));
         }
         let (attempts, kept) = (Vec::new(), arrival.clone());
         let client = Some(To::Client(client));
         let begun = self.desk.now;
-        let taken = Taken {
+        let taken = PendingRequest {
             client,
             tag,
             wanted,
@@ -433,9 +435,9 @@
                 // The first attempt that is served is the client's answer.
                 let etag = answer.etag.clone();
                 let last = if answer.same {
-                    Last::Unchanged { etag }
+                    FinalAnswer::Unchanged { etag }
                 } else {
-                    Last::Served {
+                    FinalAnswer::Served {
                         etag,
                         body: answer.body.clone(),
                     }
@@ -567,8 +569,8 @@
         for (arrival, passed) in own.asks() {
             let (client, kept, attempts) = (Some(To::Store), arrival.clone(), Vec::new());
             let begun = self.desk.now;
-            let (tag, wanted, once) = (0, Wanted::default(), false);
-            let taken = Taken {
+            let (tag, wanted, once) = (0, CancellationFlag::default(), false);
+            let taken = PendingRequest {
                 client,
                 tag,
                 wanted,
@@ -595,22 +597,23 @@
                 .for_each(|a| a.answered(self.desk.now, class, begun, served));
         }
         for id in std::mem::take(&mut self.desk.answered) {
-            let over =
-                |taken: &Taken| taken.client.is_none() && taken.attempts.iter().all(|e| !e.open);
+            let over = |taken: &PendingRequest| {
+                taken.client.is_none() && taken.attempts.iter().all(|e| !e.open)
+            };
             if self.desk.requests.get(&id).is_some_and(over) {
                 self.desk.requests.remove(&id);
             }
         }
     }
 
-    pub fn notice(&mut self, notice: Notice) {
+    pub fn notice(&mut self, notice: DiscoveryEvent) {
         let now = self.desk.clock.now();
         match notice {
-            Notice::Drained(places) => self
+            DiscoveryEvent::Drained(places) => self
                 .abroad
                 .iter_mut()
                 .for_each(|abroad| abroad.drain(&places)),
-            Notice::Cells(plan) => {
+            DiscoveryEvent::Cells(plan) => {
                 let (Some(confined), epoch) = (&mut self.confined, plan.epoch()) else {
                     return;
                 };
@@ -626,15 +629,15 @@
                     }
                 }
             }
-            Notice::Heard => self.desk.own.iter_mut().for_each(Own::heard),
-            Notice::Purge { object, group, ms } => {
+            DiscoveryEvent::Heard => self.desk.own.iter_mut().for_each(LocalCache::heard),
+            DiscoveryEvent::Purge { object, group, ms } => {
                 let ago = now.saturating_sub(self.desk.clock.at_unix_ms(ms));
                 if let Some(own) = &mut self.desk.own {
                     own.purged(object.as_ref(), group, ms);
                 }
                 self.router.purged(now, object, group, ago);
             }
-            Notice::List { whole, members } => {
+            DiscoveryEvent::List { whole, members } => {
                 let kind = if whole {
                     ListKind::Whole
                 } else {
--- a/crates/router/src/decider/desk.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -1,12 +1,12 @@
 //! Where the orders of the decisions are carried out, and what stands open there.
 
 use super::servers::ServerHandles;
-use crate::brief::Brief;
 use crate::clock::Clock;
-use crate::lines::{Answer, Passed};
-use crate::messages::{Ask, Ended, Last, Order, Reply, Wanted};
-use crate::own::Own;
-use crate::peers::Saying;
+use crate::gossip_socket::GossipSender;
+use crate::local_cache::LocalCache;
+use crate::messages::{Ask, CancellationFlag, ClientReply, Ended, FinalAnswer, ServerCommand};
+use crate::rate_limited_log::RateLimitedLog;
+use crate::server_protocol::{Answer, ForwardedFields};
 use chalkhall::interface::{Arrival, Fill, Held, Id, Outcome, Outlet};
 use chalkhall_gossip::Talk;
 use std::cmp::Reverse;
@@ -16,17 +16,17 @@
 
 /// Who waits for a final answer: a client, or the store, which is told by other ways.
 pub(super) enum To {
-    Client(mpsc::OwnedPermit<Reply>),
+    Client(mpsc::OwnedPermit<ClientReply>),
     Store,
 }
 
 /// Of a request: to whom its final answer goes, until it has gone, and its attempts.
-pub(super) struct Taken {
+pub(super) struct PendingRequest {
     pub(super) client: Option<To>,
     pub(super) tag: u64,
-    pub(super) wanted: Wanted,
+    pub(super) wanted: CancellationFlag,
     pub(super) arrival: Arrival,
-    pub(super) passed: Passed,
+    pub(super) passed: ForwardedFields,
     /// It must not run twice.
     pub(super) once: bool,
     pub(super) begun: Duration,
@@ -35,17 +35,17 @@
 
 pub(super) struct Attempt {
     /// None: the list does not hold it.
-    pub(super) server: Option<mpsc::Sender<Order>>,
+    pub(super) server: Option<mpsc::Sender<ServerCommand>>,
     pub(super) at: Id,
     pub(super) sent: Duration,
     pub(super) open: bool,
 }
 
 /// Where the orders of the decisions are carried out.
-pub(super) struct Desk {
+pub(super) struct Dispatcher {
     pub(super) now: Duration,
     pub(super) clock: Clock,
-    pub(super) requests: HashMap<Id, Taken>,
+    pub(super) requests: HashMap<Id, PendingRequest>,
     pub(super) servers: ServerHandles,
     pub(super) timers: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Attempts that ended here: not handed on, or answered from an own copy; and requests to be forgotten
@@ -54,9 +54,9 @@
     pub(super) answered: Vec<Id>,
     /// Of clients' requests: class, when it came, and whether it was served.
     pub(super) finals: Vec<(usize, Duration, bool)>,
-    pub(super) own: Option<Own>,
+    pub(super) own: Option<LocalCache>,
     /// What is told to the other routers of the zone, and how it gets to them.
-    pub(super) talk: Option<(Talk, Saying)>,
+    pub(super) talk: Option<(Talk, GossipSender)>,
     /// What a request is being served with.
     pub(super) brought: Option<(Id, Box<Answer>)>,
     /// A first byte leaves this soon after its decision, or not at all.
@@ -66,32 +66,35 @@
     pub(super) in_hand: usize,
     pub(super) out: usize,
     pub(super) object: f64,
-    pub(super) refused: Brief,
+    pub(super) refused: RateLimitedLog,
     /// KB a second of one answer.
     pub(super) pace: f64,
 }
 
-impl Desk {
+impl Dispatcher {
     /// False: there is nobody any more who waits for it.
-    pub(super) fn reply(&mut self, id: &Id, last: Last) -> bool {
+    pub(super) fn reply(&mut self, id: &Id, last: FinalAnswer) -> bool {
         let Some(taken) = self.requests.get_mut(id) else {
             return false;
         };
         let Some(to) = taken.client.take() else {
             return false;
         };
-        let bytes = if let Last::Served { body, .. } = &last {
+        let bytes = if let FinalAnswer::Served { body, .. } = &last {
             body.len()
         } else {
             0
         };
         if let To::Client(_) = to {
-            let served = matches!(last, Last::Served { .. } | Last::Unchanged { .. });
+            let served = matches!(
+                last,
+                FinalAnswer::Served { .. } | FinalAnswer::Unchanged { .. }
+            );
             self.finals.push((taken.arrival.class, taken.begun, served));
         }
         taken.wanted.end();
         if let To::Client(client) = to {
-            client.send(Reply {
+            client.send(ClientReply {
                 tag: taken.tag,
                 id: id.clone(),
                 last,
@@ -103,7 +106,7 @@
     }
 }
 
-impl Outlet for Desk {
+impl Outlet for Dispatcher {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let Some(taken) = self.requests.get_mut(request) else {
             return;
@@ -144,7 +147,7 @@
         let post = self.servers.orders_to(server);
         if post
             .as_ref()
-            .is_none_or(|orders| orders.try_send(Order::Ask(ask)).is_err())
+            .is_none_or(|orders| orders.try_send(ServerCommand::Ask(ask)).is_err())
         {
             self.refused.log(&format!(
                 "an attempt for {server}, which is not listed or takes no more orders"
@@ -165,11 +168,11 @@
     }
 
     fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.reply(request, Last::Rejected(advice));
+        self.reply(request, FinalAnswer::Rejected(advice));
     }
 
     fn fail(&mut self, request: &Id) {
-        self.reply(request, Last::Failed);
+        self.reply(request, FinalAnswer::Failed);
     }
 
     fn cancel(&mut self, request: &Id, attempt: usize) {
@@ -185,7 +188,7 @@
         let out = attempts.and_then(|e| e.get(attempt)).filter(|e| e.open);
         if let Some(server) = out.and_then(|out| out.server.as_ref()) {
             // Where this fails the attempt ends by its own time.
-            let _ = server.try_send(Order::Quit((request.clone(), attempt)));
+            let _ = server.try_send(ServerCommand::Quit((request.clone(), attempt)));
         }
     }
 
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -1,8 +1,8 @@
 //! The listed servers as the decider reaches them: where each is, and the mailbox of its actor while it has
 //! one.
 
-use crate::messages::Order;
-use crate::server::ServerActors;
+use crate::messages::ServerCommand;
+use crate::server_pool::ServerActors;
 use chalkhall::interface::Id;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 /// A listed server.
 struct ServerHandle {
     /// Of its actor; none: it has none, until something is sent.
-    orders: Option<mpsc::Sender<Order>>,
+    orders: Option<mpsc::Sender<ServerCommand>>,
     address: SocketAddr,
     started: Option<Duration>,
     connections_most: usize,
@@ -50,7 +50,7 @@
     }
 
     /// The mailbox of a listed server's actor, which is started where there is none.
-    pub(super) fn orders_to(&mut self, server: &Id) -> Option<mpsc::Sender<Order>> {
+    pub(super) fn orders_to(&mut self, server: &Id) -> Option<mpsc::Sender<ServerCommand>> {
         let handle = self.handles.get_mut(server)?;
         if handle.orders.as_ref().is_none_or(mpsc::Sender::is_closed) {
             let orders = self
@@ -93,9 +93,9 @@
         (handle.address, handle.started) = (address, started);
         // One that takes no more orders would go on at the old address, or on connections from before the
         // start: what is out there ends with it, and one of its own follows it.
-        let moved = |orders: &mut mpsc::Sender<Order>| {
+        let moved = |orders: &mut mpsc::Sender<ServerCommand>| {
             orders
-                .try_send(Order::Anew {
+                .try_send(ServerCommand::Reconnect {
                     dial: address,
                     started: started_at,
                 })
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -1,9 +1,9 @@
 //! Actors of servers come and go; paused time orders the events.
 
 use super::*;
-use crate::lines::Passed;
-use crate::messages::{Ask, Ended, Message, Wanted};
-use crate::server::{ConnectionPlaces, ENDS_AFTER};
+use crate::messages::{Ask, CancellationFlag, Ended, Message};
+use crate::server_pool::{ConnectionPlaces, ENDS_AFTER};
+use crate::server_protocol::ForwardedFields;
 use bytes::Bytes;
 use chalkhall::interface::{Fill, Outcome};
 use std::rc::Rc;
@@ -38,13 +38,13 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-fn ask(id: &str) -> Order {
+fn ask(id: &str) -> ServerCommand {
     let due = Instant::now() + LONG;
-    let passed = Passed {
+    let passed = ForwardedFields {
         id: Bytes::copy_from_slice(id.as_bytes()),
-        ..Passed::default()
+        ..ForwardedFields::default()
     };
-    let (key, server, wanted) = ((id.into(), 0), Id::from("a"), Wanted::default());
+    let (key, server, wanted) = ((id.into(), 0), Id::from("a"), CancellationFlag::default());
     let fill = Fill {
         source: server.clone(),
         rank: 0,
@@ -54,7 +54,7 @@
         parent_keeps: true,
         renew: false,
     };
-    Order::Ask(Box::new(Ask {
+    ServerCommand::Ask(Box::new(Ask {
         key,
         passed,
         server,
@@ -84,7 +84,11 @@
         assert_eq!(handles.with_actor(), 0, "nothing was sent to any");
         let begun = Instant::now();
         let orders = handles.orders_to(&names[1]).expect("it is listed");
-        assert!(orders.try_send(Order::Quit(("x".into(), 0))).is_ok());
+        assert!(
+            orders
+                .try_send(ServerCommand::Quit(("x".into(), 0)))
+                .is_ok()
+        );
         assert!(
             orders.same_channel(&handles.orders_to(&names[1]).unwrap()),
             "one actor a server"
@@ -138,7 +142,7 @@
             handles
                 .orders_to(&name)
                 .unwrap()
-                .try_send(Order::Quit(("x".into(), 0)))
+                .try_send(ServerCommand::Quit(("x".into(), 0)))
                 .ok()
                 .unwrap();
             sleep_until(last + ENDS_AFTER).await;
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,8 +1,8 @@
 //! The decider by itself, without sockets.
 
 use super::*;
-use crate::lines::Passed;
-use crate::messages::{Ask, Order};
+use crate::messages::{Ask, ServerCommand};
+use crate::server_protocol::ForwardedFields;
 use chalkhall::interface::Arrival;
 
 fn decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
@@ -21,7 +21,7 @@
         longest_advice: Some(Duration::from_millis(90)),
         ..Deployment::default()
     };
-    let beside = Beside {
+    let beside = Subsystems {
         own: None,
         confined: None,
         talk: None,
@@ -35,7 +35,7 @@
     )
 }
 
-fn new(tag: u64, client: &mpsc::Sender<Reply>) -> New {
+fn new(tag: u64, client: &mpsc::Sender<ClientReply>) -> NewRequest {
     let id: Id = format!("{tag:016x}").as_str().into();
     let left = Duration::from_secs(4);
     let arrival = Arrival {
@@ -46,13 +46,13 @@
         ..Arrival::default()
     };
     let client = client.clone().try_reserve_owned().unwrap();
-    New {
+    NewRequest {
         arrival,
-        passed: Passed::default(),
+        passed: ForwardedFields::default(),
         received_after: Duration::ZERO,
         tag,
         client,
-        wanted: Wanted::default(),
+        wanted: CancellationFlag::default(),
     }
 }
 
@@ -80,7 +80,7 @@
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
         assert!(
-            matches!(reply.last, Last::Rejected(Some(wait)) if wait == Duration::from_millis(90))
+            matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == Duration::from_millis(90))
         );
     }
     assert!(
@@ -129,19 +129,22 @@
                 started,
                 ..Member::default()
             };
-            decider.notice(Notice::List {
+            decider.notice(DiscoveryEvent::List {
                 whole: false,
                 members: vec![(member, dial)],
             });
             decider.desk.servers.orders_to(&id).expect("it is listed")
         };
         let before = list(old, None);
-        while before.try_send(Order::Quit((id.clone(), 0))).is_ok() {}
+        while before
+            .try_send(ServerCommand::Quit((id.clone(), 0)))
+            .is_ok()
+        {}
         assert_eq!(before.capacity(), 0);
         let after = list(new, Some(Duration::from_secs(1)));
         drop(before);
         let due = tokio::time::Instant::now() + Duration::from_secs(5);
-        let wanted = Wanted::default();
+        let wanted = CancellationFlag::default();
         let fill = interface::Fill {
             source: id.clone(),
             rank: 0,
@@ -153,7 +156,7 @@
         };
         let ask = Ask {
             key: (id.clone(), 0),
-            passed: Passed::default(),
+            passed: ForwardedFields::default(),
             server: id.clone(),
             fill,
             once: true,
@@ -162,7 +165,7 @@
             leave_by: due,
         };
         assert!(
-            after.try_send(Order::Ask(Box::new(ask))).is_ok(),
+            after.try_send(ServerCommand::Ask(Box::new(ask))).is_ok(),
             "it takes no orders"
         );
         tokio::select! {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Follows discovery: events in order, none twice, none left out.
 
 use crate::clock::Clock;
+use crate::discovery_events::{DiscoveryEvent, Places, numbered};
 use crate::io_errors::{retry_at_once, set_nodelay};
-use crate::notices::{Notice, Places, numbered};
-use crate::stamps::EventTimes;
+use crate::timestamps::EventTimes;
 use crate::uninterrupted::Uninterrupted;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     pub clock: Clock,
     /// What bounds the stamps of the events.
     pub times: EventTimes,
-    pub decider: mpsc::Sender<Notice>,
+    pub decider: mpsc::Sender<DiscoveryEvent>,
     /// Spreads the tries of a whole fleet that lost its discovery service in one moment.
     pub chance: fastrand::Rng,
     /// The descriptor of the next connection, held from before the first client on: when idle ones have taken
@@ -55,13 +55,13 @@
 }
 
 /// What a configuration read anew says of discovery.
-pub struct Anew {
+pub struct NewDiscovery {
     pub address: SocketAddr,
-    pub known: Vec<(u64, Option<Notice>)>,
+    pub known: Vec<(u64, Option<DiscoveryEvent>)>,
 }
 
 impl Discovery {
-    pub async fn run(mut self, mut anew: mpsc::Receiver<Anew>) {
+    pub async fn run(mut self, mut anew: mpsc::Receiver<NewDiscovery>) {
         let (mut pause, mut silent, mut said) = (PAUSE, None, String::new());
         while !self.decider.is_closed() {
             let before = self.last;
@@ -109,7 +109,7 @@
         pause.mul_f64(1.0 - self.chance.f64() / 2.0)
     }
 
-    async fn take(&mut self, anew: Anew) {
+    async fn take(&mut self, anew: NewDiscovery) {
         if self.address.is_ipv4() != anew.address.is_ipv4() {
             self.spare = socket(anew.address).ok();
         }
@@ -129,7 +129,7 @@
     }
 
     /// Given up while it waits, it has passed nothing and counts nothing.
-    async fn pass(&mut self, number: u64, notice: Option<Notice>) -> Result<(), String> {
+    async fn pass(&mut self, number: u64, notice: Option<DiscoveryEvent>) -> Result<(), String> {
         let place = self
             .decider
             .reserve()
@@ -202,7 +202,7 @@
             }
             self.times.nothing_newer();
             // Where it finds no place the next one will.
-            let _ = self.decider.try_send(Notice::Heard);
+            let _ = self.decider.try_send(DiscoveryEvent::Heard);
             return Ok(true);
         }
         let number = value
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -81,7 +81,7 @@
         let known = if file_knows {
             vec![(
                 2,
-                Some(Notice::Purge {
+                Some(DiscoveryEvent::Purge {
                     object: None,
                     group: 2,
                     ms: 5,
@@ -90,7 +90,7 @@
         } else {
             vec![]
         };
-        anew.send(Anew {
+        anew.send(NewDiscovery {
             address: b.local_addr().unwrap(),
             known,
         })
@@ -98,7 +98,7 @@
         .unwrap();
         let mut groups = Vec::new();
         let mut take = |notice| match notice {
-            Some(Notice::Purge { group, .. }) => groups.push(group),
+            Some(DiscoveryEvent::Purge { group, .. }) => groups.push(group),
             Some(_) => {}
             None => panic!("it has ended"),
         };
@@ -112,7 +112,7 @@
             .await
             .unwrap();
         while groups.last() != Some(&3) {
-            let Some(Notice::Purge { group, .. }) = notices.recv().await else {
+            let Some(DiscoveryEvent::Purge { group, .. }) = notices.recv().await else {
                 panic!("not a purge")
             };
             groups.push(group);
@@ -132,7 +132,7 @@
 }
 
 /// What the router is told next, with no time passing.
-async fn noticed(notices: &mut mpsc::Receiver<Notice>) -> Notice {
+async fn noticed(notices: &mut mpsc::Receiver<DiscoveryEvent>) -> DiscoveryEvent {
     loop {
         match notices.try_recv() {
             Ok(notice) => return notice,
@@ -169,7 +169,7 @@
         listener.set_nonblocking(true).unwrap();
         for _ in 0..3600 {
             stream.write_all(b"0\n").unwrap();
-            assert!(matches!(noticed(&mut notices).await, Notice::Heard));
+            assert!(matches!(noticed(&mut notices).await, DiscoveryEvent::Heard));
             advance(Duration::from_secs(1)).await;
         }
         assert!(listener.accept().is_err(), "watched anew in the quiet hour");
@@ -200,7 +200,10 @@
         let drain = "{\"rev\":1,\"pool\":{\"hosts\":[{\"host\":\"c1\",\"dial\":\"127.0.0.1:9\",\
             \"site\":\"here\",\"class\":\"cache\",\"health\":\"leaving\"}]}}\n";
         stream.write_all(drain.as_bytes()).unwrap();
-        assert!(matches!(noticed(&mut notices).await, Notice::List { .. }));
+        assert!(matches!(
+            noticed(&mut notices).await,
+            DiscoveryEvent::List { .. }
+        ));
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
@@ -233,8 +236,8 @@
             stream.write_all(said.as_bytes()).await.unwrap();
             loop {
                 match notices.recv().await.expect("it goes on") {
-                    Notice::Purge { ms, .. } => return ms,
-                    Notice::Heard => {}
+                    DiscoveryEvent::Purge { ms, .. } => return ms,
+                    DiscoveryEvent::Heard => {}
                     _ => panic!("not a purge"),
                 }
             }
--- a/crates/router/src/notices.rs
+++ b/crates/router/src/discovery_events.rs
@@ -1,7 +1,7 @@
 //! What discovery tells: changes of the list of servers, and purges. Pure: no I/O.
 
+use crate::cell_routing::Plan;
 use crate::clock::Clock;
-use crate::confined::Plan;
 use chalkhall::interface::{Id, Member, Standing, Tier};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 }
 
 #[derive(Debug)]
-pub enum Notice {
+pub enum DiscoveryEvent {
     /// By SIGHUP: these zones are emptied.
     Drained(Vec<usize>),
     List {
@@ -39,7 +39,7 @@
     event: &Value,
     places: &Places,
     clock: &Clock,
-) -> Result<(u64, Option<Notice>), String> {
+) -> Result<(u64, Option<DiscoveryEvent>), String> {
     let number = event
         .get("rev")
         .and_then(Value::as_u64)
@@ -55,7 +55,7 @@
                 .iter()
                 .map(|e| member(e, places, clock))
                 .collect::<Result<_, _>>()?;
-            Some(Notice::List { whole, members })
+            Some(DiscoveryEvent::List { whole, members })
         }
         (_, Some(purge)) => {
             let object = purge.get("asset").and_then(Value::as_str).map(Id::from);
@@ -67,7 +67,7 @@
                 .get("ms")
                 .and_then(Value::as_u64)
                 .ok_or("flush.ms is not a whole number")?;
-            Some(Notice::Purge {
+            Some(DiscoveryEvent::Purge {
                 object,
                 group: group.unwrap_or(0),
                 ms,
--- a/crates/router/src/notices/tests.rs
+++ b/crates/router/src/discovery_events/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn read(text: &str) -> Result<(u64, Option<Notice>), String> {
+fn read(text: &str) -> Result<(u64, Option<DiscoveryEvent>), String> {
     numbered(
         &serde_json::from_str(text).unwrap(),
         &places(),
@@ -27,7 +27,7 @@
 
 #[test]
 fn lists_and_purges_are_read() {
-    let (number, Some(Notice::List { whole, members })) = read(HOST).unwrap() else {
+    let (number, Some(DiscoveryEvent::List { whole, members })) = read(HOST).unwrap() else {
         panic!("no list")
     };
     assert_eq!((number, whole, members.len()), (41, true, 1));
@@ -40,7 +40,7 @@
         (member.started, dial.port(), member.capacity),
         (None, 5050, 4.0)
     );
-    let (_, Some(Notice::Purge { object, group, ms })) =
+    let (_, Some(DiscoveryEvent::Purge { object, group, ms })) =
         read(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#).unwrap()
     else {
         panic!("no purge")
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -3,12 +3,12 @@
 //! any datagram may be: whoever waits for a place in the decider's mailbox goes before it. Who is not in the
 //! list is dropped here.
 
-use crate::brief::Brief;
-use crate::connection::at;
+use crate::configuration::Peers;
 use crate::io_errors::{DatagramFailure, INTERRUPTIONS_MOST};
 use crate::listener::bind_with;
 use crate::messages::Message;
-use crate::told::Peers;
+use crate::rate_limited_log::RateLimitedLog;
+use crate::server_connection::at;
 use chalkhall_gossip::codec::MOST_BYTES;
 use chalkhall_gossip::{Mouth, To};
 use std::collections::HashMap;
@@ -28,18 +28,18 @@
 
 /// What is to be said, for the socket's actor.
 #[derive(Clone)]
-pub struct Saying(mpsc::Sender<(To, Vec<u8>)>);
+pub struct GossipSender(mpsc::Sender<(To, Vec<u8>)>);
 
-impl Mouth for Saying {
+impl Mouth for GossipSender {
     fn say(&mut self, to: To, bytes: &[u8]) {
         let _ = self.0.try_send((to, bytes.to_vec()));
     }
 }
 
 /// The mouth of a socket's actor, and what it is to carry.
-pub fn saying() -> (Saying, mpsc::Receiver<(To, Vec<u8>)>) {
+pub fn saying() -> (GossipSender, mpsc::Receiver<(To, Vec<u8>)>) {
     let (sender, receiver) = mpsc::channel(MOST);
-    (Saying(sender), receiver)
+    (GossipSender(sender), receiver)
 }
 
 /// A socket of datagrams, or what stands for it in a test.
@@ -102,7 +102,7 @@
     decider: mpsc::Sender<Message>,
 ) {
     let numbers: HashMap<SocketAddr, u64> = peers.each.iter().copied().zip(0..).collect();
-    let mut strangers = Brief::default();
+    let mut strangers = RateLimitedLog::default();
     // One byte more than there may be tells what is too long from what is not.
     let mut buffer = [0; MOST_BYTES + 1];
     let (mut pause, mut failed_in_a_row) = (None, 0);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,57 +1,57 @@
 //! One router on real sockets. Every decision is `chalkhall::control`'s; `serve` runs it.
 
-mod abroad;
 mod backoff;
 mod boot_time;
-mod brief;
-mod client;
+pub mod cell_routing;
+mod client_connection;
+mod client_protocol;
 mod clock;
-pub mod confined;
-mod connection;
+mod configuration;
 mod control_socket;
 mod decider;
 mod discovery;
-mod event_loop;
+mod discovery_events;
+mod gossip_socket;
 mod io_errors;
-mod lines;
+mod latency_probes;
+mod lifecycle;
 mod listener;
-pub mod logs;
+pub mod local_cache;
+pub mod logging;
 mod messages;
-mod notices;
-pub mod own;
-mod peers;
-mod phase;
-mod probes;
-mod resp;
-mod server;
-mod stamps;
-mod told;
+mod rate_limited_log;
+mod scheduling_delay;
+mod server_connection;
+mod server_pool;
+mod server_protocol;
+mod timestamps;
 mod uninterrupted;
+mod zone_failover;
 
-use abroad::Abroad;
+use cell_routing::CellRouting;
 use chalkhall_config::Told as Directives;
 use chalkhall_gossip::{About, Talk};
 use chalkhall_store::threads::End;
-use client::Door;
+use client_connection::ClientFrontend;
 use clock::Clock;
-use confined::Confined;
-use decider::{Beside, Decider};
-use discovery::{Anew, Discovery};
+use configuration::Configuration;
+use decider::{Decider, Subsystems};
+use discovery::{Discovery, NewDiscovery};
+use discovery_events::DiscoveryEvent;
 use io_errors::retry_at_once;
+use lifecycle::Phase;
+use local_cache::LocalCache;
 use messages::Message;
-use notices::Notice;
-use own::Own;
-use phase::Phase;
-use stamps::EventTimes;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
+use timestamps::EventTimes;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, timeout_at};
-use told::Told;
+use zone_failover::ZoneFailover;
 
 /// Messages waiting for the decisions. Who brings more waits, and reads nothing meanwhile.
 const MESSAGES_MOST: usize = 256;
@@ -67,8 +67,8 @@
     let clock = Clock::start();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .on_thread_park(event_loop::before_wait)
-        .on_thread_unpark(event_loop::after_wait)
+        .on_thread_park(scheduling_delay::before_wait)
+        .on_thread_unpark(scheduling_delay::after_wait)
         .build()
         .map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, run(clock, directives, file))
@@ -76,14 +76,14 @@
 
 /// For the disk of own copies to be closed, from the end of the decisions on: a kill may come soon after.
 const DISK_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-const _: () = assert!(DISK_CLOSE_TIMEOUT.as_millis() + 50 <= phase::FINAL_WRITES.as_millis());
+const _: () = assert!(DISK_CLOSE_TIMEOUT.as_millis() + 50 <= lifecycle::FINAL_WRITES.as_millis());
 
-fn read(clock: &Clock) -> Result<Told, String> {
-    told::told(|name| std::env::var(name).ok(), clock)
+fn read(clock: &Clock) -> Result<Configuration, String> {
+    configuration::told(|name| std::env::var(name).ok(), clock)
 }
 
 async fn run(clock: Clock, directives: Directives, file: Option<PathBuf>) -> Result<(), String> {
-    // Taken up before all else: by default either signal ends the program where it stands.
+    // PendingRequest up before all else: by default either signal ends the program where it stands.
     let listen_to = |kind| signal(kind).map_err(|e| e.to_string());
     let (stop, reload) = (
         listen_to(SignalKind::terminate())?,
@@ -93,7 +93,7 @@
     let (phase_of, phase) = watch::channel(Phase::Starting);
     let (decider, mailbox) = mpsc::channel(MESSAGES_MOST);
     let (limits, serving) = (told.limits.clone(), phase_of.clone());
-    let (own, disk) = Own::open(&directives.store, &told, clock)?.unzip();
+    let (own, disk) = LocalCache::open(&directives.store, &told, clock)?.unzip();
     let disk = disk
         .flatten()
         .map(|ends| spawn_local(pass_on(ends, decider.clone())));
@@ -105,7 +105,7 @@
         .map(|class| class.deadline.max(class.window));
     let settle = lasts.max().unwrap_or_default();
     let (zone, by_customer) = (deployment.zone, !deployment.customers.is_empty());
-    let confined = Confined::new(
+    let confined = CellRouting::new(
         &directives.cells,
         &told.classes,
         zone,
@@ -135,9 +135,11 @@
             }
             Some(talk)
         });
-    let (saying, sayings) = peers::saying();
+    let (saying, sayings) = gossip_socket::saying();
     let socket_of_peers = match &told.peers {
-        Some(peers) if talk.is_some() || directives.regions.in_common => peers::bind(peers).await,
+        Some(peers) if talk.is_some() || directives.regions.in_common => {
+            gossip_socket::bind(peers).await
+        }
         _ => None,
     };
     if directives.regions.in_common && socket_of_peers.is_none() {
@@ -148,9 +150,9 @@
     let talk = talk
         .filter(|_| socket_of_peers.is_some())
         .map(|talk| (talk, saying.clone()));
-    let (probes, to_probe) = mpsc::channel(probes::PROBES_MOST);
+    let (probes, to_probe) = mpsc::channel(latency_probes::PROBES_MOST);
     let abroad = match socket_of_peers {
-        Some(_) => Abroad::new(
+        Some(_) => ZoneFailover::new(
             clock,
             &directives.regions,
             deployment,
@@ -160,7 +162,7 @@
         )?,
         None => None,
     };
-    let beside = Beside {
+    let beside = Subsystems {
         own,
         confined,
         talk,
@@ -214,7 +216,7 @@
     log::info!("{} serves on {}", told.name, told.listen);
     // Clients hold a third of the descriptors at most; a few more may be on their way out.
     let most = told.limits.sockets / 3;
-    let door = Rc::new(Door {
+    let door = Rc::new(ClientFrontend {
         classes: told.classes.clone(),
         tenants: told.tenants.clone(),
         kb_per_s: told.deployment.client_kb_per_s,
@@ -222,14 +224,14 @@
         clock,
     });
     if let Some((socket, peers)) = socket_of_peers.zip(told.peers.clone()) {
-        spawn_local(peers::run(socket, peers, sayings, decider.clone()));
+        spawn_local(gossip_socket::run(socket, peers, sayings, decider.clone()));
     }
-    spawn_local(probes::run(to_probe, decider.clone()));
+    spawn_local(latency_probes::run(to_probe, decider.clone()));
     if let Some(questions) = questions {
         spawn_local(control_socket::run(questions, decider.clone()));
     }
     let name = told.name.clone();
-    let again = Again {
+    let again = ConfigurationReloader {
         told,
         file,
         clock,
@@ -258,7 +260,7 @@
     }
 }
 
-/// Hands on how the disk's orders ended, until its threads have.
+/// ConnectionPool on how the disk's orders ended, until its threads have.
 async fn pass_on(mut ends: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
     while let Some(end) = ends.recv().await {
         let _ = decider.send(Message::Disk(end)).await;
@@ -273,12 +275,12 @@
 
 /// What is read anew at each SIGHUP, and to whom it goes. Of a configuration or a file that is faulty nothing
 /// counts.
-struct Again {
-    told: Told,
+struct ConfigurationReloader {
+    told: Configuration,
     file: Option<PathBuf>,
     clock: Clock,
-    discovery: mpsc::Sender<Anew>,
-    cells: mpsc::Sender<Notice>,
+    discovery: mpsc::Sender<NewDiscovery>,
+    cells: mpsc::Sender<DiscoveryEvent>,
     spare: Cell<Option<std::fs::File>>,
 }
 
@@ -287,7 +289,7 @@
     retry_at_once(|| std::fs::File::open("/dev/null")).ok()
 }
 
-impl Again {
+impl ConfigurationReloader {
     async fn run(self, mut reload: Signal) {
         while reload.recv().await.is_some() {
             self.configuration().await;
@@ -323,7 +325,7 @@
         };
         let _ = self
             .discovery
-            .send(Anew {
+            .send(NewDiscovery {
                 address: anew.discovery,
                 known,
             })
@@ -341,15 +343,15 @@
                 faults.len()
             );
         }
-        match abroad::places(&self.told.places.zones, &directives.regions.drained) {
-            Ok(drained) => drop(self.cells.send(Notice::Drained(drained)).await),
+        match zone_failover::places(&self.told.places.zones, &directives.regions.drained) {
+            Ok(drained) => drop(self.cells.send(DiscoveryEvent::Drained(drained)).await),
             Err(what) => log::warn!("the operator's file is not taken over: {what}"),
         }
         if directives.cells.cells.is_empty() {
             return;
         }
-        match confined::plan(&directives.cells, &self.told.classes) {
-            Ok(plan) => drop(self.cells.send(Notice::Cells(Box::new(plan))).await),
+        match cell_routing::plan(&directives.cells, &self.told.classes) {
+            Ok(plan) => drop(self.cells.send(DiscoveryEvent::Cells(Box::new(plan))).await),
             Err(what) => log::warn!("the map of cells is not taken over: {what}"),
         }
     }
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -1,12 +1,12 @@
 //! Takes clients' connections, gives their places to those who ask, and waits for the last answers at the
 //! end.
 
-use crate::brief::Brief;
-use crate::client::{Client, Door};
-use crate::connection::at;
+use crate::client_connection::{Client, ClientFrontend};
 use crate::io_errors::{AcceptFailure, is_momentary};
+use crate::lifecycle::Phase;
 use crate::messages::{Message, Place, Word};
-use crate::phase::Phase;
+use crate::rate_limited_log::RateLimitedLog;
+use crate::server_connection::at;
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
 use std::io;
@@ -231,13 +231,14 @@
 pub async fn run(
     listener: impl Accept,
     most: usize,
-    door: Rc<Door>,
+    door: Rc<ClientFrontend>,
     decider: mpsc::Sender<Message>,
     mut phase: watch::Receiver<Phase>,
 ) {
     let (mut clients, mut places) = (JoinSet::new(), Places::default());
     let (says, mut words) = mpsc::channel(WORDS_MOST);
-    let (mut numbers, mut refused, phase_of) = (HashMap::new(), Brief::default(), phase.clone());
+    let (mut numbers, mut refused, phase_of) =
+        (HashMap::new(), RateLimitedLog::default(), phase.clone());
     // After a failed accept: none before then. Clients' words are heard meanwhile, lest they wait with
     // theirs.
     let (mut pause, mut failed_in_a_row) = (None, 0);
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -86,7 +86,7 @@
         let (decider, _mailbox) = mpsc::channel(8);
         let clock = crate::clock::Clock::start();
         let (classes, tenants) = (vec!["page".to_owned()], Vec::new());
-        let door = Rc::new(Door {
+        let door = Rc::new(ClientFrontend {
             classes,
             tenants,
             kb_per_s: 0.0,
@@ -156,7 +156,7 @@
     let (decider, _mailbox) = mpsc::channel(8);
     let clock = crate::clock::Clock::start();
     let (classes, tenants) = (vec!["page".to_owned()], Vec::new());
-    let door = Rc::new(Door {
+    let door = Rc::new(ClientFrontend {
         classes,
         tenants,
         kb_per_s: 0.0,
--- a/crates/router/src/own.rs
+++ b/crates/router/src/local_cache.rs
@@ -3,10 +3,10 @@
 
 use crate::boot_time::BootTime;
 use crate::clock::Clock;
-use crate::lines::{Answer, Passed};
+use crate::configuration::Configuration;
 use crate::messages::Key;
-use crate::stamps::CopyTimes;
-use crate::told::Told;
+use crate::server_protocol::{Answer, ForwardedFields};
+use crate::timestamps::CopyTimes;
 use bytes::Bytes;
 use chalkhall::interface::{
     Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier,
@@ -46,7 +46,7 @@
     ms: u64,
 }
 
-pub struct Own {
+pub struct LocalCache {
     store: Store,
     shelf: Shelf,
     clock: Clock,
@@ -65,18 +65,22 @@
     waiting: HashMap<u64, Key>,
 }
 
-/// Own copies, and with a disk how its orders end.
-pub type Opened = (Own, Option<mpsc::Receiver<End>>);
+/// LocalCache copies, and with a disk how its orders end.
+pub type Opened = (LocalCache, Option<mpsc::Receiver<End>>);
 
 /// What became of an attempt at an own copy.
 pub type Got = (Outcome, Option<Box<Answer>>);
 
-impl Own {
+impl LocalCache {
     /// None: no own copies are wanted. With a disk also the ends of what it is ordered, for `ended`.
     ///
     /// # Errors
     /// What is wanted cannot be, and which directive says so.
-    pub fn open(wishes: &Wishes, told: &Told, clock: Clock) -> Result<Option<Opened>, String> {
+    pub fn open(
+        wishes: &Wishes,
+        told: &Configuration,
+        clock: Clock,
+    ) -> Result<Option<Opened>, String> {
         if wishes.memory.is_none() && wishes.disk.is_none() {
             return Ok(None);
         }
@@ -109,7 +113,7 @@
             .classes
             .iter()
             .map(|name| Bytes::copy_from_slice(name.as_bytes()));
-        let own = Own {
+        let own = LocalCache {
             store: Store::new(most, disk),
             shelf,
             clock,
@@ -374,7 +378,7 @@
     }
 
     /// Requests of the router itself, by which unproven copies are asked about.
-    pub fn asks(&mut self) -> Vec<(Arrival, Passed)> {
+    pub fn asks(&mut self) -> Vec<(Arrival, ForwardedFields)> {
         let unproven = std::mem::take(&mut self.shelf.unproven);
         let asks = unproven.into_iter().filter_map(|copy| {
             let class = self
@@ -396,13 +400,13 @@
                 left: self.classes[class].1.deadline,
                 repeated: true,
             };
-            let passed = Passed {
+            let passed = ForwardedFields {
                 id: id.into(),
                 class: copy.class,
                 object: copy.object,
                 part: copy.part.to_string().into(),
                 have: Some(copy.tag),
-                ..Passed::default()
+                ..ForwardedFields::default()
             };
             Some((arrival, passed))
         });
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -32,7 +32,7 @@
             .for_each(|fault| eprintln!("chalkhall-router: {fault}"));
         return ExitCode::FAILURE;
     }
-    chalkhall_router::logs::begin(&told.log);
+    chalkhall_router::logging::begin(&told.log);
     match chalkhall_router::serve(told, file) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,6 +1,6 @@
 //! What the actors of a router say to one another: below all of them, so that none needs another's file.
 
-use crate::lines::{Answer, Passed};
+use crate::server_protocol::{Answer, ForwardedFields};
 use bytes::Bytes;
 use chalkhall::interface::{Arrival, Fill, Id, Outcome};
 use chalkhall_store::threads::End;
@@ -14,9 +14,9 @@
 
 /// To the decider.
 pub enum Message {
-    Request(Box<New>),
+    Request(Box<NewRequest>),
     /// The client of this connection has given up what it asked under this tag, or is gone.
-    Left(Id, u64, mpsc::Sender<Reply>),
+    Left(Id, u64, mpsc::Sender<ClientReply>),
     /// So many bytes of bodies have been written to a client, or dropped.
     Written(usize),
     Ended(Ended),
@@ -29,35 +29,35 @@
     /// A word to an edge came back after so long; none: it did not.
     Way(usize, Option<Duration>),
     /// An operator asks.
-    Question(Question),
+    OperatorQuery(OperatorQuery),
     Stop,
 }
 
 /// A request as a client's connection read it.
-pub struct New {
+pub struct NewRequest {
     pub arrival: Arrival,
-    pub passed: Passed,
+    pub passed: ForwardedFields,
     /// The earliest time at which it may have come: it may have lain unread since.
     pub received_after: Duration,
     pub tag: u64,
     /// A place for its final answer, which so can't be lost for want of one.
-    pub client: mpsc::OwnedPermit<Reply>,
-    pub wanted: Wanted,
+    pub client: mpsc::OwnedPermit<ClientReply>,
+    pub wanted: CancellationFlag,
 }
 
 /// Whether a request still waits for its final answer. Its client's connection and the decider end it; a
 /// connection asks it where the first byte of an attempt leaves. The one thing that tasks share: by way of
 /// the mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
-pub struct Wanted(Rc<Cell<bool>>);
+pub struct CancellationFlag(Rc<Cell<bool>>);
 
-impl Default for Wanted {
-    fn default() -> Wanted {
-        Wanted(Rc::new(Cell::new(true)))
+impl Default for CancellationFlag {
+    fn default() -> CancellationFlag {
+        CancellationFlag(Rc::new(Cell::new(true)))
     }
 }
 
-impl Wanted {
+impl CancellationFlag {
     pub fn end(&self) {
         self.0.set(false);
     }
@@ -75,14 +75,14 @@
 
 /// The final answer of a request, for its client.
 #[derive(Debug)]
-pub struct Reply {
+pub struct ClientReply {
     pub tag: u64,
     pub id: Id,
-    pub last: Last,
+    pub last: FinalAnswer,
 }
 
 #[derive(Debug)]
-pub enum Last {
+pub enum FinalAnswer {
     Served {
         etag: Option<Bytes>,
         body: Bytes,
@@ -96,7 +96,7 @@
 }
 
 /// A question from an operator, and where its answer goes.
-pub struct Question {
+pub struct OperatorQuery {
     pub words: Vec<String>,
     pub answer: oneshot::Sender<Value>,
 }
@@ -125,37 +125,37 @@
 #[derive(Debug)]
 pub struct Ask {
     pub key: Key,
-    pub passed: Passed,
+    pub passed: ForwardedFields,
     /// The server's name and its orders for a miss. The line is worded from them as its first byte leaves.
     pub server: Id,
     pub fill: Fill,
     /// It must not run twice: where its connection breaks, it has failed.
     pub once: bool,
-    pub wanted: Wanted,
+    pub wanted: CancellationFlag,
     /// When it has taken too long, and when its first byte must have left.
     pub due: Instant,
     pub leave_by: Instant,
 }
 
-pub enum ConnectionOrder {
+pub enum ConnectionCommand {
     Ask(Box<Ask>),
     Quit(Key),
 }
 
 /// To a server's actor.
-pub enum Order {
+pub enum ServerCommand {
     Ask(Box<Ask>),
     Quit(Key),
     /// The list tells of a start or an address: connections from before it lead elsewhere.
-    Anew {
+    Reconnect {
         dial: SocketAddr,
         started: Option<Instant>,
     },
-    Connection(u64, Report),
+    Connection(u64, ConnectionEvent),
 }
 
 /// From a connection to its server's actor.
-pub enum Report {
+pub enum ConnectionEvent {
     Up,
     /// It could not be made for want of something on this machine; what waited for it is reported after this.
     LocalFailure,
--- a/crates/router/src/brief.rs
+++ b/crates/router/src/rate_limited_log.rs
@@ -7,12 +7,12 @@
 
 /// Logs one line in a while, and with it how many were left out since the last.
 #[derive(Default)]
-pub struct Brief {
+pub struct RateLimitedLog {
     last: Option<Instant>,
     left_out: u64,
 }
 
-impl Brief {
+impl RateLimitedLog {
     pub fn log(&mut self, what: &str) {
         if self.last.is_some_and(|last| last.elapsed() < EVERY) {
             self.left_out += 1;
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/server_connection.rs
@@ -1,14 +1,14 @@
 //! One connection to a server: writes requests, reads answers, watches the time of each attempt.
 //!
 //! An attempt waits unwritten until the connection stands and all before it has gone to the system; only
-//! from its first byte on may it have run. Each ends in one `Report::Ended`.
+//! from its first byte on may it have run. Each ends in one `ConnectionEvent::Ended`.
 
-use crate::event_loop;
 use crate::io_errors::{
     ConnectFailure, INTERRUPTIONS_MOST, MEMORY_PAUSE, StreamFailure, set_nodelay,
 };
-use crate::lines::{Answer, Answers, ask, quit};
-use crate::messages::{Ask, ConnectionOrder, Key, Order, Report};
+use crate::messages::{Ask, ConnectionCommand, ConnectionEvent, Key, ServerCommand};
+use crate::scheduling_delay;
+use crate::server_protocol::{Answer, Answers, ask, quit};
 use crate::uninterrupted::Uninterrupted;
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::Outcome;
@@ -31,8 +31,8 @@
     pub number: u64,
     pub dial: SocketAddr,
     pub connect_timeout: Duration,
-    pub orders: mpsc::Receiver<ConnectionOrder>,
-    pub server: mpsc::Sender<Order>,
+    pub orders: mpsc::Receiver<ConnectionCommand>,
+    pub server: mpsc::Sender<ServerCommand>,
     /// Held for as long as its descriptor may be.
     pub _place: OwnedSemaphorePermit,
 }
@@ -59,10 +59,10 @@
 }
 
 impl State {
-    fn take(&mut self, order: ConnectionOrder) {
+    fn take(&mut self, order: ConnectionCommand) {
         match order {
-            ConnectionOrder::Ask(ask) => self.unwritten.push_back(ask),
-            ConnectionOrder::Quit(key) => {
+            ConnectionCommand::Ask(ask) => self.unwritten.push_back(ask),
+            ConnectionCommand::Quit(key) => {
                 self.withdraw(|ask| ask.key == key);
                 if let Some(id) = self
                     .out
@@ -140,7 +140,7 @@
         !self.writing.is_empty() || self.beginning.is_some()
     }
 
-    /// Hands what is to be written to `write`, which says how many bytes of it the system took.
+    /// ConnectionPool what is to be written to `write`, which says how many bytes of it the system took.
     ///
     /// An attempt is worded here, for its line says how much time its client has left: since the decision it
     /// may have waited for a connection to come up or behind a full socket.
@@ -217,7 +217,7 @@
         };
         match self.connect(&mut state).await {
             Some(Ok(stream)) => {
-                self.report(Report::Up).await;
+                self.report(ConnectionEvent::Up).await;
                 if let Err(what) = self.serve(stream, &mut state).await {
                     log::debug!("{}: {what}", self.dial);
                 }
@@ -227,7 +227,7 @@
                 log::debug!("{}: {what}", self.dial);
                 let failure = ConnectFailure::from(&what);
                 if failure != ConnectFailure::Server {
-                    self.report(Report::LocalFailure).await;
+                    self.report(ConnectionEvent::LocalFailure).await;
                 }
                 state.broken(not_connected(failure));
             }
@@ -240,19 +240,19 @@
         }
         state.broken(Outcome::NeverSent);
         self.tell(&mut state).await;
-        self.report(Report::Down).await;
+        self.report(ConnectionEvent::Down).await;
     }
 
-    async fn report(&self, report: Report) {
+    async fn report(&self, report: ConnectionEvent) {
         let _ = self
             .server
-            .send(Order::Connection(self.number, report))
+            .send(ServerCommand::Connection(self.number, report))
             .await;
     }
 
     async fn tell(&self, state: &mut State) {
         while let Some((key, outcome, answer, silent)) = state.ended.pop_front() {
-            self.report(Report::Ended {
+            self.report(ConnectionEvent::Ended {
                 key,
                 outcome,
                 answer,
@@ -307,7 +307,7 @@
                     if state.beginning.is_some() {
                         // A client's leaving may lie unread: after a hold-up the order in which tasks have
                         // their turns is chance.
-                        event_loop::catch_up(|| {
+                        scheduling_delay::catch_up(|| {
                             while let Ok(order) = self.orders.try_recv() {
                                 state.take(order);
                             }
--- a/crates/router/src/connection/tests.rs
+++ b/crates/router/src/server_connection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::lines::Passed;
-use crate::messages::Wanted;
+use crate::messages::CancellationFlag;
+use crate::server_protocol::ForwardedFields;
 use chalkhall::interface::Fill;
 
 fn no_fill() -> Fill {
@@ -33,9 +33,9 @@
 }
 
 fn ask(id: &'static str, due: Duration, leave_by: Duration) -> Box<Ask> {
-    let passed = Passed {
+    let passed = ForwardedFields {
         id: Bytes::from_static(id.as_bytes()),
-        ..Passed::default()
+        ..ForwardedFields::default()
     };
     let now = Instant::now();
     Box::new(Ask {
@@ -44,7 +44,7 @@
         server: "s".into(),
         fill: no_fill(),
         once: false,
-        wanted: Wanted::default(),
+        wanted: CancellationFlag::default(),
         due: now + due,
         leave_by: now + leave_by,
     })
@@ -85,12 +85,12 @@
         ("c", long, none),
         ("d", none, long),
     ] {
-        state.take(ConnectionOrder::Ask(ask(id, due, leave_by)));
+        state.take(ConnectionCommand::Ask(ask(id, due, leave_by)));
     }
     state.fill();
     assert_eq!(write(&mut state, 1), "A");
-    state.take(ConnectionOrder::Quit(("a".into(), 0)));
-    state.take(ConnectionOrder::Quit(("b".into(), 0)));
+    state.take(ConnectionCommand::Quit(("a".into(), 0)));
+    state.take(ConnectionCommand::Quit(("b".into(), 0)));
     state.expire(Instant::now());
     let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
     assert_eq!(
@@ -102,7 +102,7 @@
             never("d")
         ]
     );
-    state.take(ConnectionOrder::Ask(ask("e", long, long)));
+    state.take(ConnectionCommand::Ask(ask("e", long, long)));
     state.writing.clear();
     state.fill();
     assert_eq!(state.writing, "QUIT a\r\n", "before what comes later");
@@ -118,7 +118,7 @@
     let front = |leave_by| {
         let (mut state, ask) = (State::default(), ask("a", long, leave_by));
         let wanted = ask.wanted.clone();
-        state.take(ConnectionOrder::Ask(ask));
+        state.take(ConnectionCommand::Ask(ask));
         state.fill();
         assert!(state.has_to_write() && state.next_due().is_some());
         (state, wanted)
@@ -130,7 +130,7 @@
     let (mut late, _) = front(none);
     late.expire(Instant::now());
     let (mut off, _) = front(long);
-    off.take(ConnectionOrder::Quit(("a".into(), 0)));
+    off.take(ConnectionCommand::Quit(("a".into(), 0)));
     let (mut broken, _) = front(long);
     broken.broken(Outcome::NeverSent);
     for mut state in [left, late, off, broken] {
@@ -161,7 +161,7 @@
     );
     let wanted = asks[0].wanted.clone();
     asks.into_iter()
-        .for_each(|ask| state.take(ConnectionOrder::Ask(ask)));
+        .for_each(|ask| state.take(ConnectionCommand::Ask(ask)));
     wanted.end();
     state.expire(Instant::now());
     assert_eq!(ends(&mut state), [("a".to_owned(), Outcome::NeverSent)]);
@@ -223,7 +223,7 @@
         let mut ask = ask("a", long, long);
         let body: Vec<u8> = (0..BODY).map(|n| (n % 251) as u8).collect();
         ask.passed.body = body.clone().into();
-        orders.send(ConnectionOrder::Ask(ask)).await.unwrap();
+        orders.send(ConnectionCommand::Ask(ask)).await.unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut line = Vec::new();
         while !line.ends_with(b"\r\n") {
@@ -245,13 +245,13 @@
         }
         let ended = loop {
             match reports.recv().await.unwrap() {
-                Order::Connection(
+                ServerCommand::Connection(
                     1,
-                    Report::Ended {
+                    ConnectionEvent::Ended {
                         outcome, answer, ..
                     },
                 ) => break (outcome, answer),
-                Order::Connection(1, Report::Up) => {}
+                ServerCommand::Connection(1, ConnectionEvent::Up) => {}
                 _ => panic!("another report"),
             }
         };
@@ -274,7 +274,7 @@
     let mut state = State::default();
     let mut late = ask("a", ms(1000), ms(800));
     late.fill.oldest = Some(Duration::from_micros(50_900));
-    state.take(ConnectionOrder::Ask(late));
+    state.take(ConnectionCommand::Ask(late));
     tokio::time::advance(Duration::from_micros(300_500)).await;
     state.fill();
     // The system takes nothing of it for a while.
@@ -294,7 +294,7 @@
 async fn what_has_no_time_left_does_not_begin() {
     let mut state = State::default();
     for (id, due) in [("a", 300), ("b", 299)] {
-        state.take(ConnectionOrder::Ask(ask(
+        state.take(ConnectionCommand::Ask(ask(
             id,
             Duration::from_micros(due),
             Duration::from_secs(1),
@@ -348,7 +348,7 @@
             .unwrap();
         let (number, dial) = (1, listener.local_addr().unwrap());
         let connect_timeout = Duration::from_secs(60);
-        event_loop::before_wait();
+        scheduling_delay::before_wait();
         tokio::time::advance(Duration::from_millis(100)).await;
         let connection = Connection {
             number,
@@ -361,7 +361,7 @@
         tokio::task::spawn_local(connection.run());
         let long = Duration::from_secs(60);
         for turn in 0..200 {
-            let order = ConnectionOrder::Ask(ask("a", long, long));
+            let order = ConnectionCommand::Ask(ask("a", long, long));
             assert!(
                 to_connection.try_send(order).is_ok(),
                 "no room in turn {turn}"
--- a/crates/router/src/server.rs
+++ b/crates/router/src/server_pool.rs
@@ -1,9 +1,11 @@
 //! A cache server, a parent or the origin: shares a few connections among the attempts sent to it.
 
 use crate::backoff::Backoff;
-use crate::connection::{Connection, at};
-use crate::lines::Answer;
-use crate::messages::{Ask, ConnectionOrder, Ended, Key, Message, Order, Report};
+use crate::messages::{
+    Ask, ConnectionCommand, ConnectionEvent, Ended, Key, Message, ServerCommand,
+};
+use crate::server_connection::{Connection, at};
+use crate::server_protocol::Answer;
 use chalkhall::interface::{Id, Outcome};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -32,7 +34,7 @@
 
 struct Held {
     number: u64,
-    orders: mpsc::Sender<ConnectionOrder>,
+    orders: mpsc::Sender<ConnectionCommand>,
     open: usize,
     up: bool,
     made: Instant,
@@ -93,7 +95,7 @@
         name: Id,
         dial: SocketAddr,
         connections_most: usize,
-    ) -> mpsc::Sender<Order> {
+    ) -> mpsc::Sender<ServerCommand> {
         let (sender, orders) = mpsc::channel(MAILBOX_MOST);
         let (orders_of_connections, from_connections) = mpsc::channel(MAILBOX_MOST);
         let server = Server {
@@ -120,21 +122,21 @@
     pub streams: usize,
     pub connect_timeout: Duration,
     pub idle: Duration,
-    pub orders: mpsc::Receiver<Order>,
-    pub orders_of_connections: mpsc::Sender<Order>,
+    pub orders: mpsc::Receiver<ServerCommand>,
+    pub orders_of_connections: mpsc::Sender<ServerCommand>,
     pub decider: mpsc::Sender<Message>,
     pub places: Rc<ConnectionPlaces>,
 }
 
 #[derive(Default)]
-struct Hands {
+struct ConnectionPool {
     connections: Vec<Held>,
     backoff: Backoff,
     last: u64,
     out: HashMap<Key, u64>,
 }
 
-impl Hands {
+impl ConnectionPool {
     fn next_idle(&self, idle: Duration) -> Option<Instant> {
         self.connections
             .iter()
@@ -168,8 +170,8 @@
 impl Server {
     /// Runs until the decider has let go of it and all that is out has ended, or until it has rested for long
     /// enough.
-    pub async fn run(mut self, mut from_connections: mpsc::Receiver<Order>) {
-        let mut hands = Hands::default();
+    pub async fn run(mut self, mut from_connections: mpsc::Receiver<ServerCommand>) {
+        let mut hands = ConnectionPool::default();
         let mut wanted = true;
         let mut last_order = Instant::now();
         let places = self.places.clone();
@@ -213,7 +215,7 @@
     }
 
     /// Closed before the other side does it: a request that crosses a close may have run.
-    fn retire(&self, hands: &mut Hands) {
+    fn retire(&self, hands: &mut ConnectionPool) {
         let now = Instant::now();
         hands
             .connections
@@ -233,24 +235,24 @@
             .await;
     }
 
-    async fn order(&mut self, hands: &mut Hands, order: Order) {
+    async fn order(&mut self, hands: &mut ConnectionPool, order: ServerCommand) {
         match order {
-            Order::Ask(ask) => {
+            ServerCommand::Ask(ask) => {
                 let key = ask.key.clone();
                 if !self.pass(hands, ask) {
                     self.end(key, Outcome::NeverSent, None).await;
                 }
             }
-            Order::Quit(key) => {
+            ServerCommand::Quit(key) => {
                 let Some(number) = hands.out.get(&key) else {
                     return;
                 };
                 // Where the connection takes no orders its end is on the way.
                 if let Some(connection) = hands.connections.iter().find(|l| l.number == *number) {
-                    let _ = connection.orders.try_send(ConnectionOrder::Quit(key));
+                    let _ = connection.orders.try_send(ConnectionCommand::Quit(key));
                 }
             }
-            Order::Anew { dial, started } => {
+            ServerCommand::Reconnect { dial, started } => {
                 let elsewhere = dial != self.dial;
                 self.dial = dial;
                 if elsewhere {
@@ -265,7 +267,7 @@
                     .filter(|l| before(l))
                     .for_each(|l| l.retired = true);
             }
-            Order::Connection(number, Report::Up) => {
+            ServerCommand::Connection(number, ConnectionEvent::Up) => {
                 hands
                     .connections
                     .iter_mut()
@@ -273,7 +275,7 @@
                     .for_each(|l| l.up = true);
                 hands.backoff.succeeded();
             }
-            Order::Connection(number, Report::LocalFailure) => {
+            ServerCommand::Connection(number, ConnectionEvent::LocalFailure) => {
                 // What comes before its last report must find it gone already.
                 hands
                     .connections
@@ -282,12 +284,12 @@
                     .for_each(|l| l.retired = true);
                 hands.backoff.failed(Instant::now());
             }
-            Order::Connection(number, Report::Down) => {
+            ServerCommand::Connection(number, ConnectionEvent::Down) => {
                 hands.connections.retain(|l| l.number != number)
             }
-            Order::Connection(
+            ServerCommand::Connection(
                 number,
-                Report::Ended {
+                ConnectionEvent::Ended {
                     key,
                     outcome,
                     answer,
@@ -316,8 +318,8 @@
         }
     }
 
-    /// Hands an attempt to the least busy connection that may take it. False: there is none.
-    fn pass(&mut self, hands: &mut Hands, mut ask: Box<Ask>) -> bool {
+    /// ConnectionPool an attempt to the least busy connection that may take it. False: there is none.
+    fn pass(&mut self, hands: &mut ConnectionPool, mut ask: Box<Ask>) -> bool {
         // None of those that have stood idle for too long, also where this order comes before the time for
         // it.
         self.retire(hands);
@@ -360,14 +362,14 @@
             else {
                 return false;
             };
-            match connection.orders.try_send(ConnectionOrder::Ask(ask)) {
+            match connection.orders.try_send(ConnectionCommand::Ask(ask)) {
                 Ok(()) => {
                     connection.open += 1;
                     connection.used = Instant::now();
                     hands.out.insert(key, connection.number);
                     return true;
                 }
-                Err(mpsc::error::TrySendError::Closed(ConnectionOrder::Ask(back))) => {
+                Err(mpsc::error::TrySendError::Closed(ConnectionCommand::Ask(back))) => {
                     connection.retired = true;
                     ask = back;
                 }
@@ -378,7 +380,7 @@
     }
 
     /// Opens one more, if there is a descriptor for it, and this machine was not short of something just now.
-    fn open(&self, hands: &mut Hands) {
+    fn open(&self, hands: &mut ConnectionPool) {
         if !hands.backoff.allows(Instant::now()) {
             return;
         }
--- a/crates/router/src/server/tests.rs
+++ b/crates/router/src/server_pool/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::lines::Passed;
-use crate::messages::Wanted;
+use crate::messages::CancellationFlag;
+use crate::server_protocol::ForwardedFields;
 use bytes::Bytes;
 use chalkhall::interface::Fill;
 
@@ -40,12 +40,12 @@
 
 fn ask(id: &'static str) -> Box<Ask> {
     let due = Instant::now() + WAIT;
-    let passed = Passed {
+    let passed = ForwardedFields {
         id: Bytes::from_static(id.as_bytes()),
-        ..Passed::default()
+        ..ForwardedFields::default()
     };
     let (server, fill) = (Id::from("s"), no_fill());
-    let (key, wanted) = ((id.into(), 0), Wanted::default());
+    let (key, wanted) = ((id.into(), 0), CancellationFlag::default());
     Box::new(Ask {
         key,
         passed,
@@ -58,23 +58,23 @@
     })
 }
 
-async fn ended(server: &mut Server, hands: &mut Hands, connection: u64, id: &str) {
+async fn ended(server: &mut Server, hands: &mut ConnectionPool, connection: u64, id: &str) {
     let key: Key = (id.into(), 0);
-    let ended = Report::Ended {
+    let ended = ConnectionEvent::Ended {
         key,
         outcome: Outcome::Served,
         answer: None,
         silent: false,
     };
     server
-        .order(hands, Order::Connection(connection, ended))
+        .order(hands, ServerCommand::Connection(connection, ended))
         .await;
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn an_id_that_was_out_does_not_come_again_on_its_connection() {
     let inside = async {
-        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let ((mut server, _kept), mut hands) = (server(3), ConnectionPool::default());
         server.open(&mut hands);
         hands.connections[0].up = true;
         assert!(server.pass(&mut hands, ask("a")));
@@ -100,7 +100,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_connection_that_stood_idle_for_too_long_takes_nothing_though_nobody_let_go_of_it() {
     let inside = async {
-        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let ((mut server, _kept), mut hands) = (server(3), ConnectionPool::default());
         assert!(server.pass(&mut hands, ask("a")));
         hands.connections[0].up = true;
         ended(&mut server, &mut hands, 1, "a").await;
@@ -129,10 +129,10 @@
 #[tokio::test(flavor = "current_thread")]
 async fn no_connection_is_opened_past_the_descriptors() {
     let inside = async {
-        let ((mut one, _kept), mut hands) = (server(2), Hands::default());
+        let ((mut one, _kept), mut hands) = (server(2), ConnectionPool::default());
         let (mut other, _also_kept) = server(2);
         other.places = one.places.clone();
-        let mut others = Hands::default();
+        let mut others = ConnectionPool::default();
         assert!(one.pass(&mut hands, ask("a")) && other.pass(&mut others, ask("b")));
         assert!(one.pass(&mut hands, ask("c")), "shared");
         one.streams = 2;
@@ -152,7 +152,7 @@
     use tokio::io::AsyncReadExt;
     let inside = async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let ((mut server, _kept), mut hands) = (server(3), ConnectionPool::default());
         let (decider, mut messages) = mpsc::channel(8);
         let (from, mut reports) = mpsc::channel(1024);
         (server.decider, server.orders_of_connections) = (decider, from);
@@ -164,20 +164,22 @@
             ask.key = ("a".into(), n);
             ask.passed.id = Bytes::from(format!("a{n}"));
             wanted.push(ask.wanted.clone());
-            server.order(&mut hands, Order::Ask(ask)).await;
+            server.order(&mut hands, ServerCommand::Ask(ask)).await;
         }
         assert_eq!(
             (hands.connections[0].orders.capacity(), hands.out.len()),
             (0, ORDERS_MOST)
         );
-        server.order(&mut hands, Order::Ask(ask("b"))).await;
+        server.order(&mut hands, ServerCommand::Ask(ask("b"))).await;
         let Ok(Message::Ended(ended)) = messages.try_recv() else {
             panic!("nothing was said of it")
         };
         assert_eq!((&*ended.key.0, ended.outcome), ("b", Outcome::NeverSent));
         // Called off: the flag ends with the final answer or the client, the QUIT finds no place.
         wanted[7].end();
-        server.order(&mut hands, Order::Quit(("a".into(), 7))).await;
+        server
+            .order(&mut hands, ServerCommand::Quit(("a".into(), 7)))
+            .await;
         assert_eq!(
             hands.connections[0].orders.capacity(),
             0,
@@ -199,7 +201,8 @@
         );
         let mut never = Vec::new();
         while let Ok(order) = reports.try_recv() {
-            if let Order::Connection(_, Report::Ended { key, outcome, .. }) = order {
+            if let ServerCommand::Connection(_, ConnectionEvent::Ended { key, outcome, .. }) = order
+            {
                 never.push((key.1, outcome));
             }
         }
@@ -212,7 +215,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn an_actor_with_a_connection_or_something_out_does_not_rest() {
     let inside = async {
-        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let ((mut server, _kept), mut hands) = (server(3), ConnectionPool::default());
         assert!(hands.is_resting());
         assert!(server.pass(&mut hands, ask("a")));
         assert!(!hands.is_resting(), "a connection, and something out on it");
@@ -262,7 +265,7 @@
         for name in ["first", "second", "third"] {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             let orders = actors.spawn(name.into(), listener.local_addr().unwrap(), 1);
-            assert!(orders.try_send(Order::Ask(ask("x"))).is_ok());
+            assert!(orders.try_send(ServerCommand::Ask(ask("x"))).is_ok());
             streams.push(answers_once(&listener).await);
             let Some(Message::Ended(ended)) = messages.recv().await else {
                 panic!("{name}: nothing came")
@@ -291,14 +294,14 @@
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn connections_that_this_machine_cannot_make_are_tried_at_a_bounded_rate() {
     let inside = async {
-        let ((mut server, _kept), mut hands) = (server(3), Hands::default());
+        let ((mut server, _kept), mut hands) = (server(3), ConnectionPool::default());
         let (orders_of_connections, mut from_connections) = mpsc::channel(8);
         let (decider, mut messages) = mpsc::channel(8);
         (server.orders_of_connections, server.decider) = (orders_of_connections, decider);
         server.dial = SocketAddr::from(([127, 255, 255, 255], 9));
         let (begin, mut sent) = (Instant::now(), 0);
         while begin.elapsed() < Duration::from_secs(2) {
-            server.order(&mut hands, Order::Ask(ask("a"))).await;
+            server.order(&mut hands, ServerCommand::Ask(ask("a"))).await;
             sent += 1;
             let ended = loop {
                 tokio::select! {
--- a/crates/router/src/lines.rs
+++ b/crates/router/src/server_protocol.rs
@@ -1,6 +1,6 @@
 //! The protocol of cache servers, parents and origin: lines of words, bodies behind lengths. Pure: no I/O.
 
-use crate::resp::{Nonsense, fields, number};
+use crate::client_protocol::{ProtocolError, fields, number};
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::{Fill, Load, Outcome, Remark};
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 
 /// What a line to a server passes on of a request as it came.
 #[derive(Clone, Debug, Default)]
-pub struct Passed {
+pub struct ForwardedFields {
     pub id: Bytes,
     pub class: Bytes,
     pub object: Bytes,
@@ -28,7 +28,7 @@
 ///
 /// `left` is the time until the attempt's deadline. It is rounded down, so that the server is never told of
 /// more than the client has left; the least that can be said is 1 ms, and who has nothing left sends nothing.
-pub fn ask(passed: &Passed, server: &str, left: Duration, fill: &Fill) -> BytesMut {
+pub fn ask(passed: &ForwardedFields, server: &str, left: Duration, fill: &Fill) -> BytesMut {
     let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
     let mut line = format!(
         "ASK {} cls={},item={},chunk={},limit={}",
@@ -146,7 +146,7 @@
         self.begun.as_ref().map(|(answer, _)| &answer.id)
     }
 
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Answer>, Nonsense> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Answer>, ProtocolError> {
         loop {
             if let Some((_, length)) = &self.begun {
                 let length = *length;
@@ -155,7 +155,7 @@
                     return Ok(None);
                 }
                 if &buffer[length..length + 2] != b"\r\n" {
-                    return Err(Nonsense("a body that does not end where it says"));
+                    return Err(ProtocolError("a body that does not end where it says"));
                 }
                 let Some((mut answer, _)) = self.begun.take() else {
                     return Ok(None);
@@ -167,7 +167,7 @@
             let Some(end) = buffer.iter().take(LINE_MOST).position(|b| *b == b'\n') else {
                 let long = buffer.len() >= LINE_MOST;
                 return if long {
-                    Err(Nonsense("a line too long"))
+                    Err(ProtocolError("a line too long"))
                 } else {
                     Ok(None)
                 };
@@ -180,7 +180,7 @@
 }
 
 /// The line of an answer, and how long a body follows.
-fn begin(line: &Bytes) -> Result<(Answer, usize), Nonsense> {
+fn begin(line: &Bytes) -> Result<(Answer, usize), ProtocolError> {
     let mut words = line.split(|b| *b == b' ').map(|word| line.slice_ref(word));
     let (Some(id), Some(word), Some(list), Some(length), None) = (
         words.next(),
@@ -189,7 +189,7 @@
         words.next(),
         words.next(),
     ) else {
-        return Err(Nonsense("an answer that is not four words"));
+        return Err(ProtocolError("an answer that is not four words"));
     };
     let (outcome, same) = match &word[..] {
         b"OK" => (Outcome::Served, false),
@@ -198,11 +198,11 @@
         b"BUSY" => (Outcome::Full, false),
         b"ERR" => (Outcome::Error, false),
         b"VOID" => (Outcome::NeverSent, false),
-        _ => return Err(Nonsense("an answer of an unknown word")),
+        _ => return Err(ProtocolError("an answer of an unknown word")),
     };
     let length = number(&length)
         .filter(|n| *n <= BODY_MOST as u64)
-        .ok_or(Nonsense("a body too long"))?;
+        .ok_or(ProtocolError("a body too long"))?;
     let mut answer = Answer {
         id,
         outcome,
--- a/crates/router/src/lines/tests.rs
+++ b/crates/router/src/server_protocol/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn all(answers: &mut Answers, buffer: &mut BytesMut) -> Result<Vec<Answer>, Nonsense> {
+fn all(answers: &mut Answers, buffer: &mut BytesMut) -> Result<Vec<Answer>, ProtocolError> {
     let mut found = Vec::new();
     while let Some(answer) = answers.next(buffer)? {
         found.push(answer);
@@ -57,11 +57,11 @@
 #[test]
 fn a_request_says_what_was_ordered() {
     let bytes = Bytes::from_static;
-    let mut passed = Passed {
+    let mut passed = ForwardedFields {
         id: bytes(b"a1"),
         class: bytes(b"page"),
         object: bytes(b"o1"),
-        ..Passed::default()
+        ..ForwardedFields::default()
     };
     passed.part = bytes(b"3");
     let mut fill = Fill {
--- a/crates/router/src/stamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -6,7 +6,7 @@
 //! made later reaches more copies.
 
 use crate::clock::Clock;
-use crate::notices::Notice;
+use crate::discovery_events::DiscoveryEvent;
 use chalkhall::interface::{Id, Member, Standing};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -66,10 +66,10 @@
     }
 
     /// Bounds the stamps of an event that arrives now.
-    pub fn bound(&mut self, notice: &mut Notice) {
+    pub fn bound(&mut self, notice: &mut DiscoveryEvent) {
         let now = self.clock.now();
         match notice {
-            Notice::List { whole, members } => {
+            DiscoveryEvent::List { whole, members } => {
                 if *whole {
                     self.starts
                         .values_mut()
@@ -79,12 +79,12 @@
                     .iter_mut()
                     .for_each(|(member, _)| self.bound_start(now, member));
             }
-            Notice::Purge { ms, .. } => {
+            DiscoveryEvent::Purge { ms, .. } => {
                 if !self.is_possible(now, self.clock.at_unix_ms(*ms)) {
                     *ms = self.clock.unix_ms(now);
                 }
             }
-            Notice::Drained(_) | Notice::Heard | Notice::Cells(_) => {}
+            DiscoveryEvent::Drained(_) | DiscoveryEvent::Heard | DiscoveryEvent::Cells(_) => {}
         }
     }
 
--- a/crates/router/src/stamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -14,7 +14,7 @@
     clock.unix_ms(clock.now())
 }
 
-fn list(clock: &Clock, whole: bool, entries: &[(&str, u64, Standing)]) -> Notice {
+fn list(clock: &Clock, whole: bool, entries: &[(&str, u64, Standing)]) -> DiscoveryEvent {
     let member = |(name, stamp, standing): &(&str, u64, Standing)| Member {
         server: (*name).into(),
         standing: *standing,
@@ -22,17 +22,21 @@
         ..Member::default()
     };
     let dial = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    Notice::List {
+    DiscoveryEvent::List {
         whole,
         members: entries.iter().map(|entry| (member(entry), dial)).collect(),
     }
 }
 
 /// How long ago the only server of an event counts as started; none: long ago.
-fn age_of_start(clock: &Clock, times: &mut EventTimes, mut notice: Notice) -> Option<Duration> {
+fn age_of_start(
+    clock: &Clock,
+    times: &mut EventTimes,
+    mut notice: DiscoveryEvent,
+) -> Option<Duration> {
     times.bound(&mut notice);
     times.passed();
-    let Notice::List { members, .. } = notice else {
+    let DiscoveryEvent::List { members, .. } = notice else {
         panic!("no list")
     };
     assert!(
@@ -42,20 +46,20 @@
     members[0].0.started.map(|at| clock.now() - at)
 }
 
-fn started(clock: &Clock, stamp: u64) -> Notice {
+fn started(clock: &Clock, stamp: u64) -> DiscoveryEvent {
     list(clock, false, &[("c1", stamp, Standing::Active)])
 }
 
 /// How long ago a purge counts as made, in milliseconds.
 fn age_of_purge(clock: &Clock, times: &mut EventTimes, stamp: u64) -> u64 {
-    let mut notice = Notice::Purge {
+    let mut notice = DiscoveryEvent::Purge {
         object: None,
         group: 1,
         ms: stamp,
     };
     times.bound(&mut notice);
     times.passed();
-    let Notice::Purge { ms, .. } = notice else {
+    let DiscoveryEvent::Purge { ms, .. } = notice else {
         panic!("no purge")
     };
     now_ms(clock)
@@ -123,7 +127,7 @@
         Some(Duration::ZERO)
     );
     advance(SECOND * 7).await;
-    // Told again by a change, by a whole list after a lost connection, and as it comes back from having left.
+    // Configuration again by a change, by a whole list after a lost connection, and as it comes back from having left.
     let again = started(&clock, stamp);
     assert_eq!(age_of_start(&clock, &mut times, again), Some(SECOND * 7));
     times.interrupted();
--- a/crates/router/src/abroad.rs
+++ b/crates/router/src/zone_failover.rs
@@ -2,8 +2,8 @@
 //! a request's zone, what outcomes say of the own caches, words and probes. Nothing is decided here.
 
 use crate::clock::Clock;
-use crate::peers::Saying;
-use crate::probes::Probe;
+use crate::gossip_socket::GossipSender;
+use crate::latency_probes::Probe;
 use chalkhall::control::Router;
 use chalkhall::interface::{
     Arrival, ColdStart, Deployment, Effect, Id, Member, Outcome, Remark, Standing, Tier,
@@ -20,9 +20,9 @@
 /// Most samples that one observation may stand for.
 const OBSERVED_MOST: u32 = 1_000_000;
 
-pub struct Abroad {
+pub struct ZoneFailover {
     regions: Regions,
-    saying: Saying,
+    saying: GossipSender,
     probes: Option<mpsc::Sender<Probe>>,
     names: Vec<String>,
     /// By zone: the name of its region.
@@ -52,7 +52,7 @@
     wished.iter().map(place).collect()
 }
 
-impl Abroad {
+impl ZoneFailover {
     /// None: it is off, or there is nobody to talk to.
     ///
     /// # Errors
@@ -62,9 +62,9 @@
         wishes: &Wishes,
         deployment: &Deployment,
         names: &[String],
-        saying: Saying,
+        saying: GossipSender,
         probes: mpsc::Sender<Probe>,
-    ) -> Result<Option<Abroad>, String> {
+    ) -> Result<Option<ZoneFailover>, String> {
         if !wishes.in_common {
             return Ok(None);
         }
@@ -107,7 +107,7 @@
             .collect();
         let (abroad, measure) = (wishes.abroad, wishes.measure);
         log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
-        Ok(Some(Abroad {
+        Ok(Some(ZoneFailover {
             regions,
             saying,
             probes: wishes.measure.then_some(probes),
