--- a/crates/stats/src/name_map.rs
+++ b/crates/stats/src/name_map.rs
@@ -1,83 +1,107 @@
-//! A map from names to values whose values lie next to each other, in the order of their names.
+//! A map from names to values in which a value keeps its slot for as long as its name is listed.
 
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Looking up a name takes the same time however many there are; a value can be found by its position, too,
-/// until names are added or removed.
+/// Looking up a name takes the same time however many there are. A value can be found by its slot, too,
+/// which stays the same until the name is removed; the slot of a removed name is given to a later one.
+/// Adding or removing a name leaves all others where they are.
 #[derive(Debug)]
 pub struct NameMap<V> {
-    entries: Vec<(Rc<str>, V)>,
-    positions: HashMap<Rc<str>, usize>,
-    added: bool,
+    slots: Vec<Option<V>>,
+    free_slots: Vec<usize>,
+    slot_of: HashMap<Rc<str>, usize>,
+    /// The same, for going through all values in the order of their names.
+    slots_by_name: BTreeMap<Rc<str>, usize>,
 }
 
 impl<V> Default for NameMap<V> {
     fn default() -> NameMap<V> {
         NameMap {
-            entries: Vec::new(),
-            positions: HashMap::new(),
-            added: false,
+            slots: Vec::new(),
+            free_slots: Vec::new(),
+            slot_of: HashMap::new(),
+            slots_by_name: BTreeMap::new(),
         }
     }
 }
 
 impl<V: Default> NameMap<V> {
-    /// The value of a name, which is added if need be; in the order of names it stands after
-    /// [`NameMap::retain`] only.
+    /// The value of a name, which is added if need be.
     pub fn get_or_default(&mut self, name: &Rc<str>) -> &mut V {
-        let position = self.positions.get(name).copied().unwrap_or_else(|| {
-            self.added = true;
-            self.positions.insert(name.clone(), self.entries.len());
-            self.entries.push((name.clone(), V::default()));
-            self.entries.len() - 1
+        let slot = match self.slot_of.get(name) {
+            Some(slot) => *slot,
+            None => self.add(name),
+        };
+        self.slots[slot].get_or_insert_default()
+    }
+
+    fn add(&mut self, name: &Rc<str>) -> usize {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
+            self.slots.push(None);
+            self.slots.len() - 1
         });
-        &mut self.entries[position].1
+        self.slot_of.insert(name.clone(), slot);
+        self.slots_by_name.insert(name.clone(), slot);
+        slot
     }
 }
 
 impl<V> NameMap<V> {
-    /// Removes the values that are not to be kept, and puts the others in the order of their names.
+    /// Removes a name, and gives back its value.
+    pub fn remove(&mut self, name: &str) -> Option<V> {
+        let slot = self.slot_of.remove(name)?;
+        self.slots_by_name.remove(name);
+        self.free_slots.push(slot);
+        self.slots[slot].take()
+    }
+
+    /// Removes the values that are not to be kept.
     pub fn retain(&mut self, keep: impl Fn(&V) -> bool) {
-        let before = self.entries.len();
-        self.entries.retain(|(_, value)| keep(value));
-        if !std::mem::take(&mut self.added) && self.entries.len() == before {
-            return;
-        }
-        self.entries.sort_by(|(a, _), (b, _)| a.cmp(b));
-        let names = self.entries.iter().enumerate();
-        self.positions = names
-            .map(|(position, (name, _))| (name.clone(), position))
+        let listed = self.slots_by_name.iter();
+        let dropped: Vec<Rc<str>> = listed
+            .filter(|(_, slot)| !self.slots[**slot].as_ref().is_some_and(&keep))
+            .map(|(name, _)| name.clone())
             .collect();
+        for name in dropped {
+            self.remove(&name);
+        }
     }
 
     /// The value of a name.
     pub fn get(&self, name: &str) -> Option<&V> {
-        self.positions
-            .get(name)
-            .map(|position| &self.entries[*position].1)
+        self.at(*self.slot_of.get(name)?)
     }
 
     /// The value of a name, to be changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut V> {
-        self.positions
-            .get(name)
-            .map(|position| &mut self.entries[*position].1)
+        self.slots[*self.slot_of.get(name)?].as_mut()
+    }
+
+    /// The slot of a name.
+    pub fn slot(&self, name: &str) -> Option<usize> {
+        self.slot_of.get(name).copied()
+    }
+
+    /// The value in a slot.
+    pub fn at(&self, slot: usize) -> Option<&V> {
+        self.slots.get(slot)?.as_ref()
     }
 
-    /// The value at a position in the order of names.
-    pub fn at(&self, position: usize) -> Option<&V> {
-        self.entries.get(position).map(|(_, value)| value)
+    /// All values with their slots, in the order of their names.
+    pub fn iter(&self) -> impl Iterator<Item = (usize, &V)> + Clone {
+        let slots = self.slots_by_name.values();
+        slots.filter_map(|slot| Some((*slot, self.at(*slot)?)))
     }
 
     /// All values, in the order of their names.
     pub fn values(&self) -> impl Iterator<Item = &V> + Clone {
-        self.entries.iter().map(|(_, value)| value)
+        self.iter().map(|(_, value)| value)
     }
 
-    /// All values, in the order of their names, to be changed.
+    /// All values, in no particular order, to be changed.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut V> {
-        self.entries.iter_mut().map(|(_, value)| value)
+        self.slots.iter_mut().flatten()
     }
 }
 
--- a/crates/stats/src/name_map/tests.rs
+++ b/crates/stats/src/name_map/tests.rs
@@ -6,7 +6,7 @@
 proptest! {
     /// Against a plain sorted map, through additions, removals and changes in any order.
     #[test]
-    fn agrees_with_a_sorted_map(steps in prop::collection::vec((0u8..40, 0u8..4, any::<u16>()), 0..200)) {
+    fn agrees_with_a_sorted_map(steps in prop::collection::vec((0u8..40, 0u8..5, any::<u16>()), 0..200)) {
         let (mut map, mut plain): (NameMap<u16>, BTreeMap<Rc<str>, u16>) = Default::default();
         for (name, step, value) in steps {
             let name: Rc<str> = format!("server-{name}").into();
@@ -21,6 +21,7 @@
                     }
                     plain.entry(name).and_modify(|found| *found ^= 1);
                 }
+                3 => prop_assert_eq!(map.remove(&name), plain.remove(&name)),
                 _ => {
                     let keep = |kept: &u16| kept % 5 != value % 5;
                     map.retain(keep);
@@ -31,8 +32,39 @@
             }
             for (name, value) in &plain {
                 prop_assert_eq!(map.get(name), Some(value));
+                prop_assert_eq!(map.slot(name).and_then(|slot| map.at(slot)), Some(value));
             }
-            prop_assert_eq!(map.values().count(), plain.len());
+            let ordered = plain.values().copied().collect::<Vec<_>>();
+            prop_assert_eq!(map.values().copied().collect::<Vec<_>>(), ordered);
         }
     }
 }
+
+#[test]
+fn a_value_keeps_its_slot_while_others_come_and_go() {
+    let name = |n: usize| -> Rc<str> { format!("server-{n:02}").into() };
+    let mut map: NameMap<usize> = NameMap::default();
+    for n in (0..10).rev() {
+        *map.get_or_default(&name(n)) = n;
+    }
+    let slot = map.slot(&name(5));
+    map.remove(&name(2));
+    map.retain(|n| n % 4 != 0);
+    *map.get_or_default(&name(0)) = 0;
+    *map.get_or_default(&name(20)) = 20;
+    assert_eq!(map.slot(&name(5)), slot);
+    assert_eq!(
+        map.values().copied().collect::<Vec<_>>(),
+        [0, 1, 3, 5, 6, 7, 9, 20]
+    );
+}
+
+#[test]
+fn the_slots_of_removed_names_are_used_again() {
+    let mut map: NameMap<usize> = NameMap::default();
+    for n in 0..1000 {
+        map.get_or_default(&format!("server-{n}").as_str().into());
+        map.remove(&format!("server-{n}"));
+    }
+    assert_eq!(map.slots.len(), 1);
+}
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -1,5 +1,6 @@
 //! What a request costs in the decisions alone, by the number of caches: time a request, and as a multiple of
-//! that with the fewest. `cargo run --release --example decision_cost`
+//! that with the fewest. `cargo run --release --example decision_cost`,
+//! or with the name of a scene and a number of caches to play just that, once.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
@@ -265,7 +266,18 @@
     }
 }
 
+/// One scene with so many caches, once: for a tool that counts instructions.
+fn play_once(scene: &str, caches: usize) {
+    let scene = SCENES.iter().find(|s| s.name == scene);
+    let scene = *scene.expect("the name of a scene");
+    Player::new(caches, scene).measure(scene.servers);
+}
+
 fn main() {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    if let [scene, caches] = &arguments[..] {
+        return play_once(scene, caches.parse().expect("a number of caches"));
+    }
     println!(
         "{:16} {:>8} {:>8} {:>8}  us a request; then multiples of the first",
         "caches", 200, 800, 3200
--- a/src/control.rs
+++ b/src/control.rs
@@ -167,6 +167,14 @@
     broke: Duration,
 }
 
+impl Server {
+    /// It as one to be drawn from a pool, with the slot that it is in.
+    fn candidate(&self, slot: usize) -> Candidate {
+        let weight = self.member.capacity * self.lean.exp();
+        Candidate::new(slot, &self.member.server, weight)
+    }
+}
+
 /// What a sequential test on its outcomes says of a server, or of a disk.
 #[derive(Debug, Default)]
 pub struct Judged {
@@ -228,7 +236,7 @@
 const TIERS: usize = 4;
 
 /// Which servers draw for the same parts: the caches of a zone, or of a cell in it; all parents; the origins.
-#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PoolKey {
     tier: Tier,
     zone: usize,
@@ -248,6 +256,19 @@
         }
     }
 
+    /// The pools that a member may be in: of its tier, and of each of its cells.
+    fn of(member: &Member) -> impl Iterator<Item = PoolKey> {
+        let (tier, zone) = (member.tier, member.zone);
+        let cells = match tier {
+            Tier::Cache => &*member.cells,
+            _ => &[],
+        };
+        let cells = cells.iter().copied().map(Some);
+        cells
+            .chain([None])
+            .map(move |cell| PoolKey::new(tier, zone, cell))
+    }
+
     fn includes(&self, member: &Member) -> bool {
         let of_cell = self.cell.is_none_or(|cell| member.cells.contains(&cell));
         member.tier == self.tier
@@ -311,12 +332,14 @@
     /// How many servers were considered, in all.
     #[cfg(test)]
     considered: std::cell::Cell<usize>,
+    /// How many came by in walks over all of them.
+    #[cfg(test)]
+    walked: std::cell::Cell<usize>,
     /// By tier, of the servers listed.
     health: [TierHealth; TIERS],
-    /// Where the origins stand among the servers.
-    origins: Vec<usize>,
-    /// What the caches of its zone are listed with, in all.
-    zone_capacity: f64,
+    /// The slots of the origins, and of the local caches.
+    origins: BTreeSet<usize>,
+    local_caches: BTreeSet<usize>,
     ids: IdList,
     /// Share of first sightings lately that were hits: of what others of the zone asked to keep.
     shared: f64,
@@ -404,6 +427,8 @@
             );
         }
         if kind != ListKind::Changes {
+            // Almost all of them change: pools are built again when a request needs them.
+            self.pools.clear();
             let listed = self
                 .servers
                 .values_mut()
@@ -411,28 +436,117 @@
             listed.for_each(|s| s.member.standing = Standing::Gone);
         }
         for member in members {
-            let server = self.servers.get_or_default(&member.server);
-            if server.member.started != member.started {
-                server.record = Judged::default();
+            self.update_member(member);
+        }
+        if kind == ListKind::Changes {
+            for member in members {
+                self.remove_if_gone(member);
             }
-            server.member = member.clone();
+        } else {
+            self.servers.retain(|s| s.member.standing != Standing::Gone);
+            self.derive_from_list();
         }
-        self.servers.retain(|s| s.member.standing != Standing::Gone);
-        self.pools.clear();
-        let own = self.servers.values().filter(|s| s.member.tier == Tier::Own);
-        self.own = own.map(|s| s.member.capacity).fold(0.0, f64::max);
-        let listed = self.servers.values().enumerate();
-        self.origins = listed
-            .filter(|(_, s)| s.member.tier == Tier::Origin)
-            .map(|(n, _)| n)
-            .collect();
-        self.zone_capacity = self.caches().map(|m| m.capacity).sum();
-        self.health = Default::default();
-        for server in self.servers.values().filter(|s| s.record.is_aside()) {
-            self.health[server.member.tier as usize].ejected += 1;
+        self.update_local_capacity();
+    }
+
+    /// One member as it is listed now, and what is derived from it.
+    fn update_member(&mut self, member: &Member) {
+        self.forget_derived(&member.server, member);
+        let server = self.servers.get_or_default(&member.server);
+        if server.member.started != member.started {
+            server.record = Judged::default();
+        }
+        server.member = member.clone();
+        self.derive_from_member(&member.server);
+    }
+
+    /// Takes what is derived from a member out, as far as it no longer holds for what it is to be.
+    fn forget_derived(&mut self, name: &Id, next: &Member) {
+        let (Some(slot), Some(server)) = (self.servers.slot(name), self.servers.get(name)) else {
+            return;
+        };
+        let member = &server.member;
+        let stays = next.standing == Standing::Active;
+        for key in PoolKey::of(member).filter(|key| !stays || !key.includes(next)) {
+            let Some(pool) = self.pools.get_mut(&key) else {
+                continue;
+            };
+            pool.remove(name);
+            if pool.is_empty() {
+                self.pools.remove(&key);
+            }
+        }
+        self.origins.remove(&slot);
+        self.local_caches.remove(&slot);
+        let health = &mut self.health[member.tier as usize];
+        health.ejected = health
+            .ejected
+            .saturating_sub(usize::from(server.record.is_aside()));
+        // Only who was the best can have been what the best is known from.
+        if member.tier != next.tier || next.standing == Standing::Gone {
+            let in_time = server.in_time;
+            health.best_in_time = health
+                .best_in_time
+                .filter(|best| in_time == 0.0 || in_time < *best);
         }
     }
 
+    /// Adds what is derived from a member, where it is not there yet.
+    fn derive_from_member(&mut self, name: &Id) {
+        let (Some(slot), Some(server)) = (self.servers.slot(name), self.servers.get(name)) else {
+            return;
+        };
+        let member = &server.member;
+        let health = &mut self.health[member.tier as usize];
+        health.ejected += usize::from(server.record.is_aside());
+        health.best_in_time = health.best_in_time.map(|best| best.max(server.in_time));
+        match member.tier {
+            Tier::Origin => self.origins.insert(slot),
+            Tier::Own => self.local_caches.insert(slot),
+            Tier::Cache | Tier::Parent => false,
+        };
+        if member.standing != Standing::Active {
+            return;
+        }
+        for key in PoolKey::of(member) {
+            if let Some(pool) = self.pools.get_mut(&key) {
+                pool.insert(server.candidate(slot));
+            }
+        }
+    }
+
+    fn remove_if_gone(&mut self, member: &Member) {
+        let listed = self.servers.get(&member.server);
+        if listed.is_some_and(|s| s.member.standing == Standing::Gone) {
+            self.forget_derived(&member.server, member);
+            self.servers.remove(&member.server);
+        }
+    }
+
+    /// All that is derived from the list but the pools.
+    fn derive_from_list(&mut self) {
+        self.origins.clear();
+        self.local_caches.clear();
+        self.health = Default::default();
+        let names: Vec<Id> = self.members().map(|m| m.server.clone()).collect();
+        names.iter().for_each(|name| self.derive_from_member(name));
+    }
+
+    /// The greatest of its local caches counts.
+    fn update_local_capacity(&mut self) {
+        let slots = self.local_caches.iter();
+        let local = slots.filter_map(|slot| self.servers.at(*slot));
+        self.own = local.map(|s| s.member.capacity).fold(0.0, f64::max);
+    }
+
+    /// All servers, in the order of their names: what a single change or request must not go through.
+    fn all_servers(&self) -> impl Iterator<Item = (usize, &Server)> {
+        self.servers.iter().inspect(|_| {
+            #[cfg(test)]
+            self.walked.set(self.walked.get() + 1);
+        })
+    }
+
     /// A request comes in: it gets its one final answer by `due` whatever else happens.
     pub fn request(&mut self, now: Duration, arrival: Arrival, out: &mut dyn Outlet) {
         let turn = &mut Turn { now, out };
@@ -536,7 +650,7 @@
 
     /// All that the list tells of and is not gone.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.servers.values().map(|s| &s.member)
+        self.all_servers().map(|(_, s)| &s.member)
     }
 
     pub fn member(&self, server: &Id) -> Option<&Member> {
@@ -557,7 +671,10 @@
             .filter(|server| server.lean != by)
         {
             server.lean = by;
-            self.pools.clear();
+            // All weights change together, once a period: in place each would have its group added up anew.
+            for key in PoolKey::of(&server.member) {
+                self.pools.remove(&key);
+            }
         }
     }
 
@@ -760,7 +877,8 @@
         {
             // Until one is late nothing says what links and sources bear. One that is late with few out is no
             // sign that they bear so few: less than the share of what the caches are listed with it is not.
-            let share = self.zone_capacity / self.routers_here;
+            let zone_capacity: f64 = self.caches().map(|m| m.capacity).sum();
+            let share = zone_capacity / self.routers_here;
             let out = share.max(self.fills_out + 1.0);
             let most = if self.fills_most.is_finite() {
                 self.fills_most
@@ -806,15 +924,7 @@
             if self.pools.contains_key(&key) {
                 continue;
             }
-            let active =
-                |s: &Server| s.member.standing == Standing::Active && key.includes(&s.member);
-            let listed = self.servers.values().enumerate().filter(|(_, s)| active(s));
-            let weight = |s: &Server| s.member.capacity * s.lean.exp();
-            let pool = Pool::new(
-                listed
-                    .map(|(n, s)| Candidate::new(n, &s.member.server, weight(s)))
-                    .collect(),
-            );
+            let pool = self.build_pool(key);
             // Requests may name zones and cells that nobody is in: those are not kept.
             if !pool.is_empty() {
                 self.pools.insert(key, pool);
@@ -822,6 +932,12 @@
         }
     }
 
+    fn build_pool(&self, key: PoolKey) -> Pool {
+        let active = |s: &Server| s.member.standing == Standing::Active && key.includes(&s.member);
+        let listed = self.all_servers().filter(|(_, s)| active(s));
+        Pool::new(listed.map(|(slot, s)| s.candidate(slot)).collect())
+    }
+
     /// The first that the hash prefers, moving on when one fails, is full or is crowded; `any`: also one set
     /// aside. Each member draws its own number for a part (`selection.rs`).
     fn pick(&self, now: Duration, tier: Tier, any: bool, request: &Request) -> Option<&Server> {
@@ -854,7 +970,7 @@
     ) -> Option<&Server> {
         let listed = candidates
             .iter()
-            .filter_map(|c| Some((c, self.servers.at(c.position)?)));
+            .filter_map(|c| Some((c, self.servers.at(c.slot)?)));
         let open: Vec<_> = listed
             .filter(|(_, s)| self.may_take(now, s, request))
             .collect();
@@ -880,7 +996,7 @@
     fn origins(&self) -> impl Iterator<Item = &Server> {
         self.origins
             .iter()
-            .filter_map(|position| self.servers.at(*position))
+            .filter_map(|slot| self.servers.at(*slot))
     }
 
     fn origin_fails(&self, now: Duration) -> bool {
@@ -918,12 +1034,14 @@
 
     /// The greatest share of fills in time of a tier's servers.
     fn best_in_time(&mut self, tier: Tier) -> f64 {
-        *self.health[tier as usize]
-            .best_in_time
-            .get_or_insert_with(|| {
-                let of_tier = self.servers.values().filter(|s| s.member.tier == tier);
-                of_tier.map(|s| s.in_time).fold(0.0, f64::max)
-            })
+        if let Some(best) = self.health[tier as usize].best_in_time {
+            return best;
+        }
+        let servers = self.all_servers().map(|(_, s)| s);
+        let of_tier = servers.filter(|s| s.member.tier == tier);
+        let best = of_tier.map(|s| s.in_time).fold(0.0, f64::max);
+        self.health[tier as usize].best_in_time = Some(best);
+        best
     }
 
     /// How far a late fill is laid to an end in this tier: by how seldom the best of the tier is late (a full
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -224,3 +224,132 @@
     assert_eq!(router.purges.len(), 2);
     assert_eq!(router.purges_by_age.len(), 2);
 }
+
+/// How many servers a change of one member and the next request look at, at most.
+fn looked_at_after_a_change(caches: usize, change: impl Fn(&mut Member)) -> usize {
+    let mut orders = Orders::default();
+    let mut router = router(caches, None, &mut orders);
+    play(&mut router, &mut orders, 10, Outcome::Served, Remark::Hit);
+    let mut most = 0;
+    for n in 0..50 {
+        let mut member = Member {
+            server: format!("cache-{}", n * 3).into(),
+            capacity: 8.0,
+            ..Member::default()
+        };
+        change(&mut member);
+        router.walked.set(0);
+        router.list(NOW, ListKind::Changes, &[member], &mut orders);
+        let [considered, _] = play(&mut router, &mut orders, 1, Outcome::Served, Remark::Hit);
+        most = most.max(considered + router.walked.get());
+    }
+    most
+}
+
+#[test]
+fn a_change_of_the_list_looks_at_no_more_servers_of_3200_than_of_200() {
+    let changes: [fn(&mut Member); 5] = [
+        |member| member.capacity = 5.0,
+        |member| member.standing = Standing::Draining,
+        |member| member.standing = Standing::Gone,
+        |member| member.started = Some(NOW - Duration::from_secs(5)),
+        |member| member.server = format!("new-{}", member.server).into(),
+    ];
+    for (number, change) in changes.into_iter().enumerate() {
+        let few = looked_at_after_a_change(200, change);
+        let many = looked_at_after_a_change(3200, change);
+        // A new server makes a pool of 200 larger.
+        let bound = (few + 1).min(LOOKED_AT);
+        assert!(
+            many <= bound,
+            "change {number}: {many} of 3,200, {few} of 200"
+        );
+    }
+}
+
+fn random_member(chance: &mut fastrand::Rng) -> Member {
+    let standing = [Standing::Active, Standing::Draining, Standing::Gone];
+    let tier = [Tier::Cache, Tier::Parent, Tier::Origin, Tier::Own];
+    let number = chance.usize(..600);
+    Member {
+        server: format!("server-{number}").into(),
+        // Some servers are listed in another tier than before.
+        tier: if chance.u8(..8) == 0 {
+            tier[chance.usize(..tier.len())]
+        } else {
+            Tier::Cache
+        },
+        zone: usize::from(chance.u8(..10) == 0),
+        standing: standing[chance.usize(..9).saturating_sub(6)],
+        capacity: chance.f64(),
+        started: (chance.u8(..3) == 0).then_some(NOW),
+        cells: (0..3).filter(|_| chance.bool()).collect(),
+        ..Member::default()
+    }
+}
+
+/// Pools, tier totals and the rest, through changes of every kind, against the same derived from all servers.
+#[test]
+fn what_is_derived_from_the_list_is_the_same_after_changes_as_from_the_whole() {
+    let mut orders = Orders::default();
+    let mut router = router(0, None, &mut orders);
+    let mut chance = fastrand::Rng::with_seed(11);
+    let cells = [None, Some(0), Some(1), Some(2)];
+    let mut most_listed = 0;
+    for _ in 0..1200 {
+        for cell in cells {
+            for zone in [0, 1] {
+                let tier = [Tier::Cache, Tier::Parent, Tier::Origin][chance.usize(..3)];
+                let key = PoolKey::new(tier, zone, cell);
+                let pool = router.build_pool(key);
+                if !pool.is_empty() {
+                    let kept = router.pools.entry(key).or_insert_with(|| pool.clone());
+                    assert_eq!(*kept, pool, "{key:?}");
+                } else {
+                    assert!(!router.pools.contains_key(&key), "{key:?}");
+                }
+            }
+        }
+        let names: Vec<Id> = router.members().map(|m| m.server.clone()).collect();
+        if let Some(name) = chance.choice(&names) {
+            router.judge(name, NOW, chance.bool(), 1.0);
+            router.note_fill(name, chance.bool());
+            let tier = [Tier::Cache, Tier::Parent][chance.usize(..2)];
+            router.best_in_time(tier);
+        }
+        let members: Vec<Member> = (0..chance.usize(1..3))
+            .map(|_| random_member(&mut chance))
+            .collect();
+        router.list(NOW, ListKind::Changes, &members, &mut orders);
+        most_listed = most_listed.max(router.servers.values().count());
+
+        let (origins, local, own) = (
+            router.origins.clone(),
+            router.local_caches.clone(),
+            router.own,
+        );
+        let kept: Vec<_> = (router.health.iter())
+            .map(|tier| (tier.ejected, tier.best_in_time))
+            .collect();
+        router.derive_from_list();
+        router.update_local_capacity();
+        assert_eq!(
+            (origins, local, own),
+            (
+                router.origins.clone(),
+                router.local_caches.clone(),
+                router.own
+            )
+        );
+        for (tier, (ejected, best)) in [Tier::Cache, Tier::Parent, Tier::Origin, Tier::Own]
+            .into_iter()
+            .zip(kept)
+        {
+            assert_eq!(router.health[tier as usize].ejected, ejected);
+            let best_anew = router.best_in_time(tier);
+            assert!(best.is_none_or(|best| best == best_anew));
+            router.health[tier as usize].best_in_time = best;
+        }
+    }
+    assert!(most_listed > 300, "{most_listed}");
+}
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -10,6 +10,7 @@
 //! server that comes or goes moves many.
 
 use chalkhall_stats::{draw_seeded, name_seed};
+use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Up to so many servers all parts are drawn in one step; from twice as many on, all in two.
@@ -22,63 +23,125 @@
 const STEPS_SEED: u64 = 0x7f4a_7c15_9e37_79b9;
 
 /// One server that may be selected.
-#[derive(Clone, Debug)]
+#[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Where the caller keeps it.
-    pub position: usize,
+    /// The slot in which the caller keeps it.
+    pub slot: usize,
     name_seed: u64,
     weight: f64,
+    name: Rc<str>,
 }
 
 impl Candidate {
     /// A server by its name, with the weight that it draws by.
-    pub fn new(position: usize, name: &str, weight: f64) -> Candidate {
+    pub fn new(slot: usize, name: &Rc<str>, weight: f64) -> Candidate {
         Candidate {
-            position,
+            slot,
             name_seed: name_seed(name),
             weight,
+            name: name.clone(),
         }
     }
 
+    /// The group of a large pool that it is in: by its name alone.
+    fn group(&self) -> usize {
+        // The draws are seeded by the same hash, of which these bits say little.
+        (self.name_seed >> 32) as usize % GROUPS
+    }
+
     /// The number that it draws for a part of an object: the least takes it.
     pub fn draw(&self, object: &str, part: u64) -> f64 {
         draw_seeded(self.name_seed, object, part, self.weight)
     }
 }
 
-#[derive(Debug)]
+#[derive(Clone, Debug, PartialEq)]
 struct Group {
     name_seed: u64,
+    /// The sum of its members' weights.
     weight: f64,
     members: Vec<Candidate>,
 }
 
-/// The servers that draw for the same parts, such as all caches of a zone.
-#[derive(Debug, Default)]
+impl Group {
+    /// Added up anew, in the order of names: were differences added, routers that saw the same servers come
+    /// in another order would differ in the last bits.
+    fn update_weight(&mut self) {
+        self.weight = self.members.iter().map(|member| member.weight).sum();
+    }
+}
+
+/// The servers that draw for the same parts, such as all caches of a zone, in the order of their names.
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
     all: Vec<Candidate>,
+    /// Each of [`GROUPS`], in which there may be none; without any while no part is drawn in two steps.
     groups: Vec<Group>,
 }
 
+/// Replaces the candidate of that name, or adds it where it belongs.
+fn insert_by_name(candidates: &mut Vec<Candidate>, candidate: Candidate) {
+    match candidates.binary_search_by(|other| other.name.cmp(&candidate.name)) {
+        Ok(position) => candidates[position] = candidate,
+        Err(position) => candidates.insert(position, candidate),
+    }
+}
+
+fn remove_by_name(candidates: &mut Vec<Candidate>, name: &str) -> Option<Candidate> {
+    let position = candidates.binary_search_by(|other| (*other.name).cmp(name));
+    position.ok().map(|position| candidates.remove(position))
+}
+
 impl Pool {
-    /// A pool of these servers. Which group one is in depends on its name alone.
+    /// A pool of these servers, which come in the order of their names.
     pub fn new(all: Vec<Candidate>) -> Pool {
-        let mut groups: Vec<Group> = Vec::new();
-        if all.len() > ONE_STEP_AT_MOST {
-            groups.extend((0..GROUPS).map(|number| Group {
+        let groups = Vec::new();
+        let mut pool = Pool { all, groups };
+        pool.form_groups();
+        pool
+    }
+
+    /// Adds a server, or takes its new slot and weight. No more is looked at than one group of a large pool.
+    pub fn insert(&mut self, candidate: Candidate) {
+        insert_by_name(&mut self.all, candidate.clone());
+        if self.groups.is_empty() {
+            return self.form_groups();
+        }
+        let group = &mut self.groups[candidate.group()];
+        insert_by_name(&mut group.members, candidate);
+        group.update_weight();
+    }
+
+    /// Removes a server, if it is there. No more is looked at than one group of a large pool.
+    pub fn remove(&mut self, name: &str) {
+        let Some(candidate) = remove_by_name(&mut self.all, name) else {
+            return;
+        };
+        if self.all.len() <= ONE_STEP_AT_MOST {
+            return self.groups.clear();
+        }
+        let group = &mut self.groups[candidate.group()];
+        remove_by_name(&mut group.members, name);
+        group.update_weight();
+    }
+
+    /// Divides a pool that has grown large into its groups.
+    fn form_groups(&mut self) {
+        if self.all.len() <= ONE_STEP_AT_MOST {
+            return;
+        }
+        self.groups = (0..GROUPS)
+            .map(|number| Group {
                 name_seed: name_seed(&format!("group {number}")),
                 weight: 0.0,
                 members: Vec::new(),
-            }));
-            for candidate in &all {
-                // The draws are seeded by the same hash, of which these bits say little.
-                let group = &mut groups[(candidate.name_seed >> 32) as usize % GROUPS];
-                group.weight += candidate.weight;
-                group.members.push(candidate.clone());
-            }
-            groups.retain(|group| !group.members.is_empty());
+            })
+            .collect();
+        for candidate in &self.all {
+            let group = &mut self.groups[candidate.group()];
+            group.members.push(candidate.clone());
         }
-        Pool { all, groups }
+        self.groups.iter_mut().for_each(Group::update_weight);
     }
 
     /// Whether there are none.
@@ -110,6 +173,7 @@
             groups: self
                 .groups
                 .iter()
+                .filter(|group| !group.members.is_empty())
                 .map(|group| (draw(group), group))
                 .collect(),
         }
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use chalkhall_stats::draw;
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-fn name(n: usize) -> String {
-    format!("cache-{n:04}")
+fn name(n: usize) -> Rc<str> {
+    format!("cache-{n:04}").into()
 }
 
 /// Weights from 4 to 12.
@@ -24,7 +24,7 @@
     let least = set
         .iter()
         .min_by(|a, b| a.draw(object, 0).total_cmp(&b.draw(object, 0)));
-    least.expect("a candidate").position
+    least.expect("a candidate").slot
 }
 
 fn objects(count: usize) -> impl Iterator<Item = String> {
@@ -52,11 +52,7 @@
     for servers in [200, 300, 400, 3200] {
         let pool = pool(0..servers);
         for object in objects(50) {
-            let all: Vec<usize> = pool
-                .sets(&object, 3)
-                .flatten()
-                .map(|c| c.position)
-                .collect();
+            let all: Vec<usize> = pool.sets(&object, 3).flatten().map(|c| c.slot).collect();
             assert_eq!(all.len(), servers);
             assert_eq!(all.into_iter().collect::<BTreeSet<_>>().len(), servers);
         }
@@ -138,3 +134,28 @@
     );
     assert!(objects(1000).all(|object| pool.in_two_steps(&object, 0)));
 }
+
+/// Through the sizes at which groups form and go: servers that come, go or change their weights in place.
+#[test]
+fn a_pool_changed_in_place_is_the_same_as_one_built_anew() {
+    let mut chance = fastrand::Rng::with_seed(7);
+    let mut listed = BTreeMap::new();
+    let mut changed = Pool::default();
+    let mut seen_with_groups = BTreeSet::new();
+    for step in 0..4000 {
+        let n = chance.usize(..ONE_STEP_AT_MOST * 2);
+        let most = if step % 1000 < 500 { 420 } else { 200 };
+        if listed.len() > most || chance.u8(..4) == 0 {
+            listed.remove(&n);
+            changed.remove(&name(n));
+        } else {
+            let candidate = Candidate::new(chance.usize(..1000), &name(n), chance.f64());
+            listed.insert(n, candidate.clone());
+            changed.insert(candidate);
+        }
+        let built = Pool::new(listed.values().cloned().collect());
+        assert_eq!(changed, built, "after {step} changes");
+        seen_with_groups.insert(!changed.groups.is_empty());
+    }
+    assert_eq!(seen_with_groups.len(), 2, "the size crosses the bound");
+}
