--- a/Makefile
+++ b/Makefile
@@ -23,10 +23,11 @@
 
 # Mutants of the rules' code, of recovery and of what mates tell; needs cargo-mutants (cargo install cargo-mutants --locked).
 # Minutes, so outside CI; what is left alive stands in docs/testing.md.
-RULES = Router::(send|may_take|may_repeat|end|oldest|last_purge|close|left|result|purged|told)\b
+RULES = (send|validate_\w+|accepts_new_work|is_safe_to_retry|admits\w*|finish|may_reject|max_age|last_purge|record|close|left|result|purged|told)\b
+RULE_FILES = $(foreach module,router lifecycle dispatch retry purge slow_start,-f src/$(module).rs)
 JOBS ?= 4
 mutants:
-	cargo mutants -p chalkhall -f src/control.rs --re '$(RULES)' --jobs $(JOBS) --timeout 30 -o target/mutants-rules -- --tests
+	cargo mutants -p chalkhall $(RULE_FILES) --re '$(RULES)' --jobs $(JOBS) --timeout 30 -o target/mutants-rules -- --tests
 	cargo mutants -p chalkhall-gossip -f 'crates/gossip/src/*.rs' --jobs $(JOBS) --timeout 60 -o target/mutants-members -- --tests
 	cargo mutants -p chalkhall-store -f crates/store/src/recovery.rs -f crates/store/src/decide/purges.rs \
 		-f crates/store/src/decide/disk/start.rs --jobs $(JOBS) --timeout 120 -o target/mutants-store -- --tests
--- /dev/null
+++ b/src/admission/tests.rs
@@ -0,0 +1,71 @@
+use super::*;
+
+const NOW: Duration = Duration::from_secs(1000);
+const SECOND: Duration = Duration::from_secs(1);
+
+fn arrival(object: &str) -> Arrival {
+    Arrival {
+        object: object.into(),
+        kb: 20.0,
+        ..Arrival::default()
+    }
+}
+
+#[test]
+fn a_copy_is_kept_from_the_second_access_on() {
+    let mut history = AccessHistory::default();
+    assert_eq!(history.record_access(NOW, &arrival("x"), None, false), 0);
+    assert_eq!(
+        history.record_access(NOW, &arrival("x"), None, false),
+        MIDDLE_PRIORITY
+    );
+}
+
+#[test]
+fn a_first_access_is_kept_where_others_of_the_zone_share_the_part() {
+    let mut history = AccessHistory::default();
+    assert_eq!(history.record_access(NOW, &arrival("x"), None, true), 1);
+}
+
+#[test]
+fn a_retry_is_no_second_access() {
+    let mut history = AccessHistory::default();
+    history.record_access(NOW, &arrival("x"), None, false);
+    let repeated = Arrival {
+        repeated: true,
+        ..arrival("x")
+    };
+    assert_eq!(history.record_access(NOW, &repeated, None, false), 0);
+    history
+        .part_mut(&arrival("x"))
+        .expect("known")
+        .is_unanswered = true;
+    assert_eq!(history.record_access(NOW, &arrival("x"), None, false), 0);
+    assert_eq!(
+        history.record_access(NOW, &arrival("x"), None, false),
+        MIDDLE_PRIORITY
+    );
+}
+
+#[test]
+fn what_expires_before_its_next_access_is_not_admitted_and_a_kept_copy_drops() {
+    let mut history = AccessHistory::default();
+    let mut access = |object, at| history.record_access(at, &arrival(object), Some(SECOND), false);
+    access("x", NOW);
+    assert_eq!(access("x", NOW + SECOND), 0);
+    access("y", NOW);
+    assert_eq!(access("y", NOW + SECOND / 2), MIDDLE_PRIORITY);
+    assert_eq!(access("y", NOW + SECOND * 2), 1);
+}
+
+#[test]
+fn what_another_router_tells_of_counts_as_an_access() {
+    let mut history = AccessHistory::default();
+    let part = part_key(&arrival("x"));
+    history.record_holder(NOW, part, "cache-1".into());
+    assert_eq!(history.holder(part), Some("cache-1".into()));
+    assert_eq!(
+        history.record_access(NOW, &arrival("x"), None, false),
+        MIDDLE_PRIORITY
+    );
+}
--- /dev/null
+++ b/src/coalescing/tests.rs
@@ -0,0 +1,16 @@
+use super::*;
+
+#[test]
+fn waiters_go_on_when_the_leader_has_ended_and_not_when_another_has() {
+    let (leader, other, waiter): (Id, Id, Id) = ("1".into(), "2".into(), "3".into());
+    let mut coalescing = Coalescing::default();
+    coalescing.wait(7, &waiter);
+    assert!(!coalescing.is_filling(7), "nobody waits where nobody fills");
+    coalescing.lead(7, &leader);
+    coalescing.lead(7, &other);
+    coalescing.wait(7, &waiter);
+    assert_eq!(coalescing.complete(7, &other), []);
+    assert_eq!(coalescing.complete(8, &leader), []);
+    assert_eq!(coalescing.complete(7, &leader), [waiter]);
+    assert!(!coalescing.is_filling(7));
+}
--- /dev/null
+++ b/src/completion.rs
@@ -0,0 +1,451 @@
+//! What is learnt from the end of an attempt, or from its silence, and what follows for the request.
+
+use crate::admission::{CopyHolder, part_key};
+use crate::fill_limiter::FillResult;
+use crate::interface::{Ended, Id, Outcome, Remark, Tier};
+use crate::outlier::EJECTION_LOG_ODDS;
+use crate::request::{ANSWER_OVERHEAD, OpenAttempt, Route, SuspectedError};
+use crate::retry::PossibleExecution;
+use crate::router::{EventContext, Router};
+use crate::timers::TimerCallback;
+use std::time::Duration;
+
+/// A hit that takes over this multiple of its usual time is a failure of the cache.
+const SLOW_HIT_MULTIPLE: f64 = 2.0;
+/// The share of fills in time at which a late fill begins to count against a server, as its complement: while
+/// the best of a tier is late as often as this, a full link delays all.
+const LATE_FILL_BASELINE: f64 = 0.5;
+/// The least cost of a fill, in milliseconds.
+const LEAST_FILL_COST_MS: f64 = 1.0;
+/// The weight of an outcome whose cause is the server or the source, one as likely as the other.
+const SHARED_BLAME: f64 = 0.5;
+
+/// An attempt that has ended.
+struct Completion<'a> {
+    id: &'a Id,
+    route: &'a Route,
+    sent_at: Duration,
+    /// It was taken for a fill.
+    is_fill: bool,
+    is_late: bool,
+    ended: &'a Ended,
+}
+
+impl Completion<'_> {
+    fn is_served(&self) -> bool {
+        self.ended.outcome == Outcome::Served
+    }
+
+    /// It was answered from a copy.
+    fn is_hit(&self) -> bool {
+        self.is_served() && matches!(self.ended.remark, Remark::Hit | Remark::Stale)
+    }
+
+    /// It was answered, and not from a copy.
+    fn is_filled(&self) -> bool {
+        self.is_served() && !self.is_hit()
+    }
+
+    /// Nothing was received from the server.
+    fn is_silent(&self) -> bool {
+        use Outcome::*;
+        matches!(
+            self.ended.outcome,
+            Unreachable | Broken | TimedOut | Cancelled | NeverSent
+        )
+    }
+}
+
+/// How much an outcome counts for or against the server and the source, from 0 to 1.
+#[derive(Clone, Copy)]
+struct Blame {
+    server: f64,
+    source: f64,
+}
+
+impl Blame {
+    const NONE: Blame = Blame::new(0.0, 0.0);
+
+    const fn new(server: f64, source: f64) -> Blame {
+        Blame { server, source }
+    }
+}
+
+/// A hop that has not answered anybody since an attempt was sent.
+struct SilentHop {
+    server: Id,
+    /// How long before the attempt it last answered, in seconds: the longer, the likelier it is broken.
+    silent_for: f64,
+}
+
+impl Router {
+    /// An attempt has ended: what is learnt, and the next step of its request.
+    pub(crate) fn complete_attempt(
+        &mut self,
+        context: &mut EventContext,
+        id: &Id,
+        number: usize,
+        open: &OpenAttempt,
+        ended: &Ended,
+    ) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let attempt = &request.attempts[number];
+        if attempt.holds_fill_slot {
+            self.fill_limiter.release();
+        }
+        let usual = ANSWER_OVERHEAD + request.sending_time;
+        let latest = request.soft_deadline.max(open.sent_at + usual * 2);
+        let completion = Completion {
+            id,
+            route: &open.route,
+            sent_at: open.sent_at,
+            is_fill: attempt.is_fill,
+            is_late: context.now > latest,
+            ended,
+        };
+        let part = part_key(&request.arrival);
+        let holder_before = self.access_history.holder(part);
+        self.learn(context.now, &completion);
+        let holder = self.access_history.holder(part);
+        if let Some(holder) = holder.filter(|holder| holder_before.as_ref() != Some(holder)) {
+            context.actions.found(part, &holder);
+        }
+        if completion.is_fill {
+            self.record_fill_result(context, &completion);
+        }
+        self.complete_waiters(context, id, completion.is_served());
+        self.follow_up(context, &completion);
+    }
+
+    /// The limit of fills follows.
+    fn record_fill_result(&mut self, context: &mut EventContext, completion: &Completion) {
+        let result = if self.is_unrelated_to_load(completion) {
+            FillResult::Unrelated
+        } else if completion.is_served() && !completion.is_late {
+            FillResult::InTime
+        } else {
+            FillResult::Late
+        };
+        let (endpoints, zone) = (&self.endpoints, self.zone);
+        let routers = self.routers_in_zone;
+        let fair_share = || {
+            let capacity: f64 = endpoints.caches_of(zone).map(|m| m.capacity).sum();
+            capacity / routers
+        };
+        self.fill_limiter
+            .record_result(context.now, result, fair_share);
+        self.dequeue_fills(context);
+    }
+
+    /// Who is dead, silent, ejected or refuses, as one source may, says nothing of what links bear; nor does
+    /// what this machine could not send.
+    fn is_unrelated_to_load(&self, completion: &Completion) -> bool {
+        use Outcome::*;
+        let ended = completion.ended;
+        if matches!(
+            ended.outcome,
+            Cancelled | Missing | Broken | Full | NeverSent
+        ) || ended.remark == Remark::SourceUnreached
+        {
+            return true;
+        }
+        let hops = completion.route.hops();
+        let mut hops = hops.filter_map(|name| self.endpoints.get(name));
+        hops.any(|endpoint| {
+            let is_silent = endpoint.last_answer_at < completion.sent_at;
+            endpoint.outliers.is_ejected() || is_silent && ended.outcome == TimedOut
+        })
+    }
+
+    /// The next step of the request: another attempt, elsewhere, or its end.
+    fn follow_up(&mut self, context: &mut EventContext, completion: &Completion) {
+        use Outcome::*;
+        let (id, route, ended) = (completion.id, completion.route, completion.ended);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let may_have_run = matches!(ended.outcome, Error | TimedOut | Broken | Cancelled);
+        if may_have_run && request.possible_execution.is_none() && !route.is_local() {
+            request.possible_execution = Some(PossibleExecution {
+                sent_at: completion.sent_at,
+                server: route.server.clone(),
+            });
+        }
+        if request.is_over || ended.outcome == Missing && !route.is_local() {
+            return self.finish(context, id);
+        }
+        // Where the source alone failed the cache is asked again, with another.
+        let source_failed = !matches!(
+            ended.remark,
+            Remark::None | Remark::NoFillPlace | Remark::Joined
+        );
+        let either_is_full = ended.outcome == Full && ended.remark == Remark::None;
+        let failed = route.hops().skip(usize::from(source_failed));
+        let failed = failed.take(1 + usize::from(either_is_full));
+        if ended.outcome != Cancelled {
+            request.failed_servers.extend(failed.cloned());
+        }
+        self.advance(context, id);
+    }
+
+    /// What the end of an attempt says of servers, of the origin, and of the part.
+    fn learn(&mut self, now: Duration, completion: &Completion) {
+        let blame = self.blame(completion);
+        self.record_outcome_of_hops(now, completion, blame);
+        self.record_outcome_of_origins(now, completion);
+        // A local copy says nothing of how servers are.
+        if completion.is_served() && !completion.route.is_local() {
+            self.learn_from_answer(now, completion);
+        }
+    }
+
+    fn blame(&mut self, completion: &Completion) -> Blame {
+        use Outcome::*;
+        let (route, ended) = (completion.route, completion.ended);
+        let has_source = route.source != route.server;
+        match (ended.outcome, ended.remark) {
+            (Served, _) if completion.is_hit() => Blame::new(1.0, 0.0),
+            (Served, _) => {
+                let is_late = completion.is_late && has_source;
+                let server = if is_late {
+                    self.blame_for_late_fill(Tier::Cache, &route.server)
+                } else {
+                    1.0
+                };
+                Blame::new(
+                    server,
+                    self.blame_for_late_fill(Tier::Parent, &route.server),
+                )
+            }
+            (Broken, _) => Blame::new(SHARED_BLAME, 0.0),
+            (_, Remark::SourceUnreached) => Blame::new(0.0, 1.0),
+            (Error, Remark::None) => {
+                self.suspect_error(completion);
+                Blame::NONE
+            }
+            (TimedOut, Remark::None) if completion.is_fill => {
+                Blame::new(SHARED_BLAME, SHARED_BLAME)
+            }
+            (Unreachable, _) | (TimedOut, Remark::None) => Blame::new(1.0, 0.0),
+            _ => Blame::NONE,
+        }
+    }
+
+    /// An error is perhaps the request's own fault: it counts against the hops once another server has answered
+    /// the request.
+    fn suspect_error(&mut self, completion: &Completion) {
+        let Some(request) = self.requests.get_mut(completion.id) else {
+            return;
+        };
+        let weight = if completion.is_fill {
+            SHARED_BLAME
+        } else {
+            1.0
+        };
+        let hops = completion.route.hops();
+        let suspected = hops.take(1 + usize::from(completion.is_fill));
+        request
+            .suspected_errors
+            .extend(suspected.map(|server| SuspectedError {
+                server: server.clone(),
+                weight,
+            }));
+    }
+
+    /// How far a late fill counts against a server of this tier: by how seldom the best of the tier is late (a
+    /// full link delays all), and against one cache at a time: with one ejected after the other, the last would
+    /// have to bear it all.
+    fn blame_for_late_fill(&mut self, tier: Tier, server: &Id) -> f64 {
+        if tier != Tier::Parent && self.endpoints.has_other_ejected(tier, server) {
+            return 0.0;
+        }
+        let best_late_share = 1.0 - self.endpoints.best_on_time_share(tier);
+        let blame = (LATE_FILL_BASELINE / best_late_share).log10();
+        blame.clamp(0.0, 1.0)
+    }
+
+    fn record_outcome_of_hops(&mut self, now: Duration, completion: &Completion, blame: Blame) {
+        let Some(request) = self.requests.get(completion.id) else {
+            return;
+        };
+        let (kb, ended) = (request.arrival.kb, completion.ended);
+        let (is_filled, is_broken) = (completion.is_filled(), ended.outcome == Outcome::Broken);
+        // Only the cache itself makes a hit slow: one that ages answers, later and later, until it dies.
+        let usual = ANSWER_OVERHEAD + request.sending_time;
+        let is_late_hit = completion.is_hit() && ended.took > usual.mul_f64(SLOW_HIT_MULTIPLE);
+        let route = completion.route;
+        for (name, weight) in route.hops().zip([blame.server, blame.source]) {
+            let Some(endpoint) = self.endpoints.get_mut(name) else {
+                continue;
+            };
+            endpoint.in_flight_kb = (endpoint.in_flight_kb - kb).max(0.0);
+            endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+            if !completion.is_silent() && (*name == route.server || is_filled) {
+                endpoint.last_answer_at = now;
+            }
+            let was_broken = endpoint.broken_until > now;
+            if is_broken {
+                endpoint.broken_until = now + ANSWER_OVERHEAD;
+            }
+            let counts_late = is_filled || endpoint.member.tier != Tier::Cache;
+            if weight > 0.0 && !(is_broken && was_broken) {
+                let is_late = is_late_hit || completion.is_late && counts_late;
+                let failed = !completion.is_served() || is_late;
+                self.endpoints.record_outcome(name, now, failed, weight);
+            }
+            if is_filled {
+                self.endpoints.record_fill(name, completion.is_late);
+            }
+        }
+    }
+
+    /// Behind a parent the origin is judged by how long it kept a fill waiting.
+    fn record_outcome_of_origins(&mut self, now: Duration, completion: &Completion) {
+        let ended = completion.ended;
+        if !matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
+            return;
+        }
+        let Some(request) = self.requests.get(completion.id) else {
+            return;
+        };
+        let objective = self.classes[request.arrival.class].soft_deadline;
+        let failed = !completion.is_served() || ended.first_byte > Some(objective);
+        let origins = self.endpoints.origins();
+        let origins: Vec<Id> = origins.map(|origin| origin.member.server.clone()).collect();
+        for origin in &origins {
+            self.endpoints.record_outcome(origin, now, failed, 1.0);
+        }
+    }
+
+    fn learn_from_answer(&mut self, now: Duration, completion: &Completion) {
+        let Some(request) = self.requests.get_mut(completion.id) else {
+            return;
+        };
+        for error in std::mem::take(&mut request.suspected_errors) {
+            self.endpoints
+                .record_outcome(&error.server, now, true, error.weight);
+        }
+        self.attempt_timeout.shorten();
+        let is_hit = completion.is_hit();
+        if request.is_first_access {
+            self.access_history.record_first_access(is_hit);
+        }
+        let Some(part) = self.access_history.part_mut(&request.arrival) else {
+            return;
+        };
+        let is_kept = is_hit || request.retention_priority > 0;
+        part.holder = is_kept.then(|| CopyHolder {
+            cache: completion.route.server.clone(),
+            known_at: now,
+        });
+        if let Some(wait) = completion.ended.first_byte {
+            part.fill_cost = Some((wait.as_secs_f64() * 1e3).max(LEAST_FILL_COST_MS));
+        }
+    }
+
+    /// An attempt has not ended within its timeout. A server that has not answered anybody since counts as
+    /// silent, but not for one overdue fill. One that answered others is slow: another attempt would double the
+    /// load. After as long again its answer is lost, and would hold a fill's slot.
+    pub(crate) fn check_overdue_attempt(
+        &mut self,
+        context: &mut EventContext,
+        id: &Id,
+        number: usize,
+    ) {
+        let request = self.requests.get(id).filter(|request| !request.is_over);
+        let Some((request, open)) = request.and_then(|r| Some((r, r.open_attempt(number)?))) else {
+            return;
+        };
+        let (route, sent_at) = (open.route.clone(), open.sent_at);
+        let usual = self.attempt_timeout.timeout(request.sending_time);
+        // A copy would have been sent by now: it is being filled after all. Nothing fills a local one.
+        let was_fill = request.attempts[number].is_fill;
+        let is_filling = !route.is_local() && was_fill;
+        let silent = self.silent_hops(&route, sent_at);
+        // Whoever says nothing to anybody uses no link: a slot among the fills would be held for nothing.
+        let holds_slot = !route.is_local() && silent.is_empty();
+        self.take_for_fill(id, number, &route, holds_slot);
+        let log_odds = self.count_silence(context.now, &silent);
+        // Whichever it is, one of them is broken.
+        let waits = if silent.is_empty() {
+            context.now < sent_at + usual * 2
+        } else {
+            is_filling && log_odds < EJECTION_LOG_ODDS
+        };
+        if waits {
+            let callback = TimerCallback::AttemptTimeout {
+                request: id.clone(),
+                attempt: number,
+            };
+            self.set_timer(context, context.now - sent_at, callback);
+            return self.dequeue_fills(context);
+        }
+        self.give_up_attempt(context, id, number, &route, silent);
+    }
+
+    fn silent_hops(&self, route: &Route, sent_at: Duration) -> Vec<SilentHop> {
+        let silent = |server: &Id| {
+            let last_answer_at = self.endpoints.get(server)?.last_answer_at;
+            let silent_for = sent_at.checked_sub(last_answer_at)?.as_secs_f64();
+            (silent_for > 0.0).then(|| SilentHop {
+                server: server.clone(),
+                silent_for,
+            })
+        };
+        route.hops().filter_map(silent).collect()
+    }
+
+    /// An overdue attempt counts as a fill, unless it is for a local copy.
+    fn take_for_fill(&mut self, id: &Id, number: usize, route: &Route, holds_slot: bool) {
+        let request = self.requests.get_mut(id);
+        let Some(attempt) = request.and_then(|r| r.attempts.get_mut(number)) else {
+            return;
+        };
+        attempt.is_fill |= !route.is_local();
+        match (attempt.holds_fill_slot, holds_slot) {
+            (false, true) => self.fill_limiter.acquire(),
+            (true, false) => self.fill_limiter.release(),
+            _ => {}
+        }
+        attempt.holds_fill_slot = holds_slot;
+    }
+
+    /// One failure, divided among the hops that are silent. The sum of the log odds that they are broken.
+    fn count_silence(&mut self, now: Duration, silent: &[SilentHop]) -> f64 {
+        let total = silent.iter().map(|hop| hop.silent_for).sum::<f64>();
+        let mut log_odds = 0.0;
+        for hop in silent {
+            let weight = hop.silent_for / total;
+            self.endpoints
+                .record_outcome(&hop.server, now, true, weight);
+            let endpoint = self.endpoints.get(&hop.server);
+            log_odds += endpoint.map_or(0.0, |endpoint| endpoint.outliers.log_odds());
+        }
+        log_odds
+    }
+
+    /// Cancels an attempt. Its request asks the silent hops, or else the server, no more.
+    fn give_up_attempt(
+        &mut self,
+        context: &mut EventContext,
+        id: &Id,
+        number: usize,
+        route: &Route,
+        silent: Vec<SilentHop>,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if silent.is_empty() {
+            request.failed_servers.push(route.server.clone());
+        }
+        let silent = silent.into_iter().map(|hop| hop.server);
+        request.failed_servers.extend(silent);
+        if !route.is_local() {
+            self.attempt_timeout.lengthen();
+        }
+        context.actions.cancel(id, number);
+    }
+}
--- /dev/null
+++ b/src/dispatch/tests.rs
@@ -0,0 +1,187 @@
+use super::*;
+use crate::interface::*;
+
+const NOW: Duration = Duration::from_secs(1000);
+const SECOND: Duration = Duration::from_secs(1);
+
+/// Takes every action and does nothing.
+struct Ignore;
+
+impl Outlet for Ignore {
+    fn attempt(&mut self, _: &Id, _: &Id, _: Duration, _: &Fill) {}
+    fn reject(&mut self, _: &Id, _: Option<Duration>) {}
+    fn fail(&mut self, _: &Id) {}
+    fn cancel(&mut self, _: &Id, _: usize) {}
+    fn wake_at(&mut self, _: Duration, _: u64) {}
+    fn watch_list(&mut self) {}
+}
+
+fn cache(name: &str) -> Member {
+    Member {
+        server: name.into(),
+        capacity: 8.0,
+        ..Member::default()
+    }
+}
+
+/// A router with two caches and a request of this effect, with an attempt at the first cache.
+fn router(effect: Effect) -> (Router, Id) {
+    let limits = ColdStart {
+        from: 0.5,
+        warm_within: SECOND * 10,
+        multiple: 2.0,
+        span: SECOND,
+    };
+    let deployment = Deployment {
+        routers: 1,
+        classes: vec![Class {
+            effect,
+            soft_deadline: SECOND,
+            fresh: Some(SECOND * 60),
+            cacheable: true,
+            ..Class::default()
+        }],
+        client_kb_per_s: 1000.0,
+        max_attempts: 2,
+        cold_cache: limits,
+        purge_done: SECOND * 6,
+        ..Deployment::default()
+    };
+    let mut router = Router::start(SECOND, &deployment, &mut Ignore);
+    let members = [cache("cache-1"), cache("cache-2")];
+    router.list(NOW, ListKind::Whole, &members, &mut Ignore);
+    let arrival = Arrival {
+        id: "request".into(),
+        object: "object".into(),
+        kb: 20.0,
+        left: SECOND * 4,
+        ..Arrival::default()
+    };
+    router.request(NOW, arrival, &mut Ignore);
+    (router, "request".into())
+}
+
+fn route(server: &str) -> Route {
+    Route {
+        server: server.into(),
+        source: server.into(),
+        copy_created_at: None,
+        allowed_staleness: Duration::ZERO,
+    }
+}
+
+/// Ends the first attempt as if it had never been, but for `ran`.
+fn end_attempt(router: &mut Router, id: &Id, ran: bool) {
+    let request = router.requests.get_mut(id).expect("pending");
+    request.attempts[0].open = None;
+    request.open_attempts = 0;
+    request.possible_execution = ran.then(|| crate::retry::PossibleExecution {
+        sent_at: NOW,
+        server: "cache-1".into(),
+    });
+}
+
+fn refusal(router: &Router, now: Duration, id: &Id, route: &Route) -> Option<Refusal> {
+    router.validate_attempt(now, id, route).err()
+}
+
+#[test]
+fn an_attempt_that_keeps_every_rule_passes() {
+    let (mut router, id) = router(Effect::Idempotent);
+    end_attempt(&mut router, &id, true);
+    assert_eq!(refusal(&router, NOW, &id, &route("cache-2")), None);
+}
+
+#[test]
+fn requests_and_servers_that_are_not_known_are_refused() {
+    let (router, id) = router(Effect::Idempotent);
+    let unknown = "unknown".into();
+    let refused = refusal(&router, NOW, &unknown, &route("cache-1"));
+    assert_eq!(refused, Some(Refusal::RequestUnknown));
+    let refused = refusal(&router, NOW, &id, &route("unknown"));
+    assert_eq!(refused, Some(Refusal::EndpointUnknown));
+}
+
+#[test]
+fn nothing_is_sent_beside_an_attempt_in_flight_nor_past_the_last_attempt() {
+    let (mut router, id) = router(Effect::Idempotent);
+    let refused = refusal(&router, NOW, &id, &route("cache-2"));
+    assert_eq!(refused, Some(Refusal::AttemptInFlight));
+    end_attempt(&mut router, &id, false);
+    router.max_attempts = 1;
+    let refused = refusal(&router, NOW, &id, &route("cache-2"));
+    assert_eq!(refused, Some(Refusal::AttemptsExhausted));
+}
+
+#[test]
+fn nothing_is_sent_at_the_deadline_nor_for_a_client_that_has_left() {
+    let (mut router, id) = router(Effect::Idempotent);
+    end_attempt(&mut router, &id, false);
+    let (to, deadline) = (route("cache-2"), NOW + SECOND * 4);
+    let before = deadline - Duration::from_nanos(1);
+    assert_eq!(refusal(&router, before, &id, &to), None);
+    let refused = refusal(&router, deadline, &id, &to);
+    assert_eq!(refused, Some(Refusal::DeadlinePassed));
+    router.begun(&id);
+    assert_eq!(refusal(&router, NOW, &id, &to), Some(Refusal::RequestOver));
+}
+
+#[test]
+fn a_non_idempotent_request_that_may_have_run_is_not_sent_again() {
+    let (mut router, id) = router(Effect::NonIdempotent);
+    end_attempt(&mut router, &id, false);
+    assert_eq!(refusal(&router, NOW, &id, &route("cache-2")), None);
+    end_attempt(&mut router, &id, true);
+    let refused = refusal(&router, NOW, &id, &route("cache-2"));
+    assert_eq!(refused, Some(Refusal::RetryUnsafe));
+}
+
+#[test]
+fn nothing_new_goes_to_a_draining_server_nor_fills_from_a_draining_source() {
+    let (mut router, id) = router(Effect::Idempotent);
+    end_attempt(&mut router, &id, false);
+    let draining = Member {
+        standing: Standing::Draining,
+        ..cache("cache-2")
+    };
+    router.list(NOW, ListKind::Changes, &[draining], &mut Ignore);
+    let refused = refusal(&router, NOW, &id, &route("cache-2"));
+    assert_eq!(refused, Some(Refusal::EndpointDraining));
+    let filled = Route {
+        source: "cache-2".into(),
+        ..route("cache-1")
+    };
+    let refused = refusal(&router, NOW, &id, &filled);
+    assert_eq!(refused, Some(Refusal::EndpointDraining));
+}
+
+#[test]
+fn a_warming_server_whose_budget_is_spent_is_sent_nothing() {
+    let (mut router, id) = router(Effect::Idempotent);
+    end_attempt(&mut router, &id, false);
+    let warming = Member {
+        started: Some(NOW),
+        capacity: 0.01,
+        ..cache("cache-2")
+    };
+    router.list(NOW, ListKind::Changes, &[warming], &mut Ignore);
+    let refused = refusal(&router, NOW, &id, &route("cache-2"));
+    assert_eq!(refused, Some(Refusal::SlowStartBudgetSpent));
+}
+
+#[test]
+fn a_local_copy_created_before_a_purge_is_not_sent() {
+    let (mut router, id) = router(Effect::Idempotent);
+    end_attempt(&mut router, &id, false);
+    let created = |at| Route {
+        copy_created_at: Some(at),
+        ..route("cache-2")
+    };
+    let old = created(NOW - SECOND);
+    assert_eq!(refusal(&router, NOW, &id, &old), None);
+    router.purged(NOW, Some("object".into()), 0, Duration::ZERO);
+    let refused = refusal(&router, NOW + SECOND, &id, &old);
+    assert_eq!(refused, Some(Refusal::CopyTooOld));
+    let new = created(NOW + Duration::from_millis(1));
+    assert_eq!(refusal(&router, NOW + SECOND, &id, &new), None);
+}
--- /dev/null
+++ b/src/lifecycle.rs
@@ -0,0 +1,216 @@
+//! What a request does next: it is answered locally, waits for another's fill or for a slot among the fills,
+//! is sent somewhere, or gets its final answer.
+
+use crate::admission::part_key;
+use crate::interface::{Effect, Held, Id};
+use crate::request::{PendingRequest, Route};
+use crate::retry::RetryTarget;
+use crate::router::{EventContext, Router};
+use crate::timers::TimerCallback;
+use std::time::Duration;
+
+/// Telling a client that the copy it holds still holds takes this part of sending it.
+const NOT_MODIFIED_DIVISOR: u32 = 20;
+/// The least share of an answer at a client's pace that the own link is taken to carry.
+const LEAST_LOCAL_CAPACITY: f64 = 0.01;
+
+impl Router {
+    /// Takes the next step of a request, unless it is over or an attempt is in flight.
+    pub(crate) fn advance(&mut self, context: &mut EventContext, id: &Id) {
+        let request = self.requests.get(id);
+        let is_idle = request.is_some_and(|r| !r.is_over && r.open_attempts == 0);
+        if !is_idle || self.answer_locally(context, id, Duration::ZERO) {
+            return;
+        }
+        self.ensure_pools(id);
+        let route = self.route(context.now, id);
+        if route.as_ref().is_some_and(|r| self.is_likely_fill(id, r)) {
+            if self.coalesce(context, id) {
+                return;
+            }
+            if !self.fill_limiter.has_free_slot() {
+                return self.enqueue_fill(context, id);
+            }
+        }
+        let is_sent = route.is_some_and(|route| self.send(context, id, route).is_ok());
+        let request = self.requests.get(id);
+        if !is_sent && request.is_some_and(|r| r.open_attempts == 0) {
+            self.finish(context, id);
+        }
+    }
+
+    /// Answers from a local copy, if the local cache is healthy and this router's link carries the answer in
+    /// time. The copy may be past its fresh time by `allowed_staleness`.
+    fn answer_locally(
+        &mut self,
+        context: &mut EventContext,
+        id: &Id,
+        allowed_staleness: Duration,
+    ) -> bool {
+        let Some(request) = self.requests.get(id) else {
+            return false;
+        };
+        let capacity = self.endpoints.local_capacity();
+        if capacity <= 0.0 || !self.classes[request.arrival.class].cacheable {
+            return false;
+        }
+        let Some(copy) = context.actions.held(id) else {
+            return false;
+        };
+        let sending_time = if copy.same {
+            request.sending_time / NOT_MODIFIED_DIVISOR
+        } else {
+            request.sending_time
+        };
+        // One answer runs at a client's pace at most; all share the link in turn.
+        let link_time = sending_time.div_f64(capacity.max(LEAST_LOCAL_CAPACITY));
+        let link_free_at = self.link_free_at.max(context.now) + link_time;
+        let complete_at = link_free_at.max(context.now + sending_time);
+        let latest = if allowed_staleness.is_zero() {
+            request.soft_deadline.min(request.deadline)
+        } else {
+            request.deadline
+        };
+        if complete_at > latest || !self.is_local_cache_usable(context.now, request, &copy) {
+            return false;
+        }
+        let route = Route {
+            server: copy.place.clone(),
+            source: copy.place,
+            copy_created_at: Some(copy.made),
+            allowed_staleness,
+        };
+        let is_sent = self.send(context, id, route).is_ok();
+        if is_sent {
+            self.link_free_at = link_free_at;
+        }
+        is_sent
+    }
+
+    fn is_local_cache_usable(&self, now: Duration, request: &PendingRequest, copy: &Held) -> bool {
+        let cache = self.endpoints.get(&copy.place);
+        cache.is_some_and(|cache| cache.outliers.is_available(now))
+            && !request.failed_servers.contains(&copy.place)
+    }
+
+    /// Waits for the fill of the same part that is under way, which a second one would only crowd; once, and
+    /// not for longer than leaves time for a fill of its own: the leader's may be lost.
+    fn coalesce(&mut self, context: &mut EventContext, id: &Id) -> bool {
+        let Some(request) = self.requests.get_mut(id) else {
+            return false;
+        };
+        let part = part_key(&request.arrival);
+        let latest_start = request.latest_start();
+        if !self.coalescing.is_filling(part)
+            || latest_start <= context.now
+            || std::mem::replace(&mut request.has_coalesced, true)
+        {
+            return false;
+        }
+        self.coalescing.wait(part, id);
+        let delay = (latest_start - context.now) / 2;
+        self.set_timer(context, delay, TimerCallback::ResumeRequest(id.clone()));
+        true
+    }
+
+    /// An attempt of a request has ended: a local copy of what it brought, and on with those that waited for
+    /// it.
+    pub(crate) fn complete_waiters(&mut self, context: &mut EventContext, id: &Id, served: bool) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let waiters = self.coalescing.complete(part_key(&request.arrival), id);
+        // What others waited for is wanted more than once.
+        let wanted = u8::from(!waiters.is_empty());
+        let retention_priority = request.retention_priority.max(wanted);
+        let is_cacheable = self.classes[request.arrival.class].cacheable;
+        if served && retention_priority > 0 && is_cacheable {
+            context.actions.keep(id, retention_priority);
+        }
+        for waiter in waiters {
+            let resume = TimerCallback::ResumeRequest(waiter);
+            self.set_timer(context, Duration::ZERO, resume);
+        }
+    }
+
+    /// Waits for a slot among the fills, as long as a fill could still be in time after.
+    fn enqueue_fill(&mut self, context: &mut EventContext, id: &Id) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let latest_start = request.latest_start();
+        if context.now >= latest_start {
+            return self.finish(context, id);
+        }
+        self.fill_limiter.enqueue(id);
+        let timeout = TimerCallback::FillQueueTimeout(id.clone());
+        self.set_timer(context, latest_start - context.now, timeout);
+    }
+
+    /// Slots are free: those that wait for one go on, the most value for the work first.
+    pub(crate) fn dequeue_fills(&mut self, context: &mut EventContext) {
+        loop {
+            let (requests, classes) = (&self.requests, &self.classes);
+            let next = self.fill_limiter.dequeue(|id| {
+                let request = requests.get(id).filter(|request| !request.is_over)?;
+                let work = crate::request::ANSWER_OVERHEAD + request.sending_time;
+                Some(classes[request.arrival.class].value / work.as_secs_f64())
+            });
+            let Some(id) = next else {
+                return;
+            };
+            self.advance(context, &id);
+        }
+    }
+
+    /// The final answer where none was served: a rejection where a retry is safe, else a failure.
+    pub(crate) fn finish(&mut self, context: &mut EventContext, id: &Id) {
+        let Some(request) = self.requests.get(id).filter(|r| !r.is_over) else {
+            return;
+        };
+        // Better than none: a local copy past its fresh time, within what its class allows.
+        let allowed_staleness = self.classes[request.arrival.class].stale_for;
+        if !allowed_staleness.is_zero()
+            && request.open_attempts == 0
+            && self.answer_locally(context, id, allowed_staleness)
+        {
+            return;
+        }
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if let Some(part) = self.access_history.part_mut(&request.arrival) {
+            part.is_unanswered = true;
+        }
+        if self.may_reject(context.now, request) {
+            context.actions.reject(id, self.advice);
+        } else {
+            context.actions.fail(id);
+        }
+        self.begun(id);
+        self.close(context, id);
+    }
+
+    /// Whether the client may be told that a retry is safe: no attempt can still run, or running again is safe.
+    fn may_reject(&self, now: Duration, request: &PendingRequest) -> bool {
+        let effect = self.classes[request.arrival.class].effect;
+        let is_certain = request.open_attempts == 0 || effect == Effect::Idempotent;
+        is_certain && self.is_safe_to_retry(now, request, &RetryTarget::Client)
+    }
+
+    /// Once a request is over its open attempts are cancelled, and it is forgotten when all have ended.
+    pub(crate) fn close(&mut self, context: &mut EventContext, id: &Id) {
+        let Some(request) = self.requests.get(id).filter(|r| r.is_over) else {
+            return;
+        };
+        if self.may_cancel {
+            let attempts = request.attempts.iter().enumerate();
+            for (number, _) in attempts.filter(|(_, attempt)| attempt.open.is_some()) {
+                context.actions.cancel(id, number);
+            }
+        }
+        if request.open_attempts == 0 {
+            self.requests.remove(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/purge/tests.rs
@@ -0,0 +1,38 @@
+use super::*;
+
+const NOW: Duration = Duration::from_secs(1000);
+const SECOND: Duration = Duration::from_secs(1);
+
+/// Old purges are forgotten with the next one; the latest of an object counts.
+#[test]
+fn purges_are_forgotten_once_done_and_not_before() {
+    let mut log = PurgeLog::new(SECOND * 6);
+    let (x, y): (Id, Id) = ("x".into(), "y".into());
+    let scope = PurgeScope::Object(x.clone());
+    log.record(NOW, NOW, Some(x.clone()), 0);
+    log.record(NOW + SECOND * 4, NOW + SECOND * 3, Some(x.clone()), 0);
+    log.record(NOW + SECOND * 4, NOW + SECOND * 2, Some(x), 0);
+    log.record(NOW + SECOND * 8, NOW + SECOND * 8, Some(y), 0);
+    assert_eq!(log.purged_at.get(&scope), Some(&(NOW + SECOND * 3)));
+    assert_eq!(log.by_age.len(), 2);
+    log.record(NOW + SECOND * 9, NOW + SECOND * 9, None, 7);
+    assert_eq!(log.purged_at.get(&scope), None);
+    assert_eq!(log.purged_at.len(), 2);
+    assert_eq!(log.by_age.len(), 2);
+}
+
+#[test]
+fn the_age_of_a_copy_is_bound_from_the_purge_on_until_it_is_complete() {
+    let mut log = PurgeLog::new(SECOND * 6);
+    let arrival = Arrival {
+        object: "x".into(),
+        group: 7,
+        ..Arrival::default()
+    };
+    assert_eq!(log.max_age(NOW, &arrival), None);
+    log.record(NOW, NOW, None, 7);
+    assert_eq!(log.max_age(NOW, &arrival), Some(Duration::from_micros(1)));
+    log.record(NOW + SECOND, NOW + SECOND, Some("x".into()), 0);
+    assert_eq!(log.max_age(NOW + SECOND * 4, &arrival), Some(SECOND * 3));
+    assert_eq!(log.max_age(NOW + SECOND * 7, &arrival), None);
+}
--- /dev/null
+++ b/src/retry/tests.rs
@@ -0,0 +1,74 @@
+use super::*;
+
+const SENT_AT: Duration = Duration::from_secs(1000);
+const WINDOW: Duration = Duration::from_secs(10);
+
+fn class(effect: Effect, group: Group) -> Class {
+    Class {
+        effect,
+        group,
+        window: WINDOW,
+        ..Class::default()
+    }
+}
+
+fn member(zone: usize, cohort: u64) -> Member {
+    Member {
+        zone,
+        cohort,
+        ..Member::default()
+    }
+}
+
+fn is_safe(class: &Class, next: Option<&Member>, latest: Duration) -> bool {
+    let execution = PossibleExecution {
+        sent_at: SENT_AT,
+        server: "first".into(),
+    };
+    let target = next.map_or(RetryTarget::Client, RetryTarget::Server);
+    is_safe_to_retry(class, &execution, Some(&member(1, 1)), &target, latest)
+}
+
+#[test]
+fn only_the_effect_decides_outside_deduplication() {
+    let idempotent = class(Effect::Idempotent, Group::All);
+    let non_idempotent = class(Effect::NonIdempotent, Group::All);
+    for next in [None, Some(&member(1, 1))] {
+        assert!(is_safe(&idempotent, next, SENT_AT + WINDOW * 2));
+        assert!(!is_safe(&non_idempotent, next, SENT_AT));
+    }
+}
+
+#[test]
+fn a_deduplicated_request_runs_again_inside_its_window_only() {
+    let class = class(Effect::Deduplicated, Group::All);
+    let before_end = SENT_AT + WINDOW - Duration::from_nanos(1);
+    assert!(is_safe(&class, Some(&member(2, 2)), before_end));
+    assert!(!is_safe(&class, Some(&member(2, 2)), SENT_AT + WINDOW));
+}
+
+#[test]
+fn a_deduplicated_request_runs_again_inside_its_group_only() {
+    let by_zone = class(Effect::Deduplicated, Group::Zone);
+    assert!(is_safe(&by_zone, Some(&member(1, 2)), SENT_AT));
+    assert!(!is_safe(&by_zone, Some(&member(2, 1)), SENT_AT));
+    assert!(!is_safe(&by_zone, None, SENT_AT));
+    let by_cohort = class(Effect::Deduplicated, Group::Cohort);
+    assert!(is_safe(&by_cohort, Some(&member(2, 1)), SENT_AT));
+    assert!(!is_safe(&by_cohort, Some(&member(1, 2)), SENT_AT));
+    assert!(!is_safe(&by_cohort, None, SENT_AT));
+}
+
+#[test]
+fn a_first_server_that_is_no_longer_listed_shares_no_group() {
+    let by_zone = class(Effect::Deduplicated, Group::Zone);
+    let execution = PossibleExecution {
+        sent_at: SENT_AT,
+        server: "first".into(),
+    };
+    let next = member(1, 1);
+    let target = RetryTarget::Server(&next);
+    assert!(!is_safe_to_retry(
+        &by_zone, &execution, None, &target, SENT_AT
+    ));
+}
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -50,6 +50,7 @@
     }
 
     /// The number that it draws for a part of an object: the least takes it.
+    #[inline]
     pub fn draw(&self, object: &str, part: u64) -> f64 {
         draw_seeded(self.name_seed, object, part, self.weight)
     }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,7 +1,7 @@
 //! The deploy file tells of all that the router is made of.
 
 use std::collections::BTreeSet;
-use std::fs::read_to_string;
+use std::fs::{read_dir, read_to_string};
 
 /// The packages of this repository that one needs, and those that they need.
 fn needed(package: &str, all: &mut BTreeSet<String>) {
@@ -45,3 +45,15 @@
         );
     }
 }
+
+#[test]
+fn the_deploy_file_names_every_file_of_the_decisions_once() {
+    let deploy = read_to_string("deploy/balancer.toml").unwrap();
+    for entry in read_dir("src").unwrap() {
+        let name = entry.unwrap().file_name().into_string().unwrap();
+        if name.ends_with(".rs") {
+            let named = deploy.matches(&format!("\"src/{name}\"")).count();
+            assert_eq!(named, 1, "{name}");
+        }
+    }
+}
