--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -1,26 +1,27 @@
-//! The pause before a server's next connection after one that this machine could not make.
+//! The exponential backoff between the connects to a server that fail on this machine.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The first pause, and the longest: each is twice as long as the one before, until a connection is made.
-pub const FIRST: Duration = Duration::from_millis(10);
-pub const LONGEST: Duration = Duration::from_millis(320);
+/// The first pause. Each is twice as long as the one before, until a connection is made.
+pub const INITIAL_DELAY: Duration = Duration::from_millis(10);
+/// The longest pause.
+pub const MAX_DELAY: Duration = Duration::from_millis(320);
 
-/// When a new connection may be tried. Pauses are spread over their second half at random, lest all servers
-/// of a machine, and all routers on it, come back for what is short in one moment.
+/// When a new connection may be tried. Pauses have a jitter of half their length, lest all servers
+/// of a machine, and all routers on it, come back in one moment for the resource that is short.
 pub struct Backoff {
     not_before: Option<Instant>,
-    next: Duration,
-    chance: fastrand::Rng,
+    next_delay: Duration,
+    random: fastrand::Rng,
 }
 
 impl Default for Backoff {
     fn default() -> Backoff {
         Backoff {
             not_before: None,
-            next: FIRST,
-            chance: fastrand::Rng::new(),
+            next_delay: INITIAL_DELAY,
+            random: fastrand::Rng::new(),
         }
     }
 }
@@ -31,18 +32,25 @@
         self.not_before.is_none_or(|not_before| now >= not_before)
     }
 
-    /// One could not be made. Those that were tried together with it and fail after it count as one.
+    /// A connect has failed. Those that were tried together with it and fail after it count as one.
     pub fn failed(&mut self, now: Instant) {
         if !self.allows(now) {
             return;
         }
-        self.not_before = Some(now + self.next.mul_f64(1.0 - self.chance.f64() / 2.0));
-        self.next = (self.next * 2).min(LONGEST);
+        let jitter = 1.0 - self.random.f64() / 2.0;
+        self.not_before = Some(now + self.next_delay.mul_f64(jitter));
+        self.next_delay = (self.next_delay * 2).min(MAX_DELAY);
     }
 
-    /// One was made: the next failure begins with the first pause.
+    /// A connect has succeeded: the next failure begins with the first pause.
     pub fn succeeded(&mut self) {
-        (self.not_before, self.next) = (None, FIRST);
+        self.reset();
+    }
+
+    /// Forgets all failures.
+    pub fn reset(&mut self) {
+        self.not_before = None;
+        self.next_delay = INITIAL_DELAY;
     }
 }
 
--- a/crates/router/src/backoff/tests.rs
+++ b/crates/router/src/backoff/tests.rs
@@ -17,15 +17,15 @@
     let mut backoff = Backoff::default();
     let grown = pauses(&mut backoff, 8);
     for (n, pause) in grown.iter().enumerate() {
-        let most = (FIRST * (1 << n)).min(LONGEST);
+        let longest = (INITIAL_DELAY * (1 << n)).min(MAX_DELAY);
         assert!(
-            *pause > most / 2 - Duration::from_nanos(1) && *pause <= most,
+            *pause > longest / 2 - Duration::from_nanos(1) && *pause <= longest,
             "{n}: {pause:?}"
         );
     }
     backoff.succeeded();
     assert!(backoff.allows(Instant::now()));
-    assert!(pauses(&mut backoff, 1)[0] <= FIRST);
+    assert!(pauses(&mut backoff, 1)[0] <= INITIAL_DELAY);
 }
 
 #[test]
@@ -34,7 +34,10 @@
     backoff.failed(now);
     let first = backoff.not_before;
     (0..9).for_each(|_| backoff.failed(now));
-    assert_eq!((backoff.not_before, backoff.next), (first, FIRST * 2));
+    assert_eq!(
+        (backoff.not_before, backoff.next_delay),
+        (first, INITIAL_DELAY * 2)
+    );
 }
 
 #[test]
@@ -42,12 +45,12 @@
     let mut tenths = [0; 10];
     for seed in 0..300 {
         let mut backoff = Backoff {
-            chance: fastrand::Rng::with_seed(seed),
+            random: fastrand::Rng::with_seed(seed),
             ..Backoff::default()
         };
         let pause = pauses(&mut backoff, 1)[0];
-        tenths[((pause - FIRST / 2).as_secs_f64() / (FIRST / 2).as_secs_f64() * 9.999) as usize] +=
-            1;
+        tenths[((pause - INITIAL_DELAY / 2).as_secs_f64() / (INITIAL_DELAY / 2).as_secs_f64()
+            * 9.999) as usize] += 1;
     }
     assert!(tenths.iter().all(|n| (12..=60).contains(n)), "{tenths:?}");
 }
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -11,10 +11,11 @@
 use crate::lifecycle::Phase;
 use crate::local_cache::{Got, LocalCache};
 use crate::messages::{
-    CancellationFlag, ClientReply, Ended, FinalAnswer, Message, NewRequest, OperatorQuery,
+    AttemptEnded, AttemptId, CancellationFlag, ClientReply, FinalAnswer, Message, NewRequest,
+    OperatorQuery,
 };
 use crate::rate_limited_log::RateLimitedLog;
-use crate::server_pool::{ConnectionPlaces, ServerActors};
+use crate::server_pool::{ConnectionSlots, ServerActors};
 use crate::zone_failover::ZoneFailover;
 use chalkhall::control::Router;
 use chalkhall::interface::{self, Deployment, Effect, Id, ListKind, Member, Outcome, Standing};
@@ -109,12 +110,12 @@
             clock,
             requests: HashMap::new(),
             servers: ServerHandles::new(ServerActors {
-                streams: limits.streams,
+                max_streams: limits.streams,
                 connect_timeout: limits.connect_timeout,
                 // Idle connections are closed before the other side does.
-                idle: limits.idle_close.mul_f64(0.8),
+                idle_timeout: limits.idle_close.mul_f64(0.8),
                 decider: messages,
-                places: Rc::new(ConnectionPlaces::new(connections_most)),
+                slots: Rc::new(ConnectionSlots::new(connections_most)),
             }),
             timers: BinaryHeap::new(),
             ends: VecDeque::new(),
@@ -392,9 +393,13 @@
         self.router.request(self.desk.now, arrival, &mut self.desk);
     }
 
-    fn ended(&mut self, ended: Ended) {
-        let Ended {
-            key: (id, n),
+    fn ended(&mut self, ended: AttemptEnded) {
+        let AttemptEnded {
+            attempt:
+                AttemptId {
+                    request: id,
+                    number: n,
+                },
             outcome,
             answer,
         } = ended;
@@ -420,12 +425,13 @@
         };
         if let Some(mut answer) = answer {
             if let (true, Some(own)) = (by_server, &mut desk.own) {
-                answer.made = answer.made.and_then(|made| own.bounded(made));
+                answer.created_at_unix_ms =
+                    answer.created_at_unix_ms.and_then(|made| own.bounded(made));
             }
             (told.remark, told.first_byte, told.load) =
                 (answer.remark, answer.first_byte, answer.load);
             // That a copy holds is passed on only of the very one that the server names.
-            if answer.same && (have.is_none() || have != answer.etag) {
+            if answer.is_not_modified && (have.is_none() || have != answer.etag) {
                 self.nonsense
                     .log("a server says that a copy holds which nobody named");
                 (told.outcome, told.remark) = (Outcome::Error, interface::Remark::None);
@@ -434,7 +440,7 @@
                 desk.object += (answer.body.len() as f64 - desk.object) * OBJECT_MOVES;
                 // The first attempt that is served is the client's answer.
                 let etag = answer.etag.clone();
-                let last = if answer.same {
+                let last = if answer.is_not_modified {
                     FinalAnswer::Unchanged { etag }
                 } else {
                     FinalAnswer::Served {
@@ -452,7 +458,7 @@
                 {
                     own.answered(&taken.arrival, &answer, taken.passed.have.as_ref());
                 }
-                desk.brought = (by_server && !answer.same).then(|| (id.clone(), answer));
+                desk.brought = (by_server && !answer.is_not_modified).then(|| (id.clone(), answer));
             }
         }
         if let (true, Some(confined), Some(taken)) =
@@ -486,13 +492,14 @@
         own.ended(end);
         let got = own.got();
         for (key, fetched) in got {
-            let (Some(own), Some(taken)) = (&self.desk.own, self.desk.requests.get(&key.0)) else {
+            let (Some(own), Some(taken)) = (&self.desk.own, self.desk.requests.get(&key.request))
+            else {
                 continue;
             };
             let (outcome, answer): Got =
                 own.answer_from(&fetched, &taken.arrival, taken.passed.have.as_ref());
-            self.desk.ends.push_back(Ended {
-                key,
+            self.desk.ends.push_back(AttemptEnded {
+                attempt: key,
                 outcome,
                 answer,
             });
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -4,7 +4,10 @@
 use crate::clock::Clock;
 use crate::gossip_socket::GossipSender;
 use crate::local_cache::LocalCache;
-use crate::messages::{Ask, CancellationFlag, ClientReply, Ended, FinalAnswer, ServerCommand};
+use crate::messages::{
+    AttemptEnded, AttemptId, AttemptRequest, CancellationFlag, ClientReply, FinalAnswer,
+    ServerCommand,
+};
 use crate::rate_limited_log::RateLimitedLog;
 use crate::server_protocol::{Answer, ForwardedFields};
 use chalkhall::interface::{Arrival, Fill, Held, Id, Outcome, Outlet};
@@ -50,7 +53,7 @@
     pub(super) timers: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Attempts that ended here: not handed on, or answered from an own copy; and requests to be forgotten
     /// when all is back.
-    pub(super) ends: VecDeque<Ended>,
+    pub(super) ends: VecDeque<AttemptEnded>,
     pub(super) answered: Vec<Id>,
     /// Of clients' requests: class, when it came, and whether it was served.
     pub(super) finals: Vec<(usize, Duration, bool)>,
@@ -111,12 +114,15 @@
         let Some(taken) = self.requests.get_mut(request) else {
             return;
         };
-        let key = (request.clone(), taken.attempts.len());
+        let key = AttemptId {
+            request: request.clone(),
+            number: taken.attempts.len(),
+        };
         if let Some(own) = self.own.as_mut().filter(|own| own.is_place(server)) {
             let got = own.attempt(&key, server, &taken.arrival, taken.passed.have.as_ref());
             if let Some((outcome, answer)) = got {
-                self.ends.push_back(Ended {
-                    key,
+                self.ends.push_back(AttemptEnded {
+                    attempt: key,
                     outcome,
                     answer,
                 });
@@ -130,15 +136,15 @@
             self.out += 1;
             return;
         }
-        let ask = Box::new(Ask {
-            key: key.clone(),
-            passed: taken.passed.clone(),
+        let ask = Box::new(AttemptRequest {
+            attempt: key.clone(),
+            forwarded: taken.passed.clone(),
             server: server.clone(),
             fill: fill.clone(),
-            once: taken.once,
-            wanted: taken.wanted.clone(),
-            due: self.clock.instant(self.now + limit),
-            leave_by: self.clock.instant(self.now + self.leave_within),
+            is_non_idempotent: taken.once,
+            cancellation: taken.wanted.clone(),
+            deadline: self.clock.instant(self.now + limit),
+            send_by: self.clock.instant(self.now + self.leave_within),
         });
         let work = taken.arrival.kb / self.pace;
         self.talk
@@ -147,13 +153,13 @@
         let post = self.servers.orders_to(server);
         if post
             .as_ref()
-            .is_none_or(|orders| orders.try_send(ServerCommand::Ask(ask)).is_err())
+            .is_none_or(|orders| orders.try_send(ServerCommand::Send(ask)).is_err())
         {
             self.refused.log(&format!(
                 "an attempt for {server}, which is not listed or takes no more orders"
             ));
-            self.ends.push_back(Ended {
-                key,
+            self.ends.push_back(AttemptEnded {
+                attempt: key,
                 outcome: Outcome::NeverSent,
                 answer: None,
             });
@@ -176,10 +182,13 @@
     }
 
     fn cancel(&mut self, request: &Id, attempt: usize) {
-        let key = (request.clone(), attempt);
+        let key = AttemptId {
+            request: request.clone(),
+            number: attempt,
+        };
         if self.own.as_mut().is_some_and(|own| own.cancel(&key)) {
-            return self.ends.push_back(Ended {
-                key,
+            return self.ends.push_back(AttemptEnded {
+                attempt: key,
                 outcome: Outcome::Cancelled,
                 answer: None,
             });
@@ -188,7 +197,7 @@
         let out = attempts.and_then(|e| e.get(attempt)).filter(|e| e.open);
         if let Some(server) = out.and_then(|out| out.server.as_ref()) {
             // Where this fails the attempt ends by its own time.
-            let _ = server.try_send(ServerCommand::Quit((request.clone(), attempt)));
+            let _ = server.try_send(ServerCommand::Cancel(key));
         }
     }
 
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -96,8 +96,8 @@
         let moved = |orders: &mut mpsc::Sender<ServerCommand>| {
             orders
                 .try_send(ServerCommand::Reconnect {
-                    dial: address,
-                    started: started_at,
+                    address,
+                    started_at,
                 })
                 .is_ok()
         };
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -1,8 +1,8 @@
 //! Actors of servers come and go; paused time orders the events.
 
 use super::*;
-use crate::messages::{Ask, CancellationFlag, Ended, Message};
-use crate::server_pool::{ConnectionPlaces, ENDS_AFTER};
+use crate::messages::{AttemptEnded, AttemptId, AttemptRequest, CancellationFlag, Message};
+use crate::server_pool::{ACTOR_IDLE_TIMEOUT, ConnectionSlots};
 use crate::server_protocol::ForwardedFields;
 use bytes::Bytes;
 use chalkhall::interface::{Fill, Outcome};
@@ -16,11 +16,11 @@
 fn handles(places: usize) -> (ServerHandles, mpsc::Receiver<Message>) {
     let (decider, messages) = mpsc::channel(8);
     let actors = ServerActors {
-        streams: 100,
+        max_streams: 100,
         connect_timeout: LONG,
-        idle: LONG,
+        idle_timeout: LONG,
         decider,
-        places: Rc::new(ConnectionPlaces::new(places)),
+        slots: Rc::new(ConnectionSlots::new(places)),
     };
     (ServerHandles::new(actors), messages)
 }
@@ -38,13 +38,20 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-fn ask(id: &str) -> ServerCommand {
-    let due = Instant::now() + LONG;
-    let passed = ForwardedFields {
+fn attempt_id(id: &str) -> AttemptId {
+    AttemptId {
+        request: id.into(),
+        number: 0,
+    }
+}
+
+fn send(id: &str) -> ServerCommand {
+    let deadline = Instant::now() + LONG;
+    let forwarded = ForwardedFields {
         id: Bytes::copy_from_slice(id.as_bytes()),
         ..ForwardedFields::default()
     };
-    let (key, server, wanted) = ((id.into(), 0), Id::from("a"), CancellationFlag::default());
+    let (server, cancellation) = (Id::from("a"), CancellationFlag::default());
     let fill = Fill {
         source: server.clone(),
         rank: 0,
@@ -54,15 +61,15 @@
         parent_keeps: true,
         renew: false,
     };
-    ServerCommand::Ask(Box::new(Ask {
-        key,
-        passed,
+    ServerCommand::Send(Box::new(AttemptRequest {
+        attempt: attempt_id(id),
+        forwarded,
         server,
         fill,
-        once: true,
-        wanted,
-        due,
-        leave_by: due,
+        is_non_idempotent: true,
+        cancellation,
+        deadline,
+        send_by: deadline,
     }))
 }
 
@@ -86,7 +93,7 @@
         let orders = handles.orders_to(&names[1]).expect("it is listed");
         assert!(
             orders
-                .try_send(ServerCommand::Quit(("x".into(), 0)))
+                .try_send(ServerCommand::Cancel(attempt_id("x")))
                 .is_ok()
         );
         assert!(
@@ -97,7 +104,7 @@
         let name = rested(&mut messages).await;
         assert_eq!((&*name, orders.is_closed()), ("b", true));
         assert!(
-            begun.elapsed() >= ENDS_AFTER && begun.elapsed() < ENDS_AFTER * 2,
+            begun.elapsed() >= ACTOR_IDLE_TIMEOUT && begun.elapsed() < ACTOR_IDLE_TIMEOUT * 2,
             "{:?}",
             begun.elapsed()
         );
@@ -142,29 +149,35 @@
             handles
                 .orders_to(&name)
                 .unwrap()
-                .try_send(ServerCommand::Quit(("x".into(), 0)))
+                .try_send(ServerCommand::Cancel(attempt_id("x")))
                 .ok()
                 .unwrap();
-            sleep_until(last + ENDS_AFTER).await;
+            sleep_until(last + ACTOR_IDLE_TIMEOUT).await;
             let id = format!("r{round}");
             assert!(
-                handles.orders_to(&name).unwrap().try_send(ask(&id)).is_ok(),
+                handles
+                    .orders_to(&name)
+                    .unwrap()
+                    .try_send(send(&id))
+                    .is_ok(),
                 "round {round}"
             );
             loop {
-                match timeout(ENDS_AFTER / 2, messages.recv())
+                match timeout(ACTOR_IDLE_TIMEOUT / 2, messages.recv())
                     .await
                     .expect("nothing was said of it")
                 {
                     Some(Message::ServerRests(name)) => handles.rests(&name),
-                    Some(Message::Ended(Ended { key, outcome, .. })) => {
-                        assert_eq!((&*key.0, outcome), (&*id, Outcome::NeverSent));
+                    Some(Message::Ended(AttemptEnded {
+                        attempt, outcome, ..
+                    })) => {
+                        assert_eq!((&*attempt.request, outcome), (&*id, Outcome::NeverSent));
                         break;
                     }
                     _ => panic!("something else was said"),
                 }
             }
-            advance(ENDS_AFTER * 2).await;
+            advance(ACTOR_IDLE_TIMEOUT * 2).await;
             assert_eq!(rested(&mut messages).await, name);
             handles.rests(&name);
         }
@@ -184,7 +197,13 @@
         let told_late = rested(&mut messages).await;
         handles.list(&name, listed(listener.local_addr().unwrap()));
         resume();
-        assert!(handles.orders_to(&name).unwrap().try_send(ask("x")).is_ok());
+        assert!(
+            handles
+                .orders_to(&name)
+                .unwrap()
+                .try_send(send("x"))
+                .is_ok()
+        );
         handles.rests(&told_late);
         assert!(
             handles.with_actor() == 1 && timeout(LONG, listener.accept()).await.unwrap().is_ok()
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,7 +1,7 @@
 //! The decider by itself, without sockets.
 
 use super::*;
-use crate::messages::{Ask, ServerCommand};
+use crate::messages::{AttemptId, AttemptRequest, ServerCommand};
 use crate::server_protocol::ForwardedFields;
 use chalkhall::interface::Arrival;
 
@@ -137,14 +137,17 @@
         };
         let before = list(old, None);
         while before
-            .try_send(ServerCommand::Quit((id.clone(), 0)))
+            .try_send(ServerCommand::Cancel(AttemptId {
+                request: id.clone(),
+                number: 0,
+            }))
             .is_ok()
         {}
         assert_eq!(before.capacity(), 0);
         let after = list(new, Some(Duration::from_secs(1)));
         drop(before);
-        let due = tokio::time::Instant::now() + Duration::from_secs(5);
-        let wanted = CancellationFlag::default();
+        let deadline = tokio::time::Instant::now() + Duration::from_secs(5);
+        let cancellation = CancellationFlag::default();
         let fill = interface::Fill {
             source: id.clone(),
             rank: 0,
@@ -154,18 +157,23 @@
             parent_keeps: true,
             renew: false,
         };
-        let ask = Ask {
-            key: (id.clone(), 0),
-            passed: ForwardedFields::default(),
+        let request = AttemptRequest {
+            attempt: AttemptId {
+                request: id.clone(),
+                number: 0,
+            },
+            forwarded: ForwardedFields::default(),
             server: id.clone(),
             fill,
-            once: true,
-            wanted,
-            due,
-            leave_by: due,
+            is_non_idempotent: true,
+            cancellation,
+            deadline,
+            send_by: deadline,
         };
         assert!(
-            after.try_send(ServerCommand::Ask(Box::new(ask))).is_ok(),
+            after
+                .try_send(ServerCommand::Send(Box::new(request)))
+                .is_ok(),
             "it takes no orders"
         );
         tokio::select! {
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -4,7 +4,7 @@
 use crate::boot_time::BootTime;
 use crate::clock::Clock;
 use crate::configuration::Configuration;
-use crate::messages::Key;
+use crate::messages::AttemptId;
 use crate::server_protocol::{Answer, ForwardedFields};
 use crate::timestamps::CopyTimes;
 use bytes::Bytes;
@@ -62,7 +62,7 @@
     link: f64,
     chance: fastrand::Rng,
     /// Reads that requests wait for.
-    waiting: HashMap<u64, Key>,
+    waiting: HashMap<u64, AttemptId>,
 }
 
 /// LocalCache copies, and with a disk how its orders end.
@@ -163,7 +163,7 @@
     /// An attempt at an own copy: how it ended; none: it will be among the `got` later.
     pub fn attempt(
         &mut self,
-        key: &Key,
+        key: &AttemptId,
         server: &Id,
         arrival: &Arrival,
         have: Option<&Bytes>,
@@ -186,7 +186,7 @@
     }
 
     /// An attempt that waits for the disk is called off. False: it does not.
-    pub fn cancel(&mut self, key: &Key) -> bool {
+    pub fn cancel(&mut self, key: &AttemptId) -> bool {
         let Some(ticket) = self
             .waiting
             .iter()
@@ -204,7 +204,7 @@
     }
 
     /// The attempts that have come back from the disk, and what they brought.
-    pub fn got(&mut self) -> Vec<(Key, Fetched)> {
+    pub fn got(&mut self) -> Vec<(AttemptId, Fetched)> {
         let fetched = std::mem::take(&mut self.shelf.fetched);
         fetched
             .into_iter()
@@ -233,7 +233,7 @@
         let answer = Answer {
             id: Bytes::new(),
             outcome: Outcome::Served,
-            same,
+            is_not_modified: same,
             remark: if fresh.is_some_and(|fresh| age >= fresh) {
                 Remark::Stale
             } else {
@@ -242,7 +242,7 @@
             first_byte: None,
             load: Load::default(),
             etag: Some(copy.tag.clone()).filter(|tag| !tag.is_empty()),
-            made: Some(copy.made),
+            created_at_unix_ms: Some(copy.made),
             body: if same {
                 Bytes::new()
             } else {
@@ -259,7 +259,7 @@
 
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
     pub fn keep(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
-        let Some(made) = answer.made.filter(|made| *made > 0) else {
+        let Some(made) = answer.created_at_unix_ms.filter(|made| *made > 0) else {
             return;
         };
         let Some((class, told)) = self.classes.get(arrival.class) else {
@@ -290,8 +290,13 @@
 
     /// A server has answered: by its tag a copy on disk from before the start holds, or does not.
     pub fn answered(&mut self, arrival: &Arrival, answer: &Answer, have: Option<&Bytes>) {
-        let tag = answer.etag.as_ref().or(have.filter(|_| answer.same));
-        if let (Some(tag), Some(made), true) = (tag, answer.made, self.store.disk().is_some()) {
+        let tag = answer
+            .etag
+            .as_ref()
+            .or(have.filter(|_| answer.is_not_modified));
+        if let (Some(tag), Some(made), true) =
+            (tag, answer.created_at_unix_ms, self.store.disk().is_some())
+        {
             self.store.proven(part(arrival), tag, made);
             self.store.disproven(part(arrival), &mut self.shelf);
         }
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -19,7 +19,7 @@
     Left(Id, u64, mpsc::Sender<ClientReply>),
     /// So many bytes of bodies have been written to a client, or dropped.
     Written(usize),
-    Ended(Ended),
+    Ended(AttemptEnded),
     /// The actor of this server has ended, with nothing out: another is started when it is needed.
     ServerRests(Id),
     /// An order to the disk of own copies has ended.
@@ -67,12 +67,6 @@
     }
 }
 
-pub struct Ended {
-    pub key: Key,
-    pub outcome: Outcome,
-    pub answer: Option<Box<Answer>>,
-}
-
 /// The final answer of a request, for its client.
 #[derive(Debug)]
 pub struct ClientReply {
@@ -118,52 +112,98 @@
     pub asked: bool,
 }
 
-/// An attempt of a request: the request's id and its number within it.
-pub type Key = (Id, usize);
+/// Identifies one attempt of a request.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptId {
+    /// The request.
+    pub request: Id,
+    /// The number of the attempt within its request, from 0.
+    pub number: usize,
+}
 
 /// One attempt on its way to a server.
 #[derive(Debug)]
-pub struct Ask {
-    pub key: Key,
-    pub passed: ForwardedFields,
-    /// The server's name and its orders for a miss. The line is worded from them as its first byte leaves.
+pub struct AttemptRequest {
+    /// Which attempt it is.
+    pub attempt: AttemptId,
+    /// What the server receives as the client sent it.
+    pub forwarded: ForwardedFields,
+    /// The name of the server.
     pub server: Id,
+    /// What the server does on a miss. The request line is encoded from it when its first byte leaves.
     pub fill: Fill,
-    /// It must not run twice: where its connection breaks, it has failed.
-    pub once: bool,
-    pub wanted: CancellationFlag,
-    /// When it has taken too long, and when its first byte must have left.
-    pub due: Instant,
-    pub leave_by: Instant,
+    /// It must not run twice: if its connection breaks, the attempt has failed.
+    pub is_non_idempotent: bool,
+    /// Whether somebody still waits for the request.
+    pub cancellation: CancellationFlag,
+    /// The attempt times out at this time.
+    pub deadline: Instant,
+    /// The first byte leaves before this time, or the attempt is not sent.
+    pub send_by: Instant,
+}
+
+/// The result of an attempt.
+#[derive(Debug)]
+pub struct AttemptEnded {
+    /// Which attempt has ended.
+    pub attempt: AttemptId,
+    /// How it has ended.
+    pub outcome: Outcome,
+    /// What the server answered, if it did.
+    pub answer: Option<Box<Answer>>,
 }
 
+/// From the actor of a server to one of its connections.
 pub enum ConnectionCommand {
-    Ask(Box<Ask>),
-    Quit(Key),
+    /// Send this attempt.
+    Send(Box<AttemptRequest>),
+    /// Cancel this attempt.
+    Cancel(AttemptId),
 }
 
-/// To a server's actor.
+/// To the actor of a server.
 pub enum ServerCommand {
-    Ask(Box<Ask>),
-    Quit(Key),
-    /// The list tells of a start or an address: connections from before it lead elsewhere.
+    /// Send this attempt.
+    Send(Box<AttemptRequest>),
+    /// Cancel this attempt.
+    Cancel(AttemptId),
+    /// The endpoint list has a new start or address of the server: connections from before it are retired.
     Reconnect {
-        dial: SocketAddr,
-        started: Option<Instant>,
+        /// Where the server is now.
+        address: SocketAddr,
+        /// When it last started, if that is known.
+        started_at: Option<Instant>,
+    },
+    /// Something happened on a connection of this server.
+    Connection {
+        /// The number of the connection.
+        number: u64,
+        /// What happened.
+        event: ConnectionEvent,
     },
-    Connection(u64, ConnectionEvent),
 }
 
-/// From a connection to its server's actor.
+/// From a connection to the actor of its server.
 pub enum ConnectionEvent {
-    Up,
-    /// It could not be made for want of something on this machine; what waited for it is reported after this.
+    /// The connection is established.
+    Established,
+    /// This machine lacked a resource to connect. The ends of the queued attempts follow.
     LocalFailure,
-    Ended {
-        key: Key,
-        outcome: Outcome,
-        answer: Option<Box<Answer>>,
-        silent: bool,
-    },
-    Down,
+    /// An attempt on this connection has ended.
+    AttemptEnded(ConnectionAttemptEnded),
+    /// The connection has ended, and all its attempts have been reported.
+    Closed,
 }
+
+/// The result of an attempt, with what it says about its connection.
+#[derive(Debug)]
+pub struct ConnectionAttemptEnded {
+    /// The result.
+    pub ended: AttemptEnded,
+    /// Nothing was received since the attempt was sent, for as long as a connect may take: the other side
+    /// may have vanished.
+    pub is_silent: bool,
+}
+
+#[cfg(test)]
+pub mod fixtures;
--- /dev/null
+++ b/crates/router/src/messages/fixtures.rs
@@ -0,0 +1,50 @@
+//! Attempts for tests.
+
+use super::{AttemptId, AttemptRequest, CancellationFlag};
+use crate::server_protocol::ForwardedFields;
+use bytes::Bytes;
+use chalkhall::interface::Fill;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// The attempt of this number of a request.
+pub fn attempt_id(request: &str, number: usize) -> AttemptId {
+    AttemptId {
+        request: request.into(),
+        number,
+    }
+}
+
+/// The first attempt of a request, at a server `s` that makes no fill.
+pub fn attempt_request(
+    request: &str,
+    timeout: Duration,
+    send_within: Duration,
+) -> Box<AttemptRequest> {
+    let now = Instant::now();
+    Box::new(AttemptRequest {
+        attempt: attempt_id(request, 0),
+        forwarded: ForwardedFields {
+            id: Bytes::copy_from_slice(request.as_bytes()),
+            ..ForwardedFields::default()
+        },
+        server: "s".into(),
+        fill: no_fill(),
+        is_non_idempotent: false,
+        cancellation: CancellationFlag::default(),
+        deadline: now + timeout,
+        send_by: now + send_within,
+    })
+}
+
+fn no_fill() -> Fill {
+    Fill {
+        source: "s".into(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    }
+}
--- /dev/null
+++ b/crates/router/src/server_connection/attempts.rs
@@ -0,0 +1,268 @@
+//! The attempts of one connection, as a state machine without I/O.
+//!
+//! An attempt is queued until the connection is established and all bytes before it have been accepted by the
+//! system. Then it is the next to be written, and from its first byte on it is in flight: only then may it
+//! have run. Each attempt ends in exactly one [`ConnectionAttemptEnded`].
+
+use crate::messages::{
+    AttemptEnded, AttemptId, AttemptRequest, ConnectionAttemptEnded, ConnectionCommand,
+};
+use crate::server_protocol::{Answer, encode_cancel, encode_request};
+use bytes::{Buf, Bytes, BytesMut};
+use chalkhall::interface::Outcome;
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// An attempt of which at least one byte has been written.
+struct InFlightAttempt {
+    attempt: AttemptId,
+    deadline: Instant,
+    sent_at: Instant,
+}
+
+/// All attempts of a connection, and the bytes that are to be written for them.
+#[derive(Default)]
+pub(super) struct Attempts {
+    queued: VecDeque<Box<AttemptRequest>>,
+    /// The attempt whose first byte is the next to be written. It is encoded then.
+    beginning: Option<Box<AttemptRequest>>,
+    /// By the request's id as the server sees it.
+    in_flight: HashMap<Bytes, InFlightAttempt>,
+    /// Encoded bytes that the system has not accepted yet.
+    write_buffer: BytesMut,
+    cancel_lines: VecDeque<Bytes>,
+    ended: VecDeque<ConnectionAttemptEnded>,
+    last_received_at: Option<Instant>,
+    /// How long a connection may be silent after a request before it counts as dead.
+    silence_timeout: Duration,
+}
+
+impl Attempts {
+    /// No attempts yet.
+    pub(super) fn new(silence_timeout: Duration) -> Attempts {
+        Attempts {
+            silence_timeout,
+            ..Attempts::default()
+        }
+    }
+
+    /// Queues or cancels an attempt, as the server's actor commands.
+    pub(super) fn handle(&mut self, now: Instant, command: ConnectionCommand) {
+        match command {
+            ConnectionCommand::Send(request) => self.queued.push_back(request),
+            ConnectionCommand::Cancel(attempt) => self.cancel(now, &attempt),
+        }
+    }
+
+    fn cancel(&mut self, now: Instant, attempt: &AttemptId) {
+        self.withdraw_unsent(|request| request.attempt == *attempt);
+        let in_flight = self.find_in_flight(|in_flight| in_flight.attempt == *attempt);
+        if let Some(id) = in_flight {
+            self.abandon(now, &id, Outcome::Cancelled);
+        }
+    }
+
+    fn find_in_flight(&self, matches: impl Fn(&InFlightAttempt) -> bool) -> Option<Bytes> {
+        self.in_flight
+            .iter()
+            .find(|(_, in_flight)| matches(in_flight))
+            .map(|(id, _)| id.clone())
+    }
+
+    /// Ends attempts of which not a byte has been written: they never ran.
+    fn withdraw_unsent(&mut self, matches: impl Fn(&AttemptRequest) -> bool) {
+        if let Some(request) = self.beginning.take_if(|request| matches(request)) {
+            self.end(request.attempt, Outcome::NeverSent);
+        }
+        while let Some(index) = self.queued.iter().position(|request| matches(request)) {
+            if let Some(request) = self.queued.remove(index) {
+                self.end(request.attempt, Outcome::NeverSent);
+            }
+        }
+    }
+
+    /// Gives up an attempt that may have run, and tells the server so.
+    fn abandon(&mut self, now: Instant, id: &Bytes, outcome: Outcome) {
+        let Some(in_flight) = self.in_flight.remove(id) else {
+            return;
+        };
+        let is_silent = self.is_silent_since(now, in_flight.sent_at);
+        self.ended.push_back(ConnectionAttemptEnded {
+            ended: AttemptEnded {
+                attempt: in_flight.attempt,
+                outcome,
+                answer: None,
+            },
+            is_silent,
+        });
+        self.cancel_lines.push_back(encode_cancel(id));
+    }
+
+    /// Whether nothing was received since then, for as long as a new connection may take to be established:
+    /// this one may be dead.
+    fn is_silent_since(&self, now: Instant, sent_at: Instant) -> bool {
+        let nothing_received = self
+            .last_received_at
+            .is_none_or(|received_at| received_at < sent_at);
+        nothing_received && now.saturating_duration_since(sent_at) >= self.silence_timeout
+    }
+
+    fn end(&mut self, attempt: AttemptId, outcome: Outcome) {
+        self.ended.push_back(ConnectionAttemptEnded {
+            ended: AttemptEnded {
+                attempt,
+                outcome,
+                answer: None,
+            },
+            is_silent: false,
+        });
+    }
+
+    /// The next attempt that has ended and is not reported yet.
+    pub(super) fn next_ended(&mut self) -> Option<ConnectionAttemptEnded> {
+        self.ended.pop_front()
+    }
+
+    /// When [`Attempts::expire`] is due next.
+    pub(super) fn next_deadline(&self) -> Option<Instant> {
+        let unsent = self.beginning.iter().chain(&self.queued);
+        let unsent = unsent.map(|request| request.deadline.min(request.send_by));
+        let in_flight = self.in_flight.values().map(|in_flight| in_flight.deadline);
+        unsent.chain(in_flight).min()
+    }
+
+    /// Ends the attempts whose time is up or that nobody waits for.
+    pub(super) fn expire(&mut self, now: Instant) {
+        // Sent later than this an attempt could reach a server after the grace of a drain or a purge, or run
+        // for a client that has left or has its answer.
+        self.withdraw_unsent(|request| {
+            now >= request.deadline.min(request.send_by) || !request.cancellation.still()
+        });
+        while let Some(id) = self.find_in_flight(|in_flight| now >= in_flight.deadline) {
+            self.abandon(now, &id, Outcome::TimedOut);
+        }
+    }
+
+    /// Selects what is to be written next, once all bytes before it have been written: cancellations first,
+    /// then the next attempt.
+    pub(super) fn stage_next_write(&mut self) {
+        if self.has_to_write() {
+            return;
+        }
+        self.write_buffer.clear();
+        while let Some(line) = self.cancel_lines.pop_front() {
+            self.write_buffer.extend_from_slice(&line);
+        }
+        if self.write_buffer.is_empty() {
+            self.beginning = self.queued.pop_front();
+        }
+    }
+
+    /// Whether there is something to write.
+    pub(super) fn has_to_write(&self) -> bool {
+        !self.write_buffer.is_empty() || self.beginning.is_some()
+    }
+
+    /// Whether the next byte to be written is the first of an attempt.
+    pub(super) fn is_beginning(&self) -> bool {
+        self.beginning.is_some()
+    }
+
+    /// Passes the staged bytes to `write`, which returns how many of them the system accepted.
+    ///
+    /// An attempt is encoded here, for its line states how much time its client has left: since the decision
+    /// it may have waited for a connection or behind a full socket.
+    ///
+    /// # Errors
+    /// The error of `write`. Nothing was written then.
+    pub(super) fn write_with(
+        &mut self,
+        now: Instant,
+        write: impl FnOnce(&[u8]) -> io::Result<usize>,
+    ) -> io::Result<()> {
+        let Some(beginning) = &self.beginning else {
+            let written = write(&self.write_buffer)?;
+            self.write_buffer.advance(written);
+            return Ok(());
+        };
+        let encoded = encode_attempt(now, beginning);
+        let written = write(&encoded)?;
+        if written > 0 {
+            self.write_buffer = encoded;
+            self.write_buffer.advance(written);
+            self.begin(now);
+        }
+        Ok(())
+    }
+
+    /// The first byte of an attempt has been written: from here on it may run.
+    fn begin(&mut self, now: Instant) {
+        let Some(request) = self.beginning.take() else {
+            return;
+        };
+        let in_flight = InFlightAttempt {
+            attempt: request.attempt,
+            deadline: request.deadline,
+            sent_at: now,
+        };
+        self.in_flight.insert(request.forwarded.id, in_flight);
+    }
+
+    /// Something was received from the server.
+    pub(super) fn received(&mut self, now: Instant) {
+        self.last_received_at = Some(now);
+    }
+
+    /// When something was last received from the server.
+    pub(super) fn last_received_at(&self) -> Option<Instant> {
+        self.last_received_at
+    }
+
+    /// Whether the answer to this request is still waited for.
+    pub(super) fn is_in_flight(&self, id: &Bytes) -> bool {
+        self.in_flight.contains_key(id)
+    }
+
+    /// Ends the attempt that is answered.
+    pub(super) fn answered(&mut self, answer: Answer) {
+        // The answer to a cancelled attempt may cross the cancellation: nobody waits for it.
+        let Some(in_flight) = self.in_flight.remove(&answer.id) else {
+            return;
+        };
+        self.ended.push_back(ConnectionAttemptEnded {
+            ended: AttemptEnded {
+                attempt: in_flight.attempt,
+                outcome: answer.outcome,
+                answer: Some(Box::new(answer)),
+            },
+            is_silent: false,
+        });
+    }
+
+    /// The connection has ended: what was written of may have run, the rest did not and ends as stated.
+    pub(super) fn disconnected(&mut self, unsent_outcome: Outcome) {
+        let beginning = self.beginning.take();
+        let queued = std::mem::take(&mut self.queued);
+        for request in beginning.into_iter().chain(queued) {
+            self.end(request.attempt, unsent_outcome);
+        }
+        for (_, in_flight) in std::mem::take(&mut self.in_flight) {
+            self.end(in_flight.attempt, Outcome::Broken);
+        }
+    }
+}
+
+fn encode_attempt(now: Instant, request: &AttemptRequest) -> BytesMut {
+    let remaining = request.deadline.saturating_duration_since(now);
+    encode_request(
+        &request.forwarded,
+        &request.server,
+        remaining,
+        &request.fill,
+    )
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/router/src/server_connection/attempts/tests.rs
@@ -0,0 +1,185 @@
+use super::*;
+use crate::messages::fixtures::{attempt_id, attempt_request};
+
+fn send(request: Box<AttemptRequest>) -> ConnectionCommand {
+    ConnectionCommand::Send(request)
+}
+
+fn cancel(request: &str) -> ConnectionCommand {
+    ConnectionCommand::Cancel(attempt_id(request, 0))
+}
+
+/// Lets the system accept at most so many bytes, and returns them.
+fn write(attempts: &mut Attempts, max_bytes: usize) -> String {
+    let mut taken = String::new();
+    let into = |bytes: &[u8]| {
+        let part = &bytes[..bytes.len().min(max_bytes)];
+        taken = String::from_utf8_lossy(part).into_owned();
+        if part.is_empty() {
+            Err(io::ErrorKind::WouldBlock.into())
+        } else {
+            Ok(part.len())
+        }
+    };
+    let result = attempts.write_with(Instant::now(), into);
+    assert_eq!(result.is_err(), taken.is_empty());
+    taken
+}
+
+fn ends(attempts: &mut Attempts) -> Vec<(String, Outcome)> {
+    attempts
+        .ended
+        .drain(..)
+        .map(|report| {
+            (
+                report.ended.attempt.request.to_string(),
+                report.ended.outcome,
+            )
+        })
+        .collect()
+}
+
+#[test]
+fn only_attempts_with_a_written_byte_may_have_run() {
+    let (long, none) = (Duration::from_secs(60), Duration::ZERO);
+    let mut attempts = Attempts::default();
+    for (id, timeout, send_within) in [
+        ("a", long, long),
+        ("b", long, long),
+        ("c", long, none),
+        ("d", none, long),
+    ] {
+        attempts.handle(
+            Instant::now(),
+            send(attempt_request(id, timeout, send_within)),
+        );
+    }
+    attempts.stage_next_write();
+    assert_eq!(write(&mut attempts, 1), "A");
+    attempts.handle(Instant::now(), cancel("a"));
+    attempts.handle(Instant::now(), cancel("b"));
+    attempts.expire(Instant::now());
+    let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
+    assert_eq!(
+        ends(&mut attempts),
+        [
+            ("a".into(), Outcome::Cancelled),
+            never("b"),
+            never("c"),
+            never("d")
+        ]
+    );
+    attempts.handle(Instant::now(), send(attempt_request("e", long, long)));
+    attempts.write_buffer.clear();
+    attempts.stage_next_write();
+    assert_eq!(
+        attempts.write_buffer, "QUIT a\r\n",
+        "before what comes later"
+    );
+    attempts.disconnected(Outcome::NeverSent);
+    assert_eq!(ends(&mut attempts), [never("e")]);
+}
+
+/// The system takes nothing while a server hangs: for as long it has not begun, whatever ends it meanwhile.
+#[test]
+fn attempts_behind_a_full_socket_were_never_sent() {
+    let (long, none) = (Duration::from_secs(60), Duration::ZERO);
+    let never = [("a".to_owned(), Outcome::NeverSent)];
+    let front = |send_within| {
+        let mut attempts = Attempts::default();
+        let request = attempt_request("a", long, send_within);
+        let cancellation = request.cancellation.clone();
+        attempts.handle(Instant::now(), send(request));
+        attempts.stage_next_write();
+        assert!(attempts.has_to_write() && attempts.next_deadline().is_some());
+        (attempts, cancellation)
+    };
+    // Its client leaves, or has its answer; the grace passes; it is called off; the connection breaks.
+    let (mut left, cancellation) = front(long);
+    cancellation.end();
+    left.expire(Instant::now());
+    let (mut late, _) = front(none);
+    late.expire(Instant::now());
+    let (mut off, _) = front(long);
+    off.handle(Instant::now(), cancel("a"));
+    let (mut broken, _) = front(long);
+    broken.disconnected(Outcome::NeverSent);
+    for mut attempts in [left, late, off, broken] {
+        assert_eq!(ends(&mut attempts), never);
+        attempts.stage_next_write();
+        assert!(
+            !attempts.has_to_write() && attempts.cancel_lines.is_empty(),
+            "nothing of it goes out any more"
+        );
+    }
+    // From its first byte on it may have run.
+    let (mut attempts, cancellation) = front(none);
+    assert_eq!(write(&mut attempts, 1), "A");
+    cancellation.end();
+    attempts.expire(Instant::now());
+    assert!(ends(&mut attempts).is_empty());
+    attempts.disconnected(Outcome::NeverSent);
+    assert_eq!(ends(&mut attempts), [("a".to_owned(), Outcome::Broken)]);
+}
+
+/// Also where it may not be called off: what waits for a connection goes nowhere once its client has left.
+#[test]
+fn queued_attempts_end_when_their_client_leaves() {
+    let long = Duration::from_secs(60);
+    let mut attempts = Attempts::default();
+    let requests = ["a", "b"].map(|id| attempt_request(id, long, long));
+    let cancellation = requests[0].cancellation.clone();
+    for request in requests {
+        attempts.handle(Instant::now(), send(request));
+    }
+    cancellation.end();
+    attempts.expire(Instant::now());
+    assert_eq!(ends(&mut attempts), [("a".to_owned(), Outcome::NeverSent)]);
+    attempts.stage_next_write();
+    assert_eq!(
+        attempts
+            .beginning
+            .map(|request| request.attempt.request.to_string())
+            .as_deref(),
+        Some("b")
+    );
+}
+
+/// The server is told of the time that is left when the first byte leaves, however long the line waited for
+/// that, and of the age that was allowed at the decision; the rest of a line that has begun is not worded again.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn a_request_states_the_time_that_remains_when_its_first_byte_leaves() {
+    let ms = Duration::from_millis;
+    let mut attempts = Attempts::default();
+    let mut late = attempt_request("a", ms(1000), ms(800));
+    late.fill.oldest = Some(Duration::from_micros(50_900));
+    attempts.handle(Instant::now(), send(late));
+    tokio::time::advance(Duration::from_micros(300_500)).await;
+    attempts.stage_next_write();
+    // The system takes nothing of it for a while.
+    assert_eq!(write(&mut attempts, 0), "");
+    tokio::time::advance(ms(400)).await;
+    let line = "ASK a cls=,item=,chunk=,limit=299,maxage=50 0\r\n\r\n";
+    assert_eq!(write(&mut attempts, 20), line[..20]);
+    tokio::time::advance(ms(200)).await;
+    attempts.stage_next_write();
+    assert_eq!(write(&mut attempts, 1000), line[20..]);
+    assert!(!attempts.has_to_write());
+}
+
+/// The least that a line can tell of is a millisecond: it is told while there is any time left, and what has
+/// none left does not begin.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn attempts_without_remaining_time_are_not_sent() {
+    let mut attempts = Attempts::default();
+    for (id, timeout) in [("a", 300), ("b", 299)] {
+        let timeout = Duration::from_micros(timeout);
+        let request = attempt_request(id, timeout, Duration::from_secs(1));
+        attempts.handle(Instant::now(), send(request));
+    }
+    tokio::time::advance(Duration::from_micros(299)).await;
+    attempts.expire(Instant::now());
+    assert_eq!(ends(&mut attempts), [("b".to_owned(), Outcome::NeverSent)]);
+    attempts.stage_next_write();
+    assert!(write(&mut attempts, 1000).contains(",limit=1 "));
+}
--- /dev/null
+++ b/crates/router/src/server_pool/connection_pool.rs
@@ -0,0 +1,149 @@
+//! The connections of one server, and which attempt is on which.
+
+use super::pooled_connection::{ConnectionState, PooledConnection};
+use crate::backoff::Backoff;
+use crate::messages::AttemptId;
+use chalkhall::interface::Id;
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A further connection is opened when the least busy one has this many attempts.
+const BUSY_FROM_ATTEMPTS: usize = 4;
+
+/// What a connection needs to have for an attempt.
+pub(super) struct Requirements<'a> {
+    /// The request of the attempt.
+    pub(super) request: &'a Id,
+    /// The attempt must not run twice: no connection that may be closed already.
+    pub(super) is_non_idempotent: bool,
+    /// The most attempts on one connection.
+    pub(super) max_streams: usize,
+    /// The time of the selection.
+    pub(super) now: Instant,
+}
+
+impl Requirements<'_> {
+    fn are_met_by(&self, connection: &PooledConnection) -> bool {
+        !connection.is_retired()
+            && connection.open_attempts < self.max_streams
+            && !connection.has_carried(self.request)
+            && (!self.is_non_idempotent || connection.is_fresh(self.now))
+    }
+}
+
+/// The connections of one server.
+#[derive(Default)]
+pub(super) struct ConnectionPool {
+    /// All connections that are not closed.
+    pub(super) connections: Vec<PooledConnection>,
+    /// The pause after connects that failed for want of a resource of this machine.
+    pub(super) backoff: Backoff,
+    /// The number of the last connection.
+    pub(super) last_number: u64,
+    /// The number of the connection of each attempt that has not ended.
+    pub(super) open_attempts: HashMap<AttemptId, u64>,
+}
+
+impl ConnectionPool {
+    /// When the next idle connection is to be closed.
+    pub(super) fn next_idle_deadline(&self, idle_timeout: Duration) -> Option<Instant> {
+        self.connections
+            .iter()
+            .filter(|connection| connection.is_idle())
+            .map(|connection| connection.last_used_at + idle_timeout)
+            .min()
+    }
+
+    /// Whether there is an idle connection.
+    pub(super) fn has_idle(&self) -> bool {
+        self.connections.iter().any(PooledConnection::is_idle)
+    }
+
+    /// Whether there is neither a connection nor an open attempt.
+    pub(super) fn is_empty(&self) -> bool {
+        self.connections.is_empty() && self.open_attempts.is_empty()
+    }
+
+    /// Retires the connection that has been idle for longest.
+    pub(super) fn retire_longest_idle(&mut self) {
+        let longest_idle = self
+            .connections
+            .iter_mut()
+            .filter(|connection| connection.is_idle())
+            .min_by_key(|connection| connection.last_used_at);
+        if let Some(connection) = longest_idle {
+            connection.retire();
+        }
+    }
+
+    /// Closes the connections that were idle for so long, before the server does it: a request that crosses its
+    /// close may have run. Closes also those that are retired and have no attempts left.
+    pub(super) fn close_idle(&mut self, now: Instant, idle_timeout: Duration) {
+        self.retire_if(|connection| {
+            connection.is_idle() && now >= connection.last_used_at + idle_timeout
+        });
+        self.close_drained();
+    }
+
+    /// Closes the idle connections that a non-idempotent attempt may not use.
+    pub(super) fn close_stale(&mut self, now: Instant) {
+        self.retire_if(|connection| !connection.is_fresh(now));
+        self.close_drained();
+    }
+
+    fn close_drained(&mut self) {
+        self.connections
+            .retain(|connection| !connection.is_drained());
+    }
+
+    /// Retires all connections that match.
+    pub(super) fn retire_if(&mut self, matches: impl Fn(&PooledConnection) -> bool) {
+        self.connections
+            .iter_mut()
+            .filter(|connection| matches(connection))
+            .for_each(PooledConnection::retire);
+    }
+
+    /// The connection of this number, unless it is closed.
+    pub(super) fn connection_mut(&mut self, number: u64) -> Option<&mut PooledConnection> {
+        self.connections
+            .iter_mut()
+            .find(|connection| connection.number == number)
+    }
+
+    /// The connection of this number has ended.
+    pub(super) fn remove(&mut self, number: u64) {
+        self.connections
+            .retain(|connection| connection.number != number);
+    }
+
+    /// The index of the connection with the fewest attempts among those that may carry this one; established
+    /// ones are preferred.
+    pub(super) fn select_least_busy(&self, requirements: &Requirements) -> Option<usize> {
+        self.connections
+            .iter()
+            .enumerate()
+            .filter(|(_, connection)| requirements.are_met_by(connection))
+            .min_by_key(|(_, connection)| {
+                let is_connecting = connection.state == ConnectionState::Connecting;
+                (is_connecting, connection.open_attempts)
+            })
+            .map(|(index, _)| index)
+    }
+
+    /// Whether another connection is needed besides the selected one: there is none, or it is busy, none is
+    /// being made, and there may be more.
+    pub(super) fn needs_another(&self, selected: Option<usize>, max_connections: usize) -> bool {
+        let Some(selected) = selected else {
+            return true;
+        };
+        let is_connecting = self
+            .connections
+            .iter()
+            .any(|connection| connection.state == ConnectionState::Connecting);
+        self.connections[selected].open_attempts >= BUSY_FROM_ATTEMPTS
+            && !is_connecting
+            && self.connections.len() < max_connections
+    }
+}
--- a/crates/router/src/server_protocol/tests.rs
+++ b/crates/router/src/server_protocol/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn all(answers: &mut Answers, buffer: &mut BytesMut) -> Result<Vec<Answer>, ProtocolError> {
+fn all(decoder: &mut AnswerDecoder, buffer: &mut BytesMut) -> Result<Vec<Answer>, ProtocolError> {
     let mut found = Vec::new();
-    while let Some(answer) = answers.next(buffer)? {
+    while let Some(answer) = decoder.decode(buffer)? {
         found.push(answer);
     }
     Ok(found)
@@ -11,7 +11,11 @@
 #[test]
 fn answers_are_the_same_at_every_split() {
     let stream = b"a1 OK tell=hit,etag=4be0,made=17,meter=inflight:7;util:0.61 6\r\nx\r\ny\r\n\r\nb2 MISS - 0\r\n\r\nc3 SAME tell=via_origin,ttfb=12.5,etag=q 0\r\n\r\n";
-    let whole = all(&mut Answers::default(), &mut BytesMut::from(&stream[..])).unwrap();
+    let whole = all(
+        &mut AnswerDecoder::default(),
+        &mut BytesMut::from(&stream[..]),
+    )
+    .unwrap();
     assert_eq!(whole.len(), 3);
     assert_eq!(
         (whole[0].outcome, whole[0].remark),
@@ -23,47 +27,49 @@
         (Some(7.0), Some(0.61))
     );
     assert_eq!(whole[1].outcome, Outcome::Missing);
-    assert!(whole[2].same);
+    assert!(whole[2].is_not_modified);
     assert_eq!(whole[2].first_byte, Some(Duration::from_micros(12_500)));
     for at in 0..=stream.len() {
-        let (mut answers, mut buffer) = (Answers::default(), BytesMut::from(&stream[..at]));
-        let mut found = all(&mut answers, &mut buffer).unwrap();
+        let (mut decoder, mut buffer) = (AnswerDecoder::default(), BytesMut::from(&stream[..at]));
+        let mut found = all(&mut decoder, &mut buffer).unwrap();
         buffer.extend_from_slice(&stream[at..]);
-        found.extend(all(&mut answers, &mut buffer).unwrap());
+        found.extend(all(&mut decoder, &mut buffer).unwrap());
         assert_eq!(found, whole, "split at {at}");
     }
 }
 
 #[test]
-fn nonsense_is_refused() {
+fn malformed_answers_are_protocol_errors() {
     let bad = [
-        "a OK - 256001\r\n",
-        "a WHAT - 0\r\n",
-        "a OK -\r\n",
-        "a OK - 1 2\r\n",
-        "a OK - 1\r\nxyz",
-        "a OK - -1\r\n",
+        ("a OK - 256001\r\n", ProtocolError::BodyLength),
+        ("a WHAT - 0\r\n", ProtocolError::UnknownStatus),
+        ("a OK -\r\n", ProtocolError::WordCount),
+        ("a OK - 1 2\r\n", ProtocolError::WordCount),
+        ("a OK - 1\r\nxyz", ProtocolError::BodyEnd),
+        ("a OK - -1\r\n", ProtocolError::BodyLength),
     ];
-    for text in bad {
-        assert!(
-            all(&mut Answers::default(), &mut BytesMut::from(text)).is_err(),
-            "{text:?}"
-        );
+    for (text, error) in bad {
+        let decoded = all(&mut AnswerDecoder::default(), &mut BytesMut::from(text));
+        assert_eq!(decoded, Err(error), "{text:?}");
     }
-    let long = "a".repeat(LINE_MOST);
-    assert!(all(&mut Answers::default(), &mut BytesMut::from(long.as_str())).is_err());
+    let long = "a".repeat(MAX_LINE_BYTES);
+    let decoded = all(
+        &mut AnswerDecoder::default(),
+        &mut BytesMut::from(long.as_str()),
+    );
+    assert_eq!(decoded, Err(ProtocolError::LineTooLong));
 }
 
 #[test]
-fn a_request_says_what_was_ordered() {
+fn a_request_is_encoded_with_its_fill() {
     let bytes = Bytes::from_static;
-    let mut passed = ForwardedFields {
+    let mut forwarded = ForwardedFields {
         id: bytes(b"a1"),
         class: bytes(b"page"),
         object: bytes(b"o1"),
         ..ForwardedFields::default()
     };
-    passed.part = bytes(b"3");
+    forwarded.part = bytes(b"3");
     let mut fill = Fill {
         source: "p1".into(),
         rank: 2,
@@ -75,9 +81,9 @@
     };
     let limit = Duration::from_millis(1500);
     assert_eq!(
-        ask(&passed, "s1", limit, &fill),
+        encode_request(&forwarded, "s1", limit, &fill),
         "ASK a1 cls=page,item=o1,chunk=3,limit=1500,src=p1,keep=2,maxage=1,\
-         flags=collapse+only-if-cached+no-store-up+refresh 0\r\n"
+         flags=collapse+only-if-cached+no-store-up+refresh 0\r\n\r\n"
     );
     fill = Fill {
         rank: 0,
@@ -88,10 +94,10 @@
         renew: false,
         ..fill
     };
-    (passed.have, passed.body) = (Some(bytes(b"4be0")), bytes(b"xy"));
+    (forwarded.have, forwarded.body) = (Some(bytes(b"4be0")), bytes(b"xy"));
     assert_eq!(
-        ask(&passed, "p1", limit, &fill),
-        "ASK a1 cls=page,item=o1,chunk=3,limit=1500,have=4be0 2\r\n"
+        encode_request(&forwarded, "p1", limit, &fill),
+        "ASK a1 cls=page,item=o1,chunk=3,limit=1500,have=4be0 2\r\nxy\r\n"
     );
-    assert_eq!(quit(b"a1"), "QUIT a1\r\n");
+    assert_eq!(encode_cancel(b"a1"), "QUIT a1\r\n");
 }
