--- a/crates/router/src/gossip_socket.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -1,10 +1,11 @@
-//! The socket on which routers talk to one another: it carries what `chalkhall_gossip` says, and hands on
-//! what comes with the number of who sent it. Nothing waits for it; what it cannot take at once is lost, as
-//! any datagram may be: whoever waits for a place in the decider's mailbox goes before it. Who is not in the
-//! list is dropped here.
+//! The socket on which routers gossip: it sends what `chalkhall_gossip` encodes, and hands received datagrams
+//! to the decider with the number of their sender.
+//!
+//! Nothing waits for gossip. What cannot be taken at once is dropped, as any datagram may be lost: clients
+//! that wait for capacity in the decider's mailbox go before it. Datagrams of unknown senders are dropped here.
 
 use crate::configuration::Peers;
-use crate::io_errors::{DatagramFailure, INTERRUPTIONS_MOST};
+use crate::io_errors::{DatagramFailure, MAX_INTERRUPTIONS};
 use crate::listener::bind_with;
 use crate::messages::Message;
 use crate::rate_limited_log::RateLimitedLog;
@@ -20,43 +21,70 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// After receiving failed for what may last, or failed so often in a row: nothing is received for so long.
-const PAUSE: Duration = Duration::from_millis(20);
-const FAILED_IN_A_ROW: usize = 32;
-/// Datagrams on their way out, and on their way to the decider. More are dropped.
-const MOST: usize = 256;
+/// Nothing is received for so long after a failure that may last, or after many in a row.
+const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
+/// So many failures in a row end in a pause, whatever they are.
+const MAX_CONSECUTIVE_FAILURES: usize = 32;
+/// Datagrams queued for the socket; more are dropped.
+const SEND_QUEUE_CAPACITY: usize = 256;
+/// One byte more than a datagram may have tells one that is too long from one that is not.
+const RECEIVE_BUFFER_BYTES: usize = MOST_BYTES + 1;
 
-/// What is to be said, for the socket's actor.
+/// An encoded datagram that is to be sent.
+#[derive(Debug)]
+pub struct OutgoingDatagram {
+    destination: To,
+    bytes: Vec<u8>,
+}
+
+/// Queues datagrams for the socket's actor.
 #[derive(Clone)]
-pub struct GossipSender(mpsc::Sender<(To, Vec<u8>)>);
+pub struct GossipSender(mpsc::Sender<OutgoingDatagram>);
 
 impl Mouth for GossipSender {
     fn say(&mut self, to: To, bytes: &[u8]) {
-        let _ = self.0.try_send((to, bytes.to_vec()));
+        let datagram = OutgoingDatagram {
+            destination: to,
+            bytes: bytes.to_vec(),
+        };
+        // Dropped if the queue is full.
+        let _ = self.0.try_send(datagram);
     }
 }
 
-/// The mouth of a socket's actor, and what it is to carry.
-pub fn saying() -> (GossipSender, mpsc::Receiver<(To, Vec<u8>)>) {
-    let (sender, receiver) = mpsc::channel(MOST);
+/// The sender for the decisions, and the queue for [`run`].
+pub fn channel() -> (GossipSender, mpsc::Receiver<OutgoingDatagram>) {
+    let (sender, receiver) = mpsc::channel(SEND_QUEUE_CAPACITY);
     (GossipSender(sender), receiver)
 }
 
 /// A socket of datagrams, or what stands for it in a test.
-pub trait Datagrams {
-    /// Waits for the next datagram. Given up, it has taken none.
+pub trait DatagramSocket {
+    /// Waits for the next datagram: its length and its sender. If cancelled, it has taken none.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
-    /// Sends one at once, or not at all.
-    fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize>;
+    /// Sends a datagram at once, or not at all.
+    fn send(&self, bytes: &[u8], destination: SocketAddr) -> io::Result<usize>;
 }
 
-impl Datagrams for UdpSocket {
+impl DatagramSocket for UdpSocket {
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         self.recv_from(buffer).await
     }
 
-    fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        self.try_send_to(bytes, to)
+    fn send(&self, bytes: &[u8], destination: SocketAddr) -> io::Result<usize> {
+        self.try_send_to(bytes, destination)
+    }
+}
+
+/// Binds the socket. `None`, after a warning, if that fails: a start goes on without gossip, which costs hints
+/// only, as where an earlier process still has the address for a moment.
+pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
+    match bind_with(|| try_bind(peers.listen)).await {
+        Ok(socket) => Some(socket),
+        Err(error) => {
+            log::warn!(address:% = peers.listen, reason:% = error; "peer_listen: no gossip with peers");
+            None
+        }
     }
 }
 
@@ -66,27 +94,59 @@
     UdpSocket::from_std(socket)
 }
 
-/// None: nobody is talked to, which costs hints. A start does not fail for them, as where an earlier process
-/// still has the address for a moment.
-pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
-    let bound = bind_with(|| try_bind(peers.listen)).await;
-    bound
-        .map_err(|what| {
-            log::warn!(
-                "peer_listen: {}: {what}; peers are not talked to",
-                peers.listen
-            )
-        })
-        .ok()
+/// Sends and receives until all senders are dropped.
+pub async fn run(
+    socket: impl DatagramSocket,
+    peers: Peers,
+    mut outgoing: mpsc::Receiver<OutgoingDatagram>,
+    decider: mpsc::Sender<Message>,
+) {
+    let mut incoming = Incoming::new(&peers, decider);
+    let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+    let mut paused_until = None;
+    loop {
+        tokio::select! {
+            datagram = outgoing.recv() => {
+                let Some(datagram) = datagram else { return };
+                send(&socket, &peers, &datagram);
+            }
+            () = at(paused_until), if paused_until.is_some() => paused_until = None,
+            received = socket.receive(&mut buffer), if paused_until.is_none() => match received {
+                Ok((length, sender)) => incoming.received(sender, &buffer[..length]),
+                Err(error) => paused_until = incoming.failed(Instant::now(), &error),
+            },
+        }
+    }
 }
 
-/// Sends a datagram, again where a signal interrupted it. What fails otherwise is lost.
-fn send_uninterrupted(socket: &impl Datagrams, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-    let mut sent = socket.send(bytes, to);
-    for _ in 1..INTERRUPTIONS_MOST {
+/// Sends a datagram to whom it is for. One that fails, or is for nobody, is lost.
+fn send(socket: &impl DatagramSocket, peers: &Peers, datagram: &OutgoingDatagram) {
+    let address = match datagram.destination {
+        To::All => Some(peers.all),
+        To::One(number) => usize::try_from(number)
+            .ok()
+            .and_then(|number| peers.each.get(number))
+            .copied(),
+    };
+    let Some(address) = address else {
+        return;
+    };
+    if let Err(error) = send_uninterrupted(socket, &datagram.bytes, address) {
+        log::debug!(peer:% = address, reason:% = error; "a gossip datagram was not sent");
+    }
+}
+
+/// Sends a datagram, again after each interruption by a signal.
+fn send_uninterrupted(
+    socket: &impl DatagramSocket,
+    bytes: &[u8],
+    destination: SocketAddr,
+) -> io::Result<usize> {
+    let mut sent = socket.send(bytes, destination);
+    for _ in 1..MAX_INTERRUPTIONS {
         match &sent {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-                sent = socket.send(bytes, to)
+                sent = socket.send(bytes, destination)
             }
             _ => break,
         }
@@ -94,52 +154,44 @@
     sent
 }
 
-/// Ends with the decider.
-pub async fn run(
-    socket: impl Datagrams,
-    peers: Peers,
-    mut sayings: mpsc::Receiver<(To, Vec<u8>)>,
+/// The way of received datagrams to the decider.
+struct Incoming {
+    numbers: HashMap<SocketAddr, u64>,
     decider: mpsc::Sender<Message>,
-) {
-    let numbers: HashMap<SocketAddr, u64> = peers.each.iter().copied().zip(0..).collect();
-    let mut strangers = RateLimitedLog::default();
-    // One byte more than there may be tells what is too long from what is not.
-    let mut buffer = [0; MOST_BYTES + 1];
-    let (mut pause, mut failed_in_a_row) = (None, 0);
-    loop {
-        tokio::select! {
-            said = sayings.recv() => {
-                let Some((to, bytes)) = said else { return };
-                let address = match to {
-                    To::All => Some(peers.all),
-                    To::One(number) => peers.each.get(number as usize).copied(),
-                };
-                if let Some(address) = address
-                    && let Err(what) = send_uninterrupted(&socket, &bytes, address)
-                {
-                    log::debug!("peers: {address}: {what}");
-                }
-            }
-            () = at(pause), if pause.is_some() => pause = None,
-            come = socket.receive(&mut buffer), if pause.is_none() => match come {
-                Ok((length, from)) => {
-                    failed_in_a_row = 0;
-                    let Some(number) = numbers.get(&from) else {
-                        strangers.log(&format!("peers: a datagram from {from}, which is none of them"));
-                        continue;
-                    };
-                    let _ = decider.try_send(Message::Peer(*number, buffer[..length].into()));
-                }
-                Err(what) => {
-                    log::debug!("peers: {what}");
-                    failed_in_a_row += 1;
-                    let lasting = DatagramFailure::from(&what) == DatagramFailure::Lasting;
-                    if lasting || failed_in_a_row >= FAILED_IN_A_ROW {
-                        (pause, failed_in_a_row) = (Some(Instant::now() + PAUSE), 0);
-                    }
-                }
-            },
+    unknown_senders: RateLimitedLog,
+    consecutive_failures: usize,
+}
+
+impl Incoming {
+    fn new(peers: &Peers, decider: mpsc::Sender<Message>) -> Incoming {
+        Incoming {
+            numbers: peers.each.iter().copied().zip(0..).collect(),
+            decider,
+            unknown_senders: RateLimitedLog::default(),
+            consecutive_failures: 0,
+        }
+    }
+
+    fn received(&mut self, sender: SocketAddr, bytes: &[u8]) {
+        self.consecutive_failures = 0;
+        let Some(number) = self.numbers.get(&sender) else {
+            let line = format!("peers: a datagram from {sender}, which is none of them");
+            return self.unknown_senders.log(&line);
+        };
+        // Dropped if the mailbox is full.
+        let _ = self.decider.try_send(Message::Peer(*number, bytes.into()));
+    }
+
+    /// Returns until when nothing should be received, if there has to be a pause.
+    fn failed(&mut self, now: Instant, error: &io::Error) -> Option<Instant> {
+        log::debug!(reason:% = error; "no gossip datagram was received");
+        self.consecutive_failures += 1;
+        let is_lasting = DatagramFailure::from(error) == DatagramFailure::Lasting;
+        if !is_lasting && self.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
+            return None;
         }
+        self.consecutive_failures = 0;
+        Some(now + RECEIVE_PAUSE)
     }
 }
 
--- a/crates/router/src/gossip_socket/tests.rs
+++ b/crates/router/src/gossip_socket/tests.rs
@@ -9,7 +9,7 @@
 /// A busy loop is one that makes so many calls while no time passes.
 const BUSY: usize = 10_000;
 
-/// A socket that fails with these, one a call (0: it does not); its last error stands for good where it is told so.
+/// A socket that fails with these errors, one a call (0: it does not); or with the first of them for good.
 struct Failing {
     receiving: RefCell<VecDeque<i32>>,
     for_good: bool,
@@ -30,7 +30,7 @@
     }
 }
 
-impl Datagrams for Rc<Failing> {
+impl DatagramSocket for Rc<Failing> {
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         self.received.set(self.received.get() + 1);
         assert!(self.received.get() < BUSY, "a busy loop");
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn whatever_receiving_fails_with_is_no_busy_loop() {
+async fn no_receive_failure_makes_a_busy_loop() {
     for errno in [
         libc::EPERM,
         libc::ENOBUFS,
@@ -83,9 +83,9 @@
         libc::ECONNREFUSED,
     ] {
         let socket = Failing::new(&[errno], true, &[]);
-        let (_saying, sayings) = saying();
+        let (_sender, outgoing) = channel();
         let (decider, _messages) = mpsc::channel(8);
-        let running = run(socket.clone(), peers(), sayings, decider);
+        let running = run(socket.clone(), peers(), outgoing, decider);
         assert!(
             timeout(Duration::from_secs(1), running).await.is_err(),
             "errno {errno}: it has ended"
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn datagrams_come_after_any_failure() {
+async fn datagrams_are_received_after_any_failure() {
     let failures = [
         libc::ECONNREFUSED,
         libc::EINTR,
@@ -103,7 +103,7 @@
         libc::ENOMEM,
     ];
     let socket = Failing::new(&failures, false, &[]);
-    let (_saying, sayings) = saying();
+    let (_sender, outgoing) = channel();
     let (decider, mut messages) = mpsc::channel(8);
     let come = async {
         match messages.recv().await {
@@ -112,21 +112,21 @@
         }
     };
     tokio::select! {
-        () = run(socket, peers(), sayings, decider) => panic!("it has ended"),
+        () = run(socket, peers(), outgoing, decider) => panic!("it has ended"),
         come = timeout(Duration::from_secs(1), come) => come.expect("nothing came"),
     }
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn an_interrupted_datagram_is_sent_and_one_too_many_is_lost_alone() {
+async fn an_interrupted_send_is_repeated_and_a_failed_one_loses_only_its_datagram() {
     let socket = Failing::new(&[], false, &[libc::EINTR, 0, libc::ENOBUFS, libc::EPERM]);
-    let (mut saying, sayings) = saying();
+    let (mut sender, outgoing) = channel();
     let (decider, _messages) = mpsc::channel(8);
     for byte in 1..=4 {
-        saying.say(To::All, &[byte]);
+        sender.say(To::All, &[byte]);
     }
-    // The mouth's end is the end of the actor, once all is sent.
-    drop(saying);
-    run(socket.clone(), peers(), sayings, decider).await;
+    // The actor ends when all senders are dropped, once everything is sent.
+    drop(sender);
+    run(socket.clone(), peers(), outgoing, decider).await;
     assert_eq!(*socket.sent.borrow(), [[1], [4]]);
 }
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -16,7 +16,7 @@
 
 /// How often a system call that was interrupted is made again before it counts as failed. A signal interrupts
 /// one call once; more than this is a fault of its own, which must not keep the program busy.
-pub const INTERRUPTIONS_MOST: usize = 16;
+pub const MAX_INTERRUPTIONS: usize = 16;
 
 /// The wait after a call for which the system had no memory or buffer, before it is made again.
 pub const MEMORY_PAUSE: Duration = Duration::from_millis(5);
@@ -172,7 +172,7 @@
 }
 
 /// How often a call is made at once, in all, that must not wait.
-const TRIES_AT_ONCE: usize = 4;
+const MAX_IMMEDIATE_TRIES: usize = 4;
 
 /// Makes a call again at once where something was short for a moment, for one that must not wait: another
 /// would take the descriptor meanwhile.
@@ -180,7 +180,7 @@
 /// # Errors
 /// The last failure.
 pub fn retry_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..TRIES_AT_ONCE {
+    for _ in 1..MAX_IMMEDIATE_TRIES {
         match call() {
             Err(error) if is_momentary(&error) => {}
             done => return done,
--- a/crates/router/src/io_errors/tests.rs
+++ b/crates/router/src/io_errors/tests.rs
@@ -182,6 +182,6 @@
         (done.is_ok(), calls)
     };
     assert_eq!(tries(ENOBUFS, 1), (true, 2));
-    assert_eq!(tries(ENOBUFS, usize::MAX), (false, TRIES_AT_ONCE));
+    assert_eq!(tries(ENOBUFS, usize::MAX), (false, MAX_IMMEDIATE_TRIES));
     assert_eq!(tries(EACCES, 1), (false, 1));
 }
--- a/crates/router/src/latency_probes/tests.rs
+++ b/crates/router/src/latency_probes/tests.rs
@@ -2,7 +2,7 @@
 use tokio::net::TcpListener;
 
 #[test]
-fn what_comes_back_is_measured_and_what_does_not_is_lost() {
+fn answered_probes_are_measured_and_all_others_are_lost() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -12,11 +12,11 @@
         let (probes, receiver) = mpsc::channel(8);
         spawn_local(run(receiver, decider));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let dial = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let shut = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let nobody = shut.local_addr().unwrap();
         drop(shut);
-        probes.send(Probe { edge: 3, dial }).await.unwrap();
+        probes.send(Probe { edge: 3, address }).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
@@ -31,8 +31,8 @@
             messages.recv().await,
             Some(Message::Way(3, Some(_)))
         ));
-        // The connection is used again; where it breaks the word is lost, and the next one opens another.
-        probes.send(Probe { edge: 3, dial }).await.unwrap();
+        // The connection is used again; where it breaks the probe is lost, and the next one opens another.
+        probes.send(Probe { edge: 3, address }).await.unwrap();
         line.clear();
         stream.read_line(&mut line).await.unwrap();
         assert_eq!(line, "NOOP 2\r\n");
@@ -41,30 +41,26 @@
         probes
             .send(Probe {
                 edge: 4,
-                dial: nobody,
+                address: nobody,
             })
             .await
             .unwrap();
         assert!(matches!(messages.recv().await, Some(Message::Way(4, None))));
-        probes.send(Probe { edge: 3, dial }).await.unwrap();
+        probes.send(Probe { edge: 3, address }).await.unwrap();
         assert!(listener.accept().await.is_ok());
     });
 }
 
 /// Linux has no route for TCP to the broadcast address of its loopback network: ENETUNREACH, at once.
 #[tokio::test(flavor = "current_thread")]
-async fn a_probe_that_this_machine_could_not_send_says_nothing_of_the_way() {
+async fn a_probe_that_was_not_sent_is_not_reported() {
     let inside = async {
         let (decider, mut messages) = mpsc::channel(8);
         let (edges, receiver) = mpsc::channel(8);
         edges.send(3).await.unwrap();
         drop(edges);
-        measure(
-            SocketAddr::from(([127, 255, 255, 255], 9)),
-            receiver,
-            decider,
-        )
-        .await;
+        let address = SocketAddr::from(([127, 255, 255, 255], 9));
+        Prober::new(address, decider).run(receiver).await;
         assert!(messages.recv().await.is_none());
     };
     tokio::task::LocalSet::new().run_until(inside).await;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -135,7 +135,7 @@
             }
             Some(talk)
         });
-    let (saying, sayings) = gossip_socket::saying();
+    let (saying, sayings) = gossip_socket::channel();
     let socket_of_peers = match &told.peers {
         Some(peers) if talk.is_some() || directives.regions.in_common => {
             gossip_socket::bind(peers).await
@@ -150,7 +150,7 @@
     let talk = talk
         .filter(|_| socket_of_peers.is_some())
         .map(|talk| (talk, saying.clone()));
-    let (probes, to_probe) = mpsc::channel(latency_probes::PROBES_MOST);
+    let (probes, to_probe) = mpsc::channel(latency_probes::PROBE_QUEUE_CAPACITY);
     let abroad = match socket_of_peers {
         Some(_) => ZoneFailover::new(
             clock,
--- a/crates/router/src/server_connection/connect.rs
+++ b/crates/router/src/server_connection/connect.rs
@@ -1,6 +1,6 @@
 //! Connecting to a server, and what a failure to connect says.
 
-use crate::io_errors::{ConnectFailure, INTERRUPTIONS_MOST};
+use crate::io_errors::{ConnectFailure, MAX_INTERRUPTIONS};
 use chalkhall::interface::Outcome;
 use std::future::Future;
 use std::io;
@@ -27,7 +27,7 @@
             Err(error) => error,
         };
         match ConnectFailure::from(&error) {
-            ConnectFailure::Interrupted if interruptions < INTERRUPTIONS_MOST => interruptions += 1,
+            ConnectFailure::Interrupted if interruptions < MAX_INTERRUPTIONS => interruptions += 1,
             ConnectFailure::LocalResources if !is_retried => {
                 is_retried = true;
                 sleep(LOCAL_RETRY_DELAY).await;
--- a/crates/router/src/server_connection/connect/tests.rs
+++ b/crates/router/src/server_connection/connect/tests.rs
@@ -59,7 +59,7 @@
     assert_eq!(connected(&[EINTR, EINTR]).await, (true, 3, Duration::ZERO));
     assert_eq!(
         connected(&[EINTR; 99]).await,
-        (false, 1 + INTERRUPTIONS_MOST, Duration::ZERO)
+        (false, 1 + MAX_INTERRUPTIONS, Duration::ZERO)
     );
     // Once more, a moment later; after that others decide.
     let (made, tries, took) = connected(&[ENOBUFS]).await;
--- a/crates/router/src/uninterrupted.rs
+++ b/crates/router/src/uninterrupted.rs
@@ -1,6 +1,6 @@
 //! A stream whose calls are made again where they moved nothing and its connection still stands.
 
-use crate::io_errors::{INTERRUPTIONS_MOST, MEMORY_PAUSE, StreamFailure};
+use crate::io_errors::{MAX_INTERRUPTIONS, MEMORY_PAUSE, StreamFailure};
 use std::future::Future;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -32,7 +32,7 @@
         context: &mut Context<'_>,
         mut call: impl FnMut(&mut S, &mut Context<'_>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        for _ in 0..INTERRUPTIONS_MOST {
+        for _ in 0..MAX_INTERRUPTIONS {
             if let Some(pause) = &mut self.pause {
                 ready!(pause.as_mut().poll(context));
                 self.pause = None;
--- a/crates/router/src/uninterrupted/tests.rs
+++ b/crates/router/src/uninterrupted/tests.rs
@@ -89,7 +89,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_endless_interruption_is_no_busy_loop() {
     let begin = Instant::now();
-    let mut stream = scripted(&vec![EINTR; INTERRUPTIONS_MOST * 10]);
+    let mut stream = scripted(&vec![EINTR; MAX_INTERRUPTIONS * 10]);
     stream.write_all(b"a").await.unwrap();
     assert!(
         begin.elapsed() >= MEMORY_PAUSE * 10,
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -177,7 +177,10 @@
                 let of = caches.get(&edge).filter(|of| !of.is_empty());
                 let server = of.map(|of| of[(self.number as usize) % of.len()]);
                 if let Some(dial) = server.and_then(|server| dial(&server.server)) {
-                    let _ = probes.try_send(Probe { edge, dial });
+                    let _ = probes.try_send(Probe {
+                        edge,
+                        address: dial,
+                    });
                 }
             }
         }
