--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -76,7 +76,7 @@
                 }
                 Err(what) => {
                     failed_in_a_row += 1;
-                    if AcceptFailure::from(&what).is_passing() && failed_in_a_row < FAILED_IN_A_ROW {
+                    if AcceptFailure::from(&what).is_transient() && failed_in_a_row < FAILED_IN_A_ROW {
                         continue;
                     }
                     failed_in_a_row = 0;
--- a/crates/router/src/gossip_socket.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -1,8 +1,9 @@
-//! The socket on which routers gossip: it sends what `chalkhall_gossip` encodes, and hands received datagrams
-//! to the decider with the number of their sender.
+//! The socket on which routers gossip: it sends what `chalkhall_gossip` encodes, and hands received
+//! datagrams to the decider with the number of their sender.
 //!
-//! Nothing waits for gossip. What cannot be taken at once is dropped, as any datagram may be lost: clients
-//! that wait for capacity in the decider's mailbox go before it. Datagrams of unknown senders are dropped here.
+//! Nothing waits for gossip. What cannot be taken at once is dropped, as any datagram may be lost:
+//! clients that wait for capacity in the decider's mailbox go before it. Datagrams of unknown
+//! senders are dropped here.
 
 use crate::configuration::Peers;
 use crate::io_errors::{DatagramFailure, MAX_INTERRUPTIONS};
@@ -76,13 +77,16 @@
     }
 }
 
-/// Binds the socket. `None`, after a warning, if that fails: a start goes on without gossip, which costs hints
-/// only, as where an earlier process still has the address for a moment.
+/// Binds the socket. `None`, after a warning, if that fails: a start goes on without gossip, which
+/// costs hints only, as where an earlier process still has the address for a moment.
 pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
     match bind_with(|| try_bind(peers.listen)).await {
         Ok(socket) => Some(socket),
         Err(error) => {
-            log::warn!(address:% = peers.listen, reason:% = error; "peer_listen: no gossip with peers");
+            log::warn!(
+                address:% = peers.listen, reason:% = error;
+                "peer_listen: no gossip with peers"
+            );
             None
         }
     }
@@ -186,8 +190,8 @@
     fn failed(&mut self, now: Instant, error: &io::Error) -> Option<Instant> {
         log::debug!(reason:% = error; "no gossip datagram was received");
         self.consecutive_failures += 1;
-        let is_lasting = DatagramFailure::from(error) == DatagramFailure::Lasting;
-        if !is_lasting && self.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
+        let is_persistent = DatagramFailure::from(error) == DatagramFailure::Persistent;
+        if !is_persistent && self.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
             return None;
         }
         self.consecutive_failures = 0;
--- a/crates/router/src/gossip_socket/tests.rs
+++ b/crates/router/src/gossip_socket/tests.rs
@@ -9,7 +9,8 @@
 /// A busy loop is one that makes so many calls while no time passes.
 const BUSY: usize = 10_000;
 
-/// A socket that fails with these errors, one a call (0: it does not); or with the first of them for good.
+/// A socket that fails with these errors, one a call (0: it does not); or with the first of them
+/// for good.
 struct Failing {
     receiving: RefCell<VecDeque<i32>>,
     for_good: bool,
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -1,9 +1,9 @@
-//! Classifies the errors of system calls on sockets: what each one says about this machine, about the other
-//! side and about the connection, and so what may be tried next. Every adapter asks here.
+//! Classifies the errors of system calls on sockets: what each one says about this machine, about
+//! the peer and about the connection, and so what may be retried. All adapters use it.
 //!
-//! Linux reports a shortage of this machine, a fault of one peer and a fault of the network by the same kind
-//! of return value. Treating the first as the second ejects healthy servers; treating the second as the first
-//! closes connections of clients for nothing.
+//! Linux reports a shortage of this machine, a fault of one peer and a fault of the network by the
+//! same kind of return value. Treating the first as the second ejects healthy servers; treating the
+//! second as the first closes connections of clients for nothing.
 
 use libc::{
     EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, ECONNABORTED, ECONNREFUSED, ECONNRESET, EHOSTDOWN,
@@ -14,58 +14,61 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How often a system call that was interrupted is made again before it counts as failed. A signal interrupts
-/// one call once; more than this is a fault of its own, which must not keep the program busy.
+/// An interrupted system call counts as failed after so many retries. A signal interrupts one call
+/// once; more than this is a fault of its own, which must not keep the program busy.
 pub const MAX_INTERRUPTIONS: usize = 16;
 
-/// The wait after a call for which the system had no memory or buffer, before it is made again.
+/// The wait before the retry of a call for which the system had no memory or buffer.
 pub const MEMORY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Why no connection was made. In any case nothing has run at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// A signal came in between: the call may be made again at once, on a new socket.
+    /// A signal interrupted the call: it may be retried at once, on a new socket.
     Interrupted,
-    /// This machine had no descriptor, port, buffer or route, or forbids it. The server is not to blame.
+    /// This machine had no descriptor, port, buffer or route, or forbids it. It is no fault of the
+    /// server.
     LocalResources,
-    /// The server refused, was silent, or cannot be reached.
+    /// The server refused, did not answer, or cannot be reached.
     Server,
 }
 
 /// Why no connection of a client could be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// A signal came in between: the call may be made again at once.
+    /// A signal interrupted the call: it may be retried at once.
     Interrupted,
-    /// The one connection that would have been accepted failed before it was. The next may be accepted.
+    /// The one connection that would have been accepted failed before it was. The next may be
+    /// accepted.
     PerConnection,
-    /// The process or the system has no descriptor left: it needs some to be closed.
+    /// The process or the system has no descriptor left, until some are closed.
     DescriptorsExhausted,
-    /// The system is short of memory or buffers: it needs time.
+    /// The system has no memory or buffers left, for a while.
     MemoryExhausted,
-    /// Anything else, as a listener that is none. It will hardly end by itself, and must not be tried in a
-    /// busy loop.
+    /// Anything else, as an invalid listener. It may last, and must not be retried in a busy loop.
     Listener,
 }
 
-/// Why nothing was read from or written to a stream that is connected.
+/// Why nothing was read from or written to a connected stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFailure {
-    /// A signal came in between, or nothing could be moved yet: nothing was moved, and the connection stands.
+    /// A signal interrupted the call, or the stream was not ready: nothing was transferred, and the
+    /// connection is usable.
     Retry,
-    /// The system had no memory or buffer: nothing was moved, and the connection stands.
+    /// The system had no memory or buffer: nothing was transferred, and the connection is usable.
     MemoryExhausted,
-    /// The connection is gone, whichever way that is reported.
+    /// The connection has ended, whichever way that is reported.
     Broken,
 }
 
-/// Why a datagram was not sent or received. A socket of datagrams goes on after any of them.
+/// Why a datagram was not sent or received. The socket stays usable after any of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramFailure {
-    /// The report of what an earlier datagram met, or an interruption: the next call may be made at once.
-    Passing,
-    /// Anything else: it may last, and must not be tried in a busy loop.
-    Lasting,
+    /// The report of what an earlier datagram met, or an interruption: the next call may be made at
+    /// once.
+    Transient,
+    /// Anything else: it may last, and must not be retried in a busy loop.
+    Persistent,
 }
 
 impl From<&io::Error> for ConnectFailure {
@@ -78,16 +81,17 @@
             Some(ENOBUFS | ENOMEM) => ConnectFailure::LocalResources,
             // All local ports are in use; `connect` says so by any of them.
             Some(EADDRNOTAVAIL | EADDRINUSE | EAGAIN) => ConnectFailure::LocalResources,
-            // This machine's routing table has no way, or its interface is down. This comes from the machine
-            // itself, before anything is sent, and it strikes all servers alike: were they blamed, a route
-            // that flaps for a moment would eject them all.
+            // This machine's routing table has no route, or its interface is down. This comes from
+            // the machine itself, before anything is sent, and concerns all servers alike: if it
+            // counted against them, a route that flaps for a moment would eject them all.
             Some(ENETUNREACH | ENETDOWN) => ConnectFailure::LocalResources,
             // This machine's packet filter or policy forbids it.
             Some(EACCES | EPERM) => ConnectFailure::LocalResources,
-            // ECONNREFUSED, ECONNRESET: the server's machine answered. ETIMEDOUT, and a time-out of our own:
-            // it did not. EHOSTUNREACH, EHOSTDOWN, ENONET: the network was reached, this host was not (no
-            // answer to ARP, or a router's word about this one address). Anything else, as EAFNOSUPPORT, comes
-            // of the address and will come again: it is better avoided like a server that is down.
+            // ECONNREFUSED, ECONNRESET: the server's machine answered. ETIMEDOUT, and a timeout of
+            // this program: it did not. EHOSTUNREACH, EHOSTDOWN, ENONET: the network was reached,
+            // this host was not (no answer to ARP, or a router's report about this one address).
+            // Anything else, as EAFNOSUPPORT, comes from the address and will come again: the
+            // server is better avoided like one that is down.
             _ => ConnectFailure::Server,
         }
     }
@@ -97,10 +101,11 @@
     fn from(error: &io::Error) -> AcceptFailure {
         match error.raw_os_error() {
             Some(EINTR | EAGAIN) => AcceptFailure::Interrupted,
-            // The client left before its connection was accepted; a packet filter forbids this one.
+            // The client has left before its connection was accepted; a packet filter forbids this
+            // one.
             Some(ECONNABORTED | EPERM | EPROTO) => AcceptFailure::PerConnection,
-            // Linux hands errors that already wait on the new connection to `accept`; accept(2) asks to treat
-            // them like EAGAIN.
+            // Linux hands errors that already wait on the new connection to `accept`; accept(2)
+            // asks to treat them like EAGAIN.
             Some(ENETDOWN | ENOPROTOOPT | EHOSTDOWN | ENONET) => AcceptFailure::PerConnection,
             Some(EHOSTUNREACH | EOPNOTSUPP | ENETUNREACH) => AcceptFailure::PerConnection,
             Some(ETIMEDOUT | ECONNRESET) => AcceptFailure::PerConnection,
@@ -112,8 +117,8 @@
 }
 
 impl AcceptFailure {
-    /// The next call may be made at once: nothing is short, and the listener is fine.
-    pub fn is_passing(self) -> bool {
+    /// Whether the next call may be made at once: no resource is short, and the listener is usable.
+    pub fn is_transient(self) -> bool {
         matches!(
             self,
             AcceptFailure::Interrupted | AcceptFailure::PerConnection
@@ -126,8 +131,8 @@
         match error.raw_os_error() {
             Some(EINTR | EAGAIN) => StreamFailure::Retry,
             Some(ENOBUFS | ENOMEM) => StreamFailure::MemoryExhausted,
-            // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH and the like: TCP has given up this
-            // connection, for whatever reason, and reports it once.
+            // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH and the like: TCP has given
+            // up this connection, for whatever reason, and reports it once.
             Some(_) => StreamFailure::Broken,
             None if matches!(
                 error.kind(),
@@ -144,19 +149,19 @@
 impl From<&io::Error> for DatagramFailure {
     fn from(error: &io::Error) -> DatagramFailure {
         match error.raw_os_error() {
-            Some(EINTR | EAGAIN) => DatagramFailure::Passing,
+            Some(EINTR | EAGAIN) => DatagramFailure::Transient,
             // By ICMP: nobody listens there now, or the host is not reached. Each is reported once.
             Some(ECONNREFUSED | ECONNRESET | EHOSTUNREACH | EHOSTDOWN | ENETUNREACH) => {
-                DatagramFailure::Passing
+                DatagramFailure::Transient
             }
-            _ => DatagramFailure::Lasting,
+            _ => DatagramFailure::Persistent,
         }
     }
 }
 
-/// Whether a socket that could not be created, bound or listened on may be had a moment later: for want of
-/// resources, or as its address is not there yet.
-pub fn is_momentary(error: &io::Error) -> bool {
+/// Whether a socket that could not be created, bound or listened on may be available a moment
+/// later: a resource was short, or its address is not there yet.
+pub fn is_retryable(error: &io::Error) -> bool {
     let resources = [
         EMFILE,
         ENFILE,
@@ -171,28 +176,28 @@
         .is_some_and(|errno| resources.contains(&errno))
 }
 
-/// How often a call is made at once, in all, that must not wait.
+/// How often a call that must not wait is made at most.
 const MAX_IMMEDIATE_TRIES: usize = 4;
 
-/// Makes a call again at once where something was short for a moment, for one that must not wait: another
-/// would take the descriptor meanwhile.
+/// Retries a call at once if a resource was short for a moment. For calls that must not wait:
+/// another would take the descriptor meanwhile.
 ///
 /// # Errors
 /// The last failure.
 pub fn retry_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..MAX_IMMEDIATE_TRIES {
         match call() {
-            Err(error) if is_momentary(&error) => {}
-            done => return done,
+            Err(error) if is_retryable(&error) => {}
+            result => return result,
         }
     }
     call()
 }
 
-/// Has small writes sent at once. Where the system refuses, the connection is slower, not broken.
+/// Has small writes sent at once. If the system refuses, the connection is slower, not broken.
 pub fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("TCP_NODELAY is not set: {error}");
+        log::debug!(reason:% = error; "TCP_NODELAY was not set");
     }
 }
 
--- a/crates/router/src/io_errors/tests.rs
+++ b/crates/router/src/io_errors/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn a_connect_that_fails_for_want_of_something_here_is_not_the_servers_fault() {
+fn connect_errors_tell_local_shortages_from_failures_of_the_server() {
     use ConnectFailure::{Interrupted, LocalResources, Server};
     let rows = [
         (EINTR, Interrupted),
@@ -41,12 +41,12 @@
     assert_eq!(
         ConnectFailure::from(&io::ErrorKind::TimedOut.into()),
         Server,
-        "a time-out of our own"
+        "a timeout of this program"
     );
 }
 
 #[test]
-fn an_accept_fails_for_one_connection_or_for_want_of_something_here() {
+fn accept_errors_tell_single_connections_from_shortages() {
     use AcceptFailure::{
         DescriptorsExhausted, Interrupted, Listener, MemoryExhausted, PerConnection,
     };
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_stream_breaks_in_many_words_and_stands_after_an_interruption() {
+fn stream_errors_tell_broken_connections_from_retries() {
     use StreamFailure::{Broken, MemoryExhausted, Retry};
     let rows = [
         (EINTR, Retry),
@@ -119,21 +119,21 @@
 }
 
 #[test]
-fn a_refused_datagram_passes_and_a_shortage_lasts() {
-    use DatagramFailure::{Lasting, Passing};
+fn datagram_errors_tell_transient_from_persistent_ones() {
+    use DatagramFailure::{Persistent, Transient};
     let rows = [
-        (EINTR, Passing),
-        (EAGAIN, Passing),
-        (ECONNREFUSED, Passing),
-        (ECONNRESET, Passing),
-        (EHOSTUNREACH, Passing),
-        (EHOSTDOWN, Passing),
-        (ENETUNREACH, Passing),
-        (EPERM, Lasting),
-        (ENOBUFS, Lasting),
-        (ENOMEM, Lasting),
-        (ENETDOWN, Lasting),
-        (EBADF, Lasting),
+        (EINTR, Transient),
+        (EAGAIN, Transient),
+        (ECONNREFUSED, Transient),
+        (ECONNRESET, Transient),
+        (EHOSTUNREACH, Transient),
+        (EHOSTDOWN, Transient),
+        (ENETUNREACH, Transient),
+        (EPERM, Persistent),
+        (ENOBUFS, Persistent),
+        (ENOMEM, Persistent),
+        (ENETDOWN, Persistent),
+        (EBADF, Persistent),
     ];
     for (errno, expected) in rows {
         assert_eq!(
@@ -145,8 +145,8 @@
 }
 
 #[test]
-fn a_start_waits_for_what_may_come_and_for_nothing_else() {
-    let momentary = |errno| is_momentary(&io::Error::from_raw_os_error(errno));
+fn only_shortages_and_missing_addresses_are_retryable_at_start() {
+    let retryable = |errno| is_retryable(&io::Error::from_raw_os_error(errno));
     assert!(
         [
             EMFILE,
@@ -158,17 +158,17 @@
             EINTR
         ]
         .into_iter()
-        .all(momentary)
+        .all(retryable)
     );
     assert!(
         ![EADDRINUSE, EACCES, EINVAL, EAFNOSUPPORT]
             .into_iter()
-            .any(momentary)
+            .any(retryable)
     );
 }
 
 #[test]
-fn a_call_that_must_not_wait_is_made_a_few_times() {
+fn a_call_that_must_not_wait_is_retried_a_bounded_number_of_times() {
     let tries = |errno, failures| {
         let mut calls = 0;
         let done = retry_at_once(|| {
--- a/crates/router/src/latency_probes.rs
+++ b/crates/router/src/latency_probes.rs
@@ -1,8 +1,9 @@
-//! Measures network paths: a probe to a cache server and back, on connections of its own, each with one probe
-//! at a time.
+//! Measures network paths: a probe to a cache server and back, on connections of its own, each with
+//! one probe at a time.
 //!
-//! A probe that does not come back within [`PATIENCE`] is reported as lost; a connection that broke or was
-//! silent is replaced for the next probe. Nothing waits for a probe, and probes beyond the bounds are dropped.
+//! A probe that does not come back within [`PATIENCE`] is reported as lost; a connection that broke
+//! or was silent is replaced for the next probe. Nothing waits for a probe, and probes beyond the
+//! bounds are dropped.
 
 use crate::io_errors::{ConnectFailure, set_nodelay};
 use crate::messages::Message;
@@ -101,7 +102,10 @@
             let round_trip = match measured.unwrap_or(Err(ProbeError::TimedOut)) {
                 Ok(round_trip) => Some(round_trip),
                 Err(error) => {
-                    log::debug!(address:% = self.address, reason:% = error; "a latency probe failed");
+                    log::debug!(
+                        address:% = self.address, reason:% = error;
+                        "a latency probe failed"
+                    );
                     if matches!(error, ProbeError::NotSent(_)) {
                         // This says nothing about the path.
                         continue;
--- a/crates/router/src/latency_probes/tests.rs
+++ b/crates/router/src/latency_probes/tests.rs
@@ -31,7 +31,8 @@
             messages.recv().await,
             Some(Message::Way(3, Some(_)))
         ));
-        // The connection is used again; where it breaks the probe is lost, and the next one opens another.
+        // The connection is used again; where it breaks the probe is lost, and the next one opens
+        // another.
         probes.send(Probe { edge: 3, address }).await.unwrap();
         line.clear();
         stream.read_line(&mut line).await.unwrap();
@@ -51,7 +52,8 @@
     });
 }
 
-/// Linux has no route for TCP to the broadcast address of its loopback network: ENETUNREACH, at once.
+/// Linux has no route for TCP to the broadcast address of its loopback network: ENETUNREACH, at
+/// once.
 #[tokio::test(flavor = "current_thread")]
 async fn a_probe_that_was_not_sent_is_not_reported() {
     let inside = async {
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -2,7 +2,7 @@
 //! end.
 
 use crate::client_connection::{Client, ClientFrontend};
-use crate::io_errors::{AcceptFailure, is_momentary};
+use crate::io_errors::{AcceptFailure, is_retryable};
 use crate::lifecycle::Phase;
 use crate::messages::{Message, Place, Word};
 use crate::rate_limited_log::RateLimitedLog;
@@ -52,7 +52,7 @@
     let mut pause = BIND_PAUSE;
     for _ in 1..BIND_TRIES {
         match bind() {
-            Err(error) if is_momentary(&error) => log::debug!("listen: {error}; tried again"),
+            Err(error) if is_retryable(&error) => log::debug!("listen: {error}; tried again"),
             bound => return bound,
         }
         sleep(pause).await;
@@ -217,7 +217,7 @@
         if Instant::now() >= give_up {
             return None;
         }
-        if AcceptFailure::from(&error).is_passing() {
+        if AcceptFailure::from(&error).is_transient() {
             yield_now().await;
         } else {
             // Clients that have their last answers close meanwhile.
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -130,7 +130,8 @@
     pub forwarded: ForwardedFields,
     /// The name of the server.
     pub server: Id,
-    /// What the server does on a miss. The request line is encoded from it when its first byte leaves.
+    /// What the server does on a miss. The request line is encoded from it when its first byte
+    /// leaves.
     pub fill: Fill,
     /// It must not run twice: if its connection breaks, the attempt has failed.
     pub is_non_idempotent: bool,
@@ -167,7 +168,8 @@
     Send(Box<AttemptRequest>),
     /// Cancel this attempt.
     Cancel(AttemptId),
-    /// The endpoint list has a new start or address of the server: connections from before it are retired.
+    /// The endpoint list has a new start or address of the server: connections from before it are
+    /// retired.
     Reconnect {
         /// Where the server is now.
         address: SocketAddr,
@@ -200,8 +202,8 @@
 pub struct ConnectionAttemptEnded {
     /// The result.
     pub ended: AttemptEnded,
-    /// Nothing was received since the attempt was sent, for as long as a connect may take: the other side
-    /// may have vanished.
+    /// Nothing was received since the attempt was sent, for as long as a connect may take: the
+    /// server may have vanished.
     pub is_silent: bool,
 }
 
--- a/crates/router/src/scheduling_delay/tests.rs
+++ b/crates/router/src/scheduling_delay/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_quiet_loop_is_not_held_up() {
+fn an_idle_loop_is_not_delayed() {
     let (mut event_loop, mut now) = quiet();
     for _ in 0..100 {
         event_loop.before_wait(now);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_wait_that_took_long_is_a_hold_up_until_all_that_came_is_read() {
+fn a_long_wait_is_a_delay_until_everything_that_arrived_is_read() {
     let (mut event_loop, start) = quiet();
     let woken = start + 900 * MS;
     event_loop.after_wait(woken);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_hold_up_between_two_waits_counts_during_it_and_after_it() {
+fn a_delay_between_two_waits_counts_during_and_after_it() {
     let (mut event_loop, start) = quiet();
     event_loop.after_wait(start + 20 * MS);
     let late = start + 700 * MS;
@@ -67,19 +67,19 @@
 }
 
 #[test]
-fn it_is_caught_up_with_once_for_each_hold_up() {
+fn tasks_catch_up_once_for_each_delay() {
     let (mut event_loop, start) = quiet();
-    assert!(!event_loop.has_to_catch_up(start + 50 * MS));
-    let held_up = start + 100 * MS;
-    assert!(event_loop.has_to_catch_up(held_up));
-    event_loop.caught_up(held_up);
-    assert!(!event_loop.has_to_catch_up(held_up + MS));
+    assert!(!event_loop.needs_catch_up(start + 50 * MS));
+    let delayed = start + 100 * MS;
+    assert!(event_loop.needs_catch_up(delayed));
+    event_loop.caught_up(delayed);
+    assert!(!event_loop.needs_catch_up(delayed + MS));
     assert_eq!(
-        event_loop.unread_since(held_up + MS),
+        event_loop.unread_since(delayed + MS),
         Some(start),
         "what is read then came before"
     );
-    event_loop.before_wait(held_up + 2 * MS);
-    event_loop.after_wait(held_up + 90 * MS);
-    assert!(event_loop.has_to_catch_up(held_up + 90 * MS));
+    event_loop.before_wait(delayed + 2 * MS);
+    event_loop.after_wait(delayed + 90 * MS);
+    assert!(event_loop.needs_catch_up(delayed + 90 * MS));
 }
--- a/crates/router/src/server_connection.rs
+++ b/crates/router/src/server_connection.rs
@@ -1,4 +1,5 @@
-//! One connection to a server: writes requests, reads answers and watches the deadline of each attempt.
+//! One connection to a server: writes requests, reads answers and watches the deadline of each
+//! attempt.
 //!
 //! The actor here does the I/O; [`Attempts`] decides what is written and how each attempt ends.
 
@@ -71,13 +72,19 @@
     async fn established(&mut self, stream: TcpStream, attempts: &mut Attempts) {
         self.report(ConnectionEvent::Established).await;
         if let Err(reason) = self.serve(stream, attempts).await {
-            log::debug!(server = &*self.server, address:% = self.address, reason:% = reason; "server connection ended");
+            log::debug!(
+                server = &*self.server, address:% = self.address, reason:%;
+                "server connection ended"
+            );
         }
         attempts.disconnected(Outcome::NeverSent);
     }
 
     async fn connect_failed(&self, error: &io::Error, attempts: &mut Attempts) {
-        log::debug!(server = &*self.server, address:% = self.address, reason:% = error; "server connect failed");
+        log::debug!(
+            server = &*self.server, address:% = self.address, reason:% = error;
+            "server connect failed"
+        );
         let failure = ConnectFailure::from(error);
         if failure != ConnectFailure::Server {
             self.report(ConnectionEvent::LocalFailure).await;
@@ -110,8 +117,8 @@
             let next_deadline = attempts.next_deadline();
             tokio::select! {
                 connected = &mut connecting => {
-                    let connected = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-                    return Some(connected.inspect(set_nodelay));
+                    let timed_out = |_| Err(io::ErrorKind::TimedOut.into());
+                    return Some(connected.unwrap_or_else(timed_out).inspect(set_nodelay));
                 }
                 command = self.commands.recv() => attempts.handle(Instant::now(), command?),
                 () = at(next_deadline) => attempts.expire(Instant::now()),
@@ -181,8 +188,9 @@
         Ok(())
     }
 
-    /// Lets other tasks read what came during a scheduling delay: that a client has left may be unread, and the
-    /// order in which tasks run is not defined. Commands are taken meanwhile, so that the mailbox stays free.
+    /// Lets other tasks read what came during a scheduling delay: that a client has left may be
+    /// unread, and the order in which tasks run is not defined. Commands are taken meanwhile, so
+    /// that the mailbox stays free.
     async fn catch_up(&mut self, attempts: &mut Attempts) {
         scheduling_delay::catch_up(|| {
             while let Ok(command) = self.commands.try_recv() {
--- a/crates/router/src/server_connection/attempts.rs
+++ b/crates/router/src/server_connection/attempts.rs
@@ -1,8 +1,8 @@
 //! The attempts of one connection, as a state machine without I/O.
 //!
-//! An attempt is queued until the connection is established and all bytes before it have been accepted by the
-//! system. Then it is the next to be written, and from its first byte on it is in flight: only then may it
-//! have run. Each attempt ends in exactly one [`ConnectionAttemptEnded`].
+//! An attempt is queued until the connection is established and all bytes before it have been
+//! accepted by the system. Then it is the next to be written, and from its first byte on it is in
+//! flight: only then may it have run. Each attempt ends in exactly one [`ConnectionAttemptEnded`].
 
 use crate::messages::{
     AttemptEnded, AttemptId, AttemptRequest, ConnectionAttemptEnded, ConnectionCommand,
@@ -100,8 +100,8 @@
         self.cancel_lines.push_back(encode_cancel(id));
     }
 
-    /// Whether nothing was received since then, for as long as a new connection may take to be established:
-    /// this one may be dead.
+    /// Whether nothing was received since then, for as long as a new connection may take to be
+    /// established: this one may be dead.
     fn is_silent_since(&self, now: Instant, sent_at: Instant) -> bool {
         let nothing_received = self
             .last_received_at
@@ -135,8 +135,8 @@
 
     /// Ends the attempts whose time is up or that nobody waits for.
     pub(super) fn expire(&mut self, now: Instant) {
-        // Sent later than this an attempt could reach a server after the grace of a drain or a purge, or run
-        // for a client that has left or has its answer.
+        // Sent later than this an attempt could reach a server after the grace of a drain or a
+        // purge, or run for a client that has left or has its answer.
         self.withdraw_unsent(|request| {
             now >= request.deadline.min(request.send_by) || !request.cancellation.still()
         });
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Selects what is to be written next, once all bytes before it have been written: cancellations first,
-    /// then the next attempt.
+    /// Selects what is to be written next, once all bytes before it have been written:
+    /// cancellations first, then the next attempt.
     pub(super) fn stage_next_write(&mut self) {
         if self.has_to_write() {
             return;
@@ -172,8 +172,8 @@
 
     /// Passes the staged bytes to `write`, which returns how many of them the system accepted.
     ///
-    /// An attempt is encoded here, for its line states how much time its client has left: since the decision
-    /// it may have waited for a connection or behind a full socket.
+    /// An attempt is encoded here, for its line states how much time its client has left: since the
+    /// decision it may have waited for a connection or behind a full socket.
     ///
     /// # Errors
     /// The error of `write`. Nothing was written then.
@@ -241,7 +241,8 @@
         });
     }
 
-    /// The connection has ended: what was written of may have run, the rest did not and ends as stated.
+    /// The connection has ended: what was written of may have run, the rest did not and ends as
+    /// stated.
     pub(super) fn disconnected(&mut self, unsent_outcome: Outcome) {
         let beginning = self.beginning.take();
         let queued = std::mem::take(&mut self.queued);
--- a/crates/router/src/server_connection/attempts/tests.rs
+++ b/crates/router/src/server_connection/attempts/tests.rs
@@ -74,18 +74,19 @@
     attempts.stage_next_write();
     assert_eq!(
         attempts.write_buffer, "QUIT a\r\n",
-        "before what comes later"
+        "before attempts that were queued later"
     );
     attempts.disconnected(Outcome::NeverSent);
     assert_eq!(ends(&mut attempts), [never("e")]);
 }
 
-/// The system takes nothing while a server hangs: for as long it has not begun, whatever ends it meanwhile.
+/// The system accepts nothing while a server hangs: for as long the attempt has not begun, whatever
+/// ends it meanwhile.
 #[test]
 fn attempts_behind_a_full_socket_were_never_sent() {
     let (long, none) = (Duration::from_secs(60), Duration::ZERO);
     let never = [("a".to_owned(), Outcome::NeverSent)];
-    let front = |send_within| {
+    let staged = |send_within| {
         let mut attempts = Attempts::default();
         let request = attempt_request("a", long, send_within);
         let cancellation = request.cancellation.clone();
@@ -94,26 +95,27 @@
         assert!(attempts.has_to_write() && attempts.next_deadline().is_some());
         (attempts, cancellation)
     };
-    // Its client leaves, or has its answer; the grace passes; it is called off; the connection breaks.
-    let (mut left, cancellation) = front(long);
+    // Its client leaves, or has its answer; the grace passes; it is called off; the connection
+    // breaks.
+    let (mut left, cancellation) = staged(long);
     cancellation.end();
     left.expire(Instant::now());
-    let (mut late, _) = front(none);
+    let (mut late, _) = staged(none);
     late.expire(Instant::now());
-    let (mut off, _) = front(long);
-    off.handle(Instant::now(), cancel("a"));
-    let (mut broken, _) = front(long);
+    let (mut cancelled, _) = staged(long);
+    cancelled.handle(Instant::now(), cancel("a"));
+    let (mut broken, _) = staged(long);
     broken.disconnected(Outcome::NeverSent);
-    for mut attempts in [left, late, off, broken] {
+    for mut attempts in [left, late, cancelled, broken] {
         assert_eq!(ends(&mut attempts), never);
         attempts.stage_next_write();
         assert!(
             !attempts.has_to_write() && attempts.cancel_lines.is_empty(),
-            "nothing of it goes out any more"
+            "nothing of it is written any more"
         );
     }
     // From its first byte on it may have run.
-    let (mut attempts, cancellation) = front(none);
+    let (mut attempts, cancellation) = staged(none);
     assert_eq!(write(&mut attempts, 1), "A");
     cancellation.end();
     attempts.expire(Instant::now());
@@ -122,7 +124,7 @@
     assert_eq!(ends(&mut attempts), [("a".to_owned(), Outcome::Broken)]);
 }
 
-/// Also where it may not be called off: what waits for a connection goes nowhere once its client has left.
+/// Also without a cancellation: a queued attempt is not sent once its client has left.
 #[test]
 fn queued_attempts_end_when_their_client_leaves() {
     let long = Duration::from_secs(60);
@@ -145,8 +147,8 @@
     );
 }
 
-/// The server is told of the time that is left when the first byte leaves, however long the line waited for
-/// that, and of the age that was allowed at the decision; the rest of a line that has begun is not worded again.
+/// However long it was queued. The age is the one that was allowed at the decision, and a line that
+/// has begun is not encoded again.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_request_states_the_time_that_remains_when_its_first_byte_leaves() {
     let ms = Duration::from_millis;
@@ -156,7 +158,7 @@
     attempts.handle(Instant::now(), send(late));
     tokio::time::advance(Duration::from_micros(300_500)).await;
     attempts.stage_next_write();
-    // The system takes nothing of it for a while.
+    // The system accepts nothing of it for a while.
     assert_eq!(write(&mut attempts, 0), "");
     tokio::time::advance(ms(400)).await;
     let line = "ASK a cls=,item=,chunk=,limit=299,maxage=50 0\r\n\r\n";
@@ -167,8 +169,7 @@
     assert!(!attempts.has_to_write());
 }
 
-/// The least that a line can tell of is a millisecond: it is told while there is any time left, and what has
-/// none left does not begin.
+/// The least that a line can state is a millisecond: it is stated while any time remains.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn attempts_without_remaining_time_are_not_sent() {
     let mut attempts = Attempts::default();
--- a/crates/router/src/server_connection/connect.rs
+++ b/crates/router/src/server_connection/connect.rs
@@ -10,8 +10,8 @@
 /// The wait before the only retry of a connect for which this machine lacked a resource.
 pub(super) const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Connects, each time on a new socket: again at once after an interruption by a signal, and once more after a
-/// moment when this machine lacked a resource, which may be there by then.
+/// Connects, each time on a new socket: again at once after an interruption by a signal, and once
+/// more after a moment when this machine lacked a resource, which may be there by then.
 ///
 /// # Errors
 /// The last failure.
@@ -37,8 +37,8 @@
     }
 }
 
-/// How the attempts end that waited for a connection. None of them ran; but what this machine lacks is not held
-/// against the server.
+/// How the attempts end that waited for a connection. None of them ran; but what this machine lacks
+/// is not held against the server.
 pub(super) fn outcome_of_connect_failure(failure: ConnectFailure) -> Outcome {
     match failure {
         ConnectFailure::Interrupted | ConnectFailure::LocalResources => Outcome::NeverSent,
--- a/crates/router/src/server_connection/inbound.rs
+++ b/crates/router/src/server_connection/inbound.rs
@@ -41,8 +41,8 @@
 
     /// When an incomplete answer counts as stalled. It holds up all answers behind it.
     ///
-    /// One that is still waited for may take its time as long as bytes come; one that nobody waits for could
-    /// otherwise trickle for ever, and is bounded as a whole.
+    /// One that is still waited for may take its time as long as bytes come; one that nobody waits
+    /// for could otherwise trickle for ever, and is bounded as a whole.
     pub(super) fn stalled_at(&self, attempts: &Attempts, timeout: Duration) -> Option<Instant> {
         let partial_since = self.partial_since?;
         let is_awaited = self
--- a/crates/router/src/server_connection/tests.rs
+++ b/crates/router/src/server_connection/tests.rs
@@ -2,8 +2,8 @@
 use crate::messages::ConnectionAttemptEnded;
 use crate::messages::fixtures::attempt_request;
 
-/// A server whose socket takes little at a time: the system moves a part of what is written, and a part of
-/// what is read, each time.
+/// A server whose socket takes little at a time: the system moves a part of what is written, and a
+/// part of what is read, each time.
 #[tokio::test(flavor = "current_thread")]
 async fn a_request_and_its_answer_arrive_complete_in_the_smallest_pieces() {
     use tokio::io::AsyncWriteExt;
@@ -79,8 +79,8 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// After a scheduling delay a connection lets other tasks read before it sends an attempt: its mailbox does
-/// not fill up meanwhile.
+/// After a scheduling delay a connection lets other tasks read before it sends an attempt: its
+/// mailbox does not fill up meanwhile.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_connection_accepts_commands_while_other_tasks_catch_up() {
     let inside = async {
--- a/crates/router/src/server_pool.rs
+++ b/crates/router/src/server_pool.rs
@@ -1,5 +1,5 @@
-//! The actor of a cache server, a parent or the origin: it shares a few connections among the attempts that are
-//! sent to it.
+//! The actor of a cache server, a parent or the origin: it shares a few connections among the
+//! attempts that are sent to it.
 
 mod connection_pool;
 mod connection_slots;
@@ -23,14 +23,16 @@
 
 /// Commands queued for one connection; more attempts are reported never sent.
 const CONNECTION_MAILBOX_CAPACITY: usize = 256;
-/// Commands queued for a server's actor, which takes them at once; more attempts are reported never sent.
+/// Commands queued for a server's actor, which takes them at once; more attempts are reported never
+/// sent.
 const SERVER_MAILBOX_CAPACITY: usize = 1024;
-/// An actor that has neither a connection nor an open attempt ends after so long without a command. Long
-/// enough that a server that refuses connections keeps its actor over a few retries; it takes some KB.
+/// An actor that has neither a connection nor an open attempt ends after so long without a command.
+/// Long enough that a server that refuses connections keeps its actor over a few retries; it takes
+/// some KB.
 pub const ACTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts the actor of a server when the first attempt is sent to it: one router sends nothing to most of the
-/// servers of a large fleet, and an actor with its mailboxes takes several KB.
+/// Starts the actor of a server when the first attempt is sent to it: one router sends nothing to
+/// most of the servers of a large fleet, and an actor with its mailboxes takes several KB.
 pub struct ServerActors {
     /// The most attempts on one connection.
     pub max_streams: usize,
@@ -45,8 +47,8 @@
 }
 
 impl ServerActors {
-    /// Starts an actor and returns its mailbox. The actor closes the mailbox as it ends: what is refused then
-    /// was not taken.
+    /// Starts an actor and returns its mailbox. The actor closes the mailbox as it ends: what is
+    /// refused then was not taken.
     pub fn spawn(
         &self,
         name: Id,
@@ -90,8 +92,8 @@
 }
 
 impl ServerActor {
-    /// Runs until the decider has dropped the mailbox and all attempts have ended, or until there was nothing
-    /// to do for long enough.
+    /// Runs until the decider has dropped the mailbox and all attempts have ended, or until there
+    /// was nothing to do for long enough.
     async fn run(mut self, mut from_connections: mpsc::Receiver<ServerCommand>) {
         let mut is_listed = true;
         let mut last_command_at = Instant::now();
@@ -132,13 +134,14 @@
             .or(end_of_actor)
     }
 
-    /// No command came for long enough, and none is in the mailbox: one that came just now is taken first.
+    /// No command came for long enough, and none is in the mailbox: one that came just now is taken
+    /// first.
     fn is_idle_timeout_over(&self, last_command_at: Instant) -> bool {
         Instant::now() >= last_command_at + ACTOR_IDLE_TIMEOUT && self.commands.is_empty()
     }
 
-    /// The decider, whose tasks run on this thread too, finds the mailbox closed from here on and starts another
-    /// actor; nothing can have come between the check of the mailbox and this.
+    /// The decider, whose tasks run on this thread too, finds the mailbox closed from here on and
+    /// starts another actor; nothing can have come between the check of the mailbox and this.
     async fn stop(mut self) {
         self.commands.close();
         // Without a decider nobody needs to know.
@@ -229,8 +232,8 @@
         if let Some(connection) = self.pool.connection_mut(number) {
             connection.attempt_ended(Instant::now());
             if is_silent {
-                // A machine that vanished does not end its connections; a new one to it will not be established,
-                // which proves that nothing ran.
+                // A machine that vanished does not end its connections; a new one to it will not be
+                // established, which proves that nothing ran.
                 connection.retire();
             }
             if ended.outcome != Outcome::NeverSent {
@@ -286,7 +289,8 @@
         if request.is_non_idempotent && self.pool.connections.len() >= self.max_connections {
             self.pool.close_stale(requirements.now);
         }
-        // Past the bound only where no other may carry it: silent connections still take descriptors.
+        // Past the bound only where no other may carry it: silent connections still take
+        // descriptors.
         if self.pool.connections.len() >= self.max_connections * 2 {
             return None;
         }
@@ -317,7 +321,10 @@
             events: self.connection_events.clone(),
             _slot: slot,
         };
-        log::debug!(server = &*self.name, address:% = self.address, connection = number; "connecting to a server");
+        log::debug!(
+            server = &*self.name, address:% = self.address, connection = number;
+            "connecting to a server"
+        );
         spawn_local(connection.run());
     }
 }
--- a/crates/router/src/server_pool/connection_pool.rs
+++ b/crates/router/src/server_pool/connection_pool.rs
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Closes the connections that were idle for so long, before the server does it: a request that crosses its
-    /// close may have run. Closes also those that are retired and have no attempts left.
+    /// Closes the connections that were idle for so long, before the server does it: a request that
+    /// crosses its close may have run. Closes also those that are retired and have no attempts
+    /// left.
     pub(super) fn close_idle(&mut self, now: Instant, idle_timeout: Duration) {
         self.retire_if(|connection| {
             connection.is_idle() && now >= connection.last_used_at + idle_timeout
@@ -118,8 +119,8 @@
             .retain(|connection| connection.number != number);
     }
 
-    /// The index of the connection with the fewest attempts among those that may carry this one; established
-    /// ones are preferred.
+    /// The index of the connection with the fewest attempts among those that may carry this one;
+    /// established ones are preferred.
     pub(super) fn select_least_busy(&self, requirements: &Requirements) -> Option<usize> {
         self.connections
             .iter()
@@ -132,8 +133,8 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether another connection is needed besides the selected one: there is none, or it is busy, none is
-    /// being made, and there may be more.
+    /// Whether another connection is needed besides the selected one: there is none, or it is busy,
+    /// none is being made, and there may be more.
     pub(super) fn needs_another(&self, selected: Option<usize>, max_connections: usize) -> bool {
         let Some(selected) = selected else {
             return true;
--- a/crates/router/src/server_pool/connection_slots.rs
+++ b/crates/router/src/server_pool/connection_slots.rs
@@ -7,8 +7,8 @@
 /// Idle connections are closed while no more than this part of the slots is free.
 const RESERVED_FRACTION: usize = 16;
 
-/// The slots for connections to all servers: together with those of clients they are the descriptors that the
-/// process may use.
+/// The slots for connections to all servers: together with those of clients they are the
+/// descriptors that the process may use.
 pub struct ConnectionSlots {
     free: Arc<Semaphore>,
     /// At this many free slots or fewer, an idle connection is closed.
@@ -29,8 +29,9 @@
 
     /// Reserves a slot; `None` if all are taken.
     ///
-    /// Where few are left, an idle connection of some server is closed: with many servers idle connections
-    /// alone could take all slots, and a server without a connection could not be reached.
+    /// Where few are left, an idle connection of some server is closed: with many servers idle
+    /// connections alone could take all slots, and a server without a connection could not be
+    /// reached.
     pub(super) fn reserve(&self) -> Option<OwnedSemaphorePermit> {
         let slot = self.free.clone().try_acquire_owned().ok();
         if self.free.available_permits() <= self.low_watermark {
--- a/crates/router/src/server_pool/pooled_connection.rs
+++ b/crates/router/src/server_pool/pooled_connection.rs
@@ -7,9 +7,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A non-idempotent attempt goes on a connection that was in use this recently, or on a new one: a server may
-/// have closed one that is idle, long before it should, and this is noticed only after a request has been
-/// written.
+/// A non-idempotent attempt goes on a connection that was in use this recently, or on a new one: a
+/// server may have closed one that is idle, long before it should, and this is noticed only after a
+/// request has been written.
 const FRESH_FOR: Duration = Duration::from_millis(50);
 /// Requests that were on a connection and to which another answer may come that nobody waits for.
 const MAX_PAST_REQUESTS: usize = 256;
@@ -21,8 +21,8 @@
     Connecting,
     /// It is usable.
     Established,
-    /// It gets no more attempts: it was silent or idle for too long, has failed, or leads to where the server
-    /// no longer is. It is closed once its attempts have ended.
+    /// It gets no more attempts: it was silent or idle for too long, has failed, or leads to where
+    /// the server no longer is. It is closed once its attempts have ended.
     Retired,
 }
 
@@ -40,8 +40,8 @@
     pub(super) created_at: Instant,
     /// When an attempt was last sent to it or ended on it.
     pub(super) last_used_at: Instant,
-    /// Requests with an earlier attempt on it, the latest last. A second answer to one, or one that crossed
-    /// its cancellation, would be taken for that to a later attempt.
+    /// Requests with an earlier attempt on it, the latest last. A second answer to one, or one that
+    /// crossed its cancellation, would be taken for that to a later attempt.
     past_requests: VecDeque<Id>,
 }
 
--- a/crates/router/src/server_pool/tests.rs
+++ b/crates/router/src/server_pool/tests.rs
@@ -5,7 +5,8 @@
 
 const WAIT: Duration = Duration::from_secs(1);
 
-/// A server that is never reached, with so many places for connections; and what its mailboxes hang on.
+/// The actor of a server that is never reached, with so many slots for connections; and the other
+/// ends of its mailboxes.
 fn server(slots: usize) -> (ServerActor, impl Sized) {
     let (connection_events, from_connections) = mpsc::channel(8);
     let (sender, commands) = mpsc::channel(8);
@@ -67,14 +68,14 @@
         assert_eq!(
             open,
             [0, 1],
-            "a second copy would pass for the second one's"
+            "a second answer to the first attempt would be taken for the second one's"
         );
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// The order comes in the very moment in which the connection has stood idle for long enough, before the
-/// timer that lets go of it: it may cross the server's close.
+/// The attempt comes when the idle timeout of the connection is over and its timer has not fired
+/// yet: it may cross the server's close.
 #[tokio::test(flavor = "current_thread")]
 async fn a_connection_past_its_idle_timeout_carries_no_attempt_before_it_is_closed() {
     let inside = async {
@@ -96,7 +97,7 @@
             .map(|connection| (connection.number, connection.open_attempts))
             .collect();
         assert_eq!(open, [(2, 1)]);
-        // One that carries something is in use, however long ago the last was passed to it.
+        // One with an open attempt is in use, however long ago the last attempt was sent to it.
         server.pool.connections[0].last_used_at = Instant::now() - WAIT;
         assert!(server.try_send(request("c")));
         assert_eq!(server.pool.connections[0].open_attempts, 2);
@@ -104,7 +105,8 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// All servers' connections together stay within their part of the descriptors; what finds none never ran.
+/// The connections to all servers together stay within their slots; an attempt without one is not
+/// sent.
 #[tokio::test(flavor = "current_thread")]
 async fn no_connection_is_opened_without_a_free_slot() {
     let inside = async {
@@ -116,7 +118,7 @@
         one.max_streams = 2;
         assert!(
             !one.try_send(request("d")),
-            "there is no place, and no connection that takes it"
+            "there is no slot, and no connection that may carry it"
         );
         assert_eq!(
             (one.pool.connections.len(), one.pool.open_attempts.len()),
@@ -126,8 +128,8 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// A connection's mailbox is full: what finds no place there never ran, and a QUIT that finds none holds
-/// nothing back, for what was called off does not begin.
+/// The mailbox of a connection is full: further attempts are not sent, and a cancellation that does
+/// not fit is not needed, for a cancelled attempt does not begin.
 #[tokio::test(flavor = "current_thread")]
 async fn attempts_beyond_a_full_mailbox_are_never_sent_and_cancelled_ones_never_begin() {
     use tokio::io::AsyncReadExt;
@@ -156,13 +158,13 @@
         );
         server.handle(ServerCommand::Send(request("b"))).await;
         let Ok(Message::Ended(ended)) = messages.try_recv() else {
-            panic!("nothing was said of it")
+            panic!("it was not reported")
         };
         assert_eq!(
             (&*ended.attempt.request, ended.outcome),
             ("b", Outcome::NeverSent)
         );
-        // Called off: the flag ends with the final answer or the client, the QUIT finds no place.
+        // Cancelled: the flag ends with the final answer or the client; the command does not fit.
         cancellations[7].end();
         server
             .handle(ServerCommand::Cancel(attempt_id("a", 7)))
@@ -170,7 +172,7 @@
         assert_eq!(
             server.pool.connections[0].commands.capacity(),
             0,
-            "it took the QUIT"
+            "it took the cancellation"
         );
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = Vec::new();
@@ -201,7 +203,7 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// Ended, it would drop the connection and what is out on it.
+/// If it ended, it would drop the connection and the attempts on it.
 #[tokio::test(flavor = "current_thread")]
 async fn an_actor_with_a_connection_or_an_open_attempt_does_not_end() {
     let inside = async {
@@ -210,7 +212,7 @@
         assert!(server.try_send(request("a")));
         assert!(
             !server.pool.is_empty(),
-            "a connection, and something out on it"
+            "a connection, and an open attempt on it"
         );
         served(&mut server, 1, "a").await;
         assert!(!server.pool.is_empty(), "an idle connection");
@@ -226,7 +228,7 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// Answers one attempt; what came next on the connection.
+/// Accepts a connection and answers one attempt on it.
 async fn answers_once(listener: &tokio::net::TcpListener) -> tokio::net::TcpStream {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -238,8 +240,8 @@
     stream
 }
 
-/// Idle connections to the many servers of a large fleet take all places: the one that was idle for longest goes,
-/// and a server without one is reached.
+/// Idle connections to the many servers of a large fleet take all slots: the one that was idle for
+/// longest is closed, and a server without one is reached.
 #[tokio::test(flavor = "current_thread")]
 async fn the_longest_idle_connection_of_all_servers_is_closed_when_slots_run_low() {
     use tokio::io::AsyncReadExt;
@@ -261,12 +263,12 @@
             assert!(commands.try_send(ServerCommand::Send(request("x"))).is_ok());
             streams.push(answers_once(&listener).await);
             let Some(Message::Ended(ended)) = messages.recv().await else {
-                panic!("{name}: nothing came")
+                panic!("{name}: no attempt ended")
             };
             assert_eq!(ended.outcome, Outcome::Served, "{name}");
             senders.push(commands);
             if name == "second" {
-                // Both places are taken, both connections idle.
+                // Both slots are taken, both connections idle.
                 let closed = tokio::time::timeout(WAIT * 10, streams[0].read(&mut [0; 8])).await;
                 assert_eq!(closed.expect("the first is still open").unwrap(), 0);
                 assert_eq!(
@@ -282,8 +284,8 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// This machine can make no connection to the server (TCP has no route to the broadcast address of the
-/// loopback network, ENETUNREACH), while request after request is sent to it.
+/// This machine can make no connection to the server (TCP has no route to the broadcast address of
+/// the loopback network, ENETUNREACH), while request after request is sent to it.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn connects_that_fail_locally_are_retried_at_a_bounded_rate() {
     let inside = async {
--- a/crates/router/src/server_protocol.rs
+++ b/crates/router/src/server_protocol.rs
@@ -1,7 +1,8 @@
-//! The protocol of cache servers, parents and the origin, without I/O: requests are encoded, answers decoded.
+//! The protocol of cache servers, parents and the origin, without I/O: requests are encoded,
+//! answers decoded.
 //!
-//! A message is one line of words separated by spaces, of which the last is the length of the body that
-//! follows.
+//! A message is one line of words separated by spaces, of which the last is the length of the body
+//! that follows.
 
 mod words;
 
@@ -38,9 +39,9 @@
 
 /// Encodes a request that is sent now to `server`: its line and its body.
 ///
-/// `remaining` is the time until the attempt's deadline. It is rounded down, so that the server never assumes
-/// more time than the client has left; the least that can be stated is 1 ms, and an attempt without any time
-/// left is not sent.
+/// `remaining` is the time until the attempt's deadline. It is rounded down, so that the server
+/// never assumes more time than the client has left; the least that can be stated is 1 ms, and an
+/// attempt without any time left is not sent.
 pub fn encode_request(
     forwarded: &ForwardedFields,
     server: &str,
@@ -85,11 +86,12 @@
         let _ = write!(line, ",{}={}", words::RETENTION_PRIORITY, fill.rank);
     }
     if let Some(max_age) = fill.oldest {
-        // The age that was allowed at the decision, although the server counts it from when the line arrives: a
-        // copy from before a purge is older by then than the time since the purge was at the decision, so
-        // the delay and the rounding only exclude more copies than necessary. A later count could extend the
-        // time for which a copy is fresh, which may be what bounds the age. Never 0, which would mean any age
-        // within that time; the fraction of 1 ms that this adds is within the grace of a purge.
+        // The age that was allowed at the decision, although the server counts it from when the
+        // line arrives: a copy from before a purge is older by then than the time since the purge
+        // was at the decision, so the delay and the rounding only exclude more copies than
+        // necessary. A later count could extend the time for which a copy is fresh, which may be
+        // what bounds the age. Never 0, which would mean any age within that time; the fraction of
+        // 1 ms that this adds is within the grace of a purge.
         let _ = write!(line, ",{}={}", words::MAX_AGE, max_age.as_millis().max(1));
     }
     let flags = [
@@ -274,7 +276,8 @@
     Duration::try_from_secs_f64(milliseconds / 1e3).ok()
 }
 
-/// A load report is `name:value` entries; unknown names and values that are no finite number are left out.
+/// A load report is `name:value` entries; unknown names and values that are no finite number are
+/// left out.
 fn decode_load(report: &[u8]) -> Load {
     let mut load = Load::default();
     for entry in report.split(|byte| *byte == b';') {
--- a/crates/router/src/server_protocol/tests.rs
+++ b/crates/router/src/server_protocol/tests.rs
@@ -10,7 +10,8 @@
 
 #[test]
 fn answers_are_the_same_at_every_split() {
-    let stream = b"a1 OK tell=hit,etag=4be0,made=17,meter=inflight:7;util:0.61 6\r\nx\r\ny\r\n\r\nb2 MISS - 0\r\n\r\nc3 SAME tell=via_origin,ttfb=12.5,etag=q 0\r\n\r\n";
+    let stream = b"a1 OK tell=hit,etag=4be0,made=17,meter=inflight:7;util:0.61 6\r\nx\r\ny\r\n\r\n\
+        b2 MISS - 0\r\n\r\nc3 SAME tell=via_origin,ttfb=12.5,etag=q 0\r\n\r\n";
     let whole = all(
         &mut AnswerDecoder::default(),
         &mut BytesMut::from(&stream[..]),
--- a/crates/router/src/uninterrupted.rs
+++ b/crates/router/src/uninterrupted.rs
@@ -1,4 +1,4 @@
-//! A stream whose calls are made again where they moved nothing and its connection still stands.
+//! A stream that retries the calls that transferred nothing while its connection is usable.
 
 use crate::io_errors::{MAX_INTERRUPTIONS, MEMORY_PAUSE, StreamFailure};
 use std::future::Future;
@@ -8,10 +8,11 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Sleep, sleep};
 
-/// Wraps a stream: reads and writes that were interrupted are made again at once, those for which the system
-/// had no memory after a pause. All other errors are passed on: the connection is gone.
+/// Wraps a stream: interrupted reads and writes are retried at once, those for which the system had
+/// no memory after a pause. All other errors are returned: the connection has ended.
 ///
-/// Given up between two tries, a call has moved nothing, so that the wrapper may be made anew for each call.
+/// A call that is cancelled between two tries has transferred nothing, so that a new wrapper may be
+/// used for each call.
 pub struct Uninterrupted<S> {
     stream: S,
     pause: Option<Pin<Box<Sleep>>>,
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Makes a call until it has moved something, has to wait, or shows that the connection is gone.
+    /// Makes a call until it has transferred something, has to wait, or shows that the connection
+    /// has ended.
     fn poll_call<T>(
         &mut self,
         context: &mut Context<'_>,
@@ -38,7 +40,7 @@
                 self.pause = None;
             }
             let error = match ready!(call(&mut self.stream, context)) {
-                Ok(done) => return Poll::Ready(Ok(done)),
+                Ok(value) => return Poll::Ready(Ok(value)),
                 Err(error) => error,
             };
             match StreamFailure::from(&error) {
@@ -47,7 +49,8 @@
                 StreamFailure::Broken => return Poll::Ready(Err(error)),
             }
         }
-        // Others get a turn; a pause keeps an endless interruption from becoming a busy loop.
+        // Other tasks run meanwhile; a pause keeps an endless interruption from becoming a busy
+        // loop.
         let pause = self.pause.insert(Box::pin(sleep(MEMORY_PAUSE)));
         ready!(pause.as_mut().poll(context));
         context.waker().wake_by_ref();
--- a/crates/router/src/uninterrupted/tests.rs
+++ b/crates/router/src/uninterrupted/tests.rs
@@ -4,8 +4,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// A stream that follows a script: an error, or so many bytes moved, for each call; at its end, all errors
-/// are over and a call moves one byte.
+/// A stream that fails with the errors of a script, one for each call; after that each call
+/// transfers one byte.
 #[derive(Default)]
 struct Scripted {
     script: VecDeque<i32>,
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn interrupted_and_short_calls_move_every_byte_once() {
+async fn interrupted_calls_transfer_every_byte_once() {
     let mut stream = scripted(&[EINTR, EINTR, EINTR]);
     stream.stream.unread = (*b"answer").into();
     let mut read = Vec::new();
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_without_memory_is_made_again_after_a_pause() {
+async fn a_call_without_memory_is_retried_after_a_pause() {
     let begin = Instant::now();
     let mut stream = scripted(&[ENOBUFS, ENOMEM]);
     stream.write_all(b"a").await.unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_break_is_passed_on_at_once_however_it_is_reported() {
+async fn an_ended_connection_is_returned_as_an_error_at_once() {
     for errno in [ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH] {
         let mut stream = scripted(&[errno]);
         let error = stream.write_all(b"a").await.unwrap_err();
