--- /dev/null
+++ b/crates/router/src/client_connection/write_buffer/tests.rs
@@ -0,0 +1,53 @@
+use super::*;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use tokio::io::AsyncWrite;
+
+/// Takes one byte of each write, after it has been interrupted.
+#[derive(Default)]
+struct Interrupted {
+    taken: Vec<u8>,
+    interrupted: bool,
+}
+
+impl AsyncWrite for Interrupted {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.interrupted = !self.interrupted;
+        if self.interrupted {
+            return Poll::Ready(Err(io::Error::from_raw_os_error(libc::EINTR)));
+        }
+        self.taken.extend_from_slice(&bytes[..1]);
+        Poll::Ready(Ok(1))
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+}
+
+#[tokio::test(flavor = "current_thread")]
+async fn an_answer_arrives_complete_through_interrupted_and_short_writes() {
+    let (mut write_buffer, mut writer) = (WriteBuffer::default(), Interrupted::default());
+    write_buffer.push(
+        response_head(7, ResponseStatus::Served, "", 3),
+        Bytes::from_static(b"abc"),
+    );
+    while !write_buffer.is_empty() {
+        write_buffer
+            .write(&mut writer)
+            .await
+            .expect("an interrupted write is no break");
+    }
+    assert_eq!(
+        writer.taken,
+        b"*4\r\n$1\r\n7\r\n$3\r\nACK\r\n$0\r\n\r\n$3\r\nabc\r\n"
+    );
+}
--- a/crates/router/src/client_protocol/tests.rs
+++ b/crates/router/src/client_protocol/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn all(frames: &mut Frames, buffer: &mut BytesMut) -> Result<Vec<Vec<Bytes>>, ProtocolError> {
+fn all(frames: &mut FrameDecoder, buffer: &mut BytesMut) -> Result<Vec<Vec<Bytes>>, FrameError> {
     let mut found = Vec::new();
     while let Some(frame) = frames.next(buffer)? {
         found.push(frame);
@@ -11,18 +11,23 @@
 #[test]
 fn frames_are_the_same_at_every_split() {
     let stream = b"*5\r\n$3\r\nREQ\r\n$1\r\n7\r\n$7\r\nsegment\r\n$5\r\ni=a,d\r\n$6\r\n\r\n$1\r\n\r\n*2\r\n$5\r\nABORT\r\n$1\r\n7\r\n";
-    let whole = all(&mut Frames::default(), &mut BytesMut::from(&stream[..])).unwrap();
+    let whole = all(
+        &mut FrameDecoder::default(),
+        &mut BytesMut::from(&stream[..]),
+    )
+    .unwrap();
     assert_eq!(whole[0][4], &b"\r\n$1\r\n"[..]);
     assert_eq!(whole[1], [&b"ABORT"[..], b"7"]);
     assert_eq!(whole.len(), 2);
     for at in 0..=stream.len() {
-        let (mut frames, mut buffer) = (Frames::default(), BytesMut::from(&stream[..at]));
+        let (mut frames, mut buffer) = (FrameDecoder::default(), BytesMut::from(&stream[..at]));
         let mut found = all(&mut frames, &mut buffer).unwrap();
         buffer.extend_from_slice(&stream[at..]);
         found.extend(all(&mut frames, &mut buffer).unwrap());
         assert_eq!(found, whole, "split at {at}");
     }
-    let (mut frames, mut buffer, mut found) = (Frames::default(), BytesMut::new(), Vec::new());
+    let (mut frames, mut buffer, mut found) =
+        (FrameDecoder::default(), BytesMut::new(), Vec::new());
     for byte in stream {
         buffer.extend_from_slice(&[*byte]);
         found.extend(all(&mut frames, &mut buffer).unwrap());
@@ -31,7 +36,7 @@
 }
 
 #[test]
-fn nonsense_is_refused_before_it_takes_memory() {
+fn invalid_frames_are_refused_before_they_take_memory() {
     let bad = [
         "PING\r\n",
         "*6\r\n",
@@ -49,13 +54,13 @@
         "*1\r\n$\r\n",
     ];
     for text in bad {
-        let (mut frames, mut buffer) = (Frames::default(), BytesMut::from(text));
+        let (mut frames, mut buffer) = (FrameDecoder::default(), BytesMut::from(text));
         assert!(all(&mut frames, &mut buffer).is_err(), "{text:?}");
     }
 }
 
 #[test]
-fn fields_keep_their_bytes() {
+fn fields_are_the_bytes_that_came() {
     let list = Bytes::from_static(b"i=9b,d=1500,,x,ver=a=b");
     let found: Vec<_> = fields(&list).collect();
     assert_eq!(found[1], (&b"d"[..], Bytes::from_static(b"1500")));
@@ -64,10 +69,10 @@
 }
 
 #[test]
-fn an_answer_reads_back() {
-    let mut stream = BytesMut::from(&answer(12, "NAK", "w=200", 0)[..]);
-    stream.extend_from_slice(END);
-    let frame = Frames::default().next(&mut stream).unwrap().unwrap();
+fn a_response_reads_back_as_it_was_written() {
+    let mut stream = BytesMut::from(&response_head(12, ResponseStatus::Rejected, "w=200", 0)[..]);
+    stream.extend_from_slice(RESPONSE_END);
+    let frame = FrameDecoder::default().next(&mut stream).unwrap().unwrap();
     assert_eq!(frame, [&b"12"[..], b"NAK", b"w=200", b""]);
     assert!(stream.is_empty());
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -219,8 +219,8 @@
     let door = Rc::new(ClientFrontend {
         classes: told.classes.clone(),
         tenants: told.tenants.clone(),
-        kb_per_s: told.deployment.client_kb_per_s,
-        advice,
+        max_kb_per_s: told.deployment.client_kb_per_s,
+        retry_after: advice,
         clock,
     });
     if let Some((socket, peers)) = socket_of_peers.zip(told.peers.clone()) {
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -35,19 +35,25 @@
 
 /// A request as a client's connection read it.
 pub struct NewRequest {
+    /// What the decisions need of it.
     pub arrival: Arrival,
+    /// What goes on to a server as it came.
     pub passed: ForwardedFields,
     /// The earliest time at which it may have come: it may have lain unread since.
     pub received_after: Duration,
+    /// Its name on its connection.
     pub tag: u64,
-    /// A place for its final answer, which so can't be lost for want of one.
+    /// The reserved space for its final answer, which so cannot be lost for want of one.
     pub client: mpsc::OwnedPermit<ClientReply>,
+    /// Ended by the client's connection and by the decider.
     pub wanted: CancellationFlag,
 }
 
-/// Whether a request still waits for its final answer. Its client's connection and the decider end it; a
-/// connection asks it where the first byte of an attempt leaves. The one thing that tasks share: by way of
-/// the mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
+/// Whether a request still waits for its final answer.
+///
+/// Its client's connection and the decider end it; a connection to a server reads it where the first
+/// byte of an attempt is sent. It is the one thing that tasks share: a cancellation that went through
+/// the mailboxes between them could come behind that byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
@@ -58,10 +64,12 @@
 }
 
 impl CancellationFlag {
+    /// Says that the request has its final answer or was cancelled: no further attempt may begin.
     pub fn end(&self) {
         self.0.set(false);
     }
 
+    /// Whether the request still waits for its final answer.
     pub fn still(&self) -> bool {
         self.0.get()
     }
@@ -76,22 +84,32 @@
 /// The final answer of a request, for its client.
 #[derive(Debug)]
 pub struct ClientReply {
+    /// The request's name on its connection.
     pub tag: u64,
+    /// The request's id: its client may have used the tag for another one meanwhile.
     pub id: Id,
+    /// The answer itself.
     pub last: FinalAnswer,
 }
 
+/// What a client is told of its request in the end.
 #[derive(Debug)]
 pub enum FinalAnswer {
+    /// The request was served, with this copy.
     Served {
+        /// The copy's version.
         etag: Option<Bytes>,
+        /// The copy itself.
         body: Bytes,
     },
-    /// The client's own copy holds.
+    /// The client's own copy is still valid.
     Unchanged {
+        /// The version that both copies have.
         etag: Option<Bytes>,
     },
+    /// The request did not run; it may be sent again after this time.
     Rejected(Option<Duration>),
+    /// The request failed, and may have run.
     Failed,
 }
 
@@ -101,21 +119,38 @@
     pub answer: oneshot::Sender<Value>,
 }
 
-/// A client's place: through it the client says whether it has anything open, and hears that another needs
-/// it.
-pub struct Place {
-    pub number: u64,
-    pub leave: mpsc::Receiver<()>,
-    pub says: mpsc::Sender<Word>,
+/// A connection's end of its slot: through it the connection reports its status, and hears that its
+/// slot is needed for another one.
+pub struct ConnectionSlot {
+    /// The slot's number, which no other slot ever has.
+    pub id: SlotId,
+    /// Requests to close the connection once nothing is open on it.
+    pub eviction_requests: mpsc::Receiver<()>,
+    /// To the listener.
+    pub status_updates: mpsc::Sender<SlotUpdate>,
 }
 
-/// What a client says of itself when it changes: nothing is open, or something; it has asked for something
-/// once.
+/// The number of a connection slot.
+pub type SlotId = u64;
+
+/// How much a connection needs its slot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SlotStatus {
+    /// Nothing has come on the connection yet.
+    Unused,
+    /// Its client has sent messages, and all are answered.
+    Idle,
+    /// A message is on its way, a request is open, or an answer waits to be written.
+    Busy,
+}
+
+/// The new status of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Word {
-    pub number: u64,
-    pub idle: bool,
-    pub asked: bool,
+pub struct SlotUpdate {
+    /// The connection's slot.
+    pub slot: SlotId,
+    /// Its status from now on.
+    pub status: SlotStatus,
 }
 
 /// An attempt of a request: the request's id and its number within it.
--- a/crates/router/src/server_protocol.rs
+++ b/crates/router/src/server_protocol.rs
@@ -1,6 +1,6 @@
 //! The protocol of cache servers, parents and origin: lines of words, bodies behind lengths. Pure: no I/O.
 
-use crate::client_protocol::{ProtocolError, fields, number};
+use crate::client_protocol::{fields, number};
 use bytes::{Buf, Bytes, BytesMut};
 use chalkhall::interface::{Fill, Load, Outcome, Remark};
 use std::fmt::Write;
@@ -10,6 +10,10 @@
 const BODY_MOST: usize = 256_000;
 const LINE_MOST: usize = 2_048;
 
+/// What a server sent breaks the protocol: which expectation it broke.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ProtocolError(pub &'static str);
+
 /// What a line to a server passes on of a request as it came.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardedFields {
