--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -144,7 +144,7 @@
 
     /// Takes over another map; a move that both tell goes on from where it stands. None: it is older than the
     /// one in force.
-    pub fn renew(&mut self, now: Duration, plan: Plan) -> Option<Vec<Member>> {
+    pub fn replace_map(&mut self, now: Duration, plan: Plan) -> Option<Vec<Member>> {
         if plan.epoch() < self.map.epoch() {
             return None;
         }
@@ -181,7 +181,12 @@
     }
 
     /// Changes of the list: returned with their cells, and with whoever else is in others now.
-    pub fn list(&mut self, now: Duration, whole: bool, members: Vec<Member>) -> Vec<Member> {
+    pub fn update_members(
+        &mut self,
+        now: Duration,
+        whole: bool,
+        members: Vec<Member>,
+    ) -> Vec<Member> {
         if whole {
             self.members.clear();
         }
@@ -256,7 +261,13 @@
     }
 
     /// An attempt at a server ended: the moves that it belongs to go by it.
-    pub fn ended(&mut self, now: Duration, arrival: &Arrival, outcome: Outcome, remark: Remark) {
+    pub fn record_attempt(
+        &mut self,
+        now: Duration,
+        arrival: &Arrival,
+        outcome: Outcome,
+        remark: Remark,
+    ) {
         let Some(cell) = arrival.cell.filter(|_| !self.moves.is_empty()) else {
             return;
         };
@@ -285,7 +296,7 @@
     }
 
     /// A request comes: its cell is set. Err: its tenant asks for too much, and may come back after so long.
-    pub fn request(
+    pub fn assign_cell(
         &mut self,
         now: Duration,
         arrival: &mut Arrival,
@@ -312,7 +323,7 @@
         }
     }
 
-    pub fn served(&mut self, now: Duration, arrival: &Arrival) {
+    pub fn record_served(&mut self, now: Duration, arrival: &Arrival) {
         let tenant = tenant(arrival, self.by_customer);
         self.tenants
             .iter_mut()
--- /dev/null
+++ b/crates/router/src/decider/admission.rs
@@ -0,0 +1,88 @@
+//! New requests: refused at once, or handed to the decisions.
+
+use super::Decider;
+use super::requests::{PendingRequest, Requester};
+use crate::messages::{ClientReply, FinalAnswer, NewRequest};
+use chalkhall::interface::Arrival;
+
+impl Decider {
+    /// Takes in a request that a client's connection has read.
+    pub(super) fn receive_request(&mut self, mut new: NewRequest) {
+        if !new.wanted.still() {
+            // The client left before the request was looked at.
+            return;
+        }
+        let waited = self.dispatcher.now.saturating_sub(new.received_after);
+        if let Err(refusal) = self.admit(&mut new.arrival, waited) {
+            new.client.send(ClientReply {
+                tag: new.tag,
+                id: new.arrival.id,
+                last: refusal,
+            });
+            return;
+        }
+        let now = self.dispatcher.now;
+        self.dispatcher.requests.insert(PendingRequest {
+            requester: Some(Requester::Client(new.client)),
+            tag: new.tag,
+            cancellation: new.wanted,
+            arrival: new.arrival.clone(),
+            forwarded: new.passed,
+            is_non_idempotent: self.is_non_idempotent(&new.arrival),
+            received_at: now,
+            attempts: Vec::new(),
+        });
+        self.router.request(now, new.arrival, &mut self.dispatcher);
+    }
+
+    /// Checks what must hold before a request is decided on, and sets its remaining time, cell and zone.
+    ///
+    /// # Errors
+    /// The final answer of a request that is refused.
+    fn admit(
+        &mut self,
+        arrival: &mut Arrival,
+        waited: std::time::Duration,
+    ) -> Result<(), FinalAnswer> {
+        if self.dispatcher.requests.contains(&arrival.id) {
+            self.protocol_errors
+                .log("a request with an id that is in use");
+            return Err(FinalAnswer::Failed);
+        }
+        let rejected = FinalAnswer::Rejected(self.router.advice);
+        if !self.has_capacity() {
+            return Err(rejected);
+        }
+        arrival.left = arrival.left.saturating_sub(waited);
+        let now = self.dispatcher.now;
+        let is_non_idempotent = self.is_non_idempotent(arrival);
+        if let Some(cells) = &mut self.cell_routing
+            && let Err(wait) = cells.assign_cell(now, arrival, is_non_idempotent)
+        {
+            // The client is told to come back when its tenant may, within the longest advice it heeds.
+            let retry_after = self.longest_advice.map(|longest| wait.min(longest));
+            return Err(FinalAnswer::Rejected(retry_after));
+        }
+        if let Some(failover) = &mut self.zone_failover
+            && failover.assign_zone(now, arrival).is_err()
+        {
+            return Err(rejected);
+        }
+        Ok(())
+    }
+
+    /// Whether memory and the table have room for one more request: an early rejection is better than being
+    /// killed for memory or losing count of what is open.
+    fn has_capacity(&mut self) -> bool {
+        let expected_bodies = self.dispatcher.expected_body_bytes_with_one_more();
+        if let Some(local_cache) = &mut self.dispatcher.local_cache {
+            local_cache.make_room_for_bodies(expected_bodies);
+        }
+        expected_bodies <= self.max_body_bytes
+            && self.dispatcher.requests.len() < self.limits.open_requests
+    }
+
+    fn is_non_idempotent(&self, arrival: &Arrival) -> bool {
+        self.is_non_idempotent_class.get(arrival.class) == Some(&true)
+    }
+}
--- /dev/null
+++ b/crates/router/src/decider/attempt_results.rs
@@ -0,0 +1,120 @@
+//! Results of attempts: what the client, the subsystems and the decisions learn of them.
+
+use super::dispatcher::{ClosedAttempt, ServedAnswer};
+use super::{BODY_SIZE_SMOOTHING, Decider};
+use crate::messages::{Ended, FinalAnswer};
+use crate::server_protocol::Answer;
+use chalkhall::interface::{self, Id, Outcome, Remark};
+
+impl Decider {
+    /// An attempt has ended.
+    pub(super) fn complete_attempt(&mut self, ended: Ended) {
+        let Ended {
+            key: (id, number),
+            outcome,
+            answer,
+        } = ended;
+        let Some(attempt) = self.dispatcher.close_attempt(&id, number) else {
+            return;
+        };
+        let mut result = interface::Ended {
+            outcome,
+            remark: Remark::None,
+            took: attempt.took,
+            first_byte: None,
+            over: false,
+            load: interface::Load::default(),
+        };
+        if let Some(answer) = answer {
+            self.process_answer(&id, &attempt, answer, &mut result);
+        }
+        if attempt.is_by_server {
+            self.report_attempt(&id, &attempt, &result);
+        }
+        let request = self.dispatcher.requests.get(&id);
+        result.over = request.is_some_and(|request| request.is_over());
+        self.dispatcher.maybe_finished.push(id.clone());
+        let now = self.dispatcher.now;
+        self.router
+            .result(now, &id, number, &result, &mut self.dispatcher);
+        self.dispatcher.served_answer = None;
+    }
+
+    /// Checks an answer, and forwards it to the client where the attempt was served.
+    fn process_answer(
+        &mut self,
+        id: &Id,
+        attempt: &ClosedAttempt,
+        mut answer: Box<Answer>,
+        result: &mut interface::Ended,
+    ) {
+        if let (true, Some(local_cache)) = (attempt.is_by_server, &mut self.dispatcher.local_cache)
+        {
+            let made = answer.made;
+            answer.made = made.and_then(|made| local_cache.bound_created_at(made));
+        }
+        result.remark = answer.remark;
+        result.first_byte = answer.first_byte;
+        result.load = answer.load;
+        // "Not modified" is forwarded only of the very copy that the server names.
+        let request = self.dispatcher.requests.get(id);
+        let have = request.and_then(|request| request.forwarded.have.as_ref());
+        if answer.same && (have.is_none() || have != answer.etag.as_ref()) {
+            self.protocol_errors
+                .log("a server says that a copy holds which nobody named");
+            (result.outcome, result.remark) = (Outcome::Error, Remark::None);
+        }
+        if result.outcome == Outcome::Served {
+            self.forward_answer(id, attempt, answer);
+        }
+    }
+
+    /// The first attempt that is served is the client's answer.
+    fn forward_answer(&mut self, id: &Id, attempt: &ClosedAttempt, answer: Box<Answer>) {
+        let dispatcher = &mut self.dispatcher;
+        let difference = answer.body.len() as f64 - dispatcher.expected_body_bytes;
+        dispatcher.expected_body_bytes += difference * BODY_SIZE_SMOOTHING;
+        dispatcher.reply(id, final_answer(&answer));
+        if let Some(request) = dispatcher.requests.get(id) {
+            if let Some(cell_routing) = &mut self.cell_routing {
+                cell_routing.record_served(dispatcher.now, &request.arrival);
+            }
+            if let (true, Some(local_cache)) = (attempt.is_by_server, &mut dispatcher.local_cache) {
+                let have = request.forwarded.have.as_ref();
+                local_cache.record_server_answer(&request.arrival, &answer, have);
+            }
+        }
+        let is_storable = attempt.is_by_server && !answer.same;
+        dispatcher.served_answer = is_storable.then(|| ServedAnswer {
+            request: id.clone(),
+            answer,
+        });
+    }
+
+    /// Tells cells and the failover between zones how an attempt at a listed server ended.
+    fn report_attempt(&mut self, id: &Id, attempt: &ClosedAttempt, result: &interface::Ended) {
+        let now = self.dispatcher.now;
+        let Some(request) = self.dispatcher.requests.get(id) else {
+            return;
+        };
+        if let Some(cell_routing) = &mut self.cell_routing {
+            cell_routing.record_attempt(now, &request.arrival, result.outcome, result.remark);
+        }
+        if let Some(failover) = &mut self.zone_failover {
+            let member = self.router.member(&attempt.server);
+            failover.record_attempt(now, member, result.outcome, result.remark);
+        }
+    }
+}
+
+fn final_answer(answer: &Answer) -> FinalAnswer {
+    let etag = answer.etag.clone();
+    if answer.same {
+        FinalAnswer::Unchanged { etag }
+    } else {
+        FinalAnswer::Served {
+            etag,
+            body: answer.body.clone(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -0,0 +1,100 @@
+//! What discovery and the operator tell while the router runs: servers, purges, cells, drained zones.
+
+use super::servers::ListedServer;
+use super::{Decider, MAX_CONNECTIONS_PER_SERVER};
+use crate::cell_routing::Plan;
+use crate::discovery_events::DiscoveryEvent;
+use crate::local_cache::LocalCache;
+use chalkhall::interface::{Id, ListKind, Member, Standing};
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Decider {
+    /// Hands an event to all that it concerns.
+    pub fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
+        let now = self.dispatcher.clock.now();
+        match event {
+            DiscoveryEvent::Drained(zones) => {
+                if let Some(failover) = &mut self.zone_failover {
+                    failover.drain_zones(&zones);
+                }
+            }
+            DiscoveryEvent::Cells(plan) => self.replace_cell_map(now, *plan),
+            DiscoveryEvent::Heard => {
+                let local_cache = self.dispatcher.local_cache.iter_mut();
+                local_cache.for_each(LocalCache::confirm_up_to_date);
+            }
+            DiscoveryEvent::Purge { object, group, ms } => self.purge(now, object, group, ms),
+            DiscoveryEvent::List { whole, members } => self.update_list(now, whole, members),
+        }
+    }
+
+    fn replace_cell_map(&mut self, now: Duration, plan: Plan) {
+        let Some(cell_routing) = &mut self.cell_routing else {
+            return;
+        };
+        let epoch = plan.epoch();
+        let Some(moved) = cell_routing.replace_map(now, plan) else {
+            let in_force = cell_routing.epoch();
+            log::warn!(epoch = epoch, in_force = in_force; "cells: an older map is not taken");
+            return;
+        };
+        log::info!(epoch = epoch, moved = moved.len(); "cells: taken over");
+        self.router
+            .list(now, ListKind::Changes, &moved, &mut self.dispatcher);
+    }
+
+    fn purge(&mut self, now: Duration, object: Option<Id>, group: u64, unix_ms: u64) {
+        let age = now.saturating_sub(self.dispatcher.clock.at_unix_ms(unix_ms));
+        if let Some(local_cache) = &mut self.dispatcher.local_cache {
+            local_cache.purge(object.as_ref(), group, unix_ms);
+        }
+        self.router.purged(now, object, group, age);
+    }
+
+    fn update_list(&mut self, now: Duration, is_whole: bool, listed: Vec<(Member, SocketAddr)>) {
+        self.update_servers(is_whole, &listed);
+        let mut members: Vec<Member> = listed.into_iter().map(|(member, _)| member).collect();
+        if let Some(cell_routing) = &mut self.cell_routing {
+            members = cell_routing.update_members(now, is_whole, members);
+        }
+        members.append(&mut self.unlisted_local_members);
+        let kind = if is_whole {
+            ListKind::Whole
+        } else {
+            ListKind::Changes
+        };
+        self.router.list(now, kind, &members, &mut self.dispatcher);
+        self.is_gossip_list_stale = true;
+        if is_whole {
+            self.refresh_gossip_members();
+        }
+    }
+
+    /// Brings the server handles in line with the list. Servers share a third of the descriptors.
+    fn update_servers(&mut self, is_whole: bool, listed: &[(Member, SocketAddr)]) {
+        let servers = &mut self.dispatcher.servers;
+        if is_whole {
+            let names: HashSet<&Id> = listed.iter().map(|(member, _)| &member.server).collect();
+            servers.retain(&names);
+        }
+        let server_count = listed.len().max(servers.len()).max(1);
+        let share = self.limits.sockets / 3 / (2 * server_count);
+        let max_connections = share.clamp(1, MAX_CONNECTIONS_PER_SERVER);
+        for (member, address) in listed {
+            if member.standing == Standing::Gone {
+                servers.remove(&member.server);
+                continue;
+            }
+            let started_instant = member.started.map(|at| self.dispatcher.clock.instant(at));
+            let listed = ListedServer {
+                address: *address,
+                started_at: member.started,
+                started_instant,
+                max_connections,
+            };
+            servers.update(&member.server, listed);
+        }
+    }
+}
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -1,170 +1,215 @@
-//! Where the orders of the decisions are carried out, and what stands open there.
+//! Carries out the actions that the decisions order: attempts, replies, cancellations, timers.
 
+use super::requests::{Attempt, PendingRequest, RequestTable, Requester};
 use super::servers::ServerHandles;
+use super::subsystems::Gossip;
 use crate::clock::Clock;
-use crate::gossip_socket::GossipSender;
 use crate::local_cache::LocalCache;
-use crate::messages::{Ask, CancellationFlag, ClientReply, Ended, FinalAnswer, ServerCommand};
+use crate::messages::{Ask, ClientReply, Ended, FinalAnswer, Key, ServerCommand};
 use crate::rate_limited_log::RateLimitedLog;
-use crate::server_protocol::{Answer, ForwardedFields};
-use chalkhall::interface::{Arrival, Fill, Held, Id, Outcome, Outlet};
-use chalkhall_gossip::Talk;
+use crate::server_protocol::Answer;
+use chalkhall::interface::{Fill, Held, Id, Outcome, Outlet};
 use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, VecDeque};
+use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
-use tokio::sync::mpsc;
 
-/// Who waits for a final answer: a client, or the store, which is told by other ways.
-pub(super) enum To {
-    Client(mpsc::OwnedPermit<ClientReply>),
-    Store,
+/// How the request of a client ended.
+pub(super) struct FinalOutcome {
+    pub(super) class: usize,
+    pub(super) received_at: Duration,
+    pub(super) was_served: bool,
 }
 
-/// Of a request: to whom its final answer goes, until it has gone, and its attempts.
-pub(super) struct PendingRequest {
-    pub(super) client: Option<To>,
-    pub(super) tag: u64,
-    pub(super) wanted: CancellationFlag,
-    pub(super) arrival: Arrival,
-    pub(super) passed: ForwardedFields,
-    /// It must not run twice.
-    pub(super) once: bool,
-    pub(super) begun: Duration,
-    pub(super) attempts: Vec<Attempt>,
+/// The answer that a request is being served with, which the local cache may keep.
+pub(super) struct ServedAnswer {
+    pub(super) request: Id,
+    pub(super) answer: Box<Answer>,
 }
 
-pub(super) struct Attempt {
-    /// None: the list does not hold it.
-    pub(super) server: Option<mpsc::Sender<ServerCommand>>,
-    pub(super) at: Id,
-    pub(super) sent: Duration,
-    pub(super) open: bool,
+/// An attempt that has just ended.
+pub(super) struct ClosedAttempt {
+    pub(super) server: Id,
+    /// False: it never left the router, or went to the local cache.
+    pub(super) is_by_server: bool,
+    pub(super) took: Duration,
 }
 
-/// Where the orders of the decisions are carried out.
+/// Carries out the actions of the decisions, and holds what is open because of them.
 pub(super) struct Dispatcher {
+    /// The time of the event that is being handled.
     pub(super) now: Duration,
     pub(super) clock: Clock,
-    pub(super) requests: HashMap<Id, PendingRequest>,
+    pub(super) requests: RequestTable,
     pub(super) servers: ServerHandles,
+    /// When each timer of the decisions fires, and its id.
     pub(super) timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    /// Attempts that ended here: not handed on, or answered from an own copy; and requests to be forgotten
-    /// when all is back.
-    pub(super) ends: VecDeque<Ended>,
-    pub(super) answered: Vec<Id>,
-    /// Of clients' requests: class, when it came, and whether it was served.
-    pub(super) finals: Vec<(usize, Duration, bool)>,
-    pub(super) own: Option<LocalCache>,
-    /// What is told to the other routers of the zone, and how it gets to them.
-    pub(super) talk: Option<(Talk, GossipSender)>,
-    /// What a request is being served with.
-    pub(super) brought: Option<(Id, Box<Answer>)>,
-    /// A first byte leaves this soon after its decision, or not at all.
-    pub(super) leave_within: Duration,
-    /// Bytes of bodies on their way to clients, attempts that may bring more, and how much each is likely
-    /// to.
-    pub(super) in_hand: usize,
-    pub(super) out: usize,
-    pub(super) object: f64,
-    pub(super) refused: RateLimitedLog,
-    /// KB a second of one answer.
-    pub(super) pace: f64,
+    /// Attempts that ended inside the router: not sent, or answered from the local cache.
+    pub(super) local_results: VecDeque<Ended>,
+    /// Requests to be forgotten if all their attempts have ended.
+    pub(super) maybe_finished: Vec<Id>,
+    pub(super) final_outcomes: Vec<FinalOutcome>,
+    pub(super) local_cache: Option<LocalCache>,
+    pub(super) gossip: Option<Gossip>,
+    pub(super) served_answer: Option<ServedAnswer>,
+    /// The first byte of an attempt leaves this soon after its decision, or not at all.
+    pub(super) send_within: Duration,
+    /// Bytes of bodies on their way to clients.
+    pub(super) unwritten_bytes: usize,
+    /// Attempts that may bring a body each.
+    pub(super) open_attempts: usize,
+    /// The size that a body is expected to have, from those that came.
+    pub(super) expected_body_bytes: f64,
+    pub(super) unsent_log: RateLimitedLog,
+    /// The rate at which one answer is sent to a client.
+    pub(super) client_kb_per_s: f64,
 }
 
 impl Dispatcher {
-    /// False: there is nobody any more who waits for it.
-    pub(super) fn reply(&mut self, id: &Id, last: FinalAnswer) -> bool {
-        let Some(taken) = self.requests.get_mut(id) else {
+    /// Sends the final answer of a request. False: nobody waits for it any more.
+    pub(super) fn reply(&mut self, id: &Id, answer: FinalAnswer) -> bool {
+        let Some(request) = self.requests.get_mut(id) else {
             return false;
         };
-        let Some(to) = taken.client.take() else {
+        let Some(requester) = request.requester.take() else {
             return false;
         };
-        let bytes = if let FinalAnswer::Served { body, .. } = &last {
-            body.len()
-        } else {
-            0
-        };
-        if let To::Client(_) = to {
-            let served = matches!(
-                last,
-                FinalAnswer::Served { .. } | FinalAnswer::Unchanged { .. }
-            );
-            self.finals.push((taken.arrival.class, taken.begun, served));
-        }
-        taken.wanted.end();
-        if let To::Client(client) = to {
+        request.cancellation.end();
+        if let Requester::Client(client) = requester {
+            self.final_outcomes.push(FinalOutcome {
+                class: request.arrival.class,
+                received_at: request.received_at,
+                was_served: is_served(&answer),
+            });
+            self.unwritten_bytes += body_bytes(&answer);
             client.send(ClientReply {
-                tag: taken.tag,
+                tag: request.tag,
                 id: id.clone(),
-                last,
+                last: answer,
             });
-            self.in_hand += bytes;
         }
-        self.answered.push(id.clone());
+        self.maybe_finished.push(id.clone());
         true
     }
-}
 
-impl Outlet for Dispatcher {
-    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        let Some(taken) = self.requests.get_mut(request) else {
-            return;
+    /// Bytes of bodies have been written to a client, or dropped.
+    pub(super) fn release_written(&mut self, bytes: usize) {
+        self.unwritten_bytes = self.unwritten_bytes.saturating_sub(bytes);
+    }
+
+    /// Bytes of bodies that are in memory or expected, with one more attempt.
+    pub(super) fn expected_body_bytes_with_one_more(&self) -> f64 {
+        let attempts = (self.open_attempts + 1) as f64;
+        self.unwritten_bytes as f64 + attempts * self.expected_body_bytes
+    }
+
+    /// Marks an attempt as ended. None: it is not open.
+    pub(super) fn close_attempt(&mut self, id: &Id, number: usize) -> Option<ClosedAttempt> {
+        let request = self.requests.get_mut(id)?;
+        let attempt = request.attempts.get_mut(number)?;
+        if !std::mem::take(&mut attempt.is_open) {
+            return None;
+        }
+        self.open_attempts -= 1;
+        Some(ClosedAttempt {
+            server: attempt.server.clone(),
+            is_by_server: attempt.commands.is_some(),
+            took: self.now.saturating_sub(attempt.sent_at),
+        })
+    }
+
+    /// Attempts to answer a request from the local cache. False: the server is not part of it.
+    fn attempt_at_local_cache(&mut self, request: &Id, server: &Id) -> bool {
+        let Some(pending) = self.requests.get_mut(request) else {
+            return false;
+        };
+        let local_cache = self.local_cache.as_mut();
+        let Some(local_cache) = local_cache.filter(|cache| cache.is_local(server)) else {
+            return false;
         };
-        let key = (request.clone(), taken.attempts.len());
-        if let Some(own) = self.own.as_mut().filter(|own| own.is_place(server)) {
-            let got = own.attempt(&key, server, &taken.arrival, taken.passed.have.as_ref());
-            if let Some((outcome, answer)) = got {
-                self.ends.push_back(Ended {
-                    key,
-                    outcome,
-                    answer,
-                });
-            }
-            taken.attempts.push(Attempt {
-                server: None,
-                at: server.clone(),
-                sent: self.now,
-                open: true,
+        let key = (request.clone(), pending.attempts.len());
+        let etag = pending.forwarded.have.as_ref();
+        if let Some(result) = local_cache.attempt(&key, server, &pending.arrival, etag) {
+            self.local_results.push_back(Ended {
+                key,
+                outcome: result.outcome,
+                answer: result.answer,
             });
-            self.out += 1;
-            return;
         }
-        let ask = Box::new(Ask {
+        pending.attempts.push(Attempt {
+            commands: None,
+            server: server.clone(),
+            sent_at: self.now,
+            is_open: true,
+        });
+        self.open_attempts += 1;
+        true
+    }
+
+    /// What the actor of a server needs to know of an attempt.
+    fn order(
+        &self,
+        key: &Key,
+        request: &PendingRequest,
+        server: &Id,
+        limit: Duration,
+        fill: &Fill,
+    ) -> Box<Ask> {
+        Box::new(Ask {
             key: key.clone(),
-            passed: taken.passed.clone(),
+            passed: request.forwarded.clone(),
             server: server.clone(),
             fill: fill.clone(),
-            once: taken.once,
-            wanted: taken.wanted.clone(),
+            once: request.is_non_idempotent,
+            wanted: request.cancellation.clone(),
             due: self.clock.instant(self.now + limit),
-            leave_by: self.clock.instant(self.now + self.leave_within),
+            leave_by: self.clock.instant(self.now + self.send_within),
+        })
+    }
+
+    /// Ends an attempt that could not be handed to its server's actor: it never ran.
+    fn report_unsent(&mut self, key: Key, server: &Id) {
+        self.unsent_log.log(&format!(
+            "an attempt for {server}, which is not listed or takes no more orders"
+        ));
+        self.local_results.push_back(Ended {
+            key,
+            outcome: Outcome::NeverSent,
+            answer: None,
         });
-        let work = taken.arrival.kb / self.pace;
-        self.talk
-            .iter_mut()
-            .for_each(|(talk, _)| talk.sent(server, work));
-        let post = self.servers.orders_to(server);
-        if post
+    }
+}
+
+impl Outlet for Dispatcher {
+    fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
+        if self.attempt_at_local_cache(request, server) {
+            return;
+        }
+        let Some(pending) = self.requests.get(request) else {
+            return;
+        };
+        let key = (request.clone(), pending.attempts.len());
+        let order = self.order(&key, pending, server, limit, fill);
+        let work = pending.arrival.kb / self.client_kb_per_s;
+        if let Some(gossip) = &mut self.gossip {
+            gossip.talk.sent(server, work);
+        }
+        let commands = self.servers.commands_to(server);
+        let is_sent = commands
             .as_ref()
-            .is_none_or(|orders| orders.try_send(ServerCommand::Ask(ask)).is_err())
-        {
-            self.refused.log(&format!(
-                "an attempt for {server}, which is not listed or takes no more orders"
-            ));
-            self.ends.push_back(Ended {
-                key,
-                outcome: Outcome::NeverSent,
-                answer: None,
-            });
+            .is_some_and(|commands| commands.try_send(ServerCommand::Ask(order)).is_ok());
+        if !is_sent {
+            self.report_unsent(key, server);
         }
-        taken.attempts.push(Attempt {
-            server: post,
-            at: server.clone(),
-            sent: self.now,
-            open: true,
+        let Some(pending) = self.requests.get_mut(request) else {
+            return;
+        };
+        pending.attempts.push(Attempt {
+            commands,
+            server: server.clone(),
+            sent_at: self.now,
+            is_open: true,
         });
-        self.out += 1;
+        self.open_attempts += 1;
     }
 
     fn reject(&mut self, request: &Id, advice: Option<Duration>) {
@@ -177,49 +222,68 @@
 
     fn cancel(&mut self, request: &Id, attempt: usize) {
         let key = (request.clone(), attempt);
-        if self.own.as_mut().is_some_and(|own| own.cancel(&key)) {
-            return self.ends.push_back(Ended {
+        let local_cache = self.local_cache.as_mut();
+        if local_cache.is_some_and(|local_cache| local_cache.cancel(&key)) {
+            self.local_results.push_back(Ended {
                 key,
                 outcome: Outcome::Cancelled,
                 answer: None,
             });
+            return;
         }
-        let attempts = self.requests.get(request).map(|taken| &taken.attempts);
-        let out = attempts.and_then(|e| e.get(attempt)).filter(|e| e.open);
-        if let Some(server) = out.and_then(|out| out.server.as_ref()) {
+        let pending = self.requests.get(request);
+        let attempt = pending.and_then(|pending| pending.attempts.get(attempt));
+        let open = attempt.filter(|attempt| attempt.is_open);
+        if let Some(commands) = open.and_then(|attempt| attempt.commands.as_ref()) {
             // Where this fails the attempt ends by its own time.
-            let _ = server.try_send(ServerCommand::Quit((request.clone(), attempt)));
+            let _ = commands.try_send(ServerCommand::Quit(key));
         }
     }
 
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.push(Reverse((at, mark)));
+    fn wake_at(&mut self, at: Duration, timer: u64) {
+        self.timers.push(Reverse((at, timer)));
     }
 
     fn watch_list(&mut self) {
-        // Discovery tells every router unasked.
+        // Discovery sends the list to every router without being asked.
     }
 
     fn held(&mut self, request: &Id) -> Option<Held> {
-        let taken = self.requests.get(request)?;
-        self.own
-            .as_mut()?
-            .held(&taken.arrival, taken.passed.have.as_ref())
+        let pending = self.requests.get(request)?;
+        let local_cache = self.local_cache.as_mut()?;
+        local_cache.lookup(&pending.arrival, pending.forwarded.have.as_ref())
     }
 
     fn found(&mut self, part: u32, cache: &Id) {
-        self.talk
-            .iter_mut()
-            .for_each(|(talk, _)| talk.found(part, cache));
+        if let Some(gossip) = &mut self.gossip {
+            gossip.talk.found(part, cache);
+        }
     }
 
     fn keep(&mut self, request: &Id, rank: u8) {
-        let (Some(own), Some(taken)) = (&mut self.own, self.requests.get(request)) else {
+        let (Some(local_cache), Some(pending)) =
+            (&mut self.local_cache, self.requests.get(request))
+        else {
             return;
         };
-        match self.brought.take_if(|(id, _)| id == request) {
-            Some((_, answer)) => own.keep(&taken.arrival, &answer, rank),
-            None => own.rank(&taken.arrival, rank),
+        let served = &mut self.served_answer;
+        match served.take_if(|served| served.request == *request) {
+            Some(served) => local_cache.insert(&pending.arrival, &served.answer, rank),
+            None => local_cache.set_retention_priority(&pending.arrival, rank),
         }
     }
 }
+
+fn is_served(answer: &FinalAnswer) -> bool {
+    matches!(
+        answer,
+        FinalAnswer::Served { .. } | FinalAnswer::Unchanged { .. }
+    )
+}
+
+fn body_bytes(answer: &FinalAnswer) -> usize {
+    match answer {
+        FinalAnswer::Served { body, .. } => body.len(),
+        _ => 0,
+    }
+}
--- /dev/null
+++ b/crates/router/src/decider/operator_queries.rs
@@ -0,0 +1,70 @@
+//! Answers to an operator's queries, as JSON objects.
+
+use super::Decider;
+use super::subsystems::Gossip;
+use crate::zone_failover::ZoneFailover;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+impl Decider {
+    pub(super) fn answer_query(&mut self, words: &[String]) -> Value {
+        let words: Vec<&str> = words.iter().map(String::as_str).collect();
+        let now = self.dispatcher.now;
+        match words.as_slice() {
+            ["regions" | "steer" | "latency", ..] => match &mut self.zone_failover {
+                Some(failover) => query_zone_failover(failover, now, &words),
+                None => error("regions in common are off"),
+            },
+            ["store", "stat"] => match &self.dispatcher.local_cache {
+                Some(local_cache) => local_cache.report(),
+                None => error("no own copies are kept: neither memory nor disk is set"),
+            },
+            ["cells", "stat"] => match &self.cell_routing {
+                Some(cell_routing) => cell_routing.report(),
+                None => error("there are no cells"),
+            },
+            ["peers", "stat"] => match &self.dispatcher.gossip {
+                Some(gossip) => report_peers(gossip, now),
+                None => error("this router talks to no other"),
+            },
+            _ => unknown(&words),
+        }
+    }
+}
+
+fn query_zone_failover(failover: &mut ZoneFailover, now: Duration, words: &[&str]) -> Value {
+    match words {
+        ["regions", "stat"] => failover.report(now),
+        ["steer", "show"] => failover.steer(now),
+        ["latency", "observe", rest @ ..] => failover.observe(now, rest),
+        _ => unknown(words),
+    }
+}
+
+fn report_peers(gossip: &Gossip, now: Duration) -> Value {
+    let (recent, known) = gossip.talk.peers(now);
+    let dropped = gossip.talk.dropped();
+    let weights: BTreeMap<&str, f64> = gossip
+        .talk
+        .weights()
+        .map(|(cache, weight)| (&**cache, weight))
+        .collect();
+    json!({
+        "weights": weights,
+        "mates": recent,
+        "known": known,
+        "strangers": dropped.strangers,
+        "faulty": dropped.faulty,
+        "flood": dropped.flood,
+        "untold": dropped.untold,
+    })
+}
+
+fn unknown(words: &[&str]) -> Value {
+    error(&format!("unknown words: {}", words.join(" ")))
+}
+
+fn error(text: &str) -> Value {
+    json!({"error": text})
+}
--- /dev/null
+++ b/crates/router/src/decider/requests.rs
@@ -0,0 +1,123 @@
+//! The request table: every request that is open, with its attempts.
+
+use crate::messages::{CancellationFlag, ClientReply, ServerCommand};
+use crate::server_protocol::ForwardedFields;
+use chalkhall::interface::{Arrival, Id};
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// Who waits for the final answer of a request.
+pub(super) enum Requester {
+    /// A client, by the reserved slot of its reply channel.
+    Client(mpsc::OwnedPermit<ClientReply>),
+    /// The local cache, which revalidates a copy and learns the result from the attempt itself.
+    LocalCache,
+}
+
+/// A request that has no final answer yet, or whose attempts have not all ended.
+pub(super) struct PendingRequest {
+    /// Taken when the final answer is sent, or when the client leaves.
+    pub(super) requester: Option<Requester>,
+    pub(super) tag: u64,
+    pub(super) cancellation: CancellationFlag,
+    pub(super) arrival: Arrival,
+    pub(super) forwarded: ForwardedFields,
+    pub(super) is_non_idempotent: bool,
+    pub(super) received_at: Duration,
+    pub(super) attempts: Vec<Attempt>,
+}
+
+impl PendingRequest {
+    /// Whether its final answer has been sent, or is no longer waited for.
+    pub(super) fn is_over(&self) -> bool {
+        self.requester.is_none() || !self.cancellation.still()
+    }
+
+    /// Whether nothing more can happen to it.
+    fn is_finished(&self) -> bool {
+        self.requester.is_none() && self.attempts.iter().all(|attempt| !attempt.is_open)
+    }
+
+    /// Whether it was sent under this tag by the client with this reply channel.
+    fn is_of_client(&self, tag: u64, client: &mpsc::Sender<ClientReply>) -> bool {
+        self.tag == tag
+            && matches!(&self.requester,
+                Some(Requester::Client(reply)) if reply.same_channel_as_sender(client))
+    }
+}
+
+/// One attempt of a request at a server.
+pub(super) struct Attempt {
+    /// The mailbox of the server's actor; none where the server is not listed, or is the local cache.
+    pub(super) commands: Option<mpsc::Sender<ServerCommand>>,
+    pub(super) server: Id,
+    pub(super) sent_at: Duration,
+    pub(super) is_open: bool,
+}
+
+/// All open requests, by id.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    requests: HashMap<Id, PendingRequest>,
+}
+
+impl RequestTable {
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub(super) fn contains(&self, id: &Id) -> bool {
+        self.requests.contains_key(id)
+    }
+
+    pub(super) fn get(&self, id: &Id) -> Option<&PendingRequest> {
+        self.requests.get(id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: &Id) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(id)
+    }
+
+    pub(super) fn insert(&mut self, request: PendingRequest) {
+        self.requests.insert(request.arrival.id.clone(), request);
+    }
+
+    pub(super) fn ids(&self) -> Vec<Id> {
+        self.requests.keys().cloned().collect()
+    }
+
+    /// How many requests a client still waits for.
+    pub(super) fn waiting_clients(&self) -> usize {
+        let has_client =
+            |request: &&PendingRequest| matches!(request.requester, Some(Requester::Client(_)));
+        self.requests.values().filter(has_client).count()
+    }
+
+    /// Ends the wait of a client that has left. False: the request is not that client's, as another's may
+    /// bear the same id.
+    pub(super) fn abandon(
+        &mut self,
+        id: &Id,
+        tag: u64,
+        client: &mpsc::Sender<ClientReply>,
+    ) -> bool {
+        let Some(request) = self
+            .requests
+            .get_mut(id)
+            .filter(|request| request.is_of_client(tag, client))
+        else {
+            return false;
+        };
+        request.cancellation.end();
+        request.requester = None;
+        true
+    }
+
+    /// Forgets a request if it has its final answer and all its attempts have ended.
+    pub(super) fn remove_if_finished(&mut self, id: &Id) {
+        if self.get(id).is_some_and(PendingRequest::is_finished) {
+            self.requests.remove(id);
+        }
+    }
+}
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -1,5 +1,5 @@
-//! The listed servers as the decider reaches them: where each is, and the mailbox of its actor while it has
-//! one.
+//! The listed servers as the decider reaches them: the address of each, and the mailbox of its actor while
+//! it has one.
 
 use crate::messages::ServerCommand;
 use crate::server_pool::ServerActors;
@@ -12,19 +12,19 @@
 
 /// A listed server.
 struct ServerHandle {
-    /// Of its actor; none: it has none, until something is sent.
-    orders: Option<mpsc::Sender<ServerCommand>>,
+    /// The mailbox of its actor; none until something is sent.
+    commands: Option<mpsc::Sender<ServerCommand>>,
     address: SocketAddr,
-    started: Option<Duration>,
-    connections_most: usize,
+    started_at: Option<Duration>,
+    max_connections: usize,
 }
 
-/// Where a server is by the list, when it last started, and how many connections it may have.
-pub(super) struct Listed {
+/// A server as the list has it.
+pub(super) struct ListedServer {
     pub(super) address: SocketAddr,
-    pub(super) started: Option<Duration>,
-    pub(super) started_at: Option<Instant>,
-    pub(super) connections_most: usize,
+    pub(super) started_at: Option<Duration>,
+    pub(super) started_instant: Option<Instant>,
+    pub(super) max_connections: usize,
 }
 
 /// All listed servers, by name.
@@ -49,67 +49,67 @@
         self.handles.get(server).map(|handle| handle.address)
     }
 
-    /// The mailbox of a listed server's actor, which is started where there is none.
-    pub(super) fn orders_to(&mut self, server: &Id) -> Option<mpsc::Sender<ServerCommand>> {
+    /// The mailbox of a listed server's actor, which is started if there is none.
+    pub(super) fn commands_to(&mut self, server: &Id) -> Option<mpsc::Sender<ServerCommand>> {
         let handle = self.handles.get_mut(server)?;
-        if handle.orders.as_ref().is_none_or(mpsc::Sender::is_closed) {
-            let orders = self
-                .actors
-                .spawn(server.clone(), handle.address, handle.connections_most);
-            handle.orders = Some(orders);
+        if handle.commands.as_ref().is_none_or(mpsc::Sender::is_closed) {
+            let commands =
+                self.actors
+                    .spawn(server.clone(), handle.address, handle.max_connections);
+            handle.commands = Some(commands);
         }
-        handle.orders.clone()
+        handle.commands.clone()
     }
 
-    /// Lets go of the mailbox of an actor that has ended, which takes memory until then. Another that was
+    /// Drops the mailbox of an actor that has ended, which takes memory until then. Another actor that was
     /// started meanwhile stays.
-    pub(super) fn rests(&mut self, server: &Id) {
+    pub(super) fn forget_stopped_actor(&mut self, server: &Id) {
         if let Some(handle) = self.handles.get_mut(server) {
-            handle.orders.take_if(|orders| orders.is_closed());
+            handle.commands.take_if(|commands| commands.is_closed());
         }
     }
 
-    /// The list tells of a server. It is known by its name: one of another name at an old address has an actor of
-    /// its own.
-    pub(super) fn list(&mut self, server: &Id, listed: Listed) {
-        let Listed {
+    /// Adds a server, or takes over its new address or start. A server is known by its name: one of another
+    /// name at an old address has an actor of its own.
+    pub(super) fn update(&mut self, server: &Id, listed: ListedServer) {
+        let ListedServer {
             address,
-            started,
             started_at,
-            connections_most,
+            started_instant,
+            max_connections,
         } = listed;
         let handle = self
             .handles
             .entry(server.clone())
             .or_insert_with(|| ServerHandle {
-                orders: None,
+                commands: None,
                 address,
-                started,
-                connections_most,
+                started_at,
+                max_connections,
             });
-        if (handle.address, handle.started) == (address, started) {
+        if (handle.address, handle.started_at) == (address, started_at) {
             return;
         }
-        (handle.address, handle.started) = (address, started);
-        // One that takes no more orders would go on at the old address, or on connections from before the
-        // start: what is out there ends with it, and one of its own follows it.
-        let moved = |orders: &mut mpsc::Sender<ServerCommand>| {
-            orders
+        (handle.address, handle.started_at) = (address, started_at);
+        // An actor that takes no more commands would go on at the old address, or on connections from before
+        // the start: it ends with its open attempts, and the next command starts another.
+        let is_moved = |commands: &mut mpsc::Sender<ServerCommand>| {
+            commands
                 .try_send(ServerCommand::Reconnect {
                     dial: address,
-                    started: started_at,
+                    started: started_instant,
                 })
                 .is_ok()
         };
-        handle.orders.take_if(|orders| !moved(orders));
+        handle.commands.take_if(|commands| !is_moved(commands));
     }
 
-    /// What is out there still ends; its actor ends after it.
+    /// Attempts that are open still end; the actor ends after them.
     pub(super) fn remove(&mut self, server: &Id) {
         self.handles.remove(server);
     }
 
-    pub(super) fn keep_only(&mut self, listed: &HashSet<&Id>) {
+    pub(super) fn retain(&mut self, listed: &HashSet<&Id>) {
         self.handles.retain(|name, _| listed.contains(name));
     }
 
@@ -118,7 +118,7 @@
     pub(super) fn with_actor(&self) -> usize {
         self.handles
             .values()
-            .filter(|handle| handle.orders.is_some())
+            .filter(|handle| handle.commands.is_some())
             .count()
     }
 }
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -25,12 +25,12 @@
     (ServerHandles::new(actors), messages)
 }
 
-fn listed(address: SocketAddr) -> Listed {
-    Listed {
+fn listed(address: SocketAddr) -> ListedServer {
+    ListedServer {
         address,
-        started: None,
         started_at: None,
-        connections_most: 1,
+        started_instant: None,
+        max_connections: 1,
     }
 }
 
@@ -80,28 +80,28 @@
         let names = ["a", "b", "c"].map(Id::from);
         names
             .iter()
-            .for_each(|name| handles.list(name, listed(nowhere())));
+            .for_each(|name| handles.update(name, listed(nowhere())));
         assert_eq!(handles.with_actor(), 0, "nothing was sent to any");
         let begun = Instant::now();
-        let orders = handles.orders_to(&names[1]).expect("it is listed");
+        let commands = handles.commands_to(&names[1]).expect("it is listed");
         assert!(
-            orders
+            commands
                 .try_send(ServerCommand::Quit(("x".into(), 0)))
                 .is_ok()
         );
         assert!(
-            orders.same_channel(&handles.orders_to(&names[1]).unwrap()),
+            commands.same_channel(&handles.commands_to(&names[1]).unwrap()),
             "one actor a server"
         );
         assert_eq!(handles.with_actor(), 1);
         let name = rested(&mut messages).await;
-        assert_eq!((&*name, orders.is_closed()), ("b", true));
+        assert_eq!((&*name, commands.is_closed()), ("b", true));
         assert!(
             begun.elapsed() >= ENDS_AFTER && begun.elapsed() < ENDS_AFTER * 2,
             "{:?}",
             begun.elapsed()
         );
-        handles.rests(&name);
+        handles.forget_stopped_actor(&name);
         assert_eq!(
             handles.with_actor(),
             0,
@@ -117,13 +117,13 @@
     let inside = async {
         let (mut handles, mut messages) = handles(1);
         let name = Id::from("a");
-        handles.list(&name, listed(nowhere()));
-        let first = handles.orders_to(&name).unwrap();
+        handles.update(&name, listed(nowhere()));
+        let first = handles.commands_to(&name).unwrap();
         let name = rested(&mut messages).await;
-        let second = handles.orders_to(&name).unwrap();
+        let second = handles.commands_to(&name).unwrap();
         assert!(!first.same_channel(&second) && !second.is_closed());
-        handles.rests(&name);
-        assert!(handles.orders_to(&name).unwrap().same_channel(&second));
+        handles.forget_stopped_actor(&name);
+        assert!(handles.commands_to(&name).unwrap().same_channel(&second));
     };
     LocalSet::new().run_until(inside).await;
 }
@@ -136,11 +136,11 @@
         // Without a place for a connection all is reported never sent, without a socket.
         let (mut handles, mut messages) = handles(0);
         let name = Id::from("a");
-        handles.list(&name, listed(nowhere()));
+        handles.update(&name, listed(nowhere()));
         for round in 0..200 {
             let last = Instant::now();
             handles
-                .orders_to(&name)
+                .commands_to(&name)
                 .unwrap()
                 .try_send(ServerCommand::Quit(("x".into(), 0)))
                 .ok()
@@ -148,7 +148,11 @@
             sleep_until(last + ENDS_AFTER).await;
             let id = format!("r{round}");
             assert!(
-                handles.orders_to(&name).unwrap().try_send(ask(&id)).is_ok(),
+                handles
+                    .commands_to(&name)
+                    .unwrap()
+                    .try_send(ask(&id))
+                    .is_ok(),
                 "round {round}"
             );
             loop {
@@ -156,7 +160,7 @@
                     .await
                     .expect("nothing was said of it")
                 {
-                    Some(Message::ServerRests(name)) => handles.rests(&name),
+                    Some(Message::ServerRests(name)) => handles.forget_stopped_actor(&name),
                     Some(Message::Ended(Ended { key, outcome, .. })) => {
                         assert_eq!((&*key.0, outcome), (&*id, Outcome::NeverSent));
                         break;
@@ -166,7 +170,7 @@
             }
             advance(ENDS_AFTER * 2).await;
             assert_eq!(rested(&mut messages).await, name);
-            handles.rests(&name);
+            handles.forget_stopped_actor(&name);
         }
     };
     LocalSet::new().run_until(inside).await;
@@ -179,13 +183,19 @@
         let (mut handles, mut messages) = handles(1);
         let name = Id::from("a");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        handles.list(&name, listed(nowhere()));
-        handles.orders_to(&name).unwrap();
+        handles.update(&name, listed(nowhere()));
+        handles.commands_to(&name).unwrap();
         let told_late = rested(&mut messages).await;
-        handles.list(&name, listed(listener.local_addr().unwrap()));
+        handles.update(&name, listed(listener.local_addr().unwrap()));
         resume();
-        assert!(handles.orders_to(&name).unwrap().try_send(ask("x")).is_ok());
-        handles.rests(&told_late);
+        assert!(
+            handles
+                .commands_to(&name)
+                .unwrap()
+                .try_send(ask("x"))
+                .is_ok()
+        );
+        handles.forget_stopped_actor(&told_late);
         assert!(
             handles.with_actor() == 1 && timeout(LONG, listener.accept()).await.unwrap().is_ok()
         );
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,9 +1,10 @@
 //! The decider by itself, without sockets.
 
 use super::*;
-use crate::messages::{Ask, ServerCommand};
+use crate::discovery_events::DiscoveryEvent;
+use crate::messages::{Ask, CancellationFlag, ClientReply, FinalAnswer, NewRequest, ServerCommand};
 use crate::server_protocol::ForwardedFields;
-use chalkhall::interface::Arrival;
+use chalkhall::interface::{Arrival, Fill, Id};
 
 fn decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
     let (phase, phase_of) = watch::channel(phase);
@@ -21,15 +22,22 @@
         longest_advice: Some(Duration::from_millis(90)),
         ..Deployment::default()
     };
-    let beside = Subsystems {
-        own: None,
-        confined: None,
-        talk: None,
-        abroad: None,
+    let subsystems = Subsystems {
+        local_cache: None,
+        cell_routing: None,
+        gossip: None,
+        zone_failover: None,
     };
     let to = messages.clone();
     (
-        Decider::start(Clock::start(), &deployment, limits, phase, messages, beside),
+        Decider::start(
+            Clock::start(),
+            &deployment,
+            limits,
+            phase,
+            messages,
+            subsystems,
+        ),
         to,
         phase_of,
     )
@@ -97,19 +105,22 @@
     let left = new(1, &client);
     left.wanted.end();
     assert_eq!(client.capacity(), 0);
-    decider.take(Message::Request(Box::new(left)));
-    assert_eq!((decider.desk.requests.len(), client.capacity()), (0, 1));
+    decider.handle(Message::Request(Box::new(left)));
+    assert_eq!(
+        (decider.dispatcher.requests.len(), client.capacity()),
+        (0, 1)
+    );
 }
 
 /// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is up.
 #[tokio::test(flavor = "current_thread")]
 async fn the_end_waits_for_what_is_not_written_yet() {
     let (mut decider, _messages, _phase) = decider(Phase::Serving);
-    assert_eq!(decider.open(), 0);
-    decider.desk.in_hand = 1;
-    assert_eq!(decider.open(), 1);
-    decider.take(Message::Written(1));
-    assert_eq!(decider.open(), 0);
+    assert_eq!(decider.open_work(), 0);
+    decider.dispatcher.unwritten_bytes = 1;
+    assert_eq!(decider.open_work(), 1);
+    decider.handle(Message::Written(1));
+    assert_eq!(decider.open_work(), 0);
 }
 
 /// A server's start comes while its actor's mailbox is full: nothing more goes to where it was before.
@@ -129,11 +140,15 @@
                 started,
                 ..Member::default()
             };
-            decider.notice(DiscoveryEvent::List {
+            decider.apply_discovery_event(DiscoveryEvent::List {
                 whole: false,
                 members: vec![(member, dial)],
             });
-            decider.desk.servers.orders_to(&id).expect("it is listed")
+            decider
+                .dispatcher
+                .servers
+                .commands_to(&id)
+                .expect("it is listed")
         };
         let before = list(old, None);
         while before
@@ -145,7 +160,7 @@
         drop(before);
         let due = tokio::time::Instant::now() + Duration::from_secs(5);
         let wanted = CancellationFlag::default();
-        let fill = interface::Fill {
+        let fill = Fill {
             source: id.clone(),
             rank: 0,
             oldest: None,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -35,7 +35,7 @@
 use client_connection::ClientFrontend;
 use clock::Clock;
 use configuration::Configuration;
-use decider::{Decider, Subsystems};
+use decider::{Decider, Gossip, Subsystems};
 use discovery::{Discovery, NewDiscovery};
 use discovery_events::DiscoveryEvent;
 use io_errors::retry_at_once;
@@ -149,7 +149,10 @@
     }
     let talk = talk
         .filter(|_| socket_of_peers.is_some())
-        .map(|talk| (talk, saying.clone()));
+        .map(|talk| Gossip {
+            talk,
+            sender: saying.clone(),
+        });
     let (probes, to_probe) = mpsc::channel(latency_probes::PROBES_MOST);
     let abroad = match socket_of_peers {
         Some(_) => ZoneFailover::new(
@@ -162,15 +165,21 @@
         )?,
         None => None,
     };
-    let beside = Subsystems {
-        own,
-        confined,
-        talk,
-        abroad,
+    let subsystems = Subsystems {
+        local_cache: own,
+        cell_routing: confined,
+        gossip: talk,
+        zone_failover: abroad,
     };
-    let mut decisions =
-        Decider::start(clock, deployment, limits, phase_of, decider.clone(), beside);
-    let advice = decisions.advice();
+    let mut decisions = Decider::start(
+        clock,
+        deployment,
+        limits,
+        phase_of,
+        decider.clone(),
+        subsystems,
+    );
+    let advice = decisions.retry_after();
     // The list comes before the first request.
     let mut times = EventTimes::new(clock);
     for mut notice in std::mem::take(&mut told.known)
@@ -178,7 +187,7 @@
         .filter_map(|(_, notice)| notice)
     {
         times.bound(&mut notice);
-        decisions.notice(notice);
+        decisions.apply_discovery_event(notice);
     }
     let socket = listener::bind(told.listen)
         .await
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -68,8 +68,38 @@
 /// LocalCache copies, and with a disk how its orders end.
 pub type Opened = (LocalCache, Option<mpsc::Receiver<End>>);
 
-/// What became of an attempt at an own copy.
-pub type Got = (Outcome, Option<Box<Answer>>);
+/// How an attempt at the local cache ended.
+pub struct AttemptResult {
+    /// Its outcome.
+    pub outcome: Outcome,
+    /// The answer, where there is one.
+    pub answer: Option<Box<Answer>>,
+}
+
+impl AttemptResult {
+    fn without_answer(outcome: Outcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            answer: None,
+        }
+    }
+}
+
+/// A read from disk that an attempt waited for.
+pub struct CompletedRead {
+    /// The attempt.
+    pub key: Key,
+    /// What was read.
+    pub fetched: Fetched,
+}
+
+/// A request of the local cache itself, by which it learns whether a copy is still current.
+pub struct Revalidation {
+    /// The request as the decisions see it.
+    pub arrival: Arrival,
+    /// The fields that are forwarded to the server.
+    pub forwarded: ForwardedFields,
+}
 
 impl LocalCache {
     /// None: no own copies are wanted. With a disk also the ends of what it is ordered, for `ended`.
@@ -146,11 +176,11 @@
         places.map(member).collect()
     }
 
-    pub fn is_place(&self, server: &Id) -> bool {
+    pub fn is_local(&self, server: &Id) -> bool {
         self.places.contains(server)
     }
 
-    pub fn held(&mut self, arrival: &Arrival, have: Option<&Bytes>) -> Option<Held> {
+    pub fn lookup(&mut self, arrival: &Arrival, have: Option<&Bytes>) -> Option<Held> {
         let found = self.store.find(part(arrival), have.map(|tag| &tag[..]))?;
         let place = &self.places[usize::from(found.place == Place::Disk)];
         Some(Held {
@@ -167,7 +197,7 @@
         server: &Id,
         arrival: &Arrival,
         have: Option<&Bytes>,
-    ) -> Option<Got> {
+    ) -> Option<AttemptResult> {
         let now = self.clock.now();
         if *server == self.places[1] {
             // A disk whose mailboxes are full is as good as none.
@@ -176,13 +206,14 @@
                     self.waiting.insert(ticket, key.clone());
                     None
                 }
-                None => Some((Outcome::Unreachable, None)),
+                None => Some(AttemptResult::without_answer(Outcome::Unreachable)),
             };
         }
         let copy = self.store.take(now, part(arrival));
-        Some(copy.map_or((Outcome::Missing, None), |copy| {
-            self.answer(&copy, arrival, have)
-        }))
+        Some(match copy {
+            Some(copy) => self.answer(&copy, arrival, have),
+            None => AttemptResult::without_answer(Outcome::Missing),
+        })
     }
 
     /// An attempt that waits for the disk is called off. False: it does not.
@@ -204,23 +235,31 @@
     }
 
     /// The attempts that have come back from the disk, and what they brought.
-    pub fn got(&mut self) -> Vec<(Key, Fetched)> {
+    pub fn take_completed_reads(&mut self) -> Vec<CompletedRead> {
         let fetched = std::mem::take(&mut self.shelf.fetched);
         fetched
             .into_iter()
-            .filter_map(|(ticket, fetched)| Some((self.waiting.remove(&ticket)?, fetched)))
+            .filter_map(|(ticket, fetched)| {
+                let key = self.waiting.remove(&ticket)?;
+                Some(CompletedRead { key, fetched })
+            })
             .collect()
     }
 
-    pub fn answer_from(&self, fetched: &Fetched, arrival: &Arrival, have: Option<&Bytes>) -> Got {
+    pub fn read_result(
+        &self,
+        fetched: &Fetched,
+        arrival: &Arrival,
+        have: Option<&Bytes>,
+    ) -> AttemptResult {
         match fetched {
             Fetched::Copy(copy) => self.answer(copy, arrival, have),
-            Fetched::Gone => (Outcome::Missing, None),
-            Fetched::Failed => (Outcome::Unreachable, None),
+            Fetched::Gone => AttemptResult::without_answer(Outcome::Missing),
+            Fetched::Failed => AttemptResult::without_answer(Outcome::Unreachable),
         }
     }
 
-    fn answer(&self, copy: &Rc<Copy>, arrival: &Arrival, have: Option<&Bytes>) -> Got {
+    fn answer(&self, copy: &Rc<Copy>, arrival: &Arrival, have: Option<&Bytes>) -> AttemptResult {
         let age = self
             .clock
             .now()
@@ -249,16 +288,19 @@
                 copy.body.clone()
             },
         };
-        (Outcome::Served, Some(Box::new(answer)))
+        AttemptResult {
+            outcome: Outcome::Served,
+            answer: Some(Box::new(answer)),
+        }
     }
 
     /// When a copy that a server has just sent was made at the latest; none: its stamp does not say.
-    pub fn bounded(&mut self, made: u64) -> Option<u64> {
+    pub fn bound_created_at(&mut self, made: u64) -> Option<u64> {
         self.times.bound(&self.clock, made)
     }
 
     /// Keeps what a server has answered. Only what says when it was made can be judged later.
-    pub fn keep(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
+    pub fn insert(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
         let Some(made) = answer.made.filter(|made| *made > 0) else {
             return;
         };
@@ -284,12 +326,17 @@
             .keep(self.clock.now(), copy, rank, &mut self.shelf);
     }
 
-    pub fn rank(&mut self, arrival: &Arrival, rank: u8) {
+    pub fn set_retention_priority(&mut self, arrival: &Arrival, rank: u8) {
         self.store.rank(part(arrival), rank);
     }
 
     /// A server has answered: by its tag a copy on disk from before the start holds, or does not.
-    pub fn answered(&mut self, arrival: &Arrival, answer: &Answer, have: Option<&Bytes>) {
+    pub fn record_server_answer(
+        &mut self,
+        arrival: &Arrival,
+        answer: &Answer,
+        have: Option<&Bytes>,
+    ) {
         let tag = answer.etag.as_ref().or(have.filter(|_| answer.same));
         if let (Some(tag), Some(made), true) = (tag, answer.made, self.store.disk().is_some()) {
             self.store.proven(part(arrival), tag, made);
@@ -299,7 +346,7 @@
 
     /// A purge was told. By a clock that was set back it reaches the copies of the one that was ahead too, for
     /// when that comes back.
-    pub fn purged(&mut self, object: Option<&Id>, group: u64, ms: u64) {
+    pub fn purge(&mut self, object: Option<&Id>, group: u64, ms: u64) {
         let is_opening = self
             .store
             .disk()
@@ -321,7 +368,7 @@
     }
 
     /// Discovery has nothing that was not told.
-    pub fn heard(&mut self) {
+    pub fn confirm_up_to_date(&mut self) {
         let ms = self
             .clock
             .unix_ms(self.clock.now().saturating_sub(TOLD_WITHIN));
@@ -332,7 +379,7 @@
     }
 
     /// Bodies of so many bytes are in hand or to come: own copies give way first.
-    pub fn beside(&mut self, bodies: f64) {
+    pub fn make_room_for_bodies(&mut self, bodies: f64) {
         let tables = self.store.bytes() - self.store.memory().bytes();
         let left = self.usable.saturating_sub(bodies as u64 + tables);
         if self.store.memory().bytes() > left {
@@ -341,7 +388,7 @@
     }
 
     /// An order to the disk has ended.
-    pub fn ended(&mut self, end: End) {
+    pub fn complete_disk_operation(&mut self, end: End) {
         if let End::Opened { .. } = &end {
             self.opened();
         }
@@ -359,7 +406,7 @@
             .into_iter()
             .for_each(Disk::distrust_earlier_starts);
         for Purge { object, group, ms } in early_purges {
-            self.purged(object.as_ref(), group, ms);
+            self.purge(object.as_ref(), group, ms);
         }
     }
 
@@ -373,12 +420,12 @@
         self.store.tick(now, &mut self.shelf);
     }
 
-    pub fn next_look(&self, now: Duration) -> Option<Duration> {
+    pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         self.store.disk()?.next_look(now)
     }
 
     /// Requests of the router itself, by which unproven copies are asked about.
-    pub fn asks(&mut self) -> Vec<(Arrival, ForwardedFields)> {
+    pub fn take_revalidations(&mut self) -> Vec<Revalidation> {
         let unproven = std::mem::take(&mut self.shelf.unproven);
         let asks = unproven.into_iter().filter_map(|copy| {
             let class = self
@@ -400,7 +447,7 @@
                 left: self.classes[class].1.deadline,
                 repeated: true,
             };
-            let passed = ForwardedFields {
+            let forwarded = ForwardedFields {
                 id: id.into(),
                 class: copy.class,
                 object: copy.object,
@@ -408,7 +455,7 @@
                 have: Some(copy.tag),
                 ..ForwardedFields::default()
             };
-            Some((arrival, passed))
+            Some(Revalidation { arrival, forwarded })
         });
         asks.collect()
     }
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -123,22 +123,22 @@
         }))
     }
 
-    pub fn next(&self) -> Duration {
+    pub fn next_wakeup(&self) -> Duration {
         self.regions.next()
     }
 
-    pub fn drain(&mut self, places: &[usize]) {
+    pub fn drain_zones(&mut self, places: &[usize]) {
         self.regions.drain(places);
     }
 
-    pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         self.regions.heard(now, from, bytes)
     }
 
-    pub fn way(&mut self, now: Duration, edge: usize, way: Option<Duration>) {
-        self.regions.model().saw(now, edge, way);
+    pub fn record_latency(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
+        self.regions.model().saw(now, edge, round_trip);
         // From the own caches nothing came back: so silence shows, where requests only grow late.
-        if edge == self.zone && way.is_none() {
+        if edge == self.zone && round_trip.is_none() {
             self.regions.saw(now, false);
         }
     }
@@ -208,7 +208,7 @@
     }
 
     /// A request comes: its zone is set. Err: there is no room for it anywhere.
-    pub fn request(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
+    pub fn assign_zone(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
         let work = arrival.kb / self.pace;
         self.regions.asked(now, work);
         let (may, _, value) = self.classes.get(arrival.class).copied().unwrap_or_default();
@@ -226,7 +226,7 @@
     }
 
     /// An attempt has ended at a server: what that says of the own zone's caches.
-    pub fn ended(
+    pub fn record_attempt(
         &mut self,
         now: Duration,
         server: Option<&Member>,
@@ -250,13 +250,19 @@
     }
 
     /// A request has its final answer.
-    pub fn answered(&mut self, now: Duration, class: usize, begun: Duration, served: bool) {
+    pub fn record_final_answer(
+        &mut self,
+        now: Duration,
+        class: usize,
+        received_at: Duration,
+        was_served: bool,
+    ) {
         let soft = self
             .classes
             .get(class)
             .map_or(Duration::ZERO, |(_, soft, _)| *soft);
         self.regions
-            .answered(now, served && now.saturating_sub(begun) <= soft);
+            .answered(now, was_served && now.saturating_sub(received_at) <= soft);
     }
 
     /// `latency observe REGION EDGE MS [COUNT]`: what a front has measured of its clients' way to an edge.
