--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -80,7 +80,9 @@
             .collect();
         classes.dedup();
     }
-    let mut map = plan(&told.cells, &classes).map_err(Failure::new)?.map;
+    let mut map = plan(&told.cells, &classes)
+        .map_err(|error| Failure::new(error.to_string()))?
+        .map;
     map.place(&caches);
     let faults = map.faults();
     if as_json {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -143,8 +143,8 @@
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         return Err(Failure::new(all.join("\nchalkhall: ")));
     }
-    chalkhall_router::logging::begin(&told.log);
-    chalkhall_router::serve(told, file).map_err(Failure::new)
+    chalkhall_router::logging::init(&told.log);
+    chalkhall_router::serve(told, file).map_err(|error| Failure::new(error.to_string()))
 }
 
 fn man(folder: &Path) -> Result<(), Failure> {
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -1,51 +1,146 @@
-//! All that a router is told: its environment and one JSON file, read, checked and given defaults here alone.
-//! A message names the key that is at fault.
+//! The router's configuration: its environment and one JSON file, read, checked and given defaults here alone.
+//! Each error names the key that is at fault.
 
 use crate::clock::Clock;
-use crate::discovery_events::{DiscoveryEvent, Places, numbered};
+use crate::discovery_events::{DeploymentNames, EventError, NumberedEvent, parse_event};
 use chalkhall::interface::Deployment;
 use chalkhall_settings::{self as deployment, Fields};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 
-/// Where the platform sets no limits: those of its scored days.
-const MEMORY_MB: u64 = 192;
-const SOCKETS: u64 = 1024;
-const SOCKETS_LEAST: u64 = 64;
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-const IDLE_CLOSE: Duration = Duration::from_secs(30);
+/// Defaults where the platform sets no limits.
+const DEFAULT_MEMORY_MB: u64 = 192;
+const DEFAULT_SOCKETS: u64 = 1024;
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+const DEFAULT_IDLE_CLOSE: Duration = Duration::from_secs(30);
+const DEFAULT_STREAMS: u64 = 100;
+const DEFAULT_OPEN_REQUESTS: u64 = 20_000;
+/// Fewer descriptors are not enough to run.
+const MIN_SOCKETS: u64 = 64;
 
+/// The environment variable that holds the path of the configuration file.
+const FILE_VARIABLE: &str = "ROUTER_CONFIG";
+
+/// Why a configuration cannot be used.
+#[derive(Debug, Error)]
+pub enum ConfigurationError {
+    /// The environment does not name a file.
+    #[error("ROUTER_CONFIG is not set")]
+    NoFile,
+    /// The file cannot be read.
+    #[error("ROUTER_CONFIG: {path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The file is not JSON.
+    #[error("ROUTER_CONFIG: {path}: {source}")]
+    NotJson {
+        /// The file.
+        path: String,
+        /// Where and why.
+        source: serde_json::Error,
+    },
+    /// The file is JSON, but not an object.
+    #[error("ROUTER_CONFIG: the file does not hold an object")]
+    NotAnObject,
+    /// A key that has no default is not there.
+    #[error("{key} is missing")]
+    Missing {
+        /// The key, or the environment variable that stands for it.
+        key: String,
+    },
+    /// A key holds something of another kind.
+    #[error("{key} is not {expected}")]
+    Unexpected {
+        /// The key at fault.
+        key: &'static str,
+        /// What it is to hold.
+        expected: &'static str,
+    },
+    /// An address cannot be read.
+    #[error("{key} is not an address: {found:?}")]
+    NotAnAddress {
+        /// The key, or the environment variable that stands for it.
+        key: String,
+        /// What it holds.
+        found: String,
+    },
+    /// The settings name no class of requests.
+    #[error("settings: Classes is empty")]
+    NoClasses,
+    /// The platform allows too few descriptors.
+    #[error("limits: sockets is under {MIN_SOCKETS}")]
+    TooFewSockets,
+    /// A field of a section cannot be used; the fault names the field and what is expected of it.
+    #[error("{section}: {fault}")]
+    Section {
+        /// The section of the file.
+        section: &'static str,
+        /// As the reader of the settings words it.
+        fault: String,
+    },
+    /// A field cannot be used; the fault names it and what is expected of it.
+    #[error("{0}")]
+    Field(String),
+    /// An event among those that are known at the start cannot be read.
+    #[error("known: {0}")]
+    Event(#[from] EventError),
+}
+
+/// A fault in a section of the file.
+fn in_section(section: &'static str) -> impl Fn(String) -> ConfigurationError {
+    move |fault| ConfigurationError::Section { section, fault }
+}
+
+/// What a router is started with.
 #[derive(Debug)]
 pub struct Configuration {
+    /// Its name.
     pub name: String,
+    /// Where clients reach it.
     pub listen: SocketAddr,
+    /// Where discovery is.
     pub discovery: SocketAddr,
-    /// The number of the last event in `known`, and the events.
+    /// The number of the last event in `known_events`.
     pub last_event: u64,
-    pub known: Vec<(u64, Option<DiscoveryEvent>)>,
-    pub places: Places,
+    /// The events of discovery up to the start.
+    pub known_events: Vec<NumberedEvent>,
+    /// The names that events use.
+    pub names: DeploymentNames,
+    /// The settings of the deployment.
     pub deployment: Deployment,
+    /// The names of the classes of requests, by index.
     pub classes: Vec<String>,
+    /// The names of the tenants, by index.
     pub tenants: Vec<String>,
+    /// The limits of transport.
     pub limits: Limits,
-    /// How many answers at a client's pace its own link carries at once; none: not told.
-    pub own_link: Option<f64>,
-    /// Where routers talk to one another; none: they may not, or are not told how.
+    /// How many answers at a client's rate the router's own link carries at once; none: unknown.
+    pub link_answers: Option<f64>,
+    /// Where routers gossip; none: they may not, or their addresses are not configured.
     pub peers: Option<Peers>,
+    /// The values of `FIXED_KEYS`.
     fixed: Vec<Value>,
 }
 
-/// The addresses of the routers of the tier, by number, and the one that reaches all of them.
+/// The addresses of the routers of the tier.
 #[derive(Clone, Debug)]
 pub struct Peers {
+    /// Where this router listens.
     pub listen: SocketAddr,
+    /// The address that reaches all of them.
     pub all: SocketAddr,
+    /// Each router's, by number.
     pub each: Vec<SocketAddr>,
 }
 
-/// What a running router does not take over.
-const FIXED: [&str; 9] = [
+/// The keys that a running router does not take over.
+const FIXED_KEYS: [&str; 9] = [
     "name",
     "listen",
     "limits",
@@ -58,184 +153,263 @@
 ];
 
 impl Configuration {
-    /// The keys in which another configuration differs where only a restart takes it over.
-    pub fn fixed_otherwise(&self, anew: &Configuration) -> Vec<&'static str> {
-        let pairs = self.fixed.iter().zip(&anew.fixed).zip(FIXED);
-        pairs
-            .filter_map(|((old, new), name)| (old != new).then_some(name))
-            .collect()
+    /// The keys that differ in another configuration, where only a restart takes it over.
+    pub fn changed_fixed_keys(&self, new: &Configuration) -> Vec<&'static str> {
+        let pairs = self.fixed.iter().zip(&new.fixed).zip(FIXED_KEYS);
+        let changed = pairs.filter(|((old, new), _)| old != new);
+        changed.map(|(_, key)| key).collect()
     }
 }
 
 /// The limits of transport.
 #[derive(Clone, Debug)]
 pub struct Limits {
+    /// Bytes of memory.
     pub memory: u64,
+    /// Descriptors.
     pub sockets: usize,
+    /// For a connection to a server to be made.
     pub connect_timeout: Duration,
     /// When servers close a connection that carries nothing.
     pub idle_close: Duration,
     /// Attempts on one connection at a time.
     pub streams: usize,
+    /// Requests that may be open at a time.
     pub open_requests: usize,
 }
 
-pub fn told(env: impl Fn(&str) -> Option<String>, clock: &Clock) -> Result<Configuration, String> {
-    let path = env("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
-    let file: Value =
-        serde_json::from_str(&text).map_err(|e| format!("ROUTER_CONFIG: {path}: {e}"))?;
-    let file = file
-        .as_object()
-        .ok_or("ROUTER_CONFIG: the file does not hold an object")?;
-    read(file, env, clock)
+/// Reads the configuration that the environment names.
+///
+/// # Errors
+/// The first fault that is found.
+pub fn load(
+    env: impl Fn(&str) -> Option<String>,
+    clock: &Clock,
+) -> Result<Configuration, ConfigurationError> {
+    let path = env(FILE_VARIABLE).ok_or(ConfigurationError::NoFile)?;
+    let text = match std::fs::read_to_string(&path) {
+        Ok(text) => text,
+        Err(source) => return Err(ConfigurationError::Unreadable { path, source }),
+    };
+    let file: Value = match serde_json::from_str(&text) {
+        Ok(file) => file,
+        Err(source) => return Err(ConfigurationError::NotJson { path, source }),
+    };
+    let file = file.as_object().ok_or(ConfigurationError::NotAnObject)?;
+    parse(file, env, clock)
 }
 
-fn read(
+fn parse(
     file: &Fields,
     env: impl Fn(&str) -> Option<String>,
     clock: &Clock,
-) -> Result<Configuration, String> {
-    let text = |name: &str, variable: &str| match env(variable) {
-        Some(found) => Ok((found, variable.to_owned())),
-        None => deployment::text(file, name).map(|found| (found.to_owned(), name.to_owned())),
-    };
-    let address = |(found, name): (String, String)| match found.as_str() {
-        "" => Err(format!("{name} is missing")),
-        found => found
-            .parse()
-            .map_err(|_| format!("{name} is not an address: {found:?}")),
-    };
-    let (name, _) = text("name", "ROUTER_NAME")?;
-    let listen = address(text("listen", "ROUTER_LISTEN")?)?;
-    let discovery = address((
-        deployment::text(file, "board")?.to_owned(),
-        "board".to_owned(),
-    ))?;
-
-    let seed = match file.get("seed") {
-        None | Some(Value::Null) => 0,
-        Some(Value::String(hex)) => {
-            u64::from_str_radix(hex, 16).map_err(|_| "seed is not 16 hex digits")?
-        }
-        Some(Value::Number(n)) => n.as_u64().ok_or("seed is not a whole number")?,
-        Some(_) => return Err("seed is not 16 hex digits".into()),
-    };
+) -> Result<Configuration, ConfigurationError> {
+    let name = text_or_variable(file, "name", &env, "ROUTER_NAME")?;
+    let listen = text_or_variable(file, "listen", &env, "ROUTER_LISTEN")?.into_address()?;
+    let discovery = Setting::of_key(file, "board")?.into_address()?;
+    let seed = parse_seed(file)?;
     let settings = object(file, "settings")?;
-    let within = |what: String| format!("settings: {what}");
-    let deployment = deployment::deployment(seed, settings).map_err(within)?;
-    let names = deployment::names(settings).map_err(within)?;
+    let deployment = deployment::deployment(seed, settings).map_err(in_section("settings"))?;
+    let named = deployment::names(settings).map_err(in_section("settings"))?;
     if deployment.classes.is_empty() {
-        return Err("settings: Classes is empty".into());
+        return Err(ConfigurationError::NoClasses);
     }
     let [parent, origin] = deployment::parent_and_origin(settings);
-    let places = Places {
-        zones: names.zones,
-        kinds: names.kinds,
+    let names = DeploymentNames {
+        zones: named.zones,
+        kinds: named.kinds,
         parent,
         origin,
     };
-
     let known = object(file, "known")?;
-    let last_event = deployment::whole(known, "rev").map_err(|e| format!("known: {e}"))?;
-    let events = known
-        .get("notices")
-        .and_then(Value::as_array)
-        .ok_or("known: notices is not an array")?;
-    let events = events.iter().map(|event| numbered(event, &places, clock));
-    let events = events
-        .collect::<Result<Vec<_>, _>>()
-        .map_err(|e| format!("known: {e}"))?;
-
     Ok(Configuration {
-        name,
+        name: name.value,
         listen,
         discovery,
-        last_event,
-        known: events,
-        places,
+        last_event: deployment::whole(known, "rev").map_err(in_section("known"))?,
+        known_events: parse_known_events(known, &names, clock)?,
+        names,
         deployment,
-        classes: names.classes,
-        tenants: names.customers,
-        limits: limits(file, settings)?,
-        own_link: own_link(file)?,
-        peers: peers(file, settings)?,
-        fixed: FIXED
-            .map(|name| file.get(name).cloned().unwrap_or_default())
+        classes: named.classes,
+        tenants: named.customers,
+        limits: parse_limits(file, settings)?,
+        link_answers: parse_link_answers(file)?,
+        peers: parse_peers(file, settings)?,
+        fixed: FIXED_KEYS
+            .map(|key| file.get(key).cloned().unwrap_or_default())
             .to_vec(),
     })
 }
 
-fn limits(file: &Fields, settings: &Fields) -> Result<Limits, String> {
-    let empty = Fields::new();
-    let given = file.get("limits").map_or(Ok(&empty), |v| {
-        v.as_object().ok_or("limits is not an object")
-    })?;
-    let of_site = settings
-        .get("Limits")
-        .and_then(Value::as_object)
-        .unwrap_or(&empty);
-    let or = |from: &Fields, name: &str, default: u64| match deployment::whole(from, name)? {
-        0 => Ok::<_, String>(default),
-        found => Ok(found),
+/// A text, and what it was read from.
+struct Setting {
+    key: String,
+    value: String,
+}
+
+impl Setting {
+    fn of_key(file: &Fields, key: &str) -> Result<Setting, ConfigurationError> {
+        let value = deployment::text(file, key).map_err(ConfigurationError::Field)?;
+        Ok(Setting {
+            key: key.to_owned(),
+            value: value.to_owned(),
+        })
+    }
+
+    fn into_address(self) -> Result<SocketAddr, ConfigurationError> {
+        let Setting { key, value } = self;
+        if value.is_empty() {
+            return Err(ConfigurationError::Missing { key });
+        }
+        let address = value.parse();
+        address.map_err(|_| ConfigurationError::NotAnAddress { key, found: value })
+    }
+}
+
+/// A key of the file, for which an environment variable may stand.
+fn text_or_variable(
+    file: &Fields,
+    key: &str,
+    env: impl Fn(&str) -> Option<String>,
+    variable: &str,
+) -> Result<Setting, ConfigurationError> {
+    match env(variable) {
+        Some(value) => Ok(Setting {
+            key: variable.to_owned(),
+            value,
+        }),
+        None => Setting::of_key(file, key),
+    }
+}
+
+fn parse_seed(file: &Fields) -> Result<u64, ConfigurationError> {
+    const NOT_HEX: ConfigurationError = ConfigurationError::Unexpected {
+        key: "seed",
+        expected: "16 hex digits",
     };
-    let span_or = |name: &str, default: Duration| match deployment::number(of_site, name)? {
-        ms if ms > 0.0 => Ok::<_, String>(deployment::span(ms)),
-        _ => Ok(default),
+    match file.get("seed") {
+        None | Some(Value::Null) => Ok(0),
+        Some(Value::String(hex)) => u64::from_str_radix(hex, 16).map_err(|_| NOT_HEX),
+        Some(Value::Number(number)) => number.as_u64().ok_or(ConfigurationError::Unexpected {
+            key: "seed",
+            expected: "a whole number",
+        }),
+        Some(_) => Err(NOT_HEX),
+    }
+}
+
+fn parse_known_events(
+    known: &Fields,
+    names: &DeploymentNames,
+    clock: &Clock,
+) -> Result<Vec<NumberedEvent>, ConfigurationError> {
+    let events = known.get("notices").and_then(Value::as_array);
+    let events = events.ok_or(ConfigurationError::Unexpected {
+        key: "known: notices",
+        expected: "an array",
+    })?;
+    let events = events.iter().map(|event| parse_event(event, names, clock));
+    Ok(events.collect::<Result<_, _>>()?)
+}
+
+fn parse_limits(file: &Fields, settings: &Fields) -> Result<Limits, ConfigurationError> {
+    let empty = Fields::new();
+    let of_platform = match file.get("limits") {
+        None => &empty,
+        Some(limits) => limits.as_object().ok_or(ConfigurationError::Unexpected {
+            key: "limits",
+            expected: "an object",
+        })?,
     };
-    let sockets = or(given, "sockets", SOCKETS).map_err(|e| format!("limits: {e}"))?;
-    if sockets < SOCKETS_LEAST {
-        return Err(format!("limits: sockets is under {SOCKETS_LEAST}"));
+    let of_deployment = settings.get("Limits").and_then(Value::as_object);
+    let of_deployment = of_deployment.unwrap_or(&empty);
+    let field = ConfigurationError::Field;
+    let sockets =
+        whole_or(of_platform, "sockets", DEFAULT_SOCKETS).map_err(in_section("limits"))?;
+    if sockets < MIN_SOCKETS {
+        return Err(ConfigurationError::TooFewSockets);
     }
+    let memory_mb =
+        whole_or(of_platform, "memory_mb", DEFAULT_MEMORY_MB).map_err(in_section("limits"))?;
+    let connect_timeout = span_or(of_deployment, "ConnectTimeout", DEFAULT_CONNECT_TIMEOUT);
+    let idle_close = span_or(of_deployment, "IdleClose", DEFAULT_IDLE_CLOSE);
+    let streams = whole_or(of_deployment, "StreamsPerConn", DEFAULT_STREAMS);
+    let open_requests = whole_or(of_deployment, "MaxOpen", DEFAULT_OPEN_REQUESTS);
     Ok(Limits {
-        memory: or(given, "memory_mb", MEMORY_MB).map_err(|e| format!("limits: {e}"))? << 20,
+        memory: memory_mb << 20,
         sockets: sockets as usize,
-        connect_timeout: span_or("ConnectTimeout", CONNECT_TIMEOUT)?,
-        idle_close: span_or("IdleClose", IDLE_CLOSE)?,
-        streams: or(of_site, "StreamsPerConn", 100)? as usize,
-        open_requests: or(of_site, "MaxOpen", 20_000)? as usize,
+        connect_timeout: connect_timeout.map_err(field)?,
+        idle_close: idle_close.map_err(field)?,
+        streams: streams.map_err(field)? as usize,
+        open_requests: open_requests.map_err(field)? as usize,
     })
 }
 
-fn peers(file: &Fields, settings: &Fields) -> Result<Option<Peers>, String> {
+/// A whole number, or its default where it is 0 or missing.
+fn whole_or(fields: &Fields, key: &str, default: u64) -> Result<u64, String> {
+    let found = deployment::whole(fields, key)?;
+    Ok(if found == 0 { default } else { found })
+}
+
+/// A span in milliseconds, or its default where it is not positive or missing.
+fn span_or(fields: &Fields, key: &str, default: Duration) -> Result<Duration, String> {
+    let ms = deployment::number(fields, key)?;
+    Ok(if ms > 0.0 {
+        deployment::span(ms)
+    } else {
+        default
+    })
+}
+
+fn parse_peers(file: &Fields, settings: &Fields) -> Result<Option<Peers>, ConfigurationError> {
     let limits = settings.get("Limits").and_then(Value::as_object);
-    let allowed = limits.map_or(Ok(false), |limits| deployment::flag(limits, "PeerMessages"));
-    let told = ["peer_listen", "peers", "peers_all"]
-        .iter()
-        .all(|key| file.contains_key(*key));
-    if !allowed.map_err(|what| format!("settings: {what}"))? || !told {
+    let is_allowed = limits.map_or(Ok(false), |limits| deployment::flag(limits, "PeerMessages"));
+    let is_allowed = is_allowed.map_err(in_section("settings"))?;
+    let keys = ["peer_listen", "peers", "peers_all"];
+    if !is_allowed || !keys.iter().all(|key| file.contains_key(*key)) {
         return Ok(None);
     }
-    let address = |name: &str, found: &str| {
-        found
-            .parse::<SocketAddr>()
-            .map_err(|_| format!("{name} is not an address: {found:?}"))
+    let address = |key: &str, found: &str| {
+        let address = found.parse::<SocketAddr>();
+        address.map_err(|_| ConfigurationError::NotAnAddress {
+            key: key.to_owned(),
+            found: found.to_owned(),
+        })
     };
-    let each = file
-        .get("peers")
-        .and_then(Value::as_array)
-        .ok_or("peers is not an array")?;
+    let address_of = |key: &str| {
+        let found = deployment::text(file, key).map_err(ConfigurationError::Field)?;
+        address(key, found)
+    };
+    let each = file.get("peers").and_then(Value::as_array);
+    let each = each.ok_or(ConfigurationError::Unexpected {
+        key: "peers",
+        expected: "an array",
+    })?;
     let each = each
         .iter()
-        .map(|one| address("peers", one.as_str().unwrap_or("")));
+        .map(|peer| address("peers", peer.as_str().unwrap_or("")));
     Ok(Some(Peers {
-        listen: address("peer_listen", deployment::text(file, "peer_listen")?)?,
-        all: address("peers_all", deployment::text(file, "peers_all")?)?,
+        listen: address_of("peer_listen")?,
+        all: address_of("peers_all")?,
         each: each.collect::<Result<_, _>>()?,
     }))
 }
 
-fn own_link(file: &Fields) -> Result<Option<f64>, String> {
-    let flow = deployment::number(file, "flow_bytes_per_s")?;
-    let link = deployment::number(file, "link_bytes_per_s")?;
-    Ok((flow > 0.0 && link > 0.0).then(|| link / flow))
+fn parse_link_answers(file: &Fields) -> Result<Option<f64>, ConfigurationError> {
+    let rate = |key| deployment::number(file, key).map_err(ConfigurationError::Field);
+    let (answer_rate, link_rate) = (rate("flow_bytes_per_s")?, rate("link_bytes_per_s")?);
+    let is_known = answer_rate > 0.0 && link_rate > 0.0;
+    Ok(is_known.then(|| link_rate / answer_rate))
 }
 
-fn object<'a>(from: &'a Fields, name: &str) -> Result<&'a Fields, String> {
-    match from.get(name) {
-        None | Some(Value::Null) => Err(format!("{name} is missing")),
-        Some(found) => found
-            .as_object()
-            .ok_or_else(|| format!("{name} is not an object")),
+fn object<'a>(fields: &'a Fields, key: &'static str) -> Result<&'a Fields, ConfigurationError> {
+    match fields.get(key) {
+        None | Some(Value::Null) => Err(ConfigurationError::Missing {
+            key: key.to_owned(),
+        }),
+        Some(found) => found.as_object().ok_or(ConfigurationError::Unexpected {
+            key,
+            expected: "an object",
+        }),
     }
 }
--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -2,8 +2,10 @@
 
 use super::Decider;
 use super::requests::{PendingRequest, Requester};
+use crate::cell_routing::RetryAfter;
 use crate::messages::{ClientReply, FinalAnswer, NewRequest};
 use chalkhall::interface::Arrival;
+use std::time::Duration;
 
 impl Decider {
     /// Takes in a request that a client's connection has read.
@@ -39,11 +41,7 @@
     ///
     /// # Errors
     /// The final answer of a request that is refused.
-    fn admit(
-        &mut self,
-        arrival: &mut Arrival,
-        waited: std::time::Duration,
-    ) -> Result<(), FinalAnswer> {
+    fn admit(&mut self, arrival: &mut Arrival, waited: Duration) -> Result<(), FinalAnswer> {
         if self.dispatcher.requests.contains(&arrival.id) {
             self.protocol_errors
                 .log("a request with an id that is in use");
@@ -57,7 +55,7 @@
         let now = self.dispatcher.now;
         let is_non_idempotent = self.is_non_idempotent(arrival);
         if let Some(cells) = &mut self.cell_routing
-            && let Err(wait) = cells.assign_cell(now, arrival, is_non_idempotent)
+            && let Err(RetryAfter(wait)) = cells.assign_cell(now, arrival, is_non_idempotent)
         {
             // The client is told to come back when its tenant may, within the longest advice it heeds.
             let retry_after = self.longest_advice.map(|longest| wait.min(longest));
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -3,11 +3,10 @@
 use super::servers::ListedServer;
 use super::{Decider, MAX_CONNECTIONS_PER_SERVER};
 use crate::cell_routing::Plan;
-use crate::discovery_events::DiscoveryEvent;
+use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
 use crate::local_cache::LocalCache;
 use chalkhall::interface::{Id, ListKind, Member, Standing};
 use std::collections::HashSet;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 impl Decider {
@@ -21,12 +20,12 @@
                 }
             }
             DiscoveryEvent::Cells(plan) => self.replace_cell_map(now, *plan),
-            DiscoveryEvent::Heard => {
+            DiscoveryEvent::UpToDate => {
                 let local_cache = self.dispatcher.local_cache.iter_mut();
                 local_cache.for_each(LocalCache::confirm_up_to_date);
             }
             DiscoveryEvent::Purge { object, group, ms } => self.purge(now, object, group, ms),
-            DiscoveryEvent::List { whole, members } => self.update_list(now, whole, members),
+            DiscoveryEvent::List { whole, servers } => self.update_list(now, whole, servers),
         }
     }
 
@@ -53,9 +52,9 @@
         self.router.purged(now, object, group, age);
     }
 
-    fn update_list(&mut self, now: Duration, is_whole: bool, listed: Vec<(Member, SocketAddr)>) {
+    fn update_list(&mut self, now: Duration, is_whole: bool, listed: Vec<DiscoveredServer>) {
         self.update_servers(is_whole, &listed);
-        let mut members: Vec<Member> = listed.into_iter().map(|(member, _)| member).collect();
+        let mut members: Vec<Member> = listed.into_iter().map(|server| server.member).collect();
         if let Some(cell_routing) = &mut self.cell_routing {
             members = cell_routing.update_members(now, is_whole, members);
         }
@@ -73,16 +72,16 @@
     }
 
     /// Brings the server handles in line with the list. Servers share a third of the descriptors.
-    fn update_servers(&mut self, is_whole: bool, listed: &[(Member, SocketAddr)]) {
+    fn update_servers(&mut self, is_whole: bool, listed: &[DiscoveredServer]) {
         let servers = &mut self.dispatcher.servers;
         if is_whole {
-            let names: HashSet<&Id> = listed.iter().map(|(member, _)| &member.server).collect();
+            let names: HashSet<&Id> = listed.iter().map(|server| &server.member.server).collect();
             servers.retain(&names);
         }
         let server_count = listed.len().max(servers.len()).max(1);
         let share = self.limits.sockets / 3 / (2 * server_count);
         let max_connections = share.clamp(1, MAX_CONNECTIONS_PER_SERVER);
-        for (member, address) in listed {
+        for DiscoveredServer { member, address } in listed {
             if member.standing == Standing::Gone {
                 servers.remove(&member.server);
                 continue;
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,7 +1,7 @@
 //! The decider by itself, without sockets.
 
 use super::*;
-use crate::discovery_events::DiscoveryEvent;
+use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
 use crate::messages::{Ask, CancellationFlag, ClientReply, FinalAnswer, NewRequest, ServerCommand};
 use crate::server_protocol::ForwardedFields;
 use chalkhall::interface::{Arrival, Fill, Id};
@@ -142,7 +142,10 @@
             };
             decider.apply_discovery_event(DiscoveryEvent::List {
                 whole: false,
-                members: vec![(member, dial)],
+                servers: vec![DiscoveredServer {
+                    member,
+                    address: dial,
+                }],
             });
             decider
                 .dispatcher
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -3,23 +3,23 @@
 fn discovery(seed: u64) -> Discovery {
     let (decider, _) = mpsc::channel(1);
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let places = Places {
+    let names = DeploymentNames {
         zones: vec!["here".into()],
         kinds: vec!["cache".into()],
-        ..Places::default()
+        ..DeploymentNames::default()
     };
-    let (clock, chance) = (Clock::start(), fastrand::Rng::with_seed(seed));
-    let times = EventTimes::new(clock);
+    let (clock, random) = (Clock::start(), fastrand::Rng::with_seed(seed));
+    let event_times = EventTimes::new(clock);
     Discovery {
         address,
-        last: 0,
-        faulty: None,
-        places,
+        last_event: 0,
+        unreadable_event: None,
+        names,
         clock,
-        times,
+        event_times,
         decider,
-        chance,
-        spare: None,
+        random,
+        spare_socket: None,
     }
 }
 
@@ -29,7 +29,7 @@
     let pause = Duration::from_millis(320);
     let mut tenths = [0; 10];
     for seed in 0..300 {
-        let wait = discovery(seed).spread(pause);
+        let wait = discovery(seed).with_jitter(pause);
         assert!(wait > pause / 2 && wait <= pause, "{wait:?}");
         tenths[((wait - pause / 2).as_secs_f64() / 0.160 * 9.999) as usize] += 1;
     }
@@ -60,14 +60,14 @@
         let b = b.await.unwrap();
         let (decider, mut notices) = mpsc::channel(1);
         let address = a.local_addr().unwrap();
-        let (anew, told) = mpsc::channel(1);
+        let (reconfigure, reconfigured) = mpsc::channel(1);
         spawn_local(
             Discovery {
                 address,
                 decider,
                 ..discovery(1)
             }
-            .run(told),
+            .run(reconfigured),
         );
         let (mut old, line) = watched(&a).await;
         assert_eq!(line, "watch 0\n");
@@ -79,23 +79,24 @@
             yield_now().await;
         }
         let known = if file_knows {
-            vec![(
-                2,
-                Some(DiscoveryEvent::Purge {
+            vec![NumberedEvent {
+                number: 2,
+                event: Some(DiscoveryEvent::Purge {
                     object: None,
                     group: 2,
                     ms: 5,
                 }),
-            )]
+            }]
         } else {
             vec![]
         };
-        anew.send(NewDiscovery {
-            address: b.local_addr().unwrap(),
-            known,
-        })
-        .await
-        .unwrap();
+        reconfigure
+            .send(NewDiscovery {
+                address: b.local_addr().unwrap(),
+                known_events: known,
+            })
+            .await
+            .unwrap();
         let mut groups = Vec::new();
         let mut take = |notice| match notice {
             Some(DiscoveryEvent::Purge { group, .. }) => groups.push(group),
@@ -155,24 +156,30 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (decider, mut notices) = mpsc::channel(64);
-        let (_anew, told) = mpsc::channel(1);
+        let (_reconfigure, reconfigured) = mpsc::channel(1);
         tokio::task::spawn_local(
             Discovery {
                 address,
                 decider,
                 ..discovery(1)
             }
-            .run(told),
+            .run(reconfigured),
         );
         turns().await;
         let (mut stream, _) = listener.accept().unwrap();
         listener.set_nonblocking(true).unwrap();
         for _ in 0..3600 {
             stream.write_all(b"0\n").unwrap();
-            assert!(matches!(noticed(&mut notices).await, DiscoveryEvent::Heard));
+            assert!(matches!(
+                noticed(&mut notices).await,
+                DiscoveryEvent::UpToDate
+            ));
             advance(Duration::from_secs(1)).await;
         }
-        assert!(listener.accept().is_err(), "watched anew in the quiet hour");
+        assert!(
+            listener.accept().is_err(),
+            "watched again in the quiet hour"
+        );
 
         drop(stream);
         let mut tries = 0;
@@ -192,7 +199,7 @@
             }
             advance(STEP).await;
             assert!(
-                back.elapsed() <= PAUSE_MOST + STEP,
+                back.elapsed() <= MAX_PAUSE + STEP,
                 "no watch {:?} after its return",
                 back.elapsed()
             );
@@ -226,8 +233,8 @@
             ..discovery(1)
         };
         let clock = watcher.clock;
-        let (_anew, told) = mpsc::channel(1);
-        spawn_local(watcher.run(told));
+        let (_reconfigure, reconfigured) = mpsc::channel(1);
+        spawn_local(watcher.run(reconfigured));
         let hour_ago = clock.unix_ms(clock.now()) - HOUR_MS;
         let event = |number: u64| {
             format!("{{\"rev\":{number},\"flush\":{{\"collection\":7,\"ms\":{hour_ago}}}}}\n")
@@ -237,7 +244,7 @@
             loop {
                 match notices.recv().await.expect("it goes on") {
                     DiscoveryEvent::Purge { ms, .. } => return ms,
-                    DiscoveryEvent::Heard => {}
+                    DiscoveryEvent::UpToDate => {}
                     _ => panic!("not a purge"),
                 }
             }
--- a/crates/router/src/discovery_events/tests.rs
+++ b/crates/router/src/discovery_events/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-fn places() -> Places {
+fn names() -> DeploymentNames {
     let named = |names: &[&str]| names.iter().map(|n| n.to_string()).collect();
     let (zones, kinds) = (
         named(&["west", "east"]),
         named(&["std", "parent", "origin"]),
     );
-    Places {
+    DeploymentNames {
         zones,
         kinds,
         parent: Some(1),
@@ -14,10 +14,10 @@
     }
 }
 
-fn read(text: &str) -> Result<(u64, Option<DiscoveryEvent>), String> {
-    numbered(
+fn read(text: &str) -> Result<NumberedEvent, EventError> {
+    parse_event(
         &serde_json::from_str(text).unwrap(),
-        &places(),
+        &names(),
         &Clock::start(),
     )
 }
@@ -27,26 +27,33 @@
 
 #[test]
 fn lists_and_purges_are_read() {
-    let (number, Some(DiscoveryEvent::List { whole, members })) = read(HOST).unwrap() else {
+    let NumberedEvent {
+        number,
+        event: Some(DiscoveryEvent::List { whole, servers }),
+    } = read(HOST).unwrap()
+    else {
         panic!("no list")
     };
-    assert_eq!((number, whole, members.len()), (41, true, 1));
-    let (member, dial) = &members[0];
+    assert_eq!((number, whole, servers.len()), (41, true, 1));
+    let DiscoveredServer { member, address } = &servers[0];
     assert_eq!(
         (member.zone, member.tier, member.standing),
         (1, Tier::Parent, Standing::Draining)
     );
     assert_eq!(
-        (member.started, dial.port(), member.capacity),
+        (member.started, address.port(), member.capacity),
         (None, 5050, 4.0)
     );
-    let (_, Some(DiscoveryEvent::Purge { object, group, ms })) =
-        read(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#).unwrap()
+    let Some(DiscoveryEvent::Purge { object, group, ms }) =
+        read(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#)
+            .unwrap()
+            .event
     else {
         panic!("no purge")
     };
     assert_eq!((object.as_deref(), group, ms), (Some("o"), 0, 5));
-    assert!(matches!(read(r#"{"rev":3,"other":{}}"#), Ok((3, None))));
+    let unknown = read(r#"{"rev":3,"other":{}}"#).unwrap();
+    assert!(unknown.number == 3 && unknown.event.is_none());
 }
 
 #[test]
@@ -60,6 +67,9 @@
         (r#"{"flush":{"ms":5}}"#.into(), "rev"),
     ];
     for (text, named) in faulty {
-        assert!(read(&text).unwrap_err().contains(named), "{text}");
+        assert!(
+            read(&text).unwrap_err().to_string().contains(named),
+            "{text}"
+        );
     }
 }
--- /dev/null
+++ b/crates/router/src/local_cache/open.rs
@@ -0,0 +1,212 @@
+//! Opens the local cache as the operator's file has it.
+
+use super::{DISK, LocalCache, MEMORY};
+use crate::boot_time::BootTime;
+use crate::clock::Clock;
+use crate::configuration::Configuration;
+use crate::timestamps::CopyTimes;
+use bytes::Bytes;
+use chalkhall::interface::Class;
+use chalkhall_config::Store as Settings;
+use chalkhall_store::decide::Store;
+use chalkhall_store::decide::disk::{Disk, SEGMENTS_LEAST, Wanted};
+use chalkhall_store::decide::index::Index;
+use chalkhall_store::files::{Directory, Files};
+use chalkhall_store::threads::{self, End, NotTaken, Shelf};
+use std::collections::HashMap;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use thiserror::Error;
+use tokio::sync::mpsc;
+
+/// Memory that the router takes for other things than bodies and cached copies.
+const OTHER_MEMORY: u64 = 8 << 20;
+/// The share of the rest that bodies and cached copies may fill: an allocator needs some for itself.
+const USABLE_SHARE: f64 = 0.75;
+/// An index that holds fewer parts is of no use.
+const MIN_INDEXED_PARTS: u64 = 1000;
+
+/// A local cache that has just been opened.
+pub struct OpenedCache {
+    /// The cache.
+    pub cache: LocalCache,
+    /// With a disk: how its operations end, for [`LocalCache::complete_disk_operation`].
+    pub disk_results: Option<mpsc::Receiver<End>>,
+}
+
+/// Why a local cache cannot be opened as the operator's file has it.
+#[derive(Debug, Error)]
+pub enum LocalCacheError {
+    /// The threads of the disk cannot be started.
+    #[error("store: disk: {0}")]
+    Disk(#[source] std::io::Error),
+    /// A segment is larger than the format on disk allows.
+    #[error("store: segment is too large")]
+    SegmentTooLarge,
+    /// The disk has no room for the segments that are always needed.
+    #[error("store: disk {bytes} bytes is too small: {SEGMENTS_LEAST} segments take {least}")]
+    DiskTooSmall {
+        /// What it has.
+        bytes: u64,
+        /// What it needs.
+        least: u64,
+    },
+    /// The index has no room for enough parts.
+    #[error("store: index-memory {bytes} bytes is too small: it holds {parts} parts")]
+    IndexTooSmall {
+        /// What it has.
+        bytes: u64,
+        /// How many parts that holds.
+        parts: u64,
+    },
+}
+
+/// A disk whose directory is being opened.
+struct OpeningDisk {
+    disk: Disk,
+    threads: threads::Threads,
+    results: mpsc::Receiver<End>,
+}
+
+impl LocalCache {
+    /// Opens the local cache. None: the operator's file turns on neither memory nor disk.
+    ///
+    /// # Errors
+    /// What cannot be opened, and by which directive.
+    pub fn open(
+        settings: &Settings,
+        configuration: &Configuration,
+        clock: Clock,
+    ) -> Result<Option<OpenedCache>, LocalCacheError> {
+        if settings.memory.is_none() && settings.disk.is_none() {
+            return Ok(None);
+        }
+        let limit = configuration.limits.memory;
+        let usable = (limit.saturating_sub(OTHER_MEMORY) as f64 * USABLE_SHARE) as u64;
+        let memory = settings.memory.map(|memory| memory.of(limit).min(usable));
+        let max_memory = memory.unwrap_or(0);
+        let set_back_ms = Arc::new(AtomicU64::new(0));
+        let mut shelf = Shelf::default();
+        let (mut disk, mut disk_results) = (None, None);
+        if let Some((path, bytes)) = &settings.disk {
+            let disk_settings = disk_settings(settings, *bytes, limit, usable)?;
+            let opening = start_disk(settings, path, disk_settings, clock, set_back_ms.clone())?;
+            shelf.threads = Some(opening.threads);
+            disk = Some(opening.disk);
+            disk_results = Some(opening.results);
+        }
+        let disk_bytes = settings.disk.as_ref().map_or(0, |(_, bytes)| *bytes);
+        log::info!(memory_bytes = max_memory, disk_bytes = disk_bytes; "own copies");
+        let seed = configuration.deployment.seed.rotate_left(7);
+        let cache = LocalCache {
+            store: Store::new(max_memory, disk),
+            shelf,
+            clock,
+            copy_times: CopyTimes::default(),
+            set_back_ms,
+            early_purges: Vec::new(),
+            classes: classes(configuration),
+            tiers: [MEMORY.into(), DISK.into()],
+            usable_memory: usable,
+            link_answers: configuration.link_answers.unwrap_or(f64::INFINITY),
+            random: fastrand::Rng::with_seed(seed),
+            waiting_reads: HashMap::new(),
+        };
+        Ok(Some(OpenedCache {
+            cache,
+            disk_results,
+        }))
+    }
+}
+
+/// The classes of requests, with their names.
+fn classes(configuration: &Configuration) -> Vec<(Bytes, Class)> {
+    let names = configuration.classes.iter();
+    let names = names.map(|name| Bytes::copy_from_slice(name.as_bytes()));
+    let classes = configuration.deployment.classes.iter().cloned();
+    names.zip(classes).collect()
+}
+
+/// Starts the threads of the disk, which open its directory. `set_back_ms` takes by how much the clock was
+/// set back, once that is known.
+fn start_disk(
+    settings: &Settings,
+    path: &Path,
+    disk_settings: Wanted,
+    clock: Clock,
+    set_back_ms: Arc<AtomicU64>,
+) -> Result<OpeningDisk, LocalCacheError> {
+    let (path, boot): (PathBuf, _) = (path.to_owned(), BootTime::read(&clock));
+    let open_directory = move || {
+        let directory = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
+        // The directory may be opened again after it failed; what was found out first stays so.
+        let set_back = boot.as_ref().map_or(0, |boot| set_back_by(boot, &path));
+        set_back_ms.fetch_max(set_back, Ordering::Release);
+        Ok(Arc::new(directory) as Arc<dyn Files>)
+    };
+    let number = fastrand::u64(1..);
+    let started = threads::start(open_directory, number, settings.readers);
+    let (threads, results) = started.map_err(LocalCacheError::Disk)?;
+    let now = clock.now();
+    Ok(OpeningDisk {
+        disk: Disk::new(disk_settings, now, clock.unix_ms(now)),
+        threads,
+        results,
+    })
+}
+
+/// By how much the wall clock was set back since an earlier start that used this directory, in milliseconds.
+fn set_back_by(boot: &BootTime, directory: &Path) -> u64 {
+    let (set_back, recorded) = boot.set_back_by(directory);
+    if set_back > 0 {
+        log::warn!(
+            set_back_ms = set_back;
+            "store: the clock was set back since an earlier start: its copies are revalidated first"
+        );
+    }
+    if let Err(error) = recorded {
+        let directory = directory.display();
+        log::warn!("store: {directory}: a later step of the clock may not be seen: {error}");
+    }
+    set_back
+}
+
+fn disk_settings(
+    settings: &Settings,
+    bytes: u64,
+    limit: u64,
+    usable: u64,
+) -> Result<Wanted, LocalCacheError> {
+    let segment = u32::try_from(settings.segment).map_err(|_| LocalCacheError::SegmentTooLarge)?;
+    let least = settings.segment * SEGMENTS_LEAST as u64;
+    if bytes < least {
+        return Err(LocalCacheError::DiskTooSmall { bytes, least });
+    }
+    let index = settings.index.of(limit).min(usable / 2);
+    let parts = Index::parts_most(index);
+    if parts < MIN_INDEXED_PARTS {
+        return Err(LocalCacheError::IndexTooSmall {
+            bytes: index,
+            parts,
+        });
+    }
+    log::info!(index_bytes = index, parts_at_most = parts; "store: index");
+    Ok(Wanted {
+        bytes,
+        segment,
+        index,
+        write_rate: settings.write_rate,
+        write_day: settings.write_day,
+        least_fresh: settings.least_fresh,
+        carry: settings.carry,
+        sync_after: settings.sync_after,
+        sync_bytes: settings.sync_bytes,
+        known_purges: settings.known_purges,
+        revalidate: settings.revalidate,
+        read_ahead: settings.read_ahead,
+        scrub: settings.scrub,
+        yield_over: settings.yield_over,
+        admit_all: false,
+    })
+}
--- a/crates/router/src/logging.rs
+++ b/crates/router/src/logging.rs
@@ -1,16 +1,15 @@
-//! Where log lines go and how they look: one event a line, with fields, as text or as JSON, on standard
-//! error.
+//! Sets up logging: one event a line, with fields, as text or as JSON, on standard error.
 
 use chalkhall_config::{Log, LogFormat};
 use structured_logger::json::new_writer;
 
-/// Begins logging; once in a process. `RUST_LOG` goes before what the operator's file says.
-pub fn begin(told: &Log) {
+/// Starts logging; once in a process. `RUST_LOG` takes precedence over the operator's file.
+pub fn init(settings: &Log) {
     let level = std::env::var("RUST_LOG")
         .ok()
-        .or_else(|| told.level.clone());
+        .or_else(|| settings.level.clone());
     let level = level.unwrap_or_else(|| "info".to_owned());
-    match told.format {
+    match settings.format {
         LogFormat::Text => env_logger::Builder::new().parse_filters(&level).init(),
         LogFormat::Json => {
             structured_logger::Builder::with_level(&level)
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -6,8 +6,8 @@
 
 /// One chalkhall router on real sockets.
 ///
-/// It is told by the environment: ROUTER_CONFIG is the path of a JSON file; ROUTER_NAME and ROUTER_LISTEN go
-/// before its `name` and `listen`. SIGTERM drains and ends it, SIGHUP reads the file anew.
+/// It is configured by the environment: ROUTER_CONFIG is the path of a JSON file; ROUTER_NAME and ROUTER_LISTEN
+/// take precedence over its `name` and `listen`. SIGTERM drains and ends it, SIGHUP reloads the file.
 ///
 /// Exit codes: 0 after SIGTERM; 1 where it could not start, with one line that names what is at fault; 2 for
 /// arguments that make no sense.
@@ -22,21 +22,21 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let file = arguments.directives;
-    let (told, faults) = file
+    let (directives, faults) = file
         .as_deref()
         .map(chalkhall_config::read)
         .unwrap_or_default();
     if !faults.is_empty() {
-        faults
-            .iter()
-            .for_each(|fault| eprintln!("chalkhall-router: {fault}"));
+        for fault in faults {
+            eprintln!("chalkhall-router: {fault}");
+        }
         return ExitCode::FAILURE;
     }
-    chalkhall_router::logging::begin(&told.log);
-    match chalkhall_router::serve(told, file) {
+    chalkhall_router::logging::init(&directives.log);
+    match chalkhall_router::serve(directives, file) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("chalkhall-router: {what}");
+        Err(error) => {
+            eprintln!("chalkhall-router: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/router/src/tests.rs
+++ b/crates/router/src/shutdown/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
+use crate::lifecycle::Phase;
 use std::future::pending;
+use tokio::task::{LocalSet, spawn_local};
 use tokio::time::advance;
 
 /// With a longest deadline of 0.4 s a kill may come 1.1 s after the request to stop, and draining lasts up to
--- /dev/null
+++ b/crates/router/src/startup.rs
@@ -0,0 +1,351 @@
+//! Starts a router step by step, and runs it until it has ended.
+
+use crate::cell_routing::CellRouting;
+use crate::client_connection::ClientFrontend;
+use crate::clock::Clock;
+use crate::configuration::Configuration;
+use crate::decider::{Decider, Gossip, Subsystems};
+use crate::discovery::{Discovery, NewDiscovery};
+use crate::discovery_events::DiscoveryEvent;
+use crate::error::RouterError;
+use crate::gossip_socket::{self, GossipSender};
+use crate::latency_probes::{self, Probe};
+use crate::lifecycle::Phase;
+use crate::local_cache::{LocalCache, OpenedCache};
+use crate::messages::Message;
+use crate::reload::{ConfigurationReloader, read_configuration};
+use crate::timestamps::EventTimes;
+use crate::zone_failover::ZoneFailover;
+use crate::{control_socket, discovery, listener, shutdown};
+use chalkhall::interface::Deployment;
+use chalkhall_config::Told as Directives;
+use chalkhall_gossip::{About, Talk, To};
+use chalkhall_store::threads::End;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::UdpSocket;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::{mpsc, watch};
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::Instant;
+
+/// Messages waiting for the decider. Who brings more waits, and reads nothing meanwhile.
+const MAX_MESSAGES: usize = 256;
+/// Events of discovery waiting for the decider; discovery is read no further meanwhile.
+const MAX_EVENTS: usize = 64;
+
+/// Starts a router, and runs it until it has ended.
+///
+/// # Errors
+/// Why it could not start, or what ended it before its time.
+pub async fn run(
+    clock: Clock,
+    directives: Directives,
+    file: Option<PathBuf>,
+) -> Result<(), RouterError> {
+    // Before all else: by default either signal ends the program where it stands.
+    let signals = Signals::install()?;
+    let mut configuration = read_configuration(&clock)?;
+    let (phase_sender, phase) = watch::channel(Phase::Starting);
+    let (decider, mailbox) = mpsc::channel(MAX_MESSAGES);
+
+    let (subsystems, tasks) = open_subsystems(clock, &directives, &configuration, &decider).await?;
+    let mut decisions = Decider::start(
+        clock,
+        &configuration.deployment,
+        configuration.limits.clone(),
+        phase_sender.clone(),
+        decider.clone(),
+        subsystems,
+    );
+    let frontend = client_frontend(&configuration, clock, &decisions);
+    // The list comes before the first request.
+    let event_times = apply_known_events(&mut configuration, &mut decisions, clock);
+
+    let socket = bind_listener(&configuration).await?;
+    let control_socket = open_control_socket(&directives)?;
+    let (events_sender, events) = mpsc::channel(MAX_EVENTS);
+    let decisions = spawn_local(async move {
+        decisions.run(mailbox, events).await;
+        Instant::now()
+    });
+    let discovery = start_discovery(&configuration, clock, event_times, events_sender.clone());
+    spawn_local(shutdown::forward_stop_signals(
+        signals.stop,
+        decider.clone(),
+    ));
+    phase_sender.send_replace(Phase::Serving);
+    drop(phase_sender);
+    log::info!("{} serves on {}", configuration.name, configuration.listen);
+
+    let disk = tasks.start(&configuration, &decider);
+    if let Some(control_socket) = control_socket {
+        spawn_local(control_socket::run(control_socket, decider.clone()));
+    }
+    // Clients hold a third of the descriptors at most; a few more may be on their way out.
+    let max_clients = configuration.limits.sockets / 3;
+    let name = configuration.name.clone();
+    let reloader = ConfigurationReloader::new(configuration, file, clock, discovery, events_sender);
+    spawn_local(reloader.run(signals.reload));
+
+    listener::run(socket, max_clients, frontend, decider, phase).await;
+    shutdown::finish(decisions, disk).await?;
+    log::info!("{name} ended");
+    Ok(())
+}
+
+/// The signals that the router handles.
+struct Signals {
+    /// SIGTERM.
+    stop: Signal,
+    /// SIGHUP.
+    reload: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Signals, RouterError> {
+        Ok(Signals {
+            stop: signal(SignalKind::terminate())?,
+            reload: signal(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// What the tasks beside the decider need to start.
+struct SubsystemTasks {
+    /// The task that hands on how the disk's operations end.
+    disk: Option<JoinHandle<()>>,
+    gossip_socket: Option<UdpSocket>,
+    outgoing: mpsc::Receiver<(To, Vec<u8>)>,
+    probes: mpsc::Receiver<Probe>,
+}
+
+impl SubsystemTasks {
+    /// Starts the tasks of gossip and probes. Returns the disk's.
+    fn start(
+        self,
+        configuration: &Configuration,
+        decider: &mpsc::Sender<Message>,
+    ) -> Option<JoinHandle<()>> {
+        let peers = configuration.peers.clone();
+        if let Some((socket, peers)) = self.gossip_socket.zip(peers) {
+            let run = gossip_socket::run(socket, peers, self.outgoing, decider.clone());
+            spawn_local(run);
+        }
+        spawn_local(latency_probes::run(self.probes, decider.clone()));
+        self.disk
+    }
+}
+
+/// Opens what the operator's file turns on beside the decisions.
+async fn open_subsystems(
+    clock: Clock,
+    directives: &Directives,
+    configuration: &Configuration,
+    decider: &mpsc::Sender<Message>,
+) -> Result<(Subsystems, SubsystemTasks), RouterError> {
+    let (local_cache, disk) = open_local_cache(clock, directives, configuration, decider)?;
+    let cell_routing = open_cell_routing(directives, configuration)?;
+    let talk = start_gossip(clock, directives, configuration);
+    let (sender, outgoing) = gossip_socket::saying();
+    let is_gossip_wanted = talk.is_some() || directives.regions.in_common;
+    let gossip_socket = match &configuration.peers {
+        Some(peers) if is_gossip_wanted => gossip_socket::bind(peers).await,
+        _ => None,
+    };
+    if directives.regions.in_common && gossip_socket.is_none() {
+        log::warn!(
+            "regions: the platform lets routers not talk; each decides by what it sees itself"
+        );
+    }
+    let (probe_sender, probes) = mpsc::channel(latency_probes::PROBES_MOST);
+    let mut subsystems = Subsystems {
+        local_cache,
+        cell_routing,
+        gossip: None,
+        zone_failover: None,
+    };
+    if gossip_socket.is_some() {
+        let for_gossip = sender.clone();
+        subsystems.gossip = talk.map(|talk| Gossip {
+            talk,
+            sender: for_gossip,
+        });
+        subsystems.zone_failover =
+            open_zone_failover(clock, directives, configuration, sender, probe_sender)?;
+    }
+    let tasks = SubsystemTasks {
+        disk,
+        gossip_socket,
+        outgoing,
+        probes,
+    };
+    Ok((subsystems, tasks))
+}
+
+/// Opens the local cache, and starts the task that hands on how the operations of its disk end.
+fn open_local_cache(
+    clock: Clock,
+    directives: &Directives,
+    configuration: &Configuration,
+    decider: &mpsc::Sender<Message>,
+) -> Result<(Option<LocalCache>, Option<JoinHandle<()>>), RouterError> {
+    let Some(opened) = LocalCache::open(&directives.store, configuration, clock)? else {
+        return Ok((None, None));
+    };
+    let OpenedCache {
+        cache,
+        disk_results,
+    } = opened;
+    let disk = disk_results.map(|results| spawn_local(forward_disk(results, decider.clone())));
+    Ok((Some(cache), disk))
+}
+
+/// Hands on how the operations of the disk end, until its threads have ended.
+async fn forward_disk(mut results: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
+    while let Some(end) = results.recv().await {
+        let _ = decider.send(Message::Disk(end)).await;
+    }
+}
+
+fn open_cell_routing(
+    directives: &Directives,
+    configuration: &Configuration,
+) -> Result<Option<CellRouting>, RouterError> {
+    let deployment = &configuration.deployment;
+    Ok(CellRouting::new(
+        &directives.cells,
+        &configuration.classes,
+        deployment.zone,
+        !deployment.customers.is_empty(),
+        longest_request(deployment),
+        deployment.seed,
+    )?)
+}
+
+/// The longest that a request, or what remembers its repetitions, lasts.
+fn longest_request(deployment: &Deployment) -> Duration {
+    let classes = deployment.classes.iter();
+    let longest = classes.map(|class| class.deadline.max(class.window)).max();
+    longest.unwrap_or_default()
+}
+
+/// The gossip with the routers of the zone, where it is turned on and there are any.
+fn start_gossip(
+    clock: Clock,
+    directives: &Directives,
+    configuration: &Configuration,
+) -> Option<Talk> {
+    if configuration.peers.is_none() || !directives.peers.tell {
+        return None;
+    }
+    let deployment = &configuration.deployment;
+    let zone = deployment.zone;
+    let about = About {
+        number: deployment.number,
+        routers: deployment.routers,
+        zone,
+        routers_here: deployment.routers_at.get(zone).copied().unwrap_or(0),
+        seed: deployment.seed,
+    };
+    let mut talk = Talk::start(clock.now(), about)?;
+    if directives.peers.even_load {
+        talk.even_load();
+    }
+    Some(talk)
+}
+
+fn open_zone_failover(
+    clock: Clock,
+    directives: &Directives,
+    configuration: &Configuration,
+    sender: GossipSender,
+    probes: mpsc::Sender<Probe>,
+) -> Result<Option<ZoneFailover>, RouterError> {
+    Ok(ZoneFailover::new(
+        clock,
+        &directives.regions,
+        &configuration.deployment,
+        &configuration.names.zones,
+        sender,
+        probes,
+    )?)
+}
+
+fn client_frontend(
+    configuration: &Configuration,
+    clock: Clock,
+    decisions: &Decider,
+) -> Rc<ClientFrontend> {
+    Rc::new(ClientFrontend {
+        classes: configuration.classes.clone(),
+        tenants: configuration.tenants.clone(),
+        kb_per_s: configuration.deployment.client_kb_per_s,
+        advice: decisions.retry_after(),
+        clock,
+    })
+}
+
+/// Applies the events that the configuration holds. Returns what bounds the stamps of those that follow.
+fn apply_known_events(
+    configuration: &mut Configuration,
+    decisions: &mut Decider,
+    clock: Clock,
+) -> EventTimes {
+    let mut event_times = EventTimes::new(clock);
+    for known in std::mem::take(&mut configuration.known_events) {
+        if let Some(mut event) = known.event {
+            event_times.bound(&mut event);
+            decisions.apply_discovery_event(event);
+        }
+    }
+    event_times
+}
+
+async fn bind_listener(
+    configuration: &Configuration,
+) -> Result<tokio::net::TcpListener, RouterError> {
+    let address = configuration.listen;
+    let bound = listener::bind(address).await;
+    bound.map_err(|source| RouterError::Listen { address, source })
+}
+
+fn open_control_socket(
+    directives: &Directives,
+) -> Result<Option<control_socket::ControlSocket>, RouterError> {
+    let Some(path) = &directives.control else {
+        return Ok(None);
+    };
+    match control_socket::listen(path) {
+        Ok(socket) => Ok(Some(socket)),
+        Err(source) => Err(RouterError::ControlSocket {
+            path: path.clone(),
+            source,
+        }),
+    }
+}
+
+/// Starts to follow discovery. Returns where a new configuration of it goes.
+fn start_discovery(
+    configuration: &Configuration,
+    clock: Clock,
+    event_times: EventTimes,
+    decider: mpsc::Sender<DiscoveryEvent>,
+) -> mpsc::Sender<NewDiscovery> {
+    let (reconfigure, reconfigured) = mpsc::channel(1);
+    let address = configuration.discovery;
+    let discovery = Discovery {
+        address,
+        last_event: configuration.last_event,
+        unreadable_event: None,
+        names: configuration.names.clone(),
+        clock,
+        event_times,
+        decider,
+        random: fastrand::Rng::with_seed(configuration.deployment.seed),
+        spare_socket: discovery::socket(address).ok(),
+    };
+    spawn_local(discovery.run(reconfigured));
+    reconfigure
+}
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -1,9 +1,9 @@
-//! Bounds the Unix times in discovery's events and in copies by what the monotonic clock proves.
+//! Bounds the timestamps in discovery's events and in copies by what the monotonic clock proves.
 //!
-//! Wall clocks are stepped, this machine's and those of the machines that stamp. A stamp therefore counts only
-//! within the span in which its event can have happened; one outside that span says nothing, and the latest
-//! moment possible, the arrival, takes its place: a server that started later is colder, and a purge that was
-//! made later reaches more copies.
+//! Wall clocks are stepped, this machine's and others'. A timestamp therefore counts only within the span in
+//! which its event can have happened. One outside that span says nothing, and the latest possible moment, the
+//! arrival, takes its place: a server that started later is earlier in its slow start, and a later purge
+//! reaches more copies.
 
 use crate::clock::Clock;
 use crate::discovery_events::DiscoveryEvent;
@@ -11,9 +11,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Starts that are remembered; past them those of servers that have left the list are forgotten.
-const STARTS_MOST: usize = 8192;
-/// A stamp this far in the future is an ordinary difference between two clocks.
+/// Starts that are remembered; past that, those of servers that have left the list are forgotten.
+const MAX_STARTS: usize = 8192;
+/// A timestamp this far in the future is an ordinary difference between two clocks.
 const SKEW_MS: u64 = 50;
 /// What shows that the origin's clock is ahead counts for one to two of these.
 const LEAD_WINDOW: Duration = Duration::from_secs(60);
@@ -21,7 +21,7 @@
 /// What is known of when the next event can have happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// Discovery was not heard yet to have nothing newer: nothing says how old its events are.
+    /// Discovery has not yet said that it has nothing newer: its events may be of any age.
     Startup,
     /// It had nothing newer at this moment, on the connection that is open.
     Live(Duration),
@@ -29,14 +29,16 @@
     Replayed,
 }
 
-/// A server's last start: as it was stamped, and as it counts.
+/// A server's last start.
 struct Start {
+    /// As it was received.
     stamp: Duration,
+    /// As it counts.
     counted: Duration,
     is_listed: bool,
 }
 
-/// Bounds the stamps of discovery's events, in their order.
+/// Bounds the timestamps of discovery's events, in their order.
 pub struct EventTimes {
     clock: Clock,
     evidence: Evidence,
@@ -44,7 +46,7 @@
 }
 
 impl EventTimes {
-    /// At the start of the router, before anything was heard.
+    /// At the start of the router, before anything was received.
     pub fn new(clock: Clock) -> EventTimes {
         EventTimes {
             clock,
@@ -53,38 +55,38 @@
         }
     }
 
-    /// Discovery says that it has nothing newer than what it told.
+    /// Discovery says that it has nothing newer than what it has sent.
     pub fn nothing_newer(&mut self) {
         self.evidence = Evidence::Live(self.clock.now());
     }
 
-    /// What comes next was told on another connection or by a file: it may have happened some time ago.
+    /// What comes next is of another connection or of a file: it may have happened some time ago.
     pub fn interrupted(&mut self) {
         if self.evidence != Evidence::Startup {
             self.evidence = Evidence::Replayed;
         }
     }
 
-    /// Bounds the stamps of an event that arrives now.
-    pub fn bound(&mut self, notice: &mut DiscoveryEvent) {
+    /// Bounds the timestamps of an event that arrives now.
+    pub fn bound(&mut self, event: &mut DiscoveryEvent) {
         let now = self.clock.now();
-        match notice {
-            DiscoveryEvent::List { whole, members } => {
+        match event {
+            DiscoveryEvent::List { whole, servers } => {
                 if *whole {
                     self.starts
                         .values_mut()
                         .for_each(|start| start.is_listed = false);
                 }
-                members
-                    .iter_mut()
-                    .for_each(|(member, _)| self.bound_start(now, member));
+                for server in servers {
+                    self.bound_start(now, &mut server.member);
+                }
             }
             DiscoveryEvent::Purge { ms, .. } => {
                 if !self.is_possible(now, self.clock.at_unix_ms(*ms)) {
                     *ms = self.clock.unix_ms(now);
                 }
             }
-            DiscoveryEvent::Drained(_) | DiscoveryEvent::Heard | DiscoveryEvent::Cells(_) => {}
+            DiscoveryEvent::Drained(_) | DiscoveryEvent::UpToDate | DiscoveryEvent::Cells(_) => {}
         }
     }
 
@@ -95,7 +97,7 @@
         }
     }
 
-    /// A start that was told before counts as it did then: only a new stamp tells of a new start.
+    /// A start that was received before counts as it did then: only a new timestamp is a new start.
     fn bound_start(&mut self, now: Duration, member: &mut Member) {
         let is_listed = member.standing != Standing::Gone;
         let Some(stamp) = member.started else {
@@ -103,7 +105,7 @@
             return;
         };
         let possible = self.is_possible(now, stamp);
-        if self.starts.len() >= STARTS_MOST && !self.starts.contains_key(&member.server) {
+        if self.starts.len() >= MAX_STARTS && !self.starts.contains_key(&member.server) {
             self.starts.retain(|_, start| start.is_listed);
         }
         let counted = if possible { stamp } else { now };
@@ -128,11 +130,11 @@
     }
 }
 
-/// Bounds the times at which copies were made, as their servers tell them.
+/// Bounds the times at which copies were created, as their servers send them.
 ///
-/// A copy cannot have been made after it arrived: by as much as its stamp lies in the future, the clock that
-/// stamps is ahead at least, and stamps that follow are taken back by as much. A stamp that is too old needs no
-/// bound: the copy only counts as older than it is.
+/// A copy cannot have been created after it arrived: by as much as its timestamp is in the future, the clock of
+/// the server is ahead at least, and later timestamps are corrected by as much. A timestamp that is too old
+/// needs no bound: the copy only counts as older than it is.
 #[derive(Debug, Default)]
 pub struct CopyTimes {
     /// When the current window began, and the lead seen in it and in the one before.
@@ -142,8 +144,8 @@
 }
 
 impl CopyTimes {
-    /// When a copy that arrives now was made at the latest, in Unix milliseconds of this router's clock. None:
-    /// nothing says how old it is.
+    /// When a copy that arrives now was created at the latest, in Unix milliseconds of this router's clock.
+    /// None: its age is not known.
     pub fn bound(&mut self, clock: &Clock, made: u64) -> Option<u64> {
         let now = clock.now();
         if now >= self.window + LEAD_WINDOW {
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::discovery_events::DiscoveredServer;
 use tokio::time::advance;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -24,7 +25,13 @@
     let dial = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     DiscoveryEvent::List {
         whole,
-        members: entries.iter().map(|entry| (member(entry), dial)).collect(),
+        servers: entries
+            .iter()
+            .map(|entry| DiscoveredServer {
+                member: member(entry),
+                address: dial,
+            })
+            .collect(),
     }
 }
 
@@ -36,14 +43,14 @@
 ) -> Option<Duration> {
     times.bound(&mut notice);
     times.passed();
-    let DiscoveryEvent::List { members, .. } = notice else {
+    let DiscoveryEvent::List { servers, .. } = notice else {
         panic!("no list")
     };
     assert!(
-        members[0].0.started.is_none_or(|at| at <= clock.now()),
+        servers[0].member.started.is_none_or(|at| at <= clock.now()),
         "a start in the future"
     );
-    members[0].0.started.map(|at| clock.now() - at)
+    servers[0].member.started.map(|at| clock.now() - at)
 }
 
 fn started(clock: &Clock, stamp: u64) -> DiscoveryEvent {
@@ -187,7 +194,7 @@
 async fn starts_of_servers_that_have_left_are_forgotten_past_the_bound() {
     let (clock, mut times) = event_times();
     times.nothing_newer();
-    for number in 0..STARTS_MOST * 2 {
+    for number in 0..MAX_STARTS * 2 {
         let name = format!("c{number}");
         let stamp = now_ms(&clock);
         times.bound(&mut list(
@@ -197,7 +204,7 @@
         ));
         times.bound(&mut list(&clock, false, &[(&name, stamp, Standing::Gone)]));
     }
-    assert!(times.starts.len() <= STARTS_MOST, "{}", times.starts.len());
+    assert!(times.starts.len() <= MAX_STARTS, "{}", times.starts.len());
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -1,201 +1,280 @@
-//! What is decided in common with the routers of all zones, as the decider uses it: the list as places,
-//! a request's zone, what outcomes say of the own caches, words and probes. Nothing is decided here.
+//! Failover between zones, decided together with the routers of all zones, as the decider uses it: the capacity
+//! of each zone by the list, a request's zone, the health of the local caches, gossip and latency probes.
+//! Nothing is decided here.
 
 use crate::clock::Clock;
 use crate::gossip_socket::GossipSender;
 use crate::latency_probes::Probe;
 use chalkhall::control::Router;
 use chalkhall::interface::{
-    Arrival, ColdStart, Deployment, Effect, Id, Member, Outcome, Remark, Standing, Tier,
+    Arrival, Class, ColdStart, Deployment, Effect, Id, Member, Outcome, Remark, Standing, Tier,
 };
-use chalkhall_config::Regions as Wishes;
+use chalkhall_config::Regions as Settings;
 use chalkhall_failover::{About, Place, Regions, Where};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Most samples that one observation may stand for.
-const OBSERVED_MOST: u32 = 1_000_000;
+/// The most samples that one observation of an operator may stand for.
+const MAX_OBSERVED_SAMPLES: u32 = 1_000_000;
 
+/// What a class of requests has to do with other zones.
+#[derive(Clone, Copy, Default)]
+struct ClassPolicy {
+    /// Its requests may be served by another zone: a cache answers them, and they may run again.
+    may_leave_zone: bool,
+    latency_objective: Duration,
+    /// What it is worth to serve one of its requests.
+    value: f64,
+}
+
+/// What was logged last: again only when it changes.
+#[derive(Clone, Copy, Default, PartialEq)]
+struct LoggedState {
+    plan_number: u32,
+    is_zone_bad: bool,
+}
+
+/// Failover between zones.
 pub struct ZoneFailover {
     regions: Regions,
-    saying: GossipSender,
+    sender: GossipSender,
+    /// Latency probes to other zones, where they are turned on.
     probes: Option<mpsc::Sender<Probe>>,
+    /// The names of the zones, by index.
     names: Vec<String>,
     /// By zone: the name of its region.
     region_of: Vec<Option<String>>,
+    /// The index of this router's zone.
     zone: usize,
     number: u64,
-    cold: ColdStart,
+    slow_start: ColdStart,
     pass_through: bool,
-    pace: f64,
-    /// By class: it may go elsewhere, its soft deadline, what it is worth.
-    classes: Vec<(bool, Duration, f64)>,
-    /// The plan's number that was logged last, and whether home was bad.
-    logged: (u32, bool),
+    client_kb_per_s: f64,
+    classes: Vec<ClassPolicy>,
+    logged: LoggedState,
 }
 
-/// Which of the named zones there are.
+/// The operator's file names a zone that the settings do not have.
+#[derive(Debug, Error)]
+#[error("regions: {0} is not a zone")]
+pub struct UnknownZone(pub String);
+
+/// No zone has capacity for a request.
+#[derive(Debug)]
+pub struct NoCapacity;
+
+/// The least rate of a client, which is divided by.
+const MIN_CLIENT_KB_PER_S: f64 = 1e-9;
+
+/// The indices of the named zones.
 ///
 /// # Errors
 /// Names one that there is not.
-pub fn places(names: &[String], wished: &[String]) -> Result<Vec<usize>, String> {
+pub fn zone_indices(names: &[String], wanted: &[String]) -> Result<Vec<usize>, UnknownZone> {
     let place = |name: &String| {
         names
             .iter()
             .position(|known| known == name)
-            .ok_or_else(|| format!("regions: {name} is not a zone"))
+            .ok_or_else(|| UnknownZone(name.clone()))
     };
-    wished.iter().map(place).collect()
+    wanted.iter().map(place).collect()
+}
+
+/// The region of each zone, where the operator's file names one.
+fn regions_of_zones(
+    settings: &Settings,
+    names: &[String],
+) -> Result<Vec<Option<String>>, UnknownZone> {
+    let mut region_of = vec![None; names.len()];
+    for (region, zones) in &settings.regions {
+        for zone in zone_indices(names, zones)? {
+            region_of[zone] = Some(region.clone());
+        }
+    }
+    Ok(region_of)
+}
+
+/// Starts the decisions. None: this router has to decide alone.
+fn start_regions(
+    clock: Clock,
+    settings: &Settings,
+    deployment: &Deployment,
+    zone_count: usize,
+) -> Option<Regions> {
+    let number = u16::try_from(deployment.number);
+    let zone = u8::try_from(deployment.zone);
+    let (Ok(number), Ok(zone)) = (number, zone) else {
+        log::warn!("regions: this router's number or zone does not fit; it decides alone");
+        return None;
+    };
+    let now = clock.now();
+    let about = About {
+        number,
+        routers: deployment.routers,
+        place: zone,
+        places: zone_count,
+        // Tenths of a second, of which 32 bits overflow after thirteen years.
+        incarnation: (clock.unix_ms(now) / 100) as u32,
+        seed: deployment.seed,
+        abroad: settings.abroad,
+    };
+    let regions = Regions::start(now, about);
+    if regions.is_none() {
+        log::warn!("regions: there is nobody to talk to; this router decides alone");
+    }
+    regions
+}
+
+fn class_policy(class: &Class) -> ClassPolicy {
+    ClassPolicy {
+        may_leave_zone: class.effect == Effect::Idempotent && class.cacheable,
+        latency_objective: class.soft_deadline,
+        value: class.value,
+    }
 }
 
 impl ZoneFailover {
-    /// None: it is off, or there is nobody to talk to.
+    /// Failover as the operator's file has it. None: it is off, or there are no other routers.
     ///
     /// # Errors
-    /// What is told makes no sense here.
+    /// The operator's file names a zone that is none.
     pub fn new(
         clock: Clock,
-        wishes: &Wishes,
+        settings: &Settings,
         deployment: &Deployment,
         names: &[String],
-        saying: GossipSender,
+        sender: GossipSender,
         probes: mpsc::Sender<Probe>,
-    ) -> Result<Option<ZoneFailover>, String> {
-        if !wishes.in_common {
+    ) -> Result<Option<ZoneFailover>, UnknownZone> {
+        if !settings.in_common {
             return Ok(None);
         }
-        let drained = places(names, &wishes.drained)?;
-        let mut region_of = vec![None; names.len()];
-        for (region, zones) in &wishes.regions {
-            for place in places(names, zones)? {
-                region_of[place] = Some(region.clone());
-            }
-        }
-        let (Ok(number), Ok(place)) = (
-            u16::try_from(deployment.number),
-            u8::try_from(deployment.zone),
-        ) else {
-            log::warn!("regions: this router's number or zone does not fit; it decides alone");
-            return Ok(None);
-        };
-        let now = clock.now();
-        let about = About {
-            number,
-            routers: deployment.routers,
-            place,
-            places: names.len(),
-            // Tenths of a second, of which 32 bits go round in thirteen years.
-            incarnation: (clock.unix_ms(now) / 100) as u32,
-            seed: deployment.seed,
-            abroad: wishes.abroad,
-        };
-        let Some(mut regions) = Regions::start(now, about) else {
-            log::warn!("regions: there is nobody to talk to; this router decides alone");
+        let drained = zone_indices(names, &settings.drained)?;
+        let region_of = regions_of_zones(settings, names)?;
+        let Some(mut regions) = start_regions(clock, settings, deployment, names.len()) else {
             return Ok(None);
         };
         regions.drain(&drained);
-        // What may run again, and what a cache answers.
-        let may = |c: &chalkhall::interface::Class| c.effect == Effect::Idempotent && c.cacheable;
-        let classes = deployment
-            .classes
-            .iter()
-            .map(|c| (may(c), c.soft_deadline, c.value))
-            .collect();
-        let (abroad, measure) = (wishes.abroad, wishes.measure);
+        let (abroad, measure) = (settings.abroad, settings.measure);
         log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
         Ok(Some(ZoneFailover {
             regions,
-            saying,
-            probes: wishes.measure.then_some(probes),
+            sender,
+            probes: settings.measure.then_some(probes),
             names: names.to_vec(),
             region_of,
             zone: deployment.zone,
             number: deployment.number,
-            cold: deployment.cold_cache,
+            slow_start: deployment.cold_cache,
             pass_through: deployment.pass_through,
-            pace: deployment.client_kb_per_s.max(1e-9),
-            classes,
-            logged: (0, false),
+            client_kb_per_s: deployment.client_kb_per_s.max(MIN_CLIENT_KB_PER_S),
+            classes: deployment.classes.iter().map(class_policy).collect(),
+            logged: LoggedState::default(),
         }))
     }
 
+    /// When there is work to do next.
     pub fn next_wakeup(&self) -> Duration {
         self.regions.next()
     }
 
-    pub fn drain_zones(&mut self, places: &[usize]) {
-        self.regions.drain(places);
+    /// The operator's file drains these zones, and no others.
+    pub fn drain_zones(&mut self, zones: &[usize]) {
+        self.regions.drain(zones);
     }
 
+    /// Takes in a datagram of another router. False: it is not about failover.
     pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         self.regions.heard(now, from, bytes)
     }
 
+    /// A latency probe to a zone has come back after so long; none: it has not.
     pub fn record_latency(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
         self.regions.model().saw(now, edge, round_trip);
-        // From the own caches nothing came back: so silence shows, where requests only grow late.
+        // The local caches do not answer: silence shows by this, while requests only become late.
         if edge == self.zone && round_trip.is_none() {
             self.regions.saw(now, false);
         }
     }
 
-    /// Tells, decides, measures. `dial`: where a server is reached.
+    /// Does what is due: gossip, decisions, latency probes. `address`: where a server is reached.
     pub fn tick(
         &mut self,
         now: Duration,
         router: &Router,
-        dial: impl Fn(&Id) -> Option<SocketAddr>,
+        address: impl Fn(&Id) -> Option<SocketAddr>,
     ) {
-        let mut places = vec![Place::default(); self.names.len()];
+        let mut capacities = vec![Place::default(); self.names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
-        for member in router
-            .members()
-            .filter(|m| m.tier == Tier::Cache && m.standing == Standing::Active)
-        {
-            let Some(place) = places.get_mut(member.zone) else {
+        let is_active =
+            |member: &&Member| member.tier == Tier::Cache && member.standing == Standing::Active;
+        for member in router.members().filter(is_active) {
+            let Some(capacity) = capacities.get_mut(member.zone) else {
                 continue;
             };
-            let age = member
-                .started
-                .map(|at| now.saturating_sub(at).as_secs_f64());
-            let within = self.cold.warm_within.as_secs_f64().max(1e-9);
-            let warmth = age.map_or(1.0, |age| (age / within).min(1.0));
-            place.capacity += member.capacity;
-            place.present += member.capacity * (self.cold.from + (1.0 - self.cold.from) * warmth);
-            place.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
+            self.add_capacity(now, member, capacity);
             caches.entry(member.zone).or_default().push(member);
         }
-        self.regions.list(&places);
-        self.regions.tick(now, &mut self.saying);
-        if let Some(probes) = &self.probes {
-            for edge in self.regions.to_measure(now) {
-                // Which of an edge's caches: another one for each router that measures it.
-                let of = caches.get(&edge).filter(|of| !of.is_empty());
-                let server = of.map(|of| of[(self.number as usize) % of.len()]);
-                if let Some(dial) = server.and_then(|server| dial(&server.server)) {
-                    let _ = probes.try_send(Probe { edge, dial });
-                }
+        self.regions.list(&capacities);
+        self.regions.tick(now, &mut self.sender);
+        self.send_probes(now, &caches, address);
+        self.log(now);
+    }
+
+    /// Counts a cache towards the capacity of its zone, less while it is in slow start.
+    fn add_capacity(&self, now: Duration, member: &Member, zone: &mut Place) {
+        let age = member
+            .started
+            .map(|at| now.saturating_sub(at).as_secs_f64());
+        let warm_within = self.slow_start.warm_within.as_secs_f64().max(1e-9);
+        let warmth = age.map_or(1.0, |age| (age / warm_within).min(1.0));
+        let from = self.slow_start.from;
+        zone.capacity += member.capacity;
+        zone.present += member.capacity * (from + (1.0 - from) * warmth);
+        zone.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
+    }
+
+    fn send_probes(
+        &mut self,
+        now: Duration,
+        caches: &HashMap<usize, Vec<&Member>>,
+        address: impl Fn(&Id) -> Option<SocketAddr>,
+    ) {
+        let Some(probes) = &self.probes else {
+            return;
+        };
+        for edge in self.regions.to_measure(now) {
+            // Each router that measures a zone probes another of its caches.
+            let of_zone = caches.get(&edge).filter(|of_zone| !of_zone.is_empty());
+            let server = of_zone.map(|of_zone| of_zone[(self.number as usize) % of_zone.len()]);
+            if let Some(dial) = server.and_then(|server| address(&server.server)) {
+                let _ = probes.try_send(Probe { edge, dial });
             }
         }
-        self.log(now);
     }
 
     fn log(&mut self, now: Duration) {
-        let (plan, bad) = (self.regions.plan_number(), self.regions.is_bad());
-        if (plan, bad) != self.logged {
-            self.logged = (plan, bad);
-            let shares: Vec<String> = self
-                .shares()
-                .iter()
-                .map(|(name, share)| format!("{name} {share:.2}"))
-                .collect();
-            let (shares, at_ms) = (shares.join(", "), now.as_millis() as u64);
-            log::info!(plan = plan, bad = bad, at_ms = at_ms; "regions: plan {shares}");
+        let state = LoggedState {
+            plan_number: self.regions.plan_number(),
+            is_zone_bad: self.regions.is_bad(),
+        };
+        if state == self.logged {
+            return;
         }
+        self.logged = state;
+        let shares: Vec<String> = self
+            .shares()
+            .iter()
+            .map(|(name, share)| format!("{name} {share:.2}"))
+            .collect();
+        let (shares, at_ms) = (shares.join(", "), now.as_millis() as u64);
+        let (plan, bad) = (state.plan_number, state.is_zone_bad);
+        log::info!(plan = plan, bad = bad, at_ms = at_ms; "regions: plan {shares}");
     }
 
     fn shares(&self) -> Vec<(&str, f64)> {
@@ -207,25 +286,31 @@
             .collect()
     }
 
-    /// A request comes: its zone is set. Err: there is no room for it anywhere.
-    pub fn assign_zone(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), ()> {
-        let work = arrival.kb / self.pace;
+    /// Sets the zone of a new request.
+    ///
+    /// # Errors
+    /// No zone has capacity for it.
+    pub fn assign_zone(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), NoCapacity> {
+        let work = arrival.kb / self.client_kb_per_s;
         self.regions.asked(now, work);
-        let (may, _, value) = self.classes.get(arrival.class).copied().unwrap_or_default();
-        // A cell is of caches of this zone: what belongs to one stays.
-        let may = may && arrival.cell.is_none();
+        let class = self.classes.get(arrival.class).copied().unwrap_or_default();
+        // A cell consists of caches of this zone: a request that belongs to one stays here.
+        let may_leave = class.may_leave_zone && arrival.cell.is_none();
         let at = xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
-        match self.regions.request(at, may, value / work.max(1e-6)) {
+        match self
+            .regions
+            .request(at, may_leave, class.value / work.max(1e-6))
+        {
             Where::Home => {}
             Where::Abroad(place) => arrival.at = Some(place),
             // Parents may still have it; where they take no attempts nobody has.
             Where::Nowhere if self.pass_through => {}
-            Where::Nowhere => return Err(()),
+            Where::Nowhere => return Err(NoCapacity),
         }
         Ok(())
     }
 
-    /// An attempt has ended at a server: what that says of the own zone's caches.
+    /// An attempt has ended at a server, which shows something about the caches of this zone.
     pub fn record_attempt(
         &mut self,
         now: Duration,
@@ -244,12 +329,12 @@
             Served | Missing | Full => self.regions.saw(now, true),
             Unreachable | Broken => self.regions.saw(now, false),
             Error if remark == Remark::None => self.regions.saw(now, false),
-            // What is late or called off may be so by its source.
+            // An attempt that is late or cancelled may be so because of its source.
             _ => {}
         }
     }
 
-    /// A request has its final answer.
+    /// A request of a client has its final answer.
     pub fn record_final_answer(
         &mut self,
         now: Duration,
@@ -257,29 +342,27 @@
         received_at: Duration,
         was_served: bool,
     ) {
-        let soft = self
-            .classes
-            .get(class)
-            .map_or(Duration::ZERO, |(_, soft, _)| *soft);
+        let class = self.classes.get(class).copied().unwrap_or_default();
+        let took = now.saturating_sub(received_at);
         self.regions
-            .answered(now, was_served && now.saturating_sub(received_at) <= soft);
+            .answered(now, was_served && took <= class.latency_objective);
     }
 
-    /// `latency observe REGION EDGE MS [COUNT]`: what a front has measured of its clients' way to an edge.
+    /// `latency observe REGION EDGE MS [COUNT]`: the latency of clients to a zone's edge, as a front measured it.
     pub fn observe(&mut self, now: Duration, words: &[&str]) -> Value {
-        let wrong = |what: String| json!({"error": what});
+        let error = |text: String| json!({"error": text});
         let ([region, edge, ms] | [region, edge, ms, _]) = *words else {
-            return wrong(
+            return error(
                 "latency observe is written: latency observe REGION EDGE MS [COUNT]".into(),
             );
         };
-        let own = self.names.get(self.zone).is_some_and(|name| name == region)
+        let is_local = self.names.get(self.zone).is_some_and(|name| name == region)
             || self.region_of.get(self.zone).and_then(Option::as_deref) == Some(region);
-        if !own {
-            return wrong(format!("{region} is not this router's region or zone"));
+        if !is_local {
+            return error(format!("{region} is not this router's region or zone"));
         }
         let Some(edge) = self.names.iter().position(|name| name == edge) else {
-            return wrong(format!("{edge} is not a zone"));
+            return error(format!("{edge} is not a zone"));
         };
         let ms = ms
             .parse::<f64>()
@@ -288,10 +371,10 @@
         let count = words
             .get(3)
             .map_or(Some(1), |word| word.parse().ok())
-            .filter(|n| (1..=OBSERVED_MOST).contains(n));
+            .filter(|n| (1..=MAX_OBSERVED_SAMPLES).contains(n));
         let (Some(ms), Some(count)) = (ms, count) else {
-            return wrong(format!(
-                "MS is from 0 to 60000, COUNT from 1 to {OBSERVED_MOST}"
+            return error(format!(
+                "MS is from 0 to 60000, COUNT from 1 to {MAX_OBSERVED_SAMPLES}"
             ));
         };
         self.regions
