--- a/crates/router/src/boot_time.rs
+++ b/crates/router/src/boot_time.rs
@@ -1,8 +1,8 @@
-//! Finds out whether the wall clock was set back between two lives of a router on one machine.
+//! Detects that the wall clock was set back between two starts of a router on one machine.
 //!
-//! The time since the machine's boot runs on whatever happens to its wall clock. The Unix time of the boot, as a
-//! start's wall clock tells it, is therefore the same at each start, unless that clock was stepped between. A
-//! directory of own copies, whose stamps are Unix times, keeps the latest one that it was used with.
+//! The uptime of the machine does not depend on its wall clock. The Unix time of the boot, as computed at a
+//! start, is therefore the same at each start, unless the wall clock was stepped between. The directory of the
+//! local cache, whose timestamps are Unix times, records the latest boot time that it was used with.
 
 use crate::clock::Clock;
 use std::fs;
@@ -10,31 +10,31 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The file in the directory of own copies; no segment or catalogue is called so.
+/// The file in the directory of the local cache; no segment or catalogue has this name.
 const FILE: &str = "clock";
-const FILE_BEGUN: &str = "clock.begun";
+const TEMPORARY_FILE: &str = "clock.begun";
 /// Differences up to this come from reading two clocks one after the other.
 const TOLERANCE_MS: u64 = 100;
-/// Both are read within so long, or read again, so often.
+/// Both clocks are read within this time, or read again.
 const READ_WITHIN: Duration = Duration::from_millis(20);
-const READS_MOST: u32 = 5;
+const MAX_READS: u32 = 5;
 
 /// When the machine was booted, by the wall clock of one start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootTime {
-    /// Another one at each boot.
+    /// The id of the boot.
     boot: String,
     unix_ms: u64,
 }
 
 impl BootTime {
-    /// By the wall clock that this router ties its stamps to. None: the system does not tell.
+    /// By the wall clock of this start. None: the system does not tell.
     pub fn read(clock: &Clock) -> Option<BootTime> {
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")
             .ok()?
             .trim()
             .to_owned();
-        for _ in 0..READS_MOST {
+        for _ in 0..MAX_READS {
             let before = clock.now();
             let uptime = fs::read_to_string("/proc/uptime").ok()?;
             let after = clock.now();
@@ -58,12 +58,12 @@
         })
     }
 
-    /// By how many milliseconds this start's wall clock stands before that of an earlier start that used the
-    /// directory, since the same boot; 0: it does not. The directory keeps the later one: what was written by
-    /// that clock stays in it.
+    /// By how many milliseconds this start's wall clock is behind that of an earlier start that used the
+    /// directory, since the same boot; 0: it is not. The directory keeps the later boot time, since what was
+    /// written by that clock stays in it.
     ///
     /// # Errors
-    /// The directory's file cannot be written: a later start may not find a step out.
+    /// The directory's file cannot be written: a later start may not detect a step.
     pub fn set_back_by(&self, directory: &Path) -> (u64, io::Result<()>) {
         let recorded = fs::read_to_string(directory.join(FILE))
             .ok()
@@ -78,9 +78,9 @@
     }
 
     fn record(&self, directory: &Path) -> io::Result<()> {
-        let begun = directory.join(FILE_BEGUN);
-        fs::write(&begun, format!("{} {}\n", self.boot, self.unix_ms))?;
-        fs::rename(begun, directory.join(FILE))
+        let temporary = directory.join(TEMPORARY_FILE);
+        fs::write(&temporary, format!("{} {}\n", self.boot, self.unix_ms))?;
+        fs::rename(temporary, directory.join(FILE))
     }
 }
 
--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -17,14 +17,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Who asks and is not answered yet; more wait to be taken.
-const ASKING_MOST: usize = 4;
-const LINE_MOST: u64 = 256;
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Connections that are not answered yet; more wait to be accepted.
+const MAX_OPEN: usize = 4;
+const MAX_LINE_BYTES: u64 = 256;
+/// For a connection to be read and answered.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// After an accept failed, unless only one connection did.
 const PAUSE: Duration = Duration::from_millis(100);
-/// Connections that fail as they are accepted, one after the other; after more there is a pause too.
-const FAILED_IN_A_ROW: usize = 32;
+/// Connections that fail as they are accepted, one after the other, before there is a pause all the same.
+const MAX_FAILURES_IN_A_ROW: usize = 32;
 
 /// A socket that only its owner may use; it is removed at the end.
 pub struct ControlSocket {
@@ -38,7 +39,10 @@
     }
 }
 
-/// Listens at a path. A socket that an earlier life left there is taken away; anything else is not.
+/// Listens at a path. A socket that an earlier process left there is removed; anything else is not.
+///
+/// # Errors
+/// Another router listens there, or the system refuses.
 pub fn listen(path: &Path) -> io::Result<ControlSocket> {
     if fs::symlink_metadata(path).is_ok_and(|found| found.file_type().is_socket()) {
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
@@ -57,53 +61,85 @@
     })
 }
 
+/// The task that accepts connections.
+struct Acceptor {
+    socket: ControlSocket,
+    decider: mpsc::Sender<Message>,
+    /// Connections that are not answered yet.
+    open: usize,
+    /// Each connection reports its end here.
+    done: mpsc::Sender<()>,
+    failures_in_a_row: usize,
+    log: RateLimitedLog,
+}
+
+/// Answers operators until the router ends.
 pub async fn run(socket: ControlSocket, decider: mpsc::Sender<Message>) {
-    let (done, mut ended) = mpsc::channel::<()>(ASKING_MOST);
-    let (mut asking, mut failed_in_a_row, mut refused) = (0, 0, RateLimitedLog::default());
+    let (done, mut ended) = mpsc::channel::<()>(MAX_OPEN);
+    let mut acceptor = Acceptor {
+        socket,
+        decider,
+        open: 0,
+        done,
+        failures_in_a_row: 0,
+        log: RateLimitedLog::default(),
+    };
     loop {
         tokio::select! {
-            taken = socket.listener.accept(), if asking < ASKING_MOST => match taken {
-                Ok((stream, _)) => {
-                    failed_in_a_row = 0;
-                    let (decider, done) = (decider.clone(), done.clone());
-                    asking += 1;
-                    spawn_local(async move {
-                        if let Ok(Err(what)) = timeout(PATIENCE, answer(stream, decider)).await {
-                            log::debug!("control socket: {what}");
-                        }
-                        let _ = done.send(()).await;
-                    });
+            accepted = acceptor.socket.listener.accept(), if acceptor.open < MAX_OPEN => {
+                match accepted {
+                    Ok((stream, _)) => acceptor.serve(stream),
+                    Err(error) => acceptor.back_off(&error).await,
                 }
-                Err(what) => {
-                    failed_in_a_row += 1;
-                    if AcceptFailure::from(&what).is_passing() && failed_in_a_row < FAILED_IN_A_ROW {
-                        continue;
-                    }
-                    failed_in_a_row = 0;
-                    refused.log(&format!("control socket: {what}"));
-                    sleep(PAUSE).await;
-                }
-            },
-            Some(()) = ended.recv() => asking -= 1,
+            }
+            Some(()) = ended.recv() => acceptor.open -= 1,
+        }
+    }
+}
+
+impl Acceptor {
+    /// Starts the task that answers a connection.
+    fn serve(&mut self, stream: UnixStream) {
+        self.failures_in_a_row = 0;
+        self.open += 1;
+        let (decider, done) = (self.decider.clone(), self.done.clone());
+        spawn_local(async move {
+            let answered = timeout(CONNECTION_TIMEOUT, answer(stream, decider)).await;
+            if let Ok(Err(error)) = answered {
+                log::debug!("control socket: {error}");
+            }
+            let _ = done.send(()).await;
+        });
+    }
+
+    /// Pauses where accepting failed for what may last.
+    async fn back_off(&mut self, error: &io::Error) {
+        self.failures_in_a_row += 1;
+        let is_passing = AcceptFailure::from(error).is_passing();
+        if is_passing && self.failures_in_a_row < MAX_FAILURES_IN_A_ROW {
+            return;
         }
+        self.failures_in_a_row = 0;
+        self.log.log(&format!("control socket: {error}"));
+        sleep(PAUSE).await;
     }
 }
 
+/// Reads one query, and writes its answer.
 async fn answer(stream: UnixStream, decider: mpsc::Sender<Message>) -> io::Result<()> {
     let (reader, writer) = stream.into_split();
     let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
     let mut line = String::new();
-    BufReader::new(reader.take(LINE_MOST))
+    BufReader::new(reader.take(MAX_LINE_BYTES))
         .read_line(&mut line)
         .await?;
     let words = line.split_whitespace().map(str::to_owned).collect();
-    let (answer, told) = oneshot::channel();
-    let asked = decider
-        .send(Message::OperatorQuery(OperatorQuery { words, answer }))
-        .await;
-    let said = match (asked, told.await) {
-        (Ok(()), Ok(said)) => said,
+    let (answer, answered) = oneshot::channel();
+    let query = Message::OperatorQuery(OperatorQuery { words, answer });
+    let sent = decider.send(query).await;
+    let reply = match (sent, answered.await) {
+        (Ok(()), Ok(reply)) => reply,
         _ => json!({"error": "the router has ended"}),
     };
-    writer.write_all(format!("{said}\n").as_bytes()).await
+    writer.write_all(format!("{reply}\n").as_bytes()).await
 }
