--- a/crates/router/src/boot_time.rs
+++ b/crates/router/src/boot_time.rs
@@ -1,8 +1,9 @@
 //! Detects that the wall clock was set back between two starts of a router on one machine.
 //!
-//! The uptime of the machine does not depend on its wall clock. The Unix time of the boot, as computed at a
-//! start, is therefore the same at each start, unless the wall clock was stepped between. The directory of the
-//! local cache, whose timestamps are Unix times, records the latest boot time that it was used with.
+//! The uptime of the machine does not depend on its wall clock. The Unix time of the boot, as
+//! computed at a start, is therefore the same at each start, unless the wall clock was stepped
+//! between. The directory of the local cache, whose timestamps are Unix times, records the latest
+//! boot time that it was used with.
 
 use crate::clock::Clock;
 use std::fs;
@@ -27,6 +28,16 @@
     unix_ms: u64,
 }
 
+/// What a directory shows about the wall clock.
+#[derive(Debug)]
+pub struct StepBack {
+    /// By how many milliseconds the clock was set back; 0: it was not.
+    pub ms: u64,
+    /// Whether the directory has this start's boot time. Where it cannot be written, a later start
+    /// may not detect a step.
+    pub recorded: io::Result<()>,
+}
+
 impl BootTime {
     /// By the wall clock of this start. None: the system does not tell.
     pub fn read(clock: &Clock) -> Option<BootTime> {
@@ -58,22 +69,25 @@
         })
     }
 
-    /// By how many milliseconds this start's wall clock is behind that of an earlier start that used the
-    /// directory, since the same boot; 0: it is not. The directory keeps the later boot time, since what was
-    /// written by that clock stays in it.
-    ///
-    /// # Errors
-    /// The directory's file cannot be written: a later start may not detect a step.
-    pub fn set_back_by(&self, directory: &Path) -> (u64, io::Result<()>) {
+    /// By how many milliseconds this start's wall clock is behind that of an earlier start that
+    /// used the directory, since the same boot; 0: it is not. The directory keeps the later boot
+    /// time, since what was written by that clock stays in it.
+    pub fn set_back_by(&self, directory: &Path) -> StepBack {
         let recorded = fs::read_to_string(directory.join(FILE))
             .ok()
             .and_then(|text| BootTime::parse(&text));
         match recorded.filter(|recorded| recorded.boot == self.boot) {
             Some(recorded) if recorded.unix_ms.saturating_add(TOLERANCE_MS) >= self.unix_ms => {
                 let behind = recorded.unix_ms.saturating_sub(self.unix_ms);
-                (if behind > TOLERANCE_MS { behind } else { 0 }, Ok(()))
+                StepBack {
+                    ms: if behind > TOLERANCE_MS { behind } else { 0 },
+                    recorded: Ok(()),
+                }
             }
-            _ => (0, self.record(directory)),
+            _ => StepBack {
+                ms: 0,
+                recorded: self.record(directory),
+            },
         }
     }
 
--- a/crates/router/src/boot_time/tests.rs
+++ b/crates/router/src/boot_time/tests.rs
@@ -40,7 +40,7 @@
 #[test]
 fn a_clock_set_back_since_an_earlier_start_is_found_out_as_long_as_it_stays_so() {
     let directory = Scratch::new("boot-time-back");
-    let start = |unix_ms| at("one", unix_ms).set_back_by(&directory.0).0;
+    let start = |unix_ms| at("one", unix_ms).set_back_by(&directory.0).ms;
     let first = 50 * HOUR_MS;
     assert_eq!(start(first), 0, "nothing was written by another clock");
     assert_eq!(start(first - TOLERANCE_MS), 0, "by the same clock");
@@ -59,13 +59,13 @@
 #[test]
 fn another_boot_and_a_file_that_cannot_be_read_say_nothing() {
     let directory = Scratch::new("boot-time-other");
-    assert_eq!(at("one", 9 * HOUR_MS).set_back_by(&directory.0).0, 0);
+    assert_eq!(at("one", 9 * HOUR_MS).set_back_by(&directory.0).ms, 0);
     assert_eq!(
-        at("two", 2 * HOUR_MS).set_back_by(&directory.0).0,
+        at("two", 2 * HOUR_MS).set_back_by(&directory.0).ms,
         0,
         "another boot"
     );
-    assert_eq!(at("two", HOUR_MS).set_back_by(&directory.0).0, HOUR_MS);
+    assert_eq!(at("two", HOUR_MS).set_back_by(&directory.0).ms, HOUR_MS);
     for text in [
         "",
         "two",
@@ -76,22 +76,22 @@
     ] {
         fs::write(directory.0.join(FILE), text).unwrap();
         assert_eq!(
-            at("two", HOUR_MS).set_back_by(&directory.0).0,
+            at("two", HOUR_MS).set_back_by(&directory.0).ms,
             0,
             "{text:?}"
         );
         assert_eq!(
-            at("two", 1).set_back_by(&directory.0).0,
+            at("two", 1).set_back_by(&directory.0).ms,
             HOUR_MS - 1,
             "it is written anew after {text:?}"
         );
     }
     fs::write(directory.0.join(FILE), format!("two {}", u64::MAX)).unwrap();
-    assert_eq!(at("two", 1).set_back_by(&directory.0).0, u64::MAX - 1);
+    assert_eq!(at("two", 1).set_back_by(&directory.0).ms, u64::MAX - 1);
 }
 
 #[test]
 fn a_directory_that_cannot_be_written_is_told() {
-    let (back, written) = at("one", 1).set_back_by(Path::new("/proc/nowhere"));
-    assert!(back == 0 && written.is_err());
+    let step = at("one", 1).set_back_by(Path::new("/proc/nowhere"));
+    assert!(step.ms == 0 && step.recorded.is_err());
 }
--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -1,5 +1,5 @@
-//! Cells as the decider uses them: the map applied to the list of servers, a request's cell, and the limits of
-//! tenants at admission.
+//! Cells as the decider uses them: the map applied to the list of servers, a request's cell, and
+//! the limits of tenants at admission.
 
 use chalkhall::interface::{Arrival, Id, Member, Outcome, Remark, Standing, Tier};
 use chalkhall_cells::limits::{Allowed, Tenants, Verdict, tenant};
@@ -177,7 +177,10 @@
         let tenants = settings
             .tenant
             .map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
-        log::info!(cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some(); "cells");
+        log::info!(
+            cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some();
+            "cells"
+        );
         let moves = moves
             .into_iter()
             .map(|planned| ActiveMove {
@@ -197,8 +200,8 @@
         }))
     }
 
-    /// Takes over another map, and returns the servers whose cells change. A move that is in both maps goes on
-    /// from where it is. None: the map is older than the one in force.
+    /// Takes over another map, and returns the servers whose cells change. A move that is in both
+    /// maps goes on from where it is. None: the map is older than the one in force.
     pub fn replace_map(&mut self, now: Duration, plan: Plan) -> Option<Vec<Member>> {
         if plan.epoch() < self.map.epoch() {
             return None;
@@ -229,7 +232,8 @@
         self.map.epoch()
     }
 
-    /// Takes in changes of the list. Returns them with their cells, and all other servers whose cells change.
+    /// Takes in changes of the list. Returns them with their cells, and all other servers whose
+    /// cells change.
     pub fn update_members(
         &mut self,
         now: Duration,
@@ -272,7 +276,10 @@
             }
         }
         for fault in self.map.faults() {
-            log::warn!(epoch = self.map.epoch(); "cells: {fault}");
+            log::warn!(
+                epoch = self.map.epoch(), fault:% = fault;
+                "cells: the map does not fit the servers"
+            );
         }
         self.update_moves(now);
         moved
@@ -335,8 +342,8 @@
     /// Sets the cell of a new request.
     ///
     /// # Errors
-    /// Its tenant is over its limit, and may retry after so long. A non-idempotent request is never limited:
-    /// it is the last to be rejected.
+    /// Its tenant is over its limit, and may retry after so long. A non-idempotent request is never
+    /// limited: it is the last to be rejected.
     pub fn assign_cell(
         &mut self,
         now: Duration,
@@ -378,6 +385,9 @@
     if before != after {
         let (from, to) = (map.name(state.from), map.name(state.to));
         let (step, share) = after;
-        log::info!(from = from, to = to, share = share; "cells: move of {scope:?} is {step:?}");
+        log::info!(
+            scope:? = scope, state:? = step, from = from, to = to, share = share;
+            "cells: a move has changed its state"
+        );
     }
 }
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,8 +1,9 @@
 //! The router's clock: monotonic, for every deadline, window, wait and grace.
 //!
-//! The wall clock is read once, at the start, and only to compare timestamps from outside, which are Unix times,
-//! with monotonic times. When it is stepped later, or the clocks of other machines are, nothing here changes:
-//! `timestamps` bounds their timestamps, and `boot_time` finds a step between two starts.
+//! The wall clock is read once, at the start, and only to compare timestamps from outside, which
+//! are Unix times, with monotonic times. When it is stepped later, or the clocks of other machines
+//! are, nothing here changes: `timestamps` bounds their timestamps, and `boot_time` finds a step
+//! between two starts.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The router's configuration: its environment and one JSON file, read, checked and given defaults here alone.
-//! Each error names the key that is at fault.
+//! The router's configuration: its environment and one JSON file, read, checked and given defaults
+//! here alone. Each error names the key that is at fault.
 
 use crate::clock::Clock;
 use crate::discovery_events::{DeploymentNames, EventError, NumberedEvent, parse_event};
@@ -81,20 +81,33 @@
     Section {
         /// The section of the file.
         section: &'static str,
-        /// As the reader of the settings words it.
-        fault: String,
+        /// The field's fault.
+        fault: FieldError,
     },
-    /// A field cannot be used; the fault names it and what is expected of it.
-    #[error("{0}")]
-    Field(String),
+    /// A field outside of any section cannot be used.
+    #[error(transparent)]
+    Field(#[from] FieldError),
     /// An event among those that are known at the start cannot be read.
     #[error("known: {0}")]
     Event(#[from] EventError),
 }
 
-/// A fault in a section of the file.
+/// A field cannot be used. The text is that of the reader of the settings: it names the field and
+/// what is expected of it.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub struct FieldError(pub String);
+
+impl FieldError {
+    fn in_section(self, section: &'static str) -> ConfigurationError {
+        let fault = self;
+        ConfigurationError::Section { section, fault }
+    }
+}
+
+/// A fault of the reader of the settings, in a section of the file.
 fn in_section(section: &'static str) -> impl Fn(String) -> ConfigurationError {
-    move |fault| ConfigurationError::Section { section, fault }
+    move |fault| FieldError(fault).in_section(section)
 }
 
 /// What a router is started with.
@@ -249,7 +262,7 @@
 
 impl Setting {
     fn of_key(file: &Fields, key: &str) -> Result<Setting, ConfigurationError> {
-        let value = deployment::text(file, key).map_err(ConfigurationError::Field)?;
+        let value = deployment::text(file, key).map_err(FieldError)?;
         Ok(Setting {
             key: key.to_owned(),
             value: value.to_owned(),
@@ -323,37 +336,32 @@
     };
     let of_deployment = settings.get("Limits").and_then(Value::as_object);
     let of_deployment = of_deployment.unwrap_or(&empty);
-    let field = ConfigurationError::Field;
-    let sockets =
-        whole_or(of_platform, "sockets", DEFAULT_SOCKETS).map_err(in_section("limits"))?;
+    let of_platform = |key, default| {
+        whole_or(of_platform, key, default).map_err(|fault| fault.in_section("limits"))
+    };
+    let sockets = of_platform("sockets", DEFAULT_SOCKETS)?;
     if sockets < MIN_SOCKETS {
         return Err(ConfigurationError::TooFewSockets);
     }
-    let memory_mb =
-        whole_or(of_platform, "memory_mb", DEFAULT_MEMORY_MB).map_err(in_section("limits"))?;
-    let connect_timeout = span_or(of_deployment, "ConnectTimeout", DEFAULT_CONNECT_TIMEOUT);
-    let idle_close = span_or(of_deployment, "IdleClose", DEFAULT_IDLE_CLOSE);
-    let streams = whole_or(of_deployment, "StreamsPerConn", DEFAULT_STREAMS);
-    let open_requests = whole_or(of_deployment, "MaxOpen", DEFAULT_OPEN_REQUESTS);
     Ok(Limits {
-        memory: memory_mb << 20,
+        memory: of_platform("memory_mb", DEFAULT_MEMORY_MB)? << 20,
         sockets: sockets as usize,
-        connect_timeout: connect_timeout.map_err(field)?,
-        idle_close: idle_close.map_err(field)?,
-        streams: streams.map_err(field)? as usize,
-        open_requests: open_requests.map_err(field)? as usize,
+        connect_timeout: span_or(of_deployment, "ConnectTimeout", DEFAULT_CONNECT_TIMEOUT)?,
+        idle_close: span_or(of_deployment, "IdleClose", DEFAULT_IDLE_CLOSE)?,
+        streams: whole_or(of_deployment, "StreamsPerConn", DEFAULT_STREAMS)? as usize,
+        open_requests: whole_or(of_deployment, "MaxOpen", DEFAULT_OPEN_REQUESTS)? as usize,
     })
 }
 
 /// A whole number, or its default where it is 0 or missing.
-fn whole_or(fields: &Fields, key: &str, default: u64) -> Result<u64, String> {
-    let found = deployment::whole(fields, key)?;
+fn whole_or(fields: &Fields, key: &str, default: u64) -> Result<u64, FieldError> {
+    let found = deployment::whole(fields, key).map_err(FieldError)?;
     Ok(if found == 0 { default } else { found })
 }
 
 /// A span in milliseconds, or its default where it is not positive or missing.
-fn span_or(fields: &Fields, key: &str, default: Duration) -> Result<Duration, String> {
-    let ms = deployment::number(fields, key)?;
+fn span_or(fields: &Fields, key: &str, default: Duration) -> Result<Duration, FieldError> {
+    let ms = deployment::number(fields, key).map_err(FieldError)?;
     Ok(if ms > 0.0 {
         deployment::span(ms)
     } else {
@@ -377,7 +385,7 @@
         })
     };
     let address_of = |key: &str| {
-        let found = deployment::text(file, key).map_err(ConfigurationError::Field)?;
+        let found = deployment::text(file, key).map_err(FieldError)?;
         address(key, found)
     };
     let each = file.get("peers").and_then(Value::as_array);
@@ -396,7 +404,7 @@
 }
 
 fn parse_link_answers(file: &Fields) -> Result<Option<f64>, ConfigurationError> {
-    let rate = |key| deployment::number(file, key).map_err(ConfigurationError::Field);
+    let rate = |key| deployment::number(file, key).map_err(FieldError);
     let (answer_rate, link_rate) = (rate("flow_bytes_per_s")?, rate("link_bytes_per_s")?);
     let is_known = answer_rate > 0.0 && link_rate > 0.0;
     Ok(is_known.then(|| link_rate / answer_rate))
--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -1,5 +1,5 @@
-//! The control socket: one line of words in, one JSON object out, for `chalkhall`'s commands against a live
-//! router.
+//! The control socket: one line of words in, one JSON object out, for `chalkhall`'s commands
+//! against a live router.
 
 use crate::io_errors::AcceptFailure;
 use crate::messages::{Message, OperatorQuery};
@@ -24,7 +24,8 @@
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// After an accept failed, unless only one connection did.
 const PAUSE: Duration = Duration::from_millis(100);
-/// Connections that fail as they are accepted, one after the other, before there is a pause all the same.
+/// Connections that fail as they are accepted, one after the other, before there is a pause all the
+/// same.
 const MAX_FAILURES_IN_A_ROW: usize = 32;
 
 /// A socket that only its owner may use; it is removed at the end.
@@ -106,7 +107,7 @@
         spawn_local(async move {
             let answered = timeout(CONNECTION_TIMEOUT, answer(stream, decider)).await;
             if let Ok(Err(error)) = answered {
-                log::debug!("control socket: {error}");
+                log::debug!(reason:% = error; "control socket: a connection failed");
             }
             let _ = done.send(()).await;
         });
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -1,5 +1,5 @@
-//! The actor that owns the decisions: it hands them every event, and carries out their actions. Nothing is
-//! decided here.
+//! The actor that owns the decisions: it hands them every event, and carries out their actions.
+//! Nothing is decided here.
 //!
 //! - `event_loop`: the actor's loop, its timers and its mailbox
 //! - `admission`: new requests
@@ -49,15 +49,15 @@
 /// The share by which that moves towards the size of each body that comes.
 const BODY_SIZE_SMOOTHING: f64 = 1.0 / 64.0;
 const MAX_CONNECTIONS_PER_SERVER: usize = 8;
-/// Descriptors for neither clients nor servers: clients that are being closed, discovery, the listener,
-/// peers, signals, the log and the like.
+/// Descriptors for neither clients nor servers: clients that are being closed, discovery, the
+/// listener, peers, signals, the log and the like.
 const OTHER_DESCRIPTORS: usize = 32;
 /// The event loop waits no longer than this.
 const MAX_WAIT: Duration = Duration::from_millis(50);
 /// Where a wait of the loop took this much longer than that, the whole program was held up.
 const HELD_UP_AFTER: Duration = Duration::from_millis(50);
-/// Rounds of all tasks after which what lay in the sockets has come by connection and server actor to the
-/// decider.
+/// Rounds of all tasks after which what lay in the sockets has come by connection and server actor
+/// to the decider.
 const TASK_ROUNDS: usize = 8;
 /// How soon after its decision an attempt's first byte leaves where the deployment sets no grace.
 const DEFAULT_SEND_WITHIN: Duration = Duration::from_millis(500);
@@ -70,7 +70,8 @@
 pub struct Decider {
     router: Router,
     dispatcher: Dispatcher,
-    /// The local cache as members of the list, until they have gone to the decisions with the first list.
+    /// The local cache as members of the list, until they have gone to the decisions with the first
+    /// list.
     unlisted_local_members: Vec<Member>,
     cell_routing: Option<CellRouting>,
     zone_failover: Option<ZoneFailover>,
@@ -167,8 +168,8 @@
     }
 }
 
-/// The shortest grace of a drain or a purge: an attempt that leaves within it was decided before the grace
-/// ended.
+/// The shortest grace of a drain or a purge: an attempt that leaves within it was decided before
+/// the grace ended.
 fn shortest_grace(deployment: &Deployment) -> Option<Duration> {
     let graces = [deployment.drain_grace, deployment.purge_grace];
     graces.into_iter().filter(|grace| !grace.is_zero()).min()
--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -37,7 +37,8 @@
         self.router.request(now, new.arrival, &mut self.dispatcher);
     }
 
-    /// Checks what must hold before a request is decided on, and sets its remaining time, cell and zone.
+    /// Checks what must hold before a request is decided on, and sets its remaining time, cell and
+    /// zone.
     ///
     /// # Errors
     /// The final answer of a request that is refused.
@@ -57,7 +58,8 @@
         if let Some(cells) = &mut self.cell_routing
             && let Err(RetryAfter(wait)) = cells.assign_cell(now, arrival, is_non_idempotent)
         {
-            // The client is told to come back when its tenant may, within the longest advice it heeds.
+            // The client is told to come back when its tenant may, within the longest advice it
+            // heeds.
             let retry_after = self.longest_advice.map(|longest| wait.min(longest));
             return Err(FinalAnswer::Rejected(retry_after));
         }
@@ -69,8 +71,8 @@
         Ok(())
     }
 
-    /// Whether memory and the table have room for one more request: an early rejection is better than being
-    /// killed for memory or losing count of what is open.
+    /// Whether memory and the table have room for one more request: an early rejection is better
+    /// than being killed for memory or losing count of what is open.
     fn has_capacity(&mut self) -> bool {
         let expected_bodies = self.dispatcher.expected_body_bytes_with_one_more();
         if let Some(local_cache) = &mut self.dispatcher.local_cache {
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -1,4 +1,5 @@
-//! What discovery and the operator tell while the router runs: servers, purges, cells, drained zones.
+//! What discovery and the operator tell while the router runs: servers, purges, cells, drained
+//! zones.
 
 use super::servers::ListedServer;
 use super::{Decider, MAX_CONNECTIONS_PER_SERVER};
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -23,8 +23,9 @@
 impl Decider {
     /// Runs until the router has drained, or nobody can send to it any more.
     ///
-    /// Events of discovery go before all else: after a pause of the whole program, as on a shared machine, a
-    /// drain or a purge may wait unread for longer than its grace, behind requests and timers.
+    /// Events of discovery go before all else: after a pause of the whole program, as on a shared
+    /// machine, a drain or a purge may wait unread for longer than its grace, behind requests and
+    /// timers.
     pub async fn run(
         mut self,
         mut mailbox: mpsc::Receiver<Message>,
@@ -140,7 +141,8 @@
         self.settle();
     }
 
-    /// Reports to the decisions what ended without a server, and forgets requests that are finished.
+    /// Reports to the decisions what ended without a server, and forgets requests that are
+    /// finished.
     pub(super) fn settle(&mut self) {
         while let Some(ended) = self.dispatcher.local_results.pop_front() {
             self.complete_attempt(ended);
@@ -152,9 +154,9 @@
     }
 }
 
-/// Lets the other tasks run before the decisions do: those of discovery, and those of the connections, lest
-/// answers that came while the program stood still pass for silence of their servers. No more messages can
-/// come than attempts are open.
+/// Lets the other tasks run before the decisions do: those of discovery, and those of the
+/// connections, lest answers that came while the program stood still pass for silence of their
+/// servers. No more messages can come than attempts are open.
 async fn let_other_tasks_run(
     mailbox: &mut mpsc::Receiver<Message>,
     messages: &mut VecDeque<Message>,
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -49,7 +49,8 @@
 
 /// One attempt of a request at a server.
 pub(super) struct Attempt {
-    /// The mailbox of the server's actor; none where the server is not listed, or is the local cache.
+    /// The mailbox of the server's actor; none where the server is not listed, or is the local
+    /// cache.
     pub(super) commands: Option<mpsc::Sender<ServerCommand>>,
     pub(super) server: Id,
     pub(super) sent_at: Duration,
@@ -94,8 +95,8 @@
         self.requests.values().filter(has_client).count()
     }
 
-    /// Ends the wait of a client that has left. False: the request is not that client's, as another's may
-    /// bear the same id.
+    /// Ends the wait of a client that has left. False: the request is not that client's, as
+    /// another's may bear the same id.
     pub(super) fn abandon(
         &mut self,
         id: &Id,
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -1,5 +1,5 @@
-//! The listed servers as the decider reaches them: the address of each, and the mailbox of its actor while
-//! it has one.
+//! The listed servers as the decider reaches them: the address of each, and the mailbox of its
+//! actor while it has one.
 
 use crate::messages::ServerCommand;
 use crate::server_pool::ServerActors;
@@ -61,16 +61,16 @@
         handle.commands.clone()
     }
 
-    /// Drops the mailbox of an actor that has ended, which takes memory until then. Another actor that was
-    /// started meanwhile stays.
+    /// Drops the mailbox of an actor that has ended, which takes memory until then. Another actor
+    /// that was started meanwhile stays.
     pub(super) fn forget_stopped_actor(&mut self, server: &Id) {
         if let Some(handle) = self.handles.get_mut(server) {
             handle.commands.take_if(|commands| commands.is_closed());
         }
     }
 
-    /// Adds a server, or takes over its new address or start. A server is known by its name: one of another
-    /// name at an old address has an actor of its own.
+    /// Adds a server, or takes over its new address or start. A server is known by its name: one of
+    /// another name at an old address has an actor of its own.
     pub(super) fn update(&mut self, server: &Id, listed: ListedServer) {
         let ListedServer {
             address,
@@ -91,8 +91,9 @@
             return;
         }
         (handle.address, handle.started_at) = (address, started_at);
-        // An actor that takes no more commands would go on at the old address, or on connections from before
-        // the start: it ends with its open attempts, and the next command starts another.
+        // An actor that takes no more commands would go on at the old address, or on connections
+        // from before the start: it ends with its open attempts, and the next command starts
+        // another.
         let is_moved = |commands: &mut mpsc::Sender<ServerCommand>| {
             commands
                 .try_send(ServerCommand::Reconnect {
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -128,8 +128,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// An order that comes in the very moment in which the actor ends is carried out by it or by the next one. The
-/// order in which both are woken is chance's: many rounds.
+/// An order that comes in the very moment in which the actor ends is carried out by it or by the
+/// next one. The order in which both are woken is chance's: many rounds.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn an_order_in_the_moment_in_which_an_actor_ends_is_not_lost() {
     let inside = async {
@@ -176,7 +176,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// It moves while nobody has noticed yet that its actor has ended: the next one goes to where it is now.
+/// It moves while nobody has noticed yet that its actor has ended: the next one goes to where it is
+/// now.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_server_that_moves_as_its_actor_ends_is_reached_where_it_is() {
     let inside = async {
--- a/crates/router/src/decider/shutdown.rs
+++ b/crates/router/src/decider/shutdown.rs
@@ -7,7 +7,8 @@
 use tokio::sync::mpsc;
 
 impl Decider {
-    /// What still holds the end back: requests of clients, and answers that a slow client has not read yet.
+    /// What still holds the end back: requests of clients, and answers that a slow client has not
+    /// read yet.
     pub(super) fn open_work(&self) -> usize {
         let has_unwritten = self.dispatcher.unwritten_bytes > 0;
         self.dispatcher.requests.waiting_clients() + usize::from(has_unwritten)
@@ -22,8 +23,8 @@
         self.phase.send_replace(draining);
     }
 
-    /// Answers all that is left, in order: requests that were never looked at are rejected, those in flight
-    /// fail, the local cache is closed, and the end of the decisions is announced.
+    /// Answers all that is left, in order: requests that were never looked at are rejected, those
+    /// in flight fail, the local cache is closed, and the end of the decisions is announced.
     pub(super) fn shut_down(&mut self, mailbox: mpsc::Receiver<Message>) {
         self.reject_unread_requests(mailbox);
         self.fail_open_requests();
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -34,7 +34,8 @@
 }
 
 impl Decider {
-    /// Does the background work that is due. `late`: by how much the event loop came later than planned.
+    /// Does the background work that is due. `late`: by how much the event loop came later than
+    /// planned.
     pub(super) fn run_background_work(&mut self, late: Duration) {
         self.tick_gossip();
         self.tick_zone_failover();
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Hands the caches of the current list to the gossip. Changes of the list come one by one, hundreds of
-    /// them in a release, and each would have the whole list walked: they are taken over together before
-    /// the next message to the peers.
+    /// Hands the caches of the current list to the gossip. Changes of the list come one by one,
+    /// hundreds of them in a release, and each would have the whole list walked: they are taken
+    /// over together before the next message to the peers.
     pub(super) fn refresh_gossip_members(&mut self) {
         let Some(Gossip { talk, .. }) = &mut self.dispatcher.gossip else {
             return;
@@ -96,7 +97,8 @@
             return;
         }
         talk.caches(self.router.caches().map(|member| &member.server));
-        // A cache in slow start, or one that drains, has less load than it could; it is not evened out.
+        // A cache in slow start, or one that drains, has less load than it could; it is not evened
+        // out.
         let now = self.dispatcher.now;
         let is_warm = |started: Duration| now >= started + self.warm_within;
         let is_evened = |member: &&Member| {
@@ -106,7 +108,8 @@
         talk.even(evened.map(|member| (member.server.clone(), member.capacity)));
     }
 
-    /// Sends a request of the local cache itself, by which it learns whether a copy is still current.
+    /// Sends a request of the local cache itself, by which it learns whether a copy is still
+    /// current.
     fn revalidate(&mut self, revalidation: Revalidation) {
         let Revalidation { arrival, forwarded } = revalidation;
         let now = self.dispatcher.now;
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of them is
-/// lost.
+/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of
+/// them is lost.
 #[tokio::test(flavor = "current_thread")]
 async fn what_lies_in_the_mailbox_as_the_router_ends_is_rejected() {
     let (decider, _messages, phase) = decider(Phase::Draining {
@@ -87,9 +87,8 @@
     for tag in 1..=3 {
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
-        assert!(
-            matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == Duration::from_millis(90))
-        );
+        let advised = Duration::from_millis(90);
+        assert!(matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == advised));
     }
     assert!(
         to_decider.try_send(Message::Stop).is_err(),
@@ -112,7 +111,8 @@
     );
 }
 
-/// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is up.
+/// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is
+/// up.
 #[tokio::test(flavor = "current_thread")]
 async fn the_end_waits_for_what_is_not_written_yet() {
     let (mut decider, _messages, _phase) = decider(Phase::Serving);
@@ -123,7 +123,8 @@
     assert_eq!(decider.open_work(), 0);
 }
 
-/// A server's start comes while its actor's mailbox is full: nothing more goes to where it was before.
+/// A server's start comes while its actor's mailbox is full: nothing more goes to where it was
+/// before.
 #[tokio::test(flavor = "current_thread")]
 async fn a_server_that_moves_while_its_mailbox_is_full_is_followed() {
     let inside = async {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -17,11 +17,11 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Discovery sends its last number each second: after this long without it the connection is dead. What a
-/// silent discovery service holds back counts as known 4 s after it stopped.
+/// Discovery sends its last number each second: after this long without it the connection is dead.
+/// What a silent discovery service holds back counts as known 4 s after it stopped.
 const SILENCE: Duration = Duration::from_millis(1800);
-/// A service that is slow to begin would never be read if each watch were given up before its first line: the
-/// oldest silent watch is kept open for so long, beside newer ones.
+/// A service that is slow to begin would never be read if each watch were given up before its first
+/// line: the oldest silent watch is kept open for so long, beside newer ones.
 const SLOW_START: Duration = Duration::from_millis(7200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The backoff between attempts to connect: at first, and at most.
@@ -63,7 +63,8 @@
     pub address: SocketAddr,
     /// The number of the last event that was handed on.
     pub last_event: u64,
-    /// An event that could not be read: it is asked for once more, then skipped, lest it hide all after it.
+    /// An event that could not be read: it is asked for once more, then skipped, lest it hide all
+    /// after it.
     pub unreadable_event: Option<u64>,
     /// The names that events use.
     pub names: DeploymentNames,
@@ -75,8 +76,9 @@
     pub decider: mpsc::Sender<DiscoveryEvent>,
     /// Jitter: spreads the attempts of a whole fleet that lost its discovery service at one moment.
     pub random: fastrand::Rng,
-    /// The descriptor of the next connection, reserved before the first client comes: when idle clients have
-    /// taken all others, the list could otherwise be followed only after they have gone.
+    /// The descriptor of the next connection, reserved before the first client comes: when idle
+    /// clients have taken all others, the list could otherwise be followed only after they have
+    /// gone.
     pub spare_socket: Option<TcpSocket>,
 }
 
@@ -138,7 +140,8 @@
             let last_before = self.last_event;
             let ended = tokio::select! {
                 biased;
-                // Whatever the old service is doing: nothing more comes of it, perhaps without a close.
+                // Whatever the old service is doing: nothing more comes of it, perhaps without a
+                // close.
                 Some(new) = reconfigured.recv() => Err(new),
                 error = self.follow(&mut state) => Ok(error),
             };
@@ -166,7 +169,10 @@
         } else {
             log::Level::Debug
         };
-        log::log!(level, reason = reason.as_str(), last_event = self.last_event; "discovery: reconnecting");
+        log::log!(
+            level, reason = reason.as_str(), last_event = self.last_event;
+            "discovery: reconnecting"
+        );
         state.logged_error = reason;
     }
 
@@ -208,7 +214,10 @@
                 return;
             }
         }
-        log::info!(address:% = self.address, last_event = self.last_event; "discovery: reconfigured");
+        log::info!(
+            address:% = self.address, last_event = self.last_event;
+            "discovery: reconfigured"
+        );
     }
 
     /// Hands an event on. Cancelled while it waits, it has handed on nothing and counts nothing.
@@ -234,8 +243,8 @@
         self.event_times.interrupted();
         let watch = self.watch().await?;
         let mut watch = Watch::first_to_speak(watch, &mut state.silent_watch).await?;
-        // Only what shows that nothing newer is held back counts: a service that stays behind, or goes on
-        // with what it sent before, is worth as little as a silent one.
+        // Only what shows that nothing newer is held back counts: a service that stays behind, or
+        // goes on with what it sent before, is worth as little as a silent one.
         let mut current_at = watch.opened_at;
         loop {
             if let Progress::Current = self.process_line(&watch.line).await? {
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -36,8 +36,8 @@
     assert!(tenths.iter().all(|n| (12..=60).contains(n)), "{tenths:?}");
 }
 
-/// An event has been read and finds the decider's mailbox full; then a new file comes. It is passed by
-/// neither half: the new service tells it, or the new file, and it is passed once.
+/// An event has been read and finds the decider's mailbox full; then a new file comes. It is passed
+/// by neither half: the new service tells it, or the new file, and it is passed once.
 #[tokio::test(flavor = "current_thread")]
 async fn an_event_half_passed_as_a_new_file_comes_is_passed_once() {
     use tokio::net::{TcpListener, TcpStream};
@@ -143,9 +143,10 @@
     }
 }
 
-/// Time stands still but where the test moves it: an hour in which a service says its last number each second,
-/// then a minute in which it shuts each connection at once, then its return with a drain. The hour leaves
-/// nothing behind, the minute brings no storm, and the drain is passed on with the first watch.
+/// Time stands still but where the test moves it: an hour in which a service says its last number
+/// each second, then a minute in which it shuts each connection at once, then its return with a
+/// drain. The hour leaves nothing behind, the minute brings no storm, and the drain is passed on
+/// with the first watch.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn an_hour_of_quiet_and_a_minute_down_end_in_one_watch_that_is_heard_at_once() {
     use std::io::Write;
@@ -215,8 +216,8 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// What discovery said last on the same connection bounds the stamp of an event; at the start, and after a
-/// connection was lost, nothing does.
+/// What discovery said last on the same connection bounds the stamp of an event; at the start, and
+/// after a connection was lost, nothing does.
 #[tokio::test(flavor = "current_thread")]
 async fn the_last_word_on_a_connection_bounds_the_stamps_that_follow_on_it() {
     use tokio::net::TcpListener;
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -10,7 +10,8 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Why a router could not start, or ended before its time. Its text is one line that names the key at fault.
+/// Why a router could not start, or ended before its time. Its text is one line that names the key
+/// at fault.
 #[derive(Debug, Error)]
 pub enum RouterError {
     /// The runtime or a signal handler could not be set up.
@@ -44,8 +45,8 @@
         /// What the system says.
         source: io::Error,
     },
-    /// The decisions have panicked: without them nothing can be answered, and a restart is better than to go
-    /// on.
+    /// The decisions have panicked: without them nothing can be answered, and a restart is better
+    /// than to go on.
     #[error("the decisions failed: {0}")]
     DecisionsFailed(#[source] JoinError),
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -39,8 +39,8 @@
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
-/// Runs a router until it has ended. It is configured by its environment and by an operator's file, which
-/// are read again at each SIGHUP.
+/// Runs a router until it has ended. It is configured by its environment and by an operator's file,
+/// which are read again at each SIGHUP.
 ///
 /// # Errors
 /// Why it could not start, or what ended it before its time.
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -1,5 +1,5 @@
-//! The local cache: copies that the router itself keeps, in memory and on disk. It stands between the store
-//! and the decisions, with names, clocks, bounds and threads.
+//! The local cache: copies that the router itself keeps, in memory and on disk. It stands between
+//! the store and the decisions, with names, clocks, bounds and threads.
 
 mod open;
 mod report;
@@ -28,20 +28,28 @@
 /// The names of the tiers as members of the list; no listed server's name begins with a colon.
 const MEMORY: &str = ":memory";
 const DISK: &str = ":disk";
-/// A purge that was made this long ago has been received: discovery cannot send what it does not know yet.
+/// A purge that was made this long ago has been received: discovery cannot send what it does not
+/// know yet.
 const PURGE_DELAY: Duration = Duration::from_secs(10);
 /// Purges remembered while the disk is still being opened; a list at the start holds fewer.
 const MAX_EARLY_PURGES: usize = 4096;
 /// A purge does not reach copies of a clock that was further ahead than this: a day.
 const MAX_PURGE_LEAD_MS: u64 = 24 * 3600 * 1000;
 
-/// A purge as it was received: of an object or of a group, in Unix milliseconds of this start's clock.
+/// A purge as it was received: of an object or of a group, in Unix milliseconds of this start's
+/// clock.
 struct Purge {
     object: Option<Id>,
     group: u64,
     ms: u64,
 }
 
+/// A class of requests, with its name.
+struct NamedClass {
+    name: Bytes,
+    class: Class,
+}
+
 /// The router's own cache.
 pub struct LocalCache {
     store: Store,
@@ -49,13 +57,12 @@
     clock: Clock,
     /// Bounds the times at which copies were made.
     copy_times: CopyTimes,
-    /// By how many milliseconds the wall clock was set back since an earlier start wrote to the disk; known
-    /// once that is open.
+    /// By how many milliseconds the wall clock was set back since an earlier start wrote to the
+    /// disk; known once that is open.
     set_back_ms: Arc<AtomicU64>,
     /// Purges that came before, to be applied again then.
     early_purges: Vec<Purge>,
-    /// The classes of requests, with their names.
-    classes: Vec<(Bytes, Class)>,
+    classes: Vec<NamedClass>,
     /// The members of the list that stand for memory and disk.
     tiers: [Id; 2],
     /// Bytes that bodies and cached copies may fill together.
@@ -133,8 +140,8 @@
         })
     }
 
-    /// Attempts to answer a request from a tier. None: the disk is being read, and the result comes with
-    /// [`LocalCache::take_completed_reads`].
+    /// Attempts to answer a request from a tier. None: the disk is being read, and the result comes
+    /// with [`LocalCache::take_completed_reads`].
     pub fn attempt(
         &mut self,
         key: &Key,
@@ -212,7 +219,7 @@
         let fresh = self
             .classes
             .get(arrival.class)
-            .and_then(|(_, class)| class.fresh);
+            .and_then(|named| named.class.fresh);
         let same = have.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
         let answer = Answer {
             id: Bytes::new(),
@@ -239,30 +246,33 @@
         }
     }
 
-    /// When a copy that a server has just sent was created at the latest; none: its stamp does not say.
+    /// When a copy that a server has just sent was created at the latest; none: its stamp does not
+    /// say.
     pub fn bound_created_at(&mut self, made: u64) -> Option<u64> {
         self.copy_times.bound(&self.clock, made)
     }
 
-    /// Keeps a server's answer, if it says when it was created: without that its age is not known later.
+    /// Keeps a server's answer, if it says when it was created: without that its age is not known
+    /// later.
     pub fn insert(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
         let Some(made) = answer.made.filter(|made| *made > 0) else {
             return;
         };
-        let Some((class, settings)) = self.classes.get(arrival.class) else {
+        let Some(NamedClass { name, class }) = self.classes.get(arrival.class) else {
             return;
         };
-        // Texts and bodies share larger buffers as they came, and would keep all of those in memory.
+        // Texts and bodies share larger buffers as they came, and would keep all of those in
+        // memory.
         let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
         let copy = Copy {
             object: own(arrival.object.as_bytes()),
             part: arrival.part,
             group: arrival.group,
-            class: class.clone(),
+            class: name.clone(),
             made,
-            fresh: settings.fresh.map_or(0, |fresh| fresh.as_millis() as u64),
+            fresh: class.fresh.map_or(0, |fresh| fresh.as_millis() as u64),
             kb: arrival.kb,
-            in_parts: settings.in_parts,
+            in_parts: class.in_parts,
             tag: answer.etag.as_deref().map(own).unwrap_or_default(),
             body: own(&answer.body),
         };
@@ -275,7 +285,8 @@
         self.store.rank(part(arrival), rank);
     }
 
-    /// A server has answered: its tag shows whether a copy on disk from before the start is current.
+    /// A server has answered: its tag shows whether a copy on disk from before the start is
+    /// current.
     pub fn record_server_answer(
         &mut self,
         arrival: &Arrival,
@@ -289,8 +300,8 @@
         }
     }
 
-    /// Purges an object or a group. Where the clock was set back, the purge also reaches copies stamped by the
-    /// clock that was ahead, for when that comes back.
+    /// Purges an object or a group. Where the clock was set back, the purge also reaches copies
+    /// stamped by the clock that was ahead, for when that comes back.
     pub fn purge(&mut self, object: Option<&Id>, group: u64, ms: u64) {
         let is_opening = self
             .store
@@ -355,7 +366,8 @@
         }
     }
 
-    /// Does the background work that is due. `late`: by how much the event loop came later than planned.
+    /// Does the background work that is due. `late`: by how much the event loop came later than
+    /// planned.
     pub fn tick(&mut self, late: Duration) {
         let now = self.clock.now();
         self.store
@@ -377,7 +389,7 @@
             let class = self
                 .classes
                 .iter()
-                .position(|(name, _)| *name == copy.class)?;
+                .position(|named| named.name == copy.class)?;
             let object = std::str::from_utf8(&copy.object).ok()?;
             let id = format!("{:016x}", self.random.u64(..));
             let arrival = Arrival {
@@ -390,7 +402,7 @@
                 kb: copy.kb,
                 at: None,
                 cell: None,
-                left: self.classes[class].1.deadline,
+                left: self.classes[class].class.deadline,
                 repeated: true,
             };
             let forwarded = ForwardedFields {
--- a/crates/router/src/local_cache/open.rs
+++ b/crates/router/src/local_cache/open.rs
@@ -1,12 +1,11 @@
 //! Opens the local cache as the operator's file has it.
 
-use super::{DISK, LocalCache, MEMORY};
-use crate::boot_time::BootTime;
+use super::{DISK, LocalCache, MEMORY, NamedClass};
+use crate::boot_time::{BootTime, StepBack};
 use crate::clock::Clock;
 use crate::configuration::Configuration;
 use crate::timestamps::CopyTimes;
 use bytes::Bytes;
-use chalkhall::interface::Class;
 use chalkhall_config::Store as Settings;
 use chalkhall_store::decide::Store;
 use chalkhall_store::decide::disk::{Disk, SEGMENTS_LEAST, Wanted};
@@ -22,7 +21,8 @@
 
 /// Memory that the router takes for other things than bodies and cached copies.
 const OTHER_MEMORY: u64 = 8 << 20;
-/// The share of the rest that bodies and cached copies may fill: an allocator needs some for itself.
+/// The share of the rest that bodies and cached copies may fill: an allocator needs some for
+/// itself.
 const USABLE_SHARE: f64 = 0.75;
 /// An index that holds fewer parts is of no use.
 const MIN_INDEXED_PARTS: u64 = 1000;
@@ -121,15 +121,18 @@
 }
 
 /// The classes of requests, with their names.
-fn classes(configuration: &Configuration) -> Vec<(Bytes, Class)> {
+fn classes(configuration: &Configuration) -> Vec<NamedClass> {
     let names = configuration.classes.iter();
     let names = names.map(|name| Bytes::copy_from_slice(name.as_bytes()));
     let classes = configuration.deployment.classes.iter().cloned();
-    names.zip(classes).collect()
+    let named = names.zip(classes);
+    named
+        .map(|(name, class)| NamedClass { name, class })
+        .collect()
 }
 
-/// Starts the threads of the disk, which open its directory. `set_back_ms` takes by how much the clock was
-/// set back, once that is known.
+/// Starts the threads of the disk, which open its directory. `set_back_ms` takes by how much the
+/// clock was set back, once that is known.
 fn start_disk(
     settings: &Settings,
     path: &Path,
@@ -156,9 +159,13 @@
     })
 }
 
-/// By how much the wall clock was set back since an earlier start that used this directory, in milliseconds.
+/// By how much the wall clock was set back since an earlier start that used this directory, in
+/// milliseconds.
 fn set_back_by(boot: &BootTime, directory: &Path) -> u64 {
-    let (set_back, recorded) = boot.set_back_by(directory);
+    let StepBack {
+        ms: set_back,
+        recorded,
+    } = boot.set_back_by(directory);
     if set_back > 0 {
         log::warn!(
             set_back_ms = set_back;
@@ -167,7 +174,10 @@
     }
     if let Err(error) = recorded {
         let directory = directory.display();
-        log::warn!("store: {directory}: a later step of the clock may not be seen: {error}");
+        log::warn!(
+            directory:% = directory, reason:% = error;
+            "store: a later step of the clock may not be detected"
+        );
     }
     set_back
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -6,11 +6,12 @@
 
 /// One chalkhall router on real sockets.
 ///
-/// It is configured by the environment: ROUTER_CONFIG is the path of a JSON file; ROUTER_NAME and ROUTER_LISTEN
-/// take precedence over its `name` and `listen`. SIGTERM drains and ends it, SIGHUP reloads the file.
+/// It is configured by the environment: ROUTER_CONFIG is the path of a JSON file; ROUTER_NAME and
+/// ROUTER_LISTEN take precedence over its `name` and `listen`. SIGTERM drains and ends it, SIGHUP
+/// reloads the file.
 ///
-/// Exit codes: 0 after SIGTERM; 1 where it could not start, with one line that names what is at fault; 2 for
-/// arguments that make no sense.
+/// Exit codes: 0 after SIGTERM; 1 where it could not start, with one line that names what is at
+/// fault; 2 for arguments that make no sense.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -12,8 +12,8 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc;
 
-/// Reads the configuration and the operator's file again, and hands on what is new. Of a configuration or a
-/// file that is faulty nothing is taken over.
+/// Reads the configuration and the operator's file again, and hands on what is new. Of a
+/// configuration or a file that is faulty nothing is taken over.
 pub struct ConfigurationReloader {
     configuration: Configuration,
     /// The operator's file.
@@ -77,7 +77,7 @@
         let new = match self.with_spare_descriptor(|| read_configuration(&self.clock)) {
             Ok(new) => new,
             Err(fault) => {
-                return log::warn!("the new configuration is not taken over: {fault}");
+                return log::warn!(reason:% = fault; "the new configuration is not taken over");
             }
         };
         let changed = self.configuration.changed_fixed_keys(&new);
@@ -85,8 +85,8 @@
             let keys = changed.join(", ");
             log::warn!("the new configuration has other {keys}: a restart is needed");
         }
-        // Its events are read by the names in its settings: with other settings those are not the names that
-        // the router runs with.
+        // Its events are read by the names in its settings: with other settings those are not the
+        // names that the router runs with.
         let known_events = if changed.contains(&"settings") {
             Vec::new()
         } else {
@@ -99,28 +99,30 @@
         let _ = self.discovery.send(new).await;
     }
 
-    /// Of the operator's file the map of cells and the drained zones are taken over; all else needs a
-    /// restart.
+    /// Of the operator's file the map of cells and the drained zones are taken over; all else needs
+    /// a restart.
     async fn reload_directives(&self) {
         let Some(file) = &self.file else { return };
         let (directives, faults) = self.with_spare_descriptor(|| chalkhall_config::read(file));
         if let Some(fault) = faults.first() {
             return log::warn!(
-                "the operator's file is not taken over: {fault} ({} faults)",
-                faults.len()
+                reason:% = fault, faults = faults.len();
+                "the operator's file is not taken over"
             );
         }
         let zones = &self.configuration.names.zones;
         match zone_failover::zone_indices(zones, &directives.regions.drained) {
             Ok(drained) => self.send(DiscoveryEvent::Drained(drained)).await,
-            Err(fault) => log::warn!("the operator's file is not taken over: {fault}"),
+            Err(fault) => {
+                log::warn!(reason:% = fault; "the operator's file is not taken over");
+            }
         }
         if directives.cells.cells.is_empty() {
             return;
         }
         match cell_routing::plan(&directives.cells, &self.configuration.classes) {
             Ok(plan) => self.send(DiscoveryEvent::Cells(Box::new(plan))).await,
-            Err(fault) => log::warn!("the map of cells is not taken over: {fault}"),
+            Err(fault) => log::warn!(reason:% = fault; "the map of cells is not taken over"),
         }
     }
 
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -50,7 +50,8 @@
     let (phase_sender, phase) = watch::channel(Phase::Starting);
     let (decider, mailbox) = mpsc::channel(MAX_MESSAGES);
 
-    let (subsystems, tasks) = open_subsystems(clock, &directives, &configuration, &decider).await?;
+    let OpenedSubsystems { subsystems, tasks } =
+        open_subsystems(clock, &directives, &configuration, &decider).await?;
     let mut decisions = Decider::start(
         clock,
         &configuration.deployment,
@@ -77,7 +78,10 @@
     ));
     phase_sender.send_replace(Phase::Serving);
     drop(phase_sender);
-    log::info!("{} serves on {}", configuration.name, configuration.listen);
+    log::info!(
+        router = configuration.name.as_str(), address:% = configuration.listen;
+        "serving clients"
+    );
 
     let disk = tasks.start(&configuration, &decider);
     if let Some(control_socket) = control_socket {
@@ -91,7 +95,7 @@
 
     listener::run(socket, max_clients, frontend, decider, phase).await;
     shutdown::finish(decisions, disk).await?;
-    log::info!("{name} ended");
+    log::info!(router = name.as_str(); "ended");
     Ok(())
 }
 
@@ -138,14 +142,28 @@
     }
 }
 
+/// What the operator's file turns on beside the decisions.
+struct OpenedSubsystems {
+    subsystems: Subsystems,
+    tasks: SubsystemTasks,
+}
+
 /// Opens what the operator's file turns on beside the decisions.
 async fn open_subsystems(
     clock: Clock,
     directives: &Directives,
     configuration: &Configuration,
     decider: &mpsc::Sender<Message>,
-) -> Result<(Subsystems, SubsystemTasks), RouterError> {
-    let (local_cache, disk) = open_local_cache(clock, directives, configuration, decider)?;
+) -> Result<OpenedSubsystems, RouterError> {
+    let local_cache = LocalCache::open(&directives.store, configuration, clock)?;
+    let (local_cache, disk_results) = match local_cache {
+        Some(OpenedCache {
+            cache,
+            disk_results,
+        }) => (Some(cache), disk_results),
+        None => (None, None),
+    };
+    let disk = disk_results.map(|results| spawn_local(forward_disk(results, decider.clone())));
     let cell_routing = open_cell_routing(directives, configuration)?;
     let talk = start_gossip(clock, directives, configuration);
     let (sender, outgoing) = gossip_socket::saying();
@@ -181,25 +199,7 @@
         outgoing,
         probes,
     };
-    Ok((subsystems, tasks))
-}
-
-/// Opens the local cache, and starts the task that hands on how the operations of its disk end.
-fn open_local_cache(
-    clock: Clock,
-    directives: &Directives,
-    configuration: &Configuration,
-    decider: &mpsc::Sender<Message>,
-) -> Result<(Option<LocalCache>, Option<JoinHandle<()>>), RouterError> {
-    let Some(opened) = LocalCache::open(&directives.store, configuration, clock)? else {
-        return Ok((None, None));
-    };
-    let OpenedCache {
-        cache,
-        disk_results,
-    } = opened;
-    let disk = disk_results.map(|results| spawn_local(forward_disk(results, decider.clone())));
-    Ok((Some(cache), disk))
+    Ok(OpenedSubsystems { subsystems, tasks })
 }
 
 /// Hands on how the operations of the disk end, until its threads have ended.
@@ -287,7 +287,8 @@
     })
 }
 
-/// Applies the events that the configuration holds. Returns what bounds the stamps of those that follow.
+/// Applies the events that the configuration holds. Returns what bounds the stamps of those that
+/// follow.
 fn apply_known_events(
     configuration: &mut Configuration,
     decisions: &mut Decider,
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -1,9 +1,9 @@
 //! Bounds the timestamps in discovery's events and in copies by what the monotonic clock proves.
 //!
-//! Wall clocks are stepped, this machine's and others'. A timestamp therefore counts only within the span in
-//! which its event can have happened. One outside that span says nothing, and the latest possible moment, the
-//! arrival, takes its place: a server that started later is earlier in its slow start, and a later purge
-//! reaches more copies.
+//! Wall clocks are stepped, this machine's and others'. A timestamp therefore counts only within
+//! the span in which its event can have happened. One outside that span says nothing, and the
+//! latest possible moment, the arrival, takes its place: a server that started later is earlier in
+//! its slow start, and a later purge reaches more copies.
 
 use crate::clock::Clock;
 use crate::discovery_events::DiscoveryEvent;
@@ -132,9 +132,9 @@
 
 /// Bounds the times at which copies were created, as their servers send them.
 ///
-/// A copy cannot have been created after it arrived: by as much as its timestamp is in the future, the clock of
-/// the server is ahead at least, and later timestamps are corrected by as much. A timestamp that is too old
-/// needs no bound: the copy only counts as older than it is.
+/// A copy cannot have been created after it arrived: by as much as its timestamp is in the future,
+/// the clock of the server is ahead at least, and later timestamps are corrected by as much. A
+/// timestamp that is too old needs no bound: the copy only counts as older than it is.
 #[derive(Debug, Default)]
 pub struct CopyTimes {
     /// When the current window began, and the lead seen in it and in the one before.
@@ -144,8 +144,8 @@
 }
 
 impl CopyTimes {
-    /// When a copy that arrives now was created at the latest, in Unix milliseconds of this router's clock.
-    /// None: its age is not known.
+    /// When a copy that arrives now was created at the latest, in Unix milliseconds of this
+    /// router's clock. None: its age is not known.
     pub fn bound(&mut self, clock: &Clock, made: u64) -> Option<u64> {
         let now = clock.now();
         if now >= self.window + LEAD_WINDOW {
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -134,7 +134,8 @@
         Some(Duration::ZERO)
     );
     advance(SECOND * 7).await;
-    // Configuration again by a change, by a whole list after a lost connection, and as it comes back from having left.
+    // Configuration again by a change, by a whole list after a lost connection, and as it comes
+    // back from having left.
     let again = started(&clock, stamp);
     assert_eq!(age_of_start(&clock, &mut times, again), Some(SECOND * 7));
     times.interrupted();
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -1,6 +1,6 @@
-//! Failover between zones, decided together with the routers of all zones, as the decider uses it: the capacity
-//! of each zone by the list, a request's zone, the health of the local caches, gossip and latency probes.
-//! Nothing is decided here.
+//! Failover between zones, decided together with the routers of all zones, as the decider uses it:
+//! the capacity of each zone by the list, a request's zone, the health of the local caches, gossip
+//! and latency probes. Nothing is decided here.
 
 use crate::clock::Clock;
 use crate::gossip_socket::GossipSender;
@@ -274,7 +274,10 @@
             .collect();
         let (shares, at_ms) = (shares.join(", "), now.as_millis() as u64);
         let (plan, bad) = (state.plan_number, state.is_zone_bad);
-        log::info!(plan = plan, bad = bad, at_ms = at_ms; "regions: plan {shares}");
+        log::info!(
+            plan = plan, bad = bad, at_ms = at_ms, shares = shares.as_str();
+            "regions: new plan"
+        );
     }
 
     fn shares(&self) -> Vec<(&str, f64)> {
@@ -348,7 +351,8 @@
             .answered(now, was_served && took <= class.latency_objective);
     }
 
-    /// `latency observe REGION EDGE MS [COUNT]`: the latency of clients to a zone's edge, as a front measured it.
+    /// `latency observe REGION EDGE MS [COUNT]`: the latency of clients to a zone's edge, as a
+    /// front measured it.
     pub fn observe(&mut self, now: Duration, words: &[&str]) -> Value {
         let error = |text: String| json!({"error": text});
         let ([region, edge, ms] | [region, edge, ms, _]) = *words else {
@@ -385,36 +389,61 @@
 
     /// `steer show`: for a front, which edges are to take this region's clients, in order.
     pub fn steer(&self, now: Duration) -> Value {
+        let ms = |latency: Option<Duration>| latency.map(|latency| latency.as_secs_f64() * 1e3);
         let edges = self.regions.steer(now).into_iter().map(|edge| {
-            let ms = |d: Option<Duration>| d.map(|d| d.as_secs_f64() * 1e3);
-            let name = self.names.get(edge.edge).map_or("", String::as_str);
-            json!({"edge": name, "share": edge.share, "room": edge.room, "bad": edge.bad,
-                "way_ms": edge.way.and_then(|w| ms(w.p50)), "way_p90_ms": edge.way.and_then(|w| ms(w.p90)),
-                "clients_ms": edge.leg.and_then(|w| ms(w.p50)), "doubt": edge.way.map(|w| w.doubt)})
+            json!({
+                "edge": self.names.get(edge.edge).map_or("", String::as_str),
+                "share": edge.share,
+                "room": edge.room,
+                "bad": edge.bad,
+                "way_ms": edge.way.and_then(|path| ms(path.p50)),
+                "way_p90_ms": edge.way.and_then(|path| ms(path.p90)),
+                "clients_ms": edge.leg.and_then(|path| ms(path.p50)),
+                "doubt": edge.way.map(|path| path.doubt),
+            })
         });
-        let edges: Vec<Value> = edges.collect();
-        let (zone, region) = (self.names.get(self.zone), self.region_of.get(self.zone));
-        json!({"location": zone, "region": region, "edges": edges})
+        json!({
+            "location": self.names.get(self.zone),
+            "region": self.region_of.get(self.zone),
+            "edges": edges.collect::<Vec<Value>>(),
+        })
     }
 
     /// `regions stat`.
     pub fn report(&self, now: Duration) -> Value {
         let report = self.regions.report(now);
-        let places = report.places.iter().zip(&self.names).map(|((bad, drained, demand, room), name)| {
-            json!({"location": name, "bad": bad, "drained": drained, "demand": demand, "room": room})
+        let zones = report.places.iter().zip(&self.names);
+        let zones = zones.map(|((bad, drained, demand, room), name)| {
+            json!({
+                "location": name,
+                "bad": bad,
+                "drained": drained,
+                "demand": demand,
+                "room": room,
+            })
         });
-        let places: Vec<Value> = places.collect();
         let share = |(edge, share): &(usize, f64)| json!([self.names.get(*edge), share]);
+        let plan = report.plan.map(|(plan, coordinator)| {
+            json!({
+                "number": plan.number,
+                "teller": coordinator,
+                "shares": plan.shares.iter().map(share).collect::<Vec<_>>(),
+            })
+        });
         let dropped = self.regions.gossip().dropped();
         json!({
-            "location": self.names.get(self.zone), "bad": report.bad, "drained": report.drained,
-            "flaps": report.flaps, "speaks": report.speaker, "mates": report.peers, "demand": report.demand,
-            "plan": report.plan.map(|(plan, teller)| json!({
-                "number": plan.number, "teller": teller,
-                "shares": plan.shares.iter().map(share).collect::<Vec<_>>(),
-            })),
-            "places": places,
-            "faulty": dropped.faulty, "strange": dropped.strange, "old": dropped.old,
+            "location": self.names.get(self.zone),
+            "bad": report.bad,
+            "drained": report.drained,
+            "flaps": report.flaps,
+            "speaks": report.speaker,
+            "mates": report.peers,
+            "demand": report.demand,
+            "plan": plan,
+            "places": zones.collect::<Vec<Value>>(),
+            "faulty": dropped.faulty,
+            "strange": dropped.strange,
+            "old": dropped.old,
         })
     }
 }
