--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -3,6 +3,7 @@
 
 use crate::io_errors::AcceptFailure;
 use crate::messages::{Message, OperatorQuery};
+use crate::operator_query::Query;
 use crate::rate_limited_log::RateLimitedLog;
 use crate::uninterrupted::Uninterrupted;
 use serde_json::json;
@@ -134,10 +135,10 @@
     BufReader::new(reader.take(MAX_LINE_BYTES))
         .read_line(&mut line)
         .await?;
-    let words = line.split_whitespace().map(str::to_owned).collect();
     let (answer, answered) = oneshot::channel();
-    let query = Message::OperatorQuery(OperatorQuery { words, answer });
-    let sent = decider.send(query).await;
+    let query = Query::parse(&line);
+    let query = OperatorQuery { query, answer };
+    let sent = decider.send(Message::OperatorQuery(query)).await;
     let reply = match (sent, answered.await) {
         (Ok(()), Ok(reply)) => reply,
         _ => json!({"error": "the router has ended"}),
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -132,9 +132,9 @@
             Message::Disk(end) => self.complete_disk_operation(end),
             Message::Way(edge, round_trip) => self.record_latency(edge, round_trip),
             Message::Peer(from, bytes) => self.receive_datagram(from, &bytes),
-            Message::OperatorQuery(OperatorQuery { words, answer }) => {
+            Message::OperatorQuery(OperatorQuery { query, answer }) => {
                 // Who asked may have gone.
-                let _ = answer.send(self.answer_query(&words));
+                let _ = answer.send(self.answer_query(query));
             }
             Message::Stop => self.begin_draining(),
         }
--- a/crates/router/src/decider/operator_queries.rs
+++ b/crates/router/src/decider/operator_queries.rs
@@ -2,43 +2,50 @@
 
 use super::Decider;
 use super::subsystems::Gossip;
+use crate::operator_query::{Query, ZoneFailoverQuery};
 use crate::zone_failover::ZoneFailover;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 impl Decider {
-    pub(super) fn answer_query(&mut self, words: &[String]) -> Value {
-        let words: Vec<&str> = words.iter().map(String::as_str).collect();
+    pub(super) fn answer_query(&mut self, query: Query) -> Value {
         let now = self.dispatcher.now;
-        match words.as_slice() {
-            ["regions" | "steer" | "latency", ..] => match &mut self.zone_failover {
-                Some(failover) => query_zone_failover(failover, now, &words),
-                None => error("regions in common are off"),
-            },
-            ["store", "stat"] => match &self.dispatcher.local_cache {
+        match query {
+            Query::StoreStat => match &self.dispatcher.local_cache {
                 Some(local_cache) => local_cache.report(),
                 None => error("no own copies are kept: neither memory nor disk is set"),
             },
-            ["cells", "stat"] => match &self.cell_routing {
+            Query::CellsStat => match &self.cell_routing {
                 Some(cell_routing) => cell_routing.report(),
                 None => error("there are no cells"),
             },
-            ["peers", "stat"] => match &self.dispatcher.gossip {
+            Query::PeersStat => match &self.dispatcher.gossip {
                 Some(gossip) => report_peers(gossip, now),
                 None => error("this router talks to no other"),
             },
-            _ => unknown(&words),
+            Query::ZoneFailover(query) => match &mut self.zone_failover {
+                Some(failover) => query_zone_failover(failover, now, query),
+                None => error("regions in common are off"),
+            },
+            Query::Unknown(words) => unknown(&words),
         }
     }
 }
 
-fn query_zone_failover(failover: &mut ZoneFailover, now: Duration, words: &[&str]) -> Value {
-    match words {
-        ["regions", "stat"] => failover.report(now),
-        ["steer", "show"] => failover.steer(now),
-        ["latency", "observe", rest @ ..] => failover.observe(now, rest),
-        _ => unknown(words),
+fn query_zone_failover(
+    failover: &mut ZoneFailover,
+    now: Duration,
+    query: ZoneFailoverQuery,
+) -> Value {
+    match query {
+        ZoneFailoverQuery::Stat => failover.report(now),
+        ZoneFailoverQuery::Steer => failover.steer(now),
+        ZoneFailoverQuery::ObserveLatency(arguments) => {
+            let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+            failover.observe(now, &arguments)
+        }
+        ZoneFailoverQuery::Unknown(words) => unknown(&words),
     }
 }
 
@@ -61,8 +68,8 @@
     })
 }
 
-fn unknown(words: &[&str]) -> Value {
-    error(&format!("unknown words: {}", words.join(" ")))
+fn unknown(words: &str) -> Value {
+    error(&format!("unknown words: {words}"))
 }
 
 fn error(text: &str) -> Value {
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -64,6 +64,30 @@
     }
 }
 
+/// An attempt at a server, with time to spare.
+fn attempt_at(server: &Id) -> Ask {
+    let due = tokio::time::Instant::now() + Duration::from_secs(5);
+    let fill = Fill {
+        source: server.clone(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    };
+    Ask {
+        key: (server.clone(), 0),
+        passed: ForwardedFields::default(),
+        server: server.clone(),
+        fill,
+        once: true,
+        wanted: CancellationFlag::default(),
+        due,
+        leave_by: due,
+    }
+}
+
 /// Time to end has come while requests lie in its mailbox, or none more can be put there: none of
 /// them is lost.
 #[tokio::test(flavor = "current_thread")]
@@ -162,29 +186,10 @@
         assert_eq!(before.capacity(), 0);
         let after = list(new, Some(Duration::from_secs(1)));
         drop(before);
-        let due = tokio::time::Instant::now() + Duration::from_secs(5);
-        let wanted = CancellationFlag::default();
-        let fill = Fill {
-            source: id.clone(),
-            rank: 0,
-            oldest: None,
-            join: false,
-            only_held: false,
-            parent_keeps: true,
-            renew: false,
-        };
-        let ask = Ask {
-            key: (id.clone(), 0),
-            passed: ForwardedFields::default(),
-            server: id.clone(),
-            fill,
-            once: true,
-            wanted,
-            due,
-            leave_by: due,
-        };
         assert!(
-            after.try_send(ServerCommand::Ask(Box::new(ask))).is_ok(),
+            after
+                .try_send(ServerCommand::Ask(Box::new(attempt_at(&id))))
+                .is_ok(),
             "it takes no orders"
         );
         tokio::select! {
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -242,7 +242,7 @@
     async fn try_follow(&mut self, state: &mut WatchState) -> Result<Infallible, WatchError> {
         self.event_times.interrupted();
         let watch = self.watch().await?;
-        let mut watch = Watch::first_to_speak(watch, &mut state.silent_watch).await?;
+        let mut watch = Watch::first_to_respond(watch, &mut state.silent_watch).await?;
         // Only what shows that nothing newer is held back counts: a service that stays behind, or
         // goes on with what it sent before, is worth as little as a silent one.
         let mut current_at = watch.opened_at;
@@ -353,7 +353,7 @@
     }
 
     /// Waits for the first line of a new watch, or of an earlier one that has been silent so far.
-    async fn first_to_speak(
+    async fn first_to_respond(
         mut new: Watch,
         earlier: &mut Option<Watch>,
     ) -> Result<Watch, WatchError> {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod local_cache;
 pub mod logging;
 mod messages;
+mod operator_query;
 mod rate_limited_log;
 mod reload;
 mod scheduling_delay;
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -263,9 +263,9 @@
         };
         // Texts and bodies share larger buffers as they came, and would keep all of those in
         // memory.
-        let own = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
+        let copied = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
         let copy = Copy {
-            object: own(arrival.object.as_bytes()),
+            object: copied(arrival.object.as_bytes()),
             part: arrival.part,
             group: arrival.group,
             class: name.clone(),
@@ -273,8 +273,8 @@
             fresh: class.fresh.map_or(0, |fresh| fresh.as_millis() as u64),
             kb: arrival.kb,
             in_parts: class.in_parts,
-            tag: answer.etag.as_deref().map(own).unwrap_or_default(),
-            body: own(&answer.body),
+            tag: answer.etag.as_deref().map(copied).unwrap_or_default(),
+            body: copied(&answer.body),
         };
         self.store
             .keep(self.clock.now(), copy, rank, &mut self.shelf);
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,5 +1,6 @@
 //! What the actors of a router say to one another: below all of them, so that none needs another's file.
 
+use crate::operator_query::Query;
 use crate::server_protocol::{Answer, ForwardedFields};
 use bytes::Bytes;
 use chalkhall::interface::{Arrival, Fill, Id, Outcome};
@@ -97,7 +98,7 @@
 
 /// A question from an operator, and where its answer goes.
 pub struct OperatorQuery {
-    pub words: Vec<String>,
+    pub query: Query,
     pub answer: oneshot::Sender<Value>,
 }
 
--- /dev/null
+++ b/crates/router/src/operator_query/tests.rs
@@ -0,0 +1,40 @@
+use super::*;
+
+#[test]
+fn each_known_line_is_one_query_whatever_the_space_between_its_words() {
+    let known = [
+        ("store stat\n", Query::StoreStat),
+        ("  cells   stat\r\n", Query::CellsStat),
+        ("peers stat", Query::PeersStat),
+        ("regions stat", Query::ZoneFailover(ZoneFailoverQuery::Stat)),
+        ("steer show", Query::ZoneFailover(ZoneFailoverQuery::Steer)),
+    ];
+    for (line, query) in known {
+        assert_eq!(Query::parse(line), query, "{line:?}");
+    }
+}
+
+#[test]
+fn a_measured_latency_keeps_all_of_its_arguments() {
+    let query = Query::parse("latency observe north z2 5 20");
+    let arguments = ["north", "z2", "5", "20"].map(str::to_owned).to_vec();
+    let observe = ZoneFailoverQuery::ObserveLatency(arguments);
+    assert_eq!(query, Query::ZoneFailover(observe));
+}
+
+#[test]
+fn words_that_are_no_query_are_named_in_the_error() {
+    assert_eq!(
+        Query::parse("make  tea\n"),
+        Query::Unknown("make tea".into())
+    );
+    assert_eq!(Query::parse("store stat all"), {
+        Query::Unknown("store stat all".into())
+    });
+    assert_eq!(Query::parse(""), Query::Unknown(String::new()));
+    let nonsense = ZoneFailoverQuery::Unknown("regions nonsense".into());
+    assert_eq!(
+        Query::parse("regions nonsense"),
+        Query::ZoneFailover(nonsense)
+    );
+}
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -22,6 +22,9 @@
 /// The most samples that one observation of an operator may stand for.
 const MAX_OBSERVED_SAMPLES: u32 = 1_000_000;
 
+/// The longest latency that an operator may report, in milliseconds.
+const MAX_OBSERVED_MS: u32 = 60_000;
+
 /// What a class of requests has to do with other zones.
 #[derive(Clone, Copy, Default)]
 struct ClassPolicy {
@@ -130,6 +133,19 @@
     regions
 }
 
+/// A latency in milliseconds, as an operator writes it.
+fn parse_latency(ms: &str) -> Option<Duration> {
+    let ms = ms.parse::<f64>().ok()?;
+    let is_possible = (0.0..=f64::from(MAX_OBSERVED_MS)).contains(&ms);
+    is_possible.then(|| Duration::from_secs_f64(ms / 1e3))
+}
+
+/// A number of samples, as an operator writes it.
+fn parse_count(count: &str) -> Option<u32> {
+    let count = count.parse().ok()?;
+    (1..=MAX_OBSERVED_SAMPLES).contains(&count).then_some(count)
+}
+
 fn class_policy(class: &Class) -> ClassPolicy {
     ClassPolicy {
         may_leave_zone: class.effect == Effect::Idempotent && class.cacheable,
@@ -368,22 +384,13 @@
         let Some(edge) = self.names.iter().position(|name| name == edge) else {
             return error(format!("{edge} is not a zone"));
         };
-        let ms = ms
-            .parse::<f64>()
-            .ok()
-            .filter(|ms| (0.0..=60_000.0).contains(ms));
-        let count = words
-            .get(3)
-            .map_or(Some(1), |word| word.parse().ok())
-            .filter(|n| (1..=MAX_OBSERVED_SAMPLES).contains(n));
-        let (Some(ms), Some(count)) = (ms, count) else {
+        let count = words.get(3).copied().unwrap_or("1");
+        let (Some(latency), Some(count)) = (parse_latency(ms), parse_count(count)) else {
             return error(format!(
-                "MS is from 0 to 60000, COUNT from 1 to {MAX_OBSERVED_SAMPLES}"
+                "MS is from 0 to {MAX_OBSERVED_MS}, COUNT from 1 to {MAX_OBSERVED_SAMPLES}"
             ));
         };
-        self.regions
-            .model()
-            .observed(now, edge, Duration::from_secs_f64(ms / 1e3), count);
+        self.regions.model().observed(now, edge, latency, count);
         json!({"observed": count})
     }
 
