--- /dev/null
+++ b/crates/router/src/decider/operator_queries.rs
@@ -0,0 +1,77 @@
+//! Answers to an operator's queries, as JSON objects.
+
+use super::Decider;
+use super::subsystems::Gossip;
+use crate::operator_query::{Query, ZoneFailoverQuery};
+use crate::zone_failover::ZoneFailover;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+impl Decider {
+    pub(super) fn answer_query(&mut self, query: Query) -> Value {
+        let now = self.dispatcher.now;
+        match query {
+            Query::StoreStat => match &self.dispatcher.local_cache {
+                Some(local_cache) => local_cache.report(),
+                None => error("no own copies are kept: neither memory nor disk is set"),
+            },
+            Query::CellsStat => match &self.cell_routing {
+                Some(cell_routing) => cell_routing.report(),
+                None => error("there are no cells"),
+            },
+            Query::PeersStat => match &self.dispatcher.gossip {
+                Some(gossip) => report_peers(gossip, now),
+                None => error("this router talks to no other"),
+            },
+            Query::ZoneFailover(query) => match &mut self.zone_failover {
+                Some(failover) => query_zone_failover(failover, now, query),
+                None => error("regions in common are off"),
+            },
+            Query::Unknown(words) => unknown(&words),
+        }
+    }
+}
+
+fn query_zone_failover(
+    failover: &mut ZoneFailover,
+    now: Duration,
+    query: ZoneFailoverQuery,
+) -> Value {
+    match query {
+        ZoneFailoverQuery::Stat => failover.report(now),
+        ZoneFailoverQuery::Steer => failover.steer(now),
+        ZoneFailoverQuery::ObserveLatency(arguments) => {
+            let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+            failover.observe(now, &arguments)
+        }
+        ZoneFailoverQuery::Unknown(words) => unknown(&words),
+    }
+}
+
+fn report_peers(gossip: &Gossip, now: Duration) -> Value {
+    let (recent, known) = gossip.talk.peers(now);
+    let dropped = gossip.talk.dropped();
+    let weights: BTreeMap<&str, f64> = gossip
+        .talk
+        .weights()
+        .map(|(cache, weight)| (&**cache, weight))
+        .collect();
+    json!({
+        "weights": weights,
+        "mates": recent,
+        "known": known,
+        "strangers": dropped.strangers,
+        "faulty": dropped.faulty,
+        "flood": dropped.flood,
+        "untold": dropped.untold,
+    })
+}
+
+fn unknown(words: &str) -> Value {
+    error(&format!("unknown words: {words}"))
+}
+
+fn error(text: &str) -> Value {
+    json!({"error": text})
+}
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,9 +1,13 @@
 //! The decider by itself, without sockets.
 
 use super::*;
-use crate::messages::{AttemptId, AttemptRequest, ServerCommand};
+use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
+use crate::messages::fixtures::attempt_id;
+use crate::messages::{
+    AttemptRequest, CancellationFlag, ClientReply, FinalAnswer, NewRequest, ServerCommand,
+};
 use crate::server_protocol::ForwardedFields;
-use chalkhall::interface::Arrival;
+use chalkhall::interface::{Arrival, Fill, Id};
 
 fn decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
     let (phase, phase_of) = watch::channel(phase);
@@ -21,15 +25,22 @@
         longest_advice: Some(Duration::from_millis(90)),
         ..Deployment::default()
     };
-    let beside = Subsystems {
-        own: None,
-        confined: None,
-        talk: None,
-        abroad: None,
+    let subsystems = Subsystems {
+        local_cache: None,
+        cell_routing: None,
+        gossip: None,
+        zone_failover: None,
     };
     let to = messages.clone();
     (
-        Decider::start(Clock::start(), &deployment, limits, phase, messages, beside),
+        Decider::start(
+            Clock::start(),
+            &deployment,
+            limits,
+            phase,
+            messages,
+            subsystems,
+        ),
         to,
         phase_of,
     )
@@ -56,8 +67,32 @@
     }
 }
 
-/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of them is
-/// lost.
+/// An attempt at a server, with time to spare.
+fn attempt_at(server: &Id) -> AttemptRequest {
+    let due = tokio::time::Instant::now() + Duration::from_secs(5);
+    let fill = Fill {
+        source: server.clone(),
+        rank: 0,
+        oldest: None,
+        join: false,
+        only_held: false,
+        parent_keeps: true,
+        renew: false,
+    };
+    AttemptRequest {
+        attempt: attempt_id(server, 0),
+        forwarded: ForwardedFields::default(),
+        server: server.clone(),
+        fill,
+        is_non_idempotent: true,
+        cancellation: CancellationFlag::default(),
+        deadline: due,
+        send_by: due,
+    }
+}
+
+/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of
+/// them is lost.
 #[tokio::test(flavor = "current_thread")]
 async fn what_lies_in_the_mailbox_as_the_router_ends_is_rejected() {
     let (decider, _messages, phase) = decider(Phase::Draining {
@@ -79,9 +114,8 @@
     for tag in 1..=3 {
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
-        assert!(
-            matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == Duration::from_millis(90))
-        );
+        let advised = Duration::from_millis(90);
+        assert!(matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == advised));
     }
     assert!(
         to_decider.try_send(Message::Stop).is_err(),
@@ -97,22 +131,27 @@
     let left = new(1, &client);
     left.wanted.end();
     assert_eq!(client.capacity(), 0);
-    decider.take(Message::Request(Box::new(left)));
-    assert_eq!((decider.desk.requests.len(), client.capacity()), (0, 1));
+    decider.handle(Message::Request(Box::new(left)));
+    assert_eq!(
+        (decider.dispatcher.requests.len(), client.capacity()),
+        (0, 1)
+    );
 }
 
-/// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is up.
+/// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is
+/// up.
 #[tokio::test(flavor = "current_thread")]
 async fn the_end_waits_for_what_is_not_written_yet() {
     let (mut decider, _messages, _phase) = decider(Phase::Serving);
-    assert_eq!(decider.open(), 0);
-    decider.desk.in_hand = 1;
-    assert_eq!(decider.open(), 1);
-    decider.take(Message::Written(1));
-    assert_eq!(decider.open(), 0);
+    assert_eq!(decider.open_work(), 0);
+    decider.dispatcher.unwritten_bytes = 1;
+    assert_eq!(decider.open_work(), 1);
+    decider.handle(Message::Written(1));
+    assert_eq!(decider.open_work(), 0);
 }
 
-/// A server's start comes while its actor's mailbox is full: nothing more goes to where it was before.
+/// A server's start comes while its actor's mailbox is full: nothing more goes to where it was
+/// before.
 #[tokio::test(flavor = "current_thread")]
 async fn a_server_that_moves_while_its_mailbox_is_full_is_followed() {
     let inside = async {
@@ -129,50 +168,30 @@
                 started,
                 ..Member::default()
             };
-            decider.notice(DiscoveryEvent::List {
+            decider.apply_discovery_event(DiscoveryEvent::List {
                 whole: false,
-                members: vec![(member, dial)],
+                servers: vec![DiscoveredServer {
+                    member,
+                    address: dial,
+                }],
             });
-            decider.desk.servers.orders_to(&id).expect("it is listed")
+            decider
+                .dispatcher
+                .servers
+                .commands_to(&id)
+                .expect("it is listed")
         };
         let before = list(old, None);
         while before
-            .try_send(ServerCommand::Cancel(AttemptId {
-                request: id.clone(),
-                number: 0,
-            }))
+            .try_send(ServerCommand::Cancel(attempt_id(&id, 0)))
             .is_ok()
         {}
         assert_eq!(before.capacity(), 0);
         let after = list(new, Some(Duration::from_secs(1)));
         drop(before);
-        let deadline = tokio::time::Instant::now() + Duration::from_secs(5);
-        let cancellation = CancellationFlag::default();
-        let fill = interface::Fill {
-            source: id.clone(),
-            rank: 0,
-            oldest: None,
-            join: false,
-            only_held: false,
-            parent_keeps: true,
-            renew: false,
-        };
-        let request = AttemptRequest {
-            attempt: AttemptId {
-                request: id.clone(),
-                number: 0,
-            },
-            forwarded: ForwardedFields::default(),
-            server: id.clone(),
-            fill,
-            is_non_idempotent: true,
-            cancellation,
-            deadline,
-            send_by: deadline,
-        };
         assert!(
             after
-                .try_send(ServerCommand::Send(Box::new(request)))
+                .try_send(ServerCommand::Send(Box::new(attempt_at(&id))))
                 .is_ok(),
             "it takes no orders"
         );
