--- a/crates/cli/src/bin/demo/client.rs
+++ b/crates/cli/src/bin/demo/client.rs
@@ -63,8 +63,8 @@
         let deadline_ms = REQUEST_DEADLINE.as_millis();
         let fields = format!("i={id},d={deadline_ms},o={object},m=9");
         let begun = Instant::now();
-        let word = self.exchange("REQ", &[class, &fields, ""]).await?;
-        let outcome = match word.as_str() {
+        let keyword = self.exchange("REQ", &[class, &fields, ""]).await?;
+        let outcome = match keyword.as_str() {
             "ACK" => Outcome::Served,
             "NAK" => Outcome::Rejected,
             "FAIL" => Outcome::Failed,
@@ -76,7 +76,8 @@
         })
     }
 
-    /// True: the router answers `GREEN`, it takes requests; false: `RED`, it is starting or draining.
+    /// True: the router answers `GREEN`, it takes requests; false: `RED`, it is starting or
+    /// draining.
     ///
     /// # Errors
     /// The connection broke, or the answer is none of the protocol.
@@ -84,7 +85,7 @@
         Ok(self.exchange("HEALTH", &[]).await? == "GREEN")
     }
 
-    /// Sends a frame under a new tag; returns the word of the answer.
+    /// Sends a frame under a new tag; returns the keyword of the answer.
     async fn exchange(&mut self, verb: &str, rest: &[&str]) -> Result<String, DemoError> {
         self.last_tag += 1;
         let tag = self.last_tag.to_string();
@@ -97,7 +98,7 @@
 
         let answer = self.read_frame().await?;
         match answer.as_slice() {
-            [answered, word, ..] if *answered == tag => Ok(word.clone()),
+            [answered, keyword, ..] if *answered == tag => Ok(keyword.clone()),
             _ => Err(DemoError::Answer("another tag than the request's")),
         }
     }
--- a/crates/cli/src/bin/demo/configuration.rs
+++ b/crates/cli/src/bin/demo/configuration.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const EXAMPLE: &str = include_str!("../../../../../docs/example.json");
-/// Grace of a drain in the example's settings: afterwards the router sends nothing to a draining server.
+/// Grace of a drain in the example's settings: afterwards a draining server gets nothing.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 const LOCK_PORT: u16 = 6049;
--- a/crates/cli/src/bin/demo/discovery.rs
+++ b/crates/cli/src/bin/demo/discovery.rs
@@ -44,7 +44,8 @@
         Ok((discovery, address))
     }
 
-    /// Publishes a change of these endpoints, and returns when it is written to the router's connection.
+    /// Publishes a change of these endpoints, and returns when it is written to the router's
+    /// connection.
     pub async fn publish(&self, endpoints: &[Value]) {
         let number = self.last_event() + 1;
         let pool = json!({"seq": number, "whole": false, "hosts": endpoints});
--- a/crates/cli/src/bin/demo/main.rs
+++ b/crates/cli/src/bin/demo/main.rs
@@ -1,6 +1,6 @@
-//! `make demo`: one real router process on loopback between stand-ins of two cache servers, a parent, an
-//! origin and discovery. Sends a few requests and prints what happened to each; exit code 0 only if all
-//! steps ended as expected.
+//! `make demo`: one real router process on loopback between stand-ins of two cache servers, a
+//! parent, an origin and discovery. Sends a few requests and prints what happened to each; exit
+//! code 0 only if all steps ended as expected.
 
 mod client;
 mod configuration;
@@ -24,17 +24,17 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let played = LocalSet::new().block_on(&runtime, async {
-        timeout(TIME_LIMIT, scenario::play()).await
+    let outcome = LocalSet::new().block_on(&runtime, async {
+        timeout(TIME_LIMIT, scenario::run()).await
     });
-    played.unwrap_or(Err(DemoError::TooLong(TIME_LIMIT)))
+    outcome.unwrap_or(Err(DemoError::TooLong(TIME_LIMIT)))
 }
 
 fn main() -> ExitCode {
     match run() {
         Ok(summary) => {
             println!("{summary}");
-            ExitCode::from(u8::from(!summary.passed()))
+            ExitCode::from(u8::from(!summary.succeeded()))
         }
         Err(error) => {
             let cause = error
--- a/crates/cli/src/bin/demo/scenario.rs
+++ b/crates/cli/src/bin/demo/scenario.rs
@@ -4,7 +4,7 @@
 use crate::configuration::{ConfigurationFile, DRAIN_GRACE, ReservedAddress, endpoint};
 use crate::discovery::Discovery;
 use crate::error::DemoError;
-use crate::servers::{Fleet, ServerAnswer, Tier};
+use crate::servers::{Fleet, Retrieval, ServerAnswer, Tier};
 use crate::summary::{Step, Summary};
 use chalkhall_cli::fleet::program;
 use chalkhall_harness::children::Router;
@@ -29,11 +29,11 @@
     summary: Summary,
 }
 
-/// Plays all steps.
+/// Runs all steps.
 ///
 /// # Errors
 /// The stand-ins or the router could not be started, or the router broke the connection.
-pub async fn play() -> Result<Summary, DemoError> {
+pub async fn run() -> Result<Summary, DemoError> {
     let reserved = ReservedAddress::reserve()?;
     let fleet = start_servers(&reserved).await?;
     let (discovery, discovery_address) = Discovery::listen(reserved.any_port()).await?;
@@ -76,8 +76,8 @@
         discovery: Rc<Discovery>,
     ) -> Result<Demo, DemoError> {
         let begun = Instant::now();
-        let own = std::env::current_exe().map_err(DemoError::Start)?;
-        let program = program(&own.with_file_name("chalkhall"), None);
+        let executable = std::env::current_exe().map_err(DemoError::Start)?;
+        let program = program(&executable.with_file_name("chalkhall"), None);
         let started = Router::start(&program, file.path(), None, None);
         let mut router = started.map_err(DemoError::Start)?;
         let client = connect_when_healthy(&mut router, address).await?;
@@ -89,34 +89,17 @@
             requests: 0,
             summary: Summary::default(),
         };
-        demo.note(
-            "start one router, ask HEALTH".into(),
-            begun.elapsed(),
-            "GREEN".into(),
-            "GREEN",
-            true,
-        );
-        Ok(demo)
-    }
-
-    fn note(
-        &mut self,
-        action: String,
-        elapsed: Duration,
-        observed: String,
-        expected: &'static str,
-        passed: bool,
-    ) {
-        self.summary.steps.push(Step {
-            action,
-            elapsed,
-            observed,
-            expected,
-            passed,
+        demo.summary.steps.push(Step {
+            action: "start one router, ask HEALTH".to_owned(),
+            elapsed: begun.elapsed(),
+            observed: "GREEN".to_owned(),
+            expected: "GREEN",
+            succeeded: true,
         });
+        Ok(demo)
     }
 
-    /// Sends a request, and notes whether it ended as `accepts` demands; returns the servers' answers.
+    /// Sends a request, and notes whether it ended as `accepts` demands.
     async fn request(
         &mut self,
         action: &str,
@@ -124,36 +107,38 @@
         object: &str,
         expected: &'static str,
         accepts: impl Fn(Outcome, &[ServerAnswer]) -> bool,
-    ) -> Result<Vec<ServerAnswer>, DemoError> {
+    ) -> Result<(), DemoError> {
         self.requests += 1;
         let id = format!("{:016x}", self.requests);
         let answer = self.client.request(class, &id, object).await?;
         let path = self.fleet.answers_to(&id);
-        let passed = accepts(answer.outcome, &path);
+        let succeeded = accepts(answer.outcome, &path);
         let observed = describe(&answer, &path);
-        self.note(
-            action.to_owned(),
-            answer.elapsed,
+        self.summary.steps.push(Step {
+            action: action.to_owned(),
+            elapsed: answer.elapsed,
             observed,
             expected,
-            passed,
-        );
-        Ok(path)
+            succeeded,
+        });
+        Ok(())
     }
 
-    /// An object asked for the first time passes through unkept; from the second time on it is cached.
+    /// An object asked for the first time passes through unkept; from the second time on it is
+    /// cached.
     async fn fills_then_hit(&mut self) -> Result<(), DemoError> {
-        let filled = |outcome, path: &[ServerAnswer]| outcome == Outcome::Served && path.len() > 1;
+        let is_filled =
+            |outcome, path: &[ServerAnswer]| outcome == Outcome::Served && path.len() > 1;
         let first = "request an object for the first time";
         let expected = "served by way of a cache that fills from the parent";
-        self.request(first, "page", OBJECT, expected, filled)
+        self.request(first, "page", OBJECT, expected, is_filled)
             .await?;
         let second = "the same object again: now it is kept";
-        self.request(second, "page", OBJECT, expected, filled)
+        self.request(second, "page", OBJECT, expected, is_filled)
             .await?;
         let third = "the same object once more";
         let hit = |outcome, path: &[ServerAnswer]| {
-            outcome == Outcome::Served && path.len() == 1 && path[0].remark == "hit"
+            outcome == Outcome::Served && path.len() == 1 && path[0].retrieval == Retrieval::Hit
         };
         let expected = "a hit at the cache";
         self.request(third, "page", OBJECT, expected, hit).await?;
@@ -217,16 +202,13 @@
                 None => sleep(POLL_INTERVAL).await,
             }
         };
-        let observed = format!("RED, then {status}");
-        let action = "SIGTERM".to_owned();
-        let expected = "RED, then exit code 0";
-        self.note(
-            action,
-            begun.elapsed(),
-            observed,
-            expected,
-            status.success(),
-        );
+        self.summary.steps.push(Step {
+            action: "SIGTERM".to_owned(),
+            elapsed: begun.elapsed(),
+            observed: format!("RED, then {status}"),
+            expected: "RED, then exit code 0",
+            succeeded: status.success(),
+        });
         Ok(())
     }
 
@@ -270,6 +252,6 @@
     }
     let hops = path
         .iter()
-        .map(|answer| format!("{} ({})", answer.server, answer.remark));
+        .map(|answer| format!("{} ({})", answer.server, answer.retrieval.keyword()));
     format!("{outcome}: {}", hops.collect::<Vec<_>>().join(" <- "))
 }
--- a/crates/cli/src/bin/demo/servers.rs
+++ b/crates/cli/src/bin/demo/servers.rs
@@ -1,5 +1,6 @@
-//! Stand-ins of cache servers, the parent and the origin, each with a listener of its own. A cache or
-//! parent that does not hold an object fetches it over a connection from the next tier, as a real one.
+//! Stand-ins of cache servers, the parent and the origin, each with a listener of its own. A cache
+//! or parent that does not hold an object fetches it over a connection from the next tier, as a
+//! real one.
 
 use crate::error::DemoError;
 use std::cell::RefCell;
@@ -37,6 +38,28 @@
     fleet: Weak<Fleet>,
 }
 
+/// Whence a server had the object that it was asked for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Retrieval {
+    /// It held the object.
+    Hit,
+    /// It fetched the object from the next tier.
+    Filled,
+    /// It had no way to the object.
+    Missing,
+}
+
+impl Retrieval {
+    /// The keyword in the servers' protocol and in the summary.
+    pub fn keyword(self) -> &'static str {
+        match self {
+            Retrieval::Hit => "hit",
+            Retrieval::Filled => "filled",
+            Retrieval::Missing => "miss",
+        }
+    }
+}
+
 /// How a server answered a request.
 #[derive(Clone, Debug)]
 pub struct ServerAnswer {
@@ -44,8 +67,8 @@
     pub request: String,
     /// The server's name.
     pub server: &'static str,
-    /// `hit`, `filled` or `miss`.
-    pub remark: &'static str,
+    /// Whence it had the object.
+    pub retrieval: Retrieval,
 }
 
 /// All stand-in servers, and what they answered, in order.
@@ -147,21 +170,21 @@
     }
 
     async fn answer(&self, request: &Request) -> Vec<u8> {
-        let remark = self.obtain(request).await;
+        let retrieval = self.obtain(request).await;
         if let Some(fleet) = self.fleet.upgrade() {
             fleet.answers.borrow_mut().push(ServerAnswer {
                 request: request.id.clone(),
                 server: self.name,
-                remark,
+                retrieval,
             });
         }
         let id = &request.id;
-        if remark == "miss" {
+        if retrieval == Retrieval::Missing {
             return format!("{id} MISS - 0\r\n\r\n").into_bytes();
         }
-        let made = unix_ms();
+        let (made, keyword) = (unix_ms(), retrieval.keyword());
         let head =
-            format!("{id} OK tell={remark},etag=4be0c1927d55a6f3,made={made} {OBJECT_BYTES}\r\n");
+            format!("{id} OK tell={keyword},etag=4be0c1927d55a6f3,made={made} {OBJECT_BYTES}\r\n");
         let mut answer = head.into_bytes();
         answer.resize(answer.len() + OBJECT_BYTES, b'x');
         answer.extend_from_slice(b"\r\n");
@@ -169,17 +192,17 @@
     }
 
     /// Finds the object here or fetches it, and keeps it where the request asks for that.
-    async fn obtain(&self, request: &Request) -> &'static str {
+    async fn obtain(&self, request: &Request) -> Retrieval {
         if self.tier == Tier::Origin || self.held.borrow().contains(&request.object) {
-            return "hit";
+            return Retrieval::Hit;
         }
         if !self.fetch(request).await {
-            return "miss";
+            return Retrieval::Missing;
         }
         if request.retain {
             self.held.borrow_mut().insert(request.object.clone());
         }
-        "filled"
+        Retrieval::Filled
     }
 
     /// True: the source that the request names has sent the object.
--- a/crates/cli/src/bin/demo/summary.rs
+++ b/crates/cli/src/bin/demo/summary.rs
@@ -14,7 +14,7 @@
     /// What must come of it.
     pub expected: &'static str,
     /// Whether it did.
-    pub passed: bool,
+    pub succeeded: bool,
 }
 
 /// All steps, in order.
@@ -26,8 +26,8 @@
 
 impl Summary {
     /// True: every step ended as expected.
-    pub fn passed(&self) -> bool {
-        self.steps.iter().all(|step| step.passed)
+    pub fn succeeded(&self) -> bool {
+        self.steps.iter().all(|step| step.succeeded)
     }
 }
 
@@ -37,13 +37,16 @@
         for step in &self.steps {
             let ms = step.elapsed.as_secs_f64() * 1e3;
             writeln!(f, "{:<44} {ms:>7.1} ms  {}", step.action, step.observed)?;
-            if !step.passed {
+            if !step.succeeded {
                 writeln!(f, "    NOT AS EXPECTED: {}", step.expected)?;
             }
         }
-        let passed = self.steps.iter().filter(|step| step.passed).count();
+        let succeeded = self.steps.iter().filter(|step| step.succeeded).count();
         let total = self.steps.len();
-        let word = if self.passed() { "ok" } else { "failed" };
-        write!(f, "demo: {word}, {passed} of {total} steps as expected")
+        let verdict = if self.succeeded() { "ok" } else { "failed" };
+        write!(
+            f,
+            "demo: {verdict}, {succeeded} of {total} steps as expected"
+        )
     }
 }
