--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -207,5 +207,6 @@
     pub is_silent: bool,
 }
 
+/// Builders of messages for tests.
 #[cfg(test)]
 pub mod fixtures;
--- a/crates/router/src/messages/fixtures.rs
+++ b/crates/router/src/messages/fixtures.rs
@@ -1,4 +1,4 @@
-//! Attempts for tests.
+//! Builders of attempts for tests.
 
 use super::{AttemptId, AttemptRequest, CancellationFlag};
 use crate::server_protocol::ForwardedFields;
--- a/crates/router/src/server_connection/attempts/tests.rs
+++ b/crates/router/src/server_connection/attempts/tests.rs
@@ -95,8 +95,8 @@
         assert!(attempts.has_to_write() && attempts.next_deadline().is_some());
         (attempts, cancellation)
     };
-    // Its client leaves, or has its answer; the grace passes; it is called off; the connection
-    // breaks.
+    // Its client leaves, or has its answer; its time to be sent passes; it is cancelled; the
+    // connection breaks.
     let (mut left, cancellation) = staged(long);
     cancellation.end();
     left.expire(Instant::now());
