--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -243,5 +243,6 @@
     pub is_silent: bool,
 }
 
+/// Builders of messages for tests.
 #[cfg(test)]
 pub mod fixtures;
