--- a/crates/router/src/client_connection.rs
+++ b/crates/router/src/client_connection.rs
@@ -27,7 +27,7 @@
 };
 use crate::server_connection::at;
 use chalkhall::interface::Id;
-use closing::{CloseMode, CloseReason, ProtocolViolation, close_in_order};
+use closing::{CloseReason, ProtocolViolation};
 use read_buffer::ReadBuffer;
 use std::collections::HashMap;
 use std::io;
@@ -35,7 +35,7 @@
 use std::time::Duration;
 use tokio::net::{TcpStream, tcp::WriteHalf};
 use tokio::sync::{mpsc, watch};
-use tokio::time::{Instant, timeout_at};
+use tokio::time::Instant;
 use write_buffer::{PIECES_PER_RESPONSE, WriteBuffer};
 
 /// A connection carries up to 32 open requests.
@@ -57,8 +57,6 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The first message, and each that has begun, must be complete within this time.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The least time in which a client that broke the protocol can take its last answers.
-const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 /// As the router ends, unread requests are looked for in all for this long.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(40);
 
@@ -389,44 +387,6 @@
             self.write_buffer.drop_answer(&last);
         }
     }
-
-    /// Closes the connection as its reason asks for, and gives back all that it holds.
-    async fn close(mut self, stream: TcpStream, reason: &CloseReason) {
-        log::debug!(slot = self.connection.slot.id, reason:% = reason; "client connection closed");
-        match reason.mode() {
-            CloseMode::Abrupt => {
-                self.cancel_open_requests().await;
-            }
-            CloseMode::Orderly => {
-                self.cancel_open_requests().await;
-                close_in_order(stream).await;
-            }
-            CloseMode::AfterFinalAnswers => {
-                self.fail_open_requests().await;
-                self.write_final_answers(stream).await;
-            }
-        }
-        self.release_bodies().await;
-    }
-
-    async fn write_final_answers(&mut self, mut stream: TcpStream) {
-        let until = self
-            .write_buffer
-            .deadline(Instant::now() + FINAL_WRITE_TIMEOUT);
-        let _ = timeout_at(until, self.write_buffer.write_all(&mut stream)).await;
-        close_in_order(stream).await;
-    }
-
-    /// Waits for all answers that were on their way: the decider has heard that nobody wants them.
-    /// Then tells it of the bodies that are in memory no more.
-    async fn release_bodies(mut self) {
-        self.replies.close();
-        while let Some(reply) = self.replies.recv().await {
-            self.take_reply(reply);
-        }
-        let bytes = self.write_buffer.take_body_bytes();
-        self.send_to_decider(Message::Written(bytes)).await;
-    }
 }
 
 #[cfg(test)]
--- a/crates/router/src/client_connection/closing.rs
+++ b/crates/router/src/client_connection/closing.rs
@@ -1,7 +1,9 @@
 //! Why a client's connection is closed, and how that is done so that all that was written arrives.
 
+use super::Session;
 use super::read_buffer::READ_CHUNK_BYTES;
 use crate::client_protocol::FrameError;
+use crate::messages::Message;
 use crate::uninterrupted::Uninterrupted;
 use std::io;
 use std::time::Duration;
@@ -10,6 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
+/// The least time in which a client that broke the protocol can take its last answers.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
 /// What crosses a close within this time is sent again by its client: so long, and for so many
 /// bytes, what still comes is read and dropped. A close over bytes that nobody read would reset the
 /// connection, and lose answers that are still on their way.
@@ -59,7 +63,7 @@
 
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CloseMode {
+enum CloseMode {
     /// At once: nobody reads its answers.
     Abrupt,
     /// All is written; what crosses the close is dropped.
@@ -70,7 +74,7 @@
 
 impl CloseReason {
     /// How a connection is closed for this reason.
-    pub(super) fn mode(&self) -> CloseMode {
+    fn mode(&self) -> CloseMode {
         match self {
             CloseReason::ClosedByClient
             | CloseReason::Broken(_)
@@ -84,9 +88,49 @@
     }
 }
 
+impl Session {
+    /// Closes the connection as its reason asks for, and gives back all that it holds.
+    pub(super) async fn close(mut self, stream: TcpStream, reason: &CloseReason) {
+        log::debug!(slot = self.connection.slot.id, reason:% = reason; "client connection closed");
+        match reason.mode() {
+            CloseMode::Abrupt => {
+                self.cancel_open_requests().await;
+            }
+            CloseMode::Orderly => {
+                self.cancel_open_requests().await;
+                close_in_order(stream).await;
+            }
+            CloseMode::AfterFinalAnswers => {
+                self.fail_open_requests().await;
+                self.write_final_answers(stream).await;
+            }
+        }
+        self.release_bodies().await;
+    }
+
+    async fn write_final_answers(&mut self, mut stream: TcpStream) {
+        let until = self
+            .write_buffer
+            .deadline(Instant::now() + FINAL_WRITE_TIMEOUT);
+        let _ = timeout_at(until, self.write_buffer.write_all(&mut stream)).await;
+        close_in_order(stream).await;
+    }
+
+    /// Waits for all answers that were on their way: the decider has heard that nobody wants them.
+    /// Then tells it of the bodies that are in memory no more.
+    async fn release_bodies(mut self) {
+        self.replies.close();
+        while let Some(reply) = self.replies.recv().await {
+            self.take_reply(reply);
+        }
+        let bytes = self.write_buffer.take_body_bytes();
+        self.send_to_decider(Message::Written(bytes)).await;
+    }
+}
+
 /// Closes a connection so that all that was written arrives: nothing more is written, and what
 /// still comes is dropped for a while.
-pub(super) async fn close_in_order(mut stream: TcpStream) {
+async fn close_in_order(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
