--- a/crates/stats/src/hashed.rs
+++ b/crates/stats/src/hashed.rs
@@ -1,9 +1,10 @@
-//! Weighted rendezvous hashing (Thaler and Ravishankar, 1998; weights by the logarithm of a uniform draw).
+//! Weighted rendezvous hashing (Thaler and Ravishankar, 1998; weights by the logarithm of a uniform
+//! draw).
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// What a place draws for a key and its part, in proportion to its weight: of several the least takes it,
-/// each as often as its share of all weights, and who goes moves only its own keys.
+/// What a place draws for a key and its part, in proportion to its weight: of several the least
+/// takes it, each as often as its share of all weights, and who goes moves only its own keys.
 pub fn draw(place: &str, key: &str, part: u64, weight: f64) -> f64 {
     draw_seeded(name_seed(place), key, part, weight)
 }
--- a/crates/stats/src/lib.rs
+++ b/crates/stats/src/lib.rs
@@ -1,4 +1,5 @@
-//! Data structures without a decision: each bounded, each held against a plain one by property tests.
+//! Data structures without a decision: each bounded, each held against a plain one by property
+//! tests.
 
 mod hashed;
 mod name_map;
--- a/crates/stats/src/name_map.rs
+++ b/crates/stats/src/name_map.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Looking up a name takes the same time however many there are. A value can be found by its slot, too,
-/// which stays the same until the name is removed; the slot of a removed name is given to a later one.
-/// Adding or removing a name leaves all others where they are.
+/// Looking up a name takes the same time however many there are. A value can be found by its slot,
+/// too, which stays the same until the name is removed; the slot of a removed name is given to a
+/// later one. Adding or removing a name leaves all others where they are.
 #[derive(Debug)]
 pub struct NameMap<V> {
     slots: Vec<Option<V>>,
--- a/crates/stats/src/recent.rs
+++ b/crates/stats/src/recent.rs
@@ -2,7 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// The last `most` values. Noting one takes as long as moving them in memory does; a quantile takes no time.
+/// The last `most` values. Noting one takes as long as moving them in memory does; a quantile takes
+/// no time.
 #[derive(Clone, Debug)]
 pub struct Recent {
     most: usize,
--- a/crates/stats/src/window.rs
+++ b/crates/stats/src/window.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Weights by when they were noted, in order of time. Each is looked at once when it comes and once when it
-/// goes, so that neither noting nor the sum grows with what lies within the span.
+/// Weights by when they were noted, in order of time. Each is looked at once when it comes and once
+/// when it goes, so that neither noting nor the sum grows with what lies within the span.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     noted: VecDeque<(Duration, f64)>,
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -1,6 +1,6 @@
-//! What a request costs in the decisions alone, by the number of caches: time a request, and as a multiple of
-//! that with the fewest. `cargo run --release --example decision_cost`,
-//! or with the name of a scene and a number of caches to play just that, once.
+//! What a request costs in the decisions alone, by the number of caches: time a request, and as a
+//! multiple of that with the fewest. `cargo run --release --example decision_cost`, or with the
+//! name of a scene and a number of caches to play just that, once.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
@@ -210,7 +210,8 @@
             if done == ejected {
                 return;
             }
-            // So fast that what is ejected stays so, for a second at least, through what is measured.
+            // So fast that what is ejected stays so, for a second at least, through what is
+            // measured.
             self.ask(Duration::from_micros(20), &mut |server| {
                 if !chosen.contains(server) {
                     return ended(Servers::AnswerFromCopies);
--- a/src/adaptive_timeout.rs
+++ b/src/adaptive_timeout.rs
@@ -1,5 +1,5 @@
-//! The adaptive timeout: after how long an attempt that has not ended is looked into. It grows with each
-//! attempt that is given up, and falls back with answers.
+//! The adaptive timeout: after how long an attempt that has not ended is looked into. It grows with
+//! each attempt that is given up, and falls back with answers.
 
 use crate::request::ANSWER_OVERHEAD;
 use std::time::Duration;
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,5 +1,6 @@
-//! Cache admission: which copies are worth keeping, and at which priority, from the history of accesses. A part
-//! that is asked for once is not kept; what is asked for again is ranked by its size, cost and frequency.
+//! Cache admission: which copies are worth keeping, and at which priority, from the history of
+//! accesses. A part that is asked for once is not kept; what is asked for again is ranked by its
+//! size, cost and frequency.
 
 use crate::interface::{Arrival, Id};
 use chalkhall_stats::Recent;
@@ -10,8 +11,8 @@
 
 /// The bound of the history, in parts.
 const HISTORY_BOUND: NonZeroUsize = NonZeroUsize::new(65536).unwrap();
-/// Repeated accesses that are needed before low values are refused; and the first accesses over which the share
-/// of hits is averaged.
+/// Repeated accesses that are needed before low values are refused; and the first accesses over
+/// which the share of hits is averaged.
 const ACCESSES_BEFORE_ADMISSION: usize = 64;
 /// Repeated accesses that are needed before priorities are told apart.
 const ACCESSES_BEFORE_PRIORITIES: usize = 256;
@@ -67,7 +68,8 @@
     request_count: u64,
     scores: Recent,
     values: Recent,
-    /// The share of first accesses lately that were hits: copies that other routers of the zone asked to keep.
+    /// The share of first accesses lately that were hits: copies that other routers of the zone
+    /// asked to keep.
     first_access_hit_share: f64,
 }
 
@@ -84,8 +86,8 @@
 }
 
 impl AccessHistory {
-    /// Notes an access, and gives the priority at which a copy is kept; 0: not kept. `fresh_for` is how long a
-    /// copy is fresh; with `is_shared` a first access counts as a repeated one.
+    /// Notes an access, and gives the priority at which a copy is kept; 0: not kept. `fresh_for` is
+    /// how long a copy is fresh; with `is_shared` a first access counts as a repeated one.
     pub fn record_access(
         &mut self,
         now: Duration,
@@ -136,7 +138,8 @@
         };
         self.values.note(access.value);
         self.scores.note(access.score);
-        // What expires before its next access is not admitted; a kept copy of it drops to the bottom.
+        // What expires before its next access is not admitted; a kept copy of it drops to the
+        // bottom.
         if access.is_expired {
             return u8::from(previous > 0);
         }
--- a/src/coalescing.rs
+++ b/src/coalescing.rs
@@ -1,5 +1,5 @@
-//! Request coalescing: requests for a part that is being filled wait for that fill instead of starting their
-//! own.
+//! Request coalescing: requests for a part that is being filled wait for that fill instead of
+//! starting their own.
 
 use crate::interface::Id;
 use std::collections::HashMap;
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,4 +1,5 @@
-//! What is learnt from the end of an attempt, or from its silence, and what follows for the request.
+//! What is learnt from the end of an attempt, or from its silence, and what follows for the
+//! request.
 
 use crate::admission::{CopyHolder, part_key};
 use crate::fill_limiter::FillResult;
@@ -12,8 +13,8 @@
 
 /// A hit that takes over this multiple of its usual time is a failure of the cache.
 const SLOW_HIT_MULTIPLE: f64 = 2.0;
-/// The share of fills in time at which a late fill begins to count against a server, as its complement: while
-/// the best of a tier is late as often as this, a full link delays all.
+/// The share of fills in time at which a late fill begins to count against a server, as its
+/// complement: while the best of a tier is late as often as this, a full link delays all.
 const LATE_FILL_BASELINE: f64 = 0.5;
 /// The least cost of a fill, in milliseconds.
 const LEAST_FILL_COST_MS: f64 = 1.0;
@@ -74,7 +75,8 @@
 /// A hop that has not answered anybody since an attempt was sent.
 struct SilentHop {
     server: Id,
-    /// How long before the attempt it last answered, in seconds: the longer, the likelier it is broken.
+    /// How long before the attempt it last answered, in seconds: the longer, the likelier it is
+    /// broken.
     silent_for: f64,
 }
 
@@ -139,8 +141,8 @@
         self.dequeue_fills(context);
     }
 
-    /// Who is dead, silent, ejected or refuses, as one source may, says nothing of what links bear; nor does
-    /// what this machine could not send.
+    /// Who is dead, silent, ejected or refuses, as one source may, says nothing of what links bear;
+    /// nor does what this machine could not send.
     fn is_unrelated_to_load(&self, completion: &Completion) -> bool {
         use Outcome::*;
         let ended = completion.ended;
@@ -233,8 +235,8 @@
         }
     }
 
-    /// An error is perhaps the request's own fault: it counts against the hops once another server has answered
-    /// the request.
+    /// An error is perhaps the request's own fault: it counts against the hops once another server
+    /// has answered the request.
     fn suspect_error(&mut self, completion: &Completion) {
         let Some(request) = self.requests.get_mut(completion.id) else {
             return;
@@ -254,9 +256,9 @@
             }));
     }
 
-    /// How far a late fill counts against a server of this tier: by how seldom the best of the tier is late (a
-    /// full link delays all), and against one cache at a time: with one ejected after the other, the last would
-    /// have to bear it all.
+    /// How far a late fill counts against a server of this tier: by how seldom the best of the tier
+    /// is late (a full link delays all), and against one cache at a time: with one ejected after
+    /// the other, the last would have to bear it all.
     fn blame_for_late_fill(&mut self, tier: Tier, server: &Id) -> f64 {
         if tier != Tier::Parent && self.endpoints.has_other_ejected(tier, server) {
             return 0.0;
@@ -272,7 +274,8 @@
         };
         let (kb, ended) = (request.arrival.kb, completion.ended);
         let (is_filled, is_broken) = (completion.is_filled(), ended.outcome == Outcome::Broken);
-        // Only the cache itself makes a hit slow: one that ages answers, later and later, until it dies.
+        // Only the cache itself makes a hit slow: one that ages answers, later and later, until it
+        // dies.
         let usual = ANSWER_OVERHEAD + request.sending_time;
         let is_late_hit = completion.is_hit() && ended.took > usual.mul_f64(SLOW_HIT_MULTIPLE);
         let route = completion.route;
@@ -345,9 +348,10 @@
         }
     }
 
-    /// An attempt has not ended within its timeout. A server that has not answered anybody since counts as
-    /// silent, but not for one overdue fill. One that answered others is slow: another attempt would double the
-    /// load. After as long again its answer is lost, and would hold a fill's slot.
+    /// An attempt has not ended within its timeout. A server that has not answered anybody since
+    /// counts as silent, but not for one overdue fill. One that answered others is slow: another
+    /// attempt would double the load. After as long again its answer is lost, and would hold a
+    /// fill's slot.
     pub(crate) fn check_overdue_attempt(
         &mut self,
         context: &mut EventContext,
@@ -360,11 +364,13 @@
         };
         let (route, sent_at) = (open.route.clone(), open.sent_at);
         let usual = self.attempt_timeout.timeout(request.sending_time);
-        // A copy would have been sent by now: it is being filled after all. Nothing fills a local one.
+        // A copy would have been sent by now: it is being filled after all. Nothing fills a local
+        // one.
         let was_fill = request.attempts[number].is_fill;
         let is_filling = !route.is_local() && was_fill;
         let silent = self.silent_hops(&route, sent_at);
-        // Whoever says nothing to anybody uses no link: a slot among the fills would be held for nothing.
+        // Whoever says nothing to anybody uses no link: a slot among the fills would be held for
+        // nothing.
         let holds_slot = !route.is_local() && silent.is_empty();
         self.take_for_fill(id, number, &route, holds_slot);
         let log_odds = self.count_silence(context.now, &silent);
@@ -412,7 +418,8 @@
         attempt.holds_fill_slot = holds_slot;
     }
 
-    /// One failure, divided among the hops that are silent. The sum of the log odds that they are broken.
+    /// One failure, divided among the hops that are silent. The sum of the log odds that they are
+    /// broken.
     fn count_silence(&mut self, now: Duration, silent: &[SilentHop]) -> f64 {
         let total = silent.iter().map(|hop| hop.silent_for).sum::<f64>();
         let mut log_odds = 0.0;
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -28,7 +28,8 @@
     RetryUnsafe,
     /// Rule 3: the server or the source drains, or is gone.
     EndpointDraining,
-    /// Rule 4: the server or the source is warming up, and this router's share of its budget is used.
+    /// Rule 4: the server or the source is warming up, and this router's share of its budget is
+    /// used.
     SlowStartBudgetSpent,
     /// Rule 5: the local copy was created too long ago.
     CopyTooOld,
@@ -123,8 +124,9 @@
         Ok(())
     }
 
-    /// Rules 3 and 4, for a server or a source: nothing new once told that it drains or is gone; while it warms
-    /// up, no more in any span than this router's share of what it bears, lest all together push it over.
+    /// Rules 3 and 4, for a server or a source: nothing new once told that it drains or is gone;
+    /// while it warms up, no more in any span than this router's share of what it bears, lest all
+    /// together push it over.
     #[inline]
     fn validate_endpoint(
         &self,
@@ -168,7 +170,8 @@
         retry::is_safe_to_retry(class, execution, ran_on, target, now + self.margin)
     }
 
-    /// Rule 5: the greatest age of a copy that will do, by the last purge and by how long copies are fresh.
+    /// Rule 5: the greatest age of a copy that will do, by the last purge and by how long copies
+    /// are fresh.
     fn max_age(
         &self,
         now: Duration,
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,6 +1,8 @@
-//! The endpoint list: the servers that the list tells of, what is known of each, and what is derived from all.
+//! The endpoint list: the servers that the list tells of, what is known of each, and what is
+//! derived from all.
 //!
-//! A change of the list costs as much as the members that it names: what is derived is updated in place.
+//! A change of the list costs as much as the members that it names: what is derived is updated in
+//! place.
 
 use crate::interface::{Id, Member, Standing, Tier};
 use crate::outlier::OutlierDetector;
@@ -53,12 +55,13 @@
 #[derive(Debug, Default)]
 struct TierHealth {
     ejected: usize,
-    /// The greatest share of fills in time that one of them has; none: not known since it may have fallen.
+    /// The greatest share of fills in time that one of them has; none: not known since it may have
+    /// fallen.
     best_on_time_share: Option<f64>,
 }
 
-/// Which servers are selected from for the same parts: the caches of a zone, or of a cell in it; all parents;
-/// the origins.
+/// Which servers are selected from for the same parts: the caches of a zone, or of a cell in it;
+/// all parents; the origins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PoolKey {
     tier: Tier,
@@ -143,8 +146,8 @@
         self.update_local_capacity();
     }
 
-    /// One member as it is listed now, and what is derived from it. A server that was restarted begins with a
-    /// clean record.
+    /// One member as it is listed now, and what is derived from it. A server that was restarted
+    /// begins with a clean record.
     fn update_member(&mut self, member: &Member) {
         self.forget_derived(&member.server, member);
         let endpoint = self.endpoints.get_or_default(&member.server);
@@ -235,7 +238,8 @@
         self.local_capacity = local.map(|e| e.member.capacity).fold(0.0, f64::max);
     }
 
-    /// All servers, in the order of their names: what a single change or request must not go through.
+    /// All servers, in the order of their names: what a single change or request must not go
+    /// through.
     fn all(&self) -> impl Iterator<Item = (usize, &Endpoint)> {
         self.endpoints.iter().inspect(|_| {
             #[cfg(test)]
@@ -283,7 +287,8 @@
         origins.peek().is_some() && origins.all(|e| !e.outliers.is_available(now))
     }
 
-    /// How many answers at a client's pace this router's link carries at once; 0: there is no local cache.
+    /// How many answers at a client's pace this router's link carries at once; 0: there is no local
+    /// cache.
     pub fn local_capacity(&self) -> f64 {
         self.local_capacity
     }
@@ -295,7 +300,8 @@
             return;
         };
         endpoint.weight_adjustment = adjustment;
-        // All weights change together, once a period: in place each would have its group added up again.
+        // All weights change together, once a period: in place each would have its group added up
+        // again.
         for key in PoolKey::of(&endpoint.member) {
             self.pools.remove(&key);
         }
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -1,4 +1,5 @@
-//! What is derived from the list, kept up to date through changes, against the same derived from all servers.
+//! What is derived from the list, kept up to date through changes, against the same derived from
+//! all servers.
 
 use super::*;
 
--- a/src/fill_limiter.rs
+++ b/src/fill_limiter.rs
@@ -1,8 +1,8 @@
-//! The fill limiter: a concurrency limit on the fills of this router (rule 4), found by additive increase and
-//! multiplicative decrease, and the queue of requests that wait for a slot.
+//! The fill limiter: a concurrency limit on the fills of this router (rule 4), found by additive
+//! increase and multiplicative decrease, and the queue of requests that wait for a slot.
 //!
-//! More fills than links and sources end in time make all of them late, and what times out has used them for
-//! nothing.
+//! More fills than links and sources end in time make all of them late, and what times out has used
+//! them for nothing.
 
 use crate::interface::Id;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 const BACKOFF: f64 = 0.8;
 /// The greatest share by which one fill that ended in time raises the limit.
 const GROWTH: f64 = 0.02;
-/// The share of late fills that makes the limit back off: at high rates some fill is always late, of a large
-/// object perhaps, and backing off for each would choke all.
+/// The share of late fills that makes the limit back off: at high rates some fill is always late,
+/// of a large object perhaps, and backing off for each would choke all.
 const LATE_SHARE: f64 = 0.03;
 /// The least time between two backoffs, and that after which past fills count for 1/e.
 const BACKOFF_INTERVAL: Duration = Duration::from_millis(250);
@@ -91,8 +91,8 @@
         self.in_flight -= 1.0;
     }
 
-    /// A fill ended, and the limit follows. `fair_share` gives this router's share of what the caches of its
-    /// zone are listed with.
+    /// A fill ended, and the limit follows. `fair_share` gives this router's share of what the
+    /// caches of its zone are listed with.
     pub fn record_result(
         &mut self,
         now: Duration,
@@ -111,8 +111,8 @@
     }
 
     fn back_off(&mut self, now: Duration, fair_share: impl FnOnce() -> f64) {
-        // A late fill with few in flight is no sign that links and sources bear so few: less than the fair
-        // share it is not.
+        // A late fill with few in flight is no sign that links and sources bear so few: less than
+        // the fair share it is not.
         if self.limit.is_infinite() {
             self.limit = fair_share().max(self.in_flight + 1.0);
         }
@@ -130,8 +130,8 @@
         self.queue.contains(request)
     }
 
-    /// Takes the request of the greatest value for its work out of the queue, if a slot is free. `value` tells
-    /// that value, and nothing for a request that is over, which is dropped.
+    /// Takes the request of the greatest value for its work out of the queue, if a slot is free.
+    /// `value` tells that value, and nothing for a request that is over, which is dropped.
     pub fn dequeue(&mut self, value: impl Fn(&Id) -> Option<f64>) -> Option<Id> {
         if !self.has_free_slot() || self.queue.is_empty() {
             return None;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! chalkhall decides, request by request, how a two-tier cache answers: which cache server, filled from
-//! where, kept or not and at which rank, and what to do when something fails.
+//! chalkhall decides, request by request, how a two-tier cache answers: which cache server, filled
+//! from where, kept or not and at which rank, and what to do when something fails.
 //!
-//! [`control::Router`] makes every decision, with one module for each concern. [`interface`] holds the
-//! plain types it is called with and [`interface::Outlet`], through which it acts. Any front end can drive it;
-//! `crates/simulator-adapter` is one.
+//! [`control::Router`] makes every decision, with one module for each concern. [`interface`] holds
+//! the plain types it is called with and [`interface::Outlet`], through which it acts. Any front
+//! end can drive it; `crates/simulator-adapter` is one.
 //!
 //! A front end turns what the router wants into messages of its own:
 //!
@@ -33,6 +33,8 @@
 //! assert_eq!(out.0, ["a1: rejected"]);
 //! ```
 
+#![warn(missing_docs)]
+
 mod adaptive_timeout;
 mod admission;
 mod coalescing;
@@ -43,11 +45,11 @@
 mod fill_limiter;
 pub mod interface;
 mod lifecycle;
-mod outlier;
+pub mod outlier;
 mod purge;
 mod request;
 mod retry;
-mod router;
+pub mod router;
 mod routing;
 mod selection;
 mod slow_start;
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! What a request does next: it is answered locally, waits for another's fill or for a slot among the fills,
-//! is sent somewhere, or gets its final answer.
+//! What a request does next: it is answered locally, waits for another's fill or for a slot among
+//! the fills, is sent somewhere, or gets its final answer.
 
 use crate::admission::part_key;
 use crate::interface::{Effect, Held, Id};
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Answers from a local copy, if the local cache is healthy and this router's link carries the answer in
-    /// time. The copy may be past its fresh time by `allowed_staleness`.
+    /// Answers from a local copy, if the local cache is healthy and this router's link carries the
+    /// answer in time. The copy may be past its fresh time by `allowed_staleness`.
     fn answer_locally(
         &mut self,
         context: &mut EventContext,
@@ -93,8 +93,8 @@
             && !request.failed_servers.contains(&copy.place)
     }
 
-    /// Waits for the fill of the same part that is under way, which a second one would only crowd; once, and
-    /// not for longer than leaves time for a fill of its own: the leader's may be lost.
+    /// Waits for the fill of the same part that is under way, which a second one would only crowd;
+    /// once, and not for longer than leaves time for a fill of its own: the leader's may be lost.
     fn coalesce(&mut self, context: &mut EventContext, id: &Id) -> bool {
         let Some(request) = self.requests.get_mut(id) else {
             return false;
@@ -113,8 +113,8 @@
         true
     }
 
-    /// An attempt of a request has ended: a local copy of what it brought, and on with those that waited for
-    /// it.
+    /// An attempt of a request has ended: a local copy of what it brought, and on with those that
+    /// waited for it.
     pub(crate) fn complete_waiters(&mut self, context: &mut EventContext, id: &Id, served: bool) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -191,14 +191,16 @@
         self.close(context, id);
     }
 
-    /// Whether the client may be told that a retry is safe: no attempt can still run, or running again is safe.
+    /// Whether the client may be told that a retry is safe: no attempt can still run, or running
+    /// again is safe.
     fn may_reject(&self, now: Duration, request: &PendingRequest) -> bool {
         let effect = self.classes[request.arrival.class].effect;
         let is_certain = request.open_attempts == 0 || effect == Effect::Idempotent;
         is_certain && self.is_safe_to_retry(now, request, &RetryTarget::Client)
     }
 
-    /// Once a request is over its open attempts are cancelled, and it is forgotten when all have ended.
+    /// Once a request is over its open attempts are cancelled, and it is forgotten when all have
+    /// ended.
     pub(crate) fn close(&mut self, context: &mut EventContext, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|r| r.is_over) else {
             return;
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -1,10 +1,10 @@
-//! Outlier detection: a sequential test on the outcomes of a server, or of a disk, that ejects it when it
-//! fails too often, and lets it back by half-open probes.
+//! Outlier detection: a sequential test on the outcomes of a server, or of a disk, that ejects it
+//! when it fails too often, and lets it back by half-open probes.
 
 use std::time::Duration;
 
-/// What one failure adds to the log odds that a server is broken. The test tells failing in half of all cases
-/// from failing in one of twenty.
+/// What one failure adds to the log odds that a server is broken. The test tells failing in half of
+/// all cases from failing in one of twenty.
 const FAILURE_LOG_ODDS: f64 = std::f64::consts::LN_10;
 /// What one success adds.
 const SUCCESS_LOG_ODDS: f64 = -0.642;
@@ -53,7 +53,8 @@
         self.log_odds
     }
 
-    /// An attempt was sent. While the server is ejected that was a probe, and the next is due an interval later.
+    /// An attempt was sent. While the server is ejected that was a probe, and the next is due an
+    /// interval later.
     pub fn record_sent(&mut self, now: Duration) {
         let interval = now.saturating_sub(self.last_sent_at);
         self.last_sent_at = now;
@@ -77,7 +78,8 @@
             Some(interval) if failed => (interval * 2).min(LONGEST_PROBE_INTERVAL),
             Some(interval) => interval / 2,
         };
-        // A server that is seldom used anyway is not flooded: it has recovered where probes no longer limit it.
+        // A server that is seldom used anyway is not flooded: it has recovered where probes no
+        // longer limit it.
         if !failed && probe_interval < RECOVERED_PROBE_INTERVAL.max(self.usual_interval) {
             self.ejection = None;
             self.log_odds = 0.0;
--- a/src/purge.rs
+++ b/src/purge.rs
@@ -1,5 +1,5 @@
-//! Rule 5: nothing is answered from a copy older than a purge. The purges that are still being carried out are
-//! kept here, and bound the age of the copies that an attempt accepts.
+//! Rule 5: nothing is answered from a copy older than a purge. The purges that are still being
+//! carried out are kept here, and bound the age of the copies that an attempt accepts.
 
 use crate::interface::{Arrival, Id};
 use std::collections::{BTreeSet, HashMap};
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Notes a purge of an object, or of a group where no object is named, that was made at `purged_at`.
+    /// Notes a purge of an object, or of a group where no object is named, that was made at
+    /// `purged_at`.
     pub fn record(&mut self, now: Duration, purged_at: Duration, object: Option<Id>, group: u64) {
         self.forget_completed(now);
         let scope = object.map_or(PurgeScope::Group(group), PurgeScope::Object);
@@ -66,8 +67,8 @@
         of_object.max(self.purged_at.get(&group)).copied()
     }
 
-    /// The greatest age of a copy made since the last purge that may not be complete yet; never zero, which
-    /// would mean any age.
+    /// The greatest age of a copy made since the last purge that may not be complete yet; never
+    /// zero, which would mean any age.
     pub fn max_age(&self, now: Duration, arrival: &Arrival) -> Option<Duration> {
         let purged_at = self.last_purge(arrival)?;
         let is_open = now < purged_at + self.completes_within;
--- a/src/request.rs
+++ b/src/request.rs
@@ -53,7 +53,8 @@
     pub holds_fill_slot: bool,
 }
 
-/// An error that is perhaps the request's own fault, and a server that returned it or was its source.
+/// An error that is perhaps the request's own fault, and a server that returned it or was its
+/// source.
 #[derive(Debug)]
 pub struct SuspectedError {
     /// The server, or the source.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,5 +1,5 @@
-//! Rule 2: a request whose effect must not happen twice runs again only where no earlier attempt can have run,
-//! or where the servers drop its repeats.
+//! Rule 2: a request whose effect must not happen twice runs again only where no earlier attempt
+//! can have run, or where the servers drop its repeats.
 
 use crate::interface::{Class, Effect, Group, Id, Member};
 use std::time::Duration;
@@ -21,8 +21,8 @@
     Client,
 }
 
-/// Whether a request that may have run may run again. `ran_on` is the server of `execution`, where it is still
-/// listed; `latest` is when the retry is there at the latest.
+/// Whether a request that may have run may run again. `ran_on` is the server of `execution`, where
+/// it is still listed; `latest` is when the retry is there at the latest.
 pub fn is_safe_to_retry(
     class: &Class,
     execution: &PossibleExecution,
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -53,9 +53,11 @@
     assert!(is_safe(&by_zone, Some(&member(1, 2)), SENT_AT));
     assert!(!is_safe(&by_zone, Some(&member(2, 1)), SENT_AT));
     assert!(!is_safe(&by_zone, None, SENT_AT));
+    assert!(!is_safe(&by_zone, Some(&member(1, 2)), SENT_AT + WINDOW));
     let by_cohort = class(Effect::Deduplicated, Group::Cohort);
     assert!(is_safe(&by_cohort, Some(&member(2, 1)), SENT_AT));
     assert!(!is_safe(&by_cohort, Some(&member(1, 2)), SENT_AT));
+    assert!(!is_safe(&by_cohort, Some(&member(2, 1)), SENT_AT + WINDOW));
     assert!(!is_safe(&by_cohort, None, SENT_AT));
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,9 +1,9 @@
 //! The router: every decision about every request, as a state machine without I/O.
 //!
-//! [`Router::start`] once, then one method for each thing that happens, each with the time since the start and
-//! the sink through which the router acts. The state is held by modules with one concern each; what a request
-//! does next is decided in `lifecycle`, where to in `routing`, whether it may in `dispatch`, and what is learnt
-//! from the end of an attempt in `completion`.
+//! [`Router::start`] once, then one method for each thing that happens, each with the time since
+//! the start and the sink through which the router acts. The state is held by modules with one
+//! concern each; what a request does next is decided in `lifecycle`, where to in `routing`, whether
+//! it may in `dispatch`, and what is learnt from the end of an attempt in `completion`.
 
 use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::admission::AccessHistory;
@@ -206,8 +206,8 @@
         self.purges.record(now, purged_at, object, group);
     }
 
-    /// Another router of the zone has found a part at a cache, or had it keep it: here it is a repeated access
-    /// then, and no likely fill.
+    /// Another router of the zone has found a part at a cache, or had it keep it: here it is a
+    /// repeated access then, and no likely fill.
     pub fn told(&mut self, now: Duration, part: u32, cache: Id) {
         self.access_history.record_holder(now, part, cache);
     }
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::selection::CONSIDERED_AT_MOST;
 
-/// What a selection in one tier may look at: as many as a pool that is drawn in one step has, and the group
-/// in which that many are reached.
+/// What a selection in one tier may look at: as many as a pool that is drawn in one step has, and
+/// the group in which that many are reached.
 const LOOKED_AT: usize = 2 * CONSIDERED_AT_MOST;
 const NOW: Duration = Duration::from_secs(1000);
 
@@ -75,7 +75,8 @@
     router
 }
 
-/// Requests that all end so; how many servers one of them looked at, at most, and how many attempts it made.
+/// Requests that all end so; how many servers one of them looked at, at most, and how many attempts
+/// it made.
 fn play(
     router: &mut Router,
     orders: &mut Orders,
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -7,7 +7,8 @@
 use crate::selection::{CONSIDERED_AT_MOST, Candidate};
 use std::time::Duration;
 
-/// A server with over this multiple of the others' average in-flight bytes is crowded, and comes last...
+/// A server with over this multiple of the others' average in-flight bytes is crowded, and comes
+/// last...
 const CROWDED_MULTIPLE: f64 = 2.0;
 /// ...unless it has no more than these transfers of the zone in flight.
 const FEW_TRANSFERS: f64 = 4.0;
@@ -48,8 +49,9 @@
         let cache =
             || select(Tier::Cache, Health::Available).or_else(|| select(Tier::Cache, Health::Any));
 
-        // What no cache may keep runs at the origin: caches and parents on the way could only fail it. One
-        // that could not be reached perhaps can be from elsewhere; ejected, it would fail parents too.
+        // What no cache may keep runs at the origin: caches and parents on the way could only fail
+        // it. One that could not be reached perhaps can be from elsewhere; ejected, it would fail
+        // parents too.
         if !self.classes[request.arrival.class].cacheable {
             match select(Tier::Origin, Health::Any) {
                 Some(origin) if self.passes_through => return Some(to(origin, origin)),
@@ -59,7 +61,8 @@
             }
         }
         match cache() {
-            // With no source left the cache itself is named: a plain send could bring a copy purged since.
+            // With no source left the cache itself is named: a plain send could bring a copy purged
+            // since.
             Some(cache) => {
                 let source = self.select_source(now, request);
                 Some(to(cache, source.unwrap_or(cache)))
@@ -72,8 +75,8 @@
         }
     }
 
-    /// Where a miss is filled from. Where no parent is available, nor the origin, the fault is the origin's:
-    /// parents have what they hold.
+    /// Where a miss is filled from. Where no parent is available, nor the origin, the fault is the
+    /// origin's: parents have what they hold.
     fn select_source(&self, now: Duration, request: &PendingRequest) -> Option<&Endpoint> {
         let order = [
             (Tier::Parent, Health::Available),
@@ -85,8 +88,8 @@
         order.find_map(|(tier, health)| self.select_server(now, tier, health, request))
     }
 
-    /// How long past its fresh time a copy will do: where one renewed first would hardly be in time, what its
-    /// class allows. It is served and revalidated behind.
+    /// How long past its fresh time a copy will do: where one renewed first would hardly be in
+    /// time, what its class allows. It is served and revalidated behind.
     fn allowed_staleness(&self, now: Duration, request: &PendingRequest) -> Duration {
         let is_strained =
             !self.fill_limiter.has_free_slot() || self.endpoints.are_origins_failing(now);
@@ -97,8 +100,8 @@
         }
     }
 
-    /// The first server of a tier that the hash prefers, passing over those that failed, accept nothing new, or
-    /// are crowded. Each draws its own number for a part (`selection`).
+    /// The first server of a tier that the hash prefers, passing over those that failed, accept
+    /// nothing new, or are crowded. Each draws its own number for a part (`selection`).
     fn select_server(
         &self,
         now: Duration,
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -1,13 +1,14 @@
-//! In which order servers are considered for a part of an object: weighted rendezvous hashing, in one step for
-//! a few servers and in two for many.
+//! In which order servers are considered for a part of an object: weighted rendezvous hashing, in
+//! one step for a few servers and in two for many.
 //!
-//! Each server draws its own number for a part, and the least takes it: routers with the same list agree, and
-//! who leaves moves its own parts only. That takes a draw for each server. With many a part first draws one of
-//! [`GROUPS`] groups, by the sum of the weights in it, and then among the members of that group. A server still
-//! gets parts in proportion to its weight; one that leaves moves about as many again, of its group's others.
+//! Each server draws its own number for a part, and the least takes it: routers with the same list
+//! agree, and who leaves moves its own parts only. That takes a draw for each server. With many a
+//! part first draws one of [`GROUPS`] groups, by the sum of the weights in it, and then among the
+//! members of that group. A server still gets parts in proportion to its weight; one that leaves
+//! moves about as many again, of its group's others.
 //!
-//! Between [`ONE_STEP_AT_MOST`] servers and twice as many, ever more parts are drawn in two steps: no single
-//! server that comes or goes moves many.
+//! Between [`ONE_STEP_AT_MOST`] servers and twice as many, ever more parts are drawn in two steps:
+//! no single server that comes or goes moves many.
 
 use chalkhall_stats::{draw_seeded, name_seed};
 use std::rc::Rc;
@@ -17,7 +18,8 @@
 pub const ONE_STEP_AT_MOST: usize = 256;
 /// Of so many servers none is found fit: no more are considered, in one group after the other.
 pub const CONSIDERED_AT_MOST: usize = 256;
-/// Groups of a large pool. Two steps take as many draws as there are groups, and members in one of them.
+/// Groups of a large pool. Two steps take as many draws as there are groups, and members in one of
+/// them.
 const GROUPS: usize = 64;
 /// What the hash is seeded with that says whether a part is drawn in two steps.
 const STEPS_SEED: u64 = 0x7f4a_7c15_9e37_79b9;
@@ -65,18 +67,20 @@
 }
 
 impl Group {
-    /// Added up anew, in the order of names: were differences added, routers that saw the same servers come
-    /// in another order would differ in the last bits.
+    /// Added up anew, in the order of names: were differences added, routers that saw the same
+    /// servers come in another order would differ in the last bits.
     fn update_weight(&mut self) {
         self.weight = self.members.iter().map(|member| member.weight).sum();
     }
 }
 
-/// The servers that draw for the same parts, such as all caches of a zone, in the order of their names.
+/// The servers that draw for the same parts, such as all caches of a zone, in the order of their
+/// names.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
     all: Vec<Candidate>,
-    /// Each of [`GROUPS`], in which there may be none; without any while no part is drawn in two steps.
+    /// Each of [`GROUPS`], in which there may be none; without any while no part is drawn in two
+    /// steps.
     groups: Vec<Group>,
 }
 
@@ -102,7 +106,8 @@
         pool
     }
 
-    /// Adds a server, or takes its new slot and weight. No more is looked at than one group of a large pool.
+    /// Adds a server, or takes its new slot and weight. No more is looked at than one group of a
+    /// large pool.
     pub fn insert(&mut self, candidate: Candidate) {
         insert_by_name(&mut self.all, candidate.clone());
         if self.groups.is_empty() {
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// One server of a hundred leaves: the parts that move because they were theirs, and the others that move.
+/// One server of a hundred leaves: the parts that move because they were theirs, and the others
+/// that move.
 fn moved_by_leaving(servers: usize) -> [usize; 2] {
     let leaves = |n: usize| n % 100 == 7;
     let before = pool(0..servers);
@@ -135,7 +136,8 @@
     assert!(objects(1000).all(|object| pool.in_two_steps(&object, 0)));
 }
 
-/// Through the sizes at which groups form and go: servers that come, go or change their weights in place.
+/// Through the sizes at which groups form and go: servers that come, go or change their weights in
+/// place.
 #[test]
 fn a_pool_changed_in_place_is_the_same_as_one_built_anew() {
     let mut chance = fastrand::Rng::with_seed(7);
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,9 +1,9 @@
-//! Slow start (rule 4): what all routers together send to a server that has just started stays within what it
-//! bears while it warms up.
+//! Slow start (rule 4): what all routers together send to a server that has just started stays
+//! within what it bears while it warms up.
 //!
-//! The routers do not agree with one another. Each keeps within its share of a budget, of the work sent in a
-//! span of time. Where the share of one is less than one transfer, a lottery that needs no messages names the
-//! few routers that may send one.
+//! The routers do not agree with one another. Each keeps within its share of a budget, of the work
+//! sent in a span of time. Where the share of one is less than one transfer, a lottery that needs
+//! no messages names the few routers that may send one.
 
 use crate::endpoints::Endpoint;
 use crate::interface::{ColdStart, Deployment, Tier};
@@ -12,14 +12,15 @@
 
 /// The share of a server's budget that the routers together use: capacities may be told roughly.
 const BUDGET_MARGIN: f64 = 0.45;
-/// A draw of the routers that may send holds for so many spans. In the span after each new draw those of both
-/// may send: the longer it holds, the fewer do.
+/// A draw of the routers that may send holds for so many spans. In the span after each new draw
+/// those of both may send: the longer it holds, the fewer do.
 const DRAW_LASTS_SPANS: f64 = 8.0;
 /// What is drawn for takes no more than this share of the budget.
 const DRAWN_MOST: f64 = 1.0 / 8.0;
 /// What is drawn for and is larger than usual takes no more than this share of the budget.
 const DRAWN_LARGE: f64 = 1.0 / 16.0;
-/// Up to this multiple of the mean a transfer is as usual: means of classes of like size differ by as much.
+/// Up to this multiple of the mean a transfer is as usual: means of classes of like size differ by
+/// as much.
 const DRAWN_USUAL: f64 = 1.25;
 /// What is smaller than this share of the mean is drawn for as if it were not.
 const DRAWN_SMALL: f64 = 0.5;
@@ -97,7 +98,8 @@
         self.mean_work.record(sending_time);
     }
 
-    /// The work that an attempt is to a server, in seconds of sending. Of a cache the mean of its class counts.
+    /// The work that an attempt is to a server, in seconds of sending. Of a cache the mean of its
+    /// class counts.
     #[inline]
     pub fn work(&self, tier: Tier, class: usize, sending_time: Duration) -> f64 {
         match tier {
@@ -111,8 +113,8 @@
         self.caches.limits.span.max(self.parents.limits.span)
     }
 
-    /// Whether a server may be sent this work now. Most servers started long ago, and each candidate of a
-    /// selection is asked about: that part is inlined.
+    /// Whether a server may be sent this work now. Most servers started long ago, and each
+    /// candidate of a selection is asked about: that part is inlined.
     #[inline]
     pub fn admits(&self, now: Duration, endpoint: &Endpoint, work: f64) -> bool {
         let Some(started_at) = endpoint.member.started else {
@@ -150,9 +152,10 @@
         sent + work <= budget.share || self.is_drawn(endpoint, &budget, sent, work)
     }
 
-    /// Of many routers none has a share that one transfer fits in: a few, drawn by hash, may send one in each
-    /// span, or as many small ones as fit in half of the mean. The sum expected in any span is that of the
-    /// shares. Were each size drawn for as it is, a router would draw once for each that it is asked for.
+    /// Of many routers none has a share that one transfer fits in: a few, drawn by hash, may send
+    /// one in each span, or as many small ones as fit in half of the mean. The sum expected in any
+    /// span is that of the shares. Were each size drawn for as it is, a router would draw once for
+    /// each that it is asked for.
     fn is_drawn(&self, endpoint: &Endpoint, budget: &Budget, sent: f64, work: f64) -> bool {
         let (mean, share) = (self.mean_work.seconds, budget.share);
         let small = mean * DRAWN_SMALL;
@@ -165,8 +168,9 @@
         fits_as_small || draw * work.max(small) < share - sent
     }
 
-    /// From 0 to 1, by server and router. Each router draws anew at times of its own: of two draws that ended
-    /// and began for all at once, those of both could send within one span, twice what is expected.
+    /// From 0 to 1, by server and router. Each router draws anew at times of its own: of two draws
+    /// that ended and began for all at once, those of both could send within one span, twice what
+    /// is expected.
     fn draw(&self, endpoint: &Endpoint, age_spans: f64) -> f64 {
         let name = endpoint.member.server.as_bytes();
         let hash = |seed| xxh3_64_with_seed(name, seed) as f64 / 2f64.powi(64);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What is harmless in one router and adds up over many: the decisions of a fleet against plain sums.
+//! What is harmless in one router and adds up over many: the decisions of a fleet against plain
+//! sums.
 
 use chalkhall::control::{Judged, Router};
 use chalkhall::interface::*;
@@ -81,8 +82,8 @@
     }
 }
 
-/// 300 routers, each with a request of 0.2 s three times a second, before two parents of which one has just
-/// started. Each share of the cold one is under a hundredth of a transfer at first.
+/// 300 routers, each with a request of 0.2 s three times a second, before two parents of which one
+/// has just started. Each share of the cold one is under a hundredth of a transfer at first.
 #[test]
 fn a_cold_parent_is_warmed_by_a_few_in_turn_and_never_pushed_over() {
     let (capacity, started) = (40.0, ms(10_000));
@@ -147,7 +148,8 @@
             "router {router} sent two within a span: {close:?}"
         );
     }
-    // Who is drawn changes: those of the first four spans are not those of the next four after their draws end.
+    // Who is drawn changes: those of the first four spans are not those of the next four after
+    // their draws end.
     let drawn = |from: u64| {
         let (from, to) = (started + ms(from), started + ms(from + 4000));
         let sends = |times: &&Vec<Duration>| times.iter().any(|at| *at >= from && *at < to);
@@ -187,7 +189,8 @@
         most < 2.0,
         "in some second it was sent {most:.2} times what it could do"
     );
-    // Requests for 180 s of sending come a second, half of them for the cold one, which has 24 s on the mean.
+    // Requests for 180 s of sending come a second, half of them for the cold one, which has 24 s on
+    // the mean.
     let work: f64 = sent.iter().map(|(_, w)| w).sum();
     assert!(
         work > 20.0 * 0.25 * 22.0,
@@ -195,8 +198,8 @@
     );
 }
 
-/// What takes more than an eighth of what the cold parent bears in a span waits until it bears more: few such
-/// would stray too far from the mean.
+/// What takes more than an eighth of what the cold parent bears in a span waits until it bears
+/// more: few such would stray too far from the mean.
 #[test]
 fn a_large_request_is_not_drawn_for_a_cold_parent() {
     let list = [
@@ -229,7 +232,8 @@
     }
 }
 
-/// One that is sent something every six seconds needs no ramp: its whole traffic is less than the trickle.
+/// One that is sent something every six seconds needs no ramp: its whole traffic is less than the
+/// trickle.
 #[test]
 fn a_trickle_ends_where_it_no_longer_binds() {
     let played = |apart: Duration| {
--- a/tests/local_failures.rs
+++ b/tests/local_failures.rs
@@ -130,7 +130,8 @@
     }
 }
 
-/// What this machine lacks sets no server aside: the next request goes to the server that the hash prefers.
+/// What this machine lacks sets no server aside: the next request goes to the server that the hash
+/// prefers.
 #[test]
 fn attempts_never_sent_leave_every_server_its_requests() {
     let now = Duration::from_secs(100);
--- a/tests/oracle.rs
+++ b/tests/oracle.rs
@@ -1,6 +1,7 @@
-//! What the decisions do on seeded days of several deployments is recorded as one hash each. A change that is
-//! to leave every decision as it was keeps all of them; one that is meant to decide otherwise records anew, in
-//! a commit that says why. `ORACLE_LINES=1` prints every action, to be compared line by line.
+//! What the decisions do on seeded days of several deployments is recorded as one hash each. A
+//! change that is to leave every decision as it was keeps all of them; one that is meant to decide
+//! otherwise records anew, in a commit that says why. `ORACLE_LINES=1` prints every action, to be
+//! compared line by line.
 
 #[path = "oracle/world.rs"]
 mod world;
--- a/tests/oracle/world.rs
+++ b/tests/oracle/world.rs
@@ -1,5 +1,5 @@
-//! A seeded world around one router: servers that answer, fail or keep silent, clients that come and leave,
-//! lists, purges and gossip. All that the router does goes, line by line, into one hash.
+//! A seeded world around one router: servers that answer, fail or keep silent, clients that come
+//! and leave, lists, purges and gossip. All that the router does goes, line by line, into one hash.
 
 use chalkhall::control::{Router, part_of};
 use chalkhall::interface::*;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -13,9 +13,10 @@
 //!   expect PATTERN                one that matches, after those expected before; `*` is any word or the
 //!                                 rest, $X binds a word at first and stands for it afterwards
 //!   never PATTERN                 none      count PATTERN MIN MAX      so many
-//! A server's cohort stands behind ~, as in c1~2, its cells behind @, as in c1@0,2; a request's as cell=2.
-//! Servers are named by a letter and a number: c caches, p parents, o the origin, m own copies (m1 in memory,
-//! m2 on a disk), of a link that carries two answers. What they hold is set by
+//! A server's cohort stands behind ~, as in c1~2, its cells behind @, as in c1@0,2; a request's as
+//! cell=2. Servers are named by a letter and a number: c caches, p parents, o the origin, m own
+//! copies (m1 in memory, m2 on a disk), of a link that carries two answers. What they hold is set
+//! by
 //!   own m1 object=X [part=0] [age=0] [same=0]      own gone object=X
 
 use chalkhall::control::{Router, part_of};
@@ -93,8 +94,8 @@
     }
 }
 
-/// Classes: 0 kept until purged, 1 fresh for 5 s, 2 non-idempotent, 3 deduplicated, 4 the same by cohort
-/// and kept.
+/// Classes: 0 kept until purged, 1 fresh for 5 s, 2 non-idempotent, 3 deduplicated, 4 the same by
+/// cohort and kept.
 fn deployment() -> Deployment {
     let cold = ColdStart {
         from: 0.25,
@@ -161,13 +162,15 @@
     }
 }
 
-/// What a line may set: a key that nobody reads would be passed over, and its line mean something else.
+/// What a line may set: a key that nobody reads would be passed over, and its line mean something
+/// else.
 const KEYS: [&str; 21] = [
     "attempts", "joins", "pass", "ask", "stale", "here", "cancel", "span", "class", "object",
     "part", "group", "kb", "left", "repeated", "cell", "waited", "took", "ago", "age", "same",
 ];
 
-/// What the record's lines begin with: a pattern of another word would never match, and `never` always hold.
+/// What the record's lines begin with: a pattern of another word would never match, and `never`
+/// always hold.
 const ACTIONS: [&str; 7] = [
     "attempt", "reject", "fail", "cancel", "watch", "keep", "found",
 ];
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,8 @@
 //! The budget of a server in slow start, against the sum of what whole fleets of routers send it.
 //!
-//! Every router of the fleet is the real one, in simulated time, with more demand than the server may take.
-//! The sum counts in requests of mean work. `SLOW_START=whole` plays more seeds and budgets.
+//! Every router of the fleet is the real one, in simulated time, with more demand than the server
+//! may take. The sum counts in requests of mean work. `SLOW_START=whole` plays more seeds and
+//! budgets.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
@@ -19,7 +20,8 @@
 const STARTED: Duration = Duration::from_millis(6000);
 const WARMING: &str = "warming";
 
-/// How many requests of mean work may reach a server in one span when the settings allow it `allowed`.
+/// How many requests of mean work may reach a server in one span when the settings allow it
+/// `allowed`.
 fn bound(allowed: f64) -> f64 {
     let slack = if allowed < 30.0 { 3.0 } else { 2.0 };
     allowed + slack * allowed.sqrt() + slack
@@ -399,7 +401,8 @@
     (Tier::Parent, Sizes::Classes),
 ];
 
-/// Every seed plays every number of routers before every budget, each with the next moment and load in turn.
+/// Every seed plays every number of routers before every budget, each with the next moment and load
+/// in turn.
 #[test]
 fn no_fleet_exceeds_the_budget_of_a_server_in_slow_start() {
     let mut worst = (0.0, String::new());
@@ -439,8 +442,8 @@
     println!("at most {:.2} of the bound: {}", worst.0, worst.1);
 }
 
-/// Where two draws of all routers met within a span, those of both sent; and of several sizes a router sent
-/// the first that its draw allowed, more on average than its share.
+/// Where two draws of all routers met within a span, those of both sent; and of several sizes a
+/// router sent the first that its draw allowed, more on average than its share.
 #[test]
 fn hundreds_of_routers_told_in_the_middle_of_a_span_stay_well_under_the_bound() {
     for (tier, sizes) in [
@@ -486,8 +489,9 @@
     over
 }
 
-/// What is drawn strays: in the worst moment, as all hear of a server and ask at once, the count of a span is
-/// no wider spread than a Poisson variable, and for that the bound is a matter of less than one in a million.
+/// What is drawn strays: in the worst moment, as all hear of a server and ask at once, the count of
+/// a span is no wider spread than a Poisson variable, and for that the bound is a matter of less
+/// than one in a million.
 #[test]
 fn less_than_one_slow_start_in_a_million_would_exceed_the_bound_by_chance() {
     let mut most_likely: f64 = 0.0;
