--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -1,24 +1,24 @@
 //! Cells, through the program on loopback.
 
-use crate::stand_ins::*;
+use crate::support::*;
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
 /// Two caches beside `c1`, and a file of the operator's.
-fn world(directives: &str) -> World {
-    let mut world = World::new();
-    world.servers.push(Server::new("c2", "cache"));
-    world.servers.push(Server::new("c3", "cache"));
-    world.directives = directives.to_owned();
-    world
+fn environment(directives: &str) -> TestEnvironment {
+    let mut environment = TestEnvironment::new()
+        .with_server("c2", "cache")
+        .with_server("c3", "cache");
+    environment.directives = directives.to_owned();
+    environment
 }
 
 /// Asks for so many objects of a group and answers for whoever is asked: who was.
 fn asked(
-    world: &World,
-    client: &mut Client,
-    lines: &mut Vec<(String, Line)>,
+    environment: &TestEnvironment,
+    client: &mut TestClient,
+    lines: &mut Vec<(String, LineConnection)>,
     from: u64,
     group: u64,
 ) -> BTreeSet<String> {
@@ -28,31 +28,25 @@
             "i={:016x},o={tag:016x},lot={group},m=1,d=4000",
             tag + 0xcc00
         );
-        client.send(&[
-            b"REQ",
-            tag.to_string().as_bytes(),
-            b"page",
-            fields.as_bytes(),
-            b"",
-        ]);
+        client.send_raw_request(tag, "page", &fields, b"");
     }
     // Looked at without a rest: a move takes many requests.
-    let (end, mut answered) = (Instant::now() + LONG, 0);
+    let (end, mut answered) = (Instant::now() + WAIT_LIMIT, 0);
     while answered < 20 {
         assert!(Instant::now() < end, "an answer did not come");
-        for server in &world.servers {
+        for server in &environment.servers {
             if let Some(line) = server.try_accept() {
                 lines.push((server.name.clone(), line));
             }
         }
         for (name, line) in lines.iter_mut() {
-            if line.ready() {
-                line.serve(b"x");
+            if line.has_unread_data() {
+                line.respond_hit(b"x");
                 who.insert(name.clone());
             }
         }
-        if client.ready() {
-            assert_eq!(client.word(), "ACK");
+        if client.has_unread_data() {
+            assert_eq!(client.read_answer_word(), "ACK");
             answered += 1;
         }
     }
@@ -71,19 +65,21 @@
              otherwise rest\n}}\n"
         )
     };
-    let mut world = world(&told(5, "c1"));
-    let program = world.start();
-    let (mut client, mut lines) = (program.client(), Vec::new());
+    let mut environment = environment(&told(5, "c1"));
+    let router = environment.start();
+    let (mut client, mut lines) = (router.connect(), Vec::new());
     assert_eq!(
-        asked(&world, &mut client, &mut lines, 100, 2),
+        asked(&environment, &mut client, &mut lines, 100, 2),
         names(&["c1"])
     );
     assert_eq!(
-        asked(&world, &mut client, &mut lines, 200, 7),
+        asked(&environment, &mut client, &mut lines, 200, 7),
         names(&["c2", "c3"])
     );
     // An older map is never gone back to, a faulty one counts for nothing; neither stops anything.
-    let file = world.path().with_file_name("chalkhall.conf");
+    let file = environment
+        .configuration_path()
+        .with_file_name("chalkhall.conf");
     let mut from = 300;
     for (text, gold) in [
         (told(4, "c2"), "c1"),
@@ -91,11 +87,11 @@
         (told(6, "c3"), "c3"),
     ] {
         std::fs::write(&file, text).unwrap();
-        program.signal("HUP");
+        router.reload();
         let mut who = BTreeSet::new();
         until("the map in force", || {
             from += 20;
-            who = asked(&world, &mut client, &mut lines, from, 2);
+            who = asked(&environment, &mut client, &mut lines, from, 2);
             who == names(&[gold])
         });
     }
@@ -103,31 +99,25 @@
 
 #[test]
 fn a_tenant_that_floods_is_rejected_and_the_others_are_not() {
-    let mut world = world("cells {\n tenant-rate 20 40\n}\n");
-    let program = world.start();
-    let (mut client, mut lines) = (program.client(), Vec::new());
+    let mut environment = environment("cells {\n tenant-rate 20 40\n}\n");
+    let router = environment.start();
+    let (mut client, mut lines) = (router.connect(), Vec::new());
     // Both are known: served before.
-    asked(&world, &mut client, &mut lines, 100, 1);
-    asked(&world, &mut client, &mut lines, 200, 2);
+    asked(&environment, &mut client, &mut lines, 100, 1);
+    asked(&environment, &mut client, &mut lines, 200, 2);
     let mut rejected = 0;
     for tag in 1000..1100u64 {
         let fields = format!("i={tag:016x},o={tag:016x},lot=1,m=1,d=4000");
-        client.send(&[
-            b"REQ",
-            tag.to_string().as_bytes(),
-            b"page",
-            fields.as_bytes(),
-            b"",
-        ]);
+        client.send_raw_request(tag, "page", &fields, b"");
         until("an answer", || {
             for (_, line) in lines.iter_mut() {
-                if line.ready() {
-                    line.serve(b"x");
+                if line.has_unread_data() {
+                    line.respond_hit(b"x");
                 }
             }
-            client.ready()
+            client.has_unread_data()
         });
-        let (_, word, fields, _) = client.answer();
+        let ClientAnswer { word, fields, .. } = client.read_answer();
         if word == "NAK" {
             assert!(fields.starts_with("w="), "{fields}");
             rejected += 1;
@@ -137,21 +127,21 @@
     // Another tenant is served, and what must not run twice is not turned away for its tenant's rate.
     let fields = format!("i={:016x},o={:016x},lot=2,m=1,d=4000", 0xeeee, 0xeeee);
     client.send(&[b"REQ", b"5000", b"page", fields.as_bytes(), b""]);
-    client.ask(5001, "confirm", "", b"");
+    client.send_request(5001, "confirm", "", b"");
     let mut words = Vec::new();
     until("two answers", || {
-        for server in &world.servers {
+        for server in &environment.servers {
             if let Some(line) = server.try_accept() {
                 lines.push((server.name.clone(), line));
             }
         }
         for (_, line) in lines.iter_mut() {
-            if line.ready() {
-                line.serve(b"x");
+            if line.has_unread_data() {
+                line.respond_hit(b"x");
             }
         }
-        if client.ready() {
-            words.push(client.word());
+        if client.has_unread_data() {
+            words.push(client.read_answer_word());
         }
         words.len() == 2
     });
@@ -160,19 +150,19 @@
 
 #[test]
 fn a_map_that_makes_no_sense_is_refused_at_the_start_with_every_fault() {
-    let mut world = world(
+    let mut environment = environment(
         "cells {\n cell a list c1\n cell b share 150%\n bind category cakes a\n bind group 1 z\n}\n",
     );
-    let (status, text) = world.spawn("").ended();
+    let RouterExit { status, log: text } = environment.spawn("").wait_for_exit();
     assert!(
         !status.success() && text.contains(":3:15: \"150%\" is not a share"),
         "{text}"
     );
-    world.directives =
+    environment.directives =
         "cells {\n cell a list c1\n cell b share 50%\n bind category cakes a\n bind group 1 z\n}\n"
             .into();
-    world.file["name"] = json!("n2");
-    let (status, text) = world.spawn("").ended();
+    environment.file["name"] = json!("n2");
+    let RouterExit { status, log: text } = environment.spawn("").wait_for_exit();
     assert!(!status.success());
     for part in [
         "z is not a cell",
@@ -190,29 +180,29 @@
             "cells {{\n epoch {epoch}\n cell old list c1\n cell new list c2\n bind group 1 old\n{more} otherwise old\n}}\n"
         )
     };
-    let mut world = world(&told(1, " move group 1 new\n"));
-    let program = world.start();
-    let (mut discovery, _) = world.discovery.accept();
-    let (mut client, mut lines) = (program.client(), Vec::new());
+    let mut environment = environment(&told(1, " move group 1 new\n"));
+    let router = environment.start();
+    let mut discovery = environment.discovery.accept_watch();
+    let (mut client, mut lines) = (router.connect(), Vec::new());
     // Everything that is sent to a server is answered from a copy there: as warm as the old one at once.
     let mut from = 100;
     let mut who = BTreeSet::new();
     let mut both = false;
     until("all of it in the new cell", || {
         // Discovery is alive: what it tells below comes on this connection.
-        discovery.say("1\n");
+        discovery.send("1\n");
         from += 20;
-        who = asked(&world, &mut client, &mut lines, from, 1);
+        who = asked(&environment, &mut client, &mut lines, from, 1);
         both |= who.len() == 2;
         who == names(&["c2"])
     });
     assert!(both, "by and by");
     // The new cell loses all it has: what has settled only just goes back.
-    let gone = world.server("c2").entry("leaving");
-    discovery.say(list(2, &[gone]));
+    let gone = environment.server("c2").entry("leaving");
+    discovery.send(endpoints_event(2, &[gone]));
     until("all of it back", || {
         from += 20;
-        who = asked(&world, &mut client, &mut lines, from, 1);
+        who = asked(&environment, &mut client, &mut lines, from, 1);
         who == names(&["c1"])
     });
 }
--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -1,16 +1,14 @@
 //! Clients that are slow, silent, many or talk nonsense, and the limits they meet.
 
-use crate::bytes;
-use crate::stand_ins::*;
-use crate::started;
+use crate::support::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 #[test]
 fn nonsense_from_a_client_meets_an_answer_or_a_close() {
-    let mut world = World::new();
-    let program = world.start();
-    let (mut client, id) = (program.client(), "00000000000000aa");
+    let mut environment = TestEnvironment::new();
+    let router = environment.start();
+    let (mut client, id) = (router.connect(), "00000000000000aa");
     let faulty = [
         ("nowhere", format!("i={id},o={id},d=900")),
         ("page", format!("i=short,o={id},d=900")),
@@ -25,41 +23,35 @@
         ("page", format!("i={id},o={id},d=900,d=900")),
     ];
     for (tag, (class, fields)) in (1..).zip(&faulty) {
-        client.send(&[
-            b"REQ",
-            tag.to_string().as_bytes(),
-            class.as_bytes(),
-            fields.as_bytes(),
-            b"",
-        ]);
+        client.send_raw_request(tag, class, fields, b"");
         assert_eq!(
-            client.answer(),
-            (tag, "FAIL".into(), "".into(), vec![]),
+            client.read_answer(),
+            ClientAnswer::new(tag, "FAIL", "", b""),
             "{class} {fields}"
         );
     }
     client.send(&[b"WHAT", b"18"]);
-    assert_eq!(client.word(), "FAIL");
+    assert_eq!(client.read_answer_word(), "FAIL");
     for bad in [
         "*1\r\n$99999999\r\n",
         "PING\r\n",
         "*2\r\n$3\r\nREQ\r\n$1\r\nx\r\n",
     ] {
-        let mut other = program.client();
+        let mut other = router.connect();
         other.write(bad.as_bytes());
-        assert!(other.closed(), "{bad:?}");
+        assert!(other.is_closed(), "{bad:?}");
     }
     assert_eq!(client.health(), "GREEN", "the others are untouched");
     // No clock reaches as far as this one would wait.
-    client.ask(19, "page", "d=999999999999999999", b"");
-    let mut server = world.server("c1").accept();
-    let asked = server.asked();
+    client.send_request(19, "page", "d=999999999999999999", b"");
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
     assert!(asked.get("limit").parse::<u64>().unwrap() <= 60_000);
-    server.answer(&asked, "OK", "tell=hit", b"x");
-    assert_eq!(client.word(), "ACK");
+    server.respond(&asked, "OK", "tell=hit", b"x");
+    assert_eq!(client.read_answer_word(), "ACK");
     // An id that is in use.
-    let id = client.ask(20, "page", "", b"");
-    let asked = server.asked();
+    let id = client.send_request(20, "page", "", b"");
+    let asked = server.read_request();
     client.send(&[
         b"REQ",
         b"21",
@@ -67,9 +59,9 @@
         format!("i={id},o={id},d=900").as_bytes(),
         b"",
     ]);
-    assert_eq!(client.answer().1, "FAIL");
+    assert_eq!(client.read_answer().word, "FAIL");
     // Nor is one client's request ended by another that names its id and goes.
-    let mut other = program.client();
+    let mut other = router.connect();
     other.send(&[
         b"REQ",
         b"20",
@@ -77,47 +69,49 @@
         format!("i={id},o={id},d=900").as_bytes(),
         b"",
     ]);
-    other.send(&[b"ABORT", b"20"]);
+    other.abort(20);
     other.send(&[b"HEALTH", b"1000", b""]);
     // Its own answer may cross its calling off; nothing else comes before what it asked last.
-    let mut said = other.answer();
-    if said.0 == 20 {
-        assert_eq!(said, (20, "FAIL".into(), "".into(), vec![]));
-        said = other.answer();
+    let mut said = other.read_answer();
+    if said.tag == 20 {
+        assert_eq!(said, ClientAnswer::new(20, "FAIL", "", b""));
+        said = other.read_answer();
     }
-    assert_eq!((said.0, said.1.as_str()), (1000, "GREEN"));
+    assert_eq!((said.tag, said.word.as_str()), (1000, "GREEN"));
     drop(other);
     assert_eq!(client.health(), "GREEN");
-    server.answer(&asked, "OK", "tell=hit", b"x");
-    assert_eq!(
-        client.answer(),
-        (20, "ACK".into(), "".into(), b"x".to_vec())
-    );
+    server.respond(&asked, "OK", "tell=hit", b"x");
+    assert_eq!(client.read_answer(), ClientAnswer::new(20, "ACK", "", b"x"));
     // One more than a connection carries.
-    let mut many = program.client();
-    (1..=33).for_each(|tag| drop(many.ask(tag, "page", "", b"")));
-    assert_eq!(many.answer(), (33, "FAIL".into(), "".into(), vec![]));
+    let mut many = router.connect();
+    (1..=33).for_each(|tag| drop(many.send_request(tag, "page", "", b"")));
+    assert_eq!(many.read_answer(), ClientAnswer::new(33, "FAIL", "", b""));
 }
 
 #[test]
 fn a_slow_reader_stalls_nobody_and_gets_all() {
-    let mut world = World::new();
-    let program = world.start();
-    let (mut slow, mut quick) = (program.client(), program.client());
-    slow.ask(1, "page", "", b"");
-    let mut server = world.server("c1").accept();
-    let object = bytes(240_000);
+    let mut environment = TestEnvironment::new();
+    let router = environment.start();
+    let (mut slow, mut quick) = (router.connect(), router.connect());
+    slow.send_request(1, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    let object = body_of_length(240_000);
     for tag in 1..=32 {
-        server.serve(&object);
+        server.respond_hit(&object);
         if tag < 32 {
-            slow.ask(tag + 1, "page", "", b"");
+            slow.send_request(tag + 1, "page", "", b"");
         }
     }
-    quick.ask(1, "page", "", b"");
-    server.serve(b"x");
-    assert_eq!(quick.word(), "ACK");
+    quick.send_request(1, "page", "", b"");
+    server.respond_hit(b"x");
+    assert_eq!(quick.read_answer_word(), "ACK");
     for tag in 1..=32 {
-        let (of, word, _, body) = slow.answer();
+        let ClientAnswer {
+            tag: of,
+            word,
+            body,
+            ..
+        } = slow.read_answer();
         assert!(
             (of, word.as_str()) == (tag, "ACK") && body == object,
             "answer {tag}"
@@ -127,82 +121,84 @@
 
 #[test]
 fn bodies_past_the_memory_are_rejected_at_the_door() {
-    let mut world = World::new();
-    world.file["limits"]["memory_mb"] = json!(1);
-    let program = world.start();
-    let mut client = program.client();
-    client.ask(1, "page", "", b"");
-    client.ask(2, "page", "", b"");
-    client.ask(3, "page", "", b"");
-    assert_eq!(client.answer(), (3, "NAK".into(), "w=200".into(), vec![]));
-    let mut server = world.server("c1").accept();
+    let (environment, _router, mut client) =
+        start_router_in(TestEnvironment::new().with_machine_limit("memory_mb", 1));
+    client.send_request(1, "page", "", b"");
+    client.send_request(2, "page", "", b"");
+    client.send_request(3, "page", "", b"");
+    assert_eq!(
+        client.read_answer(),
+        ClientAnswer::new(3, "NAK", "w=200", b"")
+    );
+    let mut server = environment.server("c1").accept();
     for tag in [1, 2] {
-        server.serve(&bytes(240_000));
-        assert_eq!(client.answer().0, tag);
+        server.respond_hit(&body_of_length(240_000));
+        assert_eq!(client.read_answer().tag, tag);
     }
-    client.ask(4, "page", "", b"");
-    server.serve(b"x");
+    client.send_request(4, "page", "", b"");
+    server.respond_hit(b"x");
     assert_eq!(
-        client.word(),
+        client.read_answer_word(),
         "ACK",
         "what has been written takes no place any more"
     );
     // Where objects are small more may be out: to reckon with the largest would reject half of them.
     for tag in 1..=100 {
-        client.ask(tag, "page", "", b"");
-        server.serve(b"x");
-        assert_eq!(client.word(), "ACK");
+        client.send_request(tag, "page", "", b"");
+        server.respond_hit(b"x");
+        assert_eq!(client.read_answer_word(), "ACK");
     }
     for tag in 1..=5 {
-        client.ask(tag, "page", "", b"");
+        client.send_request(tag, "page", "", b"");
     }
-    let asked: Vec<_> = (1..=5).map(|_| server.asked()).collect();
+    let asked: Vec<_> = (1..=5).map(|_| server.read_request()).collect();
     asked
         .iter()
-        .for_each(|asked| server.answer(asked, "OK", "tell=hit", b"x"));
-    (1..=5).for_each(|_| assert_eq!(client.word(), "ACK"));
+        .for_each(|asked| server.respond(asked, "OK", "tell=hit", b"x"));
+    (1..=5).for_each(|_| assert_eq!(client.read_answer_word(), "ACK"));
 }
 
 #[test]
 fn a_tag_in_use_is_answered_once_and_no_more_is_read() {
-    let (world, _program, mut client) = started();
-    client.ask(1, "page", "", b"");
-    let id = client.ask(2, "page", "", b"");
-    let mut server = world.server("c1").accept();
-    let asked = [server.asked(), server.asked()];
-    client.ask(2, "page", "", b"");
-    let mut tags = [client.answer(), client.answer()].map(|(tag, word, ..)| (tag, word));
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "page", "", b"");
+    let id = client.send_request(2, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    let asked = [server.read_request(), server.read_request()];
+    client.send_request(2, "page", "", b"");
+    let mut tags =
+        [client.read_answer(), client.read_answer()].map(|answer| (answer.tag, answer.word));
     tags.sort();
     assert_eq!(tags, [(1, "FAIL".into()), (2, "FAIL".into())]);
-    assert!(client.closed(), "a second answer under the same tag");
-    assert!([server.line(), server.line()].contains(&format!("QUIT {id}")));
+    assert!(client.is_closed(), "a second answer under the same tag");
+    assert!([server.read_line(), server.read_line()].contains(&format!("QUIT {id}")));
     asked
         .iter()
-        .for_each(|asked| server.answer(asked, "OK", "tell=hit", b"late"));
+        .for_each(|asked| server.respond(asked, "OK", "tell=hit", b"late"));
 }
 
 #[test]
 fn silence_and_half_messages_are_closed_in_time() {
-    let (world, program, mut client) = started();
+    let (environment, router, mut client) = start_router();
     let begun = Instant::now();
-    let mut silent = program.client();
+    let mut silent = router.connect();
     let mut halves = [
         "*",
         "*5\r\n$3\r\nREQ\r\n",
         "*5\r\n$3\r\nREQ\r\n$1\r\n2\r\n$4\r\npage\r\n$9\r\ni=",
     ]
-    .map(|half| (half, program.client()));
+    .map(|half| (half, router.connect()));
     halves
         .iter_mut()
         .for_each(|(half, client)| client.write(half.as_bytes()));
     // One with something open is told that it failed.
-    client.ask(1, "page", "", b"");
-    world.server("c1").accept().asked();
+    client.send_request(1, "page", "", b"");
+    environment.server("c1").accept().read_request();
     client.write(b"*2\r\n$6\r\nHEA");
-    assert!(silent.closed() && halves.iter_mut().all(|(_, client)| client.closed()));
-    assert_eq!(client.word(), "FAIL");
+    assert!(silent.is_closed() && halves.iter_mut().all(|(_, client)| client.is_closed()));
+    assert_eq!(client.read_answer_word(), "FAIL");
     assert!(
-        client.closed() && begun.elapsed() < Duration::from_secs(3),
+        client.is_closed() && begun.elapsed() < Duration::from_secs(3),
         "{:?}",
         begun.elapsed()
     );
@@ -211,34 +207,34 @@
 #[test]
 fn the_silent_keep_nobody_out() {
     for limits in ["ulimit -n 40;", ""] {
-        let mut world = World::new();
-        world.file["limits"]["sockets"] = json!(if limits.is_empty() { 64 } else { 1024 });
-        let program = world.spawn(limits);
-        until("GREEN", || {
-            program
-                .connect()
-                .is_some_and(|mut client| client.health() == "GREEN")
-        });
+        let mut environment = TestEnvironment::new()
+            .with_machine_limit("sockets", json!(if limits.is_empty() { 64 } else { 1024 }));
+        let router = environment.spawn(limits);
+        router.wait_until_ready();
         let begun = Instant::now();
-        let mut busy = program.client();
-        busy.ask(1, "page", "", b"");
-        let mut server = world.server("c1").accept();
-        let asked = server.asked();
+        let mut busy = router.connect();
+        busy.send_request(1, "page", "", b"");
+        let mut server = environment.server("c1").accept();
+        let asked = server.read_request();
         // They hold all places, and those who stay after an answer too.
-        let mut clients: Vec<Client> = (0..120).map(|_| program.client()).collect();
+        let mut clients: Vec<TestClient> = (0..120).map(|_| router.connect()).collect();
         for client in &mut clients[60..] {
             client.send(&[b"HEALTH", b"1", b""]);
         }
-        let mut last = program.client();
+        let mut last = router.connect();
         assert_eq!(last.health(), "GREEN");
-        last.ask(2, "page", "", b"");
-        server.serve(b"x");
-        assert_eq!(last.word(), "ACK");
+        last.send_request(2, "page", "", b"");
+        server.respond_hit(b"x");
+        assert_eq!(last.read_answer_word(), "ACK");
         assert!(
             begun.elapsed() < Duration::from_millis(1900),
             "not for want of a whole message"
         );
-        server.answer(&asked, "OK", "tell=hit", b"y");
-        assert_eq!(busy.answer().3, b"y", "who has something open stays");
+        server.respond(&asked, "OK", "tell=hit", b"y");
+        assert_eq!(
+            busy.read_answer().body,
+            b"y",
+            "who has something open stays"
+        );
     }
 }
--- a/crates/router/tests/program/customers.rs
+++ b/crates/router/tests/program/deployments.rs
@@ -1,6 +1,7 @@
-//! Settings of other customers than the first: those of the sites in `deploy/sites`, in small.
+//! Settings of other deployments than the default one: those of the sites in `deploy/sites`, in
+//! small.
 
-use crate::stand_ins::*;
+use crate::support::*;
 use serde_json::{Value, json};
 
 /// A class with its limits in milliseconds.
@@ -14,10 +15,10 @@
 
 /// As `kiosk-vouchers`: short limits, a window shorter than they are, most of it not to be run twice, few
 /// descriptors and little memory, connections that do not last.
-pub fn hasty() -> World {
-    let mut world = World::new();
-    world.file["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 96});
-    let settings = &mut world.file["settings"];
+pub fn hasty() -> TestEnvironment {
+    let mut environment = TestEnvironment::new();
+    environment.file["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 96});
+    let settings = &mut environment.file["settings"];
     settings["Classes"] = json!([
         limited("seat-plan", "pure", 700, 900, 600),
         limited("hold-seat", "token", 300, 800, 600),
@@ -35,13 +36,13 @@
         "MaxRetryAfter": 300, "MayCancel": true, "RetryAfter": true, "StreamsPerConn": 8});
     settings["Obligations"]["DrainGrace"] = json!(200);
     settings["Tenants"] = json!([]);
-    world
+    environment
 }
 
 /// As `museum-loans`: tenants, classes of all effects, long limits, slow connections, nothing called off.
-pub fn wide() -> World {
-    let mut world = World::new();
-    let settings = &mut world.file["settings"];
+pub fn wide() -> TestEnvironment {
+    let mut environment = TestEnvironment::new();
+    let settings = &mut environment.file["settings"];
     settings["Classes"] = json!([
         limited("picture", "pure", 900, 9000, 0),
         limited("catalogue-card", "pure", 400, 5000, 0),
@@ -62,55 +63,55 @@
         tenant("harbour-museum", 0.3),
         tenant("archive", 0.2)
     ]);
-    world
+    environment
 }
 
 /// By it servers know a repeat: without it an attempt after one that may have run could have its effect
 /// twice.
 #[test]
 fn a_key_against_repeats_goes_along_with_every_attempt() {
-    for (mut world, class) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
-        let program = world.start();
-        let mut client = program.client();
+    for (mut environment, class) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
+        let router = environment.start();
+        let mut client = router.connect();
         let key = "f1ff6cd8ff9b0f19bc938ad4212f62a0";
         let tenant = if class == "hold-seat" {
             ""
         } else {
             ",t=archive"
         };
-        client.ask(1, class, &format!("d=700,k={key}{tenant}"), b"row 4");
-        let mut origin = world.server("o1").accept();
-        let asked = origin.asked();
+        client.send_request(1, class, &format!("d=700,k={key}{tenant}"), b"row 4");
+        let mut origin = environment.server("o1").accept();
+        let asked = origin.read_request();
         assert_eq!(
             (asked.get("cls"), asked.get("nonce"), &asked.body[..]),
             (class, key, &b"row 4"[..])
         );
-        origin.answer(&asked, "ERR", "-", b"");
-        let mut server = world.server("c1").accept();
-        let again = server.asked();
+        origin.respond(&asked, "ERR", "-", b"");
+        let mut server = environment.server("c1").accept();
+        let again = server.read_request();
         assert_eq!((again.get("nonce"), &again.body[..]), (key, &b"row 4"[..]));
-        server.answer(&again, "OK", "tell=via_origin", b"done");
-        assert_eq!(client.word(), "ACK");
+        server.respond(&again, "OK", "tell=via_origin", b"done");
+        assert_eq!(client.read_answer_word(), "ACK");
     }
 }
 
 #[test]
 fn tenants_are_known_by_their_names() {
-    let mut world = wide();
-    let program = world.start();
-    let mut client = program.client();
+    let mut environment = wide();
+    let router = environment.start();
+    let mut client = router.connect();
     for (tag, tenant) in [(1, "city-museum"), (2, "archive")] {
-        client.ask(tag, "picture", &format!("t={tenant}"), b"");
-        let mut server = world.server("c1").accept();
-        server.serve(b"x");
-        assert_eq!(client.word(), "ACK", "{tenant}");
+        client.send_request(tag, "picture", &format!("t={tenant}"), b"");
+        let mut server = environment.server("c1").accept();
+        server.respond_hit(b"x");
+        assert_eq!(client.read_answer_word(), "ACK", "{tenant}");
         drop(server);
     }
     for (tag, tenant) in [(3, "nobody"), (4, "0"), (5, "")] {
-        client.ask(tag, "picture", &format!("t={tenant}"), b"");
+        client.send_request(tag, "picture", &format!("t={tenant}"), b"");
         assert_eq!(
-            client.answer(),
-            (tag, "FAIL".into(), "".into(), vec![]),
+            client.read_answer(),
+            ClientAnswer::new(tag, "FAIL", "", b""),
             "{tenant}"
         );
     }
@@ -118,19 +119,19 @@
 
 #[test]
 fn keys_that_could_break_a_line_are_refused() {
-    let mut world = hasty();
-    let program = world.start();
-    let mut client = program.client();
+    let mut environment = hasty();
+    let router = environment.start();
+    let mut client = router.connect();
     let long = "a".repeat(65);
     for (tag, key) in (1..).zip(["", "a b", "a\r\nQUIT", "a=b", "\u{e9}", &long]) {
-        client.ask(tag, "hold-seat", &format!("k={key}"), b"");
+        client.send_request(tag, "hold-seat", &format!("k={key}"), b"");
         assert_eq!(
-            client.answer(),
-            (tag, "FAIL".into(), "".into(), vec![]),
+            client.read_answer(),
+            ClientAnswer::new(tag, "FAIL", "", b""),
             "{key:?}"
         );
         assert!(
-            world.server("o1").try_accept().is_none(),
+            environment.server("o1").try_accept().is_none(),
             "sent on: {key:?}"
         );
     }
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -1,7 +1,7 @@
 //! What a fleet of hundreds asks of each router: one process as the line `run` starts it, and talk with
 //! peers.
 
-use crate::stand_ins::*;
+use crate::support::*;
 use serde_json::json;
 use std::net::UdpSocket;
 use std::os::unix::fs::MetadataExt;
@@ -53,10 +53,10 @@
 
 #[test]
 fn the_line_run_is_one_process_that_listens_where_it_is_told_and_ends_when_asked() {
-    let mut world = World::new();
-    world.instead = Some(line_run());
-    let mut program = world.start();
-    let process = program.child.id();
+    let mut environment = TestEnvironment::new();
+    environment.command_override = Some(line_run());
+    let mut router = environment.start();
+    let process = router.id();
     // The shell has given way: whom the platform started is the router itself.
     let of = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap();
     assert!(of("comm").starts_with("chalkhall-route"), "{}", of("comm"));
@@ -65,10 +65,10 @@
         maps.contains("/libc.so.6") && maps.contains("/ld-linux"),
         "linked statically:\n{maps}"
     );
-    let mut client = program.client();
-    client.ask(1, "page", "", b"");
-    world.server("c1").accept().serve(b"body");
-    assert_eq!(client.word(), "ACK");
+    let mut client = router.connect();
+    client.send_request(1, "page", "", b"");
+    environment.server("c1").accept().respond_hit(b"body");
+    assert_eq!(client.read_answer_word(), "ACK");
     for task in std::fs::read_dir(format!("/proc/{process}/task"))
         .unwrap()
         .flatten()
@@ -105,28 +105,28 @@
         "a Unix socket with a name:\n{unix}"
     );
     drop(client);
-    program.terminate();
-    assert_eq!(program.ended().0.code(), Some(0));
+    router.terminate();
+    assert_eq!(router.wait_for_exit().status.code(), Some(0));
 }
 
 /// A router of two at its zone, and what is told to it of the other.
-fn with_a_peer(tell: &str) -> (World, UdpSocket, UdpSocket) {
-    let mut world = World::new();
+fn with_a_peer(tell: &str) -> (TestEnvironment, UdpSocket, UdpSocket) {
+    let mut environment = TestEnvironment::new();
     let socket = || {
-        let socket = UdpSocket::bind(address()).unwrap();
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        let socket = UdpSocket::bind(unused_address()).unwrap();
+        socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         socket
     };
-    let (peer, all, own) = (socket(), socket(), address());
+    let (peer, all, own) = (socket(), socket(), unused_address());
     let at = |socket: &UdpSocket| socket.local_addr().unwrap().to_string();
-    world.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2]);
-    world.file["settings"]["PeersTotal"] = json!(2);
-    world.file["settings"]["Limits"]["PeerMessages"] = json!(true);
-    world.file["peer_listen"] = json!(own.to_string());
-    world.file["peers"] = json!([own.to_string(), at(&peer)]);
-    world.file["peers_all"] = json!(at(&all));
-    world.directives = format!("peers {{\n tell {tell}\n}}\n");
-    (world, peer, all)
+    environment.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2]);
+    environment.file["settings"]["PeersTotal"] = json!(2);
+    environment.file["settings"]["Limits"]["PeerMessages"] = json!(true);
+    environment.file["peer_listen"] = json!(own.to_string());
+    environment.file["peers"] = json!([own.to_string(), at(&peer)]);
+    environment.file["peers_all"] = json!(at(&all));
+    environment.directives = format!("peers {{\n tell {tell}\n}}\n");
+    (environment, peer, all)
 }
 
 fn heard(socket: &UdpSocket) -> (Vec<u8>, std::net::SocketAddr) {
@@ -137,23 +137,24 @@
 
 #[test]
 fn a_peer_is_found_and_told_what_is_found() {
-    let (mut world, peer, all) = with_a_peer("on");
-    let program = world.start();
-    let (looking, router) = heard(&all);
+    let (mut environment, peer, all) = with_a_peer("on");
+    let router = environment.start();
+    let (looking, router_address) = heard(&all);
     assert_eq!(
         looking,
         [0xC1, 1, 0, 0],
         "its format, looking for peers, at zone 0"
     );
     // Nonsense, and a stranger's word, change nothing: the router goes on, and tells its peer.
-    peer.send_to(&[0xC1, 0xFF, 0, 0, 1], router).unwrap();
-    all.send_to(&[0xC1, 0, 0, 0], router).unwrap();
-    peer.send_to(&[0xC1, 1, 0, 0], router).unwrap();
+    peer.send_to(&[0xC1, 0xFF, 0, 0, 1], router_address)
+        .unwrap();
+    all.send_to(&[0xC1, 0, 0, 0], router_address).unwrap();
+    peer.send_to(&[0xC1, 1, 0, 0], router_address).unwrap();
     assert_eq!(heard(&peer).0, [0xC1, 0, 0, 0], "a sign of life");
-    let mut client = program.client();
-    client.ask(1, "page", "", b"");
-    world.server("c1").accept().serve(b"body");
-    assert_eq!(client.word(), "ACK");
+    let mut client = router.connect();
+    client.send_request(1, "page", "", b"");
+    environment.server("c1").accept().respond_hit(b"body");
+    assert_eq!(client.read_answer_word(), "ACK");
     let mut told = heard(&peer).0;
     while told.len() == 4 {
         told = heard(&peer).0;
@@ -167,29 +168,23 @@
 
 #[test]
 fn a_peers_address_that_is_taken_costs_hints_and_no_start() {
-    let (mut world, _peer, all) = with_a_peer("on");
-    world.file["peer_listen"] = json!(all.local_addr().unwrap().to_string());
-    let program = world.start();
-    let mut client = program.client();
-    client.ask(1, "page", "", b"");
-    world.server("c1").accept().serve(b"body");
-    assert_eq!(client.word(), "ACK");
-    assert_eq!(
-        open_at(program.child.id(), "udp", "07"),
-        Vec::<String>::new()
-    );
+    let (mut environment, _peer, all) = with_a_peer("on");
+    environment.file["peer_listen"] = json!(all.local_addr().unwrap().to_string());
+    let router = environment.start();
+    let mut client = router.connect();
+    client.send_request(1, "page", "", b"");
+    environment.server("c1").accept().respond_hit(b"body");
+    assert_eq!(client.read_answer_word(), "ACK");
+    assert_eq!(open_at(router.id(), "udp", "07"), Vec::<String>::new());
 }
 
 #[test]
 fn untold_or_not_allowed_nobody_is_talked_to() {
     for (tell, allowed) in [("off", true), ("on", false)] {
-        let (mut world, _peer, all) = with_a_peer(tell);
-        world.file["settings"]["Limits"]["PeerMessages"] = json!(allowed);
-        let program = world.start();
-        assert_eq!(
-            open_at(program.child.id(), "udp", "07"),
-            Vec::<String>::new()
-        );
+        let (mut environment, _peer, all) = with_a_peer(tell);
+        environment.file["settings"]["Limits"]["PeerMessages"] = json!(allowed);
+        let router = environment.start();
+        assert_eq!(open_at(router.id(), "udp", "07"), Vec::<String>::new());
         all.set_nonblocking(true).unwrap();
         assert!(all.recv(&mut [0; 16]).is_err(), "something was said");
     }
@@ -207,15 +202,17 @@
 
 #[test]
 fn what_fronts_have_measured_steers_and_nonsense_is_refused_with_its_reason() {
-    let (mut world, peer, _all) = with_a_peer("off");
-    world.file["settings"]["Zones"] = json!(["here", "z1", "z2"]);
-    world.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2, 0, 0]);
-    let control = world.path().with_file_name("control.sock");
-    world.directives = format!(
+    let (mut environment, peer, _all) = with_a_peer("off");
+    environment.file["settings"]["Zones"] = json!(["here", "z1", "z2"]);
+    environment.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2, 0, 0]);
+    let control = environment
+        .configuration_path()
+        .with_file_name("control.sock");
+    environment.directives = format!(
         "control {}\nregions {{\n in-common on\n abroad on\n region north here z1\n}}\n",
         control.display()
     );
-    let program = world.start();
+    let router = environment.start();
     for (words, what) in [
         ("latency observe z1 z2 5", "not this router's region"),
         ("latency observe north zz 5", "zz is not a zone"),
@@ -260,20 +257,20 @@
     );
     assert_eq!(ask(&control, "regions stat")["bad"], false);
     // Its peer is told in words of the new kind, and nonsense of that kind changes nothing.
-    let (bytes, router) = heard(&peer);
+    let (bytes, router_address) = heard(&peer);
     assert_eq!(bytes[0], 0xC3);
-    peer.send_to(&[0xC3, 0, 0, 9, 1], router).unwrap();
+    peer.send_to(&[0xC3, 0, 0, 9, 1], router_address).unwrap();
     until("the nonsense", || {
         ask(&control, "regions stat")["faulty"] == 1
     });
-    drop(program);
+    drop(router);
 }
 
 #[test]
 fn regions_that_are_wrong_end_the_start_with_their_name() {
-    let (mut world, _peer, _all) = with_a_peer("off");
-    world.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
-    let (status, log) = world.spawn("").ended();
+    let (mut environment, _peer, _all) = with_a_peer("off");
+    environment.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
+    let RouterExit { status, log } = environment.spawn("").wait_for_exit();
     assert!(
         !status.success() && log.contains("atlantis is not a zone"),
         "{log}"
--- /dev/null
+++ b/crates/router/tests/program/forwarding.rs
@@ -0,0 +1,167 @@
+//! Requests, and what becomes of them by the responses of servers: passed on, retried elsewhere,
+//! rejected or failed.
+
+use crate::support::*;
+
+#[test]
+fn a_hit_passes_unchanged() {
+    let (environment, _router, mut client) = start_router();
+    let id = client.send_request(7, "page", "piece=3", b"");
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
+    assert_eq!(
+        (&asked.id, asked.get("item"), asked.get("chunk")),
+        (&id, "0000000000000007", "3")
+    );
+    assert_eq!(
+        (asked.get("cls"), asked.get("src"), asked.get("maxage")),
+        ("page", "p1", "12000")
+    );
+    assert!((3000..4000).contains(&asked.get("limit").parse::<u64>().unwrap()));
+    let object = body_of_length(240_000);
+    server.respond(
+        &asked,
+        "OK",
+        "tell=hit,etag=4be0c1927d55a6f3,made=1",
+        &object,
+    );
+    assert_eq!(
+        client.read_answer(),
+        ClientAnswer::new(7, "ACK", "ver=4be0c1927d55a6f3", object)
+    );
+}
+
+#[test]
+fn a_write_goes_whole_to_the_origin() {
+    let (environment, _router, mut client) = start_router();
+    let body = body_of_length(48_000);
+    client.send_request(1, "confirm", "", &body);
+    let mut origin = environment.server("o1").accept();
+    let asked = origin.read_request();
+    assert_eq!((asked.body == body, asked.get("src")), (true, ""));
+    origin.respond(&asked, "OK", "-", b"done");
+    assert_eq!(
+        client.read_answer(),
+        ClientAnswer::new(1, "ACK", "", b"done")
+    );
+}
+
+#[test]
+fn a_copy_that_holds_is_not_sent_again() {
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "page", "ver=4be0c1927d55a6f3", b"");
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
+    assert_eq!(asked.get("have"), "4be0c1927d55a6f3");
+    server.respond(&asked, "SAME", "tell=hit,etag=4be0c1927d55a6f3", b"");
+    let ClientAnswer {
+        word, fields, body, ..
+    } = client.read_answer();
+    assert!(
+        word == "ACK" && fields.split(',').any(|f| f == "unchanged=1") && body.is_empty(),
+        "{word} {fields}"
+    );
+}
+
+/// That a client's copy holds is passed on only of the copy that the server names.
+#[test]
+fn a_copy_that_the_server_does_not_name_is_not_called_current() {
+    for fields in ["tell=hit,etag=1111111111111111", "tell=hit"] {
+        let (environment, _router, mut client) = start_router();
+        client.send_request(1, "page", "ver=4be0c1927d55a6f3", b"");
+        let mut server = environment.server("c1").accept();
+        let asked = server.read_request();
+        server.respond(&asked, "SAME", fields, b"");
+        // As after any error it goes another way.
+        let mut parent = environment.server("p1").accept();
+        parent.respond_hit(b"whole");
+        let ClientAnswer {
+            word, fields, body, ..
+        } = client.read_answer();
+        assert!(
+            word == "ACK" && !fields.contains("unchanged") && body == b"whole",
+            "{word} {fields}"
+        );
+    }
+}
+
+#[test]
+fn answers_come_in_any_order_on_shared_connections() {
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "page", "", b"");
+    client.send_request(2, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    let (first, second) = (server.read_request(), server.read_request());
+    server.respond(&second, "OK", "tell=hit", b"two");
+    assert_eq!(
+        client.read_answer(),
+        ClientAnswer::new(2, "ACK", "", b"two")
+    );
+    server.respond(&first, "OK", "tell=hit", b"one");
+    assert_eq!(
+        client.read_answer(),
+        ClientAnswer::new(1, "ACK", "", b"one")
+    );
+}
+
+#[test]
+fn a_full_server_passes_the_request_on_and_a_miss_ends_it() {
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "confirm", "", b"");
+    let mut origin = environment.server("o1").accept();
+    let asked = origin.read_request();
+    origin.respond(&asked, "BUSY", "-", b"");
+    // It never ran there, so even what must not run twice goes another way.
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
+    assert_eq!((asked.get("cls"), asked.get("src")), ("confirm", "p1"));
+    server.respond(&asked, "MISS", "-", b"");
+    let ClientAnswer { word, fields, .. } = client.read_answer();
+    assert_eq!(word, "NAK");
+    assert!(fields.starts_with("w="), "{fields}");
+}
+
+#[test]
+fn what_broke_may_have_run() {
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "confirm", "", b"");
+    let mut origin = environment.server("o1").accept();
+    origin.read_request();
+    drop(origin);
+    assert_eq!(
+        client.read_answer_word(),
+        "FAIL",
+        "written, then broken: no second attempt, no rejection"
+    );
+}
+
+#[test]
+fn what_was_refused_never_ran() {
+    let mut environment = TestEnvironment::new();
+    environment.servers[2].dial = unused_address();
+    let router = environment.start();
+    let mut client = router.connect();
+    client.send_request(1, "confirm", "", b"");
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
+    assert_eq!(asked.get("cls"), "confirm");
+    server.respond(&asked, "OK", "tell=via_origin", b"done");
+    assert_eq!(client.read_answer_word(), "ACK");
+}
+
+#[test]
+fn nonsense_from_a_server_breaks_its_connection_only() {
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "confirm", "", b"");
+    let mut origin = environment.server("o1").accept();
+    origin.read_request();
+    origin.send("what is this\r\n");
+    assert_eq!(client.read_answer_word(), "FAIL");
+    assert_eq!(origin.read_line(), "");
+    client.send_request(2, "confirm", "", b"");
+    let mut origin = environment.server("o1").accept();
+    let asked = origin.read_request();
+    // No client named a copy here: that one holds proves nothing.
+    origin.respond(&asked, "SAME", "-", b"");
+    assert_eq!(client.read_answer_word(), "FAIL");
+}
--- a/crates/router/tests/program/moments.rs
+++ b/crates/router/tests/program/moments.rs
@@ -4,8 +4,8 @@
 //! `make test` plays it in small; `make proof-moments` in full, with any `SEED`. The figures are of the
 //! stand-ins on this machine.
 
-use crate::customers::wide;
-use crate::stand_ins::*;
+use crate::deployments::wide;
+use crate::support::*;
 use serde_json::json;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,8 +15,6 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-const MS: Duration = Duration::from_millis(1);
-
 /// What has come to a station: when its line was read, what it asked for, and where its answer goes.
 struct Come {
     at: Instant,
@@ -35,13 +33,13 @@
 
 /// A server that notes what comes, and answers at once, or only when it is told to.
 struct Station {
-    server: Server,
+    server: FakeServer,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Station {
-    fn of(server: Server, answers: bool) -> Station {
+    fn of(server: FakeServer, answers: bool) -> Station {
         let shared: Arc<Shared> = Arc::default();
         let (of, listener) = (shared.clone(), server.listener.try_clone().unwrap());
         listener.set_nonblocking(true).unwrap();
@@ -132,7 +130,7 @@
                 .to_owned();
             let (id, to) = (id.to_owned(), to.clone());
             if answers {
-                let answer = format!("{id} OK {HIT} 1\r\nx\r\n");
+                let answer = format!("{id} OK {HIT_FIELDS} 1\r\nx\r\n");
                 let _ = to.lock().unwrap().write_all(answer.as_bytes());
             }
             of.come.lock().unwrap().push(Come { at, id, source, to });
@@ -157,11 +155,10 @@
 }
 
 /// Worlds whose servers are these stations.
-fn world_of(mut world: World, stations: &[&Station]) -> World {
+fn world_of(mut environment: TestEnvironment, stations: &[&Station]) -> TestEnvironment {
     let entries: Vec<_> = stations.iter().map(|s| s.server.entry("active")).collect();
-    world.file["known"] =
-        json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": entries}}]});
-    world
+    environment = environment.with_known_endpoints(&entries);
+    environment
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -173,10 +170,10 @@
 
 const LEAVINGS: [Leaving; 3] = [Leaving::Closes, Leaving::CallsOff, Leaving::Resets];
 
-fn leave(client: &mut Option<Client>, how: Leaving) -> Instant {
+fn leave(client: &mut Option<TestClient>, how: Leaving) -> Instant {
     match how {
         Leaving::Closes => drop(client.take()),
-        Leaving::CallsOff => client.as_mut().unwrap().send(&[b"ABORT", b"1"]),
+        Leaving::CallsOff => client.as_mut().unwrap().abort(1),
         Leaving::Resets => client.take().unwrap().reset(),
     }
     Instant::now()
@@ -192,17 +189,17 @@
             ("p1", "parent"),
             ("o1", "origin"),
         ]
-        .map(|(name, kind)| Station::of(Server::new(name, kind), false));
+        .map(|(name, kind)| Station::of(FakeServer::new(name, kind), false));
         let all = [&c1, &c2, &p1, &o1];
-        let mut world = world_of(wide(), &all);
-        let settings = &mut world.file["settings"];
+        let mut environment = world_of(wide(), &all);
+        let settings = &mut environment.file["settings"];
         settings["Limits"]["MayCancel"] = json!(may_cancel);
         settings["Limits"]["ConnectTimeout"] = json!(3000);
         (
             settings["Obligations"]["DrainGrace"],
             settings["FamilyInfo"]["ObeyAfter"],
         ) = (json!(3000), json!(3000));
-        let program = world.start();
+        let router = environment.start();
         let mut check = |gone: &[(String, Instant)]| {
             left += gone.len();
             for (id, at) in gone {
@@ -221,11 +218,12 @@
             // While its first attempt is out, and while it is being repeated: the answer would allow one
             // more.
             for attempts in [1, 2] {
-                let mut client = Some(program.client());
-                let id = client
-                    .as_mut()
-                    .unwrap()
-                    .ask(1, "catalogue-card", "t=archive", b"");
+                let mut client = Some(router.connect());
+                let id =
+                    client
+                        .as_mut()
+                        .unwrap()
+                        .send_request(1, "catalogue-card", "t=archive", b"");
                 let mut out = None;
                 until("the first attempt", || {
                     out = at(&id);
@@ -261,14 +259,15 @@
         }
         // While a connection does not come up: it does a second later, when the sender tries anew.
         o1.hang(true);
-        let others = o1.server.vanish();
+        let others = o1.server.fill_accept_queue();
         let mut queued = Vec::new();
         for n in 0..each {
-            let mut client = Some(program.client());
-            let id = client
-                .as_mut()
-                .unwrap()
-                .ask(1, "loan-request", "t=archive", b"later");
+            let mut client = Some(router.connect());
+            let id =
+                client
+                    .as_mut()
+                    .unwrap()
+                    .send_request(1, "loan-request", "t=archive", b"later");
             assert_eq!(
                 client.as_mut().unwrap().health(),
                 "GREEN",
@@ -305,7 +304,7 @@
         let told = over.clone();
         let thread = spawn(move || {
             let (mut asked, mut words) = (0, HashMap::new());
-            let Some(mut client) = Client::at(address) else {
+            let Some(mut client) = TestClient::connect(address) else {
                 return (0, words);
             };
             let (mut open, mut next, mut chance) =
@@ -323,10 +322,10 @@
                     let tag = tag.to_string();
                     client.send(&[b"REQ", tag.as_bytes(), b"page", fields.as_bytes(), b""]);
                 }
-                if client.ready() {
-                    match client.try_answer() {
-                        Some((_, word, ..)) => {
-                            *words.entry(word).or_insert(0) += 1;
+                if client.has_unread_data() {
+                    match client.try_read_answer() {
+                        Some(answer) => {
+                            *words.entry(answer.word).or_insert(0) += 1;
                             open -= 1;
                         }
                         None => {
@@ -355,18 +354,24 @@
 /// of them killed and started anew in the middle. The greatest share of what a window allows that came in
 /// one, and how much.
 fn cold(processes: usize, seed: u64) -> (f64, f64, usize) {
-    let (c1, c2) = (Server::new("c1", "cache"), Server::new("c2", "cache"));
-    let (p1, o1) = (Server::new("p1", "parent"), Server::new("o1", "origin"));
+    let (c1, c2) = (
+        FakeServer::new("c1", "cache"),
+        FakeServer::new("c2", "cache"),
+    );
+    let (p1, o1) = (
+        FakeServer::new("p1", "parent"),
+        FakeServer::new("o1", "origin"),
+    );
     let [c1, c2, p1, o1] = [c1, c2, p1, o1].map(|server| Station::of(server, true));
     let born = unix_ms();
     let started = Instant::now();
     // At 100 KB a second 10 KB are a tenth of a second of work, and a cache bears four of those at once.
     let (work, share, multiple, window) = (0.1, 4.0, 2.0, 1.0);
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mut worlds: Vec<World> = (0..processes)
+    let mut environments: Vec<TestEnvironment> = (0..processes)
         .map(|n| {
-            let mut world = world_of(World::new(), &[&c1, &c2, &p1, &o1]);
-            let hosts = world.file["known"]["notices"][0]["pool"]["hosts"]
+            let mut environment = world_of(TestEnvironment::new(), &[&c1, &c2, &p1, &o1]);
+            let hosts = environment.file["known"]["notices"][0]["pool"]["hosts"]
                 .as_array_mut()
                 .unwrap();
             for host in hosts
@@ -375,20 +380,23 @@
             {
                 host["born_ms"] = json!(born);
             }
-            world.file["seed"] = json!(format!("{:016x}", chance.u64(..)));
-            let settings = &mut world.file["settings"];
+            environment.file["seed"] = json!(format!("{:016x}", chance.u64(..)));
+            let settings = &mut environment.file["settings"];
             (settings["MyNumber"], settings["PeersTotal"]) = (json!(n), json!(processes));
             settings["FamilyInfo"]["CrewByZone"] = json!([processes]);
             settings["FamilyInfo"]["ClientKbPerS"] = json!(100);
             settings["FamilyInfo"]["ParentFloor"] = json!(0.3);
-            world
+            environment
         })
         .collect();
-    let mut programs: Vec<Program> = worlds.iter_mut().map(|world| world.spawn("")).collect();
+    let mut routers: Vec<RouterProcess> = environments
+        .iter_mut()
+        .map(|environment| environment.spawn(""))
+        .collect();
     until("all ready", || {
-        programs
+        routers
             .iter()
-            .all(|p| p.connect().is_some_and(|mut c| c.health() == "GREEN"))
+            .all(|p| p.try_connect().is_some_and(|mut c| c.health() == "GREEN"))
     });
     // A fifth of them get half of the traffic.
     let every = |n: usize| {
@@ -398,7 +406,7 @@
             100 * MS
         }
     };
-    let mut loads: Vec<Load> = programs
+    let mut loads: Vec<Load> = routers
         .iter()
         .enumerate()
         .map(|(n, p)| Load::at(p.address(), every(n), seed + n as u64))
@@ -407,19 +415,19 @@
     until("two seconds of it", || since.elapsed() > 2000 * MS);
     let again: Vec<usize> = (0..processes).filter(|n| n % 4 == 1).collect();
     for n in &again {
-        programs[*n].child.kill().unwrap();
-        programs[*n].child.wait().unwrap();
-        programs[*n] = worlds[*n].spawn("");
+        routers[*n].child.kill().unwrap();
+        routers[*n].child.wait().unwrap();
+        routers[*n] = environments[*n].spawn("");
     }
     until("ready again", || {
         again.iter().all(|n| {
-            programs[*n]
-                .connect()
+            routers[*n]
+                .try_connect()
                 .is_some_and(|mut c| c.health() == "GREEN")
         })
     });
     for n in again {
-        let load = Load::at(programs[n].address(), every(n), seed + 1000 + n as u64);
+        let load = Load::at(routers[n].address(), every(n), seed + 1000 + n as u64);
         drop(std::mem::replace(&mut loads[n], load).end());
     }
     let since = Instant::now();
@@ -456,33 +464,34 @@
 /// All started at once, their discovery services down for so long at first and then slow to speak, while idle
 /// clients come back to each. How long until ready: half of them, nine in ten, the last.
 fn all_at_once(processes: usize, down: Duration, clients: usize) -> [Duration; 3] {
-    let mut worlds: Vec<World> = (0..processes).map(|_| World::new()).collect();
-    let discoveries: Vec<SocketAddr> = worlds
+    let mut environments: Vec<TestEnvironment> =
+        (0..processes).map(|_| TestEnvironment::new()).collect();
+    let discoveries: Vec<SocketAddr> = environments
         .iter_mut()
-        .map(|world| {
-            let at = address();
-            world.file["board"] = json!(at.to_string());
+        .map(|environment| {
+            let at = unused_address();
+            environment.file["board"] = json!(at.to_string());
             at
         })
         .collect();
     let begun = Instant::now();
-    let programs: Vec<Program> = worlds
+    let routers: Vec<RouterProcess> = environments
         .iter_mut()
-        .map(|world| world.spawn("ulimit -n 128;"))
+        .map(|environment| environment.spawn("ulimit -n 128;"))
         .collect();
-    let crowds: Vec<Crowd> = programs
+    let crowds: Vec<IdleClients> = routers
         .iter()
-        .map(|p| Crowd::of(clients, p.address(), true))
+        .map(|p| IdleClients::connect(clients, p.address(), true))
         .collect();
     let mut ready = vec![None; processes];
     until("all ready", || {
-        for (program, ready) in programs
+        for (router, ready) in routers
             .iter()
             .zip(&mut ready)
             .filter(|(_, ready)| ready.is_none())
         {
-            if program
-                .connect()
+            if router
+                .try_connect()
                 .and_then(|mut client| client.try_health())
                 .is_some_and(|word| word == "GREEN")
             {
@@ -532,23 +541,23 @@
 /// Stopped in order and started anew, so often, under load: new connections come for 0.3 s after the signal,
 /// requests on open ones for 0.2 s more. How many were asked, and how many got no final answer.
 fn restarts(times: usize, seed: u64) -> (usize, usize) {
-    let station = |name, kind| Station::of(Server::new(name, kind), true);
+    let station = |name, kind| Station::of(FakeServer::new(name, kind), true);
     let (c1, p1, o1) = (
         station("c1", "cache"),
         station("p1", "parent"),
         station("o1", "origin"),
     );
-    let mut world = world_of(World::new(), &[&c1, &p1, &o1]);
+    let mut environment = world_of(TestEnvironment::new(), &[&c1, &p1, &o1]);
     let (mut asked, mut lost) = (0, 0);
     for n in 0..times {
-        let mut program = world.start();
-        let of = |k: u64| Load::at(program.address(), 4 * MS, seed + 100 * n as u64 + k);
+        let mut router = environment.start();
+        let of = |k: u64| Load::at(router.address(), 4 * MS, seed + 100 * n as u64 + k);
         let mut loads: Vec<Load> = (0..3).map(of).collect();
-        let mut resting = program.client();
+        let mut resting = router.connect();
         assert_eq!(resting.health(), "GREEN");
         let since = Instant::now();
         until("some load", || since.elapsed() > 200 * MS);
-        program.terminate();
+        router.terminate();
         let told = Instant::now();
         until("new ones come", || told.elapsed() > 150 * MS);
         loads.push(of(9));
@@ -563,8 +572,8 @@
                     .map(|(_, n)| n)
                     .sum::<usize>();
         }
-        assert!(resting.parted(), "one that rested was reset");
-        let (status, log) = program.ended();
+        assert!(resting.is_closed_in_order(), "one that rested was reset");
+        let RouterExit { status, log } = router.wait_for_exit();
         assert!(status.success() && told.elapsed() < 3700 * MS, "{log}");
     }
     (asked, lost)
@@ -583,18 +592,17 @@
 /// One class's requests of all sizes, twenty at once: of the largest tenth, how many are answered, and of
 /// all.
 fn sizes(asked: usize, short: Short, seed: u64) -> (f64, f64) {
-    let server = Server::new("c1", "cache");
+    let server = FakeServer::new("c1", "cache");
     let listener = server.listener.try_clone().unwrap();
-    let o1 = Server::new("o1", "origin");
-    let mut world = World::new();
+    let o1 = FakeServer::new("o1", "origin");
+    let mut environment = TestEnvironment::new();
     let entries = [server.entry("active"), o1.entry("active")];
-    world.file["known"] =
-        json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": entries}}]});
-    world.file["limits"]["memory_mb"] = json!(if short == Short::Memory { 2 } else { 64 });
-    world.file["settings"]["Classes"][0]["Aim"] =
+    environment = environment.with_known_endpoints(&entries);
+    environment.file["limits"]["memory_mb"] = json!(if short == Short::Memory { 2 } else { 64 });
+    environment.file["settings"]["Classes"][0]["Aim"] =
         json!(if short == Short::Pace { 150 } else { 3000 });
-    world.file["settings"]["FamilyInfo"]["ClientKbPerS"] = json!(4000);
-    let program = world.start();
+    environment.file["settings"]["FamilyInfo"]["ClientKbPerS"] = json!(4000);
+    let router = environment.start();
     // It answers each after its sending time, so that large ones are longer out; or one after the other.
     let free = (short == Short::Pace).then(|| Arc::new(Mutex::new(Instant::now())));
     let over: Arc<AtomicBool> = Arc::default();
@@ -613,7 +621,7 @@
         threads.into_iter().for_each(|thread| drop(thread.join()));
     });
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mut clients: Vec<Client> = (0..20).map(|_| program.client()).collect();
+    let mut clients: Vec<TestClient> = (0..20).map(|_| router.connect()).collect();
     let mut sizes: Vec<u64> = (0..asked)
         .map(|_| 4 + (chance.f64().powi(3) * 236.0) as u64)
         .collect();
@@ -632,11 +640,11 @@
             ]);
         }
         for (c, client) in clients.iter_mut().enumerate() {
-            answers.push((sizes[round * 20 + c], client.word() == "ACK"));
+            answers.push((sizes[round * 20 + c], client.read_answer_word() == "ACK"));
         }
     }
     over.store(true, Ordering::Relaxed);
-    drop((clients, program));
+    drop((clients, router));
     serving.join().unwrap();
     sizes.sort();
     let large = sizes[asked - asked / 10];
@@ -685,9 +693,9 @@
         while let Some(at) = due.iter().position(|(at, ..)| Instant::now() >= *at) {
             let (_, id, length) = due.swap_remove(at);
             let tell = if free.is_some() {
-                HIT.replace("hit", "filled")
+                HIT_FIELDS.replace("hit", "filled")
             } else {
-                HIT.to_owned()
+                HIT_FIELDS.to_owned()
             };
             let head = format!("{id} OK {tell} {length}\r\n");
             let answer = [head.as_bytes(), &vec![7; length], b"\r\n"].concat();
--- /dev/null
+++ b/crates/router/tests/program/pauses.rs
@@ -0,0 +1,63 @@
+//! The whole router paused for a moment, as on a machine that others share.
+
+use crate::support::*;
+use std::time::{Duration, Instant};
+
+#[test]
+fn what_was_told_during_a_pause_goes_before_what_was_asked() {
+    let mut environment = TestEnvironment::new().with_server("c2", "cache");
+    let router = environment.start();
+    let mut discovery = environment.discovery.accept_watch();
+    let mut clients: Vec<TestClient> = (0..8).map(|_| router.connect()).collect();
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.health(), "GREEN"));
+    // Held up, as a machine that others share may be, for long enough to be noticed.
+    router.pause();
+    let paused = Instant::now();
+    for (tag, client) in (1..).zip(&mut clients) {
+        client.send_request(tag, "page", "", b"");
+    }
+    discovery.send(endpoints_event(
+        2,
+        &[environment.server("c1").entry("leaving")],
+    ));
+    until("a long pause", || {
+        paused.elapsed() > Duration::from_millis(300)
+    });
+    router.resume();
+    let mut server = environment.server("c2").accept();
+    for _ in 0..4 {
+        server.read_request();
+    }
+    environment
+        .server("c1")
+        .listener
+        .set_nonblocking(true)
+        .unwrap();
+    assert!(
+        environment.server("c1").listener.accept().is_err(),
+        "sent to a server that drains"
+    );
+}
+
+#[test]
+fn an_answer_that_came_during_a_pause_is_no_silence() {
+    let (environment, router, mut client) =
+        start_router_in(TestEnvironment::new().with_setting("FamilyInfo", "ClientKbPerS", 8800));
+    client.send_request(1, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    server.respond_hit(b"x");
+    assert_eq!(client.read_answer_word(), "ACK");
+    // Now known to be held there: out for longer than any hit takes, it is looked into and called off.
+    client.send_request(1, "page", "", b"");
+    let asked = server.read_request();
+    router.pause();
+    let paused = Instant::now();
+    server.respond(&asked, "OK", "tell=hit", b"y");
+    until("a long pause", || {
+        paused.elapsed() > Duration::from_millis(600)
+    });
+    router.resume();
+    assert_eq!(client.read_answer(), ClientAnswer::new(1, "ACK", "", b"y"));
+}
--- /dev/null
+++ b/crates/router/tests/program/server_connections.rs
@@ -0,0 +1,258 @@
+//! Connections to servers: partial and slow responses, silence, idle connections, and servers that
+//! are replaced or move.
+
+use crate::support::*;
+use std::io::Read;
+use std::time::{Duration, Instant};
+
+#[test]
+fn an_answer_that_stops_short_ends_all_on_its_connection() {
+    let (environment, _router, mut client) = start_router_in(
+        TestEnvironment::new()
+            .with_setting("Limits", "ConnectTimeout", 100)
+            .with_server("c2", "cache"),
+    );
+    // Of one object, so both go to one cache.
+    client.send_request(1, "page", "", b"");
+    client.send(&[
+        b"REQ",
+        b"2",
+        b"page",
+        b"i=00000000000000ff,o=0000000000000001,m=1,d=4000,lot=1",
+        b"",
+    ]);
+    let (home, mut server) = environment.accept_from_any_server();
+    let other = if home == "c1" { "c2" } else { "c1" };
+    let asked = [server.read_request(), server.read_request()];
+    let begun = Instant::now();
+    server.send(format!("{} OK {HIT_FIELDS} 240000\r\nhalf", asked[0].id));
+    // Both are attempted elsewhere, long before their time is up, and the connection is gone.
+    let mut second = environment.server(other).accept();
+    second.respond_hit(b"x");
+    second.respond_hit(b"x");
+    assert_eq!(
+        (client.read_answer_word(), client.read_answer_word()),
+        ("ACK".into(), "ACK".into())
+    );
+    assert!(
+        begun.elapsed() < Duration::from_millis(1000),
+        "{:?}",
+        begun.elapsed()
+    );
+    assert_eq!(server.read_line(), "");
+}
+
+#[test]
+fn a_trickle_that_nobody_wants_ends_its_connection() {
+    // A test that is held up for this long would trickle too slowly itself.
+    let (environment, _router, mut client) =
+        start_router_in(TestEnvironment::new().with_setting("Limits", "ConnectTimeout", 300));
+    let id = client.send_request(1, "page", "d=1000", b"");
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
+    server.send(format!("{} OK {HIT_FIELDS} 240000\r\n", asked.id));
+    // Its end is the connection's too: either may be seen first, and the other with it.
+    until("the end of its time", || {
+        !server.try_send("x") || client.has_unread_data()
+    });
+    let ended = Instant::now();
+    assert_eq!(client.read_answer_word(), "NAK");
+    assert!(
+        ended.elapsed() < Duration::from_millis(100),
+        "closed before its time: {:?}",
+        ended.elapsed()
+    );
+    assert_eq!(server.read_line(), format!("QUIT {id}"));
+    let late = Instant::now();
+    until("a close", || !server.try_send("x"));
+    assert!(
+        late.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        late.elapsed()
+    );
+}
+
+/// Half a line of a server that says no more: the connection is let go of, and what is asked meanwhile is
+/// answered all the same.
+#[test]
+fn half_a_line_at_rest_harms_nobody() {
+    let (environment, _router, mut client) =
+        start_router_in(TestEnvironment::new().with_setting("Limits", "ConnectTimeout", 200));
+    client.send_request(1, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    server.respond_hit(b"x");
+    assert_eq!(client.read_answer_word(), "ACK");
+    server.send("00ff OK tell=hit");
+    let said = Instant::now();
+    assert_eq!(server.read_line(), "", "let go of");
+    assert!(said.elapsed() < 1000 * MS, "{:?}", said.elapsed());
+    client.send_request(2, "page", "", b"");
+    environment.server("c1").accept().respond_hit(b"y");
+    assert_eq!(client.read_answer_word(), "ACK");
+}
+
+#[test]
+fn silence_ends_in_time_and_its_connection_takes_nothing_new() {
+    let (environment, _router, mut client) = start_router();
+    let asked_at = Instant::now();
+    let id = client.send_request(1, "page", "d=600", b"");
+    let mut silent = environment.server("c1").accept();
+    silent.read_request();
+    assert_eq!(client.read_answer_word(), "NAK");
+    assert!(
+        asked_at.elapsed() < Duration::from_millis(650),
+        "{:?}",
+        asked_at.elapsed()
+    );
+    assert_eq!(silent.read_line(), format!("QUIT {id}"));
+    assert_eq!(silent.read_line(), "", "nothing is out on it any more");
+    client.send_request(2, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    server.respond_hit(b"back");
+    assert_eq!(client.read_answer_word(), "ACK");
+}
+
+#[test]
+fn what_waits_past_the_grace_is_never_sent() {
+    let (environment, router, mut client) = start_router_in(
+        TestEnvironment::new()
+            .with_setting("Limits", "ConnectTimeout", 9000)
+            .with_setting("Obligations", "DrainGrace", 300),
+    );
+    let others = environment.server("o1").fill_accept_queue();
+    let begun = Instant::now();
+    client.send_request(1, "confirm", "", b"");
+    // Reported never sent, so it may go another way.
+    let mut server = environment.server("c1").accept();
+    let asked = server.read_request();
+    assert!(
+        begun.elapsed() >= Duration::from_millis(295),
+        "{:?}",
+        begun.elapsed()
+    );
+    server.respond(&asked, "OK", "tell=via_origin", b"done");
+    assert_eq!(client.read_answer_word(), "ACK");
+    // When the server is back its connection comes up at last, and carries nothing.
+    let mut own = environment.server("o1").accept_behind(&others);
+    drop(router);
+    let mut came = Vec::new();
+    let _ = own.read_to_end(&mut came);
+    assert!(came.is_empty(), "{}", String::from_utf8_lossy(&came));
+}
+
+#[test]
+fn what_must_not_run_twice_takes_no_connection_that_stood_idle() {
+    let (environment, _router, mut client) = start_router();
+    client.send_request(1, "confirm", "", b"");
+    let mut idle = environment.server("o1").accept();
+    let asked = idle.read_request();
+    idle.respond(&asked, "OK", "tell=via_origin", b"one");
+    assert_eq!(client.read_answer_word(), "ACK");
+    // While one is in use it serves for the next too.
+    client.send_request(2, "confirm", "", b"");
+    let asked = idle.read_request();
+    client.send_request(3, "confirm", "", b"");
+    let third = idle.read_request();
+    idle.respond(&asked, "OK", "tell=via_origin", b"two");
+    idle.respond(&third, "OK", "tell=via_origin", b"three");
+    assert_eq!(
+        (client.read_answer_word(), client.read_answer_word()),
+        ("ACK".into(), "ACK".into())
+    );
+    let since = Instant::now();
+    until("a while", || since.elapsed() > Duration::from_millis(100));
+    client.send_request(4, "confirm", "", b"");
+    let mut new = environment.server("o1").accept();
+    let asked = new.read_request();
+    new.respond(&asked, "OK", "tell=via_origin", b"four");
+    assert_eq!(client.read_answer_word(), "ACK");
+}
+
+#[test]
+fn idle_connections_are_closed_before_the_server_does() {
+    let (environment, _router, mut client) =
+        start_router_in(TestEnvironment::new().with_setting("Limits", "IdleClose", 300));
+    client.send_request(1, "page", "", b"");
+    let mut server = environment.server("c1").accept();
+    server.respond_hit(b"x");
+    assert_eq!(client.read_answer_word(), "ACK");
+    assert_eq!(server.read_line(), "");
+}
+
+#[test]
+fn a_new_server_at_an_old_address_inherits_nothing() {
+    let mut environment = TestEnvironment::new();
+    let router = environment.start();
+    let mut discovery = environment.discovery.accept_watch();
+    assert_eq!(discovery.after_revision, 1);
+    let mut client = router.connect();
+    client.send_request(1, "page", "", b"");
+    let mut old = environment.server("c1").accept();
+    let first = old.read_request();
+    let gone = environment.server("c1").entry("left");
+    environment.servers[0].name = "c2".into();
+    discovery.send(endpoints_event(
+        2,
+        &[gone, environment.server("c2").entry("active")],
+    ));
+    // Told once a request of the same object comes on a connection of its own.
+    let (mut tag, mut new) = (10, None);
+    environment
+        .server("c2")
+        .listener
+        .set_nonblocking(true)
+        .unwrap();
+    until("a connection to the new server", || {
+        tag += 1;
+        client.send_request(tag, "page", "", b"");
+        std::thread::sleep(Duration::from_millis(20));
+        new = environment.server("c2").listener.accept().ok();
+        new.is_some()
+    });
+    let (stream, _) = new.unwrap();
+    stream.set_nonblocking(false).unwrap();
+    let mut new = LineConnection::new(stream);
+    let second = new.read_request();
+    old.send(format!("{} OK tell=hit 3\r\nold\r\n", second.id));
+    old.respond(&first, "OK", "tell=hit", b"first");
+    assert_eq!(
+        client.read_answer().body,
+        b"first",
+        "what was out at the old one still ends"
+    );
+    new.respond(&second, "OK", "tell=hit", b"new");
+    assert_eq!(
+        client.read_answer(),
+        ClientAnswer::new(tag, "ACK", "", b"new")
+    );
+    assert_eq!(old.read_line(), "", "nothing is kept of the old one");
+}
+
+#[test]
+fn a_server_that_moves_is_reached_where_it_is() {
+    let (mut environment, router, mut client) = start_router();
+    let mut discovery = environment.discovery.accept_watch();
+    client.send_request(1, "page", "", b"");
+    environment.server("c1").accept().respond_hit(b"x");
+    assert_eq!(client.read_answer_word(), "ACK");
+    let old = std::mem::replace(&mut environment.servers[0], FakeServer::new("c1", "cache"));
+    discovery.send(endpoints_event(
+        2,
+        &[environment.server("c1").entry("active")],
+    ));
+    drop(old);
+    // Rejected while nobody listens at the old address any more and the new one has not been told.
+    let mut tag = 1;
+    environment
+        .server("c1")
+        .listener
+        .set_nonblocking(true)
+        .unwrap();
+    until("a connection to the new address", || {
+        tag += 1;
+        client.send_request(tag, "page", "", b"");
+        std::thread::sleep(Duration::from_millis(20));
+        environment.server("c1").listener.accept().is_ok()
+    });
+    drop(router);
+}
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -1,7 +1,7 @@
 //! Load that never repeats itself: ever new clients, objects and servers. What grows without an end shows as
 //! memory that does. Some seconds in the usual run; `SOAK_SECONDS=600` for the long one.
 
-use crate::stand_ins::*;
+use crate::support::*;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 fn answer(stream: TcpStream, served: &AtomicUsize) -> std::io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(LONG))?;
+    stream.set_read_timeout(Some(WAIT_LIMIT))?;
     let (mut writer, mut reader) = (stream.try_clone()?, BufReader::new(stream));
     let mut line = String::new();
     let body = vec![7u8; 20_000];
@@ -69,15 +69,15 @@
         .ok()
         .and_then(|s| s.parse().ok())
         .unwrap_or(8);
-    let mut world = World::new();
-    world.file["limits"]["memory_mb"] = serde_json::json!(64);
-    world.file["settings"]["FamilyInfo"]["ClientKbPerS"] = serde_json::json!(10_000);
-    world.directives = "store {\n memory 25%\n}\n".into();
+    let mut environment = TestEnvironment::new()
+        .with_machine_limit("memory_mb", 64)
+        .with_setting("FamilyInfo", "ClientKbPerS", 10_000)
+        .with_directives("store {\n memory 25%\n}\n");
     let (ended, served) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
-    let threads: Vec<_> = world
+    let threads: Vec<_> = environment
         .servers
         .iter()
         .map(|server| {
@@ -89,38 +89,38 @@
             thread::spawn(move || serve(listener, ended, served))
         })
         .collect();
-    let program = world.start();
-    let (mut discovery, _) = world.discovery.accept();
+    let router = environment.start();
+    let mut discovery = environment.discovery.accept_watch();
     let begun = Instant::now();
     let (mut quarters, mut asked, mut rev) = (Vec::new(), 0u64, 1);
     let mut words: HashMap<String, usize> = HashMap::new();
-    let mut name = world.server("c1").name.clone();
+    let mut name = environment.server("c1").name.clone();
     for quarter in 0..4 {
         let until = begun + Duration::from_secs(seconds) * (quarter + 1) / 4;
         while Instant::now() < until {
             // A client of its own for each 16 requests, all for objects that nobody asked for before.
-            let mut client = program.client();
-            (0..16).for_each(|n| drop(client.ask(asked * 16 + n + 1, "page", "", b"")));
-            (0..16).for_each(|_| *words.entry(client.word()).or_default() += 1);
+            let mut client = router.connect();
+            (0..16).for_each(|n| drop(client.send_request(asked * 16 + n + 1, "page", "", b"")));
+            (0..16).for_each(|_| *words.entry(client.read_answer_word()).or_default() += 1);
             asked += 1;
             if asked.is_multiple_of(50) {
                 // At the cache's address another one stands, of a name of its own.
                 rev += 1;
-                let server = world.server("c1");
+                let server = environment.server("c1");
                 let mut gone = server.entry("left");
                 gone["host"] = serde_json::json!(name);
                 name = format!("c-{rev}");
                 let mut new = server.entry("active");
                 new["host"] = serde_json::json!(name);
-                let told = list(rev, &[gone, new]);
-                if !discovery.still_takes(&told) {
+                let told = endpoints_event(rev, &[gone, new]);
+                if !discovery.try_send(&told) {
                     // A discovery service that says nothing for two seconds is watched anew.
-                    discovery = world.discovery.accept().0;
-                    discovery.say(&told);
+                    discovery = environment.discovery.accept_watch();
+                    discovery.send(&told);
                 }
             }
         }
-        quarters.push(resident(program.child.id()));
+        quarters.push(resident(router.id()));
     }
     ended.store(true, Ordering::Relaxed);
     threads
--- /dev/null
+++ b/crates/router/tests/program/support/fake_discovery.rs
@@ -0,0 +1,108 @@
+//! A fake discovery service: the router watches it for events.
+
+use super::fake_server::LineConnection;
+use super::loopback::*;
+use serde_json::{Value, json};
+use std::cell::Cell;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::ops::{Deref, DerefMut};
+
+/// A discovery service whose events the test writes.
+pub struct FakeDiscovery {
+    pub listener: TcpListener,
+    /// A router's connection that has been accepted and not been handed out yet.
+    pending: Cell<Option<TcpStream>>,
+}
+
+/// A connection on which the router watches for events.
+pub struct Watch {
+    connection: LineConnection,
+    /// The revision after which the router asks for events.
+    pub after_revision: u64,
+}
+
+impl Watch {
+    /// The connection by itself.
+    pub fn into_connection(self) -> LineConnection {
+        self.connection
+    }
+}
+
+impl Deref for Watch {
+    type Target = LineConnection;
+
+    fn deref(&self) -> &LineConnection {
+        &self.connection
+    }
+}
+
+impl DerefMut for Watch {
+    fn deref_mut(&mut self) -> &mut LineConnection {
+        &mut self.connection
+    }
+}
+
+impl FakeDiscovery {
+    /// Listens at an address of its own.
+    pub fn new() -> FakeDiscovery {
+        FakeDiscovery {
+            listener: listen(),
+            pending: Cell::default(),
+        }
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.listener.local_addr().unwrap()
+    }
+
+    /// Stops listening; returns the address at which nobody listens now.
+    pub fn stop_listening(&mut self) -> SocketAddr {
+        let at = self.address();
+        self.listener = listen();
+        at
+    }
+
+    /// Listens at this address again.
+    pub fn listen_again(&mut self, at: SocketAddr) {
+        self.listener = TcpListener::bind(at).unwrap();
+    }
+
+    /// The router has connected and the watch has not been accepted yet.
+    pub fn has_pending_watch(&self) -> bool {
+        let pending = self.pending.take().or_else(|| try_accept(&self.listener));
+        let is_pending = pending.is_some();
+        self.pending.set(pending);
+        is_pending
+    }
+
+    /// Waits for a watch of the router.
+    pub fn accept_watch(&self) -> Watch {
+        let stream = self.pending.take();
+        let stream = stream.unwrap_or_else(|| accept(&self.listener));
+        let mut connection = LineConnection::new(stream);
+        let line = connection.read_line();
+        let revision = line.strip_prefix("watch ").and_then(|n| n.parse().ok());
+        Watch {
+            connection,
+            after_revision: revision.unwrap_or_else(|| panic!("not a watch: {line:?}")),
+        }
+    }
+}
+
+/// An event with changed endpoints, as a line of the watch.
+pub fn endpoints_event(revision: u64, entries: &[Value]) -> String {
+    format!(
+        "{}\n",
+        json!({"rev": revision,
+            "pool": {"seq": revision, "whole": false, "hosts": entries}})
+    )
+}
+
+/// An event with a purge of collection 1 at this time, as a line of the watch.
+pub fn purge_event(revision: u64, unix_ms: u64) -> String {
+    format!(
+        "{}\n",
+        json!({"rev": revision, "flush": {"collection": 1, "ms": unix_ms}})
+    )
+}
--- /dev/null
+++ b/crates/router/tests/program/support/mod.rs
@@ -0,0 +1,25 @@
+//! What the program tests share: fakes for all that a router talks to over loopback, the router as
+//! a process, and builders for its configuration. Every wait ends with what it waits for, or fails
+//! the test.
+
+mod environment;
+mod fake_discovery;
+mod fake_server;
+mod idle_clients;
+mod loopback;
+mod router_process;
+mod scheduled_instant;
+mod settings;
+mod test_client;
+mod wait;
+
+pub use environment::*;
+pub use fake_discovery::*;
+pub use fake_server::*;
+pub use idle_clients::*;
+pub use loopback::*;
+pub use router_process::*;
+pub use scheduled_instant::*;
+pub use settings::*;
+pub use test_client::*;
+pub use wait::*;
--- a/crates/router/tests/program/stand_ins/moment.rs
+++ b/crates/router/tests/program/support/scheduled_instant.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// For how long the machine, busy with others, has had no processor for a process or thread that was ready to
-/// run. Nothing that a router does shortens it: it is no part of the time that a test holds against one.
+/// run. Nothing that a process does shortens it: it is no part of the time that a test holds against one.
 fn waited_for_processor(task: &str) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{task}/schedstat")).unwrap_or_default();
     let nanoseconds = stat
@@ -15,26 +15,26 @@
 
 /// A moment, and how long the program and this thread had waited for a processor by then.
 #[derive(Clone, Copy)]
-pub struct Moment {
+pub struct ScheduledInstant {
     at: Instant,
-    program: u32,
+    process: u32,
     waited: Duration,
 }
 
-impl Moment {
-    pub fn now(program: u32) -> Moment {
+impl ScheduledInstant {
+    pub fn now(process: u32) -> ScheduledInstant {
         let waited =
-            waited_for_processor(&program.to_string()) + waited_for_processor("thread-self");
-        Moment {
+            waited_for_processor(&process.to_string()) + waited_for_processor("thread-self");
+        ScheduledInstant {
             at: Instant::now(),
-            program,
+            process,
             waited,
         }
     }
 
     /// The time since, less what the machine was busy with others.
     pub fn elapsed(&self) -> Duration {
-        let now = Moment::now(self.program);
+        let now = ScheduledInstant::now(self.process);
         (now.at - self.at).saturating_sub(now.waited.saturating_sub(self.waited))
     }
 }
--- a/crates/router/tests/program/wire_oracle.rs
+++ b/crates/router/tests/program/wire_oracle.rs
@@ -5,7 +5,7 @@
 //! same through a change that only rearranges code; a deliberate change of what is written records it anew,
 //! in a commit that says why.
 
-use crate::stand_ins::*;
+use crate::support::*;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -114,9 +114,9 @@
 }
 
 /// Plays a script through a world and adds what was written.
-fn play(world: &mut World, classes: &[&str], records: &Records, name: &str) {
+fn play(environment: &mut TestEnvironment, classes: &[&str], records: &Records, name: &str) {
     let step = Arc::new(Mutex::new(Step::default()));
-    for server in &world.servers {
+    for server in &environment.servers {
         let listener = server.listener.try_clone().unwrap();
         listener.set_nonblocking(false).unwrap();
         serve(
@@ -126,8 +126,8 @@
             step.clone(),
         );
     }
-    let program = world.start();
-    let mut client = program.client();
+    let router = environment.start();
+    let mut client = router.connect();
     let mut seen = HashMap::new();
     for number in 1..=REQUESTS {
         *step.lock().unwrap() = Step {
@@ -157,15 +157,11 @@
         } else {
             "x".repeat(number as usize * 10)
         };
-        client.send(&[
-            b"REQ",
-            number.to_string().as_bytes(),
-            class.as_bytes(),
-            fields.as_bytes(),
-            body.as_bytes(),
-        ]);
-        let answer = client.answer();
-        *seen.entry(answer.1.clone()).or_insert(0) += 1;
+        client.send_raw_request(number, class, &fields, body.as_bytes());
+        let answer = client.read_answer();
+        *seen.entry(answer.word.clone()).or_insert(0) += 1;
+        // The recorded text shows an answer as a tuple.
+        let answer = (answer.tag, answer.word, answer.fields, answer.body);
         record(records, &format!("{name} client"), &format!("{answer:?}"));
     }
     assert!(
@@ -179,31 +175,31 @@
 }
 
 /// A cache server, parent or origin beside those that every world has.
-fn more_servers(world: &mut World) {
-    world.servers.extend([
-        Server::new("c2", "cache"),
-        Server::new("c3", "cache"),
-        Server::new("p2", "parent"),
+fn more_servers(environment: &mut TestEnvironment) {
+    environment.servers.extend([
+        FakeServer::new("c2", "cache"),
+        FakeServer::new("c3", "cache"),
+        FakeServer::new("p2", "parent"),
     ]);
 }
 
 fn known(
-    world: &mut World,
+    environment: &mut TestEnvironment,
     health: impl Fn(&str) -> &'static str,
     purge: Option<serde_json::Value>,
 ) {
-    let entries: Vec<_> = world
+    let entries: Vec<_> = environment
         .servers
         .iter()
         .map(|s| s.entry(health(&s.name)))
         .collect();
     let mut notices = vec![json!({"rev": 1, "pool": {"seq": 1, "whole": true, "hosts": entries}})];
     notices.extend(purge.map(|purge| json!({"rev": 2, "flush": purge})));
-    world.file["known"] = json!({"rev": notices.len(), "notices": notices});
+    environment.file["known"] = json!({"rev": notices.len(), "notices": notices});
 }
 
-fn with_three_effects(world: &mut World) {
-    let settings = &mut world.file["settings"];
+fn with_three_effects(environment: &mut TestEnvironment) {
+    let settings = &mut environment.file["settings"];
     settings["Classes"] = json!([
         class("page", "pure"),
         class("confirm", "side_effect"),
@@ -217,7 +213,7 @@
 fn writes_the_recorded_bytes_to_clients_and_servers() {
     let records = Records::default();
 
-    let mut plain = World::new();
+    let mut plain = TestEnvironment::new();
     more_servers(&mut plain);
     with_three_effects(&mut plain);
     known(&mut plain, |_| "active", None);
@@ -228,7 +224,7 @@
         "plain",
     );
 
-    let mut draining = World::new();
+    let mut draining = TestEnvironment::new();
     more_servers(&mut draining);
     with_three_effects(&mut draining);
     let health = |name: &str| {
@@ -245,7 +241,7 @@
     );
     play(&mut draining, &["page"], &records, "draining and purged");
 
-    let mut cached = World::new();
+    let mut cached = TestEnvironment::new();
     with_three_effects(&mut cached);
     cached.directives = "store {\n  memory 4MB\n}\n".into();
     known(&mut cached, |_| "active", None);
