--- a/crates/router/tests/program/cancellation.rs
+++ b/crates/router/tests/program/cancellation.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 #[test]
-fn a_client_that_leaves_takes_its_attempts_along() {
+fn a_client_that_cancels_or_leaves_has_its_attempts_cancelled() {
     let (environment, _router, mut client) = start_router();
     let id = client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
@@ -24,7 +24,7 @@
 /// More called off in one go than there are places for answers, each answered before it was: the one that is
 /// wanted is answered too.
 #[test]
-fn an_answer_finds_a_place_whatever_was_called_off_before() {
+fn an_answer_has_a_mailbox_slot_however_many_requests_were_cancelled_before() {
     let mut environment = all_servers_draining();
     let router = environment.start();
     let mut client = router.connect();
@@ -55,7 +55,7 @@
 
 /// One tag called off and used again at once, and both are answered.
 #[test]
-fn a_tag_that_is_used_again_at_once_has_its_own_answer() {
+fn a_tag_reused_right_after_a_cancellation_gets_its_own_answer() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
@@ -83,7 +83,7 @@
 
 /// A client that shuts its side has gone, as has one that resets: what is out is called off at once.
 #[test]
-fn half_closed_and_reset_clients_have_gone() {
+fn half_closed_and_reset_clients_have_their_attempts_cancelled() {
     let mut environment = TestEnvironment::new();
     let router = environment.start();
     for reset in [false, true] {
@@ -101,7 +101,7 @@
 
 /// What the system has taken for a server that hangs cannot be taken back: its QUIT follows right behind it.
 #[test]
-fn what_a_hung_server_has_not_read_is_followed_by_its_calling_off() {
+fn a_request_unread_by_a_hung_server_is_followed_by_its_cancellation() {
     let mut environment = TestEnvironment::new();
     let router = environment.start();
     for reset in [false, true] {
@@ -121,7 +121,7 @@
 /// A server hangs until its connection's socket is full. Who asks then and leaves is never sent on, though the
 /// server reads on a moment later; also where settings forbid calling off what has begun.
 #[test]
-fn who_waits_behind_a_full_socket_and_leaves_is_never_sent_on() {
+fn a_request_queued_behind_a_full_socket_is_never_written_after_its_client_left() {
     [true, false]
         .into_iter()
         .for_each(waits_behind_a_full_socket);
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_is_bound_stays_in_its_cell_and_a_new_map_is_taken_over_while_it_serves() {
+fn bound_requests_stay_in_their_cell_and_a_reloaded_cell_map_applies_while_serving() {
     let told = |epoch: u64, gold: &str| {
         format!(
             "cells {{\n epoch {epoch}\n cell gold list {gold}\n cell rest list c2 c3\n bind group 1-3 gold\n \
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_tenant_that_floods_is_rejected_and_the_others_are_not() {
+fn a_tenant_over_its_rate_limit_is_rejected_and_other_tenants_are_served() {
     let mut environment = environment("cells {\n tenant-rate 20 40\n}\n");
     let router = environment.start();
     let (mut client, mut lines) = (router.connect(), Vec::new());
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_map_that_makes_no_sense_is_refused_at_the_start_with_every_fault() {
+fn an_invalid_cell_map_ends_the_start_with_every_fault_named() {
     let mut environment = environment(
         "cells {\n cell a list c1\n cell b share 150%\n bind category cakes a\n bind group 1 z\n}\n",
     );
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_tenant_goes_over_as_the_new_cell_warms_and_comes_back_when_that_dies() {
+fn a_tenant_migrates_as_the_new_cell_warms_up_and_returns_when_that_fails() {
     let told = |epoch: u64, more: &str| {
         format!(
             "cells {{\n epoch {epoch}\n cell old list c1\n cell new list c2\n bind group 1 old\n{more} otherwise old\n}}\n"
--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn nonsense_from_a_client_meets_an_answer_or_a_close() {
+fn invalid_client_messages_are_answered_or_close_only_their_connection() {
     let mut environment = TestEnvironment::new();
     let router = environment.start();
     let (mut client, id) = (router.connect(), "00000000000000aa");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_slow_reader_stalls_nobody_and_gets_all() {
+fn a_slow_reader_stalls_no_other_client_and_gets_every_answer() {
     let mut environment = TestEnvironment::new();
     let router = environment.start();
     let (mut slow, mut quick) = (router.connect(), router.connect());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn bodies_past_the_memory_are_rejected_at_the_door() {
+fn requests_whose_bodies_exceed_the_memory_limit_are_rejected_at_admission() {
     let (environment, _router, mut client) =
         start_router_in(TestEnvironment::new().with_machine_limit("memory_mb", 1));
     client.send_request(1, "page", "", b"");
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_tag_in_use_is_answered_once_and_no_more_is_read() {
+fn reusing_an_open_tag_fails_its_request_and_closes_the_connection() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     let id = client.send_request(2, "page", "", b"");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn silence_and_half_messages_are_closed_in_time() {
+fn silent_clients_and_partial_messages_are_closed_within_the_time_limit() {
     let (environment, router, mut client) = start_router();
     let begun = Instant::now();
     let mut silent = router.connect();
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn the_silent_keep_nobody_out() {
+fn idle_clients_are_evicted_for_active_ones_at_the_connection_limit() {
     for limits in ["ulimit -n 40;", ""] {
         let mut environment = TestEnvironment::new()
             .with_machine_limit("sockets", json!(if limits.is_empty() { 64 } else { 1024 }));
--- a/crates/router/tests/program/clock_steps.rs
+++ b/crates/router/tests/program/clock_steps.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_server_that_starts_now_is_cold_whatever_hour_its_stamp_says() {
+fn a_server_notified_to_start_now_is_in_slow_start_whatever_its_timestamp() {
     assert_eq!(taken_at_once_after_a_start(|| 0), ASKED_AT_ONCE, "warm");
     for step in STEPS_MS {
         let taken = taken_at_once_after_a_start(|| stamp(step));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_purge_told_now_is_kept_whatever_hour_its_stamp_says() {
+fn a_purge_notified_now_is_kept_whatever_its_timestamp() {
     for step in STEPS_MS {
         let (environment, _router, mut client, mut watch) =
             start_up_to_date_router("store {\n memory 10MB\n}\n");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_copy_stamped_in_the_future_is_not_kept_and_later_ones_are_by_the_clock_that_is_ahead() {
+fn a_copy_from_the_future_is_not_cached_and_later_ones_are_corrected_by_the_clock_offset() {
     let (environment, _router, mut client, _watch) =
         start_up_to_date_router("store {\n memory 10MB\n}\n");
     let mut connections = Connections::default();
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_copy_on_disk_is_served_after_a_restart_unless_the_clock_was_set_back_before() {
+fn a_copy_on_disk_is_served_after_a_restart_unless_the_clock_was_set_back() {
     // Set forward, what is on disk only looks older than it is.
     for step in [0, 2000] {
         let served = served_after_a_step_and_a_restart(step);
@@ -266,7 +266,7 @@
 /// A purge told by a clock that was set back has to reach what is on disk of the clock that was ahead. So until
 /// the step is over nothing that is made counts as newer than the purge, told before the disk was open or after.
 #[test]
-fn a_purge_told_by_a_clock_that_was_set_back_reaches_the_copies_of_the_one_before() {
+fn a_purge_by_a_clock_that_was_set_back_covers_copies_stamped_before_the_step() {
     for known_at_the_start in [false, true] {
         let mut environment = TestEnvironment::new();
         let [disk, control] =
--- a/crates/router/tests/program/configuration.rs
+++ b/crates/router/tests/program/configuration.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn what_is_told_wrongly_is_named() {
+fn an_invalid_configuration_value_is_named() {
     let wrong = [
         ("/listen", json!("nowhere"), "listen"),
         ("/board", json!(null), "board"),
--- a/crates/router/tests/program/deadlines.rs
+++ b/crates/router/tests/program/deadlines.rs
@@ -21,7 +21,7 @@
 
 /// A connection comes up a second after the attempt was decided on: the server is told what is left then.
 #[test]
-fn a_connection_that_comes_up_late_passes_on_what_is_left() {
+fn a_late_connection_tells_the_server_the_remaining_time() {
     let mut environment = patient();
     let router = environment.start();
     let mut client = router.connect();
@@ -52,7 +52,7 @@
 /// A connection to a server comes up while the program is held up, and then its client leaves, by closing or
 /// by calling off: the program wakes with both, and nothing begins for who has left.
 #[test]
-fn nothing_begins_for_a_client_that_left_while_the_program_was_held_up() {
+fn no_attempt_begins_for_a_client_that_left_during_a_pause() {
     for closes in [true, false] {
         let mut environment = patient();
         let router = environment.start();
@@ -95,7 +95,7 @@
 /// Requests that came while the program was held up have used up that time, on a connection that it had
 /// known and on a new one; one that comes after it has all of its time, however long its connection rested.
 #[test]
-fn what_lay_unread_while_the_program_was_held_up_has_used_its_time() {
+fn requests_unread_during_a_pause_have_used_that_time() {
     let mut environment = patient();
     let router = environment.start();
     let (mut known, mut rested) = (router.connect(), router.connect());
@@ -136,7 +136,7 @@
 
 /// A request whose whole time may have passed unread is rejected, and goes nowhere.
 #[test]
-fn what_may_have_no_time_left_after_a_hold_up_is_rejected() {
+fn a_request_whose_deadline_may_have_passed_in_a_pause_is_rejected() {
     let mut environment = patient();
     let router = environment.start();
     let mut client = router.connect();
--- a/crates/router/tests/program/deployments.rs
+++ b/crates/router/tests/program/deployments.rs
@@ -69,7 +69,7 @@
 /// By it servers know a repeat: without it an attempt after one that may have run could have its effect
 /// twice.
 #[test]
-fn a_key_against_repeats_goes_along_with_every_attempt() {
+fn every_attempt_carries_the_idempotency_key() {
     for (mut environment, class) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
         let router = environment.start();
         let mut client = router.connect();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn tenants_are_known_by_their_names() {
+fn requests_of_unknown_tenants_fail() {
     let mut environment = wide();
     let router = environment.start();
     let mut client = router.connect();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn keys_that_could_break_a_line_are_refused() {
+fn idempotency_keys_that_could_break_a_line_are_refused() {
     let mut environment = hasty();
     let router = environment.start();
     let mut client = router.connect();
--- a/crates/router/tests/program/descriptor_limits.rs
+++ b/crates/router/tests/program/descriptor_limits.rs
@@ -6,7 +6,7 @@
 /// Clients that rest take every descriptor while discovery is down: it is followed again within a second of
 /// its return, and who has something open is served meanwhile.
 #[test]
-fn a_discovery_that_comes_back_is_followed_though_no_descriptor_is_left() {
+fn discovery_is_followed_on_its_return_with_no_descriptor_left() {
     for (descriptors, clients) in [(48, 300), (320, 700)] {
         comes_back_without_descriptors(descriptors, clients);
     }
@@ -61,7 +61,7 @@
 /// After a failed accept nobody is kept from saying what he has to: requests on open connections go on at
 /// their pace.
 #[test]
-fn requests_go_on_while_no_connection_can_be_taken() {
+fn open_connections_are_served_while_accept_fails() {
     let mut environment = all_servers_draining().with_machine_limit("sockets", 1024);
     // More rest than are let go of at once: who has asked for something stays.
     let router = environment.spawn("ulimit -n 96;");
--- a/crates/router/tests/program/discovery.rs
+++ b/crates/router/tests/program/discovery.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn the_discovery_is_followed_without_gaps() {
+fn discovery_events_are_applied_in_order_without_gaps() {
     let mut environment = TestEnvironment::new().with_server("c2", "cache");
     let router = environment.start();
     let mut discovery = environment.discovery.accept_watch();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_silent_discovery_is_watched_anew() {
+fn silent_discovery_is_reconnected() {
     let mut environment = TestEnvironment::new();
     let _router = environment.start();
     let _silent = environment.discovery.accept_watch();
@@ -69,7 +69,7 @@
 /// Numbers that stay behind, events that were told before, half lines: a discovery service that goes on like
 /// this holds back as much as a silent one.
 #[test]
-fn a_discovery_that_tells_nothing_new_is_watched_anew() {
+fn discovery_without_new_events_is_reconnected() {
     let mut environment = TestEnvironment::new();
     let _router = environment.start();
     let old = endpoints_event(1, &[]);
@@ -92,7 +92,7 @@
 
 /// Discovery's descriptors are there before the first client is.
 #[test]
-fn a_discovery_that_is_down_at_the_start_is_found_when_it_comes() {
+fn discovery_that_is_down_at_the_start_is_followed_once_it_listens() {
     let mut environment = TestEnvironment::new();
     let at = unused_address();
     environment.file["board"] = json!(at.to_string());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_purge_bounds_the_age_of_copies() {
+fn a_purge_bounds_the_max_age_told_to_servers() {
     let mut environment = TestEnvironment::new();
     let router = environment.start();
     let mut discovery = environment.discovery.accept_watch();
@@ -132,7 +132,7 @@
 
 /// Nothing of an old file's discovery remains after a new one: not its connection, nor what it still says.
 #[test]
-fn an_old_discovery_is_not_heard_any_more() {
+fn events_of_a_replaced_discovery_service_are_ignored() {
     for mut environment in [TestEnvironment::new(), hasty(), wide()] {
         environment.servers.push(FakeServer::new("c2", "cache"));
         let router = environment.start();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_configuration_read_anew_moves_to_its_discovery() {
+fn a_reloaded_configuration_moves_to_its_discovery_service() {
     let mut environment = TestEnvironment::new().with_server("c2", "cache");
     let mut router = environment.start();
     // Silent, and in the middle of an event.
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_line_run_is_one_process_that_listens_where_it_is_told_and_ends_when_asked() {
+fn the_deploy_files_run_line_starts_one_process_that_listens_and_stops_as_configured() {
     let mut environment = TestEnvironment::new();
     environment.command_override = Some(line_run());
     let mut router = environment.start();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_peer_is_found_and_told_what_is_found() {
+fn a_peer_is_discovered_and_sent_an_observation() {
     let (mut environment, peer, all) = with_a_peer("on");
     let router = environment.start();
     let (looking, router_address) = heard(&all);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_peers_address_that_is_taken_costs_hints_and_no_start() {
+fn a_taken_gossip_address_disables_gossip_but_not_the_start() {
     let (mut environment, _peer, all) = with_a_peer("on");
     environment.file["peer_listen"] = json!(all.local_addr().unwrap().to_string());
     let router = environment.start();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn untold_or_not_allowed_nobody_is_talked_to() {
+fn gossip_is_off_unless_configured_and_allowed() {
     for (tell, allowed) in [("off", true), ("on", false)] {
         let (mut environment, _peer, all) = with_a_peer(tell);
         environment.file["settings"]["Limits"]["PeerMessages"] = json!(allowed);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn what_fronts_have_measured_steers_and_nonsense_is_refused_with_its_reason() {
+fn measured_latencies_weight_zones_and_invalid_commands_are_refused_with_a_reason() {
     let (mut environment, peer, _all) = with_a_peer("off");
     environment.file["settings"]["Zones"] = json!(["here", "z1", "z2"]);
     environment.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2, 0, 0]);
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn regions_that_are_wrong_end_the_start_with_their_name() {
+fn an_unknown_zone_in_regions_ends_the_start_with_its_name() {
     let (mut environment, _peer, _all) = with_a_peer("off");
     environment.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
     let RouterExit { status, log } = environment.spawn("").wait_for_exit();
--- a/crates/router/tests/program/forwarding.rs
+++ b/crates/router/tests/program/forwarding.rs
@@ -4,7 +4,7 @@
 use crate::support::*;
 
 #[test]
-fn a_hit_passes_unchanged() {
+fn a_hit_is_forwarded_unchanged() {
     let (environment, _router, mut client) = start_router();
     let id = client.send_request(7, "page", "piece=3", b"");
     let mut server = environment.server("c1").accept();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_write_goes_whole_to_the_origin() {
+fn a_write_is_forwarded_with_its_body_to_the_origin() {
     let (environment, _router, mut client) = start_router();
     let body = body_of_length(48_000);
     client.send_request(1, "confirm", "", &body);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_copy_that_holds_is_not_sent_again() {
+fn a_current_client_copy_is_answered_not_modified_without_a_body() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "page", "ver=4be0c1927d55a6f3", b"");
     let mut server = environment.server("c1").accept();
@@ -65,7 +65,7 @@
 
 /// That a client's copy holds is passed on only of the copy that the server names.
 #[test]
-fn a_copy_that_the_server_does_not_name_is_not_called_current() {
+fn not_modified_for_another_version_than_the_clients_is_retried_elsewhere() {
     for fields in ["tell=hit,etag=1111111111111111", "tell=hit"] {
         let (environment, _router, mut client) = start_router();
         client.send_request(1, "page", "ver=4be0c1927d55a6f3", b"");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn answers_come_in_any_order_on_shared_connections() {
+fn responses_on_a_shared_connection_may_come_in_any_order() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     client.send_request(2, "page", "", b"");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_full_server_passes_the_request_on_and_a_miss_ends_it() {
+fn a_busy_response_is_retried_elsewhere_and_a_miss_is_final() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "confirm", "", b"");
     let mut origin = environment.server("o1").accept();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_broke_may_have_run() {
+fn a_non_idempotent_request_fails_after_its_connection_broke() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "confirm", "", b"");
     let mut origin = environment.server("o1").accept();
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_was_refused_never_ran() {
+fn a_refused_connection_is_retried_even_for_a_non_idempotent_request() {
     let mut environment = TestEnvironment::new();
     environment.servers[2].dial = unused_address();
     let router = environment.start();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn nonsense_from_a_server_breaks_its_connection_only() {
+fn an_invalid_server_response_fails_its_request_and_closes_its_connection() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "confirm", "", b"");
     let mut origin = environment.server("o1").accept();
--- a/crates/router/tests/program/local_cache.rs
+++ b/crates/router/tests/program/local_cache.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_repeat_is_answered_from_memory() {
+fn a_repeated_request_is_answered_from_the_local_cache() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 25%\n}\n");
     let mut server = keep_after(&environment, &mut client);
     client.send_request(7, "page", "", b"");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_purge_told_is_kept_by_own_copies() {
+fn the_local_cache_keeps_a_purge() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 10MB\n}\n");
     let mut discovery = environment.discovery.accept_watch();
     let mut server = keep_after(&environment, &mut client);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_expired_is_asked_for_again() {
+fn an_expired_copy_is_requested_again() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 10MB\n}\n");
     ask_first(&mut client);
     let mut server = environment.server("c1").accept();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn requests_for_one_part_share_a_fill() {
+fn concurrent_requests_for_one_part_are_coalesced() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 10MB\n}\n");
     let ids: Vec<String> = (1..=5)
         .map(|tag| {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn own_copies_give_way_before_an_request_is_rejected() {
+fn cached_copies_are_evicted_before_a_request_is_rejected() {
     // Bodies in hand may take 5 MB, together with own copies 1.5 MB past what the router takes itself.
     let (environment, _router, mut client) = start_router_in(
         TestEnvironment::new()
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn faults_of_the_operators_file_are_told_at_once() {
+fn every_fault_of_the_operators_file_is_reported_at_the_start() {
     let mut environment = TestEnvironment::new()
         .with_directives("store {\n memry 5MB\n disk /x\n}\nlog-format yaml\n");
     let RouterExit { status, log: text } = environment.spawn("").wait_for_exit();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn copies_on_disk_outlive_a_kill_and_an_orderly_end() {
+fn copies_on_disk_survive_a_kill_and_a_graceful_shutdown() {
     let mut environment = TestEnvironment::new();
     on_disk(&mut environment, " known-purges 1h");
     let body = vec![9; 30_000];
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_copy_from_before_the_start_is_asked_about_and_then_served() {
+fn a_copy_from_before_the_start_is_revalidated_and_then_served() {
     let mut environment = TestEnvironment::new();
     on_disk(&mut environment, " revalidate 100");
     let body = vec![9; 30_000];
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_directory_that_another_holds_is_not_used_and_the_router_serves() {
+fn a_cache_directory_locked_by_another_router_is_not_used() {
     let mut environment = TestEnvironment::new();
     on_disk(&mut environment, "");
     let first = environment.start();
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_live_router_tells_what_it_holds_to_its_owner_alone() {
+fn the_control_socket_reports_the_cache_to_its_owner_only() {
     use std::io::{Read, Write};
     use std::os::unix::fs::PermissionsExt;
     use std::os::unix::net::UnixStream;
--- a/crates/router/tests/program/local_failures.rs
+++ b/crates/router/tests/program/local_failures.rs
@@ -5,7 +5,7 @@
 /// A file that is there and cannot be read: reading a directory fails after it was opened, as a disk's error
 /// does.
 #[test]
-fn files_that_cannot_be_read_at_a_signal_change_nothing_and_are_named() {
+fn files_unreadable_at_a_reload_change_nothing_and_are_logged() {
     let mut environment = TestEnvironment::new().with_directives("peers {\n tell off\n}\n");
     let mut router = environment.start();
     let _old = environment.discovery.accept_watch();
@@ -49,7 +49,7 @@
 
 /// Clients that rest hold every descriptor: both files are read all the same.
 #[test]
-fn both_files_are_read_at_a_signal_though_no_descriptor_is_left() {
+fn both_files_are_reloaded_with_no_descriptor_left() {
     const DESCRIPTORS: usize = 48;
     let mut environment = TestEnvironment::new()
         .with_machine_limit("sockets", 1024)
--- a/crates/router/tests/program/moments.rs
+++ b/crates/router/tests/program/moments.rs
@@ -719,7 +719,7 @@
 }
 
 #[test]
-fn the_moments_that_the_operators_will_show() {
+fn operational_scenarios_keep_their_bounds() {
     let (whole, seed) = (whole(), seed());
     let (left, late) = leavings(if whole { 36 } else { 5 });
     let fleets: Vec<usize> = if whole { vec![20, 30] } else { vec![12] };
--- a/crates/router/tests/program/pauses.rs
+++ b/crates/router/tests/program/pauses.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn what_was_told_during_a_pause_goes_before_what_was_asked() {
+fn a_drain_notified_during_a_pause_applies_before_requests_received_in_it() {
     let mut environment = TestEnvironment::new().with_server("c2", "cache");
     let router = environment.start();
     let mut discovery = environment.discovery.accept_watch();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_answer_that_came_during_a_pause_is_no_silence() {
+fn a_response_received_during_a_pause_is_not_a_timeout() {
     let (environment, router, mut client) =
         start_router_in(TestEnvironment::new().with_setting("FamilyInfo", "ClientKbPerS", 8800));
     client.send_request(1, "page", "", b"");
--- a/crates/router/tests/program/server_connections.rs
+++ b/crates/router/tests/program/server_connections.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_answer_that_stops_short_ends_all_on_its_connection() {
+fn a_response_that_stalls_has_its_connections_requests_retried_elsewhere() {
     let (environment, _router, mut client) = start_router_in(
         TestEnvironment::new()
             .with_setting("Limits", "ConnectTimeout", 100)
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_trickle_that_nobody_wants_ends_its_connection() {
+fn a_trickling_response_past_its_deadline_closes_its_connection() {
     // A test that is held up for this long would trickle too slowly itself.
     let (environment, _router, mut client) =
         start_router_in(TestEnvironment::new().with_setting("Limits", "ConnectTimeout", 300));
@@ -75,7 +75,7 @@
 /// Half a line of a server that says no more: the connection is let go of, and what is asked meanwhile is
 /// answered all the same.
 #[test]
-fn half_a_line_at_rest_harms_nobody() {
+fn a_partial_line_on_an_idle_connection_closes_only_that_connection() {
     let (environment, _router, mut client) =
         start_router_in(TestEnvironment::new().with_setting("Limits", "ConnectTimeout", 200));
     client.send_request(1, "page", "", b"");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn silence_ends_in_time_and_its_connection_takes_nothing_new() {
+fn a_silent_servers_request_is_rejected_in_time_and_its_connection_not_reused() {
     let (environment, _router, mut client) = start_router();
     let asked_at = Instant::now();
     let id = client.send_request(1, "page", "d=600", b"");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn what_waits_past_the_grace_is_never_sent() {
+fn an_attempt_is_never_written_after_its_drain_grace() {
     let (environment, router, mut client) = start_router_in(
         TestEnvironment::new()
             .with_setting("Limits", "ConnectTimeout", 9000)
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn what_must_not_run_twice_takes_no_connection_that_stood_idle() {
+fn a_non_idempotent_request_never_uses_an_idle_connection() {
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "confirm", "", b"");
     let mut idle = environment.server("o1").accept();
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn idle_connections_are_closed_before_the_server_does() {
+fn idle_connections_are_closed_after_the_idle_timeout() {
     let (environment, _router, mut client) =
         start_router_in(TestEnvironment::new().with_setting("Limits", "IdleClose", 300));
     client.send_request(1, "page", "", b"");
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_new_server_at_an_old_address_inherits_nothing() {
+fn a_new_server_at_an_old_address_shares_no_connection_with_the_old_one() {
     let mut environment = TestEnvironment::new();
     let router = environment.start();
     let mut discovery = environment.discovery.accept_watch();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_server_that_moves_is_reached_where_it_is() {
+fn a_server_with_a_new_address_is_reached_there() {
     let (mut environment, router, mut client) = start_router();
     let mut discovery = environment.discovery.accept_watch();
     client.send_request(1, "page", "", b"");
--- a/crates/router/tests/program/shutdown_basic.rs
+++ b/crates/router/tests/program/shutdown_basic.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_to_stop_loses_nothing() {
+fn graceful_shutdown_answers_open_and_new_requests() {
     let (environment, mut router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_is_open_when_time_runs_out_fails() {
+fn requests_open_at_the_shutdown_deadline_fail() {
     let (environment, mut router, mut client) = start_router();
     client.send_request(1, "confirm", "d=60000", b"");
     let mut origin = environment.server("o1").accept();
@@ -47,7 +47,7 @@
 /// rests, on one that nobody has accepted yet, and half of one on a third. Each whole one is answered, and no
 /// connection is reset over bytes that nobody read.
 #[test]
-fn what_came_before_the_end_is_answered_and_nobody_is_reset() {
+fn requests_received_before_the_exit_are_answered_and_no_connection_is_reset() {
     let mut environment = all_servers_draining();
     let mut router = environment.start();
     let (mut resting, mut half) = (router.connect(), router.connect());
@@ -94,7 +94,7 @@
 
 /// What comes after the router has shut its side is read, and neither sent on nor answered.
 #[test]
-fn what_crosses_the_shutdown_is_dropped() {
+fn a_request_that_crosses_the_connection_shutdown_is_neither_forwarded_nor_answered() {
     let mut environment = TestEnvironment::new();
     let mut router = environment.start();
     let mut resting = router.connect();
@@ -110,7 +110,7 @@
 
 /// Answers that a slow reader has not taken yet are waited for, while there is time.
 #[test]
-fn a_slow_reader_gets_all_of_its_answers_at_the_end() {
+fn a_slow_reader_gets_all_of_its_answers_before_the_exit() {
     let mut environment = TestEnvironment::new();
     let mut router = environment.start();
     let mut slow = router.connect();
@@ -147,7 +147,7 @@
 
 /// Asked to stop twice, with a new file between: it ends once, in time, and in order.
 #[test]
-fn signals_that_meet_end_it_once() {
+fn repeated_stop_and_reload_signals_end_the_router_once() {
     let (environment, mut router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
@@ -170,7 +170,7 @@
 /// Asked to stop while it still reads its file: it serves as it was told, says that it goes, and ends in order
 /// and in time.
 #[test]
-fn a_stop_before_it_is_ready_ends_it_in_order() {
+fn a_stop_signal_before_readiness_still_shuts_down_gracefully() {
     let mut environment = TestEnvironment::new();
     let (mut router, mut pipe) = environment.spawn_blocked_on_its_configuration();
     router.terminate();
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn memory_is_flat_under_ever_new_clients_objects_and_servers() {
+fn memory_stays_bounded_under_new_clients_objects_and_servers() {
     let seconds = std::env::var("SOAK_SECONDS")
         .ok()
         .and_then(|s| s.parse().ok())
