--- a/crates/router/tests/program/cancellation.rs
+++ b/crates/router/tests/program/cancellation.rs
@@ -1,5 +1,5 @@
-//! Clients that cancel requests or leave: no attempt of theirs begins afterwards, and what has begun
-//! is cancelled at its server. A row each in `docs/crossings.md`.
+//! Clients that cancel requests or leave: no attempt of theirs begins afterwards, and what has
+//! begun is cancelled at its server. A row each in `docs/crossings.md`.
 
 use crate::support::*;
 use serde_json::json;
@@ -10,10 +10,10 @@
     let (environment, _router, mut client) = start_router();
     let id = client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
+    let request = server.read_request();
     client.abort(1);
     assert_eq!(server.read_line(), format!("QUIT {id}"));
-    server.respond(&asked, "OK", "tell=hit", b"late");
+    server.respond(&request, "OK", "tell=hit", b"late");
     assert_eq!(client.health(), "GREEN", "no answer is owed");
     let id = client.send_request(2, "page", "", b"");
     server.read_request();
@@ -21,8 +21,8 @@
     assert_eq!(server.read_line(), format!("QUIT {id}"));
 }
 
-/// More called off in one go than there are places for answers, each answered before it was: the one that is
-/// wanted is answered too.
+/// More called off in one go than there are places for answers, each answered before it was: the
+/// one that is wanted is answered too.
 #[test]
 fn an_answer_has_a_mailbox_slot_however_many_requests_were_cancelled_before() {
     let mut environment = all_servers_draining();
@@ -34,12 +34,18 @@
             b"REQ",
             tag.to_string().as_bytes(),
             b"page",
-            &fields(tag),
+            &request_fields(tag),
             b"",
         ]));
         bytes.extend(frame(&[b"ABORT", tag.to_string().as_bytes()]));
     }
-    bytes.extend(frame(&[b"REQ", b"1000", b"page", &fields(1000), b""]));
+    bytes.extend(frame(&[
+        b"REQ",
+        b"1000",
+        b"page",
+        &request_fields(1000),
+        b"",
+    ]));
     // All of it is there when the router reads: in one piece, as far as that goes.
     router.pause();
     client.write(&bytes);
@@ -72,7 +78,7 @@
 }
 
 /// By a reset, or by shutting its side: then the router has heard it when this is over.
-fn leaves(mut client: TestClient, reset: bool) {
+fn disconnect(mut client: TestClient, reset: bool) {
     if reset {
         client.reset();
     } else {
@@ -81,7 +87,8 @@
     }
 }
 
-/// A client that shuts its side has gone, as has one that resets: what is out is called off at once.
+/// A client that shuts its side has gone, as has one that resets: what is out is called off at
+/// once.
 #[test]
 fn half_closed_and_reset_clients_have_their_attempts_cancelled() {
     let mut environment = TestEnvironment::new();
@@ -92,14 +99,15 @@
         let mut server = environment.server("c1").accept();
         server.read_request();
         let left = Instant::now();
-        leaves(client, reset);
+        disconnect(client, reset);
         assert_eq!(server.read_line(), format!("QUIT {id}"));
         assert!(left.elapsed() < 100 * MS, "{:?}", left.elapsed());
         environment.server("c1").close_and_wait(&router, server);
     }
 }
 
-/// What the system has taken for a server that hangs cannot be taken back: its QUIT follows right behind it.
+/// What the system has taken for a server that hangs cannot be taken back: its QUIT follows right
+/// behind it.
 #[test]
 fn a_request_unread_by_a_hung_server_is_followed_by_its_cancellation() {
     let mut environment = TestEnvironment::new();
@@ -110,7 +118,7 @@
         let mut server = environment.server("c1").accept();
         until("the request, unread", || server.has_unread_data());
         let gone = Instant::now();
-        leaves(client, reset);
+        disconnect(client, reset);
         assert_eq!(server.read_request().id, id);
         assert_eq!(server.read_line(), format!("QUIT {id}"));
         assert!(gone.elapsed() < 100 * MS, "{:?}", gone.elapsed());
@@ -118,16 +126,17 @@
     }
 }
 
-/// A server hangs until its connection's socket is full. Who asks then and leaves is never sent on, though the
-/// server reads on a moment later; also where settings forbid calling off what has begun.
+/// A server hangs until its connection's socket is full. Who asks then and leaves is never sent on,
+/// though the server reads on a moment later; also where settings forbid calling off what has
+/// begun.
 #[test]
 fn a_request_queued_behind_a_full_socket_is_never_written_after_its_client_left() {
     [true, false]
         .into_iter()
-        .for_each(waits_behind_a_full_socket);
+        .for_each(writes_nothing_for_clients_that_left);
 }
 
-fn waits_behind_a_full_socket(may_cancel: bool) {
+fn writes_nothing_for_clients_that_left(may_cancel: bool) {
     let mut environment = TestEnvironment::new().with_setting("Limits", "MayCancel", may_cancel);
     // Nowhere else to go; and so many are listed that each is given one connection.
     environment.servers.truncate(1);
@@ -153,7 +162,7 @@
     for n in 0..30 {
         let mut client = router.connect();
         left.push(client.send_request(1000 + n, "page", "", b""));
-        leaves(client, n % 2 == 1);
+        disconnect(client, n % 2 == 1);
     }
     // Those that reset have been heard too: another has come after them.
     assert_eq!(router.connect().health(), "GREEN");
@@ -161,9 +170,9 @@
     let come: Vec<String> = first
         .iter()
         .map(|_| {
-            let asked = server.read_request();
-            server.respond(&asked, "OK", HIT_FIELDS, b"x");
-            asked.id
+            let request = server.read_request();
+            server.respond(&request, "OK", HIT_FIELDS, b"x");
+            request.id
         })
         .collect();
     assert!(
@@ -183,6 +192,6 @@
     assert!(environment.server("c1").try_accept().is_none());
 }
 
-fn fields(tag: u64) -> Vec<u8> {
+fn request_fields(tag: u64) -> Vec<u8> {
     format!("i={:016x},o={tag:016x},lot=1,m=1,d=4000", 0xabc_0000 + tag).into_bytes()
 }
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -15,7 +15,7 @@
 }
 
 /// Asks for so many objects of a group and answers for whoever is asked: who was.
-fn asked(
+fn servers_of_requests(
     environment: &TestEnvironment,
     client: &mut TestClient,
     lines: &mut Vec<(String, LineConnection)>,
@@ -53,7 +53,7 @@
     who
 }
 
-fn names(of: &[&str]) -> BTreeSet<String> {
+fn server_names(of: &[&str]) -> BTreeSet<String> {
     of.iter().map(|name| (*name).to_owned()).collect()
 }
 
@@ -69,12 +69,12 @@
     let router = environment.start();
     let (mut client, mut lines) = (router.connect(), Vec::new());
     assert_eq!(
-        asked(&environment, &mut client, &mut lines, 100, 2),
-        names(&["c1"])
+        servers_of_requests(&environment, &mut client, &mut lines, 100, 2),
+        server_names(&["c1"])
     );
     assert_eq!(
-        asked(&environment, &mut client, &mut lines, 200, 7),
-        names(&["c2", "c3"])
+        servers_of_requests(&environment, &mut client, &mut lines, 200, 7),
+        server_names(&["c2", "c3"])
     );
     // An older map is never gone back to, a faulty one counts for nothing; neither stops anything.
     let file = environment
@@ -91,8 +91,8 @@
         let mut who = BTreeSet::new();
         until("the map in force", || {
             from += 20;
-            who = asked(&environment, &mut client, &mut lines, from, 2);
-            who == names(&[gold])
+            who = servers_of_requests(&environment, &mut client, &mut lines, from, 2);
+            who == server_names(&[gold])
         });
     }
 }
@@ -103,8 +103,8 @@
     let router = environment.start();
     let (mut client, mut lines) = (router.connect(), Vec::new());
     // Both are known: served before.
-    asked(&environment, &mut client, &mut lines, 100, 1);
-    asked(&environment, &mut client, &mut lines, 200, 2);
+    servers_of_requests(&environment, &mut client, &mut lines, 100, 1);
+    servers_of_requests(&environment, &mut client, &mut lines, 200, 2);
     let mut rejected = 0;
     for tag in 1000..1100u64 {
         let fields = format!("i={tag:016x},o={tag:016x},lot=1,m=1,d=4000");
@@ -124,7 +124,8 @@
         }
     }
     assert!(rejected >= 40, "{rejected}");
-    // Another tenant is served, and what must not run twice is not turned away for its tenant's rate.
+    // Another tenant is served, and what must not run twice is not turned away for its tenant's
+    // rate.
     let fields = format!("i={:016x},o={:016x},lot=2,m=1,d=4000", 0xeeee, 0xeeee);
     client.send(&[b"REQ", b"5000", b"page", fields.as_bytes(), b""]);
     client.send_request(5001, "confirm", "", b"");
@@ -184,7 +185,8 @@
     let router = environment.start();
     let mut discovery = environment.discovery.accept_watch();
     let (mut client, mut lines) = (router.connect(), Vec::new());
-    // Everything that is sent to a server is answered from a copy there: as warm as the old one at once.
+    // Everything that is sent to a server is answered from a copy there: as warm as the old one at
+    // once.
     let mut from = 100;
     let mut who = BTreeSet::new();
     let mut both = false;
@@ -192,9 +194,9 @@
         // Discovery is alive: what it tells below comes on this connection.
         discovery.send("1\n");
         from += 20;
-        who = asked(&environment, &mut client, &mut lines, from, 1);
+        who = servers_of_requests(&environment, &mut client, &mut lines, from, 1);
         both |= who.len() == 2;
-        who == names(&["c2"])
+        who == server_names(&["c2"])
     });
     assert!(both, "by and by");
     // The new cell loses all it has: what has settled only just goes back.
@@ -202,7 +204,7 @@
     discovery.send(endpoints_event(2, &[gone]));
     until("all of it back", || {
         from += 20;
-        who = asked(&environment, &mut client, &mut lines, from, 1);
-        who == names(&["c1"])
+        who = servers_of_requests(&environment, &mut client, &mut lines, from, 1);
+        who == server_names(&["c1"])
     });
 }
--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -45,13 +45,13 @@
     // No clock reaches as far as this one would wait.
     client.send_request(19, "page", "d=999999999999999999", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    assert!(asked.get("limit").parse::<u64>().unwrap() <= 60_000);
-    server.respond(&asked, "OK", "tell=hit", b"x");
+    let request = server.read_request();
+    assert!(request.field("limit").parse::<u64>().unwrap() <= 60_000);
+    server.respond(&request, "OK", "tell=hit", b"x");
     assert_eq!(client.read_answer_word(), "ACK");
     // An id that is in use.
     let id = client.send_request(20, "page", "", b"");
-    let asked = server.read_request();
+    let request = server.read_request();
     client.send(&[
         b"REQ",
         b"21",
@@ -80,7 +80,7 @@
     assert_eq!((said.tag, said.word.as_str()), (1000, "GREEN"));
     drop(other);
     assert_eq!(client.health(), "GREEN");
-    server.respond(&asked, "OK", "tell=hit", b"x");
+    server.respond(&request, "OK", "tell=hit", b"x");
     assert_eq!(client.read_answer(), ClientAnswer::new(20, "ACK", "", b"x"));
     // One more than a connection carries.
     let mut many = router.connect();
@@ -142,7 +142,8 @@
         "ACK",
         "what has been written takes no place any more"
     );
-    // Where objects are small more may be out: to reckon with the largest would reject half of them.
+    // Where objects are small more may be out: to reckon with the largest would reject half of
+    // them.
     for tag in 1..=100 {
         client.send_request(tag, "page", "", b"");
         server.respond_hit(b"x");
@@ -151,10 +152,10 @@
     for tag in 1..=5 {
         client.send_request(tag, "page", "", b"");
     }
-    let asked: Vec<_> = (1..=5).map(|_| server.read_request()).collect();
-    asked
+    let request: Vec<_> = (1..=5).map(|_| server.read_request()).collect();
+    request
         .iter()
-        .for_each(|asked| server.respond(asked, "OK", "tell=hit", b"x"));
+        .for_each(|request| server.respond(request, "OK", "tell=hit", b"x"));
     (1..=5).for_each(|_| assert_eq!(client.read_answer_word(), "ACK"));
 }
 
@@ -164,7 +165,7 @@
     client.send_request(1, "page", "", b"");
     let id = client.send_request(2, "page", "", b"");
     let mut server = environment.server("c1").accept();
-    let asked = [server.read_request(), server.read_request()];
+    let request = [server.read_request(), server.read_request()];
     client.send_request(2, "page", "", b"");
     let mut tags =
         [client.read_answer(), client.read_answer()].map(|answer| (answer.tag, answer.word));
@@ -172,9 +173,9 @@
     assert_eq!(tags, [(1, "FAIL".into()), (2, "FAIL".into())]);
     assert!(client.is_closed(), "a second answer under the same tag");
     assert!([server.read_line(), server.read_line()].contains(&format!("QUIT {id}")));
-    asked
+    request
         .iter()
-        .for_each(|asked| server.respond(asked, "OK", "tell=hit", b"late"));
+        .for_each(|request| server.respond(request, "OK", "tell=hit", b"late"));
 }
 
 #[test]
@@ -215,7 +216,7 @@
         let mut busy = router.connect();
         busy.send_request(1, "page", "", b"");
         let mut server = environment.server("c1").accept();
-        let asked = server.read_request();
+        let request = server.read_request();
         // They hold all places, and those who stay after an answer too.
         let mut clients: Vec<TestClient> = (0..120).map(|_| router.connect()).collect();
         for client in &mut clients[60..] {
@@ -230,7 +231,7 @@
             begun.elapsed() < Duration::from_millis(1900),
             "not for want of a whole message"
         );
-        server.respond(&asked, "OK", "tell=hit", b"y");
+        server.respond(&request, "OK", "tell=hit", b"y");
         assert_eq!(
             busy.read_answer().body,
             b"y",
--- a/crates/router/tests/program/clock_steps.rs
+++ b/crates/router/tests/program/clock_steps.rs
@@ -1,4 +1,5 @@
-//! Wall clocks that are stepped by an hour: the stand-ins' stamps go forward or back, real time runs on.
+//! Wall clocks that are stepped by an hour: the stand-ins' stamps go forward or back, real time
+//! runs on.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -18,7 +19,7 @@
 const STEPS_MS: [i64; 3] = [0, -HOUR_MS, HOUR_MS];
 
 /// The time by such a clock.
-fn stamp(step_ms: i64) -> u64 {
+fn shifted_unix_ms(step_ms: i64) -> u64 {
     unix_ms().checked_add_signed(step_ms).unwrap()
 }
 
@@ -49,17 +50,18 @@
             lines.extend(server.try_accept());
             lines.retain_mut(|line| {
                 while line.has_unread_data() {
-                    let Some(asked) = line.read_request_or_close() else {
+                    let Some(request) = line.read_request_or_close() else {
                         return false;
                     };
-                    take(&server.name, line, asked);
+                    take(&server.name, line, request);
                 }
                 true
             });
         }
     }
 
-    /// Answers whatever comes until the client has its answer, which is returned, and the last `maxage`.
+    /// Answers whatever comes until the client has its answer, which is returned, and the last
+    /// `maxage`.
     fn serve_until_answered(
         &mut self,
         environment: &TestEnvironment,
@@ -69,9 +71,9 @@
     ) -> Served {
         let mut max_age = None;
         until("an answer", || {
-            self.each_request(environment, |_, line, asked| {
-                max_age = asked.get("maxage").parse().ok();
-                line.respond(&asked, "OK", fields, body);
+            self.each_request(environment, |_, line, request| {
+                max_age = request.field("maxage").parse().ok();
+                line.respond(&request, "OK", fields, body);
             });
             client.has_unread_data()
         });
@@ -104,7 +106,7 @@
 }
 
 /// How many of many requests at once go to a server whose start was told just before.
-fn taken_at_once_after_a_start(stamp: impl Fn() -> u64) -> usize {
+fn requests_taken_at_once_after_a_start(stamp: impl Fn() -> u64) -> usize {
     let (environment, _router, mut client, mut watch) = start_up_to_date_router("");
     let mut entry = environment.server("c1").entry("active");
     entry["born_ms"] = json!(stamp());
@@ -128,9 +130,13 @@
 
 #[test]
 fn a_server_notified_to_start_now_is_in_slow_start_whatever_its_timestamp() {
-    assert_eq!(taken_at_once_after_a_start(|| 0), ASKED_AT_ONCE, "warm");
+    assert_eq!(
+        requests_taken_at_once_after_a_start(|| 0),
+        ASKED_AT_ONCE,
+        "warm"
+    );
     for step in STEPS_MS {
-        let taken = taken_at_once_after_a_start(|| stamp(step));
+        let taken = requests_taken_at_once_after_a_start(|| shifted_unix_ms(step));
         assert!(
             taken < ASKED_AT_ONCE / 2,
             "{taken} at once, stepped by {step} ms"
@@ -144,7 +150,7 @@
         let (environment, _router, mut client, mut watch) =
             start_up_to_date_router("store {\n memory 10MB\n}\n");
         let mut connections = Connections::default();
-        let copy = format!("tell=filled,{TAG},made={}", stamp(0));
+        let copy = format!("tell=filled,{TAG},made={}", shifted_unix_ms(0));
         for _ in 0..2 {
             client.send_request(7, "page", "", b"");
             connections.serve_until_answered(&environment, &mut client, &copy, b"old");
@@ -157,7 +163,7 @@
             (b"old".to_vec(), None),
             "it is a copy of the router's own"
         );
-        watch.send(purge_event(2, stamp(step)));
+        watch.send(purge_event(2, shifted_unix_ms(step)));
         connections.until_the_purge_is_heeded(&environment, &mut client);
         client.send_request(7, "page", "", b"");
         let served =
@@ -171,10 +177,11 @@
     let (environment, _router, mut client, _watch) =
         start_up_to_date_router("store {\n memory 10MB\n}\n");
     let mut connections = Connections::default();
-    // The second sighting would be kept, were its age known; then it is known how far that clock is ahead.
+    // The second sighting would be kept, were its age known; then it is known how far that clock is
+    // ahead.
     for (step, body) in [(0, "first"), (HOUR_MS, "second"), (HOUR_MS, "third")] {
         client.send_request(7, "page", "", b"");
-        let made = format!("tell=filled,{TAG},made={}", stamp(step));
+        let made = format!("tell=filled,{TAG},made={}", shifted_unix_ms(step));
         let served =
             connections.serve_until_answered(&environment, &mut client, &made, body.as_bytes());
         assert_eq!(served.body, body.as_bytes(), "the server was asked");
@@ -202,8 +209,8 @@
     });
 }
 
-/// Makes a directory of own copies say of the clock of the starts before that it was off by a step since: ahead
-/// by what it was set back.
+/// Makes a directory of own copies say of the clock of the starts before that it was off by a step
+/// since: ahead by what it was set back.
 fn step_since_the_last_start(disk: &Path, step_ms: i64) {
     let file = disk.join("clock");
     let recorded = std::fs::read_to_string(&file).unwrap();
@@ -263,8 +270,9 @@
     }
 }
 
-/// A purge told by a clock that was set back has to reach what is on disk of the clock that was ahead. So until
-/// the step is over nothing that is made counts as newer than the purge, told before the disk was open or after.
+/// A purge told by a clock that was set back has to reach what is on disk of the clock that was
+/// ahead. So until the step is over nothing that is made counts as newer than the purge, told
+/// before the disk was open or after.
 #[test]
 fn a_purge_by_a_clock_that_was_set_back_covers_copies_stamped_before_the_step() {
     for known_at_the_start in [false, true] {
--- a/crates/router/tests/program/deadlines.rs
+++ b/crates/router/tests/program/deadlines.rs
@@ -1,5 +1,5 @@
-//! The time that a server is told of, and requests whose clients leave: what waits, waits on the client's
-//! time.
+//! The time that a server is told of, and requests whose clients leave: what waits, waits on the
+//! client's time.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
@@ -7,22 +7,23 @@
 /// What the terms allow a server to be told of beyond what the client has left.
 const LIMIT_TOLERANCE: Duration = Duration::from_millis(150);
 
-fn limit(asked: &ReceivedRequest) -> Duration {
-    Duration::from_millis(asked.get("limit").parse().unwrap())
+fn told_remaining_time(request: &ReceivedRequest) -> Duration {
+    Duration::from_millis(request.field("limit").parse().unwrap())
 }
 
 /// Graces and waits that leave room for what is held up here.
-fn patient() -> TestEnvironment {
+fn environment_with_long_timeouts() -> TestEnvironment {
     TestEnvironment::new()
         .with_setting("Limits", "ConnectTimeout", 3500)
         .with_setting("Obligations", "DrainGrace", 3500)
         .with_setting("FamilyInfo", "ObeyAfter", 3500)
 }
 
-/// A connection comes up a second after the attempt was decided on: the server is told what is left then.
+/// A connection comes up a second after the attempt was decided on: the server is told what is left
+/// then.
 #[test]
 fn a_late_connection_tells_the_server_the_remaining_time() {
-    let mut environment = patient();
+    let mut environment = environment_with_long_timeouts();
     let router = environment.start();
     let mut client = router.connect();
     let others = environment.server("o1").fill_accept_queue();
@@ -33,28 +34,28 @@
     let mut own = LineConnection::new(environment.server("o1").accept_behind(&others));
     let up = asked_at.elapsed();
     assert!(up > 500 * MS, "it was not held up: {up:?}");
-    let asked = own.read_request();
+    let request = own.read_request();
     let left = (4000 * MS).saturating_sub(up);
     assert!(
-        limit(&asked) <= left + LIMIT_TOLERANCE,
+        told_remaining_time(&request) <= left + LIMIT_TOLERANCE,
         "told {:?}, left {left:?}",
-        limit(&asked)
+        told_remaining_time(&request)
     );
     assert!(
-        limit(&asked) > 1000 * MS,
+        told_remaining_time(&request) > 1000 * MS,
         "what is left is passed on: {:?}",
-        limit(&asked)
+        told_remaining_time(&request)
     );
-    own.respond(&asked, "OK", "tell=via_origin", b"done");
+    own.respond(&request, "OK", "tell=via_origin", b"done");
     assert_eq!(client.read_answer_word(), "ACK");
 }
 
-/// A connection to a server comes up while the program is held up, and then its client leaves, by closing or
-/// by calling off: the program wakes with both, and nothing begins for who has left.
+/// A connection to a server comes up while the program is held up, and then its client leaves, by
+/// closing or by calling off: the program wakes with both, and nothing begins for who has left.
 #[test]
 fn no_attempt_begins_for_a_client_that_left_during_a_pause() {
     for closes in [true, false] {
-        let mut environment = patient();
+        let mut environment = environment_with_long_timeouts();
         let router = environment.start();
         let (mut client, mut other) = (router.connect(), router.connect());
         assert_eq!(
@@ -79,12 +80,12 @@
         assert_eq!(other.health(), "GREEN");
         pass(100 * MS);
         drop(kept);
-        assert_eq!(came(own), "", "closes: {closes}");
+        assert_eq!(received_text(own), "", "closes: {closes}");
     }
 }
 
 /// What has come on a connection so far.
-fn came(mut stream: std::net::TcpStream) -> String {
+fn received_text(mut stream: std::net::TcpStream) -> String {
     use std::io::Read;
     stream.set_nonblocking(true).unwrap();
     let mut bytes = Vec::new();
@@ -92,11 +93,12 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Requests that came while the program was held up have used up that time, on a connection that it had
-/// known and on a new one; one that comes after it has all of its time, however long its connection rested.
+/// Requests that came while the program was held up have used up that time, on a connection that it
+/// had known and on a new one; one that comes after it has all of its time, however long its
+/// connection rested.
 #[test]
 fn requests_unread_during_a_pause_have_used_that_time() {
-    let mut environment = patient();
+    let mut environment = environment_with_long_timeouts();
     let router = environment.start();
     let (mut known, mut rested) = (router.connect(), router.connect());
     assert_eq!(
@@ -112,15 +114,19 @@
     router.resume();
     let mut server = environment.server("c1").accept();
     for _ in 0..2 {
-        let asked = server.read_request();
+        let request = server.read_request();
         let left = (4000 * MS).saturating_sub(asked_at.elapsed());
         assert!(
-            limit(&asked) <= left + LIMIT_TOLERANCE,
+            told_remaining_time(&request) <= left + LIMIT_TOLERANCE,
             "told {:?}, left {left:?}",
-            limit(&asked)
+            told_remaining_time(&request)
         );
-        assert!(limit(&asked) > 2500 * MS, "{:?}", limit(&asked));
-        server.respond(&asked, "OK", HIT_FIELDS, b"x");
+        assert!(
+            told_remaining_time(&request) > 2500 * MS,
+            "{:?}",
+            told_remaining_time(&request)
+        );
+        server.respond(&request, "OK", HIT_FIELDS, b"x");
     }
     assert_eq!(
         (known.read_answer_word(), new.read_answer_word()),
@@ -128,16 +134,20 @@
     );
     pass(300 * MS);
     rested.send_request(3, "page", "", b"");
-    let asked = server.read_request();
-    assert!(limit(&asked) > 3800 * MS, "told {:?} of 4 s", limit(&asked));
-    server.respond(&asked, "OK", HIT_FIELDS, b"x");
+    let request = server.read_request();
+    assert!(
+        told_remaining_time(&request) > 3800 * MS,
+        "told {:?} of 4 s",
+        told_remaining_time(&request)
+    );
+    server.respond(&request, "OK", HIT_FIELDS, b"x");
     assert_eq!(rested.read_answer_word(), "ACK");
 }
 
 /// A request whose whole time may have passed unread is rejected, and goes nowhere.
 #[test]
 fn a_request_whose_deadline_may_have_passed_in_a_pause_is_rejected() {
-    let mut environment = patient();
+    let mut environment = environment_with_long_timeouts();
     let router = environment.start();
     let mut client = router.connect();
     assert_eq!(client.health(), "GREEN");
--- a/crates/router/tests/program/deployments.rs
+++ b/crates/router/tests/program/deployments.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 /// A class with its limits in milliseconds.
-fn limited(name: &str, effect: &str, soft: u64, hard: u64, window: u64) -> Value {
+fn class_with_limits(name: &str, effect: &str, soft: u64, hard: u64, window: u64) -> Value {
     let mut class = class(name, effect);
     for (key, ms) in [("Aim", soft), ("HardLimit", hard), ("Window", window)] {
         class[key] = json!(ms);
@@ -13,16 +13,16 @@
     class
 }
 
-/// As `kiosk-vouchers`: short limits, a window shorter than they are, most of it not to be run twice, few
-/// descriptors and little memory, connections that do not last.
-pub fn hasty() -> TestEnvironment {
+/// As `kiosk-vouchers`: short limits, a window shorter than they are, most of it not to be run
+/// twice, few descriptors and little memory, connections that do not last.
+pub fn short_deadline_environment() -> TestEnvironment {
     let mut environment = TestEnvironment::new();
     environment.file["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 96});
     let settings = &mut environment.file["settings"];
     settings["Classes"] = json!([
-        limited("seat-plan", "pure", 700, 900, 600),
-        limited("hold-seat", "token", 300, 800, 600),
-        limited("pay-voucher", "side_effect", 400, 1000, 600),
+        class_with_limits("seat-plan", "pure", 700, 900, 600),
+        class_with_limits("hold-seat", "token", 300, 800, 600),
+        class_with_limits("pay-voucher", "side_effect", 400, 1000, 600),
     ]);
     let family = &mut settings["FamilyInfo"];
     (family["ClassFresh"], family["ClassWrite"]) =
@@ -32,30 +32,31 @@
         family["PurgeDone"],
         family["ClientKbPerS"],
     ) = (json!(250), json!(4000), json!(20));
-    settings["Limits"] = json!({"ConnectTimeout": 150, "IdleClose": 3000, "MaxAttempts": 3, "MaxOpen": 200,
-        "MaxRetryAfter": 300, "MayCancel": true, "RetryAfter": true, "StreamsPerConn": 8});
+    settings["Limits"] = json!({"ConnectTimeout": 150, "IdleClose": 3000, "MaxAttempts": 3,
+        "MaxOpen": 200, "MaxRetryAfter": 300, "MayCancel": true, "RetryAfter": true, "StreamsPerConn": 8});
     settings["Obligations"]["DrainGrace"] = json!(200);
     settings["Tenants"] = json!([]);
     environment
 }
 
-/// As `museum-loans`: tenants, classes of all effects, long limits, slow connections, nothing called off.
-pub fn wide() -> TestEnvironment {
+/// As `museum-loans`: tenants, classes of all effects, long limits, slow connections, nothing
+/// called off.
+pub fn multi_tenant_environment() -> TestEnvironment {
     let mut environment = TestEnvironment::new();
     let settings = &mut environment.file["settings"];
     settings["Classes"] = json!([
-        limited("picture", "pure", 900, 9000, 0),
-        limited("catalogue-card", "pure", 400, 5000, 0),
-        limited("condition-report", "token", 700, 8000, 3000),
-        limited("loan-request", "token", 900, 6000, 4000),
-        limited("loan-signature", "side_effect", 900, 6000, 0),
+        class_with_limits("picture", "pure", 900, 9000, 0),
+        class_with_limits("catalogue-card", "pure", 400, 5000, 0),
+        class_with_limits("condition-report", "token", 700, 8000, 3000),
+        class_with_limits("loan-request", "token", 900, 6000, 4000),
+        class_with_limits("loan-signature", "side_effect", 900, 6000, 0),
     ]);
     let family = &mut settings["FamilyInfo"];
     family["ClassFresh"] = json!([0, 15000, 0, 0, 0]);
     family["ClassWrite"] = json!([false, false, true, true, true]);
     (family["ObeyAfter"], family["PurgeDone"]) = (json!(700), json!(8000));
-    settings["Limits"] = json!({"ConnectTimeout": 800, "IdleClose": 20000, "MaxAttempts": 5, "MaxOpen": 20000,
-        "MaxRetryAfter": 2000, "MayCancel": false, "RetryAfter": true, "StreamsPerConn": 16});
+    settings["Limits"] = json!({"ConnectTimeout": 800, "IdleClose": 20000, "MaxAttempts": 5,
+        "MaxOpen": 20000, "MaxRetryAfter": 2000, "MayCancel": false, "RetryAfter": true, "StreamsPerConn": 16});
     settings["Obligations"]["DrainGrace"] = json!(1000);
     let tenant = |name: &str, share: f64| json!({"Name": name, "QuotaPerS": 50, "Share": share});
     settings["Tenants"] = json!([
@@ -66,11 +67,14 @@
     environment
 }
 
-/// By it servers know a repeat: without it an attempt after one that may have run could have its effect
-/// twice.
+/// By it servers know a repeat: without it an attempt after one that may have run could have its
+/// effect twice.
 #[test]
 fn every_attempt_carries_the_idempotency_key() {
-    for (mut environment, class) in [(hasty(), "hold-seat"), (wide(), "loan-request")] {
+    for (mut environment, class) in [
+        (short_deadline_environment(), "hold-seat"),
+        (multi_tenant_environment(), "loan-request"),
+    ] {
         let router = environment.start();
         let mut client = router.connect();
         let key = "f1ff6cd8ff9b0f19bc938ad4212f62a0";
@@ -81,15 +85,22 @@
         };
         client.send_request(1, class, &format!("d=700,k={key}{tenant}"), b"row 4");
         let mut origin = environment.server("o1").accept();
-        let asked = origin.read_request();
+        let request = origin.read_request();
         assert_eq!(
-            (asked.get("cls"), asked.get("nonce"), &asked.body[..]),
+            (
+                request.field("cls"),
+                request.field("nonce"),
+                &request.body[..]
+            ),
             (class, key, &b"row 4"[..])
         );
-        origin.respond(&asked, "ERR", "-", b"");
+        origin.respond(&request, "ERR", "-", b"");
         let mut server = environment.server("c1").accept();
         let again = server.read_request();
-        assert_eq!((again.get("nonce"), &again.body[..]), (key, &b"row 4"[..]));
+        assert_eq!(
+            (again.field("nonce"), &again.body[..]),
+            (key, &b"row 4"[..])
+        );
         server.respond(&again, "OK", "tell=via_origin", b"done");
         assert_eq!(client.read_answer_word(), "ACK");
     }
@@ -97,7 +108,7 @@
 
 #[test]
 fn requests_of_unknown_tenants_fail() {
-    let mut environment = wide();
+    let mut environment = multi_tenant_environment();
     let router = environment.start();
     let mut client = router.connect();
     for (tag, tenant) in [(1, "city-museum"), (2, "archive")] {
@@ -119,7 +130,7 @@
 
 #[test]
 fn idempotency_keys_that_could_break_a_line_are_refused() {
-    let mut environment = hasty();
+    let mut environment = short_deadline_environment();
     let router = environment.start();
     let mut client = router.connect();
     let long = "a".repeat(65);
--- a/crates/router/tests/program/descriptor_limits.rs
+++ b/crates/router/tests/program/descriptor_limits.rs
@@ -3,16 +3,16 @@
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// Clients that rest take every descriptor while discovery is down: it is followed again within a second of
-/// its return, and who has something open is served meanwhile.
+/// Clients that rest take every descriptor while discovery is down: it is followed again within a
+/// second of its return, and who has something open is served meanwhile.
 #[test]
 fn discovery_is_followed_on_its_return_with_no_descriptor_left() {
     for (descriptors, clients) in [(48, 300), (320, 700)] {
-        comes_back_without_descriptors(descriptors, clients);
+        follow_returning_discovery_without_descriptors(descriptors, clients);
     }
 }
 
-fn comes_back_without_descriptors(descriptors: u32, clients: usize) {
+fn follow_returning_discovery_without_descriptors(descriptors: u32, clients: usize) {
     let mut environment = TestEnvironment::new().with_machine_limit("sockets", 1024);
     let router = environment.spawn(&format!("ulimit -n {descriptors};"));
     let discovery = environment.discovery.accept_watch();
@@ -20,7 +20,7 @@
     let mut busy = router.connect();
     busy.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
+    let request = server.read_request();
     let at = environment.discovery.stop_listening();
     drop(discovery);
     // They come again as often as they are let go of.
@@ -42,7 +42,7 @@
     );
     assert_eq!(discovery.after_revision, 1);
     discovery.send("1\n");
-    server.respond(&asked, "OK", HIT_FIELDS, b"x");
+    server.respond(&request, "OK", HIT_FIELDS, b"x");
     assert_eq!(busy.read_answer_word(), "ACK");
     // And a new file that moves it is read.
     environment.move_discovery();
@@ -58,8 +58,8 @@
     drop(idle_clients);
 }
 
-/// After a failed accept nobody is kept from saying what he has to: requests on open connections go on at
-/// their pace.
+/// After a failed accept nobody is kept from saying what he has to: requests on open connections go
+/// on at their pace.
 #[test]
 fn open_connections_are_served_while_accept_fails() {
     let mut environment = all_servers_draining().with_machine_limit("sockets", 1024);
@@ -73,12 +73,13 @@
     until("no descriptor left", || idle_clients.held() >= 200);
     let mut took: Vec<Duration> = Vec::new();
     for tag in 2..=400 {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         busy.send_request(tag, "page", "", b"");
         assert_eq!(busy.read_answer_word(), "NAK");
-        took.push(asked.elapsed());
+        took.push(sent_at.elapsed());
     }
-    // That long it is waited after an accept that failed: by the connections that come, by nobody else.
+    // That long it is waited after an accept that failed: by the connections that come, by nobody
+    // else.
     let held_up = took.iter().filter(|took| **took >= 19 * MS).count();
     assert!(held_up < 10, "{held_up} of {} were held up", took.len());
     drop(idle_clients);
--- a/crates/router/tests/program/discovery.rs
+++ b/crates/router/tests/program/discovery.rs
@@ -1,6 +1,6 @@
 //! The watch of the discovery service: gaps, silence, outages, and another service after a reload.
 
-use crate::deployments::{hasty, wide};
+use crate::deployments::{multi_tenant_environment, short_deadline_environment};
 use crate::support::*;
 use serde_json::json;
 use std::net::TcpListener;
@@ -66,8 +66,8 @@
     assert_eq!(environment.discovery.accept_watch().after_revision, 1);
 }
 
-/// Numbers that stay behind, events that were told before, half lines: a discovery service that goes on like
-/// this holds back as much as a silent one.
+/// Numbers that stay behind, events that were told before, half lines: a discovery service that
+/// goes on like this holds back as much as a silent one.
 #[test]
 fn discovery_without_new_events_is_reconnected() {
     let mut environment = TestEnvironment::new();
@@ -117,23 +117,28 @@
     let mut client = router.connect();
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
-    let (mut tag, mut asked) = (1, server.read_request());
+    let (mut tag, mut request) = (1, server.read_request());
     until("the purge", || {
-        server.respond(&asked, "OK", "tell=hit", b"x");
+        server.respond(&request, "OK", "tell=hit", b"x");
         assert_eq!(client.read_answer_word(), "ACK");
         tag += 1;
         client.send_request(tag, "page", "", b"");
-        asked = server.read_request();
-        asked.get("maxage") != "12000"
+        request = server.read_request();
+        request.field("maxage") != "12000"
     });
-    let oldest: u64 = asked.get("maxage").parse().unwrap();
+    let oldest: u64 = request.field("maxage").parse().unwrap();
     assert!(oldest > 0 && unix_ms() - oldest >= purged, "{oldest}");
 }
 
-/// Nothing of an old file's discovery remains after a new one: not its connection, nor what it still says.
+/// Nothing of an old file's discovery remains after a new one: not its connection, nor what it
+/// still says.
 #[test]
 fn events_of_a_replaced_discovery_service_are_ignored() {
-    for mut environment in [TestEnvironment::new(), hasty(), wide()] {
+    for mut environment in [
+        TestEnvironment::new(),
+        short_deadline_environment(),
+        multi_tenant_environment(),
+    ] {
         environment.servers.push(FakeServer::new("c2", "cache"));
         let router = environment.start();
         let mut old = environment.discovery.accept_watch();
@@ -192,7 +197,8 @@
     // Silent, and in the middle of an event.
     let mut old = environment.discovery.accept_watch();
     old.send("{\"rev\":2,");
-    // An event of the new file, one that both have, and one that the new discovery service alone tells.
+    // An event of the new file, one that both have, and one that the new discovery service alone
+    // tells.
     environment.move_discovery();
     let leaving = endpoints_event(2, &[environment.server("c1").entry("leaving")]);
     environment.push_known_event(2, &leaving);
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -1,5 +1,5 @@
-//! What a fleet of hundreds asks of each router: one process as the line `run` starts it, and talk with
-//! peers.
+//! What a fleet of hundreds asks of each router: one process as the line `run` starts it, and talk
+//! with peers.
 
 use crate::support::*;
 use serde_json::json;
@@ -19,8 +19,9 @@
     sockets.filter_map(|fd| inode(&fd.path())).collect()
 }
 
-/// The local addresses, as the system writes them, at which a process listens (TCP) or is bound (UDP).
-fn open_at(process: u32, table: &str, state: &str) -> Vec<String> {
+/// The local addresses, as the system writes them, at which a process listens (TCP) or is bound
+/// (UDP).
+fn local_addresses_in_state(process: u32, table: &str, state: &str) -> Vec<String> {
     let held = sockets_of(process);
     let text = std::fs::read_to_string(format!("/proc/{process}/net/{table}")).unwrap_or_default();
     let lines = text
@@ -32,7 +33,7 @@
 }
 
 /// `run` of the deploy file, with the program as this build left it.
-fn line_run() -> String {
+fn deploy_run_command() -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
     let line = deploy
@@ -54,7 +55,7 @@
 #[test]
 fn the_deploy_files_run_line_starts_one_process_that_listens_and_stops_as_configured() {
     let mut environment = TestEnvironment::new();
-    environment.command_override = Some(line_run());
+    environment.command_override = Some(deploy_run_command());
     let mut router = environment.start();
     let process = router.id();
     // The shell has given way: whom the platform started is the router itself.
@@ -76,7 +77,7 @@
         let children = std::fs::read_to_string(task.path().join("children")).unwrap();
         assert_eq!(children, "", "it has started another process");
     }
-    let listens = open_at(process, "tcp", "0A");
+    let listens = local_addresses_in_state(process, "tcp", "0A");
     assert_eq!(listens.len(), 1, "it listens at {listens:?}");
     assert!(
         listens[0].ends_with(":13BA"),
@@ -84,17 +85,18 @@
     );
     for table in ["tcp6", "udp", "udp6"] {
         assert_eq!(
-            open_at(process, table, "0A"),
+            local_addresses_in_state(process, table, "0A"),
             Vec::<String>::new(),
             "{table}"
         );
         assert_eq!(
-            open_at(process, table, "07"),
+            local_addresses_in_state(process, table, "07"),
             Vec::<String>::new(),
             "{table}"
         );
     }
-    // The signals come through a pair of sockets that have no name, so that nobody can come to them.
+    // The signals come through a pair of sockets that have no name, so that nobody can come to
+    // them.
     let (held, unix) = (sockets_of(process), of("net/unix"));
     let own = |line: &&str| {
         line.split_whitespace()
@@ -110,7 +112,7 @@
 }
 
 /// A router of two at its zone, and what is told to it of the other.
-fn with_a_peer(tell: &str) -> (TestEnvironment, UdpSocket, UdpSocket) {
+fn environment_with_peer(tell: &str) -> (TestEnvironment, UdpSocket, UdpSocket) {
     let mut environment = TestEnvironment::new();
     let socket = || {
         let socket = UdpSocket::bind(unused_address()).unwrap();
@@ -129,7 +131,7 @@
     (environment, peer, all)
 }
 
-fn heard(socket: &UdpSocket) -> (Vec<u8>, std::net::SocketAddr) {
+fn receive_datagram(socket: &UdpSocket) -> (Vec<u8>, std::net::SocketAddr) {
     let mut buffer = [0; 512];
     let (length, from) = socket.recv_from(&mut buffer).unwrap();
     (buffer[..length].to_vec(), from)
@@ -137,9 +139,9 @@
 
 #[test]
 fn a_peer_is_discovered_and_sent_an_observation() {
-    let (mut environment, peer, all) = with_a_peer("on");
+    let (mut environment, peer, all) = environment_with_peer("on");
     let router = environment.start();
-    let (looking, router_address) = heard(&all);
+    let (looking, router_address) = receive_datagram(&all);
     assert_eq!(
         looking,
         [0xC1, 1, 0, 0],
@@ -150,14 +152,14 @@
         .unwrap();
     all.send_to(&[0xC1, 0, 0, 0], router_address).unwrap();
     peer.send_to(&[0xC1, 1, 0, 0], router_address).unwrap();
-    assert_eq!(heard(&peer).0, [0xC1, 0, 0, 0], "a sign of life");
+    assert_eq!(receive_datagram(&peer).0, [0xC1, 0, 0, 0], "a sign of life");
     let mut client = router.connect();
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"body");
     assert_eq!(client.read_answer_word(), "ACK");
-    let mut told = heard(&peer).0;
+    let mut told = receive_datagram(&peer).0;
     while told.len() == 4 {
-        told = heard(&peer).0;
+        told = receive_datagram(&peer).0;
     }
     assert_eq!(
         (&told[..4], told.len()),
@@ -168,30 +170,36 @@
 
 #[test]
 fn a_taken_gossip_address_disables_gossip_but_not_the_start() {
-    let (mut environment, _peer, all) = with_a_peer("on");
+    let (mut environment, _peer, all) = environment_with_peer("on");
     environment.file["peer_listen"] = json!(all.local_addr().unwrap().to_string());
     let router = environment.start();
     let mut client = router.connect();
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"body");
     assert_eq!(client.read_answer_word(), "ACK");
-    assert_eq!(open_at(router.id(), "udp", "07"), Vec::<String>::new());
+    assert_eq!(
+        local_addresses_in_state(router.id(), "udp", "07"),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
 fn gossip_is_off_unless_configured_and_allowed() {
     for (tell, allowed) in [("off", true), ("on", false)] {
-        let (mut environment, _peer, all) = with_a_peer(tell);
+        let (mut environment, _peer, all) = environment_with_peer(tell);
         environment.file["settings"]["Limits"]["PeerMessages"] = json!(allowed);
         let router = environment.start();
-        assert_eq!(open_at(router.id(), "udp", "07"), Vec::<String>::new());
+        assert_eq!(
+            local_addresses_in_state(router.id(), "udp", "07"),
+            Vec::<String>::new()
+        );
         all.set_nonblocking(true).unwrap();
         assert!(all.recv(&mut [0; 16]).is_err(), "something was said");
     }
 }
 
 /// One question at the control socket.
-fn ask(path: &std::path::Path, words: &str) -> serde_json::Value {
+fn control_command(path: &std::path::Path, words: &str) -> serde_json::Value {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::os::unix::net::UnixStream::connect(path).unwrap();
     stream.write_all(format!("{words}\n").as_bytes()).unwrap();
@@ -202,7 +210,7 @@
 
 #[test]
 fn measured_latencies_weight_zones_and_invalid_commands_are_refused_with_a_reason() {
-    let (mut environment, peer, _all) = with_a_peer("off");
+    let (mut environment, peer, _all) = environment_with_peer("off");
     environment.file["settings"]["Zones"] = json!(["here", "z1", "z2"]);
     environment.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2, 0, 0]);
     let control = environment
@@ -221,21 +229,21 @@
         ("latency observe north", "is written"),
         ("regions nonsense", "unknown words"),
     ] {
-        let said = ask(&control, words)["error"]
+        let said = control_command(&control, words)["error"]
             .as_str()
             .unwrap_or_default()
             .to_owned();
         assert!(said.contains(what), "{words}: {said}");
     }
     assert_eq!(
-        ask(&control, "latency observe north z2 40 20")["observed"],
+        control_command(&control, "latency observe north z2 40 20")["observed"],
         20
     );
     assert_eq!(
-        ask(&control, "latency observe north z1 90 20")["observed"],
+        control_command(&control, "latency observe north z1 90 20")["observed"],
         20
     );
-    let shown = ask(&control, "steer show");
+    let shown = control_command(&control, "steer show");
     let of = |edge: &str| {
         shown["edges"]
             .as_array()
@@ -255,20 +263,20 @@
         (Some("north"), Some(1.0)),
         "{shown}"
     );
-    assert_eq!(ask(&control, "regions stat")["bad"], false);
+    assert_eq!(control_command(&control, "regions stat")["bad"], false);
     // Its peer is told in words of the new kind, and nonsense of that kind changes nothing.
-    let (bytes, router_address) = heard(&peer);
+    let (bytes, router_address) = receive_datagram(&peer);
     assert_eq!(bytes[0], 0xC3);
     peer.send_to(&[0xC3, 0, 0, 9, 1], router_address).unwrap();
     until("the nonsense", || {
-        ask(&control, "regions stat")["faulty"] == 1
+        control_command(&control, "regions stat")["faulty"] == 1
     });
     drop(router);
 }
 
 #[test]
 fn an_unknown_zone_in_regions_ends_the_start_with_its_name() {
-    let (mut environment, _peer, _all) = with_a_peer("off");
+    let (mut environment, _peer, _all) = environment_with_peer("off");
     environment.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
     let RouterExit { status, log } = environment.spawn("").wait_for_exit();
     assert!(
--- a/crates/router/tests/program/forwarding.rs
+++ b/crates/router/tests/program/forwarding.rs
@@ -8,19 +8,23 @@
     let (environment, _router, mut client) = start_router();
     let id = client.send_request(7, "page", "piece=3", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
+    let request = server.read_request();
     assert_eq!(
-        (&asked.id, asked.get("item"), asked.get("chunk")),
+        (&request.id, request.field("item"), request.field("chunk")),
         (&id, "0000000000000007", "3")
     );
     assert_eq!(
-        (asked.get("cls"), asked.get("src"), asked.get("maxage")),
+        (
+            request.field("cls"),
+            request.field("src"),
+            request.field("maxage")
+        ),
         ("page", "p1", "12000")
     );
-    assert!((3000..4000).contains(&asked.get("limit").parse::<u64>().unwrap()));
+    assert!((3000..4000).contains(&request.field("limit").parse::<u64>().unwrap()));
     let object = body_of_length(240_000);
     server.respond(
-        &asked,
+        &request,
         "OK",
         "tell=hit,etag=4be0c1927d55a6f3,made=1",
         &object,
@@ -37,9 +41,9 @@
     let body = body_of_length(48_000);
     client.send_request(1, "confirm", "", &body);
     let mut origin = environment.server("o1").accept();
-    let asked = origin.read_request();
-    assert_eq!((asked.body == body, asked.get("src")), (true, ""));
-    origin.respond(&asked, "OK", "-", b"done");
+    let request = origin.read_request();
+    assert_eq!((request.body == body, request.field("src")), (true, ""));
+    origin.respond(&request, "OK", "-", b"done");
     assert_eq!(
         client.read_answer(),
         ClientAnswer::new(1, "ACK", "", b"done")
@@ -51,9 +55,9 @@
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "page", "ver=4be0c1927d55a6f3", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    assert_eq!(asked.get("have"), "4be0c1927d55a6f3");
-    server.respond(&asked, "SAME", "tell=hit,etag=4be0c1927d55a6f3", b"");
+    let request = server.read_request();
+    assert_eq!(request.field("have"), "4be0c1927d55a6f3");
+    server.respond(&request, "SAME", "tell=hit,etag=4be0c1927d55a6f3", b"");
     let ClientAnswer {
         word, fields, body, ..
     } = client.read_answer();
@@ -70,8 +74,8 @@
         let (environment, _router, mut client) = start_router();
         client.send_request(1, "page", "ver=4be0c1927d55a6f3", b"");
         let mut server = environment.server("c1").accept();
-        let asked = server.read_request();
-        server.respond(&asked, "SAME", fields, b"");
+        let request = server.read_request();
+        server.respond(&request, "SAME", fields, b"");
         // As after any error it goes another way.
         let mut parent = environment.server("p1").accept();
         parent.respond_hit(b"whole");
@@ -109,13 +113,16 @@
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "confirm", "", b"");
     let mut origin = environment.server("o1").accept();
-    let asked = origin.read_request();
-    origin.respond(&asked, "BUSY", "-", b"");
+    let request = origin.read_request();
+    origin.respond(&request, "BUSY", "-", b"");
     // It never ran there, so even what must not run twice goes another way.
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    assert_eq!((asked.get("cls"), asked.get("src")), ("confirm", "p1"));
-    server.respond(&asked, "MISS", "-", b"");
+    let request = server.read_request();
+    assert_eq!(
+        (request.field("cls"), request.field("src")),
+        ("confirm", "p1")
+    );
+    server.respond(&request, "MISS", "-", b"");
     let ClientAnswer { word, fields, .. } = client.read_answer();
     assert_eq!(word, "NAK");
     assert!(fields.starts_with("w="), "{fields}");
@@ -143,9 +150,9 @@
     let mut client = router.connect();
     client.send_request(1, "confirm", "", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    assert_eq!(asked.get("cls"), "confirm");
-    server.respond(&asked, "OK", "tell=via_origin", b"done");
+    let request = server.read_request();
+    assert_eq!(request.field("cls"), "confirm");
+    server.respond(&request, "OK", "tell=via_origin", b"done");
     assert_eq!(client.read_answer_word(), "ACK");
 }
 
@@ -160,8 +167,8 @@
     assert_eq!(origin.read_line(), "");
     client.send_request(2, "confirm", "", b"");
     let mut origin = environment.server("o1").accept();
-    let asked = origin.read_request();
+    let request = origin.read_request();
     // No client named a copy here: that one holds proves nothing.
-    origin.respond(&asked, "SAME", "-", b"");
+    origin.respond(&request, "SAME", "-", b"");
     assert_eq!(client.read_answer_word(), "FAIL");
 }
--- a/crates/router/tests/program/local_cache.rs
+++ b/crates/router/tests/program/local_cache.rs
@@ -4,22 +4,22 @@
 
 const TAG: &str = "etag=4be0c1927d55a6f3";
 
-fn made(ago: u64) -> String {
-    made_at(unix_ms() - ago)
+fn filled_fields(ago: u64) -> String {
+    filled_fields_at(unix_ms() - ago)
 }
 
-fn made_at(ms: u64) -> String {
+fn filled_fields_at(ms: u64) -> String {
     format!("tell=filled,{TAG},made={ms}")
 }
 
-fn ask_first(client: &mut TestClient) {
+fn request_object(client: &mut TestClient) {
     client.send_request(7, "page", "", b"");
 }
 
 #[test]
 fn a_repeated_request_is_answered_from_the_local_cache() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 25%\n}\n");
-    let mut server = keep_after(&environment, &mut client);
+    let mut server = fill_cache(&environment, &mut client);
     client.send_request(7, "page", "", b"");
     assert_eq!(
         client.read_answer(),
@@ -35,19 +35,20 @@
     );
     // Another part is another copy; nothing of all this came to the server.
     client.send_request(7, "page", "piece=1", b"");
-    assert_eq!(server.read_request().get("chunk"), "1");
+    assert_eq!(server.read_request().field("chunk"), "1");
 }
 
-/// Asks for object 7 until its copy is one of the router's own: a first sighting is not kept, the second is.
-fn keep_after(environment: &TestEnvironment, client: &mut TestClient) -> LineConnection {
-    ask_first(client);
+/// Asks for object 7 until its copy is one of the router's own: a first sighting is not kept, the
+/// second is.
+fn fill_cache(environment: &TestEnvironment, client: &mut TestClient) -> LineConnection {
+    request_object(client);
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    server.respond(&asked, "OK", &made(0), b"one");
+    let request = server.read_request();
+    server.respond(&request, "OK", &filled_fields(0), b"one");
     client.read_answer();
-    ask_first(client);
-    let asked = server.read_request();
-    server.respond(&asked, "OK", &made(0), b"two");
+    request_object(client);
+    let request = server.read_request();
+    server.respond(&request, "OK", &filled_fields(0), b"two");
     client.read_answer();
     server
 }
@@ -56,7 +57,7 @@
 fn the_local_cache_keeps_a_purge() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 10MB\n}\n");
     let mut discovery = environment.discovery.accept_watch();
-    let mut server = keep_after(&environment, &mut client);
+    let mut server = fill_cache(&environment, &mut client);
     let purged = unix_ms();
     discovery.send(purge_event(2, purged));
     // Told when the next request of another object carries the bound.
@@ -64,42 +65,48 @@
     until("the purge", || {
         tag += 1;
         client.send_request(tag, "page", "", b"");
-        let asked = server.read_request();
-        let bound: u64 = asked.get("maxage").parse().unwrap();
-        server.respond(&asked, "OK", &made(0), b"x");
+        let request = server.read_request();
+        let bound: u64 = request.field("maxage").parse().unwrap();
+        server.respond(&request, "OK", &filled_fields(0), b"x");
         client.read_answer();
         bound < 12_000
     });
-    ask_first(&mut client);
-    let asked = server.read_request();
-    assert_eq!(asked.get("item"), "0000000000000007");
-    // Made before the purge, or in its very millisecond: passed on, for the server says so, but not kept.
-    server.respond(&asked, "OK", &made_at(purged - 60_000), b"old");
+    request_object(&mut client);
+    let request = server.read_request();
+    assert_eq!(request.field("item"), "0000000000000007");
+    // Made before the purge, or in its very millisecond: passed on, for the server says so, but not
+    // kept.
+    server.respond(&request, "OK", &filled_fields_at(purged - 60_000), b"old");
     client.read_answer();
-    ask_first(&mut client);
-    let asked = server.read_request();
-    server.respond(&asked, "OK", &made_at(purged), b"in the same millisecond");
+    request_object(&mut client);
+    let request = server.read_request();
+    server.respond(
+        &request,
+        "OK",
+        &filled_fields_at(purged),
+        b"in the same millisecond",
+    );
     client.read_answer();
-    ask_first(&mut client);
-    let asked = server.read_request();
+    request_object(&mut client);
+    let request = server.read_request();
     // All this may have taken less than that millisecond.
     until("the next millisecond", || unix_ms() > purged);
-    server.respond(&asked, "OK", &made_at(purged + 1), b"new");
+    server.respond(&request, "OK", &filled_fields_at(purged + 1), b"new");
     assert_eq!(client.read_answer().body, b"new");
-    ask_first(&mut client);
+    request_object(&mut client);
     assert_eq!(client.read_answer().body, b"new", "made since");
 }
 
 #[test]
 fn an_expired_copy_is_requested_again() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 10MB\n}\n");
-    ask_first(&mut client);
+    request_object(&mut client);
     let mut server = environment.server("c1").accept();
     for _ in 0..3 {
-        let asked = server.read_request();
-        server.respond(&asked, "OK", &made(12_001), b"old");
+        let request = server.read_request();
+        server.respond(&request, "OK", &filled_fields(12_001), b"old");
         client.read_answer();
-        ask_first(&mut client);
+        request_object(&mut client);
     }
     server.read_request();
 }
@@ -116,9 +123,9 @@
         })
         .collect();
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    assert_eq!(asked.id, ids[0]);
-    server.respond(&asked, "OK", &made(0), b"one for all");
+    let request = server.read_request();
+    assert_eq!(request.id, ids[0]);
+    server.respond(&request, "OK", &filled_fields(0), b"one for all");
     for _ in 1..=5 {
         let ClientAnswer { word, body, .. } = client.read_answer();
         assert_eq!((word.as_str(), &body[..]), ("ACK", &b"one for all"[..]));
@@ -127,7 +134,8 @@
 
 #[test]
 fn cached_copies_are_evicted_before_a_request_is_rejected() {
-    // Bodies in hand may take 5 MB, together with own copies 1.5 MB past what the router takes itself.
+    // Bodies in hand may take 5 MB, together with own copies 1.5 MB past what the router takes
+    // itself.
     let (environment, _router, mut client) = start_router_in(
         TestEnvironment::new()
             .with_machine_limit("memory_mb", 10)
@@ -138,8 +146,8 @@
     for tag in [7, 7, 1, 1, 2, 2, 3, 3] {
         client.send_request(tag, "page", "", b"");
         let server = server.get_or_insert_with(|| environment.server("c1").accept());
-        let asked = server.read_request();
-        server.respond(&asked, "OK", &made(0), &body);
+        let request = server.read_request();
+        server.respond(&request, "OK", &filled_fields(0), &body);
         assert_eq!(client.read_answer_word(), "ACK");
     }
     let mut server = server.unwrap();
@@ -148,9 +156,9 @@
         client.send_request(tag, "page", "", b"");
         server.read_request();
     }
-    ask_first(&mut client);
+    request_object(&mut client);
     assert_eq!(
-        server.read_request().get("item"),
+        server.read_request().field("item"),
         "0000000000000007",
         "its copy has left, and nothing is rejected"
     );
@@ -171,7 +179,7 @@
     }
 }
 
-fn on_disk(environment: &mut TestEnvironment, more: &str) -> std::path::PathBuf {
+fn configure_disk_cache(environment: &mut TestEnvironment, more: &str) -> std::path::PathBuf {
     let path = environment.configuration_path().with_file_name("copies");
     let disk = path.display();
     environment.directives = format!(
@@ -180,11 +188,12 @@
     path
 }
 
-/// Asks until the router answers by itself. Whatever comes to the server meanwhile is answered like this.
-fn until_own(client: &mut TestClient, server: &mut LineConnection, body: &[u8]) {
+/// Asks until the router answers by itself. Whatever comes to the server meanwhile is answered like
+/// this.
+fn until_served_from_cache(client: &mut TestClient, server: &mut LineConnection, body: &[u8]) {
     let mut own = false;
     until("an own copy", || {
-        ask_first(client);
+        request_object(client);
         let came = loop {
             if client.has_unread_data() {
                 break false;
@@ -194,8 +203,8 @@
             }
         };
         if came {
-            let asked = server.read_request();
-            server.respond(&asked, "OK", &made(0), body);
+            let request = server.read_request();
+            server.respond(&request, "OK", &filled_fields(0), body);
         }
         assert_eq!(client.read_answer().body, body);
         own = !came;
@@ -206,15 +215,15 @@
 #[test]
 fn copies_on_disk_survive_a_kill_and_a_graceful_shutdown() {
     let mut environment = TestEnvironment::new();
-    on_disk(&mut environment, " known-purges 1h");
+    configure_disk_cache(&mut environment, " known-purges 1h");
     let body = vec![9; 30_000];
     let mut router = environment.start();
     let mut client = router.connect();
-    ask_first(&mut client);
+    request_object(&mut client);
     let mut server = environment.server("c1").accept();
     server.respond_hit(&body);
     client.read_answer();
-    until_own(&mut client, &mut server, &body);
+    until_served_from_cache(&mut client, &mut server, &body);
     for end in ["KILL", "TERM"] {
         router.signal(end);
         router.wait_for_exit();
@@ -223,7 +232,7 @@
         let mut first = None;
         // What it wrote is there, once its index is: until then the server is asked.
         until("an own copy", || {
-            ask_first(&mut client);
+            request_object(&mut client);
             until("an answer", || {
                 if let Some(mut line) = environment.server("c1").try_accept() {
                     line.respond_hit(&body);
@@ -253,40 +262,40 @@
 #[test]
 fn a_copy_from_before_the_start_is_revalidated_and_then_served() {
     let mut environment = TestEnvironment::new();
-    on_disk(&mut environment, " revalidate 100");
+    configure_disk_cache(&mut environment, " revalidate 100");
     let body = vec![9; 30_000];
     let mut router = environment.start();
     let mut client = router.connect();
-    ask_first(&mut client);
+    request_object(&mut client);
     let mut server = environment.server("c1").accept();
     server.respond_hit(&body);
     client.read_answer();
-    until_own(&mut client, &mut server, &body);
+    until_served_from_cache(&mut client, &mut server, &body);
     router.terminate();
     router.wait_for_exit();
     let router = environment.start();
     // Before any client asks: nothing says that no purge was told meanwhile.
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
+    let request = server.read_request();
     assert_eq!(
-        (asked.get("item"), asked.get("have")),
+        (request.field("item"), request.field("have")),
         ("0000000000000007", &TAG[5..])
     );
-    server.respond(&asked, "SAME", &made(0), b"");
+    server.respond(&request, "SAME", &filled_fields(0), b"");
     let mut client = router.connect();
-    until_own(&mut client, &mut server, &body);
+    until_served_from_cache(&mut client, &mut server, &body);
 }
 
 #[test]
 fn a_cache_directory_locked_by_another_router_is_not_used() {
     let mut environment = TestEnvironment::new();
-    on_disk(&mut environment, "");
+    configure_disk_cache(&mut environment, "");
     let first = environment.start();
     let mut other = TestEnvironment::new();
     other.directives = environment.directives.clone();
     let mut second = other.start();
     let mut client = second.connect();
-    ask_first(&mut client);
+    request_object(&mut client);
     other.server("c1").accept().respond_hit(b"x");
     assert_eq!(client.read_answer_word(), "ACK");
     second.terminate();
@@ -322,7 +331,7 @@
         serde_json::from_str::<serde_json::Value>(&said).unwrap()
     };
     let mut client = router.connect();
-    let _server = keep_after(&environment, &mut client);
+    let _server = fill_cache(&environment, &mut client);
     let told = ask("store stat\n");
     assert_eq!(
         (
--- a/crates/router/tests/program/local_failures.rs
+++ b/crates/router/tests/program/local_failures.rs
@@ -2,8 +2,8 @@
 
 use crate::support::*;
 
-/// A file that is there and cannot be read: reading a directory fails after it was opened, as a disk's error
-/// does.
+/// A file that is there and cannot be read: reading a directory fails after it was opened, as a
+/// disk's error does.
 #[test]
 fn files_unreadable_at_a_reload_change_nothing_and_are_logged() {
     let mut environment = TestEnvironment::new().with_directives("peers {\n tell off\n}\n");
--- a/crates/router/tests/program/pauses.rs
+++ b/crates/router/tests/program/pauses.rs
@@ -49,12 +49,13 @@
     let mut server = environment.server("c1").accept();
     server.respond_hit(b"x");
     assert_eq!(client.read_answer_word(), "ACK");
-    // Now known to be held there: out for longer than any hit takes, it is looked into and called off.
+    // Now known to be held there: out for longer than any hit takes, it is looked into and called
+    // off.
     client.send_request(1, "page", "", b"");
-    let asked = server.read_request();
+    let request = server.read_request();
     router.pause();
     let paused = Instant::now();
-    server.respond(&asked, "OK", "tell=hit", b"y");
+    server.respond(&request, "OK", "tell=hit", b"y");
     until("a long pause", || {
         paused.elapsed() > Duration::from_millis(600)
     });
--- a/crates/router/tests/program/server_connections.rs
+++ b/crates/router/tests/program/server_connections.rs
@@ -23,9 +23,9 @@
     ]);
     let (home, mut server) = environment.accept_from_any_server();
     let other = if home == "c1" { "c2" } else { "c1" };
-    let asked = [server.read_request(), server.read_request()];
+    let request = [server.read_request(), server.read_request()];
     let begun = Instant::now();
-    server.send(format!("{} OK {HIT_FIELDS} 240000\r\nhalf", asked[0].id));
+    server.send(format!("{} OK {HIT_FIELDS} 240000\r\nhalf", request[0].id));
     // Both are attempted elsewhere, long before their time is up, and the connection is gone.
     let mut second = environment.server(other).accept();
     second.respond_hit(b"x");
@@ -49,8 +49,8 @@
         start_router_in(TestEnvironment::new().with_setting("Limits", "ConnectTimeout", 300));
     let id = client.send_request(1, "page", "d=1000", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
-    server.send(format!("{} OK {HIT_FIELDS} 240000\r\n", asked.id));
+    let request = server.read_request();
+    server.send(format!("{} OK {HIT_FIELDS} 240000\r\n", request.id));
     // Its end is the connection's too: either may be seen first, and the other with it.
     until("the end of its time", || {
         !server.try_send("x") || client.has_unread_data()
@@ -72,8 +72,8 @@
     );
 }
 
-/// Half a line of a server that says no more: the connection is let go of, and what is asked meanwhile is
-/// answered all the same.
+/// Half a line of a server that says no more: the connection is let go of, and what is asked
+/// meanwhile is answered all the same.
 #[test]
 fn a_partial_line_on_an_idle_connection_closes_only_that_connection() {
     let (environment, _router, mut client) =
@@ -124,13 +124,13 @@
     client.send_request(1, "confirm", "", b"");
     // Reported never sent, so it may go another way.
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
+    let request = server.read_request();
     assert!(
         begun.elapsed() >= Duration::from_millis(295),
         "{:?}",
         begun.elapsed()
     );
-    server.respond(&asked, "OK", "tell=via_origin", b"done");
+    server.respond(&request, "OK", "tell=via_origin", b"done");
     assert_eq!(client.read_answer_word(), "ACK");
     // When the server is back its connection comes up at last, and carries nothing.
     let mut own = environment.server("o1").accept_behind(&others);
@@ -145,15 +145,15 @@
     let (environment, _router, mut client) = start_router();
     client.send_request(1, "confirm", "", b"");
     let mut idle = environment.server("o1").accept();
-    let asked = idle.read_request();
-    idle.respond(&asked, "OK", "tell=via_origin", b"one");
+    let request = idle.read_request();
+    idle.respond(&request, "OK", "tell=via_origin", b"one");
     assert_eq!(client.read_answer_word(), "ACK");
     // While one is in use it serves for the next too.
     client.send_request(2, "confirm", "", b"");
-    let asked = idle.read_request();
+    let request = idle.read_request();
     client.send_request(3, "confirm", "", b"");
     let third = idle.read_request();
-    idle.respond(&asked, "OK", "tell=via_origin", b"two");
+    idle.respond(&request, "OK", "tell=via_origin", b"two");
     idle.respond(&third, "OK", "tell=via_origin", b"three");
     assert_eq!(
         (client.read_answer_word(), client.read_answer_word()),
@@ -163,8 +163,8 @@
     until("a while", || since.elapsed() > Duration::from_millis(100));
     client.send_request(4, "confirm", "", b"");
     let mut new = environment.server("o1").accept();
-    let asked = new.read_request();
-    new.respond(&asked, "OK", "tell=via_origin", b"four");
+    let request = new.read_request();
+    new.respond(&request, "OK", "tell=via_origin", b"four");
     assert_eq!(client.read_answer_word(), "ACK");
 }
 
--- a/crates/router/tests/program/shutdown_basic.rs
+++ b/crates/router/tests/program/shutdown_basic.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: open requests and slow readers are waited for, connections closed in order, and
-//! signals that meet. `shutdown.rs` has the time limits.
+//! Graceful shutdown: open requests and slow readers are waited for, connections closed in order,
+//! and signals that meet. `shutdown.rs` has the time limits.
 
 use crate::support::*;
 use std::io::Write;
@@ -32,20 +32,20 @@
     client.send_request(1, "confirm", "d=60000", b"");
     let mut origin = environment.server("o1").accept();
     origin.read_request();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     router.terminate();
     assert_eq!(client.read_answer_word(), "FAIL");
     assert!(
-        asked.elapsed() < Duration::from_millis(3700),
+        sent_at.elapsed() < Duration::from_millis(3700),
         "{:?}",
-        asked.elapsed()
+        sent_at.elapsed()
     );
     assert!(router.wait_for_exit().status.success());
 }
 
-/// The program is held up while its time to end comes: it wakes with requests unread on a connection that
-/// rests, on one that nobody has accepted yet, and half of one on a third. Each whole one is answered, and no
-/// connection is reset over bytes that nobody read.
+/// The program is held up while its time to end comes: it wakes with requests unread on a
+/// connection that rests, on one that nobody has accepted yet, and half of one on a third. Each
+/// whole one is answered, and no connection is reset over bytes that nobody read.
 #[test]
 fn requests_received_before_the_exit_are_answered_and_no_connection_is_reset() {
     let mut environment = all_servers_draining();
@@ -151,13 +151,13 @@
     let (environment, mut router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
-    let asked = server.read_request();
+    let request = server.read_request();
     let begun = Instant::now();
     for signal in ["TERM", "HUP", "TERM", "HUP"] {
         router.signal(signal);
     }
     router.wait_until_draining();
-    server.respond(&asked, "OK", HIT_FIELDS, b"x");
+    server.respond(&request, "OK", HIT_FIELDS, b"x");
     assert_eq!(client.read_answer_word(), "ACK");
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(
@@ -167,8 +167,8 @@
     );
 }
 
-/// Asked to stop while it still reads its file: it serves as it was told, says that it goes, and ends in order
-/// and in time.
+/// Asked to stop while it still reads its file: it serves as it was told, says that it goes, and
+/// ends in order and in time.
 #[test]
 fn a_stop_signal_before_readiness_still_shuts_down_gracefully() {
     let mut environment = TestEnvironment::new();
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -1,5 +1,5 @@
-//! Load that never repeats itself: ever new clients, objects and servers. What grows without an end shows as
-//! memory that does. Some seconds in the usual run; `SOAK_SECONDS=600` for the long one.
+//! Load that never repeats itself: ever new clients, objects and servers. What grows without an end
+//! shows as memory that does. Some seconds in the usual run; `SOAK_SECONDS=600` for the long one.
 
 use crate::support::*;
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Answers whatever comes on a connection as a fill of 20 KB, until it ends.
-fn answer(stream: TcpStream, served: &AtomicUsize) -> std::io::Result<()> {
+fn respond_with_fills(stream: TcpStream, served: &AtomicUsize) -> std::io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(WAIT_LIMIT))?;
@@ -36,14 +36,14 @@
     Ok(())
 }
 
-fn serve(listener: TcpListener, ended: Arc<AtomicBool>, served: Arc<AtomicUsize>) {
+fn accept_and_respond(listener: TcpListener, ended: Arc<AtomicBool>, served: Arc<AtomicUsize>) {
     listener.set_nonblocking(true).unwrap();
     while !ended.load(Ordering::Relaxed) {
         match listener.accept() {
             Ok((stream, _)) => {
                 let served = served.clone();
                 // A connection that the router closes ends its thread, whatever was half read.
-                thread::spawn(move || drop(answer(stream, &served)));
+                thread::spawn(move || drop(respond_with_fills(stream, &served)));
             }
             Err(_) => thread::sleep(Duration::from_millis(2)),
         }
@@ -51,7 +51,7 @@
 }
 
 /// Memory in KB that a process has in place.
-fn resident(process: u32) -> u64 {
+fn resident_kb(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = text
         .lines()
@@ -86,7 +86,7 @@
                 ended.clone(),
                 served.clone(),
             );
-            thread::spawn(move || serve(listener, ended, served))
+            thread::spawn(move || accept_and_respond(listener, ended, served))
         })
         .collect();
     let router = environment.start();
@@ -98,7 +98,8 @@
     for quarter in 0..4 {
         let until = begun + Duration::from_secs(seconds) * (quarter + 1) / 4;
         while Instant::now() < until {
-            // A client of its own for each 16 requests, all for objects that nobody asked for before.
+            // A client of its own for each 16 requests, all for objects that nobody asked for
+            // before.
             let mut client = router.connect();
             (0..16).for_each(|n| drop(client.send_request(asked * 16 + n + 1, "page", "", b"")));
             (0..16).for_each(|_| *words.entry(client.read_answer_word()).or_default() += 1);
@@ -120,7 +121,7 @@
                 }
             }
         }
-        quarters.push(resident(router.id()));
+        quarters.push(resident_kb(router.id()));
     }
     ended.store(true, Ordering::Relaxed);
     threads
--- a/crates/router/tests/program/stand_ins.rs
+++ b/crates/router/tests/program/stand_ins.rs
@@ -53,6 +53,12 @@
     }
 }
 
+impl Asked {
+    pub fn get(&self, name: &str) -> &str {
+        self.field(name)
+    }
+}
+
 impl Server {
     pub fn vanish(&self) -> Vec<TcpStream> {
         self.fill_accept_queue()
--- a/crates/router/tests/program/support/fake_server.rs
+++ b/crates/router/tests/program/support/fake_server.rs
@@ -130,7 +130,7 @@
 
 impl ReceivedRequest {
     /// The value of a field; empty if the request does not carry it.
-    pub fn get(&self, name: &str) -> &str {
+    pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("", String::as_str)
     }
 }
--- a/crates/router/tests/program/support/scheduled_instant.rs
+++ b/crates/router/tests/program/support/scheduled_instant.rs
@@ -2,8 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-/// For how long the machine, busy with others, has had no processor for a process or thread that was ready to
-/// run. Nothing that a process does shortens it: it is no part of the time that a test holds against one.
+/// For how long the machine, busy with others, has had no processor for a process or thread that
+/// was ready to run. Nothing that a process does shortens it: it is no part of the time that a test
+/// holds against one.
 fn waited_for_processor(task: &str) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{task}/schedstat")).unwrap_or_default();
     let nanoseconds = stat
--- a/crates/router/tests/program/wire_oracle.rs
+++ b/crates/router/tests/program/wire_oracle.rs
@@ -1,9 +1,9 @@
-//! A recorded oracle of what the router writes: every byte to its client and to each server, for a scripted
-//! run of requests sent one after the other, reduced to a hash.
+//! A recorded oracle of what the router writes: every byte to its client and to each server, for a
+//! scripted run of requests sent one after the other, reduced to a hash.
 //!
-//! Remaining time (`limit=`) and allowed age (`maxage=`) depend on the run and are masked. The hash stays the
-//! same through a change that only rearranges code; a deliberate change of what is written records it anew,
-//! in a commit that says why.
+//! Remaining time (`limit=`) and allowed age (`maxage=`) depend on the run and are masked. The hash
+//! stays the same through a change that only rearranges code; a deliberate change of what is
+//! written records it anew, in a commit that says why.
 
 use crate::support::*;
 use serde_json::json;
@@ -18,7 +18,8 @@
 const RECORDED: u64 = 0xa3ccf51a6c92acce;
 const REQUESTS: u64 = 150;
 
-/// What one server received, in order, over all of its connections: requests come one after the other.
+/// What one server received, in order, over all of its connections: requests come one after the
+/// other.
 type Records = Arc<Mutex<BTreeMap<String, Vec<String>>>>;
 
 /// What the client waits for next, so that a server knows its part of the script.
@@ -30,7 +31,7 @@
 }
 
 /// A server that answers by the script: by the number of the request and of the attempt alone.
-fn serve(name: String, listener: TcpListener, records: Records, step: Arc<Mutex<Step>>) {
+fn serve_script(name: String, listener: TcpListener, records: Records, step: Arc<Mutex<Step>>) {
     spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
             let (name, records, step) = (name.clone(), records.clone(), step.clone());
@@ -114,12 +115,12 @@
 }
 
 /// Plays a script through a world and adds what was written.
-fn play(environment: &mut TestEnvironment, classes: &[&str], records: &Records, name: &str) {
+fn run_script(environment: &mut TestEnvironment, classes: &[&str], records: &Records, name: &str) {
     let step = Arc::new(Mutex::new(Step::default()));
     for server in &environment.servers {
         let listener = server.listener.try_clone().unwrap();
         listener.set_nonblocking(false).unwrap();
-        serve(
+        serve_script(
             format!("{name} {}", server.name),
             listener,
             records.clone(),
@@ -175,7 +176,7 @@
 }
 
 /// A cache server, parent or origin beside those that every world has.
-fn more_servers(environment: &mut TestEnvironment) {
+fn add_servers(environment: &mut TestEnvironment) {
     environment.servers.extend([
         FakeServer::new("c2", "cache"),
         FakeServer::new("c3", "cache"),
@@ -183,7 +184,7 @@
     ]);
 }
 
-fn known(
+fn set_known_endpoints(
     environment: &mut TestEnvironment,
     health: impl Fn(&str) -> &'static str,
     purge: Option<serde_json::Value>,
@@ -214,10 +215,10 @@
     let records = Records::default();
 
     let mut plain = TestEnvironment::new();
-    more_servers(&mut plain);
+    add_servers(&mut plain);
     with_three_effects(&mut plain);
-    known(&mut plain, |_| "active", None);
-    play(
+    set_known_endpoints(&mut plain, |_| "active", None);
+    run_script(
         &mut plain,
         &["page", "page", "confirm", "page", "hold"],
         &records,
@@ -225,7 +226,7 @@
     );
 
     let mut draining = TestEnvironment::new();
-    more_servers(&mut draining);
+    add_servers(&mut draining);
     with_three_effects(&mut draining);
     let health = |name: &str| {
         if name == "c2" || name == "p1" {
@@ -234,18 +235,18 @@
             "active"
         }
     };
-    known(
+    set_known_endpoints(
         &mut draining,
         health,
         Some(json!({"collection": 2, "ms": unix_ms()})),
     );
-    play(&mut draining, &["page"], &records, "draining and purged");
+    run_script(&mut draining, &["page"], &records, "draining and purged");
 
     let mut cached = TestEnvironment::new();
     with_three_effects(&mut cached);
     cached.directives = "store {\n  memory 4MB\n}\n".into();
-    known(&mut cached, |_| "active", None);
-    play(
+    set_known_endpoints(&mut cached, |_| "active", None);
+    run_script(
         &mut cached,
         &["page", "page", "page", "hold"],
         &records,
