--- a/crates/router/src/client_connection.rs
+++ b/crates/router/src/client_connection.rs
@@ -124,7 +124,7 @@
 /// A request of this connection, until its final answer or its cancellation.
 struct OpenRequest {
     id: Id,
-    wanted: CancellationFlag,
+    cancellation: CancellationFlag,
 }
 
 /// The state of a connection while it is served.
@@ -218,7 +218,7 @@
         if may_read {
             read_buffer.watch.begin();
         }
-        // What has come is read before a time-out counts against the client: the program may be
+        // What was received is read before a time-out counts against the client: the program may be
         // late itself.
         let mut event = tokio::select! {
             biased;
--- a/crates/router/src/client_connection/admission.rs
+++ b/crates/router/src/client_connection/admission.rs
@@ -74,10 +74,10 @@
         let deadline = self.connection.frontend.clock.instant(deadline);
         self.write_buffer.await_until(deadline);
         let client = self.reserve_reply().await?;
-        let wanted = CancellationFlag::default();
+        let cancellation = CancellationFlag::default();
         let open = OpenRequest {
             id: arrival.id.clone(),
-            wanted: wanted.clone(),
+            cancellation: cancellation.clone(),
         };
         self.open.insert(tag, open);
         let request = Message::Request(Box::new(NewRequest {
@@ -86,7 +86,7 @@
             received_after,
             tag,
             client,
-            wanted,
+            wanted: cancellation,
         }));
         if self.connection.decider.send(request).await.is_err() {
             // The router has ended meanwhile.
@@ -113,7 +113,7 @@
     /// Withdraws a request that its client has given up.
     async fn cancel_request(&mut self, tag: u64) {
         if let Some(open) = self.open.remove(&tag) {
-            open.wanted.end();
+            open.cancellation.end();
             self.withdraw(tag, open).await;
         }
     }
@@ -128,7 +128,7 @@
     /// Withdraws all open requests without an answer.
     pub(super) async fn cancel_open_requests(&mut self) {
         // All flags before the first message: no attempt may begin while the decider is told.
-        self.open.values().for_each(|open| open.wanted.end());
+        self.open.values().for_each(|open| open.cancellation.end());
         for (tag, open) in std::mem::take(&mut self.open) {
             self.withdraw(tag, open).await;
         }
--- a/crates/router/src/client_connection/tests.rs
+++ b/crates/router/src/client_connection/tests.rs
@@ -44,8 +44,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// It is asked for its place, as idle, in the moment in which a request of its client has received:
-/// that is heard.
+/// The eviction request comes in the moment in which a request of the client has been received.
 #[tokio::test(flavor = "current_thread")]
 async fn a_request_that_crosses_an_eviction_request_is_answered_before_the_close() {
     let inside = async {
@@ -67,8 +66,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Called off in one go, more than there are places for answers; then one that is wanted. The
-/// decider answers all of them, late: before it has heard that they were called off.
+/// More requests are cancelled at once than there is space for answers; one that is not follows.
+/// The decider answers all of them late, before it has heard of the cancellations.
 #[tokio::test(flavor = "current_thread")]
 async fn space_for_each_answer_is_reserved_before_its_request_reaches_the_decider() {
     let inside = async {
@@ -110,8 +109,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Whoever holds an attempt back for a socket sees the leaving in the same moment, not by way of
-/// mailboxes.
+/// A connection to a server that waits for its socket reads the flag: it must not depend on
+/// mailboxes between the two.
 #[tokio::test(flavor = "current_thread")]
 async fn a_cancellation_or_close_ends_the_cancellation_flag_at_once() {
     let inside = async {
@@ -153,8 +152,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// The time for which it may rest is over, and its timer has fired, as a request comes: that is
-/// heard. Once it has nothing to say it is closed in order.
+/// Afterwards, with nothing left to answer, the connection is closed in order.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_request_that_comes_as_the_idle_timeout_fires_is_answered() {
     let inside = async {
@@ -205,7 +203,7 @@
         let received: Vec<u8> = (1..=32).flat_map(request).collect();
         let mut harness = connect(Phase::Serving, &received).await;
         harness.serve(1..=32).await;
-        // Part of the first has gone to the system: there is room for one more.
+        // The system has taken a part of the first: there is space for one more.
         harness.peer.write_all(&request(33)).await.unwrap();
         harness.serve(33..=33).await;
         harness.peer.write_all(&request(34)).await.unwrap();
@@ -227,8 +225,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Past a bound it is read no more: nothing of it is open then, lest a leaving lies unread
-/// meanwhile.
+/// Otherwise a cancellation would lie unread while attempts begin.
 #[tokio::test(flavor = "current_thread")]
 async fn open_requests_fail_once_their_client_is_read_no_more() {
     let inside = async {
@@ -257,18 +254,18 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// A client that takes nothing for a while, and whose time is not up, gets its answers whole.
+/// Before that it gets its answers complete, however late it takes them.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_client_that_takes_no_answers_is_closed_only_after_its_deadlines() {
     let inside = async {
         hold_time();
-        for (within_ms, whole) in [(20_000, true), (4000, false)] {
+        for (within_ms, is_answered) in [(20_000, true), (4000, false)] {
             let mut harness = connect(Phase::Serving, &request_within(1, within_ms)).await;
             harness.serve(1..=1).await;
             tokio::time::advance(WRITE_TIMEOUT + Duration::from_millis(100)).await;
             harness.settle().await;
-            let responses = harness.first_response().await;
-            assert_eq!(responses.is_some(), whole, "within {within_ms} ms");
+            let response = harness.first_response().await;
+            assert_eq!(response.is_some(), is_answered, "within {within_ms} ms");
         }
     };
     LocalSet::new().run_until(inside).await;
@@ -296,7 +293,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Whole messages behind one that ends the connection have been read: each is answered, once.
+/// They have been read, and their client waits for their answers.
 #[tokio::test(flavor = "current_thread")]
 async fn complete_messages_behind_a_protocol_violation_are_answered_once() {
     let inside = async {
@@ -326,8 +323,8 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// The connection waits to hand something on while more comes: that has used up some of its time
-/// when it is read. What comes on a connection that has rested has not.
+/// The connection waits to hand a request to the decider while more are received. Those that are
+/// received on an idle connection lose no time.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn time_spent_unread_while_the_connection_waited_counts_against_a_request() {
     let inside = async {
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -27,9 +27,15 @@
         }
         run(listener, 100, frontend(None), decider, phase_of).await;
         for mut client in waiting {
-            let mut said = String::new();
-            client.read_to_string(&mut said).await.expect("no reset");
-            assert_eq!(said, "*4\r\n$1\r\n1\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n");
+            let mut received = String::new();
+            client
+                .read_to_string(&mut received)
+                .await
+                .expect("no reset");
+            assert_eq!(
+                received,
+                "*4\r\n$1\r\n1\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n"
+            );
         }
     };
     tokio::task::LocalSet::new().run_until(inside).await;
@@ -95,8 +101,8 @@
         .write_all(b"*2\r\n$6\r\nHEALTH\r\n$1\r\n1\r\n")
         .await
         .unwrap();
-    let mut said = [0; 4];
-    client.read_exact(&mut said).await.unwrap();
+    let mut received = [0; 4];
+    client.read_exact(&mut received).await.unwrap();
     running.abort();
     begin.elapsed()
 }
@@ -151,16 +157,18 @@
                 .unwrap();
             let (_harness, running) = start(listener, Phase::Ended);
             running.await;
-            let mut said = String::new();
-            client.read_to_string(&mut said).await.expect("no reset");
-            assert!(said.contains("RED"), "errno {errno}: {said:?}");
+            let mut received = String::new();
+            client
+                .read_to_string(&mut received)
+                .await
+                .expect("no reset");
+            assert!(received.contains("RED"), "errno {errno}: {received:?}");
         }
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// Only where descriptors are short do clients that rest make room: their leaving brings nothing
-/// else back.
+/// Only descriptors come back when an idle connection is closed: it helps against no other failure.
 #[test]
 fn idle_connections_are_evicted_only_for_descriptors() {
     use AcceptFailure::*;
