--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,6 +46,7 @@
 pub mod interface;
 mod lifecycle;
 pub mod outlier;
+mod overdue;
 mod purge;
 mod request;
 mod retry;
--- a/src/router.rs
+++ b/src/router.rs
@@ -3,7 +3,8 @@
 //! [`Router::start`] once, then one method for each thing that happens, each with the time since
 //! the start and the sink through which the router acts. The state is held by modules with one
 //! concern each; what a request does next is decided in `lifecycle`, where to in `routing`, whether
-//! it may in `dispatch`, and what is learnt from the end of an attempt in `completion`.
+//! it may in `dispatch`, and what is learnt from the end of an attempt, or from its silence, in
+//! `completion` and `overdue`.
 
 use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::admission::AccessHistory;
