--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -15,8 +15,7 @@
 //!   never PATTERN                 none      count PATTERN MIN MAX      so many
 //! A server's cohort stands behind ~, as in c1~2, its cells behind @, as in c1@0,2; a request's as
 //! cell=2. Servers are named by a letter and a number: c caches, p parents, o the origin, m own
-//! copies (m1 in memory, m2 on a disk), of a link that carries two answers. What they hold is set
-//! by
+//! copies (m1 in memory, m2 on a disk), of a link that carries two answers. What they hold is set by:
 //!   own m1 object=X [part=0] [age=0] [same=0]      own gone object=X
 
 use chalkhall::control::{Router, part_of};
@@ -209,237 +208,290 @@
     }
 }
 
-fn play(name: &str, text: &str) {
-    let (mut told, mut record, mut bound) = (deployment(), Record::default(), HashMap::new());
-    let (mut now, mut expected, mut router) = (ms(1000), 0, None);
-    for (number, line) in text.lines().enumerate() {
-        let line = line.split('#').next().unwrap_or("").trim();
-        let place = format!("{name}, line {}: {line}", number + 1);
-        // Names bound before stand in what happens, too.
-        let spoken = line.split(' ').map(|w| match w.strip_prefix('$') {
-            Some(n) if !line.starts_with("expect") => bound
-                .get(n)
-                .cloned()
-                .unwrap_or_else(|| panic!("{place}: unbound")),
-            _ => w.to_owned(),
-        });
-        let spoken: Vec<String> = spoken.collect();
-        let words: Vec<&str> = spoken
-            .iter()
-            .map(String::as_str)
-            .filter(|w| !w.is_empty())
-            .collect();
-        let [verb, rest @ ..] = words.as_slice() else {
-            continue;
-        };
-        let field = |key: &str, usual: u64| {
-            let found = rest
-                .iter()
-                .find_map(|w| w.strip_prefix(key).and_then(|w| w.strip_prefix('=')));
-            found.map_or(usual, |v| {
-                v.parse().unwrap_or_else(|_| panic!("{place}: bad number"))
-            })
-        };
-        if *verb == "given" {
-            told.max_attempts = field("attempts", 6) as usize;
-            told.joins = field("joins", 0) == 1;
-            told.pass_through = field("pass", 1) == 1;
-            told.list_on_request = field("ask", 0) == 1;
-            told.classes[1].stale_for = ms(field("stale", 0));
-            told.routers_at[1] = field("here", 1) as usize;
-            told.may_cancel = field("cancel", 1) == 1;
-            told.cold_cache.span = ms(field("span", 1000));
-            continue;
+/// One line of a scenario, in words.
+struct Line<'a> {
+    /// Where it stands, for messages.
+    place: &'a str,
+    verb: &'a str,
+    words: &'a [&'a str],
+}
+
+impl Line<'_> {
+    /// The text of a field, as in `object=X`.
+    fn text(&self, key: &str) -> Option<&str> {
+        let values = self.words.iter().map(|word| word.strip_prefix(key));
+        values.flatten().find_map(|value| value.strip_prefix('='))
+    }
+
+    fn number(&self, key: &str, default: u64) -> u64 {
+        self.text(key).map_or(default, |text| {
+            text.parse()
+                .unwrap_or_else(|_| panic!("{}: bad number", self.place))
+        })
+    }
+
+    fn time(&self, key: &str, default: u64) -> Duration {
+        ms(self.number(key, default))
+    }
+
+    fn flag(&self, key: &str, default: u64) -> bool {
+        self.number(key, default) == 1
+    }
+
+    fn object(&self) -> &str {
+        self.text("object").expect("an object")
+    }
+
+    /// A key that nobody reads would be passed over, and its line mean something else.
+    fn check(&self) {
+        let keys = self.words.iter().filter_map(|w| Some(w.split_once('=')?.0));
+        if !["list", "whole"].contains(&self.verb) {
+            keys.for_each(|key| assert!(KEYS.contains(&key), "{}: no such key", self.place));
         }
-        let router = router.get_or_insert_with(|| Router::start(now, &told, &mut record));
-        let pattern = rest.join(" ");
-        let keys = rest.iter().filter_map(|word| Some(word.split_once('=')?.0));
-        if !["list", "whole"].contains(verb) {
-            keys.for_each(|key| assert!(KEYS.contains(&key), "{place}: no such key"));
+        if ["expect", "never", "count"].contains(&self.verb) {
+            let is_action = ACTIONS.contains(&self.words[0]);
+            assert!(is_action, "{}: no such action", self.place);
         }
-        if ["expect", "never", "count"].contains(verb) {
-            assert!(ACTIONS.contains(&rest[0]), "{place}: no such action");
+    }
+}
+
+/// The ids that a line is about, `many` or one, and the words behind them.
+fn ids<'a>(words: &'a [&'a str], many: bool) -> (Vec<String>, &'a [&'a str]) {
+    if !many {
+        return (vec![words[0].to_owned()], &words[1..]);
+    }
+    let count: usize = words[0].parse().expect("a count");
+    let ids = (0..count).map(|n| format!("{}{n}", words[1])).collect();
+    (ids, &words[2..])
+}
+
+/// A scenario as far as it has been played.
+struct Scenario {
+    deployment: Deployment,
+    record: Record,
+    /// The words that names stand for.
+    bound: HashMap<String, String>,
+    now: Duration,
+    /// Expectations look behind the lines that earlier ones have found.
+    expected: usize,
+    router: Option<Router>,
+}
+
+impl Scenario {
+    fn new() -> Scenario {
+        Scenario {
+            deployment: deployment(),
+            record: Record::default(),
+            bound: HashMap::new(),
+            now: ms(1000),
+            expected: 0,
+            router: None,
         }
-        match *verb {
-            "at" => {
-                let then = ms(1000 + rest[0].parse::<u64>().expect("a time"));
-                while let Some((&(at, mark), ())) = record
-                    .wakes
-                    .first_key_value()
-                    .filter(|((at, _), ())| *at <= then)
-                {
-                    record.wakes.pop_first();
-                    now = now.max(at);
-                    router.wake(now, mark, &mut record);
-                }
-                now = then;
-            }
-            "list" | "whole" => {
-                let mut members: Vec<Member> = rest.iter().map(|w| member(w)).collect();
-                members
-                    .iter_mut()
-                    .for_each(|m| m.started = m.started.map(|s| s + ms(1000)));
-                let kind = if *verb == "list" {
-                    ListKind::Changes
-                } else {
-                    ListKind::Whole
-                };
-                router.list(now, kind, &members, &mut record);
-            }
-            "list-failed" => router.list(now, ListKind::Failed, &[], &mut record),
-            "request" | "requests" => {
-                let many = *verb == "requests";
-                let count = if many {
-                    rest[0].parse().expect("a count")
-                } else {
-                    1
-                };
-                for n in 0..count {
-                    let id = if many {
-                        format!("{}{n}", rest[1])
-                    } else {
-                        rest[0].to_owned()
-                    };
-                    let object = rest
-                        .iter()
-                        .find_map(|w| w.strip_prefix("object="))
-                        .unwrap_or(&id);
-                    let arrival = Arrival {
-                        id: id.as_str().into(),
-                        class: field("class", 0) as usize,
-                        customer: 0,
-                        object: object.into(),
-                        part: field("part", 0),
-                        group: field("group", 0),
-                        kb: field("kb", 100) as f64,
-                        cell: rest
-                            .iter()
-                            .find_map(|w| w.strip_prefix("cell="))
-                            .and_then(|c| c.parse().ok()),
-                        at: None,
-                        left: ms(field("left", 4000)),
-                        repeated: field("repeated", 0) == 1,
-                    };
-                    record
-                        .asked
-                        .insert(id.as_str().into(), (object.to_owned(), arrival.part));
-                    router.request(now, arrival, &mut record);
-                }
-            }
-            "result" | "results" => {
-                let many = *verb == "results";
-                let count = if many {
-                    rest[0].parse().expect("a count")
-                } else {
-                    1
-                };
-                let rest = &rest[usize::from(many)..];
-                let remark = match *rest.get(3).unwrap_or(&"") {
-                    "hit" => Remark::Hit,
-                    "filled" => Remark::Filled,
-                    "by-origin" => Remark::FilledByOrigin,
-                    "unreached" => Remark::SourceUnreached,
-                    _ => Remark::None,
-                };
-                let over = rest[2] == "served" || rest.contains(&"over");
-                let first_byte = Some(field("waited", 0)).filter(|w| *w > 0).map(ms);
-                let (load, took) = (Load::default(), ms(field("took", 10)));
-                let ended = Ended {
-                    outcome: outcome(rest[2]),
-                    remark,
-                    took,
-                    first_byte,
-                    over,
-                    load,
-                };
-                for n in 0..count {
-                    let id = if many {
-                        format!("{}{n}", rest[0])
-                    } else {
-                        rest[0].to_owned()
-                    };
-                    let attempt = rest[1].parse().expect("a number");
-                    router.result(now, &id.as_str().into(), attempt, &ended, &mut record);
-                }
+    }
+
+    /// The words of a line. Names bound before stand in what happens, too.
+    fn words(&self, line: &str, place: &str) -> Vec<String> {
+        let word = |word: &str| match word.strip_prefix('$') {
+            Some(name) if !line.starts_with("expect") => {
+                let value = self.bound.get(name).cloned();
+                value.unwrap_or_else(|| panic!("{place}: unbound"))
             }
+            _ => word.to_owned(),
+        };
+        let words = line.split(' ').map(word);
+        words.filter(|word| !word.is_empty()).collect()
+    }
+
+    /// What is given comes first: the router is started with the first line that is something else.
+    fn play(&mut self, line: &Line) {
+        if line.verb == "given" {
+            return self.given(line);
+        }
+        if self.router.is_none() {
+            let router = Router::start(self.now, &self.deployment, &mut self.record);
+            self.router = Some(router);
+        }
+        line.check();
+        match line.verb {
+            "clear" => (self.record.lines, self.expected) = (vec![], 0),
+            "expect" => self.expect(line),
+            "never" => self.never(line),
+            "count" => self.count(line),
+            "own" => self.own(line),
+            _ => self.happen(line),
+        }
+    }
+
+    fn given(&mut self, line: &Line) {
+        let deployment = &mut self.deployment;
+        deployment.max_attempts = line.number("attempts", 6) as usize;
+        deployment.joins = line.flag("joins", 0);
+        deployment.pass_through = line.flag("pass", 1);
+        deployment.list_on_request = line.flag("ask", 0);
+        deployment.classes[1].stale_for = line.time("stale", 0);
+        deployment.routers_at[1] = line.number("here", 1) as usize;
+        deployment.may_cancel = line.flag("cancel", 1);
+        deployment.cold_cache.span = line.time("span", 1000);
+    }
+
+    /// Something happens to the router.
+    fn happen(&mut self, line: &Line) {
+        let (now, words) = (self.now, line.words);
+        let router = self.router.as_mut().expect("started");
+        let record = &mut self.record;
+        match line.verb {
+            "at" => self.pass_time(ms(1000 + words[0].parse::<u64>().expect("a time"))),
+            "list" => router.list(now, ListKind::Changes, &members(words), record),
+            "whole" => router.list(now, ListKind::Whole, &members(words), record),
+            "list-failed" => router.list(now, ListKind::Failed, &[], record),
+            "request" | "requests" => self.request(line),
+            "result" | "results" => self.result(line),
             "told" => {
-                let object: Id = rest
-                    .iter()
-                    .find_map(|w| w.strip_prefix("object="))
-                    .expect("an object")
-                    .into();
                 let arrival = Arrival {
-                    object,
-                    part: field("part", 0),
+                    object: line.object().into(),
+                    part: line.number("part", 0),
                     ..Arrival::default()
                 };
-                router.told(now, part_of(&arrival), rest[0].into());
+                router.told(now, part_of(&arrival), words[0].into());
             }
-            "left" => router.left(now, &rest[0].into(), &mut record),
-            "begun" => router.begun(&rest[0].into()),
+            "left" => router.left(now, &words[0].into(), record),
+            "begun" => router.begun(&words[0].into()),
             "purge" => {
-                let object = rest
-                    .iter()
-                    .find_map(|w| w.strip_prefix("object="))
-                    .map(Id::from);
-                router.purged(now, object, field("group", 0), ms(field("ago", 0)));
-            }
-            "own" => {
-                let object = rest
-                    .iter()
-                    .find_map(|w| w.strip_prefix("object="))
-                    .expect("an object");
-                let part = (object.to_owned(), field("part", 0));
-                let (made, same) = (
-                    now.saturating_sub(ms(field("age", 0))),
-                    field("same", 0) == 1,
-                );
-                match rest[0] {
-                    "gone" => record.own.remove(&part),
-                    place => record.own.insert(
-                        part,
-                        Held {
-                            place: place.into(),
-                            made,
-                            same,
-                        },
-                    ),
-                };
-            }
-            "clear" => (record.lines, expected) = (vec![], 0),
-            "expect" => {
-                let found = record.lines[expected..]
-                    .iter()
-                    .position(|l| matches(l, &pattern, &mut bound));
-                let found = found.unwrap_or_else(|| {
-                    panic!("{place}\nnot found in {:#?}", &record.lines[expected..])
-                });
-                expected += found + 1;
+                let object = line.text("object").map(Id::from);
+                router.purged(now, object, line.number("group", 0), line.time("ago", 0));
             }
-            "never" => {
-                let found = record
-                    .lines
-                    .iter()
-                    .find(|l| matches(l, &pattern, &mut bound));
-                assert!(found.is_none(), "{place}\nfound {found:?}");
-            }
-            "count" => {
-                let [words @ .., least, most] = rest else {
-                    panic!("{place}: no bounds")
-                };
-                let count = record
-                    .lines
-                    .iter()
-                    .filter(|l| matches(l, &words.join(" "), &mut bound))
-                    .count();
-                let (least, most) = (least.parse().expect("least"), most.parse().expect("most"));
-                assert!(
-                    (least..=most).contains(&count),
-                    "{place}\n{count} in {:#?}",
-                    record.lines
-                );
-            }
-            other => panic!("{place}: unknown verb {other}"),
+            other => panic!("{}: unknown verb {other}", line.place),
+        }
+    }
+
+    fn pass_time(&mut self, until: Duration) {
+        let router = self.router.as_mut().expect("started");
+        while let Some((&(at, mark), ())) = self.record.wakes.first_key_value()
+            && at <= until
+        {
+            self.record.wakes.pop_first();
+            self.now = self.now.max(at);
+            router.wake(self.now, mark, &mut self.record);
+        }
+        self.now = until;
+    }
+
+    fn request(&mut self, line: &Line) {
+        let (ids, _) = ids(line.words, line.verb == "requests");
+        let router = self.router.as_mut().expect("started");
+        for id in &ids {
+            let object = line.text("object").unwrap_or(id);
+            let arrival = Arrival {
+                id: id.as_str().into(),
+                class: line.number("class", 0) as usize,
+                customer: 0,
+                object: object.into(),
+                part: line.number("part", 0),
+                group: line.number("group", 0),
+                kb: line.number("kb", 100) as f64,
+                cell: line.text("cell").and_then(|cell| cell.parse().ok()),
+                at: None,
+                left: line.time("left", 4000),
+                repeated: line.flag("repeated", 0),
+            };
+            let asked = (object.to_owned(), arrival.part);
+            self.record.asked.insert(arrival.id.clone(), asked);
+            router.request(self.now, arrival, &mut self.record);
+        }
+    }
+
+    fn result(&mut self, line: &Line) {
+        let (ids, words) = ids(line.words, line.verb == "results");
+        let remark = match *words.get(2).unwrap_or(&"") {
+            "hit" => Remark::Hit,
+            "filled" => Remark::Filled,
+            "by-origin" => Remark::FilledByOrigin,
+            "unreached" => Remark::SourceUnreached,
+            _ => Remark::None,
+        };
+        let waited = line.time("waited", 0);
+        let ended = Ended {
+            outcome: outcome(words[1]),
+            remark,
+            took: line.time("took", 10),
+            first_byte: Some(waited).filter(|waited| !waited.is_zero()),
+            over: words[1] == "served" || words.contains(&"over"),
+            load: Load::default(),
+        };
+        let attempt = words[0].parse().expect("a number");
+        let router = self.router.as_mut().expect("started");
+        for id in ids {
+            router.result(
+                self.now,
+                &id.as_str().into(),
+                attempt,
+                &ended,
+                &mut self.record,
+            );
+        }
+    }
+
+    fn own(&mut self, line: &Line) {
+        let part = (line.object().to_owned(), line.number("part", 0));
+        let held = |place: &str| Held {
+            place: place.into(),
+            made: self.now.saturating_sub(line.time("age", 0)),
+            same: line.flag("same", 0),
+        };
+        match line.words[0] {
+            "gone" => self.record.own.remove(&part),
+            place => self.record.own.insert(part, held(place)),
+        };
+    }
+
+    fn expect(&mut self, line: &Line) {
+        let (pattern, bound) = (line.words.join(" "), &mut self.bound);
+        let lines = &self.record.lines[self.expected..];
+        let found = lines.iter().position(|l| matches(l, &pattern, bound));
+        let found = found.unwrap_or_else(|| panic!("{}\nnot found in {lines:#?}", line.place));
+        self.expected += found + 1;
+    }
+
+    fn never(&mut self, line: &Line) {
+        let (pattern, bound) = (line.words.join(" "), &mut self.bound);
+        let mut lines = self.record.lines.iter();
+        let found = lines.find(|l| matches(l, &pattern, bound));
+        assert!(found.is_none(), "{}\nfound {found:?}", line.place);
+    }
+
+    fn count(&mut self, line: &Line) {
+        let [words @ .., least, most] = line.words else {
+            panic!("{}: no bounds", line.place)
+        };
+        let (pattern, bound) = (words.join(" "), &mut self.bound);
+        let lines = &self.record.lines;
+        let found = lines.iter().filter(|l| matches(l, &pattern, bound));
+        let count = found.count();
+        let (least, most) = (least.parse().expect("least"), most.parse().expect("most"));
+        let is_expected = (least..=most).contains(&count);
+        assert!(is_expected, "{}\n{count} in {lines:#?}", line.place);
+    }
+}
+
+/// The members that a line names. Their times count from the start of the scenario.
+fn members(words: &[&str]) -> Vec<Member> {
+    let mut members: Vec<Member> = words.iter().map(|word| member(word)).collect();
+    for member in &mut members {
+        member.started = member.started.map(|started| started + ms(1000));
+    }
+    members
+}
+
+fn play(name: &str, text: &str) {
+    let mut scenario = Scenario::new();
+    for (number, line) in text.lines().enumerate() {
+        let line = line.split('#').next().unwrap_or("").trim();
+        let place = format!("{name}, line {}: {line}", number + 1);
+        let words = scenario.words(line, &place);
+        let words: Vec<&str> = words.iter().map(String::as_str).collect();
+        if let [verb, words @ ..] = words.as_slice() {
+            let place = &place;
+            scenario.play(&Line { place, verb, words });
         }
     }
 }
