--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -61,7 +61,8 @@
 fn bound_requests_stay_in_their_cell_and_a_reloaded_cell_map_applies_while_serving() {
     let told = |epoch: u64, gold: &str| {
         format!(
-            "cells {{\n epoch {epoch}\n cell gold list {gold}\n cell rest list c2 c3\n bind group 1-3 gold\n \
+            "cells {{\n epoch {epoch}\n cell gold list {gold}\n cell rest list c2 c3\n \
+             bind group 1-3 gold\n \
              otherwise rest\n}}\n"
         )
     };
@@ -178,7 +179,8 @@
 fn a_tenant_migrates_as_the_new_cell_warms_up_and_returns_when_that_fails() {
     let told = |epoch: u64, more: &str| {
         format!(
-            "cells {{\n epoch {epoch}\n cell old list c1\n cell new list c2\n bind group 1 old\n{more} otherwise old\n}}\n"
+            "cells {{\n epoch {epoch}\n cell old list c1\n cell new list c2\n \
+             bind group 1 old\n{more} otherwise old\n}}\n"
         )
     };
     let mut environment = environment(&told(1, " move group 1 new\n"));
--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -42,33 +42,31 @@
         assert!(other.is_closed(), "{bad:?}");
     }
     assert_eq!(client.health(), "GREEN", "the others are untouched");
-    // No clock reaches as far as this one would wait.
+}
+
+#[test]
+fn a_deadline_beyond_any_clock_is_capped() {
+    let (environment, _router, mut client) = start_router();
     client.send_request(19, "page", "d=999999999999999999", b"");
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
     assert!(request.field("limit").parse::<u64>().unwrap() <= 60_000);
     server.respond(&request, "OK", "tell=hit", b"x");
     assert_eq!(client.read_answer_word(), "ACK");
-    // An id that is in use.
+}
+
+/// A request id that is in use is refused, and nobody else's request ends with the refused one.
+#[test]
+fn a_request_id_in_use_is_refused_and_its_first_request_goes_on() {
+    let (environment, router, mut client) = start_router();
     let id = client.send_request(20, "page", "", b"");
+    let mut server = environment.server("c1").accept();
     let request = server.read_request();
-    client.send(&[
-        b"REQ",
-        b"21",
-        b"page",
-        format!("i={id},o={id},d=900").as_bytes(),
-        b"",
-    ]);
+    client.send_raw_request(21, "page", format!("i={id},o={id},d=900"), b"");
     assert_eq!(client.read_answer().word, "FAIL");
     // Nor is one client's request ended by another that names its id and goes.
     let mut other = router.connect();
-    other.send(&[
-        b"REQ",
-        b"20",
-        b"page",
-        format!("i={id},o={id},d=900").as_bytes(),
-        b"",
-    ]);
+    other.send_raw_request(20, "page", format!("i={id},o={id},d=900"), b"");
     other.abort(20);
     other.send(&[b"HEALTH", b"1000", b""]);
     // Its own answer may cross its calling off; nothing else comes before what it asked last.
@@ -82,8 +80,11 @@
     assert_eq!(client.health(), "GREEN");
     server.respond(&request, "OK", "tell=hit", b"x");
     assert_eq!(client.read_answer(), ClientAnswer::new(20, "ACK", "", b"x"));
-    // One more than a connection carries.
-    let mut many = router.connect();
+}
+
+#[test]
+fn one_request_more_than_a_connection_carries_fails() {
+    let (_environment, _router, mut many) = start_router();
     (1..=33).for_each(|tag| drop(many.send_request(tag, "page", "", b"")));
     assert_eq!(many.read_answer(), ClientAnswer::new(33, "FAIL", "", b""));
 }
