--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -17,6 +17,7 @@
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
+use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -36,6 +37,8 @@
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
 /// For the last answers to be written.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
+/// For what is left to be done where the program itself was held up for as long.
+const FINAL_TURN_TIMEOUT: Duration = Duration::from_millis(20);
 /// Status updates of connections that wait for the listener.
 const MAX_QUEUED_UPDATES: usize = 64;
 
@@ -242,8 +245,12 @@
         }
         drop(self.listener);
         let mut connections = self.connections;
-        let all_closed = async { while connections.join_next().await.is_some() {} };
-        let _ = timeout(FINAL_WRITE_TIMEOUT, all_closed).await;
+        let mut all_closed = pin!(async { while connections.join_next().await.is_some() {} });
+        if timeout(FINAL_WRITE_TIMEOUT, &mut all_closed).await.is_err() {
+            // The program itself may have been held up meanwhile: its connections have a turn after
+            // that, lest requests that lie unread on them are reset.
+            let _ = timeout(FINAL_TURN_TIMEOUT, all_closed).await;
+        }
     }
 }
 
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -256,3 +256,51 @@
     }
     assert_eq!(tries(libc::EADDRINUSE, 2).await, (false, 1, Duration::ZERO));
 }
+
+/// Has all other tasks run, without letting time pass.
+async fn run_other_tasks() {
+    for _ in 0..256 {
+        yield_now().await;
+    }
+}
+
+/// The program is held up while it ends, until the time for its connections is over: what arrived
+/// meanwhile on an idle connection is answered before that is closed. Time moves only where the test
+/// says so.
+#[tokio::test(flavor = "current_thread", start_paused = true)]
+async fn connections_have_a_turn_after_the_program_was_held_up_as_it_ends() {
+    use std::io::{Read, Write};
+    let inside = async {
+        let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap();
+        let address = listener.local_addr().unwrap();
+        let mut client = std::net::TcpStream::connect(address).unwrap();
+        let (phase, phase_of) = watch::channel(Phase::Serving);
+        let (decider, _mailbox) = mpsc::channel(8);
+        // As in the program, the listener is polled before its connections.
+        let ends = async {
+            run_other_tasks().await;
+            phase.send_replace(Phase::Ended);
+            run_other_tasks().await;
+            // It has found that no connection waits to be accepted, and waits for the open ones.
+            tokio::time::advance(FINAL_ACCEPT_TIMEOUT).await;
+            run_other_tasks().await;
+            let request = "*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$4\r\npage\r\n$48\r\n\
+                i=00000000000000a1,d=1500,o=00000000000000b1,m=9\r\n$0\r\n\r\n";
+            client.write_all(request.as_bytes()).unwrap();
+            tokio::time::advance(FINAL_WRITE_TIMEOUT).await;
+            client
+        };
+        let running = run(listener, 100, frontend(None), decider, phase_of);
+        let ((), mut client) = tokio::join!(running, ends);
+        let timeout = Some(Duration::from_secs(5));
+        client.set_read_timeout(timeout).unwrap();
+        let mut received = String::new();
+        let read = client.read_to_string(&mut received);
+        read.expect("no reset, and an end");
+        assert_eq!(
+            received,
+            "*4\r\n$1\r\n1\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n"
+        );
+    };
+    tokio::task::LocalSet::new().run_until(inside).await;
+}
