--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 # One router: make run ROUTER_CONFIG=docs/example.json
 run: build
--- a/crates/failover/src/decide.rs
+++ b/crates/failover/src/decide.rs
@@ -11,12 +11,12 @@
 //! it, or they are cold and take less than is asked for. Where more than half of the zones that are
 //! heard of are bad at once, it is no place's fault: nobody goes anywhere.
 //!
-//! **Where to.** What another zone has room for is its capacity, warm caches only, at [`FULL`], less
+//! **Where to.** What another zone has room for is its capacity, warm caches only, at `FULL`, less
 //! what its own clients ask for, less when it is strained; shared among all zones that are bad just now,
 //! so that together they do not topple it. In the order of the ways from here, by rate-limited steps
 //! (`chalkhall_latency::steer`).
 //!
-//! **Way back.** Once words come back from it again a few requests try home ([`TRIAL`]); the evidence for
+//! **Way back.** Once words come back from it again a few requests try home (`TRIAL`); the evidence for
 //! good needs more than that for bad, and what goes home at first is what its cold caches bear.
 
 use crate::evidence::{Counted, Health};
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -15,7 +15,7 @@
 /// For good again it takes more: so many good, hardly any bad, and a while.
 const GOOD_LEAST: f64 = 4.0;
 const GOOD_SHARE: f64 = 0.1;
-/// How long it is held for bad at least; doubled each time it was good for less than [`CALM`] before.
+/// How long it is held for bad at least; doubled each time it was good for less than `CALM` before.
 pub const HOLD: Duration = Duration::from_millis(1000);
 const HOLD_MOST: Duration = Duration::from_secs(16);
 const CALM: Duration = Duration::from_secs(20);
--- a/crates/harness/src/even.rs
+++ b/crates/harness/src/even.rs
@@ -13,7 +13,7 @@
 //! | `swing` | servers that went from over 1.5 x the mean to under 0.5 x and back within 5 s |
 //! | `herd` | after an event: the most routers that send next to one server, over that of the hash |
 //!
-//! Windows in which a zone was sent less than [`LEAST`] requests a server say nothing and are left out:
+//! Windows in which a zone was sent less than `LEAST` requests a server say nothing and are left out:
 //! of a handful, chance alone makes one the busiest by far.
 
 use crate::copies::Key;
--- a/crates/harness/src/truth.rs
+++ b/crates/harness/src/truth.rs
@@ -4,7 +4,7 @@
 //! - a transfer runs at a client's pace at most; a server's transfers share its capacity ([`Station`]);
 //! - a fill has its transfer at the parent, then one of half the work on its zone's link, then half a
 //!   transfer at the cache; a parent that lacks the object has it from the origin before, after
-//!   [`ORIGIN_WAIT`];
+//!   `ORIGIN_WAIT`;
 //! - copies are held by rank and bytes ([`Copies`]); parents know no ranks;
 //! - who has started lately gives a share of its capacity, rising in a line; sent more than `MULTIPLE` times
 //!   what it can do within `SPAN` it has been pushed over, which [`Watch`] counts.
