--- a/crates/router/tests/program/discovery.rs
+++ b/crates/router/tests/program/discovery.rs
@@ -3,7 +3,6 @@
 use crate::deployments::{multi_tenant_environment, short_deadline_environment};
 use crate::support::*;
 use serde_json::json;
-use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -102,7 +101,7 @@
     environment.server("c1").accept().respond_hit(b"x");
     assert_eq!(client.read_answer_word(), "ACK", "by the list of the start");
     let back = Instant::now();
-    environment.discovery.listener = TcpListener::bind(at).unwrap();
+    environment.discovery.listen_again(at);
     assert_eq!(environment.discovery.accept_watch().after_revision, 1);
     assert!(back.elapsed() < 1000 * MS, "{:?}", back.elapsed());
 }
--- a/crates/router/tests/program/moments/leaving_clients.rs
+++ b/crates/router/tests/program/moments/leaving_clients.rs
@@ -90,12 +90,15 @@
             server.tell(&id, "BUSY");
             server = self.wait_for_attempt(&id, Some(server));
         }
+        let descriptors = self.router.open_descriptors();
         let left_at = leave(&mut client, how);
         // The departure has arrived; the response that crosses it follows.
         if let Some(client) = &mut client {
             assert_eq!(client.health(), "GREEN");
         } else {
-            until("the departure", || left_at.elapsed() > 20 * MS);
+            until("the departure", || {
+                self.router.open_descriptors() < descriptors
+            });
         }
         let before = self.attempts();
         server.tell(&id, "BUSY");
--- a/crates/router/tests/program/support/fake_discovery.rs
+++ b/crates/router/tests/program/support/fake_discovery.rs
@@ -2,8 +2,10 @@
 
 use super::fake_server::LineConnection;
 use super::loopback::*;
+use super::wait::until;
 use serde_json::{Value, json};
 use std::cell::Cell;
+use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
 
@@ -63,9 +65,17 @@
         at
     }
 
-    /// Listens at this address again.
+    /// Listens at this address again, as soon as it is free: a process that another test is just
+    /// starting may hold the earlier listener open for a moment more.
     pub fn listen_again(&mut self, at: SocketAddr) {
-        self.listener = TcpListener::bind(at).unwrap();
+        until("the address to be free", || match TcpListener::bind(at) {
+            Ok(listener) => {
+                self.listener = listener;
+                true
+            }
+            Err(error) if error.kind() == ErrorKind::AddrInUse => false,
+            Err(error) => panic!("{at}: {error}"),
+        });
     }
 
     /// The router has connected and the watch has not been accepted yet.
