--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,5 +1,6 @@
 //! What the actors of a router say to one another: below all of them, so that none needs another's file.
 
+use crate::operator_query::Query;
 use crate::server_protocol::{Answer, ForwardedFields};
 use bytes::Bytes;
 use chalkhall::interface::{Arrival, Fill, Id, Outcome};
@@ -19,7 +20,7 @@
     Left(Id, u64, mpsc::Sender<ClientReply>),
     /// So many bytes of bodies have been written to a client, or dropped.
     Written(usize),
-    Ended(Ended),
+    Ended(AttemptEnded),
     /// The actor of this server has ended, with nothing out: another is started when it is needed.
     ServerRests(Id),
     /// An order to the disk of own copies has ended.
@@ -35,19 +36,25 @@
 
 /// A request as a client's connection read it.
 pub struct NewRequest {
+    /// What the decisions need of it.
     pub arrival: Arrival,
+    /// What goes on to a server as it came.
     pub passed: ForwardedFields,
     /// The earliest time at which it may have come: it may have lain unread since.
     pub received_after: Duration,
+    /// Its name on its connection.
     pub tag: u64,
-    /// A place for its final answer, which so can't be lost for want of one.
+    /// The reserved space for its final answer, which so cannot be lost for want of one.
     pub client: mpsc::OwnedPermit<ClientReply>,
+    /// Ended by the client's connection and by the decider.
     pub wanted: CancellationFlag,
 }
 
-/// Whether a request still waits for its final answer. Its client's connection and the decider end it; a
-/// connection asks it where the first byte of an attempt leaves. The one thing that tasks share: by way of
-/// the mailboxes between them a leaving could come behind the byte, or nowhere where one of them is full.
+/// Whether a request still waits for its final answer.
+///
+/// Its client's connection and the decider end it; a connection to a server reads it where the first
+/// byte of an attempt is sent. It is the one thing that tasks share: a cancellation that went through
+/// the mailboxes between them could come behind that byte, or nowhere where one of them is full.
 #[derive(Clone, Debug)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
@@ -58,112 +65,184 @@
 }
 
 impl CancellationFlag {
+    /// Says that the request has its final answer or was cancelled: no further attempt may begin.
     pub fn end(&self) {
         self.0.set(false);
     }
 
+    /// Whether the request still waits for its final answer.
     pub fn still(&self) -> bool {
         self.0.get()
     }
 }
 
-pub struct Ended {
-    pub key: Key,
-    pub outcome: Outcome,
-    pub answer: Option<Box<Answer>>,
-}
-
 /// The final answer of a request, for its client.
 #[derive(Debug)]
 pub struct ClientReply {
+    /// The request's name on its connection.
     pub tag: u64,
+    /// The request's id: its client may have used the tag for another one meanwhile.
     pub id: Id,
+    /// The answer itself.
     pub last: FinalAnswer,
 }
 
+/// What a client is told of its request in the end.
 #[derive(Debug)]
 pub enum FinalAnswer {
+    /// The request was served, with this copy.
     Served {
+        /// The copy's version.
         etag: Option<Bytes>,
+        /// The copy itself.
         body: Bytes,
     },
-    /// The client's own copy holds.
+    /// The client's own copy is still valid.
     Unchanged {
+        /// The version that both copies have.
         etag: Option<Bytes>,
     },
+    /// The request did not run; it may be sent again after this time.
     Rejected(Option<Duration>),
+    /// The request failed, and may have run.
     Failed,
 }
 
 /// A question from an operator, and where its answer goes.
 pub struct OperatorQuery {
-    pub words: Vec<String>,
+    pub query: Query,
     pub answer: oneshot::Sender<Value>,
 }
 
-/// A client's place: through it the client says whether it has anything open, and hears that another needs
-/// it.
-pub struct Place {
-    pub number: u64,
-    pub leave: mpsc::Receiver<()>,
-    pub says: mpsc::Sender<Word>,
+/// A connection's end of its slot: through it the connection reports its status, and hears that its
+/// slot is needed for another one.
+pub struct ConnectionSlot {
+    /// The slot's number, which no other slot ever has.
+    pub id: SlotId,
+    /// Requests to close the connection once nothing is open on it.
+    pub eviction_requests: mpsc::Receiver<()>,
+    /// To the listener.
+    pub status_updates: mpsc::Sender<SlotUpdate>,
+}
+
+/// The number of a connection slot.
+pub type SlotId = u64;
+
+/// How much a connection needs its slot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SlotStatus {
+    /// Nothing has come on the connection yet.
+    Unused,
+    /// Its client has sent messages, and all are answered.
+    Idle,
+    /// A message is on its way, a request is open, or an answer waits to be written.
+    Busy,
 }
 
-/// What a client says of itself when it changes: nothing is open, or something; it has asked for something
-/// once.
+/// The new status of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Word {
-    pub number: u64,
-    pub idle: bool,
-    pub asked: bool,
+pub struct SlotUpdate {
+    /// The connection's slot.
+    pub slot: SlotId,
+    /// Its status from now on.
+    pub status: SlotStatus,
 }
 
-/// An attempt of a request: the request's id and its number within it.
-pub type Key = (Id, usize);
+/// Identifies one attempt of a request.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptId {
+    /// The request.
+    pub request: Id,
+    /// The number of the attempt within its request, from 0.
+    pub number: usize,
+}
 
 /// One attempt on its way to a server.
 #[derive(Debug)]
-pub struct Ask {
-    pub key: Key,
-    pub passed: ForwardedFields,
-    /// The server's name and its orders for a miss. The line is worded from them as its first byte leaves.
+pub struct AttemptRequest {
+    /// Which attempt it is.
+    pub attempt: AttemptId,
+    /// What the server receives as the client sent it.
+    pub forwarded: ForwardedFields,
+    /// The name of the server.
     pub server: Id,
+    /// What the server does on a miss. The request line is encoded from it when its first byte
+    /// leaves.
     pub fill: Fill,
-    /// It must not run twice: where its connection breaks, it has failed.
-    pub once: bool,
-    pub wanted: CancellationFlag,
-    /// When it has taken too long, and when its first byte must have left.
-    pub due: Instant,
-    pub leave_by: Instant,
+    /// It must not run twice: if its connection breaks, the attempt has failed.
+    pub is_non_idempotent: bool,
+    /// Whether somebody still waits for the request.
+    pub cancellation: CancellationFlag,
+    /// The attempt times out at this time.
+    pub deadline: Instant,
+    /// The first byte leaves before this time, or the attempt is not sent.
+    pub send_by: Instant,
+}
+
+/// The result of an attempt.
+#[derive(Debug)]
+pub struct AttemptEnded {
+    /// Which attempt has ended.
+    pub attempt: AttemptId,
+    /// How it has ended.
+    pub outcome: Outcome,
+    /// What the server answered, if it did.
+    pub answer: Option<Box<Answer>>,
 }
 
+/// From the actor of a server to one of its connections.
 pub enum ConnectionCommand {
-    Ask(Box<Ask>),
-    Quit(Key),
+    /// Send this attempt.
+    Send(Box<AttemptRequest>),
+    /// Cancel this attempt.
+    Cancel(AttemptId),
 }
 
-/// To a server's actor.
+/// To the actor of a server.
 pub enum ServerCommand {
-    Ask(Box<Ask>),
-    Quit(Key),
-    /// The list tells of a start or an address: connections from before it lead elsewhere.
+    /// Send this attempt.
+    Send(Box<AttemptRequest>),
+    /// Cancel this attempt.
+    Cancel(AttemptId),
+    /// The endpoint list has a new start or address of the server: connections from before it are
+    /// retired.
     Reconnect {
-        dial: SocketAddr,
-        started: Option<Instant>,
+        /// Where the server is now.
+        address: SocketAddr,
+        /// When it last started, if that is known.
+        started_at: Option<Instant>,
+    },
+    /// Something happened on a connection of this server.
+    Connection {
+        /// The number of the connection.
+        number: u64,
+        /// What happened.
+        event: ConnectionEvent,
     },
-    Connection(u64, ConnectionEvent),
 }
 
-/// From a connection to its server's actor.
+/// From a connection to the actor of its server.
 pub enum ConnectionEvent {
-    Up,
-    /// It could not be made for want of something on this machine; what waited for it is reported after this.
+    /// The connection is established.
+    Established,
+    /// This machine lacked a resource to connect. The ends of the queued attempts follow.
     LocalFailure,
-    Ended {
-        key: Key,
-        outcome: Outcome,
-        answer: Option<Box<Answer>>,
-        silent: bool,
-    },
-    Down,
+    /// An attempt on this connection has ended.
+    AttemptEnded(ConnectionAttemptEnded),
+    /// The connection has ended, and all its attempts have been reported.
+    Closed,
 }
+
+/// The result of an attempt, with what it says about its connection.
+#[derive(Debug)]
+pub struct ConnectionAttemptEnded {
+    /// The result.
+    pub ended: AttemptEnded,
+    /// Nothing was received since the attempt was sent, for as long as a connect may take: the
+    /// server may have vanished.
+    pub is_silent: bool,
+}
+
+/// Builders of messages for tests.
+#[cfg(test)]
+pub mod fixtures;
