--- a/src/control.rs
+++ b/src/control.rs
@@ -1,11 +1,11 @@
-//! The decisions of a router under the paths that other packages use.
+//! Re-exports of the router for other packages.
 
-pub use crate::admission::part_key as part_of;
+pub use crate::admission::part_key;
 use crate::outlier::OutlierDetector;
 pub use crate::router::Router;
 use std::time::Duration;
 
-/// An [`OutlierDetector`] under its former names.
+/// A wrapper of [`OutlierDetector`] with the method names that other packages use.
 #[derive(Debug, Default)]
 pub struct Judged(OutlierDetector);
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,28 +1,29 @@
-//! The plain types between a front end and the decisions. Nothing is decided here.
+//! Data types exchanged between a front end and the router. This module contains no decision logic.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An id as the outside gave it: of a request, a cache server or an object.
+/// An identifier of a request, cache server or object, as the front end supplies it.
 pub type Id = Rc<str>;
 
-/// What running a request twice would do.
+/// The effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// It may run again.
+    /// Repeated execution is harmless.
     #[default]
     Idempotent,
-    /// It carries a mark by which a group of cache servers drops its repeats, for a while.
+    /// The request carries a key by which a group of cache servers drops repeats for a limited
+    /// time.
     Deduplicated,
-    /// It must never run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
-/// Which cache servers drop the repeats of a deduplicated request that one of them has seen.
+/// The set of cache servers that drop repeats of a deduplicated request that any of them has seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Group {
     #[default]
-    /// All servers together.
+    /// All servers.
     All,
     /// The servers of a zone.
     Zone,
@@ -30,294 +31,294 @@
     Cohort,
 }
 
-/// One class of requests.
+/// A class of requests and its service objectives.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// What running a request twice would do.
+    /// The effect of executing a request more than once.
     pub effect: Effect,
-    /// Who drops the repeats of a deduplicated request.
+    /// The servers that drop repeats of a deduplicated request.
     pub group: Group,
-    /// How long repeats are recognised, from the first attempt that may have run.
+    /// How long repeats are recognised, counted from the first attempt that may have been executed.
     pub window: Duration,
-    /// The latency objective: an answer after it is worth less.
+    /// The latency objective, after which an answer earns only `late_value`.
     pub soft_deadline: Duration,
-    /// The soft deadline grows by this multiple of the request's own sending time.
+    /// The soft deadline is extended by this multiple of the answer's transfer time.
     pub soft_stretch: f64,
-    /// An answer after it is worth nothing.
+    /// The hard deadline, after which an answer has no value.
     pub deadline: Duration,
-    /// What an answer in time is worth.
+    /// The value of an answer within the soft deadline.
     pub value: f64,
-    /// Share of the value that an answer after the soft deadline earns.
+    /// The fraction of the value that an answer after the soft deadline earns.
     pub late_value: f64,
-    /// How long a copy is fresh; none: until it is purged.
+    /// How long a copy stays fresh; `None`: until it is purged.
     pub fresh: Option<Duration>,
-    /// How long past that a copy may still be served.
+    /// How long after `fresh` has passed a stale copy may still be served.
     pub stale_for: Duration,
-    /// Share of the value that an answer from such a copy earns.
+    /// The fraction of the value that an answer from a stale copy earns.
     pub stale_value: f64,
-    /// False where requests run at the origin and leave no copy.
+    /// Whether caches may keep a copy. Requests of other classes are executed at the origin.
     pub cacheable: bool,
-    /// Objects come in parts, asked for in turn.
+    /// Objects consist of parts that are requested one after another.
     pub in_parts: bool,
-    /// Answers are streamed: what has begun belongs to the client.
+    /// Answers are streamed; an answer that has started is not interrupted.
     pub streamed: bool,
 }
 
-/// One customer.
+/// The quota and the entitlement of one customer.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its quota, in requests a second.
+    /// Quota in requests per second.
     pub per_second: f64,
-    /// Its fraction of the service.
+    /// The fraction of the service capacity that the customer is entitled to.
     pub share: f64,
 }
 
-/// The bounds within which something that has just started is not pushed over.
+/// Slow-start parameters: how much load a server bears after it has started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
-    /// Share of its capacity at its start, at least.
+    /// The minimum fraction of its capacity that a server has when it starts.
     pub from: f64,
-    /// It is warm after this long at most.
+    /// The time after which the server has its full capacity at the latest.
     pub warm_within: Duration,
-    /// Sent more than this multiple of its present capacity...
+    /// The server fails when it is sent more than this multiple of its current capacity...
     pub multiple: f64,
-    /// ...for this long, it falls over.
+    /// ...over this period.
     pub span: Duration,
 }
 
-/// What the capacity hints in the list mean.
+/// The meaning of the capacity hints in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Hints {
     #[default]
-    /// There are none.
+    /// The list has no capacity hints.
     None,
-    /// What the servers were built for.
+    /// The design capacity of the server.
     Nominal,
-    /// An estimate.
+    /// An estimate of the capacity.
     Rough,
-    /// What the servers bear now.
+    /// The current capacity of the server.
     Live,
 }
 
-/// Which caches can be named as the source of a fill.
+/// Which caches can be the source of a fill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Siblings {
     #[default]
-    /// None: misses are filled from parents and origins.
+    /// None; misses are filled from parents and origins only.
     None,
-    /// Those of the same zone.
+    /// Caches of the same zone.
     Zone,
-    /// All.
+    /// All caches.
     Any,
 }
 
-/// How much the answers tell of hits and fills.
+/// Which details of hits and fills answers report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Telling {
     #[default]
-    /// Neither.
+    /// No details.
     Nothing,
-    /// Whether an answer was a hit.
+    /// Whether the answer was a hit.
     Hits,
-    /// Hits, and where a fill came from.
+    /// Whether the answer was a hit, and where a fill came from.
     All,
 }
 
-/// All that a router is told of its deployment at its start. By default nothing is there and
-/// nothing allowed.
+/// The static configuration of a router. By default every number is zero and every capability is
+/// disabled.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// This router's number among all routers.
+    /// The index of this router among all routers.
     pub number: u64,
-    /// Where chance starts from.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// How many routers there are.
+    /// The number of routers in the deployment.
     pub routers: usize,
-    /// This router's zone.
+    /// The zone of this router.
     pub zone: usize,
-    /// How many routers serve each zone.
+    /// The number of routers in each zone.
     pub routers_at: Vec<usize>,
-    /// The hub that each zone is tied to.
+    /// The hub to which each zone is connected.
     pub hub_of: Vec<usize>,
-    /// What the link of each zone carries; 0: not known.
+    /// The bandwidth of each zone's link; 0: unknown.
     pub link_kb_per_s: Vec<f64>,
-    /// The classes of requests, by number.
+    /// The request classes, by class number.
     pub classes: Vec<Class>,
-    /// The customers, by number.
+    /// The customers, by customer number.
     pub customers: Vec<Customer>,
-    /// Least time between two calls.
+    /// The minimum interval between two calls of the router.
     pub tick: Duration,
 
-    /// Top pace of one answer: the unit of capacity.
+    /// The maximum transfer rate of one answer; the unit of capacity.
     pub client_kb_per_s: f64,
-    /// The most attempts of one request.
+    /// The maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Hedged requests are allowed.
+    /// Whether hedged requests are allowed.
     pub second_copies: bool,
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub may_cancel: bool,
-    /// The longest wait that clients heed after a rejection; none: they are not told.
+    /// The maximum retry delay that clients honour after a rejection; `None`: rejections carry no
+    /// delay.
     pub longest_advice: Option<Duration>,
-    /// The slow start of caches.
+    /// Slow-start parameters of caches.
     pub cold_cache: ColdStart,
-    /// The slow start of parents.
+    /// Slow-start parameters of parents.
     pub cold_parent: ColdStart,
-    /// Attempts may still be sent so long after the notice of a drain.
+    /// How long after the notice of a drain attempts may still be sent.
     pub drain_grace: Duration,
-    /// Older copies may still be served so long after the notice of a purge.
+    /// How long after the notice of a purge older copies may still be served.
     pub purge_grace: Duration,
-    /// No older copy is left anywhere after this long.
+    /// The time after which a purge has removed every older copy.
     pub purge_done: Duration,
-    /// Parents and origin take attempts too.
+    /// Whether attempts can be sent to parents and origins directly.
     pub pass_through: bool,
-    /// A server may have a request wait for a fill of the same part.
+    /// Whether a server can let a request wait for a fill of the same part that is in progress.
     pub joins: bool,
-    /// Which caches can be named as the source of a fill.
+    /// Which caches can be the source of a fill.
     pub siblings: Siblings,
-    /// How much the answers tell of hits and fills.
+    /// Which details of hits and fills answers report.
     pub telling: Telling,
-    /// What the capacity hints in the list mean.
+    /// The meaning of the capacity hints in the endpoint list.
     pub hints: Hints,
-    /// The list comes only to those who ask, and counts as told after this long without asking.
+    /// Whether the endpoint list is delivered only on request. A list counts as received once
+    /// `ask_within` has passed without a request.
     pub list_on_request: bool,
-    /// The longest time between two requests for the list.
+    /// The maximum interval between two requests for the list.
     pub ask_within: Duration,
 }
 
-/// Whether a listed server takes requests.
+/// The administrative state of a listed server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
     #[default]
-    /// It takes requests.
+    /// The server accepts requests.
     Active,
-    /// It takes nothing new, and ends what it has.
+    /// The server accepts no new requests and completes those in progress.
     Draining,
-    /// It is no longer listed.
+    /// The server is no longer listed.
     Gone,
 }
 
-/// What a server is: a cache of a zone, a parent of all zones, the origin, or this router's own
-/// copies in memory or on disk, of which the list never tells: who has such adds them.
+/// The tier of a server. Local caches are not part of the discovered endpoint list; a front end
+/// that has them adds them as members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Tier {
     #[default]
-    /// A cache of a zone.
+    /// A cache server of one zone.
     Cache,
-    /// A parent cache of all zones.
+    /// A parent cache that serves all zones.
     Parent,
     /// The origin.
     Origin,
-    /// A local cache of this router, in memory or on disk.
+    /// A local cache of this router: its memory tier or its disk tier.
     Own,
 }
 
-/// One entry of the list of cache servers, parents and origin.
+/// An entry of the endpoint list: a cache server, parent, origin or local cache.
 #[derive(Clone, Debug, Default)]
 pub struct Member {
-    /// Its name.
+    /// The server's name.
     pub server: Id,
-    /// The zone that it is in.
+    /// The server's zone.
     pub zone: usize,
-    /// What it is.
+    /// The server's tier.
     pub tier: Tier,
-    /// The cohort that it is in.
+    /// The server's cohort.
     pub cohort: u64,
-    /// Whether it takes requests.
+    /// The server's administrative state.
     pub standing: Standing,
-    /// By the hint; of own copies: how many answers at a client's pace this router's link carries
-    /// at once.
+    /// The capacity hint. For a local cache, the number of answers that this router's link can
+    /// transfer in parallel at the clients' rate.
     pub capacity: f64,
-    /// When it last started; none: long ago.
+    /// The time of the last start; `None`: long ago.
     pub started: Option<Duration>,
-    /// The cells that it is in, in order.
+    /// The server's cells, in ascending order.
     pub cells: Rc<[u32]>,
 }
 
-/// What a list says: the entries that changed, the whole, the whole as last seen, or that a call
-/// failed.
+/// The kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The entries that changed.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list.
+    /// The complete list.
     Whole,
-    /// The whole list as it was last seen.
+    /// The complete list as it was last received, restored from storage.
     Remembered,
-    /// The list could not be had.
+    /// The request for the list failed.
     Failed,
 }
 
-/// A request as it comes in.
+/// An incoming request.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// The id of the request.
+    /// The request's identifier.
     pub id: Id,
-    /// The number of its class.
+    /// The request's class, as an index of [`Deployment::classes`].
     pub class: usize,
-    /// The number of the customer it is from.
+    /// The customer who sent it, as an index of [`Deployment::customers`].
     pub customer: usize,
-    /// The object that it asks for.
+    /// The requested object.
     pub object: Id,
-    /// The part of the object.
+    /// The requested part of the object.
     pub part: u64,
-    /// The group by which the object can be purged.
+    /// The purge group of the object.
     pub group: u64,
-    /// The size of the answer.
+    /// The size of the answer in kilobytes.
     pub kb: f64,
-    /// The cell it belongs to: only caches of that cell are asked for it; none: all are.
+    /// The request's cell, which restricts it to caches of that cell; `None`: no restriction.
     pub cell: Option<u32>,
-    /// The zone among whose caches it is drawn; none: the router's own. It keeps it for all its
-    /// attempts.
+    /// The zone whose caches serve all attempts of the request; `None`: the router's own zone.
     pub at: Option<usize>,
-    /// The client's own time.
+    /// The time left until the client's deadline.
     pub left: Duration,
-    /// The client says that it asks again.
+    /// The client marked the request as a retry.
     pub repeated: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The request was answered.
     Served,
-    /// The server answered with an error; it may have run.
+    /// The server returned an error; the request may have been executed.
     Error,
-    /// Turned away unseen, or its source refused: did not run.
+    /// The server rejected the request unprocessed, or the source refused the fill; not executed.
     Full,
-    /// No answer within its limit; it may have run.
+    /// No answer within the time limit; the request may have been executed.
     TimedOut,
-    /// No connection: did not run.
+    /// The connection could not be established; not executed.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the request may have been executed.
     Broken,
-    /// The router cancelled it; it may have run.
+    /// The router cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// It never left: did not run.
+    /// The attempt was never sent; not executed.
     NeverSent,
-    /// Nothing suitable held there: did not run.
+    /// The server holds no suitable copy; not executed.
     Missing,
 }
 
-/// What an answer tells of the copy or the fill.
+/// What an answer reports of the copy or the fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Remark {
-    /// Nothing.
+    /// The answer reports nothing.
     None,
-    /// Answered from a copy.
+    /// A cache hit.
     Hit,
-    /// Filled from the source.
+    /// A miss, filled from the source.
     Filled,
-    /// Filled from a source that fetched it from the origin.
+    /// A miss, filled from a source that fetched the part from the origin.
     FilledByOrigin,
-    /// It waited for a fill of the same part that was under way.
+    /// The request waited for a fill of the same part that was in progress.
     Joined,
-    /// Answered from a copy past its fresh time.
+    /// A hit on a stale copy.
     Stale,
     /// The source refused the fill.
     SourceRefused,
-    /// The source could not be reached.
+    /// The source was unreachable.
     SourceUnreached,
-    /// The source, asked for what it holds, does not hold it.
+    /// The source was asked for a held copy only, and has none.
     SourceLacks,
     /// The server had no capacity for another fill.
     NoFillPlace,
@@ -325,90 +326,93 @@
     OriginFailed,
 }
 
-/// A load report; what is not told is none.
+/// A load report; values that the server does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests in service.
+    /// The number of requests in service.
     pub in_hand: Option<f64>,
-    /// Requests in its queue.
+    /// The number of queued requests.
     pub queued: Option<f64>,
-    /// How busy it is.
+    /// The server's utilization.
     pub busy: Option<f64>,
-    /// The share of hits lately.
+    /// The recent hit ratio.
     pub hit_share: Option<f64>,
-    /// At a cache: how full its zone's link is; at a parent: fetches out.
+    /// Of a cache: the utilization of its zone's link. Of a parent: the number of fetches in
+    /// flight.
     pub link: Option<f64>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// Whether it was answered, and else what went wrong.
+    /// The outcome, which tells an answer from the kinds of failure.
     pub outcome: Outcome,
-    /// What the answer tells of the copy or the fill.
+    /// What the answer reports of the copy or the fill.
     pub remark: Remark,
-    /// How long it took.
+    /// The duration of the attempt.
     pub took: Duration,
-    /// Time to the source's first byte, or to its failure, where told.
+    /// The time to the source's first byte, or to its failure, where reported.
     pub first_byte: Option<Duration>,
-    /// The request is over: nothing is owed for it any more.
+    /// The request is complete; the client needs no further answer.
     pub over: bool,
-    /// The load report that came with it.
+    /// The load report that came with the result.
     pub load: Load,
 }
 
-/// Orders for a miss.
+/// How a server handles a miss.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fill {
-    /// Where the server fills from; itself: it does not fill.
+    /// The server to fill from; the server itself if it must not fill.
     pub source: Id,
-    /// 0: no copy, no change; 1 to 3: the rank at which a copy is kept.
+    /// 0: the server keeps no new copy and changes none; 1 to 3: the priority at which it retains a
+    /// copy.
     pub rank: u8,
-    /// Oldest copy that will do; none: as fresh as the class wants it. Never zero.
+    /// The maximum age of an acceptable copy; `None`: the class's freshness applies. Never zero.
     pub oldest: Option<Duration>,
-    /// It may wait for a fill of the same part that is under way.
+    /// The request may wait for a fill of the same part that is in progress.
     pub join: bool,
-    /// The source gives only what it holds.
+    /// The source answers only from copies that it holds.
     pub only_held: bool,
-    /// A parent that fetches the part keeps a copy.
+    /// A parent that fetches the part retains a copy.
     pub parent_keeps: bool,
-    /// A copy past its fresh time is served, and renewed behind.
+    /// A stale copy is served, and revalidated in the background.
     pub renew: bool,
 }
 
-/// An own copy of what a request asks for.
+/// A local copy of the requested part.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// Which member of tier `Own` has it.
+    /// The member of tier [`Tier::Own`] that has the copy.
     pub place: Id,
-    /// When the origin gave it out.
+    /// When the origin sent it.
     pub made: Duration,
-    /// The client holds the same one: it need only be told.
+    /// The client holds the same copy, so that a not-modified answer suffices.
     pub same: bool,
 }
 
-/// Through this a router acts. Each call takes effect at once, in the order made.
+/// The actions of a router. Each call takes effect at once, in call order.
 pub trait Outlet {
-    /// One attempt, for at most `limit`; with no fill, the server is asked for what it holds.
+    /// Sends an attempt, limited to the duration `limit`. Where `fill` names the server itself as
+    /// the source, the server answers only from a copy that it holds.
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
-    /// Final answer: rejected. Assures the client that trying again is safe.
+    /// Gives the final answer: rejected. Guarantees the client that a retry is safe.
     fn reject(&mut self, request: &Id, advice: Option<Duration>);
-    /// Final answer: failed. Assures nothing.
+    /// Gives the final answer: failed. Guarantees nothing.
     fn fail(&mut self, request: &Id);
-    /// Cancels an attempt, by its number in the order sent.
+    /// Cancels an attempt, identified by its number in send order.
     fn cancel(&mut self, request: &Id, attempt: usize);
-    /// Asks for a call of `wake` with this mark at or after `at`.
+    /// Schedules a call of `wake` with this mark at time `at` or later.
     fn wake_at(&mut self, at: Duration, mark: u64);
-    /// Asks for the changes of the list, where they come only to those who ask.
+    /// Subscribes to changes of the endpoint list, where it is delivered only on request.
     fn watch_list(&mut self);
-    /// The own copy of what this request asks for, none where it is not known to be free of purges
-    /// told.
+    /// The local copy for this request; `None` if there is none, or if it is not known to be
+    /// unaffected by the purges received.
     fn held(&mut self, _request: &Id) -> Option<Held> {
         None
     }
-    /// A cache was found to hold a part, by its key, or was told to keep it, which was not known
-    /// before.
+    /// Reports a newly learned location of a copy: `cache` holds the part with this key, or was
+    /// asked to keep it.
     fn found(&mut self, _part: u32, _cache: &Id) {}
-    /// What this request has just been served with is to be an own copy at this rank, from 1 to 3.
+    /// Keeps the answer just served to this request as a local copy, at this priority from 1 to 3.
     fn keep(&mut self, _request: &Id, _rank: u8) {}
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
-//! chalkhall decides, request by request, how a two-tier cache answers: which cache server, filled
-//! from where, kept or not and at which rank, and what to do when something fails.
+//! Request routing for a two-tier cache. For each request the router selects the cache server and
+//! the source that fills a miss, decides whether and at which priority the copy is retained, and
+//! handles failures.
 //!
-//! [`control::Router`] makes every decision, with one module for each concern. [`interface`] holds
-//! the plain types it is called with and [`interface::Outlet`], through which it acts. Any front
+//! [`control::Router`] makes the decisions; each concern has a module of its own. [`interface`]
+//! defines its input types and the [`interface::Outlet`] trait, through which it acts. Any front
 //! end can drive it; `crates/simulator-adapter` is one.
 //!
-//! A front end turns what the router wants into messages of its own:
+//! A front end implements [`interface::Outlet`] to turn the router's actions into messages:
 //!
 //! ```
 //! use chalkhall::interface::{Fill, Id, Outlet};
--- a/tests/oracle/world.rs
+++ b/tests/oracle/world.rs
@@ -1,7 +1,7 @@
 //! A seeded world around one router: servers that answer, fail or keep silent, clients that come
 //! and leave, lists, purges and gossip. All that the router does goes, line by line, into one hash.
 
-use chalkhall::control::{Router, part_of};
+use chalkhall::control::{Router, part_key};
 use chalkhall::interface::*;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -521,7 +521,7 @@
             }
             3 | 4 => {
                 let (object, part, _) = self.part();
-                let part = part_of(&Arrival {
+                let part = part_key(&Arrival {
                     object,
                     part,
                     ..Arrival::default()
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -18,7 +18,7 @@
 //! copies (m1 in memory, m2 on a disk), of a link that carries two answers. What they hold is set by:
 //!   own m1 object=X [part=0] [age=0] [same=0]      own gone object=X
 
-use chalkhall::control::{Router, part_of};
+use chalkhall::control::{Router, part_key};
 use chalkhall::interface::*;
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -352,7 +352,7 @@
                     part: line.number("part", 0),
                     ..Arrival::default()
                 };
-                router.told(now, part_of(&arrival), words[0].into());
+                router.told(now, part_key(&arrival), words[0].into());
             }
             "left" => router.left(now, &words[0].into(), record),
             "begun" => router.begun(&words[0].into()),
