--- a/src/adaptive_timeout.rs
+++ b/src/adaptive_timeout.rs
@@ -1,19 +1,18 @@
-//! The adaptive timeout: after how long an attempt that has not ended is looked into. It grows with
-//! each attempt that is given up, and falls back with answers.
+//! The adaptive timeout of attempts. It grows with each attempt that is given up, and decays with
+//! each answer.
 
 use crate::request::ANSWER_OVERHEAD;
 use std::time::Duration;
 
-/// The multiple of the usual time of an answer at the start, and the least.
-const LEAST_MULTIPLE: f64 = 3.0;
-/// The greatest multiple.
-const GREATEST_MULTIPLE: f64 = 100.0;
-/// What the multiple grows by with each attempt that is given up.
-const GROWTH: f64 = 1.2;
-/// What the multiple falls by with each answer.
-const DECAY: f64 = 0.99;
+/// The initial and minimum multiple of the expected answer time.
+const MIN_MULTIPLE: f64 = 3.0;
+const MAX_MULTIPLE: f64 = 100.0;
+/// The multiple is multiplied by this for each attempt that is given up.
+const GROWTH_FACTOR: f64 = 1.2;
+/// The multiple is multiplied by this for each answer.
+const DECAY_FACTOR: f64 = 0.99;
 
-/// The timeout of attempts, as a multiple of the time that an answer usually takes.
+/// The timeout of attempts, as a multiple of the expected answer time.
 #[derive(Debug)]
 pub struct AdaptiveTimeout {
     multiple: f64,
@@ -22,25 +21,25 @@
 impl Default for AdaptiveTimeout {
     fn default() -> AdaptiveTimeout {
         AdaptiveTimeout {
-            multiple: LEAST_MULTIPLE,
+            multiple: MIN_MULTIPLE,
         }
     }
 }
 
 impl AdaptiveTimeout {
-    /// The timeout of an attempt for an answer with this sending time.
+    /// The timeout of an attempt whose answer has this sending time.
     pub fn timeout(&self, sending_time: Duration) -> Duration {
         (ANSWER_OVERHEAD + sending_time).mul_f64(self.multiple)
     }
 
-    /// An attempt was given up: it might have been answered in time after all.
+    /// Records that an attempt was given up; its answer might still have come in time.
     pub fn lengthen(&mut self) {
-        self.multiple = (self.multiple * GROWTH).min(GREATEST_MULTIPLE);
+        self.multiple = (self.multiple * GROWTH_FACTOR).min(MAX_MULTIPLE);
     }
 
-    /// A request was answered.
+    /// Records that a request was answered.
     pub fn shorten(&mut self) {
-        self.multiple = (self.multiple * DECAY).max(LEAST_MULTIPLE);
+        self.multiple = (self.multiple * DECAY_FACTOR).max(MIN_MULTIPLE);
     }
 }
 
--- a/src/adaptive_timeout/tests.rs
+++ b/src/adaptive_timeout/tests.rs
@@ -1,25 +1,31 @@
 use super::*;
 
 const SENDING_TIME: Duration = Duration::from_millis(100);
-const USUAL: Duration = Duration::from_millis(200);
+const EXPECTED_TIME: Duration = Duration::from_millis(200);
 
 #[test]
-fn the_timeout_grows_with_attempts_given_up_as_far_as_its_bound() {
+fn timeout_grows_with_given_up_attempts_up_to_its_maximum() {
     let mut timeout = AdaptiveTimeout::default();
-    assert_eq!(timeout.timeout(SENDING_TIME), USUAL.mul_f64(LEAST_MULTIPLE));
+    assert_eq!(
+        timeout.timeout(SENDING_TIME),
+        EXPECTED_TIME.mul_f64(MIN_MULTIPLE)
+    );
     timeout.lengthen();
-    assert!(timeout.timeout(SENDING_TIME) > USUAL.mul_f64(LEAST_MULTIPLE));
+    assert!(timeout.timeout(SENDING_TIME) > EXPECTED_TIME.mul_f64(MIN_MULTIPLE));
     (0..1000).for_each(|_| timeout.lengthen());
     assert_eq!(
         timeout.timeout(SENDING_TIME),
-        USUAL.mul_f64(GREATEST_MULTIPLE)
+        EXPECTED_TIME.mul_f64(MAX_MULTIPLE)
     );
 }
 
 #[test]
-fn the_timeout_falls_back_with_answers() {
+fn timeout_decays_to_its_minimum_with_answers() {
     let mut timeout = AdaptiveTimeout::default();
     timeout.lengthen();
     (0..1000).for_each(|_| timeout.shorten());
-    assert_eq!(timeout.timeout(SENDING_TIME), USUAL.mul_f64(LEAST_MULTIPLE));
+    assert_eq!(
+        timeout.timeout(SENDING_TIME),
+        EXPECTED_TIME.mul_f64(MIN_MULTIPLE)
+    );
 }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,6 +1,6 @@
-//! Cache admission: which copies are worth keeping, and at which priority, from the history of
-//! accesses. A part that is asked for once is not kept; what is asked for again is ranked by its
-//! size, cost and frequency.
+//! Cache admission: decides from the access history which copies are retained, and at which
+//! priority. A part is not kept on its first access; a part that is accessed again is ranked by
+//! size, fill cost and access frequency.
 
 use crate::interface::{Arrival, Id};
 use chalkhall_stats::Recent;
@@ -9,74 +9,74 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The bound of the history, in parts.
-const HISTORY_BOUND: NonZeroUsize = NonZeroUsize::new(65536).unwrap();
-/// Repeated accesses that are needed before low values are refused; and the first accesses over
-/// which the share of hits is averaged.
+/// The capacity of the access history, in parts.
+const HISTORY_CAPACITY: NonZeroUsize = NonZeroUsize::new(65536).unwrap();
+/// The number of repeated accesses before admission rejects low-value parts; also the number of
+/// first accesses over which the hit share is averaged.
 const ACCESSES_BEFORE_ADMISSION: usize = 64;
-/// Repeated accesses that are needed before priorities are told apart.
+/// The number of repeated accesses before the score distribution determines priorities.
 const ACCESSES_BEFORE_PRIORITIES: usize = 256;
-/// How many of the last values and scores are compared with.
+/// The number of recent values and scores that an access is compared with.
 const RECENT_ACCESSES: usize = 1024;
-/// The quantile of recent values below which a copy is not worth keeping.
+/// A copy is not admitted when its value is below this quantile of recent values.
 const ADMISSION_QUANTILE: f64 = 0.25;
-/// The priority of a copy that is kept while priorities cannot be told apart yet.
-const MIDDLE_PRIORITY: u8 = 2;
+/// The priority of admitted copies until [`ACCESSES_BEFORE_PRIORITIES`] is reached.
+const DEFAULT_PRIORITY: u8 = 2;
 
-/// The key of a part: 31 bits, as routers tell one another.
+/// The key of a part: 31 bits, as routers exchange it by gossip.
 pub fn part_key(arrival: &Arrival) -> u32 {
     (xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) >> 33) as u32
 }
 
-/// Where a copy of a part was last known to be.
+/// The last known location of a copy of a part.
 #[derive(Clone, Debug)]
 pub struct CopyHolder {
-    /// The cache that last answered from a copy, or was told to keep one.
+    /// The cache that last answered from a copy, or was last asked to keep one.
     pub cache: Id,
-    /// When that was.
+    /// When that cache answered or was asked.
     pub known_at: Duration,
 }
 
-/// What is known of one part of an object.
+/// The access history of one part of an object.
 #[derive(Debug, Default)]
 pub struct PartHistory {
-    /// How many requests had come when it was last asked for.
+    /// The router's request count at the last access.
     request_count: u64,
     last_access_at: Duration,
-    /// What a fill of it costs, in milliseconds.
+    /// The cost of a fill, in milliseconds.
     pub fill_cost: Option<f64>,
     retention_priority: u8,
-    /// Its last request had no answer: the next is no second access.
+    /// The last request for the part was not answered, so that the next one counts as its retry.
     pub is_unanswered: bool,
-    /// Where a copy of it was last known to be.
+    /// The last known location of a copy.
     pub holder: Option<CopyHolder>,
 }
 
-/// How one access is valued against the recent ones.
+/// The value of one access, to be compared with recent ones.
 struct AccessValue {
-    /// The cost that a copy saves, by how often it does.
+    /// The fill cost that a copy saves, weighted by access frequency.
     value: f64,
-    /// Its size, by its value: the less, the better.
+    /// The size divided by the value; lower is better.
     score: f64,
-    /// A copy will have expired before it is asked for.
+    /// A copy is expected to expire before the next access.
     is_expired: bool,
 }
 
-/// The history of accesses, by part, and how valuable the recent ones were.
+/// The access history by part, with the values of recent accesses.
 pub struct AccessHistory {
     parts: LruCache<u32, PartHistory>,
     request_count: u64,
     scores: Recent,
     values: Recent,
-    /// The share of first accesses lately that were hits: copies that other routers of the zone
-    /// asked to keep.
+    /// The recent share of first accesses that were hits, on copies that other routers of the zone
+    /// had admitted.
     first_access_hit_share: f64,
 }
 
 impl Default for AccessHistory {
     fn default() -> AccessHistory {
         AccessHistory {
-            parts: LruCache::new(HISTORY_BOUND),
+            parts: LruCache::new(HISTORY_CAPACITY),
             request_count: 0,
             scores: Recent::new(RECENT_ACCESSES),
             values: Recent::new(RECENT_ACCESSES),
@@ -86,8 +86,9 @@
 }
 
 impl AccessHistory {
-    /// Notes an access, and gives the priority at which a copy is kept; 0: not kept. `fresh_for` is
-    /// how long a copy is fresh; with `is_shared` a first access counts as a repeated one.
+    /// Records an access and returns the priority at which a copy is retained; 0: not retained.
+    /// `fresh_for` is how long a copy stays fresh; with `is_shared`, a first access counts as a
+    /// repeated one.
     pub fn record_access(
         &mut self,
         now: Duration,
@@ -108,7 +109,8 @@
             self.parts.put(key, part);
             return retention_priority;
         };
-        // A retry would pass for a second access and admit what is asked for once only.
+        // A retry must not count as a second access: it would admit parts that are requested only
+        // once.
         if arrival.repeated || std::mem::take(&mut part.is_unanswered) {
             return part.retention_priority;
         }
@@ -126,38 +128,39 @@
         retention_priority
     }
 
-    /// The priority of a repeated access among the recent ones, which it joins.
+    /// Ranks a repeated access among the recent ones and adds it to them.
     fn prioritize(&mut self, access: &AccessValue, previous: u8) -> u8 {
         let is_admitted = self.values.len() < ACCESSES_BEFORE_ADMISSION
             || access.value >= self.values.quantile(ADMISSION_QUANTILE);
         let priority = match self.scores.len() {
-            n if n < ACCESSES_BEFORE_PRIORITIES => MIDDLE_PRIORITY,
+            n if n < ACCESSES_BEFORE_PRIORITIES => DEFAULT_PRIORITY,
             _ if access.score < self.scores.quantile(1.0 / 3.0) => 3,
             _ if access.score < self.scores.quantile(2.0 / 3.0) => 2,
             _ => 1,
         };
         self.values.note(access.value);
         self.scores.note(access.score);
-        // What expires before its next access is not admitted; a kept copy of it drops to the
-        // bottom.
+        // A copy that expires before its next access is not admitted; if it is already kept, it
+        // drops to the lowest priority.
         if access.is_expired {
             return u8::from(previous > 0);
         }
         priority * u8::from(is_admitted)
     }
 
-    /// What is known of the part that a request asks for.
+    /// The history of the requested part.
     pub fn part_mut(&mut self, arrival: &Arrival) -> Option<&mut PartHistory> {
         self.parts.peek_mut(&part_key(arrival))
     }
 
-    /// The cache where a copy of a part was last known to be.
+    /// The cache that was last known to hold a copy of a part.
     pub fn holder(&self, part: u32) -> Option<Id> {
         let holder = self.parts.peek(&part)?.holder.as_ref();
         holder.map(|holder| holder.cache.clone())
     }
 
-    /// Another router knows where a copy of a part is. That router's request counts as an access.
+    /// Records a copy location reported by another router. That router's request counts as an
+    /// access.
     pub fn record_holder(&mut self, now: Duration, part: u32, cache: Id) {
         let request_count = self.request_count;
         let part = self.parts.get_or_insert_mut(part, || PartHistory {
@@ -171,12 +174,12 @@
         });
     }
 
-    /// The share of first accesses lately that were hits.
+    /// The recent share of first accesses that were hits.
     pub fn first_access_hit_share(&self) -> f64 {
         self.first_access_hit_share
     }
 
-    /// A first access was answered.
+    /// Records the answer to a first access.
     pub fn record_first_access(&mut self, is_hit: bool) {
         let difference = f64::from(is_hit) - self.first_access_hit_share;
         self.first_access_hit_share += difference / ACCESSES_BEFORE_ADMISSION as f64;
@@ -192,7 +195,7 @@
         requests_between: u64,
     ) -> AccessValue {
         let since_access = since_access.as_secs_f64();
-        // The share of the time between two accesses after which a copy has to be renewed.
+        // The time between accesses as a fraction of the freshness lifetime, at most 1.
         let expiry = fresh_for.map_or(0.0, |fresh| (since_access / fresh.as_secs_f64()).min(1.0));
         let value = cost * (1.0 - expiry) / requests_between as f64;
         let score = if value > 0.0 {
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -17,18 +17,18 @@
     assert_eq!(history.record_access(NOW, &arrival("x"), None, false), 0);
     assert_eq!(
         history.record_access(NOW, &arrival("x"), None, false),
-        MIDDLE_PRIORITY
+        DEFAULT_PRIORITY
     );
 }
 
 #[test]
-fn a_first_access_is_kept_where_others_of_the_zone_share_the_part() {
+fn a_first_access_is_admitted_when_other_routers_share_the_part() {
     let mut history = AccessHistory::default();
     assert_eq!(history.record_access(NOW, &arrival("x"), None, true), 1);
 }
 
 #[test]
-fn a_retry_is_no_second_access() {
+fn a_retry_does_not_count_as_a_second_access() {
     let mut history = AccessHistory::default();
     history.record_access(NOW, &arrival("x"), None, false);
     let repeated = Arrival {
@@ -43,29 +43,29 @@
     assert_eq!(history.record_access(NOW, &arrival("x"), None, false), 0);
     assert_eq!(
         history.record_access(NOW, &arrival("x"), None, false),
-        MIDDLE_PRIORITY
+        DEFAULT_PRIORITY
     );
 }
 
 #[test]
-fn what_expires_before_its_next_access_is_not_admitted_and_a_kept_copy_drops() {
+fn copies_that_expire_before_the_next_access_are_not_admitted_and_kept_ones_drop_in_priority() {
     let mut history = AccessHistory::default();
     let mut access = |object, at| history.record_access(at, &arrival(object), Some(SECOND), false);
     access("x", NOW);
     assert_eq!(access("x", NOW + SECOND), 0);
     access("y", NOW);
-    assert_eq!(access("y", NOW + SECOND / 2), MIDDLE_PRIORITY);
+    assert_eq!(access("y", NOW + SECOND / 2), DEFAULT_PRIORITY);
     assert_eq!(access("y", NOW + SECOND * 2), 1);
 }
 
 #[test]
-fn what_another_router_tells_of_counts_as_an_access() {
+fn a_holder_reported_by_another_router_counts_as_an_access() {
     let mut history = AccessHistory::default();
     let part = part_key(&arrival("x"));
     history.record_holder(NOW, part, "cache-1".into());
     assert_eq!(history.holder(part), Some("cache-1".into()));
     assert_eq!(
         history.record_access(NOW, &arrival("x"), None, false),
-        MIDDLE_PRIORITY
+        DEFAULT_PRIORITY
     );
 }
--- a/src/coalescing.rs
+++ b/src/coalescing.rs
@@ -1,24 +1,24 @@
-//! Request coalescing: requests for a part that is being filled wait for that fill instead of
-//! starting their own.
+//! Request coalescing: a request for a part that is already being filled waits for that fill
+//! instead of starting another.
 
 use crate::interface::Id;
 use std::collections::HashMap;
 
-/// A fill that is under way.
+/// A fill in progress.
 #[derive(Debug)]
 struct SharedFill {
     leader: Id,
     waiters: Vec<Id>,
 }
 
-/// The fills under way that others can wait for, by the key of their part.
+/// The fills in progress, by part key.
 #[derive(Debug, Default)]
 pub struct Coalescing {
     fills: HashMap<u32, SharedFill>,
 }
 
 impl Coalescing {
-    /// A request fills a part. The first to do so is the leader until its attempt has ended.
+    /// Registers a request that fills a part. The first one is the leader until its attempt ends.
     pub fn lead(&mut self, part: u32, request: &Id) {
         self.fills.entry(part).or_insert_with(|| SharedFill {
             leader: request.clone(),
@@ -26,19 +26,20 @@
         });
     }
 
-    /// Whether a fill of this part is under way.
+    /// Whether a fill of this part is in progress.
     pub fn is_filling(&self, part: u32) -> bool {
         self.fills.contains_key(&part)
     }
 
-    /// A request waits for the fill of this part, if one is under way.
+    /// Adds a request to the waiters of this part's fill, if one is in progress.
     pub fn wait(&mut self, part: u32, request: &Id) {
         if let Some(fill) = self.fills.get_mut(&part) {
             fill.waiters.push(request.clone());
         }
     }
 
-    /// An attempt of a request has ended: those that waited for it, if it was the leader.
+    /// Completes a fill when an attempt of `request` ends. Returns the waiters if that request was
+    /// the leader.
     pub fn complete(&mut self, part: u32, request: &Id) -> Vec<Id> {
         let fill = self.fills.get(&part);
         if fill.is_none_or(|fill| fill.leader != *request) {
--- a/src/fill_limiter.rs
+++ b/src/fill_limiter.rs
@@ -1,36 +1,36 @@
-//! The fill limiter: a concurrency limit on the fills of this router (rule 4), found by additive
+//! The fill limiter: a concurrency limit on the fills of this router (rule 4), adjusted by additive
 //! increase and multiplicative decrease, and the queue of requests that wait for a slot.
 //!
-//! More fills than links and sources end in time make all of them late, and what times out has used
-//! them for nothing.
+//! More fills than links and sources complete in time make all of them late, and a fill that times
+//! out has used their capacity for nothing.
 
 use crate::interface::Id;
 use std::time::Duration;
 
-/// What the limit is multiplied by when it backs off.
-const BACKOFF: f64 = 0.8;
-/// The greatest share by which one fill that ended in time raises the limit.
-const GROWTH: f64 = 0.02;
-/// The share of late fills that makes the limit back off: at high rates some fill is always late,
-/// of a large object perhaps, and backing off for each would choke all.
-const LATE_SHARE: f64 = 0.03;
-/// The least time between two backoffs, and that after which past fills count for 1/e.
+/// The factor by which a backoff reduces the limit.
+const BACKOFF_FACTOR: f64 = 0.8;
+/// The maximum relative increase of the limit for one fill that is complete in time.
+const MAX_GROWTH: f64 = 0.02;
+/// The share of late fills above which the limit backs off. At high rates some fill is always late,
+/// for example of a large object, and a backoff for each would stop nearly all fills.
+const LATE_SHARE_THRESHOLD: f64 = 0.03;
+/// The minimum interval between two backoffs, and the time after which the weight of a past fill
+/// has decayed to 1/e.
 const BACKOFF_INTERVAL: Duration = Duration::from_millis(250);
-/// The least limit.
-const LEAST_LIMIT: f64 = 1.0;
+const MIN_LIMIT: f64 = 1.0;
 
-/// What the end of a fill says of the load that links and sources bear.
+/// What the result of a fill tells of the load on links and sources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillResult {
-    /// It was complete in time.
+    /// The fill was complete in time.
     InTime,
-    /// It was late, or failed under load.
+    /// The fill was late, or failed under load.
     Late,
-    /// Nothing: its end had another cause.
+    /// The result has a cause other than load.
     Unrelated,
 }
 
-/// How many fills ended lately, and how many of them late; both fade with time.
+/// The exponentially decaying counts of recent fills and of late ones among them.
 #[derive(Debug, Default)]
 struct LateFillWindow {
     updated_at: Duration,
@@ -41,14 +41,14 @@
 impl LateFillWindow {
     fn record(&mut self, now: Duration, is_late: bool) {
         let elapsed = now.saturating_sub(self.updated_at);
-        let fading = (-elapsed.div_duration_f64(BACKOFF_INTERVAL)).exp();
-        self.ended = self.ended * fading + 1.0;
-        self.late = self.late * fading + f64::from(is_late);
+        let decay = (-elapsed.div_duration_f64(BACKOFF_INTERVAL)).exp();
+        self.ended = self.ended * decay + 1.0;
+        self.late = self.late * decay + f64::from(is_late);
         self.updated_at = now;
     }
 
-    fn has_many_late(&self) -> bool {
-        self.late > LATE_SHARE * self.ended
+    fn exceeds_late_share(&self) -> bool {
+        self.late > LATE_SHARE_THRESHOLD * self.ended
     }
 }
 
@@ -56,7 +56,8 @@
 #[derive(Debug)]
 pub struct FillLimiter {
     in_flight: f64,
-    /// Infinite until a fill was late: until then nothing says what links and sources bear.
+    /// Infinite until the first late fill; before that the capacity of links and sources is
+    /// unknown.
     limit: f64,
     last_backoff_at: Duration,
     recent: LateFillWindow,
@@ -76,23 +77,22 @@
 }
 
 impl FillLimiter {
-    /// Whether another fill may start.
     pub fn has_free_slot(&self) -> bool {
         self.in_flight < self.limit
     }
 
-    /// A fill takes a slot.
+    /// Occupies a slot for a fill.
     pub fn acquire(&mut self) {
         self.in_flight += 1.0;
     }
 
-    /// A fill gives its slot back.
+    /// Frees the slot of a fill.
     pub fn release(&mut self) {
         self.in_flight -= 1.0;
     }
 
-    /// A fill ended, and the limit follows. `fair_share` gives this router's share of what the
-    /// caches of its zone are listed with.
+    /// Adjusts the limit to the result of a fill. `fair_share` returns this router's share of the
+    /// listed capacity of its zone's caches.
     pub fn record_result(
         &mut self,
         now: Duration,
@@ -100,38 +100,38 @@
         fair_share: impl FnOnce() -> f64,
     ) {
         if result == FillResult::InTime && self.in_flight + 1.0 >= self.limit / 2.0 {
-            self.limit += (GROWTH * self.limit).min(1.0 / self.limit);
+            self.limit += (MAX_GROWTH * self.limit).min(1.0 / self.limit);
         }
         let is_late = result == FillResult::Late;
         self.recent.record(now, is_late);
         let may_back_off = now >= self.last_backoff_at + BACKOFF_INTERVAL;
-        if is_late && may_back_off && self.recent.has_many_late() {
+        if is_late && may_back_off && self.recent.exceeds_late_share() {
             self.back_off(now, fair_share);
         }
     }
 
     fn back_off(&mut self, now: Duration, fair_share: impl FnOnce() -> f64) {
-        // A late fill with few in flight is no sign that links and sources bear so few: less than
-        // the fair share it is not.
+        // A late fill with few others in flight does not show that the capacity is that low: the
+        // limit starts at the fair share or above.
         if self.limit.is_infinite() {
             self.limit = fair_share().max(self.in_flight + 1.0);
         }
-        self.limit = (self.limit * BACKOFF).max(LEAST_LIMIT);
+        self.limit = (self.limit * BACKOFF_FACTOR).max(MIN_LIMIT);
         self.last_backoff_at = now;
     }
 
-    /// A request waits for a slot.
+    /// Adds a request to the queue for a slot.
     pub fn enqueue(&mut self, request: &Id) {
         self.queue.push(request.clone());
     }
 
-    /// Whether a request waits for a slot.
+    /// Whether a request is queued for a slot.
     pub fn is_queued(&self, request: &Id) -> bool {
         self.queue.contains(request)
     }
 
-    /// Takes the request of the greatest value for its work out of the queue, if a slot is free.
-    /// `value` tells that value, and nothing for a request that is over, which is dropped.
+    /// Removes the request with the highest value per unit of work from the queue, if a slot is
+    /// free. `value` returns that value, or `None` for a finished request, which is dropped.
     pub fn dequeue(&mut self, value: impl Fn(&Id) -> Option<f64>) -> Option<Id> {
         if !self.has_free_slot() || self.queue.is_empty() {
             return None;
--- a/src/fill_limiter/tests.rs
+++ b/src/fill_limiter/tests.rs
@@ -9,25 +9,25 @@
 }
 
 #[test]
-fn nothing_is_limited_until_a_fill_is_late() {
+fn fills_are_unlimited_until_one_is_late() {
     let mut limiter = limiter(1000);
     limiter.record_result(NOW, FillResult::InTime, || 8.0);
     limiter.record_result(NOW, FillResult::Unrelated, || 8.0);
     assert!(limiter.has_free_slot());
     limiter.record_result(NOW, FillResult::Late, || 8.0);
     assert!(!limiter.has_free_slot());
-    assert_eq!(limiter.limit, 1001.0 * BACKOFF);
+    assert_eq!(limiter.limit, 1001.0 * BACKOFF_FACTOR);
 }
 
 #[test]
-fn the_first_limit_is_no_less_than_the_fair_share() {
+fn the_initial_limit_is_at_least_the_fair_share() {
     let mut limiter = limiter(1);
     limiter.record_result(NOW, FillResult::Late, || 100.0);
-    assert_eq!(limiter.limit, 100.0 * BACKOFF);
+    assert_eq!(limiter.limit, 100.0 * BACKOFF_FACTOR);
 }
 
 #[test]
-fn the_limit_backs_off_once_in_an_interval_and_not_below_one() {
+fn the_limit_backs_off_once_per_interval_and_not_below_one() {
     let mut limiter = limiter(10);
     limiter.record_result(NOW, FillResult::Late, || 0.0);
     let first = limiter.limit;
@@ -36,11 +36,11 @@
     for n in 1..100 {
         limiter.record_result(NOW + BACKOFF_INTERVAL * n, FillResult::Late, || 0.0);
     }
-    assert_eq!(limiter.limit, LEAST_LIMIT);
+    assert_eq!(limiter.limit, MIN_LIMIT);
 }
 
 #[test]
-fn few_late_fills_of_many_leave_the_limit() {
+fn a_small_share_of_late_fills_does_not_reduce_the_limit() {
     let mut limiter = limiter(10);
     for _ in 0..100 {
         limiter.record_result(NOW, FillResult::InTime, || 0.0);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_most_valuable_request_goes_first_and_one_that_is_over_never() {
+fn the_most_valuable_request_is_dequeued_first_and_finished_ones_are_dropped() {
     let mut limiter = limiter(0);
     for request in ["low", "over", "high"] {
         limiter.enqueue(&request.into());
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn nothing_leaves_the_queue_while_no_slot_is_free() {
+fn requests_stay_queued_while_no_slot_is_free() {
     let mut limiter = limiter(10);
     limiter.record_result(NOW, FillResult::Late, || 0.0);
     limiter.enqueue(&"waiting".into());
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,20 +1,21 @@
-//! Timers: what is to be done when the front end calls back, as data.
+//! Timers: the callbacks that run when the front end calls `wake`, represented as data.
 
 use crate::interface::Id;
 use std::collections::HashMap;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TimerCallback {
-    /// The endpoint list could not be had: it is asked for again.
+    /// Request the endpoint list again after a failure.
     ReconnectList,
-    /// A request has reached its hard deadline.
+    /// Finish a request at its hard deadline.
     RequestDeadline(Id),
-    /// A request goes on that waited for another's fill.
+    /// Resume a request that waited for another request's fill.
     ResumeRequest(Id),
-    /// A request that waits for a slot among the fills can no longer be in time.
+    /// Finish a request that has waited for a fill slot until a fill could no longer meet its
+    /// deadlines.
     FillQueueTimeout(Id),
-    /// An attempt has not ended within its timeout.
+    /// Check an attempt that has not ended within its timeout.
     AttemptTimeout {
         /// The request.
         request: Id,
@@ -23,7 +24,7 @@
     },
 }
 
-/// The timers that are set, by their ids.
+/// The pending timers, by id.
 #[derive(Debug, Default)]
 pub struct Timers {
     callbacks: HashMap<u64, TimerCallback>,
@@ -31,14 +32,14 @@
 }
 
 impl Timers {
-    /// Sets a timer; gives its id.
+    /// Sets a timer and returns its id.
     pub fn set(&mut self, callback: TimerCallback) -> u64 {
         self.last_id += 1;
         self.callbacks.insert(self.last_id, callback);
         self.last_id
     }
 
-    /// A timer has fired: what it was for, the first time only.
+    /// Removes the callback of a timer that has fired; `None` if it has fired before.
     pub fn fire(&mut self, id: u64) -> Option<TimerCallback> {
         self.callbacks.remove(&id)
     }
