--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -1,8 +1,8 @@
-//! The endpoint list: the servers that the list tells of, what is known of each, and what is
-//! derived from all.
+//! The endpoint list: the listed servers, the state that this router keeps for each, and the
+//! indexes derived from them.
 //!
-//! A change of the list costs as much as the members that it names: what is derived is updated in
-//! place.
+//! The cost of a list change is proportional to the number of members that it names: indexes are
+//! updated in place.
 
 use crate::interface::{Id, Member, Standing, Tier};
 use crate::outlier::OutlierDetector;
@@ -11,35 +11,35 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-const TIERS: usize = 4;
-/// The share of fills in time follows this many of the last ones.
-const ON_TIME_SHARE_OVER: f64 = 16.0;
+const TIER_COUNT: usize = 4;
+/// The number of recent fills over which the on-time share is averaged.
+const ON_TIME_SHARE_SAMPLES: f64 = 16.0;
 
-/// One listed server, and what this router knows of it.
+/// A listed server, with the state that this router keeps for it.
 #[derive(Debug, Default)]
 pub struct Endpoint {
-    /// As it is listed.
+    /// The list entry.
     pub member: Member,
-    /// The work that was sent to it lately.
+    /// The work recently sent to the server.
     pub sent_work: Window,
-    /// What attempts in flight ask it for.
+    /// The total answer size of attempts in flight.
     pub in_flight_kb: f64,
-    /// How many attempts are in flight.
+    /// The number of attempts in flight.
     pub in_flight: u32,
-    /// Whether it is ejected.
+    /// The outlier detection state.
     pub outliers: OutlierDetector,
-    /// It is selected by its capacity times e to the power of this.
+    /// The selection weight is the capacity times e to the power of this.
     weight_adjustment: f64,
-    /// The share of its fills that were in time.
+    /// The recent share of fills that were complete in time.
     on_time_fill_share: f64,
-    /// When it last answered.
     pub last_answer_at: Duration,
-    /// All that a connection carried breaks with it: until then that is one failure.
+    /// Broken connections count as a single failure until this time, as one break ends every
+    /// attempt on the connection.
     pub broken_until: Duration,
 }
 
 impl Endpoint {
-    /// Whether it accepts anything new.
+    /// Whether the server accepts new requests.
     #[inline]
     pub fn is_active(&self) -> bool {
         self.member.standing == Standing::Active
@@ -51,17 +51,17 @@
     }
 }
 
-/// What is known of all servers of a tier together.
+/// The aggregated health of a tier.
 #[derive(Debug, Default)]
 struct TierHealth {
     ejected: usize,
-    /// The greatest share of fills in time that one of them has; none: not known since it may have
-    /// fallen.
+    /// The highest on-time share of a server of the tier; `None` when it has to be recomputed
+    /// because the maximum may have fallen.
     best_on_time_share: Option<f64>,
 }
 
-/// Which servers are selected from for the same parts: the caches of a zone, or of a cell in it;
-/// all parents; the origins.
+/// Identifies a pool, the set of servers that compete for the same parts: the caches of a zone, or
+/// of a cell in it; all parents; the origins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PoolKey {
     tier: Tier,
@@ -70,7 +70,8 @@
 }
 
 impl PoolKey {
-    /// The pool of a tier for a request of this zone and cell. Parents and origins are everybody's.
+    /// The pool of a tier for a request of this zone and cell. Parents and origins are shared by
+    /// all zones and cells.
     pub fn new(tier: Tier, zone: usize, cell: Option<u32>) -> PoolKey {
         match tier {
             Tier::Cache => PoolKey { tier, zone, cell },
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The pools that a member may be in: of its tier, and of each of its cells.
+    /// The pools to which a member may belong: that of its tier, and one for each of its cells.
     fn of(member: &Member) -> impl Iterator<Item = PoolKey> {
         let (tier, zone) = (member.tier, member.zone);
         let cells = match tier {
@@ -102,25 +103,25 @@
     }
 }
 
-/// All listed servers, with what is derived from them.
+/// All listed servers, with the indexes derived from them.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     endpoints: NameMap<Endpoint>,
-    /// Built when a request needs them.
+    /// Built on first use.
     pools: HashMap<PoolKey, Pool>,
     origins: BTreeSet<usize>,
     local_caches: BTreeSet<usize>,
     local_capacity: f64,
-    health: [TierHealth; TIERS],
-    /// How many servers came by in walks over all of them.
+    health: [TierHealth; TIER_COUNT],
+    /// The number of servers visited by iterations over the whole list.
     #[cfg(test)]
-    pub walked: std::cell::Cell<usize>,
+    pub visited: std::cell::Cell<usize>,
 }
 
 impl EndpointList {
-    /// The list as a whole. Local caches, of which no list tells, stay.
+    /// Replaces the whole list. Local caches stay, as no list contains them.
     pub fn replace(&mut self, members: &[Member]) {
-        // Almost all of them change: pools are built again when a request needs them.
+        // Nearly all pools change, so they are rebuilt on first use.
         self.pools.clear();
         let endpoints = self.endpoints.values_mut();
         for endpoint in endpoints.filter(|e| e.member.tier != Tier::Own) {
@@ -131,11 +132,11 @@
         }
         self.endpoints
             .retain(|endpoint| endpoint.member.standing != Standing::Gone);
-        self.derive_from_all();
+        self.rebuild_indexes();
         self.update_local_capacity();
     }
 
-    /// The entries that changed.
+    /// Applies changed entries.
     pub fn change(&mut self, members: &[Member]) {
         for member in members {
             self.update_member(member);
@@ -146,28 +147,27 @@
         self.update_local_capacity();
     }
 
-    /// One member as it is listed now, and what is derived from it. A server that was restarted
-    /// begins with a clean record.
+    /// Updates a member and its index entries. The health state of a restarted server is reset.
     fn update_member(&mut self, member: &Member) {
-        self.forget_derived(&member.server, member);
+        self.remove_from_indexes(&member.server, member);
         let endpoint = self.endpoints.get_or_default(&member.server);
         if endpoint.member.started != member.started {
             endpoint.outliers = OutlierDetector::default();
         }
         endpoint.member = member.clone();
-        self.derive_from(&member.server);
+        self.add_to_indexes(&member.server);
     }
 
     fn remove_if_gone(&mut self, member: &Member) {
         let listed = self.endpoints.get(&member.server);
         if listed.is_some_and(|endpoint| endpoint.member.standing == Standing::Gone) {
-            self.forget_derived(&member.server, member);
+            self.remove_from_indexes(&member.server, member);
             self.endpoints.remove(&member.server);
         }
     }
 
-    /// Takes out what is derived from a member, as far as it does not hold for what it is to be.
-    fn forget_derived(&mut self, name: &Id, next: &Member) {
+    /// Removes a member from the indexes that its new entry does not belong to.
+    fn remove_from_indexes(&mut self, name: &Id, next: &Member) {
         let slot = self.endpoints.slot(name);
         let (Some(slot), Some(endpoint)) = (slot, self.endpoints.get(name)) else {
             return;
@@ -188,7 +188,7 @@
         let health = &mut self.health[member.tier as usize];
         let ejected = usize::from(endpoint.outliers.is_ejected());
         health.ejected = health.ejected.saturating_sub(ejected);
-        // Only who was the best can have been what the best is known from.
+        // The tier's maximum can only fall if this member had it.
         if member.tier != next.tier || next.standing == Standing::Gone {
             let share = endpoint.on_time_fill_share;
             let best = health.best_on_time_share;
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Adds what is derived from a member, where it is not there yet.
-    fn derive_from(&mut self, name: &Id) {
+    /// Adds a member to the indexes where it is missing.
+    fn add_to_indexes(&mut self, name: &Id) {
         let slot = self.endpoints.slot(name);
         let (Some(slot), Some(endpoint)) = (slot, self.endpoints.get(name)) else {
             return;
@@ -222,98 +222,97 @@
         }
     }
 
-    /// All that is derived from the list but the pools.
-    fn derive_from_all(&mut self) {
+    /// Rebuilds every index except the pools.
+    fn rebuild_indexes(&mut self) {
         self.origins.clear();
         self.local_caches.clear();
         self.health = Default::default();
         let names: Vec<Id> = self.members().map(|m| m.server.clone()).collect();
-        names.iter().for_each(|name| self.derive_from(name));
+        names.iter().for_each(|name| self.add_to_indexes(name));
     }
 
-    /// The greatest of the local caches counts.
+    /// The local capacity is that of the largest local cache.
     fn update_local_capacity(&mut self) {
         let slots = self.local_caches.iter();
         let local = slots.filter_map(|slot| self.endpoints.at(*slot));
         self.local_capacity = local.map(|e| e.member.capacity).fold(0.0, f64::max);
     }
 
-    /// All servers, in the order of their names: what a single change or request must not go
-    /// through.
+    /// All servers, in name order. Must not be used for a single change or request, whose cost must
+    /// not depend on the size of the list.
     fn all(&self) -> impl Iterator<Item = (usize, &Endpoint)> {
         self.endpoints.iter().inspect(|_| {
             #[cfg(test)]
-            self.walked.set(self.walked.get() + 1);
+            self.visited.set(self.visited.get() + 1);
         })
     }
 
-    /// All members, in the order of their names.
+    /// All members, in name order.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.all().map(|(_, endpoint)| &endpoint.member)
     }
 
-    /// The caches of a zone, in the order of their names.
+    /// The caches of a zone, in name order.
     pub fn caches_of(&self, zone: usize) -> impl Iterator<Item = &Member> {
         self.members()
             .filter(move |m| m.tier == Tier::Cache && m.zone == zone)
     }
 
-    /// A server by its name.
+    /// Returns a server by name.
     pub fn get(&self, server: &str) -> Option<&Endpoint> {
         self.endpoints.get(server)
     }
 
-    /// A server by its name, to note what happens to it. Its outcomes go through
+    /// Returns a server by name for updates. Outcomes are recorded by
     /// [`EndpointList::record_outcome`].
     pub fn get_mut(&mut self, server: &str) -> Option<&mut Endpoint> {
         self.endpoints.get_mut(server)
     }
 
-    /// The server in the slot of a candidate.
+    /// Returns the server in the slot of a candidate.
     #[inline]
     pub fn at(&self, slot: usize) -> Option<&Endpoint> {
         self.endpoints.at(slot)
     }
 
-    /// The origins.
     pub fn origins(&self) -> impl Iterator<Item = &Endpoint> {
         let slots = self.origins.iter();
         slots.filter_map(|slot| self.endpoints.at(*slot))
     }
 
-    /// Whether there are origins, and all of them are ejected.
+    /// Whether there are origins and all of them are ejected.
     pub fn are_origins_failing(&self, now: Duration) -> bool {
         let mut origins = self.origins().peekable();
         origins.peek().is_some() && origins.all(|e| !e.outliers.is_available(now))
     }
 
-    /// How many answers at a client's pace this router's link carries at once; 0: there is no local
-    /// cache.
+    /// The number of answers at the clients' rate that this router's link transfers in parallel; 0
+    /// if there is no local cache.
     pub fn local_capacity(&self) -> f64 {
         self.local_capacity
     }
 
-    /// A server is to be selected that much more or less.
+    /// Sets the adjustment of a server's selection weight.
     pub fn adjust_weight(&mut self, server: &Id, adjustment: f64) {
         let endpoint = self.endpoints.get_mut(server);
         let Some(endpoint) = endpoint.filter(|e| e.weight_adjustment != adjustment) else {
             return;
         };
         endpoint.weight_adjustment = adjustment;
-        // All weights change together, once a period: in place each would have its group added up
-        // again.
+        // All weights change at once, at regular intervals. Updating each in place would recompute
+        // the weight sum of its group for every change.
         for key in PoolKey::of(&endpoint.member) {
             self.pools.remove(&key);
         }
     }
 
-    /// Builds a pool, unless it is there.
+    /// Builds a pool, unless it exists.
     pub fn ensure_pool(&mut self, key: PoolKey) {
         if self.pools.contains_key(&key) {
             return;
         }
         let pool = self.build_pool(key);
-        // Requests may name zones and cells that nobody is in: those are not kept.
+        // Empty pools are not stored, as requests may name zones and cells without servers.
         if !pool.is_empty() {
             self.pools.insert(key, pool);
         }
@@ -325,12 +324,12 @@
         Pool::new(listed.map(|(slot, e)| e.candidate(slot)).collect())
     }
 
-    /// A pool, if it was built and is not empty.
+    /// Returns a pool, if it has been built and is not empty.
     pub fn pool(&self, key: PoolKey) -> Option<&Pool> {
         self.pools.get(&key)
     }
 
-    /// One outcome of a server, of a weight from 0 to 1.
+    /// Records an outcome of a server, with a weight from 0 to 1.
     pub fn record_outcome(&mut self, server: &Id, now: Duration, failed: bool, weight: f64) {
         let Some(endpoint) = self.endpoints.get_mut(server) else {
             return;
@@ -345,20 +344,20 @@
         }
     }
 
-    /// A fill of a server, or from it, was complete: its share of fills in time follows.
+    /// Records a complete fill by a server or from it, which updates its on-time share.
     pub fn record_fill(&mut self, server: &Id, is_late: bool) {
         let Some(endpoint) = self.endpoints.get_mut(server) else {
             return;
         };
         let best = &mut self.health[endpoint.member.tier as usize].best_on_time_share;
         let previous = endpoint.on_time_fill_share;
-        endpoint.on_time_fill_share += (f64::from(!is_late) - previous) / ON_TIME_SHARE_OVER;
+        endpoint.on_time_fill_share += (f64::from(!is_late) - previous) / ON_TIME_SHARE_SAMPLES;
         *best = best
             .map(|best| best.max(endpoint.on_time_fill_share))
             .filter(|best| !is_late || previous < *best);
     }
 
-    /// The greatest share of fills in time of a tier's servers.
+    /// The highest on-time share among the servers of a tier.
     pub fn best_on_time_share(&mut self, tier: Tier) -> f64 {
         if let Some(best) = self.health[tier as usize].best_on_time_share {
             return best;
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -1,12 +1,12 @@
-//! What is derived from the list, kept up to date through changes, against the same derived from
-//! all servers.
+//! The indexes of the endpoint list, updated in place by changes, against indexes rebuilt from all
+//! servers.
 
 use super::*;
 
 const NOW: Duration = Duration::from_secs(1000);
-const ALL_TIERS: [Tier; TIERS] = [Tier::Cache, Tier::Parent, Tier::Origin, Tier::Own];
+const ALL_TIERS: [Tier; TIER_COUNT] = [Tier::Cache, Tier::Parent, Tier::Origin, Tier::Own];
 
-/// Totals of each tier agree with what its servers say.
+/// Asserts that the totals of each tier match the state of its servers.
 fn assert_tier_totals(list: &mut EndpointList) {
     for tier in ALL_TIERS {
         let of_tier = || list.endpoints.values().filter(|e| e.member.tier == tier);
@@ -59,9 +59,9 @@
     let number = random.usize(..600);
     Member {
         server: format!("server-{number}").into(),
-        // Some servers are listed in another tier than before.
+        // Some servers change their tier.
         tier: if random.u8(..8) == 0 {
-            ALL_TIERS[random.usize(..TIERS)]
+            ALL_TIERS[random.usize(..TIER_COUNT)]
         } else {
             Tier::Cache
         },
@@ -74,7 +74,7 @@
     }
 }
 
-/// Pools that are kept are the same as built anew; some more are built.
+/// Asserts that stored pools equal rebuilt ones, and builds some that are missing.
 fn assert_pools(list: &mut EndpointList, random: &mut fastrand::Rng) {
     for cell in [None, Some(0), Some(1), Some(2)] {
         for zone in [0, 1] {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_is_derived_is_the_same_after_changes_as_from_the_whole_list() {
+fn indexes_after_changes_equal_those_built_from_the_whole_list() {
     let mut list = EndpointList::default();
     let mut random = fastrand::Rng::with_seed(11);
     let mut most_listed = 0;
@@ -100,7 +100,7 @@
         if let Some(name) = random.choice(&names) {
             list.record_outcome(name, NOW, random.bool(), 1.0);
             list.record_fill(name, random.bool());
-            list.best_on_time_share(ALL_TIERS[random.usize(..TIERS)]);
+            list.best_on_time_share(ALL_TIERS[random.usize(..TIER_COUNT)]);
         }
         let count = random.usize(1..3);
         let members: Vec<Member> = (0..count).map(|_| random_member(&mut random)).collect();
@@ -111,7 +111,7 @@
         let kept = (list.origins.clone(), list.local_caches.clone());
         let capacity = list.local_capacity;
         let health = std::mem::take(&mut list.health);
-        list.derive_from_all();
+        list.rebuild_indexes();
         list.update_local_capacity();
         list.health = health;
         assert_eq!(kept, (list.origins.clone(), list.local_caches.clone()));
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -1,17 +1,17 @@
-//! How much of a fleet a request looks at, counted.
+//! Bounds on the number of servers that one request considers in large deployments.
 
 use super::*;
-use crate::selection::CONSIDERED_AT_MOST;
+use crate::selection::CANDIDATE_LIMIT;
 
-/// What a selection in one tier may look at: as many as a pool that is drawn in one step has, and
-/// the group in which that many are reached.
-const LOOKED_AT: usize = 2 * CONSIDERED_AT_MOST;
+/// The maximum number of servers that a selection in one tier considers: the size of the largest
+/// pool selected in one step, and the group in which that number is reached.
+const CONSIDERED_LIMIT: usize = 2 * CANDIDATE_LIMIT;
 const NOW: Duration = Duration::from_secs(1000);
 
 #[derive(Default)]
-struct Orders(Vec<(Id, Id)>);
+struct RecordedAttempts(Vec<(Id, Id)>);
 
-impl Outlet for Orders {
+impl Outlet for RecordedAttempts {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         self.0.push((request.clone(), server.clone()));
     }
@@ -51,8 +51,8 @@
     }
 }
 
-fn router(caches: usize, started: Option<Duration>, orders: &mut Orders) -> Router {
-    let mut router = Router::start(Duration::from_secs(1), &deployment(), orders);
+fn router(caches: usize, started: Option<Duration>, recorded: &mut RecordedAttempts) -> Router {
+    let mut router = Router::start(Duration::from_secs(1), &deployment(), recorded);
     let cache = |n| Member {
         server: format!("cache-{n}").into(),
         capacity: 8.0,
@@ -71,15 +71,15 @@
         ..parent.clone()
     };
     let members: Vec<Member> = (0..caches).map(cache).chain([parent, origin]).collect();
-    router.list(NOW, ListKind::Whole, &members, orders);
+    router.list(NOW, ListKind::Whole, &members, recorded);
     router
 }
 
-/// Requests that all end so; how many servers one of them looked at, at most, and how many attempts
-/// it made.
+/// Plays requests whose attempts all end with this result. Returns the highest number of servers
+/// that one request considered, and of attempts that it made.
 fn play(
     router: &mut Router,
-    orders: &mut Orders,
+    recorded: &mut RecordedAttempts,
     requests: usize,
     outcome: Outcome,
     remark: Remark,
@@ -94,7 +94,7 @@
         over,
         load,
     };
-    let mut most = [0, 0];
+    let mut highest = [0, 0];
     for n in 0..requests {
         router.considered.set(0);
         let id: Id = format!("request-{n}").into();
@@ -109,45 +109,54 @@
                 left,
                 ..Arrival::default()
             },
-            orders,
+            recorded,
         );
         let mut attempts = 0;
-        while let Some((request, _)) = orders.0.pop() {
-            router.result(NOW, &request, attempts, &ended, orders);
+        while let Some((request, _)) = recorded.0.pop() {
+            router.result(NOW, &request, attempts, &ended, recorded);
             attempts += 1;
         }
-        most = [most[0].max(router.considered.get()), most[1].max(attempts)];
+        highest = [
+            highest[0].max(router.considered.get()),
+            highest[1].max(attempts),
+        ];
     }
-    most
+    highest
 }
 
 #[test]
-fn a_request_looks_at_no_more_of_3200_caches_than_of_200() {
-    let looked = |caches| {
-        let mut orders = Orders::default();
-        let mut router = router(caches, None, &mut orders);
-        play(&mut router, &mut orders, 500, Outcome::Served, Remark::Hit)[0]
+fn a_request_considers_no_more_of_3200_caches_than_of_200() {
+    let considered = |caches| {
+        let mut recorded = RecordedAttempts::default();
+        let mut router = router(caches, None, &mut recorded);
+        play(
+            &mut router,
+            &mut recorded,
+            500,
+            Outcome::Served,
+            Remark::Hit,
+        )[0]
     };
-    let (few, many) = (looked(200), looked(3200));
+    let (few, many) = (considered(200), considered(3200));
     assert!(many <= few, "{many} of 3,200, {few} of 200");
 }
 
 #[test]
-fn an_attempt_looks_at_a_bounded_number_of_3200_caches_when_all_refuse() {
-    let mut orders = Orders::default();
-    let mut router = router(3200, None, &mut orders);
-    let [looked, attempts] = play(&mut router, &mut orders, 500, Outcome::Full, Remark::None);
+fn an_attempt_considers_a_bounded_number_of_3200_caches_when_all_refuse() {
+    let mut recorded = RecordedAttempts::default();
+    let mut router = router(3200, None, &mut recorded);
+    let [considered, attempts] = play(&mut router, &mut recorded, 500, Outcome::Full, Remark::None);
     assert!(attempts > 1);
     assert!(
-        looked <= attempts * LOOKED_AT,
-        "{looked} in {attempts} attempts"
+        considered <= attempts * CONSIDERED_LIMIT,
+        "{considered} in {attempts} attempts"
     );
 }
 
 #[test]
-fn a_request_looks_at_a_bounded_number_of_3200_caches_when_all_are_ejected() {
-    let mut orders = Orders::default();
-    let mut router = router(3200, None, &mut orders);
+fn a_request_considers_a_bounded_number_of_3200_caches_when_all_are_ejected() {
+    let mut recorded = RecordedAttempts::default();
+    let mut router = router(3200, None, &mut recorded);
     let caches: Vec<Id> = router.caches().map(|m| m.server.clone()).collect();
     for cache in &caches {
         (0..3).for_each(|_| router.endpoints.record_outcome(cache, NOW, true, 1.0));
@@ -157,30 +166,39 @@
         endpoint.is_some_and(|endpoint| endpoint.outliers.is_ejected())
     };
     assert!(caches.iter().all(is_ejected));
-    let [looked, attempts] = play(&mut router, &mut orders, 500, Outcome::Served, Remark::Hit);
-    assert_eq!(
-        attempts, 1,
-        "what is ejected is used where nothing else is left"
+    let [considered, attempts] = play(
+        &mut router,
+        &mut recorded,
+        500,
+        Outcome::Served,
+        Remark::Hit,
     );
-    // Once for healthy ones, once for any.
-    assert!(looked <= 2 * LOOKED_AT, "{looked}");
+    assert_eq!(attempts, 1, "ejected servers are used if no other is left");
+    // One selection among available servers, and one among all.
+    assert!(considered <= 2 * CONSIDERED_LIMIT, "{considered}");
 }
 
 #[test]
-fn a_request_looks_at_a_bounded_number_of_3200_caches_when_all_are_cold() {
-    let mut orders = Orders::default();
-    let mut router = router(3200, Some(NOW), &mut orders);
-    let [looked, attempts] = play(&mut router, &mut orders, 5000, Outcome::Served, Remark::Hit);
+fn a_request_considers_a_bounded_number_of_3200_caches_when_all_are_cold() {
+    let mut recorded = RecordedAttempts::default();
+    let mut router = router(3200, Some(NOW), &mut recorded);
+    let [considered, attempts] = play(
+        &mut router,
+        &mut recorded,
+        5000,
+        Outcome::Served,
+        Remark::Hit,
+    );
     assert_eq!(attempts, 1);
-    assert!(looked <= 2 * LOOKED_AT, "{looked}");
+    assert!(considered <= 2 * CONSIDERED_LIMIT, "{considered}");
 }
 
-/// How many servers a change of one member and the next request look at, at most.
-fn looked_at_after_a_change(caches: usize, change: impl Fn(&mut Member)) -> usize {
-    let mut orders = Orders::default();
-    let mut router = router(caches, None, &mut orders);
-    play(&mut router, &mut orders, 10, Outcome::Served, Remark::Hit);
-    let mut most = 0;
+/// The highest number of servers that a change of one member and the next request visit together.
+fn considered_after_change(caches: usize, change: impl Fn(&mut Member)) -> usize {
+    let mut recorded = RecordedAttempts::default();
+    let mut router = router(caches, None, &mut recorded);
+    play(&mut router, &mut recorded, 10, Outcome::Served, Remark::Hit);
+    let mut highest = 0;
     for n in 0..50 {
         let mut member = Member {
             server: format!("cache-{}", n * 3).into(),
@@ -188,16 +206,16 @@
             ..Member::default()
         };
         change(&mut member);
-        router.endpoints.walked.set(0);
-        router.list(NOW, ListKind::Changes, &[member], &mut orders);
-        let [considered, _] = play(&mut router, &mut orders, 1, Outcome::Served, Remark::Hit);
-        most = most.max(considered + router.endpoints.walked.get());
+        router.endpoints.visited.set(0);
+        router.list(NOW, ListKind::Changes, &[member], &mut recorded);
+        let [considered, _] = play(&mut router, &mut recorded, 1, Outcome::Served, Remark::Hit);
+        highest = highest.max(considered + router.endpoints.visited.get());
     }
-    most
+    highest
 }
 
 #[test]
-fn a_change_of_the_list_looks_at_no_more_servers_of_3200_than_of_200() {
+fn a_list_change_visits_no_more_of_3200_servers_than_of_200() {
     let changes: [fn(&mut Member); 5] = [
         |member| member.capacity = 5.0,
         |member| member.standing = Standing::Draining,
@@ -206,10 +224,10 @@
         |member| member.server = format!("new-{}", member.server).into(),
     ];
     for (number, change) in changes.into_iter().enumerate() {
-        let few = looked_at_after_a_change(200, change);
-        let many = looked_at_after_a_change(3200, change);
+        let few = considered_after_change(200, change);
+        let many = considered_after_change(3200, change);
         // A new server makes a pool of 200 larger.
-        let bound = (few + 1).min(LOOKED_AT);
+        let bound = (few + 1).min(CONSIDERED_LIMIT);
         assert!(
             many <= bound,
             "change {number}: {many} of 3,200, {few} of 200"
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,29 +1,29 @@
-//! Where a request goes: the server that is to answer it, and the source of a fill.
+//! Routing: selects the server of an attempt, and the source of a fill.
 
 use crate::endpoints::{Endpoint, PoolKey};
 use crate::interface::{Id, Tier};
 use crate::request::{PendingRequest, Route};
 use crate::router::Router;
-use crate::selection::{CONSIDERED_AT_MOST, Candidate};
+use crate::selection::{CANDIDATE_LIMIT, Candidate};
 use std::time::Duration;
 
-/// A server with over this multiple of the others' average in-flight bytes is crowded, and comes
-/// last...
-const CROWDED_MULTIPLE: f64 = 2.0;
-/// ...unless it has no more than these transfers of the zone in flight.
-const FEW_TRANSFERS: f64 = 4.0;
+/// A server is overloaded, and is selected last, if its in-flight bytes exceed this multiple of the
+/// other servers' average...
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+/// ...and it has more than this number of the zone's transfers in flight.
+const OVERLOAD_MIN_TRANSFERS: f64 = 4.0;
 
-/// Which servers are selected from.
+/// The health requirement of a selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
-    /// Those that are not ejected, or whose probe is due.
+    /// Servers that are not ejected, or whose probe is due.
     Available,
-    /// All, for want of an available one.
+    /// All servers, used if none is available.
     Any,
 }
 
 impl Router {
-    /// Builds the pools that a request selects from, where they are not there.
+    /// Builds the pools for a request where they do not exist.
     pub(crate) fn ensure_pools(&mut self, id: &Id) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The route of the next attempt, if there is any.
+    /// The route of the next attempt, if a server can be selected.
     pub(crate) fn route(&self, now: Duration, id: &Id) -> Option<Route> {
         let request = self.requests.get(id)?;
         let allowed_staleness = self.allowed_staleness(now, request);
@@ -49,9 +49,9 @@
         let cache =
             || select(Tier::Cache, Health::Available).or_else(|| select(Tier::Cache, Health::Any));
 
-        // What no cache may keep runs at the origin: caches and parents on the way could only fail
-        // it. One that could not be reached perhaps can be from elsewhere; ejected, it would fail
-        // parents too.
+        // Uncacheable requests are executed at the origin, as caches and parents on the way would
+        // only add failures. An origin that was unreachable may be reachable from another server;
+        // an ejected one would fail the parents as well.
         if !self.classes[request.arrival.class].cacheable {
             match select(Tier::Origin, Health::Any) {
                 Some(origin) if self.passes_through => return Some(to(origin, origin)),
@@ -61,8 +61,8 @@
             }
         }
         match cache() {
-            // With no source left the cache itself is named: a plain send could bring a copy purged
-            // since.
+            // Without a source the cache itself is named: an attempt without fill parameters could
+            // return a copy that has since been purged.
             Some(cache) => {
                 let source = self.select_source(now, request);
                 Some(to(cache, source.unwrap_or(cache)))
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Where a miss is filled from. Where no parent is available, nor the origin, the fault is the
-    /// origin's: parents have what they hold.
+    /// Selects the source of a fill. If neither a parent nor the origin is available, the origin is
+    /// assumed to be at fault, and parents can still serve the copies that they hold.
     fn select_source(&self, now: Duration, request: &PendingRequest) -> Option<&Endpoint> {
         let order = [
             (Tier::Parent, Health::Available),
@@ -88,20 +88,20 @@
         order.find_map(|(tier, health)| self.select_server(now, tier, health, request))
     }
 
-    /// How long past its fresh time a copy will do: where one renewed first would hardly be in
-    /// time, what its class allows. It is served and revalidated behind.
+    /// The staleness that an attempt accepts: if revalidating first is unlikely to be in time, what
+    /// the class allows. The copy is then served and revalidated in the background.
     fn allowed_staleness(&self, now: Duration, request: &PendingRequest) -> Duration {
-        let is_strained =
+        let is_degraded =
             !self.fill_limiter.has_free_slot() || self.endpoints.are_origins_failing(now);
-        if is_strained || !request.attempts.is_empty() {
+        if is_degraded || !request.attempts.is_empty() {
             self.classes[request.arrival.class].stale_for
         } else {
             Duration::ZERO
         }
     }
 
-    /// The first server of a tier that the hash prefers, passing over those that failed, accept
-    /// nothing new, or are crowded. Each draws its own number for a part (`selection`).
+    /// Selects the most preferred server of a tier by hash (see `selection`), passing over servers
+    /// that failed the request, accept no new requests, or are overloaded.
     fn select_server(
         &self,
         now: Duration,
@@ -112,13 +112,13 @@
         let arrival = &request.arrival;
         let pool = self.endpoints.pool(pool_key(tier, request, self.zone))?;
         let mut considered = 0;
-        for candidates in pool.sets(&arrival.object, arrival.part) {
+        for candidates in pool.candidate_sets(&arrival.object, arrival.part) {
             let found = self.select_among(now, candidates, health, request);
             considered += candidates.len();
             #[cfg(test)]
             self.considered
                 .set(self.considered.get() + candidates.len());
-            if found.is_some() || considered >= CONSIDERED_AT_MOST {
+            if found.is_some() || considered >= CANDIDATE_LIMIT {
                 return found;
             }
         }
@@ -138,13 +138,14 @@
         let accepting: Vec<_> = listed
             .filter(|(_, endpoint)| self.accepts_new_work(now, endpoint, request))
             .collect();
-        // Of two, none ever holds over twice the average of both: the others' average counts.
+        // Compares with the average of the other servers: of two servers, neither can exceed twice
+        // the average of both.
         let in_flight_kb = accepting.iter().map(|(_, e)| e.in_flight_kb).sum::<f64>();
         let others = (accepting.len() as f64 - 1.0).max(1.0);
-        let few = (FEW_TRANSFERS / self.routers_in_zone).max(1.0);
-        let is_crowded = |e: &Endpoint| {
+        let few = (OVERLOAD_MIN_TRANSFERS / self.routers_in_zone).max(1.0);
+        let is_overloaded = |e: &Endpoint| {
             let average = (in_flight_kb - e.in_flight_kb) / others;
-            f64::from(e.in_flight) > few && e.in_flight_kb > CROWDED_MULTIPLE * average
+            f64::from(e.in_flight) > few && e.in_flight_kb > OVERLOAD_MULTIPLE * average
         };
         let is_fit = |e: &Endpoint| {
             !request.failed_servers.contains(&e.member.server)
@@ -154,12 +155,13 @@
         let ranked = accepting
             .iter()
             .filter(|(_, endpoint)| is_fit(endpoint))
-            .map(|(c, endpoint)| (is_crowded(endpoint), c.draw(object, part), *endpoint));
+            .map(|(c, endpoint)| (is_overloaded(endpoint), c.draw(object, part), *endpoint));
         let first = ranked.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         first.map(|(_, _, endpoint)| endpoint)
     }
 
-    /// Whether an attempt will fill: the cache is not known to hold a copy, or it was purged since.
+    /// Whether an attempt is likely to fill: the cache is not known to hold a copy, or the copy has
+    /// since been purged.
     pub(crate) fn is_likely_fill(&mut self, id: &Id, route: &Route) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -176,7 +178,7 @@
     }
 }
 
-/// The pool of a tier that a request selects from.
+/// The pool of a tier for a request.
 fn pool_key(tier: Tier, request: &PendingRequest, home_zone: usize) -> PoolKey {
     let arrival = &request.arrival;
     PoolKey::new(tier, arrival.at.unwrap_or(home_zone), arrival.cell)
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -1,33 +1,36 @@
-//! In which order servers are considered for a part of an object: weighted rendezvous hashing, in
-//! one step for a few servers and in two for many.
+//! Server selection for a part of an object: weighted rendezvous hashing, in one step for few
+//! servers and in two steps for many.
 //!
-//! Each server draws its own number for a part, and the least takes it: routers with the same list
-//! agree, and who leaves moves its own parts only. That takes a draw for each server. With many a
-//! part first draws one of [`GROUPS`] groups, by the sum of the weights in it, and then among the
-//! members of that group. A server still gets parts in proportion to its weight; one that leaves
-//! moves about as many again, of its group's others.
+//! Each server computes a draw for a part, and the server with the lowest draw is preferred.
+//! Routers with the same list agree, and a server that leaves moves only its own parts. The cost is
+//! one draw per server. In a large pool, a part first selects one of [`GROUP_COUNT`] groups,
+//! weighted by the sum of its members' weights, and then a member of that group. Servers still get
+//! parts in proportion to their weights; a server that leaves moves about as many parts of other
+//! members of its group as of its own.
 //!
-//! Between [`ONE_STEP_AT_MOST`] servers and twice as many, ever more parts are drawn in two steps:
-//! no single server that comes or goes moves many.
+//! Between [`ONE_STEP_LIMIT`] servers and twice as many, a growing share of the parts is selected
+//! in two steps, so that no single server that joins or leaves moves many.
 
 use chalkhall_stats::{draw_seeded, name_seed};
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Up to so many servers all parts are drawn in one step; from twice as many on, all in two.
-pub const ONE_STEP_AT_MOST: usize = 256;
-/// Of so many servers none is found fit: no more are considered, in one group after the other.
-pub const CONSIDERED_AT_MOST: usize = 256;
-/// Groups of a large pool. Two steps take as many draws as there are groups, and members in one of
-/// them.
-const GROUPS: usize = 64;
-/// What the hash is seeded with that says whether a part is drawn in two steps.
+/// Up to this number of servers, all parts are selected in one step; from twice as many, all in
+/// two.
+pub const ONE_STEP_LIMIT: usize = 256;
+/// A selection that has considered this number of servers without finding a suitable one considers
+/// no further group.
+pub const CANDIDATE_LIMIT: usize = 256;
+/// The number of groups in a large pool. A two-step selection takes one draw per group, and one per
+/// member of the selected group.
+const GROUP_COUNT: usize = 64;
+/// The seed of the hash that decides whether a part is selected in two steps.
 const STEPS_SEED: u64 = 0x7f4a_7c15_9e37_79b9;
 
-/// One server that may be selected.
+/// A server that may be selected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// The slot in which the caller keeps it.
+    /// The caller's slot of the server.
     pub slot: usize,
     name_seed: u64,
     weight: f64,
@@ -35,7 +38,7 @@
 }
 
 impl Candidate {
-    /// A server by its name, with the weight that it draws by.
+    /// Creates a candidate with the weight that scales its draws.
     pub fn new(slot: usize, name: &Rc<str>, weight: f64) -> Candidate {
         Candidate {
             slot,
@@ -45,13 +48,14 @@
         }
     }
 
-    /// The group of a large pool that it is in: by its name alone.
+    /// The candidate's group in a large pool, which depends on the name only.
     fn group(&self) -> usize {
-        // The draws are seeded by the same hash, of which these bits say little.
-        (self.name_seed >> 32) as usize % GROUPS
+        // The draws use the same hash as their seed; these bits of it are nearly independent of
+        // them.
+        (self.name_seed >> 32) as usize % GROUP_COUNT
     }
 
-    /// The number that it draws for a part of an object: the least takes it.
+    /// The candidate's draw for a part of an object; the lowest draw is preferred.
     #[inline]
     pub fn draw(&self, object: &str, part: u64) -> f64 {
         draw_seeded(self.name_seed, object, part, self.weight)
@@ -61,30 +65,29 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Group {
     name_seed: u64,
-    /// The sum of its members' weights.
+    /// The sum of the members' weights.
     weight: f64,
     members: Vec<Candidate>,
 }
 
 impl Group {
-    /// Added up anew, in the order of names: were differences added, routers that saw the same
-    /// servers come in another order would differ in the last bits.
+    /// Recomputes the sum in name order. Adding differences instead would make it depend on the
+    /// order of changes, so that routers with the same servers would differ in the last bits.
     fn update_weight(&mut self) {
         self.weight = self.members.iter().map(|member| member.weight).sum();
     }
 }
 
-/// The servers that draw for the same parts, such as all caches of a zone, in the order of their
-/// names.
+/// The servers that compete for the same parts, such as all caches of a zone, in name order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
     all: Vec<Candidate>,
-    /// Each of [`GROUPS`], in which there may be none; without any while no part is drawn in two
-    /// steps.
+    /// All [`GROUP_COUNT`] groups, some of which may be empty; no groups at all while every part is
+    /// selected in one step.
     groups: Vec<Group>,
 }
 
-/// Replaces the candidate of that name, or adds it where it belongs.
+/// Replaces the candidate with the same name, or inserts it in name order.
 fn insert_by_name(candidates: &mut Vec<Candidate>, candidate: Candidate) {
     match candidates.binary_search_by(|other| other.name.cmp(&candidate.name)) {
         Ok(position) => candidates[position] = candidate,
@@ -98,7 +101,7 @@
 }
 
 impl Pool {
-    /// A pool of these servers, which come in the order of their names.
+    /// Creates a pool of these servers, which must be in name order.
     pub fn new(all: Vec<Candidate>) -> Pool {
         let groups = Vec::new();
         let mut pool = Pool { all, groups };
@@ -106,8 +109,8 @@
         pool
     }
 
-    /// Adds a server, or takes its new slot and weight. No more is looked at than one group of a
-    /// large pool.
+    /// Adds a server, or updates its slot and weight. The cost is bounded by one group of a large
+    /// pool.
     pub fn insert(&mut self, candidate: Candidate) {
         insert_by_name(&mut self.all, candidate.clone());
         if self.groups.is_empty() {
@@ -118,12 +121,12 @@
         group.update_weight();
     }
 
-    /// Removes a server, if it is there. No more is looked at than one group of a large pool.
+    /// Removes a server, if present. The cost is bounded by one group of a large pool.
     pub fn remove(&mut self, name: &str) {
         let Some(candidate) = remove_by_name(&mut self.all, name) else {
             return;
         };
-        if self.all.len() <= ONE_STEP_AT_MOST {
+        if self.all.len() <= ONE_STEP_LIMIT {
             return self.groups.clear();
         }
         let group = &mut self.groups[candidate.group()];
@@ -131,12 +134,12 @@
         group.update_weight();
     }
 
-    /// Divides a pool that has grown large into its groups.
+    /// Divides a large pool into groups.
     fn form_groups(&mut self) {
-        if self.all.len() <= ONE_STEP_AT_MOST {
+        if self.all.len() <= ONE_STEP_LIMIT {
             return;
         }
-        self.groups = (0..GROUPS)
+        self.groups = (0..GROUP_COUNT)
             .map(|number| Group {
                 name_seed: name_seed(&format!("group {number}")),
                 weight: 0.0,
@@ -150,31 +153,31 @@
         self.groups.iter_mut().for_each(Group::update_weight);
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Whether this part is drawn in two steps.
-    fn in_two_steps(&self, object: &str, part: u64) -> bool {
-        let beyond = self.all.len().saturating_sub(ONE_STEP_AT_MOST);
-        if beyond == 0 || beyond >= ONE_STEP_AT_MOST {
-            return beyond > 0;
+    /// Whether this part is selected in two steps.
+    fn uses_two_steps(&self, object: &str, part: u64) -> bool {
+        let excess = self.all.len().saturating_sub(ONE_STEP_LIMIT);
+        if excess == 0 || excess >= ONE_STEP_LIMIT {
+            return excess > 0;
         }
         let hash = xxh3_64_with_seed(object.as_bytes(), STEPS_SEED.wrapping_add(part));
-        (hash >> 32) * (ONE_STEP_AT_MOST as u64) < (beyond as u64) << 32
+        (hash >> 32) * (ONE_STEP_LIMIT as u64) < (excess as u64) << 32
     }
 
-    /// The servers in sets, the preferred first; in each set the least draw goes first.
-    pub fn sets(&self, object: &str, part: u64) -> Sets<'_> {
-        if !self.in_two_steps(object, part) {
-            return Sets {
+    /// Returns the servers in sets, the most preferred set first. Within a set the lowest draw is
+    /// preferred.
+    pub fn candidate_sets(&self, object: &str, part: u64) -> CandidateSets<'_> {
+        if !self.uses_two_steps(object, part) {
+            return CandidateSets {
                 one_step: Some(&self.all),
                 groups: Vec::new(),
             };
         }
         let draw = |group: &Group| draw_seeded(group.name_seed, object, part, group.weight);
-        Sets {
+        CandidateSets {
             one_step: None,
             groups: self
                 .groups
@@ -186,13 +189,13 @@
     }
 }
 
-/// The sets of a pool, in the order in which they are preferred for one part.
-pub struct Sets<'a> {
+/// The candidate sets of a pool, in order of preference for one part.
+pub struct CandidateSets<'a> {
     one_step: Option<&'a [Candidate]>,
     groups: Vec<(f64, &'a Group)>,
 }
 
-impl<'a> Iterator for Sets<'a> {
+impl<'a> Iterator for CandidateSets<'a> {
     type Item = &'a [Candidate];
 
     fn next(&mut self) -> Option<&'a [Candidate]> {
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -20,7 +20,7 @@
 }
 
 fn first(pool: &Pool, object: &str) -> usize {
-    let set = pool.sets(object, 0).next().expect("a set");
+    let set = pool.candidate_sets(object, 0).next().expect("a set");
     let least = set
         .iter()
         .min_by(|a, b| a.draw(object, 0).total_cmp(&b.draw(object, 0)));
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn up_to_256_servers_select_as_plain_rendezvous_hashing() {
-    for servers in [1, 2, 64, ONE_STEP_AT_MOST] {
+fn up_to_256_servers_use_plain_rendezvous_hashing() {
+    for servers in [1, 2, 64, ONE_STEP_LIMIT] {
         let pool = pool(0..servers);
         for object in objects(200) {
             let draws = (0..servers).map(|n| draw(&name(n), &object, 0, weight(n)));
@@ -48,11 +48,15 @@
 }
 
 #[test]
-fn every_server_stands_in_one_set() {
+fn every_server_is_in_exactly_one_set() {
     for servers in [200, 300, 400, 3200] {
         let pool = pool(0..servers);
         for object in objects(50) {
-            let all: Vec<usize> = pool.sets(&object, 3).flatten().map(|c| c.slot).collect();
+            let all: Vec<usize> = pool
+                .candidate_sets(&object, 3)
+                .flatten()
+                .map(|c| c.slot)
+                .collect();
             assert_eq!(all.len(), servers);
             assert_eq!(all.into_iter().collect::<BTreeSet<_>>().len(), servers);
         }
@@ -60,7 +64,7 @@
 }
 
 #[test]
-fn parts_are_shared_out_in_proportion_to_weights() {
+fn parts_are_distributed_in_proportion_to_weights() {
     for servers in [400, 3200] {
         let pool = pool(0..servers);
         let (each, all) = (30, servers * 30);
@@ -72,7 +76,7 @@
             .iter()
             .enumerate()
             .map(|(n, f)| (*f as f64 - expected(n)).powi(2) / expected(n));
-        // Chi square over its degrees of freedom: mean 1, deviation the root of 2 in so many.
+        // Chi-squared per degree of freedom: mean 1, standard deviation the square root of 2 / n.
         let chi = squares.sum::<f64>() / (servers - 1) as f64;
         let deviation = (2.0 / servers as f64).sqrt();
         assert!(
@@ -82,8 +86,8 @@
     }
 }
 
-/// One server of a hundred leaves: the parts that move because they were theirs, and the others
-/// that move.
+/// Removes one server in a hundred. Returns the number of parts that move because they belonged to
+/// it, and the number of other parts that move.
 fn moved_by_leaving(servers: usize) -> [usize; 2] {
     let leaves = |n: usize| n % 100 == 7;
     let before = pool(0..servers);
@@ -98,7 +102,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_moves_few_parts_beside_its_own() {
+fn a_server_that_leaves_moves_few_parts_of_other_servers() {
     let [own, others] = moved_by_leaving(200);
     assert!(
         own > 0 && others == 0,
@@ -109,7 +113,7 @@
         own > 0 && 2 * others < 3 * own,
         "of 3,200, in two steps: {own} own, {others} others"
     );
-    // Where pools turn from one step to two no single server turns them all.
+    // In pools between one step and two, no single server that leaves switches all parts.
     for servers in [257, 300, 400, 512] {
         let [own, others] = moved_by_leaving(servers);
         assert!(
@@ -129,29 +133,29 @@
         .max()
         .expect("groups");
     assert!(
-        pool.groups.len() + most <= ONE_STEP_AT_MOST,
+        pool.groups.len() + most <= ONE_STEP_LIMIT,
         "{} groups of up to {most}",
         pool.groups.len()
     );
-    assert!(objects(1000).all(|object| pool.in_two_steps(&object, 0)));
+    assert!(objects(1000).all(|object| pool.uses_two_steps(&object, 0)));
 }
 
-/// Through the sizes at which groups form and go: servers that come, go or change their weights in
-/// place.
+/// Servers join, leave and change weight in place, in pools whose size crosses the bound at which
+/// groups are formed.
 #[test]
-fn a_pool_changed_in_place_is_the_same_as_one_built_anew() {
-    let mut chance = fastrand::Rng::with_seed(7);
+fn a_pool_changed_in_place_equals_a_rebuilt_one() {
+    let mut rng = fastrand::Rng::with_seed(7);
     let mut listed = BTreeMap::new();
     let mut changed = Pool::default();
     let mut seen_with_groups = BTreeSet::new();
     for step in 0..4000 {
-        let n = chance.usize(..ONE_STEP_AT_MOST * 2);
+        let n = rng.usize(..ONE_STEP_LIMIT * 2);
         let most = if step % 1000 < 500 { 420 } else { 200 };
-        if listed.len() > most || chance.u8(..4) == 0 {
+        if listed.len() > most || rng.u8(..4) == 0 {
             listed.remove(&n);
             changed.remove(&name(n));
         } else {
-            let candidate = Candidate::new(chance.usize(..1000), &name(n), chance.f64());
+            let candidate = Candidate::new(rng.usize(..1000), &name(n), rng.f64());
             listed.insert(n, candidate.clone());
             changed.insert(candidate);
         }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,33 +1,35 @@
-//! Slow start (rule 4): what all routers together send to a server that has just started stays
-//! within what it bears while it warms up.
+//! Slow start (rule 4): the routers together send a recently started server no more than it bears
+//! while it warms up.
 //!
-//! The routers do not agree with one another. Each keeps within its share of a budget, of the work
-//! sent in a span of time. Where the share of one is less than one transfer, a lottery that needs
-//! no messages names the few routers that may send one.
+//! The routers do not communicate for this. Each one keeps within its share of a budget for the
+//! work sent in a period (`span`). If the share of one router is less than one transfer, a
+//! hash-based lottery selects the few routers that may send one.
 
 use crate::endpoints::Endpoint;
 use crate::interface::{ColdStart, Deployment, Tier};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The share of a server's budget that the routers together use: capacities may be told roughly.
+/// The fraction of a server's budget that the routers use together, as capacity hints may be
+/// inaccurate.
 const BUDGET_MARGIN: f64 = 0.45;
-/// A draw of the routers that may send holds for so many spans. In the span after each new draw
-/// those of both may send: the longer it holds, the fewer do.
-const DRAW_LASTS_SPANS: f64 = 8.0;
-/// What is drawn for takes no more than this share of the budget.
-const DRAWN_MOST: f64 = 1.0 / 8.0;
-/// What is drawn for and is larger than usual takes no more than this share of the budget.
-const DRAWN_LARGE: f64 = 1.0 / 16.0;
-/// Up to this multiple of the mean a transfer is as usual: means of classes of like size differ by
-/// as much.
-const DRAWN_USUAL: f64 = 1.25;
-/// What is smaller than this share of the mean is drawn for as if it were not.
-const DRAWN_SMALL: f64 = 0.5;
-/// A mean follows this many of the last requests.
-const MEAN_OVER_REQUESTS: f64 = 256.0;
-
-/// The mean sending time of requests, in seconds.
+/// The number of spans for which a draw of the routers is valid. In the span after a new draw, the
+/// routers of both draws may send, so a longer period reduces that overlap.
+const DRAW_PERIOD_SPANS: f64 = 8.0;
+/// The maximum fraction of the budget that one transfer in the lottery may take.
+const MAX_DRAWN_SHARE: f64 = 1.0 / 8.0;
+/// The maximum fraction of the budget that one transfer of above-average size in the lottery may
+/// take.
+const LARGE_DRAWN_SHARE: f64 = 1.0 / 16.0;
+/// Transfers of up to this multiple of the mean count as average-sized: the means of classes of
+/// similar size differ by as much.
+const AVERAGE_WORK_MULTIPLE: f64 = 1.25;
+/// Transfers smaller than this fraction of the mean enter the lottery as if they had that size.
+const SMALL_WORK_SHARE: f64 = 0.5;
+/// The number of requests over which a mean is averaged.
+const MEAN_WINDOW_REQUESTS: f64 = 256.0;
+
+/// The moving average of the sending time of requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct MeanWork {
     seconds: f64,
@@ -36,35 +38,34 @@
 
 impl MeanWork {
     fn record(&mut self, sending_time: Duration) {
-        self.requests = (self.requests + 1.0).min(MEAN_OVER_REQUESTS);
+        self.requests = (self.requests + 1.0).min(MEAN_WINDOW_REQUESTS);
         self.seconds += (sending_time.as_secs_f64() - self.seconds) / self.requests;
     }
 }
 
-/// How the servers of a tier start.
+/// The slow-start parameters of a tier.
 #[derive(Clone, Copy, Debug, Default)]
 struct TierSlowStart {
     limits: ColdStart,
-    /// How many routers send to one server.
+    /// The number of routers that send to one server.
     sharing_routers: f64,
 }
 
-/// What a server may be sent in a span while it warms up.
+/// The work that a warming server may be sent in a span.
 struct Budget {
-    /// By all routers.
+    /// The work of all routers.
     total: f64,
-    /// By this one.
+    /// This router's share.
     share: f64,
-    /// How many spans ago the server started.
+    /// The time since the server's start, in spans.
     age_spans: f64,
 }
 
-/// Decides whether a server that has just started may be sent more.
+/// Decides whether a recently started server may be sent more work.
 #[derive(Debug, Default)]
 pub struct SlowStart {
     router_number: u64,
     zone: usize,
-    /// When this router started.
     started_at: Duration,
     caches: TierSlowStart,
     parents: TierSlowStart,
@@ -73,7 +74,7 @@
 }
 
 impl SlowStart {
-    /// The bounds that the deployment sets, for a router that starts now.
+    /// Creates the state of a router that starts at `now`, with the deployment's parameters.
     pub fn new(now: Duration, deployment: &Deployment, routers_in_zone: f64) -> SlowStart {
         SlowStart {
             router_number: deployment.number,
@@ -92,14 +93,14 @@
         }
     }
 
-    /// A request has come in, with an answer that takes so long to send.
+    /// Records a request whose answer takes `sending_time` to send.
     pub fn record_request(&mut self, class: usize, sending_time: Duration) {
         self.mean_work_by_class[class].record(sending_time);
         self.mean_work.record(sending_time);
     }
 
-    /// The work that an attempt is to a server, in seconds of sending. Of a cache the mean of its
-    /// class counts.
+    /// The work of an attempt for a server, in seconds of sending. For caches, the mean of the
+    /// class.
     #[inline]
     pub fn work(&self, tier: Tier, class: usize, sending_time: Duration) -> f64 {
         match tier {
@@ -108,13 +109,13 @@
         }
     }
 
-    /// The longest span in which sent work counts.
+    /// The longer of the spans of the two tiers.
     pub fn longest_span(&self) -> Duration {
         self.caches.limits.span.max(self.parents.limits.span)
     }
 
-    /// Whether a server may be sent this work now. Most servers started long ago, and each
-    /// candidate of a selection is asked about: that part is inlined.
+    /// Whether a server may be sent this work now. Inlined, as it is called for each candidate of a
+    /// selection and most servers started long ago.
     #[inline]
     pub fn admits(&self, now: Duration, endpoint: &Endpoint, work: f64) -> bool {
         let Some(started_at) = endpoint.member.started else {
@@ -140,11 +141,11 @@
         if age >= limits.warm_within + limits.span {
             return true;
         }
-        // What its own zone's routers send to a cold cache of a remote zone is not known here.
+        // The load that the routers of a remote zone send to its warming cache is unknown here.
         let is_remote = endpoint.member.tier == Tier::Cache && endpoint.member.zone != self.zone;
-        // What an earlier incarnation of this router sent is not known to it.
-        let is_blind = now < self.started_at + limits.span;
-        if is_remote || is_blind {
+        // The load that an earlier incarnation of this router sent is unknown as well.
+        let is_recently_started = now < self.started_at + limits.span;
+        if is_remote || is_recently_started {
             return false;
         }
         let budget = tier.budget(endpoint, age);
@@ -152,15 +153,15 @@
         sent + work <= budget.share || self.is_drawn(endpoint, &budget, sent, work)
     }
 
-    /// Of many routers none has a share that one transfer fits in: a few, drawn by hash, may send
-    /// one in each span, or as many small ones as fit in half of the mean. The sum expected in any
-    /// span is that of the shares. Were each size drawn for as it is, a router would draw once for
-    /// each that it is asked for.
+    /// With many routers, no share covers one transfer. A few routers, selected by hash, may then
+    /// send one transfer per span, or several small ones that together fit in half of the mean. The
+    /// expected sum in any span equals the sum of the shares. The lottery rounds small sizes up:
+    /// with exact sizes, a router could win once for each size that it is asked for.
     fn is_drawn(&self, endpoint: &Endpoint, budget: &Budget, sent: f64, work: f64) -> bool {
         let (mean, share) = (self.mean_work.seconds, budget.share);
-        let small = mean * DRAWN_SMALL;
-        let large = (budget.total * DRAWN_LARGE).max(mean * DRAWN_USUAL);
-        if work.max(small) > large.min(budget.total * DRAWN_MOST) {
+        let small = mean * SMALL_WORK_SHARE;
+        let large = (budget.total * LARGE_DRAWN_SHARE).max(mean * AVERAGE_WORK_MULTIPLE);
+        if work.max(small) > large.min(budget.total * MAX_DRAWN_SHARE) {
             return false;
         }
         let draw = self.draw(endpoint, budget.age_spans);
@@ -168,14 +169,14 @@
         fits_as_small || draw * work.max(small) < share - sent
     }
 
-    /// From 0 to 1, by server and router. Each router draws anew at times of its own: of two draws
-    /// that ended and began for all at once, those of both could send within one span, twice what
-    /// is expected.
+    /// The draw of this router for a server, from 0 to 1. Each router changes its draws at a
+    /// different time: if all draws changed at once, the routers of both draws could send within
+    /// one span, twice the expected work.
     fn draw(&self, endpoint: &Endpoint, age_spans: f64) -> f64 {
         let name = endpoint.member.server.as_bytes();
         let hash = |seed| xxh3_64_with_seed(name, seed) as f64 / 2f64.powi(64);
         let offset = hash(self.router_number);
-        let draws = (age_spans / DRAW_LASTS_SPANS + offset) as u64;
+        let draws = (age_spans / DRAW_PERIOD_SPANS + offset) as u64;
         hash((draws + 1) << 32 ^ self.router_number)
     }
 }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_warming_server_takes_the_routers_share_of_its_budget_in_a_span() {
+fn a_warming_server_admits_the_routers_share_of_its_budget_per_span() {
     let slow_start = slow_start(1);
     let mut cache = endpoint(Tier::Cache, 0, Some(STARTED));
     let budget = BUDGET_MARGIN * 2.0 * 5.0;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_budget_grows_with_the_servers_age_until_there_is_none() {
+fn the_budget_grows_with_age_until_the_server_is_warm() {
     let slow_start = slow_start(1);
     let cache = endpoint(Tier::Cache, 0, Some(STARTED));
     let budget_when_warm = BUDGET_MARGIN * 2.0 * 10.0;
@@ -68,18 +68,18 @@
 }
 
 #[test]
-fn nothing_is_sent_where_earlier_work_is_not_known() {
+fn nothing_is_admitted_while_earlier_work_is_unknown() {
     let slow_start = slow_start(1);
     let remote = endpoint(Tier::Cache, 1, Some(STARTED));
     assert!(!slow_start.admits(STARTED, &remote, 0.1));
-    // This router started at one second: its first span is over at two.
+    // This router started at 1 s, so its first span ends at 2 s.
     let cache = endpoint(Tier::Cache, 0, Some(SECOND));
     assert!(!slow_start.admits(SECOND * 2 - Duration::from_nanos(1), &cache, 0.1));
     assert!(slow_start.admits(SECOND * 2, &cache, 0.1));
 }
 
 #[test]
-fn of_many_routers_a_few_are_drawn_and_others_at_another_time() {
+fn a_few_of_many_routers_are_drawn_and_the_selection_changes() {
     let drawn_at = |now| {
         let drawn = |number| {
             let mut slow_start = slow_start(1000);
@@ -90,7 +90,7 @@
         (0..1000).filter(|n| drawn(*n)).collect::<Vec<u64>>()
     };
     let (first, later) = (drawn_at(STARTED), drawn_at(STARTED + SECOND * 9));
-    // A budget of 4.5 is 45 transfers of 0.1.
+    // The budget of 4.5 covers 45 transfers of 0.1.
     assert!((20..80).contains(&first.len()), "{}", first.len());
     assert!(first.iter().any(|n| !later.contains(n)));
 }
