--- a/src/completion.rs
+++ b/src/completion.rs
@@ -1,4 +1,5 @@
-//! What is learnt from the end of an attempt, and what follows for the request.
+//! Completion of attempts: updates health and access statistics from the result, and continues the
+//! request.
 
 use crate::admission::{CopyHolder, part_key};
 use crate::fill_limiter::FillResult;
@@ -8,22 +9,22 @@
 use crate::router::{EventContext, Router};
 use std::time::Duration;
 
-/// A hit that takes over this multiple of its usual time is a failure of the cache.
+/// A hit that takes longer than this multiple of the expected time counts as a failure of the
+/// cache.
 const SLOW_HIT_MULTIPLE: f64 = 2.0;
-/// The share of fills in time at which a late fill begins to count against a server, as its
-/// complement: while the best of a tier is late as often as this, a full link delays all.
+/// The late share of the best server of a tier at which late fills stop counting against a server
+/// of that tier: if even the best server is late this often, a full link delays them all.
 const LATE_FILL_BASELINE: f64 = 0.5;
-/// The least cost of a fill, in milliseconds.
-const LEAST_FILL_COST_MS: f64 = 1.0;
-/// The weight of an outcome whose cause is the server or the source, one as likely as the other.
-const SHARED_BLAME: f64 = 0.5;
+const MIN_FILL_COST_MS: f64 = 1.0;
+/// The weight of an outcome that the server and the source are equally likely to have caused.
+const SPLIT_FAULT_WEIGHT: f64 = 0.5;
 
-/// An attempt that has ended.
+/// A completed attempt with its result.
 struct Completion<'a> {
     id: &'a Id,
     route: &'a Route,
     sent_at: Duration,
-    /// It was taken for a fill.
+    /// The attempt counted as a fill.
     is_fill: bool,
     is_late: bool,
     ended: &'a Ended,
@@ -34,17 +35,17 @@
         self.ended.outcome == Outcome::Served
     }
 
-    /// It was answered from a copy.
+    /// Whether the attempt was answered from a copy.
     fn is_hit(&self) -> bool {
         self.is_served() && matches!(self.ended.remark, Remark::Hit | Remark::Stale)
     }
 
-    /// It was answered, and not from a copy.
+    /// Whether the attempt was answered by a fill.
     fn is_filled(&self) -> bool {
         self.is_served() && !self.is_hit()
     }
 
-    /// Nothing was received from the server.
+    /// Whether the server sent no response.
     fn is_silent(&self) -> bool {
         use Outcome::*;
         matches!(
@@ -54,23 +55,23 @@
     }
 }
 
-/// How much an outcome counts for or against the server and the source, from 0 to 1.
+/// The weights, from 0 to 1, with which an outcome counts for or against the server and the source.
 #[derive(Clone, Copy)]
-struct Blame {
+struct OutcomeWeights {
     server: f64,
     source: f64,
 }
 
-impl Blame {
-    const NONE: Blame = Blame::new(0.0, 0.0);
+impl OutcomeWeights {
+    const NONE: OutcomeWeights = OutcomeWeights::new(0.0, 0.0);
 
-    const fn new(server: f64, source: f64) -> Blame {
-        Blame { server, source }
+    const fn new(server: f64, source: f64) -> OutcomeWeights {
+        OutcomeWeights { server, source }
     }
 }
 
 impl Router {
-    /// An attempt has ended: what is learnt, and the next step of its request.
+    /// Processes the end of an attempt and takes the next step of its request.
     pub(crate) fn complete_attempt(
         &mut self,
         context: &mut EventContext,
@@ -86,8 +87,8 @@
         if attempt.holds_fill_slot {
             self.fill_limiter.release();
         }
-        let usual = ANSWER_OVERHEAD + request.sending_time;
-        let latest = request.soft_deadline.max(open.sent_at + usual * 2);
+        let expected_time = ANSWER_OVERHEAD + request.sending_time;
+        let latest = request.soft_deadline.max(open.sent_at + expected_time * 2);
         let completion = Completion {
             id,
             route: &open.route,
@@ -98,7 +99,7 @@
         };
         let part = part_key(&request.arrival);
         let holder_before = self.access_history.holder(part);
-        self.learn(context.now, &completion);
+        self.update_statistics(context.now, &completion);
         let holder = self.access_history.holder(part);
         if let Some(holder) = holder.filter(|holder| holder_before.as_ref() != Some(holder)) {
             context.actions.found(part, &holder);
@@ -107,10 +108,10 @@
             self.record_fill_result(context, &completion);
         }
         self.complete_waiters(context, id, completion.is_served());
-        self.follow_up(context, &completion);
+        self.continue_request(context, &completion);
     }
 
-    /// The limit of fills follows.
+    /// Adjusts the fill limit to the result.
     fn record_fill_result(&mut self, context: &mut EventContext, completion: &Completion) {
         let result = if self.is_unrelated_to_load(completion) {
             FillResult::Unrelated
@@ -130,8 +131,9 @@
         self.dequeue_fills(context);
     }
 
-    /// Who is dead, silent, ejected or refuses, as one source may, says nothing of what links bear;
-    /// nor does what this machine could not send.
+    /// Whether the result says nothing about the load on links. This holds for lost connections,
+    /// for failures of unreachable, silent or ejected servers, for refusals, which a single source
+    /// may cause, and for attempts that this machine could not send.
     fn is_unrelated_to_load(&self, completion: &Completion) -> bool {
         use Outcome::*;
         let ended = completion.ended;
@@ -150,8 +152,8 @@
         })
     }
 
-    /// The next step of the request: another attempt, elsewhere, or its end.
-    fn follow_up(&mut self, context: &mut EventContext, completion: &Completion) {
+    /// Takes the next step of the request: another attempt at another server, or its final answer.
+    fn continue_request(&mut self, context: &mut EventContext, completion: &Completion) {
         use Outcome::*;
         let (id, route, ended) = (completion.id, completion.route, completion.ended);
         let Some(request) = self.requests.get_mut(id) else {
@@ -164,10 +166,10 @@
                 server: route.server.clone(),
             });
         }
-        if request.is_over || ended.outcome == Missing && !route.is_local() {
+        if request.is_finished || ended.outcome == Missing && !route.is_local() {
             return self.finish(context, id);
         }
-        // Where the source alone failed the cache is asked again, with another.
+        // If only the source failed, the same cache is tried again with another source.
         let source_failed = !matches!(
             ended.remark,
             Remark::None | Remark::NoFillPlace | Remark::Joined
@@ -181,57 +183,54 @@
         self.advance(context, id);
     }
 
-    /// What the end of an attempt says of servers, of the origin, and of the part.
-    fn learn(&mut self, now: Duration, completion: &Completion) {
-        let blame = self.blame(completion);
-        self.record_outcome_of_hops(now, completion, blame);
+    /// Updates the statistics of servers, of the origin and of the part.
+    fn update_statistics(&mut self, now: Duration, completion: &Completion) {
+        let weights = self.outcome_weights(completion);
+        self.record_outcome_of_hops(now, completion, weights);
         self.record_outcome_of_origins(now, completion);
-        // A local copy says nothing of how servers are.
+        // Answers from local copies carry no information about servers.
         if completion.is_served() && !completion.route.is_local() {
-            self.learn_from_answer(now, completion);
+            self.record_answer(now, completion);
         }
     }
 
-    fn blame(&mut self, completion: &Completion) -> Blame {
+    fn outcome_weights(&mut self, completion: &Completion) -> OutcomeWeights {
         use Outcome::*;
         let (route, ended) = (completion.route, completion.ended);
         let has_source = route.source != route.server;
         match (ended.outcome, ended.remark) {
-            (Served, _) if completion.is_hit() => Blame::new(1.0, 0.0),
+            (Served, _) if completion.is_hit() => OutcomeWeights::new(1.0, 0.0),
             (Served, _) => {
                 let is_late = completion.is_late && has_source;
                 let server = if is_late {
-                    self.blame_for_late_fill(Tier::Cache, &route.server)
+                    self.late_fill_weight(Tier::Cache, &route.server)
                 } else {
                     1.0
                 };
-                Blame::new(
-                    server,
-                    self.blame_for_late_fill(Tier::Parent, &route.server),
-                )
+                OutcomeWeights::new(server, self.late_fill_weight(Tier::Parent, &route.server))
             }
-            (Broken, _) => Blame::new(SHARED_BLAME, 0.0),
-            (_, Remark::SourceUnreached) => Blame::new(0.0, 1.0),
+            (Broken, _) => OutcomeWeights::new(SPLIT_FAULT_WEIGHT, 0.0),
+            (_, Remark::SourceUnreached) => OutcomeWeights::new(0.0, 1.0),
             (Error, Remark::None) => {
-                self.suspect_error(completion);
-                Blame::NONE
+                self.record_suspected_error(completion);
+                OutcomeWeights::NONE
             }
             (TimedOut, Remark::None) if completion.is_fill => {
-                Blame::new(SHARED_BLAME, SHARED_BLAME)
+                OutcomeWeights::new(SPLIT_FAULT_WEIGHT, SPLIT_FAULT_WEIGHT)
             }
-            (Unreachable, _) | (TimedOut, Remark::None) => Blame::new(1.0, 0.0),
-            _ => Blame::NONE,
+            (Unreachable, _) | (TimedOut, Remark::None) => OutcomeWeights::new(1.0, 0.0),
+            _ => OutcomeWeights::NONE,
         }
     }
 
-    /// An error is perhaps the request's own fault: it counts against the hops once another server
-    /// has answered the request.
-    fn suspect_error(&mut self, completion: &Completion) {
+    /// Holds back an error that the request itself may have caused: it counts against the hops once
+    /// another server has answered the request.
+    fn record_suspected_error(&mut self, completion: &Completion) {
         let Some(request) = self.requests.get_mut(completion.id) else {
             return;
         };
         let weight = if completion.is_fill {
-            SHARED_BLAME
+            SPLIT_FAULT_WEIGHT
         } else {
             1.0
         };
@@ -245,30 +244,36 @@
             }));
     }
 
-    /// How far a late fill counts against a server of this tier: by how seldom the best of the tier
-    /// is late (a full link delays all), and against one cache at a time: with one ejected after
-    /// the other, the last would have to bear it all.
-    fn blame_for_late_fill(&mut self, tier: Tier, server: &Id) -> f64 {
+    /// The weight of a late fill against a server of this tier. It falls with the late share of the
+    /// tier's best server, as a full link delays all. Only one cache at a time is ejected for late
+    /// fills: if one were ejected after another, the last would have to take the whole load.
+    fn late_fill_weight(&mut self, tier: Tier, server: &Id) -> f64 {
         if tier != Tier::Parent && self.endpoints.has_other_ejected(tier, server) {
             return 0.0;
         }
         let best_late_share = 1.0 - self.endpoints.best_on_time_share(tier);
-        let blame = (LATE_FILL_BASELINE / best_late_share).log10();
-        blame.clamp(0.0, 1.0)
+        let weight = (LATE_FILL_BASELINE / best_late_share).log10();
+        weight.clamp(0.0, 1.0)
     }
 
-    fn record_outcome_of_hops(&mut self, now: Duration, completion: &Completion, blame: Blame) {
+    fn record_outcome_of_hops(
+        &mut self,
+        now: Duration,
+        completion: &Completion,
+        weights: OutcomeWeights,
+    ) {
         let Some(request) = self.requests.get(completion.id) else {
             return;
         };
         let (kb, ended) = (request.arrival.kb, completion.ended);
         let (is_filled, is_broken) = (completion.is_filled(), ended.outcome == Outcome::Broken);
-        // Only the cache itself makes a hit slow: one that ages answers, later and later, until it
-        // dies.
-        let usual = ANSWER_OVERHEAD + request.sending_time;
-        let is_late_hit = completion.is_hit() && ended.took > usual.mul_f64(SLOW_HIT_MULTIPLE);
+        // Only the cache itself can make a hit slow: a degrading cache answers later and later
+        // until it fails.
+        let expected_time = ANSWER_OVERHEAD + request.sending_time;
+        let is_late_hit =
+            completion.is_hit() && ended.took > expected_time.mul_f64(SLOW_HIT_MULTIPLE);
         let route = completion.route;
-        for (name, weight) in route.hops().zip([blame.server, blame.source]) {
+        for (name, weight) in route.hops().zip([weights.server, weights.source]) {
             let Some(endpoint) = self.endpoints.get_mut(name) else {
                 continue;
             };
@@ -293,7 +298,7 @@
         }
     }
 
-    /// Behind a parent the origin is judged by how long it kept a fill waiting.
+    /// Behind a parent, the origin's outcome is determined by the time to its first byte.
     fn record_outcome_of_origins(&mut self, now: Duration, completion: &Completion) {
         let ended = completion.ended;
         if !matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
@@ -311,7 +316,7 @@
         }
     }
 
-    fn learn_from_answer(&mut self, now: Duration, completion: &Completion) {
+    fn record_answer(&mut self, now: Duration, completion: &Completion) {
         let Some(request) = self.requests.get_mut(completion.id) else {
             return;
         };
@@ -333,7 +338,7 @@
             known_at: now,
         });
         if let Some(wait) = completion.ended.first_byte {
-            part.fill_cost = Some((wait.as_secs_f64() * 1e3).max(LEAST_FILL_COST_MS));
+            part.fill_cost = Some((wait.as_secs_f64() * 1e3).max(MIN_FILL_COST_MS));
         }
     }
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! The gate: every attempt passes [`Router::send`], and each rule is enforced here.
+//! Dispatch: every attempt is sent by [`Router::send`], which enforces all rules.
 
 use crate::admission::part_key;
 use crate::endpoints::Endpoint;
@@ -9,46 +9,47 @@
 use crate::timers::TimerCallback;
 use std::time::Duration;
 
-/// Why an attempt is not sent.
+/// The reason why an attempt is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     /// The request is not pending.
     RequestUnknown,
-    /// The server is not listed.
+    /// The server is not in the endpoint list.
     EndpointUnknown,
     /// Rule 1: the request has its final answer, or its client has left.
-    RequestOver,
+    RequestFinished,
     /// Rule 1: the hard deadline of the request has passed.
     DeadlinePassed,
-    /// The request has had all the attempts that are allowed.
+    /// The request has used all its attempts.
     AttemptsExhausted,
     /// An attempt of the request is in flight.
     AttemptInFlight,
-    /// Rule 2: an earlier attempt may have run, and running again is not safe.
+    /// Rule 2: an earlier attempt may have been executed, and a repeat is not safe.
     RetryUnsafe,
-    /// Rule 3: the server or the source drains, or is gone.
+    /// Rule 3: the server or the source is draining or no longer listed.
     EndpointDraining,
     /// Rule 4: the server or the source is warming up, and this router's share of its budget is
-    /// used.
+    /// spent.
     SlowStartBudgetSpent,
-    /// Rule 5: the local copy was created too long ago.
+    /// Rule 5: the local copy is too old.
     CopyTooOld,
 }
 
-/// An attempt that passed the gate.
-struct AttemptOrder {
+/// The parameters of an attempt that satisfies every rule.
+struct ValidatedAttempt {
     fill: Fill,
-    /// How long it may take.
+    /// The maximum duration of the attempt.
     limit: Duration,
     kb: f64,
-    /// What it is to the server, and to the source.
+    /// The work for the server and for the source, in seconds of sending.
     work: [f64; 2],
-    /// After how long it is looked into; none: it cannot be cancelled, or must not.
+    /// The time after which the attempt is checked; `None` if it cannot be cancelled or must not
+    /// be.
     timeout: Option<Duration>,
 }
 
 impl Router {
-    /// Sends an attempt, or says which rule forbids it.
+    /// Sends an attempt, or returns the rule that forbids it.
     pub(crate) fn send(
         &mut self,
         context: &mut EventContext,
@@ -56,28 +57,28 @@
         route: Route,
     ) -> Result<(), Refusal> {
         let is_fill = self.is_likely_fill(id, &route);
-        let order = self.validate_attempt(context.now, id, &route)?;
-        self.record_sent(context.now, &route, &order);
+        let validated = self.validate_attempt(context.now, id, &route)?;
+        self.record_sent(context.now, &route, &validated);
         context
             .actions
-            .attempt(id, &route.server, order.limit, &order.fill);
+            .attempt(id, &route.server, validated.limit, &validated.fill);
         let sent_at = context.now;
         let attempt = Attempt {
             open: Some(OpenAttempt { route, sent_at }),
             is_fill,
             holds_fill_slot: is_fill,
         };
-        self.register_attempt(context, id, attempt, order.timeout);
+        self.register_attempt(context, id, attempt, validated.timeout);
         Ok(())
     }
 
-    /// Every rule about sending an attempt.
+    /// Checks every rule for sending an attempt.
     fn validate_attempt(
         &self,
         now: Duration,
         id: &Id,
         route: &Route,
-    ) -> Result<AttemptOrder, Refusal> {
+    ) -> Result<ValidatedAttempt, Refusal> {
         let request = self.requests.get(id).ok_or(Refusal::RequestUnknown)?;
         let server = self.endpoints.get(&route.server);
         let server = server.ok_or(Refusal::EndpointUnknown)?;
@@ -99,8 +100,8 @@
         let can_be_cancelled = self.may_cancel && !class.streamed;
         let is_watched = class.effect == Effect::Idempotent && can_be_cancelled;
         let timeout = || self.attempt_timeout.timeout(request.sending_time);
-        Ok(AttemptOrder {
-            fill: self.fill_order(now, request, route, server, source, max_age),
+        Ok(ValidatedAttempt {
+            fill: self.fill_parameters(now, request, route, server, source, max_age),
             limit: request.deadline - now,
             kb: request.arrival.kb,
             work: [server, source].map(|endpoint| self.work(endpoint, request)),
@@ -109,8 +110,8 @@
     }
 
     fn validate_request(&self, now: Duration, request: &PendingRequest) -> Result<(), Refusal> {
-        if request.is_over {
-            return Err(Refusal::RequestOver);
+        if request.is_finished {
+            return Err(Refusal::RequestFinished);
         }
         if now >= request.deadline {
             return Err(Refusal::DeadlinePassed);
@@ -124,9 +125,9 @@
         Ok(())
     }
 
-    /// Rules 3 and 4, for a server or a source: nothing new once told that it drains or is gone;
-    /// while it warms up, no more in any span than this router's share of what it bears, lest all
-    /// together push it over.
+    /// Rules 3 and 4, for a server or a source. After the notice of a drain or removal it is sent
+    /// nothing new. While it warms up, each router sends no more per span than its share of the
+    /// budget, as the routers together would otherwise overload the server.
     #[inline]
     fn validate_endpoint(
         &self,
@@ -155,7 +156,7 @@
         self.validate_endpoint(now, endpoint, request).is_ok()
     }
 
-    /// Rule 2: whether a request may run again at this target.
+    /// Rule 2: whether a request may be executed again at this target.
     pub(crate) fn is_safe_to_retry(
         &self,
         now: Duration,
@@ -167,11 +168,17 @@
         };
         let class = &self.classes[request.arrival.class];
         let ran_on = self.endpoints.get(&execution.server).map(|e| &e.member);
-        retry::is_safe_to_retry(class, execution, ran_on, target, now + self.margin)
+        retry::is_safe_to_retry(
+            class,
+            execution,
+            ran_on,
+            target,
+            now + self.max_action_delay,
+        )
     }
 
-    /// Rule 5: the greatest age of a copy that will do, by the last purge and by how long copies
-    /// are fresh.
+    /// Rule 5: the maximum age of an acceptable copy, from the last purge and the freshness
+    /// lifetime.
     fn max_age(
         &self,
         now: Duration,
@@ -190,7 +197,7 @@
         self.slow_start.work(tier, class, request.sending_time)
     }
 
-    fn fill_order(
+    fn fill_parameters(
         &self,
         now: Duration,
         request: &PendingRequest,
@@ -206,7 +213,8 @@
             rank: request.retention_priority * u8::from(is_for_cache),
             oldest: max_age,
             join: self.joins_fills,
-            // While the origin fails, what a parent fetches from it only holds up what it has.
+            // While the origin fails, fetches from it would only delay the copies that parents
+            // hold.
             only_held: source.member.tier == Tier::Parent
                 && is_cacheable
                 && self.endpoints.are_origins_failing(now),
@@ -215,14 +223,14 @@
         }
     }
 
-    fn record_sent(&mut self, now: Duration, route: &Route, order: &AttemptOrder) {
+    fn record_sent(&mut self, now: Duration, route: &Route, validated: &ValidatedAttempt) {
         let span = self.slow_start.longest_span();
-        for (name, work) in route.hops().zip(order.work) {
+        for (name, work) in route.hops().zip(validated.work) {
             let Some(endpoint) = self.endpoints.get_mut(name) else {
                 continue;
             };
             endpoint.sent_work.note(now, span, work);
-            endpoint.in_flight_kb += order.kb;
+            endpoint.in_flight_kb += validated.kb;
             endpoint.in_flight += 1;
             endpoint.outliers.record_sent(now);
         }
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -4,10 +4,10 @@
 const NOW: Duration = Duration::from_secs(1000);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Takes every action and does nothing.
-struct Ignore;
+/// Discards every action.
+struct NoopOutlet;
 
-impl Outlet for Ignore {
+impl Outlet for NoopOutlet {
     fn attempt(&mut self, _: &Id, _: &Id, _: Duration, _: &Fill) {}
     fn reject(&mut self, _: &Id, _: Option<Duration>) {}
     fn fail(&mut self, _: &Id) {}
@@ -24,7 +24,8 @@
     }
 }
 
-/// A router with two caches and a request of this effect, with an attempt at the first cache.
+/// A router with two caches, and a request with this effect whose first attempt was sent to a
+/// cache.
 fn router(effect: Effect) -> (Router, Id) {
     let limits = ColdStart {
         from: 0.5,
@@ -47,9 +48,9 @@
         purge_done: SECOND * 6,
         ..Deployment::default()
     };
-    let mut router = Router::start(SECOND, &deployment, &mut Ignore);
+    let mut router = Router::start(SECOND, &deployment, &mut NoopOutlet);
     let members = [cache("cache-1"), cache("cache-2")];
-    router.list(NOW, ListKind::Whole, &members, &mut Ignore);
+    router.list(NOW, ListKind::Whole, &members, &mut NoopOutlet);
     let arrival = Arrival {
         id: "request".into(),
         object: "object".into(),
@@ -57,7 +58,7 @@
         left: SECOND * 4,
         ..Arrival::default()
     };
-    router.request(NOW, arrival, &mut Ignore);
+    router.request(NOW, arrival, &mut NoopOutlet);
     (router, "request".into())
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// Ends the first attempt as if it had never been, but for `ran`.
+/// Ends the first attempt without a result; `ran` tells whether it may have been executed.
 fn end_attempt(router: &mut Router, id: &Id, ran: bool) {
     let request = router.requests.get_mut(id).expect("pending");
     request.attempts[0].open = None;
@@ -86,14 +87,14 @@
 }
 
 #[test]
-fn an_attempt_that_keeps_every_rule_passes() {
+fn an_attempt_that_satisfies_every_rule_is_accepted() {
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, true);
     assert_eq!(refusal(&router, NOW, &id, &route("cache-2")), None);
 }
 
 #[test]
-fn requests_and_servers_that_are_not_known_are_refused() {
+fn unknown_requests_and_servers_are_refused() {
     let (router, id) = router(Effect::Idempotent);
     let unknown = "unknown".into();
     let refused = refusal(&router, NOW, &unknown, &route("cache-1"));
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn nothing_is_sent_beside_an_attempt_in_flight_nor_past_the_last_attempt() {
+fn attempts_are_refused_while_one_is_in_flight_and_after_the_last_one() {
     let (mut router, id) = router(Effect::Idempotent);
     let refused = refusal(&router, NOW, &id, &route("cache-2"));
     assert_eq!(refused, Some(Refusal::AttemptInFlight));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn nothing_is_sent_at_the_deadline_nor_for_a_client_that_has_left() {
+fn attempts_are_refused_at_the_deadline_and_after_the_client_has_left() {
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, false);
     let (to, deadline) = (route("cache-2"), NOW + SECOND * 4);
@@ -123,11 +124,14 @@
     let refused = refusal(&router, deadline, &id, &to);
     assert_eq!(refused, Some(Refusal::DeadlinePassed));
     router.begun(&id);
-    assert_eq!(refusal(&router, NOW, &id, &to), Some(Refusal::RequestOver));
+    assert_eq!(
+        refusal(&router, NOW, &id, &to),
+        Some(Refusal::RequestFinished)
+    );
 }
 
 #[test]
-fn a_non_idempotent_request_that_may_have_run_is_not_sent_again() {
+fn a_non_idempotent_request_that_may_have_been_executed_is_not_retried() {
     let (mut router, id) = router(Effect::NonIdempotent);
     end_attempt(&mut router, &id, false);
     assert_eq!(refusal(&router, NOW, &id, &route("cache-2")), None);
@@ -137,14 +141,14 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_server_nor_fills_from_a_draining_source() {
+fn draining_servers_and_sources_are_refused() {
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, false);
     let draining = Member {
         standing: Standing::Draining,
         ..cache("cache-2")
     };
-    router.list(NOW, ListKind::Changes, &[draining], &mut Ignore);
+    router.list(NOW, ListKind::Changes, &[draining], &mut NoopOutlet);
     let refused = refusal(&router, NOW, &id, &route("cache-2"));
     assert_eq!(refused, Some(Refusal::EndpointDraining));
     let filled = Route {
@@ -156,7 +160,7 @@
 }
 
 #[test]
-fn a_warming_server_whose_budget_is_spent_is_sent_nothing() {
+fn a_warming_server_without_budget_is_refused() {
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, false);
     let warming = Member {
@@ -164,13 +168,13 @@
         capacity: 0.01,
         ..cache("cache-2")
     };
-    router.list(NOW, ListKind::Changes, &[warming], &mut Ignore);
+    router.list(NOW, ListKind::Changes, &[warming], &mut NoopOutlet);
     let refused = refusal(&router, NOW, &id, &route("cache-2"));
     assert_eq!(refused, Some(Refusal::SlowStartBudgetSpent));
 }
 
 #[test]
-fn a_local_copy_created_before_a_purge_is_not_sent() {
+fn a_local_copy_created_before_a_purge_is_refused() {
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, false);
     let created = |at| Route {
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! What a request does next: it is answered locally, waits for another's fill or for a slot among
-//! the fills, is sent somewhere, or gets its final answer.
+//! The life cycle of requests: a request is answered from a local copy, waits for another request's
+//! fill or for a fill slot, is sent to a server, or gets its final answer.
 
 use crate::admission::part_key;
 use crate::interface::{Effect, Held, Id};
@@ -9,16 +9,16 @@
 use crate::timers::TimerCallback;
 use std::time::Duration;
 
-/// Telling a client that the copy it holds still holds takes this part of sending it.
+/// A not-modified answer takes the sending time of the full answer divided by this.
 const NOT_MODIFIED_DIVISOR: u32 = 20;
-/// The least share of an answer at a client's pace that the own link is taken to carry.
-const LEAST_LOCAL_CAPACITY: f64 = 0.01;
+/// The minimum assumed capacity of this router's link, in answers at the clients' rate.
+const MIN_LOCAL_CAPACITY: f64 = 0.01;
 
 impl Router {
-    /// Takes the next step of a request, unless it is over or an attempt is in flight.
+    /// Takes the next step of a request, unless it is finished or has an attempt in flight.
     pub(crate) fn advance(&mut self, context: &mut EventContext, id: &Id) {
         let request = self.requests.get(id);
-        let is_idle = request.is_some_and(|r| !r.is_over && r.open_attempts == 0);
+        let is_idle = request.is_some_and(|r| !r.is_finished && r.open_attempts == 0);
         if !is_idle || self.answer_locally(context, id, Duration::ZERO) {
             return;
         }
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Answers from a local copy, if the local cache is healthy and this router's link carries the
-    /// answer in time. The copy may be past its fresh time by `allowed_staleness`.
+    /// Answers from a local copy, if the local cache is healthy and this router's link can transfer
+    /// the answer in time. The copy may be stale by up to `allowed_staleness`.
     fn answer_locally(
         &mut self,
         context: &mut EventContext,
@@ -62,8 +62,8 @@
         } else {
             request.sending_time
         };
-        // One answer runs at a client's pace at most; all share the link in turn.
-        let link_time = sending_time.div_f64(capacity.max(LEAST_LOCAL_CAPACITY));
+        // An answer is sent at the clients' rate at most; answers use the link one after another.
+        let link_time = sending_time.div_f64(capacity.max(MIN_LOCAL_CAPACITY));
         let link_free_at = self.link_free_at.max(context.now) + link_time;
         let complete_at = link_free_at.max(context.now + sending_time);
         let latest = if allowed_staleness.is_zero() {
@@ -93,8 +93,9 @@
             && !request.failed_servers.contains(&copy.place)
     }
 
-    /// Waits for the fill of the same part that is under way, which a second one would only crowd;
-    /// once, and not for longer than leaves time for a fill of its own: the leader's may be lost.
+    /// Waits for a fill of the same part that is in progress, as a second fill would only add load.
+    /// A request waits once at most, and leaves time for a fill of its own, as the leader's may
+    /// fail.
     fn coalesce(&mut self, context: &mut EventContext, id: &Id) -> bool {
         let Some(request) = self.requests.get_mut(id) else {
             return false;
@@ -113,14 +114,14 @@
         true
     }
 
-    /// An attempt of a request has ended: a local copy of what it brought, and on with those that
-    /// waited for it.
+    /// Handles the end of an attempt for coalescing: keeps a local copy of the answer, and resumes
+    /// the requests that waited for it.
     pub(crate) fn complete_waiters(&mut self, context: &mut EventContext, id: &Id, served: bool) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let waiters = self.coalescing.complete(part_key(&request.arrival), id);
-        // What others waited for is wanted more than once.
+        // A part that other requests waited for has been requested more than once.
         let wanted = u8::from(!waiters.is_empty());
         let retention_priority = request.retention_priority.max(wanted);
         let is_cacheable = self.classes[request.arrival.class].cacheable;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Waits for a slot among the fills, as long as a fill could still be in time after.
+    /// Waits for a fill slot, for as long as a fill could still be complete in time.
     fn enqueue_fill(&mut self, context: &mut EventContext, id: &Id) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -147,12 +148,12 @@
         self.set_timer(context, latest_start - context.now, timeout);
     }
 
-    /// Slots are free: those that wait for one go on, the most value for the work first.
+    /// Resumes queued requests while slots are free, the highest value per unit of work first.
     pub(crate) fn dequeue_fills(&mut self, context: &mut EventContext) {
         loop {
             let (requests, classes) = (&self.requests, &self.classes);
             let next = self.fill_limiter.dequeue(|id| {
-                let request = requests.get(id).filter(|request| !request.is_over)?;
+                let request = requests.get(id).filter(|request| !request.is_finished)?;
                 let work = crate::request::ANSWER_OVERHEAD + request.sending_time;
                 Some(classes[request.arrival.class].value / work.as_secs_f64())
             });
@@ -163,12 +164,13 @@
         }
     }
 
-    /// The final answer where none was served: a rejection where a retry is safe, else a failure.
+    /// Gives the final answer of an unserved request: a rejection if a retry is safe, else a
+    /// failure.
     pub(crate) fn finish(&mut self, context: &mut EventContext, id: &Id) {
-        let Some(request) = self.requests.get(id).filter(|r| !r.is_over) else {
+        let Some(request) = self.requests.get(id).filter(|r| !r.is_finished) else {
             return;
         };
-        // Better than none: a local copy past its fresh time, within what its class allows.
+        // A stale local copy, within the limit of the request's class, is better than no answer.
         let allowed_staleness = self.classes[request.arrival.class].stale_for;
         if !allowed_staleness.is_zero()
             && request.open_attempts == 0
@@ -191,18 +193,18 @@
         self.close(context, id);
     }
 
-    /// Whether the client may be told that a retry is safe: no attempt can still run, or running
-    /// again is safe.
+    /// Whether the client may be told that a retry is safe: no attempt can still be executed, or
+    /// repeated execution is safe.
     fn may_reject(&self, now: Duration, request: &PendingRequest) -> bool {
         let effect = self.classes[request.arrival.class].effect;
         let is_certain = request.open_attempts == 0 || effect == Effect::Idempotent;
         is_certain && self.is_safe_to_retry(now, request, &RetryTarget::Client)
     }
 
-    /// Once a request is over its open attempts are cancelled, and it is forgotten when all have
+    /// Cancels the open attempts of a finished request, and removes the request when all have
     /// ended.
     pub(crate) fn close(&mut self, context: &mut EventContext, id: &Id) {
-        let Some(request) = self.requests.get(id).filter(|r| r.is_over) else {
+        let Some(request) = self.requests.get(id).filter(|r| r.is_finished) else {
             return;
         };
         if self.may_cancel {
--- a/src/overdue.rs
+++ b/src/overdue.rs
@@ -1,4 +1,5 @@
-//! Attempts that have not ended within their timeout: which server is silent, and when to give up.
+//! Overdue attempts: detects servers that have stopped answering, and decides when an attempt is
+//! given up.
 
 use crate::interface::Id;
 use crate::outlier::EJECTION_LOG_ODDS;
@@ -7,44 +8,44 @@
 use crate::timers::TimerCallback;
 use std::time::Duration;
 
-/// A hop that has not answered anybody since an attempt was sent.
+/// A hop that has not answered any request since the attempt was sent.
 struct SilentHop {
     server: Id,
-    /// How long before the attempt it last answered, in seconds: the longer, the likelier it is
-    /// broken.
+    /// Seconds between the hop's last answer and the sending of the attempt; the longer, the more
+    /// likely the hop is faulty.
     silent_for: f64,
 }
 
 impl Router {
-    /// An attempt has not ended within its timeout. A server that has not answered anybody since
-    /// counts as silent, but not for one overdue fill. One that answered others is slow: another
-    /// attempt would double the load. After as long again its answer is lost, and would hold a
-    /// fill's slot.
+    /// Handles an attempt that has not ended within its timeout. A server that has not answered any
+    /// request since the attempt was sent counts as silent; one overdue fill alone is not enough
+    /// evidence to give the attempt up. A server that answered other requests is slow, and another
+    /// attempt would double the load. After twice the timeout the answer is considered lost;
+    /// waiting longer would only occupy a fill slot.
     pub(crate) fn check_overdue_attempt(
         &mut self,
         context: &mut EventContext,
         id: &Id,
         number: usize,
     ) {
-        let request = self.requests.get(id).filter(|request| !request.is_over);
+        let request = self.requests.get(id).filter(|request| !request.is_finished);
         let Some((request, open)) = request.and_then(|r| Some((r, r.open_attempt(number)?))) else {
             return;
         };
         let (route, sent_at) = (open.route.clone(), open.sent_at);
-        let usual = self.attempt_timeout.timeout(request.sending_time);
-        // A copy would have been sent by now: it is being filled after all. Nothing fills a local
-        // one.
+        let timeout = self.attempt_timeout.timeout(request.sending_time);
+        // A cached copy would have arrived by now, so the attempt is assumed to fill, unless it
+        // uses a local cache, which never fills.
         let was_fill = request.attempts[number].is_fill;
         let is_filling = !route.is_local() && was_fill;
         let silent = self.silent_hops(&route, sent_at);
-        // Whoever says nothing to anybody uses no link: a slot among the fills would be held for
-        // nothing.
+        // A silent hop transfers nothing, so the attempt does not need a fill slot.
         let holds_slot = !route.is_local() && silent.is_empty();
-        self.take_for_fill(id, number, &route, holds_slot);
-        let log_odds = self.count_silence(context.now, &silent);
-        // Whichever it is, one of them is broken.
+        self.mark_as_fill(id, number, &route, holds_slot);
+        let log_odds = self.record_silence(context.now, &silent);
+        // At these odds one of the silent hops is faulty, even if it is unknown which.
         let waits = if silent.is_empty() {
-            context.now < sent_at + usual * 2
+            context.now < sent_at + timeout * 2
         } else {
             is_filling && log_odds < EJECTION_LOG_ODDS
         };
@@ -71,8 +72,8 @@
         route.hops().filter_map(silent).collect()
     }
 
-    /// An overdue attempt counts as a fill, unless it is for a local copy.
-    fn take_for_fill(&mut self, id: &Id, number: usize, route: &Route, holds_slot: bool) {
+    /// Counts an overdue attempt as a fill, unless it uses a local cache.
+    fn mark_as_fill(&mut self, id: &Id, number: usize, route: &Route, holds_slot: bool) {
         let request = self.requests.get_mut(id);
         let Some(attempt) = request.and_then(|r| r.attempts.get_mut(number)) else {
             return;
@@ -86,9 +87,9 @@
         attempt.holds_fill_slot = holds_slot;
     }
 
-    /// One failure, divided among the hops that are silent. The sum of the log odds that they are
-    /// broken.
-    fn count_silence(&mut self, now: Duration, silent: &[SilentHop]) -> f64 {
+    /// Records one failure, divided among the silent hops. Returns the sum of the log odds that
+    /// they are faulty.
+    fn record_silence(&mut self, now: Duration, silent: &[SilentHop]) -> f64 {
         let total = silent.iter().map(|hop| hop.silent_for).sum::<f64>();
         let mut log_odds = 0.0;
         for hop in silent {
@@ -101,7 +102,8 @@
         log_odds
     }
 
-    /// Cancels an attempt. Its request asks the silent hops, or else the server, no more.
+    /// Cancels an attempt. Its request excludes the silent hops, or else the server, from further
+    /// attempts.
     fn give_up_attempt(
         &mut self,
         context: &mut EventContext,
--- a/src/purge.rs
+++ b/src/purge.rs
@@ -1,30 +1,30 @@
-//! Rule 5: nothing is answered from a copy older than a purge. The purges that are still being
-//! carried out are kept here, and bound the age of the copies that an attempt accepts.
+//! Purges (rule 5): no request is answered from a copy older than a purge. The log keeps the purges
+//! that are still in progress, which bound the age of the copies that an attempt accepts.
 
 use crate::interface::{Arrival, Id};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// What a purge is of.
+/// The scope of a purge.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum PurgeScope {
     Object(Id),
     Group(u64),
 }
 
-/// The purges after which older copies may still be left somewhere.
+/// The purges in progress, of which older copies may still exist.
 #[derive(Debug, Default)]
 pub struct PurgeLog {
-    /// No older copy is left anywhere so long after a purge.
+    /// The time after which a purge has removed every older copy.
     completes_within: Duration,
-    /// The latest purge of each scope.
+    /// The time of the latest purge of each scope.
     purged_at: HashMap<PurgeScope, Duration>,
-    /// The same, the oldest first.
+    /// The entries of `purged_at`, oldest first.
     by_age: BTreeSet<(Duration, PurgeScope)>,
 }
 
 impl PurgeLog {
-    /// An empty log, where purges are complete after so long.
+    /// Creates an empty log; purges are complete after `completes_within`.
     pub fn new(completes_within: Duration) -> PurgeLog {
         PurgeLog {
             completes_within,
@@ -32,10 +32,9 @@
         }
     }
 
-    /// Notes a purge of an object, or of a group where no object is named, that was made at
-    /// `purged_at`.
+    /// Records a purge made at `purged_at`: of an object, or of a group if `object` is `None`.
     pub fn record(&mut self, now: Duration, purged_at: Duration, object: Option<Id>, group: u64) {
-        self.forget_completed(now);
+        self.remove_completed(now);
         let scope = object.map_or(PurgeScope::Group(group), PurgeScope::Object);
         let previous = self.purged_at.get(&scope).copied();
         if previous.is_some_and(|previous| previous >= purged_at) {
@@ -48,7 +47,7 @@
         self.purged_at.insert(scope, purged_at);
     }
 
-    fn forget_completed(&mut self, now: Duration) {
+    fn remove_completed(&mut self, now: Duration) {
         while let Some((purged_at, _)) = self.by_age.first()
             && now >= *purged_at + self.completes_within
         {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// The latest purge of what a request asks for.
+    /// The time of the latest purge of the requested object or its group.
     pub fn last_purge(&self, arrival: &Arrival) -> Option<Duration> {
         let object = PurgeScope::Object(arrival.object.clone());
         let group = PurgeScope::Group(arrival.group);
@@ -67,8 +66,8 @@
         of_object.max(self.purged_at.get(&group)).copied()
     }
 
-    /// The greatest age of a copy made since the last purge that may not be complete yet; never
-    /// zero, which would mean any age.
+    /// The maximum age of a copy created after the last purge, while that purge may be incomplete.
+    /// Never zero, which would mean any age.
     pub fn max_age(&self, now: Duration, arrival: &Arrival) -> Option<Duration> {
         let purged_at = self.last_purge(arrival)?;
         let is_open = now < purged_at + self.completes_within;
--- a/src/purge/tests.rs
+++ b/src/purge/tests.rs
@@ -3,9 +3,10 @@
 const NOW: Duration = Duration::from_secs(1000);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Old purges are forgotten with the next one; the latest of an object counts.
+/// Completed purges are removed when the next one is recorded; for an object the latest purge
+/// counts.
 #[test]
-fn purges_are_forgotten_once_done_and_not_before() {
+fn purges_are_removed_once_complete_and_not_before() {
     let mut log = PurgeLog::new(SECOND * 6);
     let (x, y): (Id, Id) = ("x".into(), "y".into());
     let scope = PurgeScope::Object(x.clone());
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn the_age_of_a_copy_is_bound_from_the_purge_on_until_it_is_complete() {
+fn the_copy_age_is_limited_from_a_purge_until_its_completion() {
     let mut log = PurgeLog::new(SECOND * 6);
     let arrival = Arrival {
         object: "x".into(),
--- a/src/request.rs
+++ b/src/request.rs
@@ -4,104 +4,101 @@
 use crate::retry::PossibleExecution;
 use std::time::Duration;
 
-/// What an answer takes beside its sending time.
+/// The expected time of an answer in addition to its sending time.
 pub const ANSWER_OVERHEAD: Duration = Duration::from_millis(100);
 
-/// Where an attempt goes: a server, and the source of a fill with it.
+/// The destination of an attempt: a server, and the source from which it fills a miss.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The server that is to answer.
+    /// The server that receives the attempt.
     pub server: Id,
-    /// Where it fills a miss from; the server itself: it does not fill.
+    /// The source of a fill; equal to `server` if the server must not fill.
     pub source: Id,
-    /// When the copy was created that the attempt is for, where that is known: in a local cache.
+    /// The creation time of the local copy that the attempt uses; `None` for attempts at other
+    /// servers.
     pub copy_created_at: Option<Duration>,
-    /// For how long past its fresh time a copy is accepted.
+    /// How long after its freshness lifetime a copy is still accepted.
     pub allowed_staleness: Duration,
 }
 
 impl Route {
-    /// The server, and the source where it is another one.
+    /// The server, and the source if it differs from the server.
     pub fn hops(&self) -> impl Iterator<Item = &Id> {
         let source = Some(&self.source).filter(|source| **source != self.server);
         [Some(&self.server), source].into_iter().flatten()
     }
 
-    /// Whether it goes to a local cache.
+    /// Whether the attempt uses a local cache.
     pub fn is_local(&self) -> bool {
         self.copy_created_at.is_some()
     }
 }
 
-/// Where and when an attempt was sent that has not ended.
+/// An attempt in flight.
 #[derive(Debug)]
 pub struct OpenAttempt {
-    /// Where it was sent.
     pub route: Route,
-    /// When it was sent.
     pub sent_at: Duration,
 }
 
 /// One attempt of a request.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Until it has ended.
+    /// `None` once the attempt has ended.
     pub open: Option<OpenAttempt>,
-    /// It is taken for a fill.
+    /// The attempt is expected to fill, or is overdue and therefore assumed to.
     pub is_fill: bool,
-    /// It holds a slot of the fill limiter.
+    /// The attempt holds a slot of the fill limiter.
     pub holds_fill_slot: bool,
 }
 
-/// An error that is perhaps the request's own fault, and a server that returned it or was its
+/// An error that the request itself may have caused, with a server that returned it or was its
 /// source.
 #[derive(Debug)]
 pub struct SuspectedError {
-    /// The server, or the source.
     pub server: Id,
-    /// How much the error counts against it, from 0 to 1.
+    /// The weight of the error, from 0 to 1.
     pub weight: f64,
 }
 
-/// A request that has no final answer yet, or an attempt of which has not ended.
+/// A request that has no final answer yet, or that has attempts in flight.
 #[derive(Debug)]
 pub struct PendingRequest {
-    /// The request as it came in.
     pub arrival: Arrival,
-    /// The priority at which a copy of what it asks for is kept; 0: not kept.
+    /// The priority at which a copy of the part is retained; 0: not retained.
     pub retention_priority: u8,
-    /// It is the first known access to its part.
+    /// The request is the first known access to its part.
     pub is_first_access: bool,
-    /// How long its answer takes to send at the client's pace.
+    /// How long the answer takes to send at the clients' rate.
     pub sending_time: Duration,
-    /// The latency objective: an answer after it is worth less.
+    /// The latency objective, after which an answer has less value.
     pub soft_deadline: Duration,
-    /// The hard deadline: its final answer is out by then.
+    /// The hard deadline, by which the final answer is given.
     pub deadline: Duration,
-    /// Its attempts, in the order sent.
+    /// The attempts, in send order.
     pub attempts: Vec<Attempt>,
-    /// How many of them have not ended.
+    /// The number of attempts in flight.
     pub open_attempts: usize,
-    /// It has its final answer, or its client has left.
-    pub is_over: bool,
-    /// It has waited for another request's fill.
+    /// The final answer has been given, or the client has left.
+    pub is_finished: bool,
+    /// The request has waited for another request's fill.
     pub has_coalesced: bool,
-    /// The first attempt that may have run.
+    /// The first attempt that may have been executed.
     pub possible_execution: Option<PossibleExecution>,
-    /// Servers and sources that are not asked again.
+    /// Servers and sources that are excluded from further attempts.
     pub failed_servers: Vec<Id>,
-    /// Errors that count once another server has answered the request.
+    /// Errors that count against their servers once another server has answered the request.
     pub suspected_errors: Vec<SuspectedError>,
 }
 
 impl PendingRequest {
-    /// When an attempt must start at the latest to meet both deadlines.
+    /// The latest start of an attempt that meets both deadlines.
     pub fn latest_start(&self) -> Duration {
         let deadline = self.soft_deadline.min(self.deadline);
         deadline.saturating_sub(ANSWER_OVERHEAD + self.sending_time)
     }
 
-    /// The attempt of that number, if it has not ended.
+    /// The attempt with this number, if it is in flight.
     pub fn open_attempt(&self, attempt: usize) -> Option<&OpenAttempt> {
         self.attempts.get(attempt)?.open.as_ref()
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,28 +1,27 @@
-//! Rule 2: a request whose effect must not happen twice runs again only where no earlier attempt
-//! can have run, or where the servers drop its repeats.
+//! Retry safety (rule 2): a request that must not be executed twice is sent again only if no
+//! earlier attempt can have been executed, or if the servers drop repeats.
 
 use crate::interface::{Class, Effect, Group, Id, Member};
 use std::time::Duration;
 
-/// The first attempt of a request that may have run.
+/// The first attempt of a request that may have been executed.
 #[derive(Clone, Debug)]
 pub struct PossibleExecution {
-    /// When the attempt was sent.
     pub sent_at: Duration,
-    /// Where it was sent.
     pub server: Id,
 }
 
-/// Who would run a request again.
+/// The server that would execute a retry.
 pub enum RetryTarget<'a> {
-    /// This server, by another attempt.
+    /// This server, by a further attempt of the router.
     Server(&'a Member),
-    /// Whatever server the client's retry reaches, once it is told that a retry is safe.
+    /// Any server that a retry by the client may reach, after the client is told that a retry is
+    /// safe.
     Client,
 }
 
-/// Whether a request that may have run may run again. `ran_on` is the server of `execution`, where
-/// it is still listed; `latest` is when the retry is there at the latest.
+/// Whether a request that may have been executed may be executed again. `ran_on` is the server of
+/// `execution`, if it is still listed; `latest` is the latest time at which the retry arrives.
 pub fn is_safe_to_retry(
     class: &Class,
     execution: &PossibleExecution,
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn only_the_effect_decides_outside_deduplication() {
+fn only_idempotency_decides_where_requests_are_not_deduplicated() {
     let idempotent = class(Effect::Idempotent, Group::All);
     let non_idempotent = class(Effect::NonIdempotent, Group::All);
     for next in [None, Some(&member(1, 1))] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_deduplicated_request_runs_again_inside_its_window_only() {
+fn a_deduplicated_request_is_retried_only_within_its_window() {
     let class = class(Effect::Deduplicated, Group::All);
     let before_end = SENT_AT + WINDOW - Duration::from_nanos(1);
     assert!(is_safe(&class, Some(&member(2, 2)), before_end));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_deduplicated_request_runs_again_inside_its_group_only() {
+fn a_deduplicated_request_is_retried_only_within_its_group() {
     let by_zone = class(Effect::Deduplicated, Group::Zone);
     assert!(is_safe(&by_zone, Some(&member(1, 2)), SENT_AT));
     assert!(!is_safe(&by_zone, Some(&member(2, 1)), SENT_AT));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_first_server_that_is_no_longer_listed_shares_no_group() {
+fn an_unlisted_first_server_shares_no_group() {
     let by_zone = class(Effect::Deduplicated, Group::Zone);
     let execution = PossibleExecution {
         sent_at: SENT_AT,
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,10 +1,10 @@
-//! The router: every decision about every request, as a state machine without I/O.
+//! The router: a state machine without I/O that makes every decision about requests.
 //!
-//! [`Router::start`] once, then one method for each thing that happens, each with the time since
-//! the start and the sink through which the router acts. The state is held by modules with one
-//! concern each; what a request does next is decided in `lifecycle`, where to in `routing`, whether
-//! it may in `dispatch`, and what is learnt from the end of an attempt, or from its silence, in
-//! `completion` and `overdue`.
+//! [`Router::start`] creates it; each kind of event has a method, which takes the time since the
+//! start and the [`Outlet`] for the router's actions. The state is held by modules with one concern
+//! each. `lifecycle` decides the next step of a request, `routing` selects its destination,
+//! `dispatch` enforces the rules for sending it, and `completion` and `overdue` process results and
+//! missing results of attempts.
 
 use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::admission::AccessHistory;
@@ -19,36 +19,36 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The wait that a rejected client is advised at most.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// The wait before the endpoint list is asked for again.
+/// The maximum retry delay that rejected clients are told.
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// The delay before the endpoint list is requested again.
 const LIST_RECONNECT_DELAY: Duration = Duration::from_millis(1000);
-/// The sending time of an answer counts as no more than this.
-const LONGEST_SENDING_SECONDS: f64 = 1e6;
+/// The upper bound of the sending time of an answer.
+const MAX_SENDING_SECONDS: f64 = 1e6;
 
-/// What every step of a decision needs: the time, and the sink of actions.
+/// The context of an event: its time, and the receiver of the router's actions.
 pub(crate) struct EventContext<'a> {
     pub(crate) now: Duration,
     pub(crate) actions: &'a mut dyn Outlet,
 }
 
-/// All decisions of one router.
+/// The state of a router.
 #[derive(Default)]
 pub struct Router {
     pub(crate) zone: usize,
     pub(crate) classes: Vec<Class>,
-    /// An action takes effect so much later, at most.
-    pub(crate) margin: Duration,
+    /// The maximum delay until an action takes effect.
+    pub(crate) max_action_delay: Duration,
     client_kb_per_s: f64,
     pub(crate) routers_in_zone: f64,
     pub(crate) max_attempts: usize,
     pub(crate) may_cancel: bool,
-    /// The wait that a rejected client is advised, by the front end's own rejections too.
+    /// The retry delay that rejected clients are told, also by rejections of the front end.
     pub advice: Option<Duration>,
-    /// Parents and origin take attempts too.
+    /// Whether attempts can be sent to parents and origins directly.
     pub(crate) passes_through: bool,
     pub(crate) joins_fills: bool,
-    /// When this router's own link is free again.
+    /// When this router's link becomes free.
     pub(crate) link_free_at: Duration,
 
     pub(crate) endpoints: EndpointList,
@@ -61,26 +61,26 @@
     pub(crate) requests: HashMap<Id, PendingRequest>,
     timers: Timers,
     random: fastrand::Rng,
-    /// How many servers were considered, in all.
+    /// The total number of servers considered by selections.
     #[cfg(test)]
     pub(crate) considered: std::cell::Cell<usize>,
 }
 
 impl Router {
-    /// A router of this deployment, without a list of endpoints yet.
+    /// Creates a router with an empty endpoint list.
     pub fn start(now: Duration, deployment: &Deployment, actions: &mut dyn Outlet) -> Router {
         let in_zone = deployment.routers_at.get(deployment.zone).copied();
         let routers_in_zone = in_zone.unwrap_or(deployment.routers).max(1) as f64;
         if deployment.list_on_request {
             actions.watch_list();
         }
-        let margin = deployment.tick * 2;
-        let is_paced = deployment.client_kb_per_s > 0.0;
+        let max_action_delay = deployment.tick * 2;
+        let has_rate_limit = deployment.client_kb_per_s > 0.0;
         Router {
             zone: deployment.zone,
             classes: deployment.classes.clone(),
-            margin,
-            client_kb_per_s: if is_paced {
+            max_action_delay,
+            client_kb_per_s: if has_rate_limit {
                 deployment.client_kb_per_s
             } else {
                 f64::INFINITY
@@ -90,17 +90,17 @@
             may_cancel: deployment.may_cancel,
             advice: deployment
                 .longest_advice
-                .map(|longest| longest.min(RETRY_AFTER)),
+                .map(|longest| longest.min(MAX_RETRY_AFTER)),
             passes_through: deployment.pass_through,
             joins_fills: deployment.joins,
             slow_start: SlowStart::new(now, deployment, routers_in_zone),
-            purges: PurgeLog::new(deployment.purge_done + margin),
+            purges: PurgeLog::new(deployment.purge_done + max_action_delay),
             random: fastrand::Rng::with_seed(deployment.seed),
             ..Router::default()
         }
     }
 
-    /// The endpoint list, or changes to it. A server that was restarted begins with a clean record.
+    /// Updates the endpoint list. The health state of a restarted server is reset.
     pub fn list(
         &mut self,
         now: Duration,
@@ -112,14 +112,14 @@
             ListKind::Changes => self.endpoints.change(members),
             ListKind::Whole | ListKind::Remembered => self.endpoints.replace(members),
             ListKind::Failed => {
-                // Without a subscription a drain would never be heard of.
+                // Without a subscription the router would not learn of drains.
                 let context = &mut EventContext { now, actions };
                 self.set_timer(context, LIST_RECONNECT_DELAY, TimerCallback::ReconnectList);
             }
         }
     }
 
-    /// A request comes in. It gets its one final answer by its deadline, whatever else happens.
+    /// Handles an incoming request. It gets exactly one final answer, by its deadline.
     pub fn request(&mut self, now: Duration, arrival: Arrival, actions: &mut dyn Outlet) {
         let context = &mut EventContext { now, actions };
         let id = arrival.id.clone();
@@ -134,7 +134,8 @@
     fn pending_request(&mut self, now: Duration, arrival: Arrival) -> PendingRequest {
         let class = &self.classes[arrival.class];
         let is_known = !class.cacheable || self.access_history.part_mut(&arrival).is_some();
-        // With more routers in the zone, more first accesses here are repeated ones of the zone.
+        // With more routers in the zone, a first access here is more often a repeated one in the
+        // zone.
         let others = 1.0 - 1.0 / self.routers_in_zone;
         let shared_share = self.access_history.first_access_hit_share().max(others);
         let is_shared = self.random.f64() < shared_share;
@@ -145,18 +146,17 @@
             0
         };
         let sending_seconds = arrival.kb / self.client_kb_per_s;
-        let sending_time =
-            Duration::from_secs_f64(sending_seconds.clamp(0.0, LONGEST_SENDING_SECONDS));
+        let sending_time = Duration::from_secs_f64(sending_seconds.clamp(0.0, MAX_SENDING_SECONDS));
         self.slow_start.record_request(arrival.class, sending_time);
         PendingRequest {
             retention_priority,
             is_first_access: !is_known,
             sending_time,
             soft_deadline: now + class.soft_deadline + sending_time.mul_f64(class.soft_stretch),
-            deadline: now + arrival.left.saturating_sub(self.margin),
+            deadline: now + arrival.left.saturating_sub(self.max_action_delay),
             attempts: Vec::new(),
             open_attempts: 0,
-            is_over: false,
+            is_finished: false,
             has_coalesced: false,
             possible_execution: None,
             failed_servers: Vec::new(),
@@ -165,20 +165,21 @@
         }
     }
 
-    /// The client has left: nothing is owed any more.
+    /// Handles the departure of a client; its request needs no answer.
     pub fn left(&mut self, now: Duration, id: &Id, actions: &mut dyn Outlet) {
         self.begun(id);
         self.close(&mut EventContext { now, actions }, id);
     }
 
-    /// A streamed answer has begun: it belongs to the client, and nothing more is owed.
+    /// Handles the start of a streamed answer, which is not interrupted; the request needs no other
+    /// answer.
     pub fn begun(&mut self, id: &Id) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.is_over = true;
+            request.is_finished = true;
         }
     }
 
-    /// An attempt has ended. Only the first result of an attempt counts.
+    /// Handles the end of an attempt. Only the first result of an attempt counts.
     pub fn result(
         &mut self,
         now: Duration,
@@ -195,45 +196,45 @@
             return;
         };
         request.open_attempts -= 1;
-        request.is_over |= ended.over;
+        request.is_finished |= ended.over;
         let context = &mut EventContext { now, actions };
         self.complete_attempt(context, id, attempt, &open, ended);
         self.close(context, id);
     }
 
-    /// An object, or else a group, was purged so long ago.
+    /// Handles a purge of an object, or of a group if `object` is `None`, made `ago` before `now`.
     pub fn purged(&mut self, now: Duration, object: Option<Id>, group: u64, ago: Duration) {
         let purged_at = now.saturating_sub(ago);
         self.purges.record(now, purged_at, object, group);
     }
 
-    /// Another router of the zone has found a part at a cache, or had it keep it: here it is a
-    /// repeated access then, and no likely fill.
+    /// Handles the gossip of another router of the zone that a cache holds a part or was asked to
+    /// keep it. The next access here counts as a repeated one, and is not expected to fill.
     pub fn told(&mut self, now: Duration, part: u32, cache: Id) {
         self.access_history.record_holder(now, part, cache);
     }
 
-    /// All that the list tells of and is not gone.
+    /// All listed members.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.endpoints.members()
     }
 
-    /// One member, if it is not gone.
+    /// A member by name, if it is listed.
     pub fn member(&self, server: &Id) -> Option<&Member> {
         self.endpoints.get(server).map(|endpoint| &endpoint.member)
     }
 
-    /// The caches of its zone that are not gone.
+    /// The listed caches of this router's zone.
     pub fn caches(&self) -> impl Iterator<Item = &Member> {
         self.endpoints.caches_of(self.zone)
     }
 
-    /// A cache is to be selected that much more or less, as its zone's routers agree.
+    /// Sets the adjustment of a cache's selection weight, as agreed among the routers of its zone.
     pub fn lean(&mut self, cache: &Id, by: f64) {
         self.endpoints.adjust_weight(cache, by);
     }
 
-    /// A timer has fired.
+    /// Handles a timer.
     pub fn wake(&mut self, now: Duration, mark: u64, actions: &mut dyn Outlet) {
         let Some(callback) = self.timers.fire(mark) else {
             return;
