--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -1,6 +1,8 @@
-//! What a request costs in the decisions alone, by the number of caches: time a request, and as a
-//! multiple of that with the fewest. `cargo run --release --example decision_cost`, or with the
-//! name of a scene and a number of caches to play just that, once.
+//! Measures the cost of the decisions per request, by the number of caches: the time per request,
+//! and its ratio to the time with the smallest number.
+//!
+//! Run `cargo run --release --example decision_cost`. With the name of a scene and a number of caches
+//! as arguments, it runs only that scene, once.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
@@ -10,10 +12,10 @@
 const CACHES: [usize; 3] = [200, 800, 3200];
 const REQUESTS: u64 = 2_000;
 const ROUNDS: usize = 5;
-/// Objects are asked for so many times each, in the mean.
+/// The mean number of requests per object.
 const REPEATS: u64 = 2;
 
-/// What all servers do with what they are sent.
+/// How all servers respond to attempts.
 #[derive(Clone, Copy, PartialEq)]
 enum Servers {
     AnswerFromCopies,
@@ -26,10 +28,11 @@
 struct Scene {
     name: &'static str,
     servers: Servers,
-    /// Of a hundred caches so many have just started, and so many drain.
+    /// The percentage of caches that have just started.
     cold: usize,
+    /// The percentage of caches that are draining.
     draining: usize,
-    /// Of a hundred caches so many are ejected before the measurement.
+    /// The percentage of caches that are ejected before the measurement.
     ejected: usize,
 }
 
@@ -72,14 +75,14 @@
     }
 }
 
-/// Keeps the attempts that are to be answered, and the wakes.
+/// Records the attempts to be answered, and the timers.
 #[derive(Default)]
-struct Orders {
+struct RecordedActions {
     attempts: Vec<(Id, Id)>,
-    wakes: BTreeMap<(Duration, u64), ()>,
+    timers: BTreeMap<(Duration, u64), ()>,
 }
 
-impl Outlet for Orders {
+impl Outlet for RecordedActions {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         self.attempts.push((request.clone(), server.clone()));
     }
@@ -87,7 +90,7 @@
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.wakes.insert((at, mark), ());
+        self.timers.insert((at, mark), ());
     }
     fn watch_list(&mut self) {}
 }
@@ -173,65 +176,66 @@
     }
 }
 
-struct Player {
+struct Benchmark {
     router: Router,
-    orders: Orders,
+    recorded: RecordedActions,
     now: Duration,
     next: u64,
 }
 
-impl Player {
-    fn new(caches: usize, scene: Scene) -> Player {
-        let (mut orders, now) = (Orders::default(), Duration::from_secs(1000));
-        let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut orders);
+impl Benchmark {
+    fn new(caches: usize, scene: Scene) -> Benchmark {
+        let (mut recorded, now) = (RecordedActions::default(), Duration::from_secs(1000));
+        let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut recorded);
         router.list(
             now,
             ListKind::Whole,
             &members(caches, scene, now),
-            &mut orders,
+            &mut recorded,
         );
-        let mut player = Player {
+        let mut benchmark = Benchmark {
             router,
-            orders,
+            recorded,
             now,
             next: 0,
         };
-        player.eject(caches * scene.ejected / 100, caches);
-        player
+        benchmark.eject(caches * scene.ejected / 100, caches);
+        benchmark
     }
 
-    /// Requests that fail, until that many caches have failed often enough.
+    /// Sends requests that fail at the chosen caches until `ejected` of them have failed often
+    /// enough.
     fn eject(&mut self, ejected: usize, caches: usize) {
         let name = |n: usize| -> Id { format!("cache-{n:04}.zone-0").into() };
-        let chosen: std::collections::BTreeSet<Id> = (0..ejected).map(name).collect();
+        let failing: std::collections::BTreeSet<Id> = (0..ejected).map(name).collect();
         let mut failures: BTreeMap<Id, usize> = BTreeMap::new();
-        let mut done = 0;
+        let mut ejected_count = 0;
         for _ in 0..caches * 40 {
-            if done == ejected {
+            if ejected_count == ejected {
                 return;
             }
-            // So fast that what is ejected stays so, for a second at least, through what is
-            // measured.
-            self.ask(Duration::from_micros(20), &mut |server| {
-                if !chosen.contains(server) {
+            // Requests come so fast that ejections, of at least a second, last throughout the
+            // measurement.
+            self.send_request(Duration::from_micros(20), &mut |server| {
+                if !failing.contains(server) {
                     return ended(Servers::AnswerFromCopies);
                 }
                 let failed = failures.entry(server.clone()).or_default();
                 *failed += 1;
-                done += usize::from(*failed == 2);
+                ejected_count += usize::from(*failed == 2);
                 ended(Servers::Fail)
             });
         }
     }
 
-    /// One request and all its attempts.
-    fn ask(&mut self, gap: Duration, answer: &mut dyn FnMut(&Id) -> Ended) {
+    /// Sends one request and ends all its attempts.
+    fn send_request(&mut self, gap: Duration, answer: &mut dyn FnMut(&Id) -> Ended) {
         self.now += gap;
-        while let Some((&(at, mark), ())) = self.orders.wakes.first_key_value()
+        while let Some((&(at, mark), ())) = self.recorded.timers.first_key_value()
             && at <= self.now
         {
-            self.orders.wakes.pop_first();
-            self.router.wake(at, mark, &mut self.orders);
+            self.recorded.timers.pop_first();
+            self.router.wake(at, mark, &mut self.recorded);
         }
         self.next += 1;
         let id: Id = format!("{}", self.next).into();
@@ -243,35 +247,35 @@
             left: Duration::from_secs(4),
             ..Arrival::default()
         };
-        self.router.request(self.now, arrival, &mut self.orders);
+        self.router.request(self.now, arrival, &mut self.recorded);
         let mut attempt = 0;
-        while let Some((request, server)) = self.orders.attempts.pop() {
+        while let Some((request, server)) = self.recorded.attempts.pop() {
             self.router.result(
                 self.now,
                 &request,
                 attempt,
                 &answer(&server),
-                &mut self.orders,
+                &mut self.recorded,
             );
             attempt += 1;
         }
     }
 
-    /// Microseconds a request.
+    /// Returns microseconds per request.
     fn measure(&mut self, servers: Servers) -> f64 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         for _ in 0..REQUESTS {
-            self.ask(Duration::from_micros(100), &mut |_| ended(servers));
+            self.send_request(Duration::from_micros(100), &mut |_| ended(servers));
         }
-        began.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64
+        started_at.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64
     }
 }
 
-/// One scene with so many caches, once: for a tool that counts instructions.
+/// Runs one scene once, for a tool that counts instructions.
 fn play_once(scene: &str, caches: usize) {
     let scene = SCENES.iter().find(|s| s.name == scene);
     let scene = *scene.expect("the name of a scene");
-    Player::new(caches, scene).measure(scene.servers);
+    Benchmark::new(caches, scene).measure(scene.servers);
 }
 
 fn main() {
@@ -280,18 +284,19 @@
         return play_once(scene, caches.parse().expect("a number of caches"));
     }
     println!(
-        "{:16} {:>8} {:>8} {:>8}  us a request; then multiples of the first",
+        "{:16} {:>8} {:>8} {:>8}  us per request; then ratios to the first",
         "caches", 200, 800, 3200
     );
     for scene in SCENES {
-        // The least of several rounds, taken in turn, so that what else runs here weighs little.
-        let mut least = [f64::INFINITY; CACHES.len()];
+        // The minimum over several interleaved rounds, to reduce the influence of other load on the
+        // machine.
+        let mut best = [f64::INFINITY; CACHES.len()];
         for _ in 0..ROUNDS {
-            for (least, caches) in least.iter_mut().zip(CACHES) {
-                *least = least.min(Player::new(caches, scene).measure(scene.servers));
+            for (best, caches) in best.iter_mut().zip(CACHES) {
+                *best = best.min(Benchmark::new(caches, scene).measure(scene.servers));
             }
         }
-        let [first, second, third] = least;
+        let [first, second, third] = best;
         println!(
             "{:16} {first:8.2} {second:8.2} {third:8.2}  1.00 {:5.2} {:5.2}",
             scene.name,
--- a/tests/confined.rs
+++ b/tests/cells.rs
@@ -1,37 +1,38 @@
-//! A cell that holds all changes nothing: same seed, same day, same orders, with cells and without.
+//! A cell that contains every server does not change any decision: with the same seed, the router
+//! takes the same actions with and without it.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Writes down every order, and gives each attempt an outcome drawn by its order alone.
-struct World {
-    orders: Vec<String>,
-    wakes: BTreeMap<(Duration, u64), ()>,
-    ends: VecDeque<(Id, usize)>,
+/// Records every action, and gives each attempt an outcome in the order sent.
+struct Simulation {
+    actions: Vec<String>,
+    timers: BTreeMap<(Duration, u64), ()>,
+    open_attempts: VecDeque<(Id, usize)>,
     attempts: BTreeMap<Id, usize>,
 }
 
-impl Outlet for World {
+impl Outlet for Simulation {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        self.orders
+        self.actions
             .push(format!("attempt {request} {server} {limit:?} {fill:?}"));
         let n = self.attempts.entry(request.clone()).or_default();
-        self.ends.push_back((request.clone(), *n));
+        self.open_attempts.push_back((request.clone(), *n));
         *n += 1;
     }
     fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.orders.push(format!("reject {request} {advice:?}"));
+        self.actions.push(format!("reject {request} {advice:?}"));
     }
     fn fail(&mut self, request: &Id) {
-        self.orders.push(format!("fail {request}"));
+        self.actions.push(format!("fail {request}"));
     }
     fn cancel(&mut self, request: &Id, attempt: usize) {
-        self.orders.push(format!("cancel {request} {attempt}"));
+        self.actions.push(format!("cancel {request} {attempt}"));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.wakes.insert((at, mark), ());
+        self.timers.insert((at, mark), ());
     }
     fn watch_list(&mut self) {}
 }
@@ -80,16 +81,16 @@
     }
 }
 
-fn day(seed: u64, cell: Option<u32>) -> Vec<String> {
-    let (mut chance, mut now) = (fastrand::Rng::with_seed(seed), Duration::from_secs(1));
-    let (orders, wakes, ends) = (Vec::new(), BTreeMap::new(), VecDeque::new());
-    let mut world = World {
-        orders,
-        wakes,
-        ends,
+fn simulate(seed: u64, cell: Option<u32>) -> Vec<String> {
+    let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), Duration::from_secs(1));
+    let (actions, timers, open_attempts) = (Vec::new(), BTreeMap::new(), VecDeque::new());
+    let mut simulation = Simulation {
+        actions,
+        timers,
+        open_attempts,
         attempts: BTreeMap::new(),
     };
-    let mut router = Router::start(now, &deployment(seed), &mut world);
+    let mut router = Router::start(now, &deployment(seed), &mut simulation);
     let member = |name: &str, tier, standing| Member {
         server: name.into(),
         zone: 1,
@@ -107,49 +108,49 @@
     list.push(member("p1", Tier::Parent, Standing::Active));
     list.push(member("p2", Tier::Parent, Standing::Active));
     list.push(member("o1", Tier::Origin, Standing::Active));
-    router.list(now, ListKind::Whole, &list, &mut world);
+    router.list(now, ListKind::Whole, &list, &mut simulation);
     for n in 0..3000 {
-        now += Duration::from_millis(chance.u64(..12));
-        while let Some((&(at, mark), ())) = world
-            .wakes
+        now += Duration::from_millis(rng.u64(..12));
+        while let Some((&(at, mark), ())) = simulation
+            .timers
             .first_key_value()
             .filter(|((at, _), ())| *at <= now)
         {
-            world.wakes.pop_first();
-            router.wake(at.max(now), mark, &mut world);
+            simulation.timers.pop_first();
+            router.wake(at.max(now), mark, &mut simulation);
         }
-        match chance.u8(..40) {
+        match rng.u8(..40) {
             0 => {
                 let (name, standing) = (
-                    caches[chance.usize(..5)],
+                    caches[rng.usize(..5)],
                     [Standing::Active, Standing::Draining],
                 );
-                let changed = member(name, Tier::Cache, standing[chance.usize(..2)]);
-                router.list(now, ListKind::Changes, &[changed], &mut world);
+                let changed = member(name, Tier::Cache, standing[rng.usize(..2)]);
+                router.list(now, ListKind::Changes, &[changed], &mut simulation);
             }
             1 => router.purged(
                 now,
-                Some(format!("x{}", chance.u8(..50)).as_str().into()),
+                Some(format!("x{}", rng.u8(..50)).as_str().into()),
                 0,
                 Duration::ZERO,
             ),
             2..=19 => {
                 let arrival = Arrival {
                     id: format!("a{n}").as_str().into(),
-                    class: usize::from(chance.u8(..10) == 0),
-                    object: format!("x{}", chance.u8(..50)).as_str().into(),
-                    kb: 20.0 + f64::from(chance.u8(..200)),
+                    class: usize::from(rng.u8(..10) == 0),
+                    object: format!("x{}", rng.u8(..50)).as_str().into(),
+                    kb: 20.0 + f64::from(rng.u8(..200)),
                     left: Duration::from_millis(4000),
                     cell,
                     ..Arrival::default()
                 };
-                router.request(now, arrival, &mut world);
+                router.request(now, arrival, &mut simulation);
             }
             _ => {
-                let Some((id, attempt)) = world.ends.pop_front() else {
+                let Some((id, attempt)) = simulation.open_attempts.pop_front() else {
                     continue;
                 };
-                let outcome = match chance.u8(..12) {
+                let outcome = match rng.u8(..12) {
                     0 => Outcome::Error,
                     1 => Outcome::Full,
                     2 => Outcome::Broken,
@@ -158,11 +159,11 @@
                 };
                 let over = outcome == Outcome::Served;
                 let remark = if over {
-                    [Remark::Hit, Remark::Filled][chance.usize(..2)]
+                    [Remark::Hit, Remark::Filled][rng.usize(..2)]
                 } else {
                     Remark::None
                 };
-                let (took, load) = (Duration::from_millis(chance.u64(1..400)), Load::default());
+                let (took, load) = (Duration::from_millis(rng.u64(1..400)), Load::default());
                 let ended = Ended {
                     outcome,
                     remark,
@@ -171,20 +172,20 @@
                     over,
                     load,
                 };
-                router.result(now, &id, attempt, &ended, &mut world);
+                router.result(now, &id, attempt, &ended, &mut simulation);
             }
         }
     }
-    world.orders
+    simulation.actions
 }
 
 #[test]
-fn with_one_cell_of_all_and_with_none_every_order_is_the_same() {
+fn a_cell_with_every_server_does_not_change_any_action() {
     for seed in 0..20 {
-        let (without, with) = (day(seed, None), day(seed, Some(3)));
+        let (without, with) = (simulate(seed, None), simulate(seed, Some(3)));
         assert!(without.len() > 1000, "{}", without.len());
-        let differs = without.iter().zip(&with).position(|(a, b)| a != b);
-        assert_eq!(differs.map(|n| (&without[n], &with[n])), None);
+        let difference = without.iter().zip(&with).position(|(a, b)| a != b);
+        assert_eq!(difference.map(|n| (&without[n], &with[n])), None);
         assert_eq!(without.len(), with.len());
     }
 }
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,10 +1,10 @@
-//! The deploy file tells of all that the router is made of.
+//! Checks that the deploy file lists every part of the router.
 
 use std::collections::BTreeSet;
 use std::fs::{read_dir, read_to_string};
 
-/// The packages of this repository that one needs, and those that they need.
-fn needed(package: &str, all: &mut BTreeSet<String>) {
+/// Collects the direct and transitive dependencies of a package within this repository.
+fn collect_dependencies(package: &str, all: &mut BTreeSet<String>) {
     let manifest = read_to_string(format!("crates/{package}/Cargo.toml")).unwrap();
     let dependencies = manifest
         .split("[dependencies]")
@@ -23,15 +23,15 @@
             .unwrap()
             .to_owned();
         if all.insert(name.clone()) {
-            needed(&name, all);
+            collect_dependencies(&name, all);
         }
     }
 }
 
 #[test]
-fn the_deploy_file_names_every_package_that_the_router_links() {
+fn the_deploy_file_lists_every_package_that_the_router_links() {
     let mut packages = BTreeSet::from(["router".to_owned()]);
-    needed("router", &mut packages);
+    collect_dependencies("router", &mut packages);
     assert!(packages.len() > 6, "{packages:?}");
     let deploy = read_to_string("deploy/balancer.toml").unwrap();
     let node = deploy
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_every_file_of_the_decisions_once() {
+fn the_deploy_file_lists_every_source_file_of_the_decisions_once() {
     let deploy = read_to_string("deploy/balancer.toml").unwrap();
     for entry in read_dir("src").unwrap() {
         let name = entry.unwrap().file_name().into_string().unwrap();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! What is harmless in one router and adds up over many: the decisions of a fleet against plain
-//! sums.
+//! Effects that are harmless in one router and add up over many: the decisions of a fleet against
+//! directly computed sums.
 
 use chalkhall::control::{Judged, Router};
 use chalkhall::interface::*;
@@ -10,14 +10,14 @@
     Duration::from_millis(ms)
 }
 
-/// What one router orders: attempts with their source, and when it wants to be woken.
+/// Records the attempts of a router with their sources, and its timers.
 #[derive(Default)]
-struct Orders {
+struct RecordedActions {
     attempts: Vec<(Id, Id)>,
-    wakes: BTreeMap<(Duration, u64), ()>,
+    timers: BTreeMap<(Duration, u64), ()>,
 }
 
-impl Outlet for Orders {
+impl Outlet for RecordedActions {
     fn attempt(&mut self, request: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
         self.attempts.push((request.clone(), fill.source.clone()));
     }
@@ -25,17 +25,17 @@
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.wakes.insert((at, mark), ());
+        self.timers.insert((at, mark), ());
     }
     fn watch_list(&mut self) {}
 }
 
 const ROUTERS: u64 = 300;
-const FROM: f64 = 0.1;
+const COLD_FROM: f64 = 0.1;
 
-fn told(number: u64) -> Deployment {
+fn deployment(number: u64) -> Deployment {
     let cold = ColdStart {
-        from: FROM,
+        from: COLD_FROM,
         warm_within: ms(20_000),
         multiple: 2.0,
         span: ms(1000),
@@ -82,10 +82,11 @@
     }
 }
 
-/// 300 routers, each with a request of 0.2 s three times a second, before two parents of which one
-/// has just started. Each share of the cold one is under a hundredth of a transfer at first.
+/// 300 routers, each with a request of 0.2 s three times a second, and two parents of which one has
+/// just started. A router's share of the cold parent is less than a hundredth of a transfer at
+/// first.
 #[test]
-fn a_cold_parent_is_warmed_by_a_few_in_turn_and_never_pushed_over() {
+fn changing_routers_warm_up_a_cold_parent_without_overloading_it() {
     let (capacity, started) = (40.0, ms(10_000));
     let list = [
         member("c", Tier::Cache, 40.0, None),
@@ -96,23 +97,23 @@
     let mut sent: Vec<(Duration, f64)> = Vec::new();
     let mut by_router: BTreeMap<u64, Vec<Duration>> = BTreeMap::new();
     for number in 0..ROUTERS {
-        let mut orders = Orders::default();
-        let mut router = Router::start(ms(0), &told(number), &mut orders);
-        router.list(ms(0), ListKind::Whole, &list, &mut orders);
-        let mut chance = fastrand::Rng::with_seed(number ^ 77);
+        let mut recorded = RecordedActions::default();
+        let mut router = Router::start(ms(0), &deployment(number), &mut recorded);
+        router.list(ms(0), ListKind::Whole, &list, &mut recorded);
+        let mut rng = fastrand::Rng::with_seed(number ^ 77);
         let mut now = started;
         for n in 0u64.. {
-            now += ms(chance.u64(0..667));
+            now += ms(rng.u64(0..667));
             if now > started + ms(20_000) {
                 break;
             }
-            while let Some((&(at, mark), ())) = orders
-                .wakes
+            while let Some((&(at, mark), ())) = recorded
+                .timers
                 .first_key_value()
                 .filter(|((at, _), ())| *at <= now)
             {
-                orders.wakes.pop_first();
-                router.wake(at, mark, &mut orders);
+                recorded.timers.pop_first();
+                router.wake(at, mark, &mut recorded);
             }
             let id: Id = format!("{number}-{n}").into();
             let arrival = Arrival {
@@ -122,8 +123,8 @@
                 left: ms(9000),
                 ..Arrival::default()
             };
-            router.request(now, arrival, &mut orders);
-            for (id, source) in std::mem::take(&mut orders.attempts) {
+            router.request(now, arrival, &mut recorded);
+            for (id, source) in std::mem::take(&mut recorded.attempts) {
                 if *source == *"cold" {
                     sent.push((now, 0.2));
                     by_router.entry(number).or_default().push(now);
@@ -136,81 +137,82 @@
                     over: true,
                     load: Load::default(),
                 };
-                router.result(now, &id, 0, &ended, &mut orders);
+                router.result(now, &id, 0, &ended, &mut recorded);
             }
         }
     }
-    // One transfer is several shares: nobody sends two within a span.
+    // One transfer exceeds a router's share several times: no router sends two within a span.
     for (router, times) in &by_router {
-        let close = times.windows(2).find(|pair| pair[1] < pair[0] + ms(1000));
+        let pair = times.windows(2).find(|pair| pair[1] < pair[0] + ms(1000));
         assert!(
-            close.is_none(),
-            "router {router} sent two within a span: {close:?}"
+            pair.is_none(),
+            "router {router} sent two within a span: {pair:?}"
         );
     }
-    // Who is drawn changes: those of the first four spans are not those of the next four after
-    // their draws end.
-    let drawn = |from: u64| {
+    // The routers drawn change: those of the first four spans differ from those of four spans after
+    // their draws have ended.
+    let senders = |from: u64| {
         let (from, to) = (started + ms(from), started + ms(from + 4000));
-        let sends = |times: &&Vec<Duration>| times.iter().any(|at| *at >= from && *at < to);
+        let sends_in_period =
+            |times: &&Vec<Duration>| times.iter().any(|at| *at >= from && *at < to);
         by_router
             .iter()
-            .filter(|(_, times)| sends(times))
+            .filter(|(_, times)| sends_in_period(times))
             .map(|(n, _)| *n)
             .collect::<Vec<_>>()
     };
-    let (first, later) = (drawn(0), drawn(12_000));
-    let again = first.iter().filter(|router| later.contains(router)).count();
+    let (first, later) = (senders(0), senders(12_000));
+    let repeated = first.iter().filter(|router| later.contains(router)).count();
     assert!(
-        again * 4 < first.len() * 3,
-        "{again} of the first {} send on: not in turn",
+        repeated * 4 < first.len() * 3,
+        "{repeated} of the first {} routers still send: the draw does not change",
         first.len()
     );
     assert!(
         by_router.len() as u64 * 3 > ROUTERS * 2,
-        "only {} routers ever sent",
+        "only {} routers sent anything",
         by_router.len()
     );
     sent.sort_by_key(|(at, _)| *at);
-    let present = |at: Duration| {
+    let current_capacity = |at: Duration| {
         let warm = ((at - started).as_secs_f64() / 20.0).min(1.0);
-        capacity * (FROM + (1.0 - FROM) * warm)
+        capacity * (COLD_FROM + (1.0 - COLD_FROM) * warm)
     };
-    let mut most: f64 = 0.0;
+    let mut highest: f64 = 0.0;
     for (at, _) in &sent {
         let within = sent
             .iter()
             .filter(|(t, _)| *t >= *at && *t < *at + ms(1000))
             .map(|(_, w)| w)
             .sum::<f64>();
-        most = most.max(within / present(*at));
+        highest = highest.max(within / current_capacity(*at));
     }
     assert!(
-        most < 2.0,
-        "in some second it was sent {most:.2} times what it could do"
+        highest < 2.0,
+        "within one second it was sent {highest:.2} times its capacity"
     );
-    // Requests for 180 s of sending come a second, half of them for the cold one, which has 24 s on
-    // the mean.
-    let work: f64 = sent.iter().map(|(_, w)| w).sum();
+    // Requests for 180 s of sending arrive per second, half of them for the cold parent, which has
+    // a capacity of 24 s on average.
+    let total_work: f64 = sent.iter().map(|(_, w)| w).sum();
     assert!(
-        work > 20.0 * 0.25 * 22.0,
-        "only {work:.0} s of sending went to the cold parent"
+        total_work > 20.0 * 0.25 * 22.0,
+        "only {total_work:.0} s of sending went to the cold parent"
     );
 }
 
-/// What takes more than an eighth of what the cold parent bears in a span waits until it bears
-/// more: few such would stray too far from the mean.
+/// A request that takes more than an eighth of what the cold parent bears in a span has to wait
+/// until it bears more: the total of a few such requests would vary too far from the mean.
 #[test]
-fn a_large_request_is_not_drawn_for_a_cold_parent() {
+fn a_large_request_is_not_sent_to_a_cold_parent() {
     let list = [
         member("c", Tier::Cache, 40.0, None),
         member("warm", Tier::Parent, 1.0, None),
         member("cold", Tier::Parent, 40.0, Some(ms(10_000))),
     ];
     for number in 0..ROUTERS {
-        let mut orders = Orders::default();
-        let mut router = Router::start(ms(0), &told(number), &mut orders);
-        router.list(ms(0), ListKind::Whole, &list, &mut orders);
+        let mut recorded = RecordedActions::default();
+        let mut router = Router::start(ms(0), &deployment(number), &mut recorded);
+        router.list(ms(0), ListKind::Whole, &list, &mut recorded);
         for second in 0..3 {
             let id: Id = format!("{number}-{second}").into();
             let arrival = Arrival {
@@ -220,10 +222,10 @@
                 left: ms(9000),
                 ..Arrival::default()
             };
-            router.request(ms(10_000 + second * 1000), arrival, &mut orders);
+            router.request(ms(10_000 + second * 1000), arrival, &mut recorded);
         }
         assert!(
-            orders
+            recorded
                 .attempts
                 .iter()
                 .all(|(_, source)| **source != *"cold"),
@@ -232,33 +234,36 @@
     }
 }
 
-/// One that is sent something every six seconds needs no ramp: its whole traffic is less than the
-/// trickle.
+/// A server that is sent one request every six seconds needs no gradual readmission: its whole load
+/// is less than that of the probes.
 #[test]
-fn a_trickle_ends_where_it_no_longer_binds() {
-    let played = |apart: Duration| {
-        let (mut judged, mut now) = (Judged::default(), ms(1_000_000));
+fn ejection_ends_when_probes_no_longer_limit_the_load() {
+    let is_ejected_after_probes = |interval: Duration| {
+        let (mut detector, mut now) = (Judged::default(), ms(1_000_000));
         for _ in 0..40 {
-            now += apart;
-            judged.sent(now);
-            judged.judge(now, false, 1.0);
+            now += interval;
+            detector.sent(now);
+            detector.judge(now, false, 1.0);
         }
         for _ in 0..3 {
-            judged.judge(now, true, 1.0);
+            detector.judge(now, true, 1.0);
         }
-        assert!(judged.is_aside());
+        assert!(detector.is_aside());
         now += ms(6000);
-        judged.sent(now);
-        judged.judge(now, true, 1.0);
-        assert!(judged.is_aside(), "a failure never ends it");
+        detector.sent(now);
+        detector.judge(now, true, 1.0);
+        assert!(detector.is_aside(), "a failure does not end the ejection");
         now += ms(6000);
-        judged.sent(now);
-        judged.judge(now, false, 1.0);
-        judged.is_aside()
+        detector.sent(now);
+        detector.judge(now, false, 1.0);
+        detector.is_aside()
     };
     assert!(
-        !played(ms(6000)),
-        "seldom: the first success shows it sound"
+        !is_ejected_after_probes(ms(6000)),
+        "at low load the first success ends the ejection"
+    );
+    assert!(
+        is_ejected_after_probes(ms(20)),
+        "at high load the probe rate has to double first"
     );
-    assert!(played(ms(20)), "often: it comes back by doubling");
 }
--- a/tests/local_failures.rs
+++ b/tests/local_failures.rs
@@ -1,26 +1,27 @@
-//! A machine that can send nothing for a while: every attempt is reported never sent, at once.
+//! The router's machine can send nothing for a while: every attempt is at once reported as never
+//! sent.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const ATTEMPTS_MOST: usize = 6;
+const MAX_ATTEMPTS: usize = 6;
 const SERVERS: usize = 20;
 
-/// Notes the attempts and the final answers of the one request under test.
+/// Records the attempts and the final answers of the request under test.
 #[derive(Default)]
-struct World {
+struct Recorder {
     attempts: VecDeque<usize>,
-    made: usize,
+    sent: usize,
     rejected: usize,
     failed: usize,
 }
 
-impl Outlet for World {
+impl Outlet for Recorder {
     fn attempt(&mut self, _: &Id, _: &Id, _: Duration, _: &Fill) {
-        self.attempts.push_back(self.made);
-        self.made += 1;
+        self.attempts.push_back(self.sent);
+        self.sent += 1;
     }
     fn reject(&mut self, _: &Id, _: Option<Duration>) {
         self.rejected += 1;
@@ -57,14 +58,14 @@
         classes,
         tick: ms(2),
         client_kb_per_s: 1000.0,
-        max_attempts: ATTEMPTS_MOST,
+        max_attempts: MAX_ATTEMPTS,
         may_cancel: true,
         pass_through: true,
         ..Deployment::default()
     }
 }
 
-fn listed(router: &mut Router, now: Duration, world: &mut World) {
+fn list_servers(router: &mut Router, now: Duration, recorder: &mut Recorder) {
     let member = |name: String, tier| Member {
         server: name.as_str().into(),
         tier,
@@ -77,7 +78,7 @@
         member("o1".into(), Tier::Origin),
     ];
     let list: Vec<Member> = caches.chain(sources).collect();
-    router.list(now, ListKind::Whole, &list, world);
+    router.list(now, ListKind::Whole, &list, recorder);
 }
 
 fn arrival(n: usize, class: usize) -> Arrival {
@@ -102,66 +103,66 @@
     }
 }
 
-/// Not a moment passes between an attempt and its end, so that only the bound stops them.
+/// Attempts end without any time passing, so that only the attempt limit stops them.
 #[test]
 fn a_request_that_can_never_be_sent_is_rejected_after_a_bounded_number_of_attempts() {
     let now = Duration::from_secs(100);
-    let mut world = World::default();
-    let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut world);
-    listed(&mut router, now, &mut world);
+    let mut recorder = Recorder::default();
+    let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut recorder);
+    list_servers(&mut router, now, &mut recorder);
     for n in 0..60 {
-        world = World::default();
+        recorder = Recorder::default();
         let arrival = arrival(n, n % 3);
         let id = arrival.id.clone();
-        router.request(now, arrival, &mut world);
-        while let Some(attempt) = world.attempts.pop_front() {
-            router.result(now, &id, attempt, &never_sent(), &mut world);
+        router.request(now, arrival, &mut recorder);
+        while let Some(attempt) = recorder.attempts.pop_front() {
+            router.result(now, &id, attempt, &never_sent(), &mut recorder);
         }
         assert!(
-            (1..=ATTEMPTS_MOST).contains(&world.made),
+            (1..=MAX_ATTEMPTS).contains(&recorder.sent),
             "request {n}: {} attempts",
-            world.made
+            recorder.sent
         );
         assert_eq!(
-            (world.rejected, world.failed),
+            (recorder.rejected, recorder.failed),
             (1, 0),
-            "request {n}: nothing ran, so trying again is safe"
+            "request {n}: nothing was executed, so a retry is safe"
         );
     }
 }
 
-/// What this machine lacks sets no server aside: the next request goes to the server that the hash
+/// Failures of this machine eject no server: the next request goes to the server that the hash
 /// prefers.
 #[test]
-fn attempts_never_sent_leave_every_server_its_requests() {
+fn attempts_never_sent_do_not_change_the_selection() {
     let now = Duration::from_secs(100);
     let first_choice = |failures: usize| {
-        let mut world = World::default();
-        let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut world);
-        listed(&mut router, now, &mut world);
+        let mut recorder = Recorder::default();
+        let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut recorder);
+        list_servers(&mut router, now, &mut recorder);
         for n in 0..failures {
-            world = World::default();
+            recorder = Recorder::default();
             let arrival = arrival(n, 0);
             let id = arrival.id.clone();
-            router.request(now, arrival, &mut world);
-            while let Some(attempt) = world.attempts.pop_front() {
-                router.result(now, &id, attempt, &never_sent(), &mut world);
+            router.request(now, arrival, &mut recorder);
+            while let Some(attempt) = recorder.attempts.pop_front() {
+                router.result(now, &id, attempt, &never_sent(), &mut recorder);
             }
         }
-        let mut chosen = Chosen::default();
+        let mut servers = ChosenServers::default();
         for n in 0..200 {
-            router.request(now, arrival(1000 + n, 0), &mut chosen);
+            router.request(now, arrival(1000 + n, 0), &mut servers);
         }
-        chosen.0
+        servers.0
     };
     assert_eq!(first_choice(0), first_choice(200));
 }
 
-/// Notes which server each request's first attempt goes to.
+/// Records the server of each request's first attempt.
 #[derive(Default)]
-struct Chosen(Vec<Id>);
+struct ChosenServers(Vec<Id>);
 
-impl Outlet for Chosen {
+impl Outlet for ChosenServers {
     fn attempt(&mut self, _: &Id, server: &Id, _: Duration, _: &Fill) {
         self.0.push(server.clone());
     }
--- a/tests/oracle.rs
+++ b/tests/oracle.rs
@@ -1,14 +1,14 @@
-//! What the decisions do on seeded days of several deployments is recorded as one hash each. A
-//! change that is to leave every decision as it was keeps all of them; one that is meant to decide
-//! otherwise records anew, in a commit that says why. `ORACLE_LINES=1` prints every action, to be
-//! compared line by line.
+//! The router's actions in seeded simulations of several deployments are recorded as one hash each.
+//! A change that must not affect decisions keeps all hashes. One that changes decisions on purpose
+//! records new hashes, in a commit that gives the reason. `ORACLE_LINES=1` prints every action, for
+//! a comparison line by line.
 
-#[path = "oracle/world.rs"]
-mod world;
+#[path = "oracle/simulation.rs"]
+mod simulation;
 
-use world::{Setup, Trace, play};
+use simulation::{Setup, Trace, play};
 
-/// Each deployment by its name, with what was recorded of its day.
+/// The name of each deployment, with the recorded hash of its simulation.
 const RECORDED: [(&str, u64); 8] = [
     ("plain", 0xfff89f0369472945),
     ("large", 0x87c551ca5551e138),
@@ -21,22 +21,22 @@
 ];
 
 fn setups() -> Vec<Setup> {
-    let usual = Setup::default();
+    let base = Setup::default();
     let large = Setup {
         caches_per_zone: 200,
         parents: 30,
         routers: 300,
-        ..usual.clone()
+        ..base.clone()
     };
     vec![
         Setup {
             name: "plain",
-            ..usual.clone()
+            ..base.clone()
         },
         Setup {
             name: "large",
             seed: 2,
-            trouble: 15,
+            failures_percent: 15,
             ..large.clone()
         },
         Setup {
@@ -44,36 +44,36 @@
             seed: 3,
             caches_per_zone: 60,
             cells: 4,
-            ..usual.clone()
+            ..base.clone()
         },
         Setup {
             name: "local copies",
             seed: 4,
             local_copies: true,
             joins: true,
-            ..usual.clone()
+            ..base.clone()
         },
         Setup {
             name: "list on request, nothing cancelled",
             seed: 5,
             list_on_request: true,
             may_cancel: false,
-            trouble: 30,
-            ..usual.clone()
+            failures_percent: 30,
+            ..base.clone()
         },
         Setup {
             name: "no pass-through",
             seed: 6,
             caches_per_zone: 3,
             pass_through: false,
-            ..usual.clone()
+            ..base.clone()
         },
         Setup {
             name: "cold starts",
             seed: 7,
             cold_starts: true,
             request_every_ms: 3,
-            ..usual
+            ..base
         },
         Setup {
             name: "large with cold starts",
@@ -93,26 +93,26 @@
 }
 
 #[test]
-fn decisions_on_recorded_days_stay_as_recorded() {
-    let mut differing = Vec::new();
+fn decisions_match_the_recorded_hashes() {
+    let mut differences = Vec::new();
     for ((setup, trace), (name, recorded)) in traces().iter().zip(RECORDED) {
         assert_eq!(setup.name, name);
         if trace.hash != recorded {
-            differing.push(format!(
+            differences.push(format!(
                 "(\"{name}\", {:#018x}), of {} actions",
                 trace.hash, trace.lines
             ));
         }
     }
     assert!(
-        differing.is_empty(),
-        "decided otherwise than recorded:\n{}",
-        differing.join("\n")
+        differences.is_empty(),
+        "decisions differ from the recording:\n{}",
+        differences.join("\n")
     );
 }
 
 #[test]
-fn recorded_days_cover_every_action_and_outcome() {
+fn recorded_simulations_cover_every_action_and_outcome() {
     let (mut actions, mut outcomes) = (Vec::new(), Vec::new());
     for (_, trace) in traces() {
         actions.extend(
@@ -127,9 +127,9 @@
     for action in [
         "attempt", "reject", "fail", "cancel", "wake", "watch", "found", "keep",
     ] {
-        assert!(actions.contains(&action), "no {action} on any recorded day");
+        assert!(actions.contains(&action), "no {action} in any simulation");
     }
-    let wanted = [
+    let expected = [
         "Served",
         "Error",
         "Full",
@@ -139,10 +139,12 @@
         "NeverSent",
         "Missing",
     ];
-    for outcome in wanted {
+    for outcome in expected {
         assert!(
-            outcomes.iter().any(|given| given.starts_with(outcome)),
-            "{outcome} never given"
+            outcomes
+                .iter()
+                .any(|observed| observed.starts_with(outcome)),
+            "{outcome} never observed"
         );
     }
 }
--- a/tests/oracle/world.rs
+++ b/tests/oracle/simulation.rs
@@ -1,5 +1,6 @@
-//! A seeded world around one router: servers that answer, fail or keep silent, clients that come
-//! and leave, lists, purges and gossip. All that the router does goes, line by line, into one hash.
+//! A seeded simulation around one router: servers that answer, fail or stay silent, clients that
+//! arrive and leave, list updates, purges and gossip. Every action of the router goes, line by
+//! line, into one hash.
 
 use chalkhall::control::{Router, part_key};
 use chalkhall::interface::*;
@@ -12,7 +13,7 @@
     Duration::from_millis(ms)
 }
 
-/// What differs between the deployments that are played.
+/// The parameters in which the simulated deployments differ.
 #[derive(Clone)]
 pub struct Setup {
     pub name: &'static str,
@@ -26,12 +27,12 @@
     pub joins: bool,
     pub list_on_request: bool,
     pub local_copies: bool,
-    /// Servers restart cold, and join, while requests come.
+    /// Servers restart cold, and join, during the simulation.
     pub cold_starts: bool,
-    /// Every so many milliseconds a request, in the mean.
+    /// The mean interval between requests, in milliseconds.
     pub request_every_ms: u64,
-    /// Of a hundred attempts so many end in trouble.
-    pub trouble: u64,
+    /// The percentage of attempts that fail.
+    pub failures_percent: u64,
 }
 
 impl Default for Setup {
@@ -50,29 +51,29 @@
             local_copies: false,
             cold_starts: false,
             request_every_ms: 8,
-            trouble: 8,
+            failures_percent: 8,
         }
     }
 }
 
 const ZONES: usize = 2;
-const PARTS_KNOWN: u64 = 400;
-/// How long a day takes, and when it begins.
-const DAY: Duration = ms(40_000);
-const BEGIN: Duration = ms(100_000);
+const OBJECTS: u64 = 400;
+/// The duration of the simulation, and its start time.
+const DURATION: Duration = ms(40_000);
+const STARTED_AT: Duration = ms(100_000);
 
-/// Records what the router does, and what is to happen because of it.
+/// Records the router's actions, and the events that follow from them.
 struct Recorder {
     hash: Xxh3,
     lines: usize,
     counts: BTreeMap<&'static str, usize>,
     now: Duration,
-    wakes: BTreeMap<(Duration, u64), ()>,
+    timers: BTreeMap<(Duration, u64), ()>,
     attempts: Vec<(Id, Id, Duration)>,
     cancels: Vec<(Id, usize)>,
     ended: Vec<Id>,
-    watched: usize,
-    asked: HashMap<Id, (Id, u64)>,
+    subscriptions: usize,
+    requested: HashMap<Id, (Id, u64)>,
     local: HashMap<(Id, u64), Held>,
 }
 
@@ -83,19 +84,20 @@
             lines: 0,
             counts: BTreeMap::new(),
             now: Duration::ZERO,
-            wakes: BTreeMap::new(),
+            timers: BTreeMap::new(),
             attempts: Vec::new(),
             cancels: Vec::new(),
             ended: Vec::new(),
-            watched: 0,
-            asked: HashMap::new(),
+            subscriptions: 0,
+            requested: HashMap::new(),
             local: HashMap::new(),
         }
     }
 
     fn note(&mut self, kind: &'static str, line: std::fmt::Arguments) {
         let mut text = String::new();
-        writeln!(text, "{} {kind} {line}", self.now.as_micros()).expect("a string takes all");
+        writeln!(text, "{} {kind} {line}", self.now.as_micros())
+            .expect("writing to a string succeeds");
         if std::env::var_os("ORACLE_LINES").is_some() {
             print!("{text}");
         }
@@ -127,21 +129,21 @@
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
         self.note("wake", format_args!("{} {mark}", at.as_micros()));
-        self.wakes.insert((at, mark), ());
+        self.timers.insert((at, mark), ());
     }
     fn watch_list(&mut self) {
         self.note("watch", format_args!(""));
-        self.watched += 1;
+        self.subscriptions += 1;
     }
     fn held(&mut self, request: &Id) -> Option<Held> {
-        self.local.get(self.asked.get(request)?).cloned()
+        self.local.get(self.requested.get(request)?).cloned()
     }
     fn found(&mut self, part: u32, cache: &Id) {
         self.note("found", format_args!("{part} {cache}"));
     }
     fn keep(&mut self, request: &Id, rank: u8) {
         self.note("keep", format_args!("{request} {rank}"));
-        let Some(asked) = self.asked.get(request).cloned() else {
+        let Some(requested) = self.requested.get(request).cloned() else {
             return;
         };
         let place = if rank > 1 { "m1" } else { "m2" };
@@ -150,11 +152,11 @@
             made: self.now,
             same: rank == 3,
         };
-        self.local.insert(asked, held);
+        self.local.insert(requested, held);
     }
 }
 
-/// An attempt that is out: when it ends, if it does by itself, and how.
+/// An attempt in flight, with the time and the result of its end.
 struct InFlight {
     request: Id,
     attempt: usize,
@@ -162,26 +164,26 @@
     ended: Ended,
 }
 
-/// The hash of all that the router did in one day, how many actions there were, and of each kind.
+/// The hash of all actions in a simulation, with the number of actions in total and of each kind.
 pub struct Trace {
     pub hash: u64,
     pub lines: usize,
     pub counts: BTreeMap<&'static str, usize>,
-    /// How often each outcome was given.
+    /// The number of times that each outcome occurred.
     pub outcomes: BTreeMap<String, usize>,
 }
 
-struct World {
+struct Simulation {
     setup: Setup,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     router: Router,
     recorder: Recorder,
     members: Vec<Member>,
-    /// Attempts made of each request, and those still out.
-    made: HashMap<Id, usize>,
+    /// The number of attempts sent for each request.
+    attempts_sent: HashMap<Id, usize>,
     in_flight: Vec<InFlight>,
-    live: Vec<Id>,
-    next: u64,
+    pending: Vec<Id>,
+    next_id: u64,
     outcomes: BTreeMap<String, usize>,
 }
 
@@ -253,23 +255,23 @@
     }
 }
 
-fn members(setup: &Setup, chance: &mut fastrand::Rng) -> Vec<Member> {
+fn members(setup: &Setup, rng: &mut fastrand::Rng) -> Vec<Member> {
     let mut members = Vec::new();
     for zone in 0..ZONES {
         for n in 0..setup.caches_per_zone {
-            let cells = (0..setup.cells).filter(|_| chance.u8(..) < 128).collect();
+            let cells = (0..setup.cells).filter(|_| rng.u8(..) < 128).collect();
             members.push(Member {
                 server: format!("cache-{zone}-{n}").into(),
                 zone,
                 cohort: n as u64 % 3,
-                capacity: 2.0 + chance.f64() * 30.0,
+                capacity: 2.0 + rng.f64() * 30.0,
                 cells,
                 ..Member::default()
             });
         }
     }
     for n in 0..setup.parents {
-        let capacity = 20.0 + chance.f64() * 80.0;
+        let capacity = 20.0 + rng.f64() * 80.0;
         let server = format!("parent-{n}").into();
         members.push(Member {
             server,
@@ -298,37 +300,38 @@
     members
 }
 
-impl World {
-    fn new(setup: &Setup) -> World {
-        let mut chance = fastrand::Rng::with_seed(setup.seed ^ 0x0a11);
+impl Simulation {
+    fn new(setup: &Setup) -> Simulation {
+        let mut rng = fastrand::Rng::with_seed(setup.seed ^ 0x0a11);
         let mut recorder = Recorder::new();
-        recorder.now = BEGIN;
-        let router = Router::start(BEGIN, &deployment(setup), &mut recorder);
-        let members = members(setup, &mut chance);
-        World {
+        recorder.now = STARTED_AT;
+        let router = Router::start(STARTED_AT, &deployment(setup), &mut recorder);
+        let members = members(setup, &mut rng);
+        Simulation {
             setup: setup.clone(),
-            chance,
+            rng,
             router,
             recorder,
             members,
-            made: HashMap::new(),
+            attempts_sent: HashMap::new(),
             in_flight: Vec::new(),
-            live: Vec::new(),
-            next: 0,
+            pending: Vec::new(),
+            next_id: 0,
             outcomes: BTreeMap::new(),
         }
     }
 
     fn one_in(&mut self, of: u64) -> bool {
-        self.chance.u64(..of) == 0
+        self.rng.u64(..of) == 0
     }
 
-    /// Between events: attempts made become answers to come, cancelled ones come back soon.
-    fn settle(&mut self) {
+    /// Processes the actions recorded since the last event: schedules the results of attempts, and
+    /// ends cancelled ones soon.
+    fn process_actions(&mut self) {
         for (request, server, limit) in std::mem::take(&mut self.recorder.attempts) {
-            let made = self.made.entry(request.clone()).or_default();
-            let attempt = *made;
-            *made += 1;
+            let attempts_sent = self.attempts_sent.entry(request.clone()).or_default();
+            let attempt = *attempts_sent;
+            *attempts_sent += 1;
             let (took, ended) = self.answer(&server, limit);
             let ends_at = self.recorder.now + took;
             self.in_flight.push(InFlight {
@@ -338,31 +341,36 @@
                 ended,
             });
         }
-        let back_at = self.recorder.now + ms(5);
+        let cancelled_at = self.recorder.now + ms(5);
         for (request, attempt) in std::mem::take(&mut self.recorder.cancels) {
-            let same = |out: &&mut InFlight| out.request == request && out.attempt == attempt;
-            if let Some(out) = self.in_flight.iter_mut().find(same)
-                && out.ends_at > back_at
+            let same = |entry: &&mut InFlight| entry.request == request && entry.attempt == attempt;
+            if let Some(entry) = self.in_flight.iter_mut().find(same)
+                && entry.ends_at > cancelled_at
             {
-                out.ends_at = back_at;
-                out.ended.outcome = Outcome::Cancelled;
-                out.ended.remark = Remark::None;
-                out.ended.over = false;
+                entry.ends_at = cancelled_at;
+                entry.ended.outcome = Outcome::Cancelled;
+                entry.ended.remark = Remark::None;
+                entry.ended.over = false;
             }
         }
         let ended = std::mem::take(&mut self.recorder.ended);
-        self.live.retain(|id| !ended.contains(id));
+        self.pending.retain(|id| !ended.contains(id));
     }
 
-    /// How an attempt ends, and after what time.
+    /// Draws the duration and the result of an attempt.
     fn answer(&mut self, server: &str, limit: Duration) -> (Duration, Ended) {
         use Outcome::*;
-        // Some servers are broken for a while: outliers to be found.
-        let spell = self.recorder.now.as_secs() / 7;
+        // Some servers are faulty for a while, so that outlier detection has work.
+        let period = self.recorder.now.as_secs() / 7;
         let number = server.bytes().map(u64::from).sum::<u64>() + 31 * server.len() as u64;
-        let broken = (number + spell).is_multiple_of(11);
-        let in_trouble = self.chance.u64(..100) < if broken { 85 } else { self.setup.trouble };
-        let (outcome, remark) = if in_trouble {
+        let is_faulty = (number + period).is_multiple_of(11);
+        let fails = self.rng.u64(..100)
+            < if is_faulty {
+                85
+            } else {
+                self.setup.failures_percent
+            };
+        let (outcome, remark) = if fails {
             let sources = [
                 Remark::SourceRefused,
                 Remark::SourceUnreached,
@@ -381,10 +389,10 @@
                 NeverSent,
                 Missing,
             ];
-            let outcome = outcomes[self.chance.usize(..outcomes.len())];
-            let tells = matches!(outcome, Error | Full);
-            let remark = sources[self.chance.usize(..sources.len())];
-            (outcome, if tells { remark } else { Remark::None })
+            let outcome = outcomes[self.rng.usize(..outcomes.len())];
+            let has_remark = matches!(outcome, Error | Full);
+            let remark = sources[self.rng.usize(..sources.len())];
+            (outcome, if has_remark { remark } else { Remark::None })
         } else {
             let remarks = [
                 Remark::Hit,
@@ -396,15 +404,15 @@
                 Remark::Stale,
                 Remark::None,
             ];
-            (Served, remarks[self.chance.usize(..remarks.len())])
+            (Served, remarks[self.rng.usize(..remarks.len())])
         };
-        let slow = self.one_in(12);
+        let is_slow = self.one_in(12);
         let took = match outcome {
             TimedOut => limit,
-            _ if slow => ms(400 + self.chance.u64(..2500)).min(limit),
-            _ => ms(2 + self.chance.u64(..120)).min(limit),
+            _ if is_slow => ms(400 + self.rng.u64(..2500)).min(limit),
+            _ => ms(2 + self.rng.u64(..120)).min(limit),
         };
-        let first_byte = self.chance.bool().then(|| took.mul_f64(self.chance.f64()));
+        let first_byte = self.rng.bool().then(|| took.mul_f64(self.rng.f64()));
         let over = outcome == Served;
         *self
             .outcomes
@@ -423,19 +431,19 @@
         )
     }
 
-    /// Time passes: what was asked to wake does, answers come, in the order of their times.
-    fn pass(&mut self, until: Duration) {
+    /// Advances the time; timers fire and attempts end in chronological order.
+    fn advance_to(&mut self, until: Duration) {
         loop {
-            self.settle();
+            self.process_actions();
             let wake = self
                 .recorder
-                .wakes
+                .timers
                 .first_key_value()
                 .map(|((at, mark), ())| (*at, *mark));
             let answers = self.in_flight.iter().enumerate();
-            let answer = answers.map(|(n, out)| (out.ends_at, n)).min();
+            let answer = answers.map(|(n, entry)| (entry.ends_at, n)).min();
             let answer_first = match (wake, answer) {
-                (Some((wakes, _)), Some((answers, _))) => answers < wakes,
+                (Some((timer_at, _)), Some((answer_at, _))) => answer_at < timer_at,
                 (None, Some(_)) => true,
                 _ => false,
             };
@@ -443,24 +451,24 @@
                 let Some((at, n)) = answer.filter(|(at, _)| *at <= until) else {
                     break;
                 };
-                let out = self.in_flight.remove(n);
+                let entry = self.in_flight.remove(n);
                 self.recorder.now = self.recorder.now.max(at);
-                if out.ended.over {
-                    self.live.retain(|id| *id != out.request);
+                if entry.ended.over {
+                    self.pending.retain(|id| *id != entry.request);
                 }
                 let now = self.recorder.now;
                 self.router.result(
                     now,
-                    &out.request,
-                    out.attempt,
-                    &out.ended,
+                    &entry.request,
+                    entry.attempt,
+                    &entry.ended,
                     &mut self.recorder,
                 );
             } else {
                 let Some((at, mark)) = wake.filter(|(at, _)| *at <= until) else {
                     break;
                 };
-                self.recorder.wakes.pop_first();
+                self.recorder.timers.pop_first();
                 self.recorder.now = self.recorder.now.max(at);
                 let now = self.recorder.now;
                 self.router.wake(now, mark, &mut self.recorder);
@@ -470,53 +478,53 @@
     }
 
     fn part(&mut self) -> (Id, u64, u64) {
-        // A few parts are wanted often, most once or twice.
-        let most = if self.chance.bool() { 30 } else { PARTS_KNOWN };
-        let object = self.chance.u64(..most);
+        // A few parts are requested often, most of them once or twice.
+        let objects = if self.rng.bool() { 30 } else { OBJECTS };
+        let object = self.rng.u64(..objects);
         (
             format!("object-{object}").into(),
-            self.chance.u64(..2),
+            self.rng.u64(..2),
             object % 7,
         )
     }
 
     fn request(&mut self) {
-        let id: Id = format!("r{}", self.next).into();
-        self.next += 1;
+        let id: Id = format!("r{}", self.next_id).into();
+        self.next_id += 1;
         let (object, part, group) = self.part();
         let arrival = Arrival {
             id: id.clone(),
-            class: self.chance.usize(..classes().len()),
+            class: self.rng.usize(..classes().len()),
             customer: 0,
             object: object.clone(),
             part,
             group,
-            kb: 1.0 + self.chance.f64().powi(4) * 900.0,
+            kb: 1.0 + self.rng.f64().powi(4) * 900.0,
             cell: (self.setup.cells > 0 && !self.one_in(5))
-                .then(|| self.chance.u32(..self.setup.cells)),
+                .then(|| self.rng.u32(..self.setup.cells)),
             at: self.one_in(10).then_some(0),
             left: ms(if self.one_in(20) {
                 30
             } else {
-                1500 + self.chance.u64(..3000)
+                1500 + self.rng.u64(..3000)
             }),
             repeated: self.one_in(15),
         };
-        self.recorder.asked.insert(id.clone(), (object, part));
-        self.live.push(id);
+        self.recorder.requested.insert(id.clone(), (object, part));
+        self.pending.push(id);
         self.router
             .request(self.recorder.now, arrival, &mut self.recorder);
     }
 
-    /// Something other than a request happens.
-    fn disturb(&mut self) {
+    /// Simulates a random event other than a request.
+    fn random_event(&mut self) {
         let now = self.recorder.now;
-        match self.chance.u8(..9) {
+        match self.rng.u8(..9) {
             0 | 1 => self.change_list(),
             2 => {
                 let (object, _, group) = self.part();
-                let object = self.chance.bool().then_some(object);
-                let ago = ms(self.chance.u64(..800));
+                let object = self.rng.bool().then_some(object);
+                let ago = ms(self.rng.u64(..800));
                 self.router.purged(now, object, group, ago);
             }
             3 | 4 => {
@@ -530,15 +538,19 @@
                 self.router.told(now, part, cache);
             }
             5 => {
-                let (cache, by) = (self.any_cache(), self.chance.f64() - 0.5);
+                let (cache, by) = (self.any_cache(), self.rng.f64() - 0.5);
                 self.router.lean(&cache, by);
             }
-            6 if !self.live.is_empty() => {
-                let id = self.live.swap_remove(self.chance.usize(..self.live.len()));
+            6 if !self.pending.is_empty() => {
+                let id = self
+                    .pending
+                    .swap_remove(self.rng.usize(..self.pending.len()));
                 self.router.left(now, &id, &mut self.recorder);
             }
-            7 if !self.live.is_empty() => {
-                let id = self.live.swap_remove(self.chance.usize(..self.live.len()));
+            7 if !self.pending.is_empty() => {
+                let id = self
+                    .pending
+                    .swap_remove(self.rng.usize(..self.pending.len()));
                 self.router.begun(&id);
             }
             _ => {
@@ -550,14 +562,14 @@
 
     fn any_cache(&mut self) -> Id {
         let caches = ZONES * self.setup.caches_per_zone;
-        self.members[self.chance.usize(..caches)].server.clone()
+        self.members[self.rng.usize(..caches)].server.clone()
     }
 
     fn change_list(&mut self) {
         let now = self.recorder.now;
-        let listed = self.members.len() - if self.setup.local_copies { 3 } else { 1 };
-        let changed = self.chance.usize(..listed);
-        let kind = self.chance.u8(..12);
+        let listed_count = self.members.len() - if self.setup.local_copies { 3 } else { 1 };
+        let changed = self.rng.usize(..listed_count);
+        let kind = self.rng.u8(..12);
         let member = &mut self.members[changed];
         member.standing = match member.standing {
             Standing::Active => Standing::Draining,
@@ -569,10 +581,13 @@
         }
         match kind {
             0 => {
-                let there = self.members.iter().filter(|m| m.standing != Standing::Gone);
-                let there: Vec<Member> = there.filter(|m| m.tier != Tier::Own).cloned().collect();
+                let listed_members = self.members.iter().filter(|m| m.standing != Standing::Gone);
+                let listed_members: Vec<Member> = listed_members
+                    .filter(|m| m.tier != Tier::Own)
+                    .cloned()
+                    .collect();
                 self.router
-                    .list(now, ListKind::Whole, &there, &mut self.recorder);
+                    .list(now, ListKind::Whole, &listed_members, &mut self.recorder);
             }
             1 => self
                 .router
@@ -589,16 +604,16 @@
         let (now, members) = (self.recorder.now, self.members.clone());
         self.router
             .list(now, ListKind::Changes, &members, &mut self.recorder);
-        let end = BEGIN + DAY;
+        let end = STARTED_AT + DURATION;
         while self.recorder.now < end {
-            let gap = ms(self.chance.u64(..2 * self.setup.request_every_ms + 1));
-            self.pass(self.recorder.now + gap);
+            let gap = ms(self.rng.u64(..2 * self.setup.request_every_ms + 1));
+            self.advance_to(self.recorder.now + gap);
             self.request();
             if self.one_in(5) {
-                self.disturb();
+                self.random_event();
             }
         }
-        self.pass(end + ms(10_000));
+        self.advance_to(end + ms(10_000));
         Trace {
             hash: self.recorder.hash.digest(),
             lines: self.recorder.lines,
@@ -608,7 +623,7 @@
     }
 }
 
-/// Plays one day of a deployment.
+/// Simulates a deployment.
 pub fn play(setup: &Setup) -> Trace {
-    World::new(setup).play()
+    Simulation::new(setup).play()
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,22 +1,22 @@
-//! Plays every file of `tests/scenarios` against the decisions, without any bench.
+//! Plays every file of `tests/scenarios` against the router, without a test bench.
 //!
-//! A scenario is a list of lines; `#` begins a comment. What happens:
-//!   given KEY=VALUE..             changes what the router is told (first lines only)
-//!   at MS                         time passes, and what was asked to wake does
-//!   list SERVER[=STATE]..         changes; STATE: draining, gone, or the time of a start in ms
-//!   whole SERVER..                the whole list
+//! A scenario is a list of lines; `#` begins a comment. Configuration and events:
+//!   configure KEY=VALUE..         changes the deployment (first lines only)
+//!   at MS                         advances the time, and fires the timers that are due
+//!   list SERVER[=STATE]..         changes the list; STATE: draining, gone, or the time of a start in ms
+//!   whole SERVER..                replaces the list
 //!   request ID [class=0 object=ID part=0 group=0 kb=100 left=4000 repeated=0]
-//!   requests COUNT ID [..]        many at once: ID0, ID1.., each for an object of its own unless named
-//!   result ID N OUTCOME [REMARK] [over] [waited=MS] [took=MS]      results COUNT ID N ..  for ID0, ID1..
-//!   left ID      begun ID      purge [object=X group=0 ago=0]      told SERVER object=X [part=0]
-//! What must follow, among the actions since the start or the last `clear`:
-//!   expect PATTERN                one that matches, after those expected before; `*` is any word or the
-//!                                 rest, $X binds a word at first and stands for it afterwards
-//!   never PATTERN                 none      count PATTERN MIN MAX      so many
-//! A server's cohort stands behind ~, as in c1~2, its cells behind @, as in c1@0,2; a request's as
-//! cell=2. Servers are named by a letter and a number: c caches, p parents, o the origin, m own
-//! copies (m1 in memory, m2 on a disk), of a link that carries two answers. What they hold is set by:
-//!   own m1 object=X [part=0] [age=0] [same=0]      own gone object=X
+//!   requests COUNT ID [..]        several at once: ID0, ID1.., each for its own object unless one is named
+//!   result ID N OUTCOME [REMARK] [over] [first-byte=MS] [took=MS]      results COUNT ID N ..  for ID0, ID1..
+//!   left ID      begun ID      purge [object=X group=0 ago=0]      gossip SERVER object=X [part=0]
+//! Assertions on the actions since the start or the last `clear`:
+//!   expect PATTERN                an action matches, after those expected before; `*` is any word or the
+//!                                 rest, $X is bound to a word at first and stands for it afterwards
+//!   never PATTERN                 no action matches      count PATTERN MIN MAX      MIN to MAX actions match
+//! A server's cohort follows ~, as in c1~2, and its cells follow @, as in c1@0,2; the cell of a request is
+//! cell=2. Servers are named by a letter and a number: c caches, p parents, o the origin, m local caches
+//! (m1 in memory, m2 on a disk), on a link that transfers two answers. Their copies are set by:
+//!   local m1 object=X [part=0] [age=0] [not-modified=0]      local gone object=X
 
 use chalkhall::control::{Router, part_key};
 use chalkhall::interface::*;
@@ -28,17 +28,17 @@
     Duration::from_millis(ms)
 }
 
-/// Writes down what the router does, and when it wants to be woken.
+/// Records the router's actions and timers.
 #[derive(Default)]
-struct Record {
+struct Recorder {
     lines: Vec<String>,
-    wakes: BTreeMap<(Duration, u64), ()>,
-    /// What requests ask for, and own copies: where, when made, whether the client has it.
-    asked: HashMap<Id, (String, u64)>,
-    own: HashMap<(String, u64), Held>,
+    timers: BTreeMap<(Duration, u64), ()>,
+    /// The requested part of each request, and the local copies by part.
+    requested: HashMap<Id, (String, u64)>,
+    local_copies: HashMap<(String, u64), Held>,
 }
 
-impl Outlet for Record {
+impl Outlet for Recorder {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let oldest = fill
             .oldest
@@ -62,13 +62,13 @@
         self.lines.push(format!("cancel {request} {attempt}"));
     }
     fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.wakes.insert((at, mark), ());
+        self.timers.insert((at, mark), ());
     }
     fn watch_list(&mut self) {
         self.lines.push("watch".into());
     }
     fn held(&mut self, request: &Id) -> Option<Held> {
-        self.own.get(self.asked.get(request)?).cloned()
+        self.local_copies.get(self.requested.get(request)?).cloned()
     }
     fn keep(&mut self, request: &Id, rank: u8) {
         self.lines.push(format!("keep {request} rank {rank}"));
@@ -93,8 +93,8 @@
     }
 }
 
-/// Classes: 0 kept until purged, 1 fresh for 5 s, 2 non-idempotent, 3 deduplicated, 4 the same by
-/// cohort and kept.
+/// Classes: 0 is fresh until purged, 1 is fresh for 5 s, 2 is non-idempotent, 3 is deduplicated,
+/// and 4 is deduplicated by cohort and cacheable.
 fn deployment() -> Deployment {
     let cold = ColdStart {
         from: 0.25,
@@ -161,20 +161,40 @@
     }
 }
 
-/// What a line may set: a key that nobody reads would be passed over, and its line mean something
+/// The keys that a line may set. An unknown key would be ignored, and the line would mean something
 /// else.
 const KEYS: [&str; 21] = [
-    "attempts", "joins", "pass", "ask", "stale", "here", "cancel", "span", "class", "object",
-    "part", "group", "kb", "left", "repeated", "cell", "waited", "took", "ago", "age", "same",
+    "attempts",
+    "joins",
+    "pass-through",
+    "list-on-request",
+    "stale-for",
+    "routers-in-zone",
+    "may-cancel",
+    "span",
+    "class",
+    "object",
+    "part",
+    "group",
+    "kb",
+    "left",
+    "repeated",
+    "cell",
+    "first-byte",
+    "took",
+    "ago",
+    "age",
+    "not-modified",
 ];
 
-/// What the record's lines begin with: a pattern of another word would never match, and `never`
-/// always hold.
+/// The first words of recorded lines. A pattern that begins with another word would never match, so
+/// that `never` would always hold.
 const ACTIONS: [&str; 7] = [
     "attempt", "reject", "fail", "cancel", "watch", "keep", "found",
 ];
 
-/// Does the line match, word by word? Names bound on the way are kept only if it does.
+/// Whether the line matches the pattern word by word. Names are bound only if the whole pattern
+/// matches.
 fn matches(line: &str, pattern: &str, bound: &mut HashMap<String, String>) -> bool {
     let (mut found, mut words) = (bound.clone(), line.split(' '));
     for want in pattern.split_whitespace() {
@@ -208,16 +228,16 @@
     }
 }
 
-/// One line of a scenario, in words.
+/// One line of a scenario, split into words.
 struct Line<'a> {
-    /// Where it stands, for messages.
+    /// The location of the line, for messages.
     place: &'a str,
     verb: &'a str,
     words: &'a [&'a str],
 }
 
 impl Line<'_> {
-    /// The text of a field, as in `object=X`.
+    /// The value of a field, as in `object=X`.
     fn text(&self, key: &str) -> Option<&str> {
         let values = self.words.iter().map(|word| word.strip_prefix(key));
         values.flatten().find_map(|value| value.strip_prefix('='))
@@ -242,20 +262,20 @@
         self.text("object").expect("an object")
     }
 
-    /// A key that nobody reads would be passed over, and its line mean something else.
+    /// Rejects unknown keys and actions.
     fn check(&self) {
         let keys = self.words.iter().filter_map(|w| Some(w.split_once('=')?.0));
         if !["list", "whole"].contains(&self.verb) {
             keys.for_each(|key| assert!(KEYS.contains(&key), "{}: no such key", self.place));
         }
         if ["expect", "never", "count"].contains(&self.verb) {
-            let is_action = ACTIONS.contains(&self.words[0]);
-            assert!(is_action, "{}: no such action", self.place);
+            let is_known = ACTIONS.contains(&self.words[0]);
+            assert!(is_known, "{}: no such action", self.place);
         }
     }
 }
 
-/// The ids that a line is about, `many` or one, and the words behind them.
+/// Returns the request ids of a line, one or `many`, and the remaining words.
 fn ids<'a>(words: &'a [&'a str], many: bool) -> (Vec<String>, &'a [&'a str]) {
     if !many {
         return (vec![words[0].to_owned()], &words[1..]);
@@ -265,15 +285,15 @@
     (ids, &words[2..])
 }
 
-/// A scenario as far as it has been played.
+/// The state of a scenario in progress.
 struct Scenario {
     deployment: Deployment,
-    record: Record,
-    /// The words that names stand for.
+    recorder: Recorder,
+    /// The words bound to names.
     bound: HashMap<String, String>,
     now: Duration,
-    /// Expectations look behind the lines that earlier ones have found.
-    expected: usize,
+    /// The index of the recorded line from which the next expectation is searched.
+    search_from: usize,
     router: Option<Router>,
 }
 
@@ -281,15 +301,15 @@
     fn new() -> Scenario {
         Scenario {
             deployment: deployment(),
-            record: Record::default(),
+            recorder: Recorder::default(),
             bound: HashMap::new(),
             now: ms(1000),
-            expected: 0,
+            search_from: 0,
             router: None,
         }
     }
 
-    /// The words of a line. Names bound before stand in what happens, too.
+    /// Splits a line into words, and replaces bound names except in expectations.
     fn words(&self, line: &str, place: &str) -> Vec<String> {
         let word = |word: &str| match word.strip_prefix('$') {
             Some(name) if !line.starts_with("expect") => {
@@ -302,51 +322,51 @@
         words.filter(|word| !word.is_empty()).collect()
     }
 
-    /// What is given comes first: the router is started with the first line that is something else.
+    /// Executes a line. Configuration lines come first: any other line starts the router.
     fn play(&mut self, line: &Line) {
-        if line.verb == "given" {
-            return self.given(line);
+        if line.verb == "configure" {
+            return self.configure(line);
         }
         if self.router.is_none() {
-            let router = Router::start(self.now, &self.deployment, &mut self.record);
+            let router = Router::start(self.now, &self.deployment, &mut self.recorder);
             self.router = Some(router);
         }
         line.check();
         match line.verb {
-            "clear" => (self.record.lines, self.expected) = (vec![], 0),
+            "clear" => (self.recorder.lines, self.search_from) = (vec![], 0),
             "expect" => self.expect(line),
             "never" => self.never(line),
             "count" => self.count(line),
-            "own" => self.own(line),
-            _ => self.happen(line),
+            "local" => self.local_copies(line),
+            _ => self.apply_event(line),
         }
     }
 
-    fn given(&mut self, line: &Line) {
+    fn configure(&mut self, line: &Line) {
         let deployment = &mut self.deployment;
         deployment.max_attempts = line.number("attempts", 6) as usize;
         deployment.joins = line.flag("joins", 0);
-        deployment.pass_through = line.flag("pass", 1);
-        deployment.list_on_request = line.flag("ask", 0);
-        deployment.classes[1].stale_for = line.time("stale", 0);
-        deployment.routers_at[1] = line.number("here", 1) as usize;
-        deployment.may_cancel = line.flag("cancel", 1);
+        deployment.pass_through = line.flag("pass-through", 1);
+        deployment.list_on_request = line.flag("list-on-request", 0);
+        deployment.classes[1].stale_for = line.time("stale-for", 0);
+        deployment.routers_at[1] = line.number("routers-in-zone", 1) as usize;
+        deployment.may_cancel = line.flag("may-cancel", 1);
         deployment.cold_cache.span = line.time("span", 1000);
     }
 
-    /// Something happens to the router.
-    fn happen(&mut self, line: &Line) {
+    /// Applies an event to the router.
+    fn apply_event(&mut self, line: &Line) {
         let (now, words) = (self.now, line.words);
         let router = self.router.as_mut().expect("started");
-        let record = &mut self.record;
+        let recorder = &mut self.recorder;
         match line.verb {
-            "at" => self.pass_time(ms(1000 + words[0].parse::<u64>().expect("a time"))),
-            "list" => router.list(now, ListKind::Changes, &members(words), record),
-            "whole" => router.list(now, ListKind::Whole, &members(words), record),
-            "list-failed" => router.list(now, ListKind::Failed, &[], record),
+            "at" => self.advance_to(ms(1000 + words[0].parse::<u64>().expect("a time"))),
+            "list" => router.list(now, ListKind::Changes, &members(words), recorder),
+            "whole" => router.list(now, ListKind::Whole, &members(words), recorder),
+            "list-failed" => router.list(now, ListKind::Failed, &[], recorder),
             "request" | "requests" => self.request(line),
             "result" | "results" => self.result(line),
-            "told" => {
+            "gossip" => {
                 let arrival = Arrival {
                     object: line.object().into(),
                     part: line.number("part", 0),
@@ -354,7 +374,7 @@
                 };
                 router.told(now, part_key(&arrival), words[0].into());
             }
-            "left" => router.left(now, &words[0].into(), record),
+            "left" => router.left(now, &words[0].into(), recorder),
             "begun" => router.begun(&words[0].into()),
             "purge" => {
                 let object = line.text("object").map(Id::from);
@@ -364,14 +384,14 @@
         }
     }
 
-    fn pass_time(&mut self, until: Duration) {
+    fn advance_to(&mut self, until: Duration) {
         let router = self.router.as_mut().expect("started");
-        while let Some((&(at, mark), ())) = self.record.wakes.first_key_value()
+        while let Some((&(at, mark), ())) = self.recorder.timers.first_key_value()
             && at <= until
         {
-            self.record.wakes.pop_first();
+            self.recorder.timers.pop_first();
             self.now = self.now.max(at);
-            router.wake(self.now, mark, &mut self.record);
+            router.wake(self.now, mark, &mut self.recorder);
         }
         self.now = until;
     }
@@ -394,9 +414,11 @@
                 left: line.time("left", 4000),
                 repeated: line.flag("repeated", 0),
             };
-            let asked = (object.to_owned(), arrival.part);
-            self.record.asked.insert(arrival.id.clone(), asked);
-            router.request(self.now, arrival, &mut self.record);
+            let requested = (object.to_owned(), arrival.part);
+            self.recorder
+                .requested
+                .insert(arrival.id.clone(), requested);
+            router.request(self.now, arrival, &mut self.recorder);
         }
     }
 
@@ -409,12 +431,13 @@
             "unreached" => Remark::SourceUnreached,
             _ => Remark::None,
         };
-        let waited = line.time("waited", 0);
+        let first_byte_delay = line.time("first-byte", 0);
         let ended = Ended {
             outcome: outcome(words[1]),
             remark,
             took: line.time("took", 10),
-            first_byte: Some(waited).filter(|waited| !waited.is_zero()),
+            first_byte: Some(first_byte_delay)
+                .filter(|first_byte_delay| !first_byte_delay.is_zero()),
             over: words[1] == "served" || words.contains(&"over"),
             load: Load::default(),
         };
@@ -426,35 +449,35 @@
                 &id.as_str().into(),
                 attempt,
                 &ended,
-                &mut self.record,
+                &mut self.recorder,
             );
         }
     }
 
-    fn own(&mut self, line: &Line) {
+    fn local_copies(&mut self, line: &Line) {
         let part = (line.object().to_owned(), line.number("part", 0));
         let held = |place: &str| Held {
             place: place.into(),
             made: self.now.saturating_sub(line.time("age", 0)),
-            same: line.flag("same", 0),
+            same: line.flag("not-modified", 0),
         };
         match line.words[0] {
-            "gone" => self.record.own.remove(&part),
-            place => self.record.own.insert(part, held(place)),
+            "gone" => self.recorder.local_copies.remove(&part),
+            place => self.recorder.local_copies.insert(part, held(place)),
         };
     }
 
     fn expect(&mut self, line: &Line) {
         let (pattern, bound) = (line.words.join(" "), &mut self.bound);
-        let lines = &self.record.lines[self.expected..];
+        let lines = &self.recorder.lines[self.search_from..];
         let found = lines.iter().position(|l| matches(l, &pattern, bound));
         let found = found.unwrap_or_else(|| panic!("{}\nnot found in {lines:#?}", line.place));
-        self.expected += found + 1;
+        self.search_from += found + 1;
     }
 
     fn never(&mut self, line: &Line) {
         let (pattern, bound) = (line.words.join(" "), &mut self.bound);
-        let mut lines = self.record.lines.iter();
+        let mut lines = self.recorder.lines.iter();
         let found = lines.find(|l| matches(l, &pattern, bound));
         assert!(found.is_none(), "{}\nfound {found:?}", line.place);
     }
@@ -464,7 +487,7 @@
             panic!("{}: no bounds", line.place)
         };
         let (pattern, bound) = (words.join(" "), &mut self.bound);
-        let lines = &self.record.lines;
+        let lines = &self.recorder.lines;
         let found = lines.iter().filter(|l| matches(l, &pattern, bound));
         let count = found.count();
         let (least, most) = (least.parse().expect("least"), most.parse().expect("most"));
@@ -473,7 +496,7 @@
     }
 }
 
-/// The members that a line names. Their times count from the start of the scenario.
+/// The members that a line names. Their start times count from the start of the scenario.
 fn members(words: &[&str]) -> Vec<Member> {
     let mut members: Vec<Member> = words.iter().map(|word| member(word)).collect();
     for member in &mut members {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,8 +1,7 @@
-//! The budget of a server in slow start, against the sum of what whole fleets of routers send it.
+//! The slow-start budget of a server, against the sum of what whole fleets of routers send it.
 //!
-//! Every router of the fleet is the real one, in simulated time, with more demand than the server
-//! may take. The sum counts in requests of mean work. `SLOW_START=whole` plays more seeds and
-//! budgets.
+//! The fleet consists of real routers in simulated time, with more demand than the server may take.
+//! The sum is counted in requests of mean work. `SLOW_START=whole` plays more seeds and budgets.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
@@ -13,21 +12,22 @@
 const WARM_WITHIN: Duration = Duration::from_millis(8000);
 const COLD_FROM: f64 = 0.4;
 const MULTIPLE: f64 = 2.0;
-/// Sending time of a request of mean work, and how many KB a second one answer runs at.
+/// The sending time, in seconds, of a request of mean work, and the transfer rate of one answer in
+/// KB per second.
 const MEAN_WORK: f64 = 0.1;
 const KB_PER_S: f64 = 1000.0;
-/// The server starts at this time; routers have run since zero.
+/// The start time of the server; routers have run since zero.
 const STARTED: Duration = Duration::from_millis(6000);
 const WARMING: &str = "warming";
 
-/// How many requests of mean work may reach a server in one span when the settings allow it
+/// The number of requests of mean work that may reach a server in one span when the settings allow
 /// `allowed`.
 fn bound(allowed: f64) -> f64 {
     let slack = if allowed < 30.0 { 3.0 } else { 2.0 };
     allowed + slack * allowed.sqrt() + slack
 }
 
-/// What requests weigh, in multiples of the mean work.
+/// The work of requests, in multiples of the mean.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Sizes {
     Equal,
@@ -37,44 +37,44 @@
     Classes,
 }
 
-/// When routers send, and when they hear of the server.
+/// When routers send, and when they learn of the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Moment {
-    /// All hear of it as it starts, and ask all the time.
+enum Timing {
+    /// All routers learn of it when it starts, and send continuously.
     Steady,
-    /// All hear of it together, so long after its start.
-    ToldLate(Duration),
-    /// Some hear of it up to two spans late.
-    ToldUnevenly,
-    /// They ask for 0.6 of a span only, about the end of every other span.
+    /// All routers learn of it at the same time, this long after its start.
+    ListedLate(Duration),
+    /// Routers learn of it up to two spans late.
+    ListedUnevenly,
+    /// Routers send for 0.6 of a span only, around the end of every other span.
     Bursts,
-    /// Seven in ten routers, one after the other or all at once, restart while it warms up.
+    /// Seven in ten routers restart while it warms up, one after another or all at once.
     RoutersRestart { together: bool },
-    /// It starts again, twice, the second time within a span.
-    ServerReturns,
+    /// The server restarts twice, the second time within a span.
+    ServerRestarts,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     routers: usize,
-    /// How many requests of mean work the settings allow in a span at the start.
+    /// The number of requests of mean work that the settings allow in a span at the start.
     allowed: f64,
     tier: Tier,
     sizes: Sizes,
-    moment: Moment,
-    /// Requests a second that each router gets.
+    timing: Timing,
+    /// Requests per second at each router.
     demand: f64,
-    /// How long it is watched from its start.
-    watched: Duration,
+    /// How long the server is observed after its start.
+    observed_for: Duration,
     seed: u64,
 }
 
-/// What a fleet sent to the server.
+/// What a fleet sent to the server, relative to what it may send.
 #[derive(Debug, Default)]
 struct Measured {
-    /// The most in one span, as a share of the bound then.
+    /// The maximum in one span, as a share of the bound at that time.
     worst: f64,
-    /// The average in a span, as a share of what the settings allow.
+    /// The average per span, as a share of what the settings allow.
     used: f64,
 }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The capacity of which a cold start leaves what is allowed.
+    /// The capacity for which the settings allow `allowed` requests at the start.
     fn capacity(&self) -> f64 {
         self.allowed * MEAN_WORK / (MULTIPLE * COLD_FROM * SPAN.as_secs_f64())
     }
@@ -162,23 +162,23 @@
         list
     }
 
-    fn size(&self, chance: &mut fastrand::Rng) -> (usize, f64) {
+    fn size(&self, rng: &mut fastrand::Rng) -> (usize, f64) {
         match self.sizes {
             Sizes::Equal => (1, 1.0),
             Sizes::Spread => {
-                let normal = (-2.0 * (1.0 - chance.f64()).ln()).sqrt()
-                    * (std::f64::consts::TAU * chance.f64()).cos();
+                let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt()
+                    * (std::f64::consts::TAU * rng.f64()).cos();
                 (1, (normal - 0.5).exp())
             }
             Sizes::Classes => {
-                let class = chance.usize(0..CLASS_MEANS.len());
-                (class, CLASS_MEANS[class] * (0.5 + chance.f64()))
+                let class = rng.usize(0..CLASS_MEANS.len());
+                (class, CLASS_MEANS[class] * (0.5 + rng.f64()))
             }
         }
     }
 
-    /// What one attempt counts, in requests of mean work.
-    fn counts(&self, class: usize, size: f64) -> f64 {
+    /// The work of one attempt, in requests of mean work.
+    fn work_units(&self, class: usize, size: f64) -> f64 {
         match (self.tier, self.sizes) {
             (Tier::Cache, Sizes::Classes) => CLASS_MEANS[class],
             (Tier::Cache, _) => 1.0,
@@ -186,44 +186,40 @@
         }
     }
 
-    fn asks_at(&self, now: Duration) -> bool {
-        self.moment != Moment::Bursts
+    fn sends_at(&self, now: Duration) -> bool {
+        self.timing != Timing::Bursts
             || now < STARTED
             || (now + SPAN * 2 - STARTED - SPAN.mul_f64(0.7)).div_duration_f64(SPAN) % 2.0 < 0.6
     }
 
-    /// Everything that happens, in order of time.
-    fn events(&self, chance: &mut fastrand::Rng) -> Vec<(Duration, Event)> {
+    /// All events, in chronological order.
+    fn events(&self, rng: &mut fastrand::Rng) -> Vec<(Duration, Event)> {
         let mut events = Vec::new();
         for router in 0..self.routers {
-            let end = STARTED + self.watched;
-            // A router that has run for some time has seen some requests.
+            let end = STARTED + self.observed_for;
+            // A router that has run for some time has already received some requests.
             let mut now = STARTED - SPAN / 4;
             while now < end {
-                now += Duration::from_secs_f64(-(1.0 - chance.f64()).ln() / self.demand);
-                if now < end && self.asks_at(now) {
+                now += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / self.demand);
+                if now < end && self.sends_at(now) {
                     events.push((now, Event::Request(router)));
                 }
             }
-            let told = match self.moment {
-                Moment::ToldLate(late) => STARTED + late,
-                Moment::ToldUnevenly => STARTED + SPAN.mul_f64(2.0 * chance.f64()),
+            let listed_at = match self.timing {
+                Timing::ListedLate(late) => STARTED + late,
+                Timing::ListedUnevenly => STARTED + SPAN.mul_f64(2.0 * rng.f64()),
                 _ => STARTED,
             };
-            events.push((told, Event::Told(router, STARTED)));
-            if let Moment::RoutersRestart { together } = self.moment
-                && chance.f64() < 0.7
+            events.push((listed_at, Event::Listed(router, STARTED)));
+            if let Timing::RoutersRestart { together } = self.timing
+                && rng.f64() < 0.7
             {
-                let after = if together {
-                    0.6
-                } else {
-                    0.3 + 2.0 * chance.f64()
-                };
+                let after = if together { 0.6 } else { 0.3 + 2.0 * rng.f64() };
                 events.push((STARTED + SPAN.mul_f64(after), Event::Restart(router)));
             }
-            if self.moment == Moment::ServerReturns {
-                for again in [STARTED + SPAN.mul_f64(1.2), STARTED + SPAN.mul_f64(1.8)] {
-                    events.push((again, Event::Told(router, again)));
+            if self.timing == Timing::ServerRestarts {
+                for restarted_at in [STARTED + SPAN.mul_f64(1.2), STARTED + SPAN.mul_f64(1.8)] {
+                    events.push((restarted_at, Event::Listed(router, restarted_at)));
                 }
             }
         }
@@ -232,28 +228,28 @@
     }
 
     fn play(&self) -> Measured {
-        let mut chance = fastrand::Rng::with_seed(self.seed ^ 0x510e);
+        let mut rng = fastrand::Rng::with_seed(self.seed ^ 0x510e);
         let mut attempts = Attempts::default();
-        let boot = |router, now, attempts: &mut Attempts| {
+        let start_router = |router, now, attempts: &mut Attempts| {
             Router::start(now, &self.deployment(router), attempts)
         };
         let mut routers: Vec<Router> = (0..self.routers)
-            .map(|router| boot(router, Duration::ZERO, &mut attempts))
+            .map(|router| start_router(router, Duration::ZERO, &mut attempts))
             .collect();
-        let (mut started, mut watch) = (STARTED, Watch::new(*self));
-        for (n, (now, event)) in self.events(&mut chance).into_iter().enumerate() {
+        let (mut started, mut observer) = (STARTED, Observer::new(*self));
+        for (n, (now, event)) in self.events(&mut rng).into_iter().enumerate() {
             match event {
-                Event::Told(router, since) => {
+                Event::Listed(router, since) => {
                     started = since;
-                    watch.restarted(since);
+                    observer.restarted(since);
                     routers[router].list(now, ListKind::Whole, &self.list(since), &mut attempts);
                 }
                 Event::Restart(router) => {
-                    routers[router] = boot(router, now, &mut attempts);
+                    routers[router] = start_router(router, now, &mut attempts);
                     routers[router].list(now, ListKind::Whole, &self.list(started), &mut attempts);
                 }
                 Event::Request(router) => {
-                    let (class, size) = self.size(&mut chance);
+                    let (class, size) = self.size(&mut rng);
                     let id: Id = n.to_string().into();
                     let kb = size * MEAN_WORK * KB_PER_S;
                     let left = Duration::from_secs(9);
@@ -269,22 +265,22 @@
                     routers[router].request(now, arrival, &mut attempts);
                     for (id, server, source) in std::mem::take(&mut attempts.made) {
                         if *server == *self.name() || *source == *self.name() {
-                            watch.sent(now, self.counts(class, size));
+                            observer.sent(now, self.work_units(class, size));
                         }
                         routers[router].result(now, &id, 0, &served(), &mut attempts);
                     }
                 }
             }
         }
-        watch.measured()
+        observer.measured()
     }
 }
 
 #[derive(Clone, Copy)]
 enum Event {
     Request(usize),
-    /// A router gets the list, with the server's start.
-    Told(usize, Duration),
+    /// A router receives the list, with the server's start time.
+    Listed(usize, Duration),
     Restart(usize),
 }
 
@@ -299,8 +295,8 @@
     }
 }
 
-/// Counts what reaches the server in each sliding span.
-struct Watch {
+/// Measures the work that reaches the server in each sliding span.
+struct Observer {
     scenario: Scenario,
     started: Duration,
     within: VecDeque<(Duration, f64)>,
@@ -308,9 +304,9 @@
     total: f64,
 }
 
-impl Watch {
-    fn new(scenario: Scenario) -> Watch {
-        Watch {
+impl Observer {
+    fn new(scenario: Scenario) -> Observer {
+        Observer {
             scenario,
             started: STARTED,
             within: VecDeque::new(),
@@ -319,7 +315,7 @@
         }
     }
 
-    /// What reached an earlier life does not weigh on this one.
+    /// Work sent to an earlier incarnation of the server does not count.
     fn restarted(&mut self, started: Duration) {
         if started != self.started {
             self.within.clear();
@@ -334,7 +330,7 @@
             self.within.pop_front();
         }
         let sum: f64 = self.within.iter().map(|(_, weight)| weight).sum();
-        // What the settings allow grows: the least of it counts.
+        // What the settings allow grows within the span; its lowest value counts.
         let least = self
             .scenario
             .allowed_at(self.within[0].0.saturating_sub(self.started));
@@ -342,8 +338,8 @@
     }
 
     fn measured(&self) -> Measured {
-        let spans = self.scenario.watched.div_duration_f64(SPAN);
-        let allowed = self.scenario.allowed_at(self.scenario.watched / 2);
+        let spans = self.scenario.observed_for.div_duration_f64(SPAN);
+        let allowed = self.scenario.allowed_at(self.scenario.observed_for / 2);
         Measured {
             worst: self.worst,
             used: self.total / spans / allowed,
@@ -351,8 +347,8 @@
     }
 }
 
-/// The worst and the mean of a scenario over seeds.
-fn over_seeds(scenario: Scenario, seeds: u64) -> Measured {
+/// The maximum and the mean of a scenario over several seeds.
+fn summarize_seeds(scenario: Scenario, seeds: u64) -> Measured {
     let mut all = Measured::default();
     for seed in 0..seeds {
         let one = Scenario {
@@ -366,7 +362,7 @@
     all
 }
 
-/// So many seeds: more in the whole form.
+/// The number of seeds, which is larger in the whole form.
 fn seeds(quick: u64, whole: u64) -> u64 {
     if is_whole() { whole } else { quick }
 }
@@ -375,22 +371,22 @@
     std::env::var("SLOW_START").is_ok_and(|form| form == "whole")
 }
 
-/// Plenty for any budget here, and as much as one router is likely to get.
-fn plenty(routers: usize, allowed: f64) -> f64 {
+/// A demand that exceeds every budget here, and is as high as one router is likely to see.
+fn high_demand(routers: usize, allowed: f64) -> f64 {
     (6.0 * bound(allowed / COLD_FROM) / routers as f64).max(if routers > 300 { 4.0 } else { 8.0 })
 }
 
 const LATE_BY: Duration = Duration::from_millis(800);
-const LATE: Moment = Moment::ToldLate(LATE_BY);
+const LATE: Timing = Timing::ListedLate(LATE_BY);
 
-const MOMENTS: [Moment; 7] = [
-    Moment::Steady,
+const TIMINGS: [Timing; 7] = [
+    Timing::Steady,
     LATE,
-    Moment::ToldUnevenly,
-    Moment::Bursts,
-    Moment::RoutersRestart { together: true },
-    Moment::RoutersRestart { together: false },
-    Moment::ServerReturns,
+    Timing::ListedUnevenly,
+    Timing::Bursts,
+    Timing::RoutersRestart { together: true },
+    Timing::RoutersRestart { together: false },
+    Timing::ServerRestarts,
 ];
 
 const LOADS: [(Tier, Sizes); 5] = [
@@ -401,8 +397,8 @@
     (Tier::Parent, Sizes::Classes),
 ];
 
-/// Every seed plays every number of routers before every budget, each with the next moment and load
-/// in turn.
+/// Each seed plays every fleet size with every budget, and takes the next timing and load for each
+/// combination.
 #[test]
 fn no_fleet_exceeds_the_budget_of_a_server_in_slow_start() {
     let mut worst = (0.0, String::new());
@@ -413,18 +409,18 @@
                 1.0, 2.0, 5.0, 12.0, 18.0, 24.0, 29.0, 30.0, 36.0, 45.0, 60.0,
             ] {
                 turn += 1;
-                let moment = MOMENTS[turn % MOMENTS.len()];
+                let timing = TIMINGS[turn % TIMINGS.len()];
                 let (tier, sizes) = LOADS[turn % LOADS.len()];
-                let demand = plenty(routers, allowed);
-                let watched = if routers > 30 { SPAN * 3 } else { SPAN * 5 };
+                let demand = high_demand(routers, allowed);
+                let observed_for = if routers > 30 { SPAN * 3 } else { SPAN * 5 };
                 let scenario = Scenario {
                     routers,
                     allowed,
                     tier,
                     sizes,
-                    moment,
+                    timing,
                     demand,
-                    watched,
+                    observed_for,
                     seed: seed + 1,
                 };
                 let measured = scenario.play();
@@ -439,30 +435,31 @@
             }
         }
     }
-    println!("at most {:.2} of the bound: {}", worst.0, worst.1);
+    println!("maximum {:.2} of the bound: {}", worst.0, worst.1);
 }
 
-/// Where two draws of all routers met within a span, those of both sent; and of several sizes a
-/// router sent the first that its draw allowed, more on average than its share.
+/// Guards against two faults. When all routers changed their draws within the same span, the
+/// routers of both draws sent. With several sizes, a router sent the first size that its draw
+/// allowed, more on average than its share.
 #[test]
-fn hundreds_of_routers_told_in_the_middle_of_a_span_stay_well_under_the_bound() {
+fn hundreds_of_routers_that_learn_of_a_server_mid_span_stay_well_below_the_bound() {
     for (tier, sizes) in [
         (Tier::Cache, Sizes::Classes),
         (Tier::Parent, Sizes::Classes),
     ] {
         for allowed in [30.0, 60.0] {
-            let (routers, moment, demand, watched) = (300, LATE, 40.0, SPAN * 2);
+            let (routers, timing, demand, observed_for) = (300, LATE, 40.0, SPAN * 2);
             let scenario = Scenario {
                 routers,
                 allowed,
                 tier,
                 sizes,
-                moment,
+                timing,
                 demand,
-                watched,
+                observed_for,
                 seed: 1,
             };
-            let measured = over_seeds(scenario, seeds(1, 40));
+            let measured = summarize_seeds(scenario, seeds(1, 40));
             println!("{tier:?} {allowed}: {:.2} of the bound", measured.worst);
             assert!(
                 measured.worst < 0.9,
@@ -473,14 +470,14 @@
     }
 }
 
-/// The chance that a Poisson variable of this mean is over the limit.
-fn poisson_over(mean: f64, limit: f64) -> f64 {
+/// The probability that a Poisson variable with this mean exceeds the limit.
+fn poisson_exceedance(mean: f64, limit: f64) -> f64 {
     let (mut term, mut count, mut over) = ((-mean).exp(), 0.0, 0.0);
     while count <= limit {
         count += 1.0;
         term *= mean / count;
     }
-    // Summed from the limit up: one less what is under would be lost in rounding.
+    // Summed from the limit upwards, as 1 minus the sum below it would be lost to rounding.
     while term > over * 1e-12 {
         over += term;
         count += 1.0;
@@ -489,12 +486,12 @@
     over
 }
 
-/// What is drawn strays: in the worst moment, as all hear of a server and ask at once, the count of
-/// a span is no wider spread than a Poisson variable, and for that the bound is a matter of less
-/// than one in a million.
+/// The work of randomly drawn routers varies. In the worst case, in which all routers learn of a
+/// server and send at once, the count per span is spread no wider than a Poisson variable, which
+/// exceeds the bound with a probability of less than one in a million.
 #[test]
-fn less_than_one_slow_start_in_a_million_would_exceed_the_bound_by_chance() {
-    let mut most_likely: f64 = 0.0;
+fn fewer_than_one_slow_start_in_a_million_exceeds_the_bound_by_chance() {
+    let mut highest_probability: f64 = 0.0;
     // The bound is nearest to the mean at 30, where its slack becomes smaller.
     let all: &[f64] = if is_whole() {
         &[18.0, 24.0, 29.0, 30.0, 45.0, 60.0]
@@ -502,66 +499,69 @@
         &[18.0, 30.0]
     };
     for allowed in all.iter().copied() {
-        let (tier, sizes, watched) = (Tier::Cache, Sizes::Equal, SPAN.mul_f64(1.8));
+        let (tier, sizes, observed_for) = (Tier::Cache, Sizes::Equal, SPAN.mul_f64(1.8));
         let scenario = Scenario {
             routers: 300,
             allowed,
             tier,
             sizes,
-            moment: LATE,
+            timing: LATE,
             demand: 10.0,
-            watched,
+            observed_for,
             seed: 1,
         };
         let plays = seeds(24, 150);
-        let counts: Vec<f64> = (0..plays)
+        let work_units: Vec<f64> = (0..plays)
             .map(|seed| {
                 let scenario = Scenario {
                     seed: seed * 104_729,
                     ..scenario
                 };
-                scenario.play().used * 1.8 * scenario.allowed_at(watched / 2)
+                scenario.play().used * 1.8 * scenario.allowed_at(observed_for / 2)
             })
             .collect();
-        let mean = counts.iter().sum::<f64>() / plays as f64;
-        let variance = counts
+        let mean = work_units.iter().sum::<f64>() / plays as f64;
+        let variance = work_units
             .iter()
             .map(|count| (count - mean).powi(2))
             .sum::<f64>()
             / (plays - 1) as f64;
-        // Of the mean of so many plays, no less than it can be by chance.
+        // An upper estimate of the mean: three standard errors above the mean of the runs.
         let highest = mean + 3.0 * (variance / plays as f64).sqrt();
-        let chance = poisson_over(highest, bound(scenario.allowed_at(LATE_BY)));
+        let probability = poisson_exceedance(highest, bound(scenario.allowed_at(LATE_BY)));
         println!(
-            "{allowed}: mean {mean:.1} (at most {highest:.1}), variance {variance:.1}, chance {chance:.1e}"
+            "{allowed}: mean {mean:.1} (at most {highest:.1}), variance {variance:.1}, probability {probability:.1e}"
         );
         assert!(
             variance < 2.0 * mean,
             "{allowed}: mean {mean:.1}, variance {variance:.1}"
         );
-        most_likely = most_likely.max(chance);
+        highest_probability = highest_probability.max(probability);
     }
-    assert!(most_likely < 1e-6, "the chance is {most_likely:.1e}");
+    assert!(
+        highest_probability < 1e-6,
+        "the probability is {highest_probability:.1e}"
+    );
 }
 
-/// A server that is sent too little stays cold: no rule is broken, and service is lost.
+/// A server that is sent too little stays cold: no rule is violated, but capacity is lost.
 #[test]
-fn a_fleet_with_plenty_to_send_uses_two_fifths_of_what_a_warming_server_is_allowed() {
+fn a_fleet_with_high_demand_uses_two_fifths_of_the_allowance_of_a_warming_server() {
     for routers in [1, 6, 30, 300] {
         for (tier, sizes) in [(Tier::Cache, Sizes::Equal), (Tier::Parent, Sizes::Classes)] {
-            let (allowed, moment) = (36.0, Moment::Steady);
-            let (demand, watched) = (plenty(routers, allowed).max(20.0), SPAN * 3);
+            let (allowed, timing) = (36.0, Timing::Steady);
+            let (demand, observed_for) = (high_demand(routers, allowed).max(20.0), SPAN * 3);
             let scenario = Scenario {
                 routers,
                 allowed,
                 tier,
                 sizes,
-                moment,
+                timing,
                 demand,
-                watched,
+                observed_for,
                 seed: 1,
             };
-            let used = over_seeds(scenario, seeds(1, 20)).used;
+            let used = summarize_seeds(scenario, seeds(1, 20)).used;
             println!("{routers} routers, {tier:?}: {used:.2} of what is allowed");
             assert!(
                 (0.35..0.65).contains(&used),
