--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -1,8 +1,8 @@
 //! Measures the cost of the decisions per request, by the number of caches: the time per request,
 //! and its ratio to the time with the smallest number.
 //!
-//! Run `cargo run --release --example decision_cost`. With the name of a scene and a number of caches
-//! as arguments, it runs only that scene, once.
+//! Run `cargo run --release --example decision_cost`. With the name of a scene and a number of
+//! caches as arguments, it runs only that scene, once.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -159,8 +159,8 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let may_have_run = matches!(ended.outcome, Error | TimedOut | Broken | Cancelled);
-        if may_have_run && request.possible_execution.is_none() && !route.is_local() {
+        let may_have_executed = matches!(ended.outcome, Error | TimedOut | Broken | Cancelled);
+        if may_have_executed && request.possible_execution.is_none() && !route.is_local() {
             request.possible_execution = Some(PossibleExecution {
                 sent_at: completion.sent_at,
                 server: route.server.clone(),
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -98,14 +98,14 @@
         }
         let class = &self.classes[request.arrival.class];
         let can_be_cancelled = self.may_cancel && !class.streamed;
-        let is_watched = class.effect == Effect::Idempotent && can_be_cancelled;
+        let has_timeout = class.effect == Effect::Idempotent && can_be_cancelled;
         let timeout = || self.attempt_timeout.timeout(request.sending_time);
         Ok(ValidatedAttempt {
             fill: self.fill_parameters(now, request, route, server, source, max_age),
             limit: request.deadline - now,
             kb: request.arrival.kb,
             work: [server, source].map(|endpoint| self.work(endpoint, request)),
-            timeout: is_watched.then(timeout),
+            timeout: has_timeout.then(timeout),
         })
     }
 
@@ -167,11 +167,11 @@
             return true;
         };
         let class = &self.classes[request.arrival.class];
-        let ran_on = self.endpoints.get(&execution.server).map(|e| &e.member);
+        let executed_on = self.endpoints.get(&execution.server).map(|e| &e.member);
         retry::is_safe_to_retry(
             class,
             execution,
-            ran_on,
+            executed_on,
             target,
             now + self.max_action_delay,
         )
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -173,8 +173,8 @@
             return;
         };
         let member = &endpoint.member;
-        let stays = next.standing == Standing::Active;
-        for key in PoolKey::of(member).filter(|key| !stays || !key.includes(next)) {
+        let remains_active = next.standing == Standing::Active;
+        for key in PoolKey::of(member).filter(|key| !remains_active || !key.includes(next)) {
             let Some(pool) = self.pools.get_mut(&key) else {
                 continue;
             };
--- a/src/fill_limiter.rs
+++ b/src/fill_limiter.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// The fills in flight, how many may be, and the requests that wait for a slot.
+/// The number of fills in flight, its limit, and the requests that wait for a slot.
 #[derive(Debug)]
 pub struct FillLimiter {
     in_flight: f64,
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -122,8 +122,8 @@
         };
         let waiters = self.coalescing.complete(part_key(&request.arrival), id);
         // A part that other requests waited for has been requested more than once.
-        let wanted = u8::from(!waiters.is_empty());
-        let retention_priority = request.retention_priority.max(wanted);
+        let min_priority = u8::from(!waiters.is_empty());
+        let retention_priority = request.retention_priority.max(min_priority);
         let is_cacheable = self.classes[request.arrival.class].cacheable;
         if served && retention_priority > 0 && is_cacheable {
             context.actions.keep(id, retention_priority);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -20,17 +20,17 @@
     Client,
 }
 
-/// Whether a request that may have been executed may be executed again. `ran_on` is the server of
-/// `execution`, if it is still listed; `latest` is the latest time at which the retry arrives.
+/// Whether a request that may have been executed may be executed again. `executed_on` is the server
+/// of `execution`, if it is still listed; `latest` is the latest time at which the retry arrives.
 pub fn is_safe_to_retry(
     class: &Class,
     execution: &PossibleExecution,
-    ran_on: Option<&Member>,
+    executed_on: Option<&Member>,
     target: &RetryTarget,
     latest: Duration,
 ) -> bool {
     let is_remembered = latest < execution.sent_at + class.window;
-    let shares = |group: fn(&Member) -> u64| match (target, ran_on) {
+    let shares = |group: fn(&Member) -> u64| match (target, executed_on) {
         (RetryTarget::Server(next), Some(first)) => is_remembered && group(next) == group(first),
         _ => false,
     };
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -142,10 +142,10 @@
         // the average of both.
         let in_flight_kb = accepting.iter().map(|(_, e)| e.in_flight_kb).sum::<f64>();
         let others = (accepting.len() as f64 - 1.0).max(1.0);
-        let few = (OVERLOAD_MIN_TRANSFERS / self.routers_in_zone).max(1.0);
+        let min_transfers = (OVERLOAD_MIN_TRANSFERS / self.routers_in_zone).max(1.0);
         let is_overloaded = |e: &Endpoint| {
             let average = (in_flight_kb - e.in_flight_kb) / others;
-            f64::from(e.in_flight) > few && e.in_flight_kb > OVERLOAD_MULTIPLE * average
+            f64::from(e.in_flight) > min_transfers && e.in_flight_kb > OVERLOAD_MULTIPLE * average
         };
         let is_fit = |e: &Endpoint| {
             !request.failed_servers.contains(&e.member.server)
