--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -1,16 +1,16 @@
-//! The actor that owns the decisions: it hands them every event, and carries out their actions.
-//! Nothing is decided here.
+//! The actor that owns the routing logic ([`Router`]): it passes every event to it and executes the
+//! actions that it requests. The actor itself decides nothing about requests.
 //!
 //! - `event_loop`: the actor's loop, its timers and its mailbox
-//! - `admission`: new requests
+//! - `admission`: admission of new requests
 //! - `attempt_results`: results of attempts
-//! - `discovery_updates`: changes of the list, purges, cells
-//! - `dispatcher`: the actions that the decisions order
+//! - `discovery_updates`: server list changes, purges, cell maps and drained zones
+//! - `dispatcher`: executes the actions of the routing logic
 //! - `requests`: the table of open requests
 //! - `servers`: the listed servers and their actors
-//! - `subsystems`: the local cache, cells, gossip and failover between zones
-//! - `operator_queries`: what an operator asks a running router
-//! - `shutdown`: draining, and the end
+//! - `subsystems`: the local cache, cells, gossip and zone failover
+//! - `operator_queries`: answers to queries of operators
+//! - `shutdown`: draining and termination
 
 mod admission;
 mod attempt_results;
@@ -44,53 +44,56 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// The size that a body is expected to have before any has come: an object's largest.
-const INITIAL_BODY_BYTES: f64 = 240_000.0;
-/// The share by which that moves towards the size of each body that comes.
+/// Expected size of a body before any has been received: the size of the largest object.
+const INITIAL_EXPECTED_BODY_BYTES: f64 = 240_000.0;
+/// Weight of each received body in the moving average of body sizes.
 const BODY_SIZE_SMOOTHING: f64 = 1.0 / 64.0;
 const MAX_CONNECTIONS_PER_SERVER: usize = 8;
-/// Descriptors for neither clients nor servers: clients that are being closed, discovery, the
-/// listener, peers, signals, the log and the like.
-const OTHER_DESCRIPTORS: usize = 32;
-/// The event loop waits no longer than this.
-const MAX_WAIT: Duration = Duration::from_millis(50);
-/// Where a wait of the loop took this much longer than that, the whole program was held up.
-const HELD_UP_AFTER: Duration = Duration::from_millis(50);
-/// Rounds of all tasks after which what lay in the sockets has come by connection and server actor
-/// to the decider.
-const TASK_ROUNDS: usize = 8;
-/// How soon after its decision an attempt's first byte leaves where the deployment sets no grace.
-const DEFAULT_SEND_WITHIN: Duration = Duration::from_millis(500);
-/// Idle connections are closed before the other side does, after this share of its time.
-const IDLE_SHARE: f64 = 0.8;
-/// The least rate of a client, which is divided by.
+/// Descriptors reserved for everything but open client and server connections: client connections
+/// that are being closed, discovery, the listener, gossip, signals and the log.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// The longest wait of the event loop.
+const MAX_LOOP_WAIT: Duration = Duration::from_millis(50);
+/// A wait that overruns [`MAX_LOOP_WAIT`] by this much means that the whole process was stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
+/// Scheduling rounds after which data that waited in the sockets has passed through the connection
+/// and server actors to the decider.
+const CATCH_UP_ROUNDS: usize = 8;
+/// How long after the decision the first byte of an attempt may be written, if the deployment sets
+/// no grace period.
+const DEFAULT_SEND_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle connections are closed after this fraction of the server's idle timeout, so that the server
+/// does not close them first.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Lower bound of the client rate, which is used as a divisor.
 const MIN_CLIENT_KB_PER_S: f64 = 1e-9;
 
-/// The actor that owns the decisions.
+/// The actor that owns the routing logic.
 pub struct Decider {
     router: Router,
     dispatcher: Dispatcher,
-    /// The local cache as members of the list, until they have gone to the decisions with the first
-    /// list.
+    /// The members that stand for the local cache, until they are passed to the routing logic with
+    /// the first list.
     unlisted_local_members: Vec<Member>,
     cell_routing: Option<CellRouting>,
     zone_failover: Option<ZoneFailover>,
-    /// For how long a cache that has started is in slow start.
-    warm_within: Duration,
+    /// How long a cache is in slow start after it has started.
+    slow_start_window: Duration,
     limits: Limits,
     is_non_idempotent_class: Vec<bool>,
-    /// Bytes of bodies, in memory and expected, past which new requests are rejected.
+    /// New requests are rejected while the bodies in memory and those expected exceed this many
+    /// bytes.
     max_body_bytes: f64,
     phase: watch::Sender<Phase>,
-    longest_deadline: Duration,
-    longest_advice: Option<Duration>,
-    /// The list has changed since the gossip took it over.
+    max_deadline: Duration,
+    max_retry_after: Option<Duration>,
+    /// Whether the list has changed since it was last passed to the gossip protocol.
     is_gossip_list_stale: bool,
     protocol_errors: RateLimitedLog,
 }
 
 impl Decider {
-    /// The decider of a router that has just started, without any server.
+    /// Creates the decider of a router that has just started and knows no servers yet.
     pub fn start(
         clock: Clock,
         deployment: &Deployment,
@@ -118,10 +121,10 @@
             local_cache,
             gossip,
             served_answer: None,
-            send_within: shortest_grace(deployment).unwrap_or(DEFAULT_SEND_WITHIN),
+            send_timeout: shortest_grace(deployment).unwrap_or(DEFAULT_SEND_TIMEOUT),
             unwritten_bytes: 0,
             open_attempts: 0,
-            expected_body_bytes: INITIAL_BODY_BYTES,
+            expected_body_bytes: INITIAL_EXPECTED_BODY_BYTES,
             unsent_log: RateLimitedLog::default(),
             client_kb_per_s: deployment.client_kb_per_s.max(MIN_CLIENT_KB_PER_S),
         };
@@ -133,43 +136,43 @@
             unlisted_local_members: local_members.unwrap_or_default(),
             cell_routing,
             zone_failover,
-            warm_within: deployment.cold_cache.warm_within,
+            slow_start_window: deployment.cold_cache.warm_within,
             is_non_idempotent_class: classes.clone().map(is_non_idempotent).collect(),
             max_body_bytes: limits.memory as f64 / 2.0,
             limits,
             phase,
-            longest_deadline: classes
+            max_deadline: classes
                 .map(|class| class.deadline)
                 .max()
                 .unwrap_or_default(),
-            longest_advice: deployment.longest_advice,
+            max_retry_after: deployment.longest_advice,
             is_gossip_list_stale: false,
             protocol_errors: RateLimitedLog::default(),
         }
     }
 
-    /// The wait that a rejected client is advised.
+    /// The time after which a rejected client is told to retry.
     pub fn retry_after(&self) -> Option<Duration> {
         self.router.advice
     }
 }
 
-/// How the actors of servers are started.
+/// Builds the factory of server actors, which share the descriptors that are not reserved.
 fn server_actors(limits: &Limits, decider: mpsc::Sender<Message>) -> ServerActors {
-    // A third is for the connections of clients.
-    let for_others = limits.sockets / 3 + OTHER_DESCRIPTORS;
-    let max_connections = limits.sockets.saturating_sub(for_others);
+    // A third of the descriptors is reserved for client connections.
+    let reserved = limits.sockets / 3 + RESERVED_DESCRIPTORS;
+    let max_connections = limits.sockets.saturating_sub(reserved);
     ServerActors {
         max_streams: limits.streams,
         connect_timeout: limits.connect_timeout,
-        idle_timeout: limits.idle_close.mul_f64(IDLE_SHARE),
+        idle_timeout: limits.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION),
         decider,
         slots: Rc::new(ConnectionSlots::new(max_connections)),
     }
 }
 
-/// The shortest grace of a drain or a purge: an attempt that leaves within it was decided before
-/// the grace ended.
+/// The shortest grace period of a drain or a purge. An attempt that is written within this time
+/// after its decision is written before the grace period of any later drain or purge ends.
 fn shortest_grace(deployment: &Deployment) -> Option<Duration> {
     let graces = [deployment.drain_grace, deployment.purge_grace];
     graces.into_iter().filter(|grace| !grace.is_zero()).min()
--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -1,4 +1,4 @@
-//! New requests: refused at once, or handed to the decisions.
+//! Admission of new requests: each is refused at once or passed to the routing logic.
 
 use super::Decider;
 use super::requests::{PendingRequest, Requester};
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 impl Decider {
-    /// Takes in a request that a client's connection has read.
+    /// Handles a request that a client connection has read.
     pub(super) fn receive_request(&mut self, mut new: NewRequest) {
         if !new.wanted.still() {
-            // The client left before the request was looked at.
+            // The client has left before the request was processed.
             return;
         }
         let waited = self.dispatcher.now.saturating_sub(new.received_after);
@@ -37,15 +37,15 @@
         self.router.request(now, new.arrival, &mut self.dispatcher);
     }
 
-    /// Checks what must hold before a request is decided on, and sets its remaining time, cell and
-    /// zone.
+    /// Checks the id of a new request, capacity and limits, and sets its remaining time, its cell
+    /// and its zone.
     ///
     /// # Errors
-    /// The final answer of a request that is refused.
+    /// The final answer if the request is refused.
     fn admit(&mut self, arrival: &mut Arrival, waited: Duration) -> Result<(), FinalAnswer> {
         if self.dispatcher.requests.contains(&arrival.id) {
             self.protocol_errors
-                .log("a request with an id that is in use");
+                .log("request refused: its id is in use by an open request");
             return Err(FinalAnswer::Failed);
         }
         let rejected = FinalAnswer::Rejected(self.router.advice);
@@ -58,9 +58,9 @@
         if let Some(cells) = &mut self.cell_routing
             && let Err(RetryAfter(wait)) = cells.assign_cell(now, arrival, is_non_idempotent)
         {
-            // The client is told to come back when its tenant may, within the longest advice it
-            // heeds.
-            let retry_after = self.longest_advice.map(|longest| wait.min(longest));
+            // The client is told when its tenant has quota again, but at most the longest wait that
+            // clients honour.
+            let retry_after = self.max_retry_after.map(|longest| wait.min(longest));
             return Err(FinalAnswer::Rejected(retry_after));
         }
         if let Some(failover) = &mut self.zone_failover
@@ -71,8 +71,8 @@
         Ok(())
     }
 
-    /// Whether memory and the table have room for one more request: an early rejection is better
-    /// than being killed for memory or losing count of what is open.
+    /// Whether memory and the request table have capacity for one more request. Without this check
+    /// the process could be killed for its memory use, or the table grow past its limit.
     fn has_capacity(&mut self) -> bool {
         let expected_bodies = self.dispatcher.expected_body_bytes_with_one_more();
         if let Some(local_cache) = &mut self.dispatcher.local_cache {
--- a/crates/router/src/decider/attempt_results.rs
+++ b/crates/router/src/decider/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Results of attempts: what the client, the subsystems and the decisions learn of them.
+//! Results of attempts, which are reported to the client, the subsystems and the routing logic.
 
 use super::dispatcher::{ClosedAttempt, ServedAnswer};
 use super::{BODY_SIZE_SMOOTHING, Decider};
@@ -7,7 +7,7 @@
 use chalkhall::interface::{self, Id, Outcome, Remark};
 
 impl Decider {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn complete_attempt(&mut self, ended: AttemptEnded) {
         let AttemptEnded {
             attempt: AttemptId {
@@ -35,7 +35,7 @@
             self.report_attempt(&id, &attempt, &result);
         }
         let request = self.dispatcher.requests.get(&id);
-        result.over = request.is_some_and(|request| request.is_over());
+        result.over = request.is_some_and(|request| request.is_resolved());
         self.dispatcher.maybe_finished.push(id.clone());
         let now = self.dispatcher.now;
         self.router
@@ -43,7 +43,7 @@
         self.dispatcher.served_answer = None;
     }
 
-    /// Checks an answer, and forwards it to the client where the attempt was served.
+    /// Validates an answer, and forwards it to the client if the attempt was served.
     fn process_answer(
         &mut self,
         id: &Id,
@@ -60,12 +60,13 @@
         result.remark = answer.remark;
         result.first_byte = answer.first_byte;
         result.load = answer.load;
-        // "Not modified" is forwarded only of the very copy that the server names.
+        // "Not modified" is forwarded only if it names the copy that the client has.
         let request = self.dispatcher.requests.get(id);
-        let have = request.and_then(|request| request.forwarded.have.as_ref());
-        if answer.is_not_modified && (have.is_none() || have != answer.etag.as_ref()) {
+        let client_etag = request.and_then(|request| request.forwarded.have.as_ref());
+        if answer.is_not_modified && (client_etag.is_none() || client_etag != answer.etag.as_ref())
+        {
             self.protocol_errors
-                .log("a server says that a copy holds which nobody named");
+                .log("server answered \"not modified\" for a copy that the client did not name");
             (result.outcome, result.remark) = (Outcome::Error, Remark::None);
         }
         if result.outcome == Outcome::Served {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The first attempt that is served is the client's answer.
+    /// Sends the answer to the client: that of the first attempt that is served.
     fn forward_answer(&mut self, id: &Id, attempt: &ClosedAttempt, answer: Box<Answer>) {
         let dispatcher = &mut self.dispatcher;
         let difference = answer.body.len() as f64 - dispatcher.expected_body_bytes;
@@ -84,8 +85,8 @@
                 cell_routing.record_served(dispatcher.now, &request.arrival);
             }
             if let (true, Some(local_cache)) = (attempt.is_by_server, &mut dispatcher.local_cache) {
-                let have = request.forwarded.have.as_ref();
-                local_cache.record_server_answer(&request.arrival, &answer, have);
+                let client_etag = request.forwarded.have.as_ref();
+                local_cache.record_server_answer(&request.arrival, &answer, client_etag);
             }
         }
         let is_storable = attempt.is_by_server && !answer.is_not_modified;
@@ -95,7 +96,7 @@
         });
     }
 
-    /// Tells cells and the failover between zones how an attempt at a listed server ended.
+    /// Reports the result of an attempt at a listed server to cell routing and zone failover.
     fn report_attempt(&mut self, id: &Id, attempt: &ClosedAttempt, result: &interface::Ended) {
         let now = self.dispatcher.now;
         let Some(request) = self.dispatcher.requests.get(id) else {
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -1,5 +1,5 @@
-//! What discovery and the operator tell while the router runs: servers, purges, cells, drained
-//! zones.
+//! Updates from discovery and from the operator's file at run time: server lists, purges, cell maps
+//! and drained zones.
 
 use super::servers::ListedServer;
 use super::{Decider, MAX_CONNECTIONS_PER_SERVER};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Decider {
-    /// Hands an event to all that it concerns.
+    /// Applies an event to the routing logic and the subsystems.
     pub fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
         let now = self.dispatcher.clock.now();
         match event {
@@ -37,10 +37,10 @@
         let epoch = plan.epoch();
         let Some(moved) = cell_routing.replace_map(now, plan) else {
             let in_force = cell_routing.epoch();
-            log::warn!(epoch = epoch, in_force = in_force; "cells: an older map is not taken");
+            log::warn!(epoch = epoch, in_force = in_force; "cells: map ignored: its epoch is older than the current one");
             return;
         };
-        log::info!(epoch = epoch, moved = moved.len(); "cells: taken over");
+        log::info!(epoch = epoch, moved = moved.len(); "cells: map replaced");
         self.router
             .list(now, ListKind::Changes, &moved, &mut self.dispatcher);
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Brings the server handles in line with the list. Servers share a third of the descriptors.
+    /// Updates the server handles from the list. All servers share a third of the descriptors.
     fn update_servers(&mut self, is_whole: bool, listed: &[DiscoveredServer]) {
         let servers = &mut self.dispatcher.servers;
         if is_whole {
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions that the decisions order: attempts, replies, cancellations, timers.
+//! Executes the actions of the routing logic: attempts, replies, cancellations and timers.
 
 use super::requests::{Attempt, PendingRequest, RequestTable, Requester};
 use super::servers::ServerHandles;
@@ -15,51 +15,51 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-/// How the request of a client ended.
+/// The result of a client's request.
 pub(super) struct FinalOutcome {
     pub(super) class: usize,
     pub(super) received_at: Duration,
     pub(super) was_served: bool,
 }
 
-/// The answer that a request is being served with, which the local cache may keep.
+/// The answer to the request that is being handled, which the local cache may store.
 pub(super) struct ServedAnswer {
     pub(super) request: Id,
     pub(super) answer: Box<Answer>,
 }
 
-/// An attempt that has just ended.
+/// An attempt that has ended.
 pub(super) struct ClosedAttempt {
     pub(super) server: Id,
-    /// False: it never left the router, or went to the local cache.
+    /// False if the server is the local cache or is not listed.
     pub(super) is_by_server: bool,
     pub(super) took: Duration,
 }
 
-/// Carries out the actions of the decisions, and holds what is open because of them.
+/// Executes the actions of the routing logic, and holds the state of those that are open.
 pub(super) struct Dispatcher {
-    /// The time of the event that is being handled.
+    /// The time at which the current event is handled.
     pub(super) now: Duration,
     pub(super) clock: Clock,
     pub(super) requests: RequestTable,
     pub(super) servers: ServerHandles,
-    /// When each timer of the decisions fires, and its id.
+    /// When each timer of the routing logic fires, and its id.
     pub(super) timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    /// Attempts that ended inside the router: not sent, or answered from the local cache.
+    /// Results of attempts that ended without a server: not sent, or made at the local cache.
     pub(super) local_results: VecDeque<AttemptEnded>,
-    /// Requests to be forgotten if all their attempts have ended.
+    /// Requests that are removed from the table if all their attempts have ended.
     pub(super) maybe_finished: Vec<Id>,
     pub(super) final_outcomes: Vec<FinalOutcome>,
     pub(super) local_cache: Option<LocalCache>,
     pub(super) gossip: Option<Gossip>,
     pub(super) served_answer: Option<ServedAnswer>,
-    /// The first byte of an attempt leaves this soon after its decision, or not at all.
-    pub(super) send_within: Duration,
-    /// Bytes of bodies on their way to clients.
+    /// An attempt is not sent if its first byte is not written within this time after the decision.
+    pub(super) send_timeout: Duration,
+    /// Bytes of bodies that have not been written to clients yet.
     pub(super) unwritten_bytes: usize,
-    /// Attempts that may bring a body each.
+    /// Attempts in progress; each may return a body.
     pub(super) open_attempts: usize,
-    /// The size that a body is expected to have, from those that came.
+    /// Expected size of a body: a moving average of those received.
     pub(super) expected_body_bytes: f64,
     pub(super) unsent_log: RateLimitedLog,
     /// The rate at which one answer is sent to a client.
@@ -67,7 +67,7 @@
 }
 
 impl Dispatcher {
-    /// Sends the final answer of a request. False: nobody waits for it any more.
+    /// Sends the final answer of a request. Returns false if nothing waits for it any more.
     pub(super) fn reply(&mut self, id: &Id, answer: FinalAnswer) -> bool {
         let Some(request) = self.requests.get_mut(id) else {
             return false;
@@ -93,18 +93,18 @@
         true
     }
 
-    /// Bytes of bodies have been written to a client, or dropped.
+    /// Subtracts bytes of bodies that have been written to a client, or dropped.
     pub(super) fn release_written(&mut self, bytes: usize) {
         self.unwritten_bytes = self.unwritten_bytes.saturating_sub(bytes);
     }
 
-    /// Bytes of bodies that are in memory or expected, with one more attempt.
+    /// Bytes of the bodies in memory and of those expected, including one more attempt.
     pub(super) fn expected_body_bytes_with_one_more(&self) -> f64 {
         let attempts = (self.open_attempts + 1) as f64;
         self.unwritten_bytes as f64 + attempts * self.expected_body_bytes
     }
 
-    /// Marks an attempt as ended. None: it is not open.
+    /// Marks an attempt as ended. Returns `None` if it is not open.
     pub(super) fn close_attempt(&mut self, id: &Id, number: usize) -> Option<ClosedAttempt> {
         let request = self.requests.get_mut(id)?;
         let attempt = request.attempts.get_mut(number)?;
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Attempts to answer a request from the local cache. False: the server is not part of it.
+    /// Makes an attempt at the local cache. Returns false if the server is not a tier of it.
     fn attempt_at_local_cache(&mut self, request: &Id, server: &Id) -> bool {
         let Some(pending) = self.requests.get_mut(request) else {
             return false;
@@ -150,8 +150,8 @@
         true
     }
 
-    /// What the actor of a server needs to know of an attempt.
-    fn order(
+    /// Builds the message that sends an attempt to the actor of its server.
+    fn attempt_request(
         &self,
         attempt: &AttemptId,
         request: &PendingRequest,
@@ -167,14 +167,14 @@
             is_non_idempotent: request.is_non_idempotent,
             cancellation: request.cancellation.clone(),
             deadline: self.clock.instant(self.now + limit),
-            send_by: self.clock.instant(self.now + self.send_within),
+            send_by: self.clock.instant(self.now + self.send_timeout),
         })
     }
 
-    /// Ends an attempt that could not be handed to its server's actor: it never ran.
+    /// Ends an attempt that could not be passed to the actor of its server: it did not run.
     fn report_unsent(&mut self, attempt: AttemptId, server: &Id) {
         self.unsent_log.log(&format!(
-            "an attempt for {server}, which is not listed or takes no more orders"
+            "attempt not sent: server {server} is not listed or its mailbox is full"
         ));
         self.local_results.push_back(AttemptEnded {
             attempt,
@@ -196,15 +196,17 @@
             request: request.clone(),
             number: pending.attempts.len(),
         };
-        let order = self.order(&attempt_id, pending, server, limit, fill);
+        let attempt_request = self.attempt_request(&attempt_id, pending, server, limit, fill);
         let work = pending.arrival.kb / self.client_kb_per_s;
         if let Some(gossip) = &mut self.gossip {
             gossip.talk.sent(server, work);
         }
         let commands = self.servers.commands_to(server);
-        let is_sent = commands
-            .as_ref()
-            .is_some_and(|commands| commands.try_send(ServerCommand::Send(order)).is_ok());
+        let is_sent = commands.as_ref().is_some_and(|commands| {
+            commands
+                .try_send(ServerCommand::Send(attempt_request))
+                .is_ok()
+        });
         if !is_sent {
             self.report_unsent(attempt_id, server);
         }
@@ -220,8 +222,8 @@
         self.open_attempts += 1;
     }
 
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.reply(request, FinalAnswer::Rejected(advice));
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
+        self.reply(request, FinalAnswer::Rejected(retry_after));
     }
 
     fn fail(&mut self, request: &Id) {
@@ -246,7 +248,7 @@
         let attempt = pending.and_then(|pending| pending.attempts.get(attempt));
         let open = attempt.filter(|attempt| attempt.is_open);
         if let Some(commands) = open.and_then(|attempt| attempt.commands.as_ref()) {
-            // Where this fails the attempt ends by its own time.
+            // If the mailbox is full, the attempt ends at its deadline.
             let _ = commands.try_send(ServerCommand::Cancel(attempt_id));
         }
     }
@@ -256,7 +258,7 @@
     }
 
     fn watch_list(&mut self) {
-        // Discovery sends the list to every router without being asked.
+        // Not needed: discovery sends the list to every router.
     }
 
     fn held(&mut self, request: &Id) -> Option<Held> {
@@ -271,7 +273,7 @@
         }
     }
 
-    fn keep(&mut self, request: &Id, rank: u8) {
+    fn keep(&mut self, request: &Id, retention_priority: u8) {
         let (Some(local_cache), Some(pending)) =
             (&mut self.local_cache, self.requests.get(request))
         else {
@@ -279,8 +281,10 @@
         };
         let served = &mut self.served_answer;
         match served.take_if(|served| served.request == *request) {
-            Some(served) => local_cache.insert(&pending.arrival, &served.answer, rank),
-            None => local_cache.set_retention_priority(&pending.arrival, rank),
+            Some(served) => {
+                local_cache.insert(&pending.arrival, &served.answer, retention_priority)
+            }
+            None => local_cache.set_retention_priority(&pending.arrival, retention_priority),
         }
     }
 }
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -1,6 +1,6 @@
-//! The decider's event loop: does what is due, then waits for the next event.
+//! The decider's event loop: it does the work that is due, then waits for the next event.
 
-use super::{Decider, HELD_UP_AFTER, MAX_WAIT, TASK_ROUNDS};
+use super::{CATCH_UP_ROUNDS, Decider, MAX_LOOP_WAIT, STALL_THRESHOLD};
 use crate::discovery_events::DiscoveryEvent;
 use crate::lifecycle::Phase;
 use crate::messages::{Message, OperatorQuery};
@@ -11,21 +11,21 @@
 use tokio::task::yield_now;
 use tokio::time::sleep_until;
 
-/// What the event loop was woken by.
+/// Why the event loop was woken.
 enum Wakeup {
     Message(Message),
-    /// Time, or an event of discovery that has been applied already.
+    /// A timer, or a discovery event that has been applied already.
     Other,
-    /// Nobody can send to the decider any more.
+    /// All senders to the decider have been dropped.
     MailboxClosed,
 }
 
 impl Decider {
-    /// Runs until the router has drained, or nobody can send to it any more.
+    /// Runs until the router has drained or all senders to the mailbox have been dropped.
     ///
-    /// Events of discovery go before all else: after a pause of the whole program, as on a shared
-    /// machine, a drain or a purge may wait unread for longer than its grace, behind requests and
-    /// timers.
+    /// Discovery events are handled before all others: after a stall of the whole process, as on a
+    /// shared machine, a drain or a purge that waited behind requests and timers could be applied
+    /// only after its grace period.
     pub async fn run(
         mut self,
         mut mailbox: mpsc::Receiver<Message>,
@@ -44,7 +44,7 @@
             if let Wakeup::Message(message) = wakeup {
                 messages.push_back(message);
             }
-            if self.was_held_up() {
+            if self.was_stalled() {
                 let_other_tasks_run(&mut mailbox, &mut messages).await;
             }
             while let Ok(event) = events.try_recv() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Fires the timers that are due, and does background work.
+    /// Fires the timers that are due, and does the background work.
     fn run_due_work(&mut self, planned_wakeup: Duration) {
         self.dispatcher.now = self.dispatcher.clock.now();
         self.fire_timers();
@@ -75,7 +75,7 @@
             self.dispatcher.timers.pop();
             let now = self.dispatcher.now;
             self.router.wake(now, timer, &mut self.dispatcher);
-            self.settle();
+            self.process_completions();
         }
     }
 
@@ -90,7 +90,7 @@
         let phase = self.phase.borrow().next_look(now);
         let wakeups = [timer, phase, self.subsystems_wakeup()];
         let earliest = wakeups.into_iter().flatten().min();
-        earliest.unwrap_or(Duration::MAX).min(now + MAX_WAIT)
+        earliest.unwrap_or(Duration::MAX).min(now + MAX_LOOP_WAIT)
     }
 
     async fn wait(
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Whether the whole program stood still since this round of the loop began.
-    fn was_held_up(&self) -> bool {
-        self.dispatcher.clock.now() >= self.dispatcher.now + MAX_WAIT + HELD_UP_AFTER
+    /// Whether the whole process was stalled since this iteration of the loop began.
+    fn was_stalled(&self) -> bool {
+        self.dispatcher.clock.now() >= self.dispatcher.now + MAX_LOOP_WAIT + STALL_THRESHOLD
     }
 
     pub(super) fn handle(&mut self, message: Message) {
@@ -133,17 +133,17 @@
             Message::Way(edge, round_trip) => self.record_latency(edge, round_trip),
             Message::Peer(from, bytes) => self.receive_datagram(from, &bytes),
             Message::OperatorQuery(OperatorQuery { query, answer }) => {
-                // Who asked may have gone.
+                // The operator may have disconnected.
                 let _ = answer.send(self.answer_query(query));
             }
             Message::Stop => self.begin_draining(),
         }
-        self.settle();
+        self.process_completions();
     }
 
-    /// Reports to the decisions what ended without a server, and forgets requests that are
-    /// finished.
-    pub(super) fn settle(&mut self) {
+    /// Reports attempts that ended without a server to the routing logic, and removes requests that
+    /// are finished.
+    pub(super) fn process_completions(&mut self) {
         while let Some(ended) = self.dispatcher.local_results.pop_front() {
             self.complete_attempt(ended);
         }
@@ -154,14 +154,14 @@
     }
 }
 
-/// Lets the other tasks run before the decisions do: those of discovery, and those of the
-/// connections, lest answers that came while the program stood still pass for silence of their
-/// servers. No more messages can come than attempts are open.
+/// Lets the tasks of discovery and of the connections run before timers fire. Otherwise answers that
+/// arrived during a stall would be unread, and their servers would be taken for silent. The number
+/// of messages is bounded by that of open attempts.
 async fn let_other_tasks_run(
     mailbox: &mut mpsc::Receiver<Message>,
     messages: &mut VecDeque<Message>,
 ) {
-    for _ in 0..TASK_ROUNDS {
+    for _ in 0..CATCH_UP_ROUNDS {
         yield_now().await;
         while let Ok(message) = mailbox.try_recv() {
             messages.push_back(message);
--- a/crates/router/src/decider/operator_queries.rs
+++ b/crates/router/src/decider/operator_queries.rs
@@ -1,4 +1,4 @@
-//! Answers to an operator's queries, as JSON objects.
+//! Answers to the queries of operators, as JSON objects.
 
 use super::Decider;
 use super::subsystems::Gossip;
@@ -14,19 +14,19 @@
         match query {
             Query::StoreStat => match &self.dispatcher.local_cache {
                 Some(local_cache) => local_cache.report(),
-                None => error("no own copies are kept: neither memory nor disk is set"),
+                None => error("the local cache is off: neither memory nor disk is set"),
             },
             Query::CellsStat => match &self.cell_routing {
                 Some(cell_routing) => cell_routing.report(),
-                None => error("there are no cells"),
+                None => error("no cells are configured"),
             },
             Query::PeersStat => match &self.dispatcher.gossip {
                 Some(gossip) => report_peers(gossip, now),
-                None => error("this router talks to no other"),
+                None => error("gossip with other routers is off"),
             },
             Query::ZoneFailover(query) => match &mut self.zone_failover {
                 Some(failover) => query_zone_failover(failover, now, query),
-                None => error("regions in common are off"),
+                None => error("regions: in-common is off"),
             },
             Query::Unknown(words) => unknown(&words),
         }
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -1,4 +1,4 @@
-//! The request table: every request that is open, with its attempts.
+//! The table of open requests and their attempts.
 
 use crate::messages::{CancellationFlag, ClientReply, ServerCommand};
 use crate::server_protocol::ForwardedFields;
@@ -7,17 +7,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Who waits for the final answer of a request.
+/// The recipient of the final answer of a request.
 pub(super) enum Requester {
-    /// A client, by the reserved slot of its reply channel.
+    /// A client, with a reserved slot in its reply channel.
     Client(mpsc::OwnedPermit<ClientReply>),
-    /// The local cache, which revalidates a copy and learns the result from the attempt itself.
+    /// The local cache, which revalidates a copy. It is informed by the result of the attempt.
     LocalCache,
 }
 
-/// A request that has no final answer yet, or whose attempts have not all ended.
+/// A request that has no final answer yet or has attempts in progress.
 pub(super) struct PendingRequest {
-    /// Taken when the final answer is sent, or when the client leaves.
+    /// `None` once the final answer has been sent or the client has left.
     pub(super) requester: Option<Requester>,
     pub(super) tag: u64,
     pub(super) cancellation: CancellationFlag,
@@ -29,17 +29,17 @@
 }
 
 impl PendingRequest {
-    /// Whether its final answer has been sent, or is no longer waited for.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether its final answer has been sent or is no longer awaited.
+    pub(super) fn is_resolved(&self) -> bool {
         self.requester.is_none() || !self.cancellation.still()
     }
 
-    /// Whether nothing more can happen to it.
+    /// Whether it is resolved and none of its attempts is open.
     fn is_finished(&self) -> bool {
         self.requester.is_none() && self.attempts.iter().all(|attempt| !attempt.is_open)
     }
 
-    /// Whether it was sent under this tag by the client with this reply channel.
+    /// Whether it was sent with this tag by the client that has this reply channel.
     fn is_of_client(&self, tag: u64, client: &mpsc::Sender<ClientReply>) -> bool {
         self.tag == tag
             && matches!(&self.requester,
@@ -49,8 +49,7 @@
 
 /// One attempt of a request at a server.
 pub(super) struct Attempt {
-    /// The mailbox of the server's actor; none where the server is not listed, or is the local
-    /// cache.
+    /// The mailbox of the server's actor; `None` if the server is not listed or is the local cache.
     pub(super) commands: Option<mpsc::Sender<ServerCommand>>,
     pub(super) server: Id,
     pub(super) sent_at: Duration,
@@ -88,15 +87,15 @@
         self.requests.keys().cloned().collect()
     }
 
-    /// How many requests a client still waits for.
+    /// The number of requests that clients wait for.
     pub(super) fn waiting_clients(&self) -> usize {
         let has_client =
             |request: &&PendingRequest| matches!(request.requester, Some(Requester::Client(_)));
         self.requests.values().filter(has_client).count()
     }
 
-    /// Ends the wait of a client that has left. False: the request is not that client's, as
-    /// another's may bear the same id.
+    /// Marks a request as abandoned by its client. Returns false if the request belongs to another
+    /// client, which may have sent the same id.
     pub(super) fn abandon(
         &mut self,
         id: &Id,
@@ -115,7 +114,7 @@
         true
     }
 
-    /// Forgets a request if it has its final answer and all its attempts have ended.
+    /// Removes a request if it is resolved and all its attempts have ended.
     pub(super) fn remove_if_finished(&mut self, id: &Id) {
         if self.get(id).is_some_and(PendingRequest::is_finished) {
             self.requests.remove(id);
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -1,5 +1,4 @@
-//! The listed servers as the decider reaches them: the address of each, and the mailbox of its
-//! actor while it has one.
+//! The listed servers: the address of each, and the mailbox of its actor if one is running.
 
 use crate::messages::ServerCommand;
 use crate::server_pool::ServerActors;
@@ -12,14 +11,14 @@
 
 /// A listed server.
 struct ServerHandle {
-    /// The mailbox of its actor; none until something is sent.
+    /// The mailbox of its actor; `None` until the first attempt is sent.
     commands: Option<mpsc::Sender<ServerCommand>>,
     address: SocketAddr,
     started_at: Option<Duration>,
     max_connections: usize,
 }
 
-/// A server as the list has it.
+/// The entry of a server in the list.
 pub(super) struct ListedServer {
     pub(super) address: SocketAddr,
     pub(super) started_at: Option<Duration>,
@@ -49,7 +48,7 @@
         self.handles.get(server).map(|handle| handle.address)
     }
 
-    /// The mailbox of a listed server's actor, which is started if there is none.
+    /// Returns the mailbox of a listed server's actor, which is started if none is running.
     pub(super) fn commands_to(&mut self, server: &Id) -> Option<mpsc::Sender<ServerCommand>> {
         let handle = self.handles.get_mut(server)?;
         if handle.commands.as_ref().is_none_or(mpsc::Sender::is_closed) {
@@ -61,16 +60,16 @@
         handle.commands.clone()
     }
 
-    /// Drops the mailbox of an actor that has ended, which takes memory until then. Another actor
-    /// that was started meanwhile stays.
+    /// Drops the mailbox of an actor that has stopped, to free its memory. An actor that was started
+    /// meanwhile is kept.
     pub(super) fn forget_stopped_actor(&mut self, server: &Id) {
         if let Some(handle) = self.handles.get_mut(server) {
             handle.commands.take_if(|commands| commands.is_closed());
         }
     }
 
-    /// Adds a server, or takes over its new address or start. A server is known by its name: one of
-    /// another name at an old address has an actor of its own.
+    /// Adds a server, or updates its address and start time. Servers are identified by name: a
+    /// server of another name at a known address has its own actor.
     pub(super) fn update(&mut self, server: &Id, listed: ListedServer) {
         let ListedServer {
             address,
@@ -91,10 +90,10 @@
             return;
         }
         (handle.address, handle.started_at) = (address, started_at);
-        // An actor that takes no more commands would go on at the old address, or on connections
-        // from before the start: it ends with its open attempts, and the next command starts
-        // another.
-        let is_moved = |commands: &mut mpsc::Sender<ServerCommand>| {
+        // An actor whose mailbox is full would keep the old address, or connections from before the
+        // restart. Its mailbox is dropped: it stops after its open attempts, and the next command
+        // starts another actor.
+        let is_notified = |commands: &mut mpsc::Sender<ServerCommand>| {
             commands
                 .try_send(ServerCommand::Reconnect {
                     address,
@@ -102,10 +101,10 @@
                 })
                 .is_ok()
         };
-        handle.commands.take_if(|commands| !is_moved(commands));
+        handle.commands.take_if(|commands| !is_notified(commands));
     }
 
-    /// Attempts that are open still end; the actor ends after them.
+    /// Removes a server. Its actor stops once its open attempts have ended.
     pub(super) fn remove(&mut self, server: &Id) {
         self.handles.remove(server);
     }
@@ -114,9 +113,9 @@
         self.handles.retain(|name, _| listed.contains(name));
     }
 
-    /// How many have an actor.
+    /// The number of servers with a running actor.
     #[cfg(test)]
-    pub(super) fn with_actor(&self) -> usize {
+    pub(super) fn actor_count(&self) -> usize {
         self.handles
             .values()
             .filter(|handle| handle.commands.is_some())
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -1,4 +1,4 @@
-//! Actors of servers come and go; paused time orders the events.
+//! Start and stop of server actors. Paused time makes the order of events deterministic.
 
 use super::*;
 use crate::messages::fixtures::attempt_id;
@@ -11,17 +11,17 @@
 use tokio::task::LocalSet;
 use tokio::time::{advance, resume, sleep_until, timeout};
 
-const LONG: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Servers of which all hear from actors with so many places for connections.
-fn handles(places: usize) -> (ServerHandles, mpsc::Receiver<Message>) {
+/// Server handles whose actors share this many connection slots.
+fn new_handles(slots: usize) -> (ServerHandles, mpsc::Receiver<Message>) {
     let (decider, messages) = mpsc::channel(8);
     let actors = ServerActors {
         max_streams: 100,
-        connect_timeout: LONG,
-        idle_timeout: LONG,
+        connect_timeout: LONG_TIMEOUT,
+        idle_timeout: LONG_TIMEOUT,
         decider,
-        slots: Rc::new(ConnectionSlots::new(places)),
+        slots: Rc::new(ConnectionSlots::new(slots)),
     };
     (ServerHandles::new(actors), messages)
 }
@@ -35,13 +35,13 @@
     }
 }
 
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-fn ask(id: &str) -> ServerCommand {
-    let due = Instant::now() + LONG;
-    let passed = ForwardedFields {
+fn send_command(id: &str) -> ServerCommand {
+    let expires_at = Instant::now() + LONG_TIMEOUT;
+    let fields = ForwardedFields {
         id: Bytes::copy_from_slice(id.as_bytes()),
         ..ForwardedFields::default()
     };
@@ -61,34 +61,40 @@
     };
     ServerCommand::Send(Box::new(AttemptRequest {
         attempt,
-        forwarded: passed,
+        forwarded: fields,
         server,
         fill,
         is_non_idempotent: true,
         cancellation,
-        deadline: due,
-        send_by: due,
+        deadline: expires_at,
+        send_by: expires_at,
     }))
 }
 
-async fn rested(messages: &mut mpsc::Receiver<Message>) -> Id {
+async fn next_stopped_actor(messages: &mut mpsc::Receiver<Message>) -> Id {
     match messages.recv().await {
         Some(Message::ServerRests(server)) => server,
-        _ => panic!("something else was said"),
+        _ => panic!("unexpected message"),
     }
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_server_has_an_actor_from_its_first_order_until_it_has_rested() {
-    let inside = async {
-        let (mut handles, mut messages) = handles(1);
+async fn a_server_has_an_actor_from_its_first_command_until_the_idle_timeout() {
+    let test = async {
+        let (mut handles, mut messages) = new_handles(1);
         let names = ["a", "b", "c"].map(Id::from);
         names
             .iter()
-            .for_each(|name| handles.update(name, listed(nowhere())));
-        assert_eq!(handles.with_actor(), 0, "nothing was sent to any");
-        let begun = Instant::now();
-        let commands = handles.commands_to(&names[1]).expect("it is listed");
+            .for_each(|name| handles.update(name, listed(unused_address())));
+        assert_eq!(
+            handles.actor_count(),
+            0,
+            "an actor was started before its first command"
+        );
+        let started_at = Instant::now();
+        let commands = handles
+            .commands_to(&names[1])
+            .expect("the server is listed");
         assert!(
             commands
                 .try_send(ServerCommand::Cancel(attempt_id("x", 0)))
@@ -96,52 +102,55 @@
         );
         assert!(
             commands.same_channel(&handles.commands_to(&names[1]).unwrap()),
-            "one actor a server"
+            "a second actor was started for the server"
         );
-        assert_eq!(handles.with_actor(), 1);
-        let name = rested(&mut messages).await;
+        assert_eq!(handles.actor_count(), 1);
+        let name = next_stopped_actor(&mut messages).await;
         assert_eq!((&*name, commands.is_closed()), ("b", true));
         assert!(
-            begun.elapsed() >= ACTOR_IDLE_TIMEOUT && begun.elapsed() < ACTOR_IDLE_TIMEOUT * 2,
+            started_at.elapsed() >= ACTOR_IDLE_TIMEOUT
+                && started_at.elapsed() < ACTOR_IDLE_TIMEOUT * 2,
             "{:?}",
-            begun.elapsed()
+            started_at.elapsed()
         );
         handles.forget_stopped_actor(&name);
         assert_eq!(
-            handles.with_actor(),
+            handles.actor_count(),
             0,
-            "its mailbox takes memory for nothing"
+            "the mailbox of the stopped actor was kept"
         );
     };
-    LocalSet::new().run_until(inside).await;
+    LocalSet::new().run_until(test).await;
 }
 
-/// The actor that has rested says so late: the one that was started meanwhile keeps its mailbox.
+/// The message that an actor has stopped arrives after the next actor was started: the mailbox of
+/// that one is kept.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn the_end_of_an_actor_does_not_take_the_mailbox_of_the_next() {
-    let inside = async {
-        let (mut handles, mut messages) = handles(1);
+async fn a_late_stop_message_does_not_drop_the_mailbox_of_the_next_actor() {
+    let test = async {
+        let (mut handles, mut messages) = new_handles(1);
         let name = Id::from("a");
-        handles.update(&name, listed(nowhere()));
+        handles.update(&name, listed(unused_address()));
         let first = handles.commands_to(&name).unwrap();
-        let name = rested(&mut messages).await;
+        let name = next_stopped_actor(&mut messages).await;
         let second = handles.commands_to(&name).unwrap();
         assert!(!first.same_channel(&second) && !second.is_closed());
         handles.forget_stopped_actor(&name);
         assert!(handles.commands_to(&name).unwrap().same_channel(&second));
     };
-    LocalSet::new().run_until(inside).await;
+    LocalSet::new().run_until(test).await;
 }
 
-/// An order that comes in the very moment in which the actor ends is carried out by it or by the
-/// next one. The order in which both are woken is chance's: many rounds.
+/// A command that arrives at the moment in which the actor stops is executed by it or by the next
+/// one. The order in which both tasks are woken is random, hence many rounds.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn an_order_in_the_moment_in_which_an_actor_ends_is_not_lost() {
-    let inside = async {
-        // Without a place for a connection all is reported never sent, without a socket.
-        let (mut handles, mut messages) = handles(0);
+async fn a_command_sent_while_an_actor_stops_is_not_lost() {
+    let test = async {
+        // Without a free connection slot every attempt is reported as never sent, and no socket is
+        // opened.
+        let (mut handles, mut messages) = new_handles(0);
         let name = Id::from("a");
-        handles.update(&name, listed(nowhere()));
+        handles.update(&name, listed(unused_address()));
         for round in 0..200 {
             let last = Instant::now();
             handles
@@ -156,14 +165,14 @@
                 handles
                     .commands_to(&name)
                     .unwrap()
-                    .try_send(ask(&id))
+                    .try_send(send_command(&id))
                     .is_ok(),
                 "round {round}"
             );
             loop {
                 match timeout(ACTOR_IDLE_TIMEOUT / 2, messages.recv())
                     .await
-                    .expect("nothing was said of it")
+                    .expect("the attempt was not reported")
                 {
                     Some(Message::ServerRests(name)) => handles.forget_stopped_actor(&name),
                     Some(Message::Ended(AttemptEnded {
@@ -172,41 +181,45 @@
                         assert_eq!((&*attempt.request, outcome), (&*id, Outcome::NeverSent));
                         break;
                     }
-                    _ => panic!("something else was said"),
+                    _ => panic!("unexpected message"),
                 }
             }
             advance(ACTOR_IDLE_TIMEOUT * 2).await;
-            assert_eq!(rested(&mut messages).await, name);
+            assert_eq!(next_stopped_actor(&mut messages).await, name);
             handles.forget_stopped_actor(&name);
         }
     };
-    LocalSet::new().run_until(inside).await;
+    LocalSet::new().run_until(test).await;
 }
 
-/// It moves while nobody has noticed yet that its actor has ended: the next one goes to where it is
-/// now.
+/// A server moves before its stopped actor has been removed: the next actor connects to the new
+/// address.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_server_that_moves_as_its_actor_ends_is_reached_where_it_is() {
-    let inside = async {
-        let (mut handles, mut messages) = handles(1);
+async fn a_server_that_moves_as_its_actor_stops_is_reached_at_its_new_address() {
+    let test = async {
+        let (mut handles, mut messages) = new_handles(1);
         let name = Id::from("a");
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        handles.update(&name, listed(nowhere()));
+        handles.update(&name, listed(unused_address()));
         handles.commands_to(&name).unwrap();
-        let told_late = rested(&mut messages).await;
+        let stopped = next_stopped_actor(&mut messages).await;
         handles.update(&name, listed(listener.local_addr().unwrap()));
         resume();
         assert!(
             handles
                 .commands_to(&name)
                 .unwrap()
-                .try_send(ask("x"))
+                .try_send(send_command("x"))
                 .is_ok()
         );
-        handles.forget_stopped_actor(&told_late);
+        handles.forget_stopped_actor(&stopped);
         assert!(
-            handles.with_actor() == 1 && timeout(LONG, listener.accept()).await.unwrap().is_ok()
+            handles.actor_count() == 1
+                && timeout(LONG_TIMEOUT, listener.accept())
+                    .await
+                    .unwrap()
+                    .is_ok()
         );
     };
-    LocalSet::new().run_until(inside).await;
+    LocalSet::new().run_until(test).await;
 }
--- a/crates/router/src/decider/shutdown.rs
+++ b/crates/router/src/decider/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the decider: every request still gets its one final answer.
+//! Shutdown of the decider: every open request gets exactly one final answer.
 
 use super::Decider;
 use crate::lifecycle::Phase;
@@ -7,24 +7,24 @@
 use tokio::sync::mpsc;
 
 impl Decider {
-    /// What still holds the end back: requests of clients, and answers that a slow client has not
-    /// read yet.
+    /// The work that delays the end of draining: clients' open requests, and answers that have not
+    /// been written to slow clients yet.
     pub(super) fn open_work(&self) -> usize {
         let has_unwritten = self.dispatcher.unwritten_bytes > 0;
         self.dispatcher.requests.waiting_clients() + usize::from(has_unwritten)
     }
 
-    /// Begins to drain: new requests are still taken until clients have learnt of it.
+    /// Begins to drain. New requests are accepted until clients have been informed.
     pub(super) fn begin_draining(&mut self) {
         let open_requests = self.dispatcher.requests.len();
-        log::info!(open_requests = open_requests; "asked to stop");
+        log::info!(open_requests = open_requests; "stop requested; draining");
         let phase = *self.phase.borrow();
-        let draining = phase.asked_to_stop(self.dispatcher.now, self.longest_deadline);
+        let draining = phase.asked_to_stop(self.dispatcher.now, self.max_deadline);
         self.phase.send_replace(draining);
     }
 
-    /// Answers all that is left, in order: requests that were never looked at are rejected, those
-    /// in flight fail, the local cache is closed, and the end of the decisions is announced.
+    /// Answers all remaining requests and stops: unread requests are rejected, open ones fail, the
+    /// local cache is closed, and the phase is set to `Ended`.
     pub(super) fn shut_down(&mut self, mailbox: mpsc::Receiver<Message>) {
         self.reject_unread_requests(mailbox);
         self.fail_open_requests();
@@ -33,7 +33,7 @@
         self.phase.send_replace(Phase::Ended);
     }
 
-    /// What still lies in the mailbox has never run.
+    /// Rejects the requests in the mailbox, none of which has run.
     fn reject_unread_requests(&self, mut mailbox: mpsc::Receiver<Message>) {
         mailbox.close();
         while let Ok(message) = mailbox.try_recv() {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// An end without an answer would lose the request.
+    /// Fails all open requests, so that none ends without an answer.
     fn fail_open_requests(&mut self) {
         for id in self.dispatcher.requests.ids() {
             if self.dispatcher.reply(&id, FinalAnswer::Failed) {
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -1,4 +1,4 @@
-//! The optional subsystems beside the decisions, and the work they do by time.
+//! The optional subsystems beside the routing logic, and their periodic work.
 
 use super::{Decider, FinalOutcome};
 use crate::cell_routing::CellRouting;
@@ -13,29 +13,29 @@
 
 use super::requests::{PendingRequest, Requester};
 
-/// What an operator can turn on beside the decisions.
+/// The subsystems that an operator can turn on.
 pub struct Subsystems {
-    /// Copies that the router itself keeps.
+    /// The router's own cache.
     pub local_cache: Option<LocalCache>,
-    /// The map of cells, and the limits of tenants.
+    /// The cell map and the rate limits of tenants.
     pub cell_routing: Option<CellRouting>,
-    /// Exchange with the routers of the same tier.
+    /// Gossip with the other routers of the zone.
     pub gossip: Option<Gossip>,
-    /// Failover to other zones, decided together with their routers.
+    /// Failover to other zones, which is agreed with their routers.
     pub zone_failover: Option<ZoneFailover>,
 }
 
-/// Gossip with the other routers of the zone, and how it reaches them.
+/// Gossip with the other routers of the zone.
 pub struct Gossip {
-    /// The protocol.
+    /// The protocol state machine.
     pub talk: Talk,
     /// Its transport.
     pub sender: GossipSender,
 }
 
 impl Decider {
-    /// Does the background work that is due. `late`: by how much the event loop came later than
-    /// planned.
+    /// Does the background work that is due. `late` is the delay of the event loop behind its
+    /// planned wake-up.
     pub(super) fn run_background_work(&mut self, late: Duration) {
         self.tick_gossip();
         self.tick_zone_failover();
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Hands the caches of the current list to the gossip. Changes of the list come one by one,
-    /// hundreds of them in a release, and each would have the whole list walked: they are taken
-    /// over together before the next message to the peers.
+    /// Passes the caches of the current list to the gossip protocol, if the list has changed. This
+    /// iterates over the whole list, and a rollout changes it hundreds of times, one server at a
+    /// time. Changes are therefore batched until the next message to the peers.
     pub(super) fn refresh_gossip_members(&mut self) {
         let Some(Gossip { talk, .. }) = &mut self.dispatcher.gossip else {
             return;
@@ -97,19 +97,18 @@
             return;
         }
         talk.caches(self.router.caches().map(|member| &member.server));
-        // A cache in slow start, or one that drains, has less load than it could; it is not evened
-        // out.
+        // Caches in slow start or draining carry less load on purpose; they are excluded from load
+        // balancing by gossip.
         let now = self.dispatcher.now;
-        let is_warm = |started: Duration| now >= started + self.warm_within;
-        let is_evened = |member: &&Member| {
+        let is_warm = |started: Duration| now >= started + self.slow_start_window;
+        let is_balanced = |member: &&Member| {
             member.standing == Standing::Active && member.started.is_none_or(is_warm)
         };
-        let evened = self.router.caches().filter(is_evened);
-        talk.even(evened.map(|member| (member.server.clone(), member.capacity)));
+        let balanced = self.router.caches().filter(is_balanced);
+        talk.even(balanced.map(|member| (member.server.clone(), member.capacity)));
     }
 
-    /// Sends a request of the local cache itself, by which it learns whether a copy is still
-    /// current.
+    /// Sends a request of the local cache that revalidates a copy.
     fn revalidate(&mut self, revalidation: Revalidation) {
         let Revalidation { arrival, forwarded } = revalidation;
         let now = self.dispatcher.now;
@@ -124,10 +123,10 @@
             attempts: Vec::new(),
         });
         self.router.request(now, arrival, &mut self.dispatcher);
-        self.settle();
+        self.process_completions();
     }
 
-    /// An operation on the disk has ended: with it perhaps attempts that waited for it.
+    /// Handles the end of a disk operation, and reports the attempts that waited for it.
     pub(super) fn complete_disk_operation(&mut self, end: End) {
         let Some(local_cache) = &mut self.dispatcher.local_cache else {
             return;
@@ -147,7 +146,7 @@
         }
     }
 
-    /// A datagram of another router: of the failover between zones, or else of the gossip.
+    /// Handles a datagram of another router: of zone failover, or else of gossip.
     pub(super) fn receive_datagram(&mut self, from: u64, bytes: &[u8]) {
         let now = self.dispatcher.now;
         if let Some(failover) = &mut self.zone_failover
@@ -160,14 +159,14 @@
         }
     }
 
-    /// A latency probe to a zone's edge has come back, or has not.
+    /// Records the result of a latency probe to a zone's edge; `None` if it was lost.
     pub(super) fn record_latency(&mut self, edge: usize, round_trip: Option<Duration>) {
         if let Some(failover) = &mut self.zone_failover {
             failover.record_latency(self.dispatcher.now, edge, round_trip);
         }
     }
 
-    /// Tells the failover between zones how clients' requests ended.
+    /// Reports the results of clients' requests to zone failover.
     pub(super) fn report_final_outcomes(&mut self) {
         let now = self.dispatcher.now;
         for outcome in self.dispatcher.final_outcomes.drain(..) {
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -1,4 +1,4 @@
-//! The decider by itself, without sockets.
+//! Tests of the decider without client sockets.
 
 use super::*;
 use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
@@ -9,8 +9,8 @@
 use crate::server_protocol::ForwardedFields;
 use chalkhall::interface::{Arrival, Fill, Id};
 
-fn decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
-    let (phase, phase_of) = watch::channel(phase);
+fn start_decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
+    let (phase, phase_receiver) = watch::channel(phase);
     let (messages, _) = mpsc::channel(8);
     let limits = Limits {
         memory: 64 << 20,
@@ -31,7 +31,7 @@
         gossip: None,
         zone_failover: None,
     };
-    let to = messages.clone();
+    let sender = messages.clone();
     (
         Decider::start(
             Clock::start(),
@@ -41,12 +41,12 @@
             messages,
             subsystems,
         ),
-        to,
-        phase_of,
+        sender,
+        phase_receiver,
     )
 }
 
-fn new(tag: u64, client: &mpsc::Sender<ClientReply>) -> NewRequest {
+fn new_request(tag: u64, client: &mpsc::Sender<ClientReply>) -> NewRequest {
     let id: Id = format!("{tag:016x}").as_str().into();
     let left = Duration::from_secs(4);
     let arrival = Arrival {
@@ -67,9 +67,9 @@
     }
 }
 
-/// An attempt at a server, with time to spare.
-fn attempt_at(server: &Id) -> AttemptRequest {
-    let due = tokio::time::Instant::now() + Duration::from_secs(5);
+/// An attempt at a server with a distant deadline.
+fn attempt_request_to(server: &Id) -> AttemptRequest {
+    let expires_at = tokio::time::Instant::now() + Duration::from_secs(5);
     let fill = Fill {
         source: server.clone(),
         rank: 0,
@@ -86,63 +86,63 @@
         fill,
         is_non_idempotent: true,
         cancellation: CancellationFlag::default(),
-        deadline: due,
-        send_by: due,
+        deadline: expires_at,
+        send_by: expires_at,
     }
 }
 
-/// Time to end has come while requests lie in its mailbox, or none more can be put there: none of
-/// them is lost.
+/// The router ends while requests are in the decider's mailbox, which accepts no more: none of them
+/// is lost.
 #[tokio::test(flavor = "current_thread")]
-async fn what_lies_in_the_mailbox_as_the_router_ends_is_rejected() {
-    let (decider, _messages, phase) = decider(Phase::Draining {
+async fn requests_left_in_the_mailbox_at_shutdown_are_rejected() {
+    let (decider, _messages, phase) = start_decider(Phase::Draining {
         since: Duration::ZERO,
         until: Duration::from_secs(1),
     });
-    let (to_decider, mailbox) = mpsc::channel(8);
-    let (_noticed, notices) = mpsc::channel(1);
+    let (sender, mailbox) = mpsc::channel(8);
+    let (_events_sender, events) = mpsc::channel(1);
     let (client, mut answers) = mpsc::channel(8);
     for tag in 1..=3 {
-        to_decider
-            .try_send(Message::Request(Box::new(new(tag, &client))))
-            .unwrap_or_else(|_| panic!("full"));
+        sender
+            .try_send(Message::Request(Box::new(new_request(tag, &client))))
+            .unwrap_or_else(|_| panic!("the mailbox is full"));
     }
     tokio::task::LocalSet::new()
-        .run_until(decider.run(mailbox, notices))
+        .run_until(decider.run(mailbox, events))
         .await;
     assert_eq!(*phase.borrow(), Phase::Ended);
     for tag in 1..=3 {
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
-        let advised = Duration::from_millis(90);
-        assert!(matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == advised));
+        let retry_after = Duration::from_millis(90);
+        assert!(matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == retry_after));
     }
     assert!(
-        to_decider.try_send(Message::Stop).is_err(),
-        "it takes nothing more"
+        sender.try_send(Message::Stop).is_err(),
+        "the mailbox is still open"
     );
 }
 
-/// One that left before it was looked at goes nowhere, and its place comes back.
+/// A request whose client left before it was processed is dropped, and its reply slot is freed.
 #[tokio::test(flavor = "current_thread")]
-async fn one_that_left_before_it_was_looked_at_goes_nowhere() {
-    let (mut decider, _messages, _phase) = decider(Phase::Serving);
+async fn a_request_abandoned_before_it_is_processed_is_dropped() {
+    let (mut decider, _messages, _phase) = start_decider(Phase::Serving);
     let (client, _answers) = mpsc::channel(1);
-    let left = new(1, &client);
-    left.wanted.end();
+    let abandoned = new_request(1, &client);
+    abandoned.wanted.end();
     assert_eq!(client.capacity(), 0);
-    decider.handle(Message::Request(Box::new(left)));
+    decider.handle(Message::Request(Box::new(abandoned)));
     assert_eq!(
         (decider.dispatcher.requests.len(), client.capacity()),
         (0, 1)
     );
 }
 
-/// Bodies that a slow reader has not taken yet hold the end back, until they are written or time is
-/// up.
+/// Bodies that a slow client has not read yet delay the end of draining until they are written or
+/// the drain times out.
 #[tokio::test(flavor = "current_thread")]
-async fn the_end_waits_for_what_is_not_written_yet() {
-    let (mut decider, _messages, _phase) = decider(Phase::Serving);
+async fn draining_waits_for_unwritten_bodies() {
+    let (mut decider, _messages, _phase) = start_decider(Phase::Serving);
     assert_eq!(decider.open_work(), 0);
     decider.dispatcher.unwritten_bytes = 1;
     assert_eq!(decider.open_work(), 1);
@@ -150,19 +150,19 @@
     assert_eq!(decider.open_work(), 0);
 }
 
-/// A server's start comes while its actor's mailbox is full: nothing more goes to where it was
-/// before.
+/// A server restarts at another address while its actor's mailbox is full: nothing more is sent to
+/// the old address.
 #[tokio::test(flavor = "current_thread")]
-async fn a_server_that_moves_while_its_mailbox_is_full_is_followed() {
-    let inside = async {
-        let (mut decider, _messages, _phase) = decider(Phase::Serving);
+async fn a_server_that_moves_while_its_mailbox_is_full_is_reached_at_its_new_address() {
+    let test = async {
+        let (mut decider, _messages, _phase) = start_decider(Phase::Serving);
         let mut listeners = Vec::new();
         for _ in 0..2 {
             listeners.push(tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap());
         }
         let [old, new] = [0, 1].map(|n| listeners[n].local_addr().unwrap());
         let id: Id = "c1".into();
-        let mut list = |dial, started| {
+        let mut list = |server_address, started| {
             let member = Member {
                 server: id.clone(),
                 started,
@@ -172,14 +172,14 @@
                 whole: false,
                 servers: vec![DiscoveredServer {
                     member,
-                    address: dial,
+                    address: server_address,
                 }],
             });
             decider
                 .dispatcher
                 .servers
                 .commands_to(&id)
-                .expect("it is listed")
+                .expect("the server is listed")
         };
         let before = list(old, None);
         while before
@@ -191,14 +191,14 @@
         drop(before);
         assert!(
             after
-                .try_send(ServerCommand::Send(Box::new(attempt_at(&id))))
+                .try_send(ServerCommand::Send(Box::new(attempt_request_to(&id))))
                 .is_ok(),
-            "it takes no orders"
+            "the mailbox of the new actor is full"
         );
         tokio::select! {
-            _ = listeners[0].accept() => panic!("sent to where the server was"),
+            _ = listeners[0].accept() => panic!("sent to the old address"),
             at_new = listeners[1].accept() => drop(at_new.unwrap()),
         }
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
