--- a/crates/router/src/server_connection.rs
+++ b/crates/router/src/server_connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a server: writes requests, reads answers and watches the deadline of each
-//! attempt.
+//! One connection to a server: writes requests, reads answers and enforces the deadlines of
+//! attempts.
 //!
-//! The actor here does the I/O; [`Attempts`] decides what is written and how each attempt ends.
+//! This actor does the I/O; [`Attempts`] decides what is written and how each attempt ends.
 
 mod attempts;
 mod connect;
@@ -27,12 +27,13 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// The read buffer grows by this many bytes at a time.
+/// The number of bytes by which the read buffer grows.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The read buffer grows when it has less free space than this.
+/// The read buffer grows if it has less free space than this.
 const MIN_READ_BYTES: usize = 1024;
 
-/// The actor of one connection. It ends when its server's actor drops it, or with the connection.
+/// The actor of one connection. It stops when the server's actor drops its mailbox, or when the
+/// connection ends.
 pub struct Connection {
     /// Its number among the connections of its server.
     pub number: u64,
@@ -44,14 +45,14 @@
     pub connect_timeout: Duration,
     /// Attempts to send and to cancel.
     pub commands: mpsc::Receiver<ConnectionCommand>,
-    /// Where its events go.
+    /// The mailbox of the server's actor, for events.
     pub events: mpsc::Sender<ServerCommand>,
-    /// Reserved for as long as the connection may use a descriptor.
+    /// The slot that is held while the connection may use a descriptor.
     pub _slot: OwnedSemaphorePermit,
 }
 
 impl Connection {
-    /// Connects, serves attempts until the connection ends, and reports the end of each.
+    /// Connects, serves attempts until the connection ends, and reports the result of each.
     pub async fn run(mut self) {
         let mut attempts = Attempts::new(self.connect_timeout);
         match self.connect(&mut attempts).await {
@@ -59,7 +60,7 @@
             Some(Err(error)) => self.connect_failed(&error, &mut attempts).await,
             None => {}
         }
-        // Commands that crossed the end of the connection end too.
+        // Attempts that were queued while the connection ended also have to be reported.
         self.commands.close();
         while let Some(command) = self.commands.recv().await {
             attempts.handle(Instant::now(), command);
@@ -74,7 +75,7 @@
         if let Err(reason) = self.serve(stream, attempts).await {
             log::debug!(
                 server = &*self.server, address:% = self.address, reason:%;
-                "server connection ended"
+                "connection to server ended"
             );
         }
         attempts.disconnected(Outcome::NeverSent);
@@ -83,7 +84,7 @@
     async fn connect_failed(&self, error: &io::Error, attempts: &mut Attempts) {
         log::debug!(
             server = &*self.server, address:% = self.address, reason:% = error;
-            "server connect failed"
+            "connecting to server failed"
         );
         let failure = ConnectFailure::from(error);
         if failure != ConnectFailure::Server {
@@ -95,7 +96,7 @@
     async fn report(&self, event: ConnectionEvent) {
         let number = self.number;
         let command = ServerCommand::Connection { number, event };
-        // Without the server's actor nobody waits for it.
+        // If the server's actor has stopped, the event is not needed.
         let _ = self.events.send(command).await;
     }
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Connects; `None` if the server's actor has dropped this connection meanwhile.
+    /// Connects. Returns `None` if the server's actor drops this connection meanwhile.
     async fn connect(&mut self, attempts: &mut Attempts) -> Option<io::Result<TcpStream>> {
         let connecting = timeout(
             self.connect_timeout,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Writes and reads until the server's actor has dropped this connection.
+    /// Writes and reads until the server's actor drops this connection.
     async fn serve(
         &mut self,
         mut stream: TcpStream,
@@ -162,16 +163,16 @@
         }
     }
 
-    /// Writes what the system accepts at once.
+    /// Writes as much as the socket accepts without waiting.
     async fn write(
         &mut self,
         writer: &WriteHalf<'_>,
         attempts: &mut Attempts,
     ) -> Result<(), DisconnectReason> {
-        if attempts.is_beginning() {
+        if attempts.has_staged_attempt() {
             self.catch_up(attempts).await;
         }
-        // Checked again here: the socket may have been full for long, or the program held up.
+        // Checked again: the socket may have been full for a long time, or the process stalled.
         let now = Instant::now();
         attempts.expire(now);
         if !attempts.has_to_write() {
@@ -188,9 +189,9 @@
         Ok(())
     }
 
-    /// Lets other tasks read what came during a scheduling delay: that a client has left may be
-    /// unread, and the order in which tasks run is not defined. Commands are taken meanwhile, so
-    /// that the mailbox stays free.
+    /// Lets other tasks read what arrived during a scheduling delay: the disconnect of a client may
+    /// still be unread, and the order in which tasks run is not defined. Commands are received
+    /// meanwhile, so that the mailbox does not fill up.
     async fn catch_up(&mut self, attempts: &mut Attempts) {
         scheduling_delay::catch_up(|| {
             while let Ok(command) = self.commands.try_recv() {
@@ -201,7 +202,7 @@
     }
 }
 
-/// Reads into the buffer, which is allocated only once there is something to read.
+/// Reads into the buffer, which is allocated only when there is data to read.
 async fn read(reader: &mut ReadHalf<'_>, buffer: &mut BytesMut) -> io::Result<usize> {
     reader.readable().await?;
     if buffer.capacity() - buffer.len() < MIN_READ_BYTES {
@@ -210,7 +211,7 @@
     Uninterrupted::new(reader).read_buf(buffer).await
 }
 
-/// Waits until a time, or for ever if there is none.
+/// Sleeps until a time, or forever if there is none.
 pub async fn at(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
--- a/crates/router/src/server_connection/attempts.rs
+++ b/crates/router/src/server_connection/attempts.rs
@@ -1,8 +1,8 @@
 //! The attempts of one connection, as a state machine without I/O.
 //!
 //! An attempt is queued until the connection is established and all bytes before it have been
-//! accepted by the system. Then it is the next to be written, and from its first byte on it is in
-//! flight: only then may it have run. Each attempt ends in exactly one [`ConnectionAttemptEnded`].
+//! accepted by the socket. Then it is staged, and from its first written byte on it is in flight:
+//! only then may it have run. Each attempt ends in exactly one [`ConnectionAttemptEnded`].
 
 use crate::messages::{
     AttemptEnded, AttemptId, AttemptRequest, ConnectionAttemptEnded, ConnectionCommand,
@@ -22,25 +22,25 @@
     sent_at: Instant,
 }
 
-/// All attempts of a connection, and the bytes that are to be written for them.
+/// All attempts of a connection, and the bytes to be written for them.
 #[derive(Default)]
 pub(super) struct Attempts {
     queued: VecDeque<Box<AttemptRequest>>,
-    /// The attempt whose first byte is the next to be written. It is encoded then.
-    beginning: Option<Box<AttemptRequest>>,
-    /// By the request's id as the server sees it.
+    /// The attempt whose first byte is the next to be written. It is encoded at that time.
+    staged: Option<Box<AttemptRequest>>,
+    /// The attempts in flight, by the id of the request on the wire.
     in_flight: HashMap<Bytes, InFlightAttempt>,
-    /// Encoded bytes that the system has not accepted yet.
+    /// Encoded bytes that the socket has not accepted yet.
     write_buffer: BytesMut,
     cancel_lines: VecDeque<Bytes>,
     ended: VecDeque<ConnectionAttemptEnded>,
     last_received_at: Option<Instant>,
-    /// How long a connection may be silent after a request before it counts as dead.
+    /// How long nothing may be received after a request before the connection counts as dead.
     silence_timeout: Duration,
 }
 
 impl Attempts {
-    /// No attempts yet.
+    /// Creates an empty set of attempts.
     pub(super) fn new(silence_timeout: Duration) -> Attempts {
         Attempts {
             silence_timeout,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Queues or cancels an attempt, as the server's actor commands.
+    /// Executes a command of the server's actor: queues or cancels an attempt.
     pub(super) fn handle(&mut self, now: Instant, command: ConnectionCommand) {
         match command {
             ConnectionCommand::Send(request) => self.queued.push_back(request),
@@ -71,9 +71,9 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Ends attempts of which not a byte has been written: they never ran.
+    /// Ends the matching attempts of which no byte has been written: they did not run.
     fn withdraw_unsent(&mut self, matches: impl Fn(&AttemptRequest) -> bool) {
-        if let Some(request) = self.beginning.take_if(|request| matches(request)) {
+        if let Some(request) = self.staged.take_if(|request| matches(request)) {
             self.end(request.attempt, Outcome::NeverSent);
         }
         while let Some(index) = self.queued.iter().position(|request| matches(request)) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Gives up an attempt that may have run, and tells the server so.
+    /// Ends an attempt in flight, which may have run, and sends a cancellation to the server.
     fn abandon(&mut self, now: Instant, id: &Bytes, outcome: Outcome) {
         let Some(in_flight) = self.in_flight.remove(id) else {
             return;
@@ -100,8 +100,8 @@
         self.cancel_lines.push_back(encode_cancel(id));
     }
 
-    /// Whether nothing was received since then, for as long as a new connection may take to be
-    /// established: this one may be dead.
+    /// Whether nothing has been received since `sent_at`, for as long as a new connection may take
+    /// to be established: the connection may be dead.
     fn is_silent_since(&self, now: Instant, sent_at: Instant) -> bool {
         let nothing_received = self
             .last_received_at
@@ -120,23 +120,24 @@
         });
     }
 
-    /// The next attempt that has ended and is not reported yet.
+    /// Takes the next result that has not been reported yet.
     pub(super) fn next_ended(&mut self) -> Option<ConnectionAttemptEnded> {
         self.ended.pop_front()
     }
 
     /// When [`Attempts::expire`] is due next.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
-        let unsent = self.beginning.iter().chain(&self.queued);
+        let unsent = self.staged.iter().chain(&self.queued);
         let unsent = unsent.map(|request| request.deadline.min(request.send_by));
         let in_flight = self.in_flight.values().map(|in_flight| in_flight.deadline);
         unsent.chain(in_flight).min()
     }
 
-    /// Ends the attempts whose time is up or that nobody waits for.
+    /// Ends the attempts that are past their deadline, and the unsent ones that are past their time
+    /// to be sent or whose request is no longer awaited.
     pub(super) fn expire(&mut self, now: Instant) {
-        // Sent later than this an attempt could reach a server after the grace of a drain or a
-        // purge, or run for a client that has left or has its answer.
+        // Sent later, an attempt could reach a server after the grace period of a drain or a purge,
+        // or run for a client that has left or already has its answer.
         self.withdraw_unsent(|request| {
             now >= request.deadline.min(request.send_by) || !request.cancellation.still()
         });
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Selects what is to be written next, once all bytes before it have been written:
-    /// cancellations first, then the next attempt.
+    /// Stages the next write once all earlier bytes have been written: cancellations first, then the
+    /// next attempt.
     pub(super) fn stage_next_write(&mut self) {
         if self.has_to_write() {
             return;
@@ -156,50 +157,50 @@
             self.write_buffer.extend_from_slice(&line);
         }
         if self.write_buffer.is_empty() {
-            self.beginning = self.queued.pop_front();
+            self.staged = self.queued.pop_front();
         }
     }
 
     /// Whether there is something to write.
     pub(super) fn has_to_write(&self) -> bool {
-        !self.write_buffer.is_empty() || self.beginning.is_some()
+        !self.write_buffer.is_empty() || self.staged.is_some()
     }
 
-    /// Whether the next byte to be written is the first of an attempt.
-    pub(super) fn is_beginning(&self) -> bool {
-        self.beginning.is_some()
+    /// Whether the next byte to be written is the first one of an attempt.
+    pub(super) fn has_staged_attempt(&self) -> bool {
+        self.staged.is_some()
     }
 
-    /// Passes the staged bytes to `write`, which returns how many of them the system accepted.
+    /// Passes the staged bytes to `write`, which returns how many of them the socket accepted.
     ///
-    /// An attempt is encoded here, for its line states how much time its client has left: since the
-    /// decision it may have waited for a connection or behind a full socket.
+    /// An attempt is encoded here because its line states the time that remains for it, part of
+    /// which it may have spent waiting for a connection or behind a full socket.
     ///
     /// # Errors
-    /// The error of `write`. Nothing was written then.
+    /// The error of `write`, in which case nothing was written.
     pub(super) fn write_with(
         &mut self,
         now: Instant,
         write: impl FnOnce(&[u8]) -> io::Result<usize>,
     ) -> io::Result<()> {
-        let Some(beginning) = &self.beginning else {
+        let Some(staged) = &self.staged else {
             let written = write(&self.write_buffer)?;
             self.write_buffer.advance(written);
             return Ok(());
         };
-        let encoded = encode_attempt(now, beginning);
+        let encoded = encode_attempt(now, staged);
         let written = write(&encoded)?;
         if written > 0 {
             self.write_buffer = encoded;
             self.write_buffer.advance(written);
-            self.begin(now);
+            self.mark_in_flight(now);
         }
         Ok(())
     }
 
-    /// The first byte of an attempt has been written: from here on it may run.
-    fn begin(&mut self, now: Instant) {
-        let Some(request) = self.beginning.take() else {
+    /// Marks the staged attempt as in flight after its first byte was written: it may run.
+    fn mark_in_flight(&mut self, now: Instant) {
+        let Some(request) = self.staged.take() else {
             return;
         };
         let in_flight = InFlightAttempt {
@@ -210,24 +211,24 @@
         self.in_flight.insert(request.forwarded.id, in_flight);
     }
 
-    /// Something was received from the server.
+    /// Records that data was received from the server.
     pub(super) fn received(&mut self, now: Instant) {
         self.last_received_at = Some(now);
     }
 
-    /// When something was last received from the server.
+    /// When data was last received from the server.
     pub(super) fn last_received_at(&self) -> Option<Instant> {
         self.last_received_at
     }
 
-    /// Whether the answer to this request is still waited for.
+    /// Whether the answer to this request is still awaited.
     pub(super) fn is_in_flight(&self, id: &Bytes) -> bool {
         self.in_flight.contains_key(id)
     }
 
-    /// Ends the attempt that is answered.
+    /// Ends the attempt that an answer belongs to.
     pub(super) fn answered(&mut self, answer: Answer) {
-        // The answer to a cancelled attempt may cross the cancellation: nobody waits for it.
+        // The answer to a cancelled attempt may cross the cancellation; it is discarded.
         let Some(in_flight) = self.in_flight.remove(&answer.id) else {
             return;
         };
@@ -241,12 +242,12 @@
         });
     }
 
-    /// The connection has ended: what was written of may have run, the rest did not and ends as
-    /// stated.
+    /// Ends all attempts after the connection has ended: those in flight may have run and are
+    /// `Broken`; the others did not run and get `unsent_outcome`.
     pub(super) fn disconnected(&mut self, unsent_outcome: Outcome) {
-        let beginning = self.beginning.take();
+        let staged = self.staged.take();
         let queued = std::mem::take(&mut self.queued);
-        for request in beginning.into_iter().chain(queued) {
+        for request in staged.into_iter().chain(queued) {
             self.end(request.attempt, unsent_outcome);
         }
         for (_, in_flight) in std::mem::take(&mut self.in_flight) {
--- a/crates/router/src/server_connection/attempts/tests.rs
+++ b/crates/router/src/server_connection/attempts/tests.rs
@@ -9,12 +9,12 @@
     ConnectionCommand::Cancel(attempt_id(request, 0))
 }
 
-/// Lets the system accept at most so many bytes, and returns them.
+/// Lets the socket accept at most this many bytes, and returns them.
 fn write(attempts: &mut Attempts, max_bytes: usize) -> String {
-    let mut taken = String::new();
+    let mut accepted = String::new();
     let into = |bytes: &[u8]| {
         let part = &bytes[..bytes.len().min(max_bytes)];
-        taken = String::from_utf8_lossy(part).into_owned();
+        accepted = String::from_utf8_lossy(part).into_owned();
         if part.is_empty() {
             Err(io::ErrorKind::WouldBlock.into())
         } else {
@@ -22,11 +22,11 @@
         }
     };
     let result = attempts.write_with(Instant::now(), into);
-    assert_eq!(result.is_err(), taken.is_empty());
-    taken
+    assert_eq!(result.is_err(), accepted.is_empty());
+    accepted
 }
 
-fn ends(attempts: &mut Attempts) -> Vec<(String, Outcome)> {
+fn take_ended(attempts: &mut Attempts) -> Vec<(String, Outcome)> {
     attempts
         .ended
         .drain(..)
@@ -43,7 +43,7 @@
 fn only_attempts_with_a_written_byte_may_have_run() {
     let (long, none) = (Duration::from_secs(60), Duration::ZERO);
     let mut attempts = Attempts::default();
-    for (id, timeout, send_within) in [
+    for (id, timeout, send_timeout) in [
         ("a", long, long),
         ("b", long, long),
         ("c", long, none),
@@ -51,7 +51,7 @@
     ] {
         attempts.handle(
             Instant::now(),
-            send(attempt_request(id, timeout, send_within)),
+            send(attempt_request(id, timeout, send_timeout)),
         );
     }
     attempts.stage_next_write();
@@ -59,14 +59,14 @@
     attempts.handle(Instant::now(), cancel("a"));
     attempts.handle(Instant::now(), cancel("b"));
     attempts.expire(Instant::now());
-    let never = |id: &str| (id.to_owned(), Outcome::NeverSent);
+    let never_sent = |id: &str| (id.to_owned(), Outcome::NeverSent);
     assert_eq!(
-        ends(&mut attempts),
+        take_ended(&mut attempts),
         [
             ("a".into(), Outcome::Cancelled),
-            never("b"),
-            never("c"),
-            never("d")
+            never_sent("b"),
+            never_sent("c"),
+            never_sent("d")
         ]
     );
     attempts.handle(Instant::now(), send(attempt_request("e", long, long)));
@@ -74,57 +74,60 @@
     attempts.stage_next_write();
     assert_eq!(
         attempts.write_buffer, "QUIT a\r\n",
-        "before attempts that were queued later"
+        "cancellations are written before queued attempts"
     );
     attempts.disconnected(Outcome::NeverSent);
-    assert_eq!(ends(&mut attempts), [never("e")]);
+    assert_eq!(take_ended(&mut attempts), [never_sent("e")]);
 }
 
-/// The system accepts nothing while a server hangs: for as long the attempt has not begun, whatever
-/// ends it meanwhile.
+/// The socket accepts nothing while a server hangs. An attempt that ends meanwhile, for any reason,
+/// has not run.
 #[test]
 fn attempts_behind_a_full_socket_were_never_sent() {
     let (long, none) = (Duration::from_secs(60), Duration::ZERO);
-    let never = [("a".to_owned(), Outcome::NeverSent)];
-    let staged = |send_within| {
+    let never_sent = [("a".to_owned(), Outcome::NeverSent)];
+    let stage = |send_timeout| {
         let mut attempts = Attempts::default();
-        let request = attempt_request("a", long, send_within);
+        let request = attempt_request("a", long, send_timeout);
         let cancellation = request.cancellation.clone();
         attempts.handle(Instant::now(), send(request));
         attempts.stage_next_write();
         assert!(attempts.has_to_write() && attempts.next_deadline().is_some());
         (attempts, cancellation)
     };
-    // Its client leaves, or has its answer; its time to be sent passes; it is cancelled; the
-    // connection breaks.
-    let (mut left, cancellation) = staged(long);
+    // The client leaves or gets its answer, the time to send passes, the attempt is cancelled, or
+    // the connection breaks.
+    let (mut left, cancellation) = stage(long);
     cancellation.end();
     left.expire(Instant::now());
-    let (mut late, _) = staged(none);
+    let (mut late, _) = stage(none);
     late.expire(Instant::now());
-    let (mut cancelled, _) = staged(long);
+    let (mut cancelled, _) = stage(long);
     cancelled.handle(Instant::now(), cancel("a"));
-    let (mut broken, _) = staged(long);
+    let (mut broken, _) = stage(long);
     broken.disconnected(Outcome::NeverSent);
     for mut attempts in [left, late, cancelled, broken] {
-        assert_eq!(ends(&mut attempts), never);
+        assert_eq!(take_ended(&mut attempts), never_sent);
         attempts.stage_next_write();
         assert!(
             !attempts.has_to_write() && attempts.cancel_lines.is_empty(),
-            "nothing of it is written any more"
+            "an ended attempt is still to be written"
         );
     }
-    // From its first byte on it may have run.
-    let (mut attempts, cancellation) = staged(none);
+    // Once its first byte is written, the attempt may have run.
+    let (mut attempts, cancellation) = stage(none);
     assert_eq!(write(&mut attempts, 1), "A");
     cancellation.end();
     attempts.expire(Instant::now());
-    assert!(ends(&mut attempts).is_empty());
+    assert!(take_ended(&mut attempts).is_empty());
     attempts.disconnected(Outcome::NeverSent);
-    assert_eq!(ends(&mut attempts), [("a".to_owned(), Outcome::Broken)]);
+    assert_eq!(
+        take_ended(&mut attempts),
+        [("a".to_owned(), Outcome::Broken)]
+    );
 }
 
-/// Also without a cancellation: a queued attempt is not sent once its client has left.
+/// A queued attempt is not sent once its client has left, even without a cancel command.
 #[test]
 fn queued_attempts_end_when_their_client_leaves() {
     let long = Duration::from_secs(60);
@@ -136,19 +139,22 @@
     }
     cancellation.end();
     attempts.expire(Instant::now());
-    assert_eq!(ends(&mut attempts), [("a".to_owned(), Outcome::NeverSent)]);
+    assert_eq!(
+        take_ended(&mut attempts),
+        [("a".to_owned(), Outcome::NeverSent)]
+    );
     attempts.stage_next_write();
     assert_eq!(
         attempts
-            .beginning
+            .staged
             .map(|request| request.attempt.request.to_string())
             .as_deref(),
         Some("b")
     );
 }
 
-/// However long it was queued. The age is the one that was allowed at the decision, and a line that
-/// has begun is not encoded again.
+/// The time limit in the line excludes the time for which the attempt was queued. The age limit is
+/// the one of the decision, and a partly written line is not encoded again.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_request_states_the_time_that_remains_when_its_first_byte_leaves() {
     let ms = Duration::from_millis;
@@ -158,7 +164,7 @@
     attempts.handle(Instant::now(), send(late));
     tokio::time::advance(Duration::from_micros(300_500)).await;
     attempts.stage_next_write();
-    // The system accepts nothing of it for a while.
+    // The socket accepts nothing for a while.
     assert_eq!(write(&mut attempts, 0), "");
     tokio::time::advance(ms(400)).await;
     let line = "ASK a cls=,item=,chunk=,limit=299,maxage=50 0\r\n\r\n";
@@ -169,7 +175,7 @@
     assert!(!attempts.has_to_write());
 }
 
-/// The least that a line can state is a millisecond: it is stated while any time remains.
+/// A line cannot state less than 1 ms, which it states as long as any time remains.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn attempts_without_remaining_time_are_not_sent() {
     let mut attempts = Attempts::default();
@@ -180,7 +186,10 @@
     }
     tokio::time::advance(Duration::from_micros(299)).await;
     attempts.expire(Instant::now());
-    assert_eq!(ends(&mut attempts), [("b".to_owned(), Outcome::NeverSent)]);
+    assert_eq!(
+        take_ended(&mut attempts),
+        [("b".to_owned(), Outcome::NeverSent)]
+    );
     attempts.stage_next_write();
     assert!(write(&mut attempts, 1000).contains(",limit=1 "));
 }
--- a/crates/router/src/server_connection/connect.rs
+++ b/crates/router/src/server_connection/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting to a server, and what a failure to connect says.
+//! Connecting to a server, with retries, and the outcome of attempts if that fails.
 
 use crate::io_errors::{ConnectFailure, MAX_INTERRUPTIONS};
 use chalkhall::interface::Outcome;
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The wait before the only retry of a connect for which this machine lacked a resource.
+/// The delay before the only retry of a connect that failed for lack of a local resource.
 pub(super) const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Connects, each time on a new socket: again at once after an interruption by a signal, and once
-/// more after a moment when this machine lacked a resource, which may be there by then.
+/// Connects, each time on a new socket. Retries at once after an interruption by a signal, and once
+/// after [`LOCAL_RETRY_DELAY`] if a local resource was exhausted, which may be free by then.
 ///
 /// # Errors
 /// The last failure.
@@ -37,8 +37,8 @@
     }
 }
 
-/// How the attempts end that waited for a connection. None of them ran; but what this machine lacks
-/// is not held against the server.
+/// The outcome of the attempts that waited for a connection which failed. None of them ran; a lack
+/// of local resources does not count as a failure of the server.
 pub(super) fn outcome_of_connect_failure(failure: ConnectFailure) -> Outcome {
     match failure {
         ConnectFailure::Interrupted | ConnectFailure::LocalResources => Outcome::NeverSent,
--- a/crates/router/src/server_connection/disconnect.rs
+++ b/crates/router/src/server_connection/disconnect.rs
@@ -1,24 +1,24 @@
-//! Why a connection to a server ended.
+//! The reasons for which a connection to a server ends.
 
 use crate::server_protocol::ProtocolError;
 use std::io;
 
-/// Why an established connection to a server ended before this side closed it.
+/// The reason for which an established connection ended before this side closed it.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DisconnectReason {
-    /// The system could not write any more.
+    /// Writing to the socket failed.
     #[error("writing failed: {0}")]
     Write(#[source] io::Error),
-    /// The system could not read any more.
+    /// Reading from the socket failed.
     #[error("reading failed: {0}")]
     Read(#[source] io::Error),
-    /// The server has ended the connection.
+    /// The server closed the connection.
     #[error("closed by the server")]
     ClosedByServer,
     /// The server sent something that is not an answer.
     #[error("protocol error: {0}")]
     Protocol(#[from] ProtocolError),
-    /// An answer has begun and did not go on.
-    #[error("an answer stopped before its end")]
+    /// The rest of an incomplete answer did not arrive in time.
+    #[error("timed out waiting for the rest of an answer")]
     AnswerStalled,
 }
--- a/crates/router/src/server_connection/inbound.rs
+++ b/crates/router/src/server_connection/inbound.rs
@@ -1,4 +1,4 @@
-//! The bytes that come from a server, until they are whole answers.
+//! Bytes received from a server, which are decoded into answers.
 
 use super::attempts::Attempts;
 use crate::server_protocol::{AnswerDecoder, ProtocolError};
@@ -6,20 +6,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What was read from a connection and not yet decoded.
+/// Data that has been read from a connection and not been decoded yet.
 #[derive(Default)]
 pub(super) struct Inbound {
     pub(super) buffer: BytesMut,
     decoder: AnswerDecoder,
-    /// When the first bytes of the incomplete answer came, if there is one.
+    /// When the first bytes of the incomplete answer were received, if there is one.
     partial_since: Option<Instant>,
 }
 
 impl Inbound {
-    /// Decodes what was read into the buffer, and hands whole answers to the attempts.
+    /// Decodes the data in the buffer, and passes complete answers to the attempts.
     ///
     /// # Errors
-    /// What came is not an answer.
+    /// The data is not a valid answer.
     pub(super) fn decode(
         &mut self,
         now: Instant,
@@ -33,16 +33,16 @@
         if self.decoder.partial_id().is_some() || !self.buffer.is_empty() {
             self.partial_since = self.partial_since.or(Some(now));
         } else {
-            // A body that is passed on keeps alive the buffer in which it came.
+            // Answer bodies share this buffer's allocation and would keep all of it alive.
             self.buffer = BytesMut::new();
         }
         Ok(())
     }
 
-    /// When an incomplete answer counts as stalled. It holds up all answers behind it.
+    /// When an incomplete answer counts as stalled: it blocks all answers behind it.
     ///
-    /// One that is still waited for may take its time as long as bytes come; one that nobody waits
-    /// for could otherwise trickle for ever, and is bounded as a whole.
+    /// An answer that is still awaited may take any time while bytes arrive. One that is no longer
+    /// awaited could trickle in forever, so the total time for it is limited.
     pub(super) fn stalled_at(&self, attempts: &Attempts, timeout: Duration) -> Option<Instant> {
         let partial_since = self.partial_since?;
         let is_awaited = self
--- a/crates/router/src/server_connection/tests.rs
+++ b/crates/router/src/server_connection/tests.rs
@@ -2,13 +2,13 @@
 use crate::messages::ConnectionAttemptEnded;
 use crate::messages::fixtures::attempt_request;
 
-/// A server whose socket takes little at a time: the system moves a part of what is written, and a
-/// part of what is read, each time.
+/// A server with a minimal receive buffer: each write and each read transfers only a part of a
+/// message.
 #[tokio::test(flavor = "current_thread")]
-async fn a_request_and_its_answer_arrive_complete_in_the_smallest_pieces() {
+async fn a_request_and_its_answer_are_complete_after_partial_writes_and_reads() {
     use tokio::io::AsyncWriteExt;
     const BODY: usize = 200_000;
-    let inside = async {
+    let test = async {
         let listener = tokio::net::TcpSocket::new_v4().unwrap();
         listener.set_recv_buffer_size(1).unwrap();
         listener
@@ -28,8 +28,8 @@
             _slot: slots.try_acquire_owned().unwrap(),
         };
         let running = tokio::task::spawn_local(connection.run());
-        let long = Duration::from_secs(60);
-        let mut request = attempt_request("a", long, long);
+        let long_timeout = Duration::from_secs(60);
+        let mut request = attempt_request("a", long_timeout, long_timeout);
         let body: Vec<u8> = (0..BODY).map(|n| (n % 251) as u8).collect();
         request.forwarded.body = body.clone().into();
         to_connection
@@ -46,11 +46,14 @@
             "{line:?}"
         );
         let mut read = vec![0; BODY + 2];
-        // Many reads of a few bytes; the writer meets a full socket again and again.
+        // Reads of a few bytes, so that the writer repeatedly finds the socket full.
         for piece in read.chunks_mut(97) {
             stream.read_exact(piece).await.unwrap();
         }
-        assert!(read == [&body[..], b"\r\n"].concat(), "not what was sent");
+        assert!(
+            read == [&body[..], b"\r\n"].concat(),
+            "the body differs from the one that was sent"
+        );
         for byte in b"a OK tell=hit 5\r\nhello\r\n" {
             stream.write_all(&[*byte]).await.unwrap();
             tokio::task::yield_now().await;
@@ -65,7 +68,7 @@
                     number: 1,
                     event: ConnectionEvent::Established,
                 } => {}
-                _ => panic!("another event"),
+                _ => panic!("unexpected event"),
             }
         };
         assert_eq!(
@@ -76,14 +79,14 @@
         while reports.recv().await.is_some() {}
         running.await.unwrap();
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// After a scheduling delay a connection lets other tasks read before it sends an attempt: its
-/// mailbox does not fill up meanwhile.
+/// After a scheduling delay a connection lets other tasks read before it sends an attempt. Its
+/// mailbox must not fill up meanwhile.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_connection_accepts_commands_while_other_tasks_catch_up() {
-    let inside = async {
+    let test = async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (to_connection, commands) = mpsc::channel(4);
         let (events, _reports) = mpsc::channel(8);
@@ -103,15 +106,15 @@
             _slot: slot,
         };
         tokio::task::spawn_local(connection.run());
-        let long = Duration::from_secs(60);
-        for turn in 0..200 {
-            let command = ConnectionCommand::Send(attempt_request("a", long, long));
+        let long_timeout = Duration::from_secs(60);
+        for iteration in 0..200 {
+            let command = ConnectionCommand::Send(attempt_request("a", long_timeout, long_timeout));
             assert!(
                 to_connection.try_send(command).is_ok(),
-                "no room in turn {turn}"
+                "the mailbox is full in iteration {iteration}"
             );
             tokio::task::yield_now().await;
         }
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/router/src/server_pool.rs
+++ b/crates/router/src/server_pool.rs
@@ -1,5 +1,5 @@
-//! The actor of a cache server, a parent or the origin: it shares a few connections among the
-//! attempts that are sent to it.
+//! The actor of a cache server, a parent or the origin. It multiplexes the attempts for its server
+//! over a small pool of connections.
 
 mod connection_pool;
 mod connection_slots;
@@ -21,34 +21,35 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Commands queued for one connection; more attempts are reported never sent.
+/// The capacity of a connection's mailbox; attempts beyond it are reported as never sent.
 const CONNECTION_MAILBOX_CAPACITY: usize = 256;
-/// Commands queued for a server's actor, which takes them at once; more attempts are reported never
-/// sent.
+/// The capacity of the mailbox of a server's actor, which handles commands without delay; attempts
+/// beyond it are reported as never sent.
 const SERVER_MAILBOX_CAPACITY: usize = 1024;
-/// An actor that has neither a connection nor an open attempt ends after so long without a command.
-/// Long enough that a server that refuses connections keeps its actor over a few retries; it takes
-/// some KB.
+/// An actor that has neither a connection nor an open attempt stops after this time without a
+/// command, to free the few KB that it takes. The actor of a server that refuses connections should
+/// outlive a few retries.
 pub const ACTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts the actor of a server when the first attempt is sent to it: one router sends nothing to
-/// most of the servers of a large fleet, and an actor with its mailboxes takes several KB.
+/// Starts the actors of servers. An actor is started when the first attempt is sent to its server:
+/// in a large fleet a router sends nothing to most servers, and an actor with its mailboxes takes
+/// several KB.
 pub struct ServerActors {
-    /// The most attempts on one connection.
+    /// The limit on concurrent attempts on one connection.
     pub max_streams: usize,
-    /// How long a connect may take.
+    /// The timeout for connecting.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after so long.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
     /// The mailbox of the decider.
     pub decider: mpsc::Sender<Message>,
-    /// The bound on the connections of all servers together.
+    /// The limit on the connections to all servers together.
     pub slots: Rc<ConnectionSlots>,
 }
 
 impl ServerActors {
-    /// Starts an actor and returns its mailbox. The actor closes the mailbox as it ends: what is
-    /// refused then was not taken.
+    /// Starts an actor and returns its mailbox. The actor closes the mailbox when it stops; a command
+    /// that the mailbox refuses has not been executed.
     pub fn spawn(
         &self,
         name: Id,
@@ -84,7 +85,7 @@
     connect_timeout: Duration,
     idle_timeout: Duration,
     commands: mpsc::Receiver<ServerCommand>,
-    /// Given to each connection for its events.
+    /// Each connection gets a clone of it for its events.
     connection_events: mpsc::Sender<ServerCommand>,
     decider: mpsc::Sender<Message>,
     slots: Rc<ConnectionSlots>,
@@ -92,8 +93,8 @@
 }
 
 impl ServerActor {
-    /// Runs until the decider has dropped the mailbox and all attempts have ended, or until there
-    /// was nothing to do for long enough.
+    /// Runs until the decider has dropped the mailbox and all attempts have ended, or until the actor
+    /// has been idle for [`ACTOR_IDLE_TIMEOUT`].
     async fn run(mut self, mut from_connections: mpsc::Receiver<ServerCommand>) {
         let mut is_listed = true;
         let mut last_command_at = Instant::now();
@@ -123,28 +124,28 @@
         }
     }
 
-    /// When an idle connection is to be closed, or else when the actor may end.
+    /// When the next idle connection is to be closed, or else when the idle actor may stop.
     fn next_timer(&self, last_command_at: Instant) -> Option<Instant> {
-        let end_of_actor = self
+        let actor_timeout = self
             .pool
             .is_empty()
             .then_some(last_command_at + ACTOR_IDLE_TIMEOUT);
         self.pool
             .next_idle_deadline(self.idle_timeout)
-            .or(end_of_actor)
+            .or(actor_timeout)
     }
 
-    /// No command came for long enough, and none is in the mailbox: one that came just now is taken
-    /// first.
+    /// Whether the idle timeout of the actor has passed and its mailbox is empty. A command that has
+    /// just arrived is handled first.
     fn is_idle_timeout_over(&self, last_command_at: Instant) -> bool {
         Instant::now() >= last_command_at + ACTOR_IDLE_TIMEOUT && self.commands.is_empty()
     }
 
-    /// The decider, whose tasks run on this thread too, finds the mailbox closed from here on and
-    /// starts another actor; nothing can have come between the check of the mailbox and this.
+    /// Closes the mailbox and stops. Nothing can have arrived since the mailbox was checked, because
+    /// the decider runs on the same thread. It starts another actor if it finds the mailbox closed.
     async fn stop(mut self) {
         self.commands.close();
-        // Without a decider nobody needs to know.
+        // If the decider has ended, the message is not needed.
         let _ = self.decider.send(Message::ServerRests(self.name)).await;
     }
 
@@ -175,11 +176,12 @@
     }
 
     async fn report(&self, ended: AttemptEnded) {
-        // Without a decider nobody waits for it.
+        // If the decider has ended, the result is not needed.
         let _ = self.decider.send(Message::Ended(ended)).await;
     }
 
-    /// Where the mailbox of the connection is full, the attempt ends by its own deadline.
+    /// Cancels an attempt. If the mailbox of its connection is full, the attempt ends at its
+    /// deadline.
     fn cancel(&mut self, attempt: AttemptId) {
         let Some(number) = self.pool.open_attempts.get(&attempt).copied() else {
             return;
@@ -191,12 +193,13 @@
         }
     }
 
-    /// Retires the connections that lead to another address or to an earlier start of the server.
+    /// Updates the address, and retires the connections to another address or from before the
+    /// server's last start.
     fn reconnect(&mut self, address: SocketAddr, started_at: Option<Instant>) {
         let has_moved = address != self.address;
         self.address = address;
         if has_moved {
-            // What kept this machine from reaching the old address says nothing about the new one.
+            // Local failures to connect to the old address need not affect the new one.
             self.pool.backoff.reset();
         }
         self.pool.retire_if(|connection| {
@@ -213,7 +216,7 @@
                 self.pool.backoff.succeeded();
             }
             ConnectionEvent::LocalFailure => {
-                // Attempts that come before its last event must not be given to it.
+                // It must not get attempts that arrive before its `Closed` event.
                 if let Some(connection) = self.pool.connection_mut(number) {
                     connection.retire();
                 }
@@ -232,22 +235,23 @@
         if let Some(connection) = self.pool.connection_mut(number) {
             connection.attempt_ended(Instant::now());
             if is_silent {
-                // A machine that vanished does not end its connections; a new one to it will not be
-                // established, which proves that nothing ran.
+                // A host that has vanished does not close its connections. A new connection to it
+                // is not established, which proves that its attempts did not run.
                 connection.retire();
             }
             if ended.outcome != Outcome::NeverSent {
-                connection.remember(ended.attempt.request.clone());
+                connection.remember_request(ended.attempt.request.clone());
             }
         }
         self.report(ended).await;
     }
 
-    /// Gives an attempt to the least busy connection that may carry it. `false` if there is none.
+    /// Sends an attempt on the least busy connection that may carry it. Returns false if there is
+    /// none.
     fn try_send(&mut self, mut request: Box<AttemptRequest>) -> bool {
-        // An idle connection may be due for its close before the timer has fired.
+        // The idle timeout of a connection may have passed without its timer having fired yet.
         self.pool.close_idle(Instant::now(), self.idle_timeout);
-        // A connection that broke a moment ago takes no commands; the next one may.
+        // A connection that has just broken refuses commands; another one may accept them.
         for _ in 0..=self.max_connections {
             let Some(index) = self.connection_for(&request) else {
                 return false;
@@ -274,7 +278,7 @@
         false
     }
 
-    /// The index of the connection that carries this attempt, which is opened if need be.
+    /// The index of the connection for this attempt, which is opened if necessary.
     fn connection_for(&mut self, request: &AttemptRequest) -> Option<usize> {
         let requirements = Requirements {
             request: &request.attempt.request,
@@ -289,8 +293,8 @@
         if request.is_non_idempotent && self.pool.connections.len() >= self.max_connections {
             self.pool.close_stale(requirements.now);
         }
-        // Past the bound only where no other may carry it: silent connections still take
-        // descriptors.
+        // The limit may be exceeded up to twofold if no existing connection may carry the attempt;
+        // retired connections that are silent still use descriptors.
         if self.pool.connections.len() >= self.max_connections * 2 {
             return None;
         }
@@ -298,7 +302,7 @@
         self.pool.select_least_busy(&requirements)
     }
 
-    /// Opens a connection, if a slot is free and this machine did not lack a resource just now.
+    /// Opens a connection, unless no slot is free or the backoff after local failures applies.
     fn open_connection(&mut self) {
         let now = Instant::now();
         if !self.pool.backoff.allows(now) {
@@ -323,7 +327,7 @@
         };
         log::debug!(
             server = &*self.name, address:% = self.address, connection = number;
-            "connecting to a server"
+            "connecting to server"
         );
         spawn_local(connection.run());
     }
--- a/crates/router/src/server_pool/connection_pool.rs
+++ b/crates/router/src/server_pool/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections of one server, and which attempt is on which.
+//! The connections of one server, and the assignment of attempts to them.
 
 use super::pooled_connection::{ConnectionState, PooledConnection};
 use crate::backoff::Backoff;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A further connection is opened when the least busy one has this many attempts.
-const BUSY_FROM_ATTEMPTS: usize = 4;
+/// Another connection is opened when the least busy one has this many attempts.
+const BUSY_ATTEMPT_COUNT: usize = 4;
 
-/// What a connection needs to have for an attempt.
+/// The requirements of an attempt on its connection.
 pub(super) struct Requirements<'a> {
     /// The request of the attempt.
     pub(super) request: &'a Id,
-    /// The attempt must not run twice: no connection that may be closed already.
+    /// Whether the attempt must not run twice, and so needs a connection that is fresh.
     pub(super) is_non_idempotent: bool,
-    /// The most attempts on one connection.
+    /// The limit on concurrent attempts on one connection.
     pub(super) max_streams: usize,
-    /// The time of the selection.
+    /// The current time.
     pub(super) now: Instant,
 }
 
@@ -37,16 +37,16 @@
 pub(super) struct ConnectionPool {
     /// All connections that are not closed.
     pub(super) connections: Vec<PooledConnection>,
-    /// The pause after connects that failed for want of a resource of this machine.
+    /// The backoff after connects that failed for lack of a local resource.
     pub(super) backoff: Backoff,
-    /// The number of the last connection.
+    /// The number of the connection that was opened last.
     pub(super) last_number: u64,
-    /// The number of the connection of each attempt that has not ended.
+    /// The connection number of each attempt that has not ended.
     pub(super) open_attempts: HashMap<AttemptId, u64>,
 }
 
 impl ConnectionPool {
-    /// When the next idle connection is to be closed.
+    /// When the idle timeout of a connection passes next.
     pub(super) fn next_idle_deadline(&self, idle_timeout: Duration) -> Option<Instant> {
         self.connections
             .iter()
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Closes the connections that were idle for so long, before the server does it: a request that
-    /// crosses its close may have run. Closes also those that are retired and have no attempts
-    /// left.
+    /// Closes the connections that have reached the idle timeout, so that the server does not close
+    /// them first: a request that crosses the server's close may have run. Also closes those that
+    /// are retired and have no open attempts.
     pub(super) fn close_idle(&mut self, now: Instant, idle_timeout: Duration) {
         self.retire_if(|connection| {
             connection.is_idle() && now >= connection.last_used_at + idle_timeout
@@ -87,7 +87,8 @@
         self.close_drained();
     }
 
-    /// Closes the idle connections that a non-idempotent attempt may not use.
+    /// Closes the idle connections that are no longer fresh, which non-idempotent attempts may not
+    /// use.
     pub(super) fn close_stale(&mut self, now: Instant) {
         self.retire_if(|connection| !connection.is_fresh(now));
         self.close_drained();
@@ -98,7 +99,7 @@
             .retain(|connection| !connection.is_drained());
     }
 
-    /// Retires all connections that match.
+    /// Retires the matching connections.
     pub(super) fn retire_if(&mut self, matches: impl Fn(&PooledConnection) -> bool) {
         self.connections
             .iter_mut()
@@ -106,21 +107,21 @@
             .for_each(PooledConnection::retire);
     }
 
-    /// The connection of this number, unless it is closed.
+    /// Returns the connection with this number, unless it is closed.
     pub(super) fn connection_mut(&mut self, number: u64) -> Option<&mut PooledConnection> {
         self.connections
             .iter_mut()
             .find(|connection| connection.number == number)
     }
 
-    /// The connection of this number has ended.
+    /// Removes the connection with this number after it has ended.
     pub(super) fn remove(&mut self, number: u64) {
         self.connections
             .retain(|connection| connection.number != number);
     }
 
-    /// The index of the connection with the fewest attempts among those that may carry this one;
-    /// established ones are preferred.
+    /// The index of the connection with the fewest attempts among those that meet the requirements.
+    /// Established connections are preferred.
     pub(super) fn select_least_busy(&self, requirements: &Requirements) -> Option<usize> {
         self.connections
             .iter()
@@ -133,8 +134,8 @@
             .map(|(index, _)| index)
     }
 
-    /// Whether another connection is needed besides the selected one: there is none, or it is busy,
-    /// none is being made, and there may be more.
+    /// Whether another connection should be opened: none is selected, or the selected one is busy,
+    /// none is being established and the limit is not reached.
     pub(super) fn needs_another(&self, selected: Option<usize>, max_connections: usize) -> bool {
         let Some(selected) = selected else {
             return true;
@@ -143,7 +144,7 @@
             .connections
             .iter()
             .any(|connection| connection.state == ConnectionState::Connecting);
-        self.connections[selected].open_attempts >= BUSY_FROM_ATTEMPTS
+        self.connections[selected].open_attempts >= BUSY_ATTEMPT_COUNT
             && !is_connecting
             && self.connections.len() < max_connections
     }
--- a/crates/router/src/server_pool/pooled_connection.rs
+++ b/crates/router/src/server_pool/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! What the actor of a server knows of one of its connections.
+//! The state of one connection, as the actor of its server tracks it.
 
 use crate::messages::ConnectionCommand;
 use chalkhall::interface::Id;
@@ -7,22 +7,22 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A non-idempotent attempt goes on a connection that was in use this recently, or on a new one: a
-/// server may have closed one that is idle, long before it should, and this is noticed only after a
-/// request has been written.
-const FRESH_FOR: Duration = Duration::from_millis(50);
-/// Requests that were on a connection and to which another answer may come that nobody waits for.
+/// A non-idempotent attempt is sent only on a connection that was in use within this time, or on a
+/// new one. A server may close an idle connection long before its idle timeout, which is noticed
+/// only after a request has been written.
+const FRESHNESS_WINDOW: Duration = Duration::from_millis(50);
+/// The limit on remembered requests per connection, to which a late answer may arrive.
 const MAX_PAST_REQUESTS: usize = 256;
 
-/// Whether a connection may be given attempts.
+/// Whether a connection may get attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It is being made, and queues its attempts meanwhile.
+    /// It is being established, and queues its attempts meanwhile.
     Connecting,
     /// It is usable.
     Established,
-    /// It gets no more attempts: it was silent or idle for too long, has failed, or leads to where
-    /// the server no longer is. It is closed once its attempts have ended.
+    /// It gets no more attempts: it was silent or idle for too long, has failed, or connects to a
+    /// former address of the server. It is closed once its attempts have ended.
     Retired,
 }
 
@@ -32,7 +32,7 @@
     pub(super) number: u64,
     /// The mailbox of the connection's actor.
     pub(super) commands: mpsc::Sender<ConnectionCommand>,
-    /// Whether it may be given attempts.
+    /// Whether it may get attempts.
     pub(super) state: ConnectionState,
     /// Attempts on it that have not ended.
     pub(super) open_attempts: usize,
@@ -40,13 +40,13 @@
     pub(super) created_at: Instant,
     /// When an attempt was last sent to it or ended on it.
     pub(super) last_used_at: Instant,
-    /// Requests with an earlier attempt on it, the latest last. A second answer to one, or one that
-    /// crossed its cancellation, would be taken for that to a later attempt.
+    /// Requests with an earlier attempt on this connection, in order. A late or second answer to such
+    /// an attempt would be mistaken for the answer to a later attempt of the same request.
     past_requests: VecDeque<Id>,
 }
 
 impl PooledConnection {
-    /// A connection that is being made.
+    /// Creates the state of a connection that is being established.
     pub(super) fn connecting(
         number: u64,
         commands: mpsc::Sender<ConnectionCommand>,
@@ -63,14 +63,14 @@
         }
     }
 
-    /// The connect has succeeded. A connection that was retired meanwhile stays retired.
+    /// Marks the connection as established, unless it was retired meanwhile.
     pub(super) fn established(&mut self) {
         if self.state == ConnectionState::Connecting {
             self.state = ConnectionState::Established;
         }
     }
 
-    /// It gets no more attempts.
+    /// Marks the connection as retired: it gets no more attempts.
     pub(super) fn retire(&mut self) {
         self.state = ConnectionState::Retired;
     }
@@ -85,35 +85,35 @@
         self.open_attempts == 0
     }
 
-    /// Whether it may be closed.
+    /// Whether it is retired and idle, so that it may be closed.
     pub(super) fn is_drained(&self) -> bool {
         self.is_retired() && self.is_idle()
     }
 
-    /// Whether it is in use, or was a moment ago.
+    /// Whether it is in use, or was within [`FRESHNESS_WINDOW`].
     pub(super) fn is_fresh(&self, now: Instant) -> bool {
-        !self.is_idle() || now < self.last_used_at + FRESH_FOR
+        !self.is_idle() || now < self.last_used_at + FRESHNESS_WINDOW
     }
 
-    /// Whether an attempt of this request was on it before.
+    /// Whether it has carried an earlier attempt of this request.
     pub(super) fn has_carried(&self, request: &Id) -> bool {
         self.past_requests.contains(request)
     }
 
-    /// An attempt was sent to it.
+    /// Records that an attempt was sent on it.
     pub(super) fn attempt_sent(&mut self, now: Instant) {
         self.open_attempts += 1;
         self.last_used_at = now;
     }
 
-    /// An attempt on it has ended.
+    /// Records that an attempt on it has ended.
     pub(super) fn attempt_ended(&mut self, now: Instant) {
         self.open_attempts -= 1;
         self.last_used_at = now;
     }
 
-    /// The server may have received this request: another answer to it may come.
-    pub(super) fn remember(&mut self, request: Id) {
+    /// Remembers a request that the server may have received: a late answer to it may arrive.
+    pub(super) fn remember_request(&mut self, request: Id) {
         self.past_requests.push_back(request);
         let excess = self.past_requests.len().saturating_sub(MAX_PAST_REQUESTS);
         self.past_requests.drain(..excess);
--- a/crates/router/src/server_pool/tests.rs
+++ b/crates/router/src/server_pool/tests.rs
@@ -3,11 +3,11 @@
 use crate::messages::fixtures::{attempt_id, attempt_request};
 use bytes::Bytes;
 
-const WAIT: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The actor of a server that is never reached, with so many slots for connections; and the other
-/// ends of its mailboxes.
-fn server(slots: usize) -> (ServerActor, impl Sized) {
+/// The actor of an unreachable server with this many connection slots, and the other ends of its
+/// channels.
+fn server_actor(slots: usize) -> (ServerActor, impl Sized) {
     let (connection_events, from_connections) = mpsc::channel(8);
     let (sender, commands) = mpsc::channel(8);
     let (decider, messages) = mpsc::channel(8);
@@ -16,8 +16,8 @@
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         max_connections: 4,
         max_streams: 100,
-        connect_timeout: WAIT,
-        idle_timeout: WAIT,
+        connect_timeout: TIMEOUT,
+        idle_timeout: TIMEOUT,
         commands,
         connection_events,
         decider,
@@ -28,11 +28,11 @@
 }
 
 fn request(id: &str) -> Box<AttemptRequest> {
-    attempt_request(id, WAIT, WAIT)
+    attempt_request(id, TIMEOUT, TIMEOUT)
 }
 
-/// The first attempt of this request is served on this connection.
-async fn served(server: &mut ServerActor, connection: u64, id: &str) {
+/// Reports that the first attempt of this request was served on this connection.
+async fn report_served(server: &mut ServerActor, connection: u64, id: &str) {
     let ended = AttemptEnded {
         attempt: attempt_id(id, 0),
         outcome: Outcome::Served,
@@ -50,14 +50,18 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_request_is_sent_once_on_each_connection() {
-    let inside = async {
-        let (mut server, _mailboxes) = server(3);
+async fn attempts_of_a_request_use_different_connections() {
+    let test = async {
+        let (mut server, _mailboxes) = server_actor(3);
         server.open_connection();
         server.pool.connections[0].state = ConnectionState::Established;
         assert!(server.try_send(request("a")));
-        assert_eq!(server.pool.connections.len(), 1, "shared while it may be");
-        served(&mut server, 1, "a").await;
+        assert_eq!(
+            server.pool.connections.len(),
+            1,
+            "the connection was not shared"
+        );
+        report_served(&mut server, 1, "a").await;
         assert!(server.try_send(request("a")));
         let open: Vec<usize> = server
             .pool
@@ -68,27 +72,27 @@
         assert_eq!(
             open,
             [0, 1],
-            "a second answer to the first attempt would be taken for the second one's"
+            "a late answer to the first attempt would be taken for the answer to the second"
         );
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The attempt comes when the idle timeout of the connection is over and its timer has not fired
-/// yet: it may cross the server's close.
+/// An attempt arrives after the idle timeout of the connection, before its timer has fired: on this
+/// connection it could cross the server's close.
 #[tokio::test(flavor = "current_thread")]
 async fn a_connection_past_its_idle_timeout_carries_no_attempt_before_it_is_closed() {
-    let inside = async {
-        let (mut server, _mailboxes) = server(3);
+    let test = async {
+        let (mut server, _mailboxes) = server_actor(3);
         assert!(server.try_send(request("a")));
         server.pool.connections[0].state = ConnectionState::Established;
-        served(&mut server, 1, "a").await;
+        report_served(&mut server, 1, "a").await;
         assert_eq!(
-            server.pool.next_idle_deadline(WAIT),
-            Some(server.pool.connections[0].last_used_at + WAIT),
-            "the timer is exact"
+            server.pool.next_idle_deadline(TIMEOUT),
+            Some(server.pool.connections[0].last_used_at + TIMEOUT),
+            "the idle deadline differs from the timeout"
         );
-        server.pool.connections[0].last_used_at = Instant::now() - WAIT;
+        server.pool.connections[0].last_used_at = Instant::now() - TIMEOUT;
         assert!(server.try_send(request("b")));
         let open: Vec<(u64, usize)> = server
             .pool
@@ -97,48 +101,48 @@
             .map(|connection| (connection.number, connection.open_attempts))
             .collect();
         assert_eq!(open, [(2, 1)]);
-        // One with an open attempt is in use, however long ago the last attempt was sent to it.
-        server.pool.connections[0].last_used_at = Instant::now() - WAIT;
+        // A connection with an open attempt is in use, however long ago the last one was sent.
+        server.pool.connections[0].last_used_at = Instant::now() - TIMEOUT;
         assert!(server.try_send(request("c")));
         assert_eq!(server.pool.connections[0].open_attempts, 2);
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The connections to all servers together stay within their slots; an attempt without one is not
-/// sent.
+/// The connections to all servers together stay within the slots; an attempt that would need another
+/// one is not sent.
 #[tokio::test(flavor = "current_thread")]
 async fn no_connection_is_opened_without_a_free_slot() {
-    let inside = async {
-        let (mut one, _mailboxes) = server(2);
-        let (mut other, _other_mailboxes) = server(2);
+    let test = async {
+        let (mut one, _mailboxes) = server_actor(2);
+        let (mut other, _other_mailboxes) = server_actor(2);
         other.slots = one.slots.clone();
         assert!(one.try_send(request("a")) && other.try_send(request("b")));
-        assert!(one.try_send(request("c")), "shared");
+        assert!(one.try_send(request("c")), "the connection was not shared");
         one.max_streams = 2;
         assert!(
             !one.try_send(request("d")),
-            "there is no slot, and no connection that may carry it"
+            "sent without a free slot or a usable connection"
         );
         assert_eq!(
             (one.pool.connections.len(), one.pool.open_attempts.len()),
             (1, 2)
         );
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The mailbox of a connection is full: further attempts are not sent, and a cancellation that does
-/// not fit is not needed, for a cancelled attempt does not begin.
+/// While the mailbox of a connection is full, further attempts are not sent. A cancel command that
+/// does not fit is not needed, because a cancelled attempt is never written.
 #[tokio::test(flavor = "current_thread")]
-async fn attempts_beyond_a_full_mailbox_are_never_sent_and_cancelled_ones_never_begin() {
+async fn attempts_beyond_a_full_mailbox_and_cancelled_ones_are_never_sent() {
     use tokio::io::AsyncReadExt;
-    let inside = async {
+    let test = async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (mut server, _mailboxes) = server(3);
+        let (mut server, _mailboxes) = server_actor(3);
         let (decider, mut messages) = mpsc::channel(8);
-        let (from, mut reports) = mpsc::channel(1024);
-        (server.decider, server.connection_events) = (decider, from);
+        let (connection_events, mut reports) = mpsc::channel(1024);
+        (server.decider, server.connection_events) = (decider, connection_events);
         (server.address, server.max_streams, server.max_connections) =
             (listener.local_addr().unwrap(), 1000, 1);
         let mut cancellations = Vec::new();
@@ -158,13 +162,13 @@
         );
         server.handle(ServerCommand::Send(request("b"))).await;
         let Ok(Message::Ended(ended)) = messages.try_recv() else {
-            panic!("it was not reported")
+            panic!("the attempt was not reported")
         };
         assert_eq!(
             (&*ended.attempt.request, ended.outcome),
             ("b", Outcome::NeverSent)
         );
-        // Cancelled: the flag ends with the final answer or the client; the command does not fit.
+        // The flag of the request is cancelled; the command does not fit into the mailbox.
         cancellations[7].end();
         server
             .handle(ServerCommand::Cancel(attempt_id("a", 7)))
@@ -172,7 +176,7 @@
         assert_eq!(
             server.pool.connections[0].commands.capacity(),
             0,
-            "it took the cancellation"
+            "the mailbox accepted the cancel command"
         );
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = Vec::new();
@@ -188,48 +192,45 @@
             !text.contains("ASK a7 ") && !text.contains("QUIT"),
             "{text}"
         );
-        let mut never = Vec::new();
+        let mut never_sent = Vec::new();
         while let Ok(event) = reports.try_recv() {
             if let ServerCommand::Connection {
                 event: ConnectionEvent::AttemptEnded(ConnectionAttemptEnded { ended, .. }),
                 ..
             } = event
             {
-                never.push((ended.attempt.number, ended.outcome));
+                never_sent.push((ended.attempt.number, ended.outcome));
             }
         }
-        assert_eq!(never, [(7, Outcome::NeverSent)]);
+        assert_eq!(never_sent, [(7, Outcome::NeverSent)]);
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// If it ended, it would drop the connection and the attempts on it.
+/// An actor that stops drops its connections and the attempts on them.
 #[tokio::test(flavor = "current_thread")]
-async fn an_actor_with_a_connection_or_an_open_attempt_does_not_end() {
-    let inside = async {
-        let (mut server, _mailboxes) = server(3);
+async fn an_actor_with_a_connection_or_an_open_attempt_does_not_stop() {
+    let test = async {
+        let (mut server, _mailboxes) = server_actor(3);
         assert!(server.pool.is_empty());
         assert!(server.try_send(request("a")));
-        assert!(
-            !server.pool.is_empty(),
-            "a connection, and an open attempt on it"
-        );
-        served(&mut server, 1, "a").await;
+        assert!(!server.pool.is_empty(), "a connection with an open attempt");
+        report_served(&mut server, 1, "a").await;
         assert!(!server.pool.is_empty(), "an idle connection");
         assert!(server.try_send(request("b")));
         server.pool.connections.clear();
         assert!(
             !server.pool.is_empty(),
-            "the end of an attempt is still to come"
+            "an attempt whose end is not reported yet"
         );
-        served(&mut server, 1, "b").await;
+        report_served(&mut server, 1, "b").await;
         assert!(server.pool.is_empty());
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
 /// Accepts a connection and answers one attempt on it.
-async fn answers_once(listener: &tokio::net::TcpListener) -> tokio::net::TcpStream {
+async fn answer_once(listener: &tokio::net::TcpListener) -> tokio::net::TcpStream {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut read = Vec::new();
@@ -240,18 +241,18 @@
     stream
 }
 
-/// Idle connections to the many servers of a large fleet take all slots: the one that was idle for
-/// longest is closed, and a server without one is reached.
+/// Idle connections to many servers take all slots. The one that was idle for longest is closed, so
+/// that another server can be connected to.
 #[tokio::test(flavor = "current_thread")]
 async fn the_longest_idle_connection_of_all_servers_is_closed_when_slots_run_low() {
     use tokio::io::AsyncReadExt;
-    let inside = async {
+    let test = async {
         let (decider, mut messages) = mpsc::channel(8);
         let slots = Rc::new(ConnectionSlots::new(2));
         let actors = ServerActors {
             max_streams: 100,
-            connect_timeout: WAIT,
-            idle_timeout: WAIT * 60,
+            connect_timeout: TIMEOUT,
+            idle_timeout: TIMEOUT * 60,
             decider,
             slots,
         };
@@ -261,16 +262,19 @@
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             let commands = actors.spawn(name.into(), listener.local_addr().unwrap(), 1);
             assert!(commands.try_send(ServerCommand::Send(request("x"))).is_ok());
-            streams.push(answers_once(&listener).await);
+            streams.push(answer_once(&listener).await);
             let Some(Message::Ended(ended)) = messages.recv().await else {
                 panic!("{name}: no attempt ended")
             };
             assert_eq!(ended.outcome, Outcome::Served, "{name}");
             senders.push(commands);
             if name == "second" {
-                // Both slots are taken, both connections idle.
-                let closed = tokio::time::timeout(WAIT * 10, streams[0].read(&mut [0; 8])).await;
-                assert_eq!(closed.expect("the first is still open").unwrap(), 0);
+                // Both slots are taken by idle connections.
+                let closed = tokio::time::timeout(TIMEOUT * 10, streams[0].read(&mut [0; 8])).await;
+                assert_eq!(
+                    closed.expect("the first connection is still open").unwrap(),
+                    0
+                );
                 assert_eq!(
                     streams[1].try_read(&mut [0; 8]).unwrap_err().kind(),
                     std::io::ErrorKind::WouldBlock
@@ -281,21 +285,21 @@
             }
         }
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// This machine can make no connection to the server (TCP has no route to the broadcast address of
-/// the loopback network, ENETUNREACH), while request after request is sent to it.
+/// Connects fail locally while requests are sent at a high rate: TCP has no route to the broadcast
+/// address of the loopback network (ENETUNREACH).
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn connects_that_fail_locally_are_retried_at_a_bounded_rate() {
-    let inside = async {
-        let (mut server, _mailboxes) = server(3);
+    let test = async {
+        let (mut server, _mailboxes) = server_actor(3);
         let (connection_events, mut from_connections) = mpsc::channel(8);
         let (decider, mut messages) = mpsc::channel(8);
         (server.connection_events, server.decider) = (connection_events, decider);
         server.address = SocketAddr::from(([127, 255, 255, 255], 9));
-        let (begin, mut sent) = (Instant::now(), 0);
-        while begin.elapsed() < Duration::from_secs(2) {
+        let (started_at, mut sent) = (Instant::now(), 0);
+        while started_at.elapsed() < Duration::from_secs(2) {
             server.handle(ServerCommand::Send(request("a"))).await;
             sent += 1;
             let ended = loop {
@@ -307,7 +311,7 @@
             assert_eq!(
                 ended.outcome,
                 Outcome::NeverSent,
-                "nothing ran, and it is not the server's fault"
+                "a local failure was not reported as never sent"
             );
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -317,5 +321,5 @@
             server.pool.last_number
         );
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
