--- a/crates/router/src/server_protocol.rs
+++ b/crates/router/src/server_protocol.rs
@@ -1,8 +1,8 @@
-//! The protocol of cache servers, parents and the origin, without I/O: requests are encoded,
-//! answers decoded.
+//! The protocol of cache servers, parents and the origin: encodes requests and decodes answers,
+//! without I/O.
 //!
-//! A message is one line of words separated by spaces, of which the last is the length of the body
-//! that follows.
+//! A message is a line of words separated by spaces, followed by a body. The last word of the line
+//! is the length of the body.
 
 mod words;
 
@@ -12,13 +12,13 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The longest body. Objects have 240,000 bytes at most.
+/// The maximum length of a body. Objects have at most 240,000 bytes.
 const MAX_BODY_BYTES: usize = 256_000;
-/// The longest line of an answer.
+/// The maximum length of the line of an answer.
 const MAX_LINE_BYTES: usize = 2_048;
 const END_OF_LINE: &[u8] = b"\r\n";
 
-/// The parts of a client's request that are sent to a server as they came.
+/// The fields of a client's request that are forwarded unchanged to a server.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardedFields {
     /// The id of the request.
@@ -31,17 +31,17 @@
     pub part: Bytes,
     /// The entity tag of the client's copy.
     pub have: Option<Bytes>,
-    /// Servers recognize a repeated request by it.
+    /// The key by which servers recognize a repeated request.
     pub idempotency_key: Option<Bytes>,
-    /// What a write stores.
+    /// The body of a write.
     pub body: Bytes,
 }
 
-/// Encodes a request that is sent now to `server`: its line and its body.
+/// Encodes the line and the body of a request that is sent now to `server`.
 ///
 /// `remaining` is the time until the attempt's deadline. It is rounded down, so that the server
-/// never assumes more time than the client has left; the least that can be stated is 1 ms, and an
-/// attempt without any time left is not sent.
+/// never assumes more time than the client has left. The minimum that can be stated is 1 ms; an
+/// attempt without remaining time is not sent.
 pub fn encode_request(
     forwarded: &ForwardedFields,
     server: &str,
@@ -76,9 +76,9 @@
     encoded
 }
 
-/// What the server does on a miss. Writing to a `String` cannot fail.
+/// Encodes what the server does on a miss. Writing to a `String` cannot fail.
 fn encode_fill(line: &mut String, server: &str, fill: &Fill) {
-    // A server that is named as its own source makes no fill.
+    // A server that is its own source does not fill.
     if *fill.source != *server {
         let _ = write!(line, ",{}={}", words::SOURCE, fill.source);
     }
@@ -86,12 +86,12 @@
         let _ = write!(line, ",{}={}", words::RETENTION_PRIORITY, fill.rank);
     }
     if let Some(max_age) = fill.oldest {
-        // The age that was allowed at the decision, although the server counts it from when the
-        // line arrives: a copy from before a purge is older by then than the time since the purge
-        // was at the decision, so the delay and the rounding only exclude more copies than
-        // necessary. A later count could extend the time for which a copy is fresh, which may be
-        // what bounds the age. Never 0, which would mean any age within that time; the fraction of
-        // 1 ms that this adds is within the grace of a purge.
+        // This is the age limit at the decision, although the server applies it when the line
+        // arrives. A copy from before a purge is older by then than the time between purge and
+        // decision, so the delay and the rounding can only exclude more copies than necessary.
+        // Adding the delay to the limit could exceed the freshness lifetime, from which the limit
+        // may be derived. The value is never 0, which would allow any age within that lifetime; the
+        // fraction of 1 ms that this adds is within the grace period of a purge.
         let _ = write!(line, ",{}={}", words::MAX_AGE, max_age.as_millis().max(1));
     }
     let flags = [
@@ -119,13 +119,13 @@
 pub struct Answer {
     /// The id of the request.
     pub id: Bytes,
-    /// How the attempt has ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The client's copy is the one that would be sent.
+    /// Whether the client already has the copy that would be sent.
     pub is_not_modified: bool,
-    /// How the server came by the answer.
+    /// How the server obtained the answer.
     pub remark: Remark,
-    /// How long the server's source took until its first byte.
+    /// The time to first byte of the server's source.
     pub first_byte: Option<Duration>,
     /// The load that the server reports.
     pub load: Load,
@@ -133,52 +133,52 @@
     pub etag: Option<Bytes>,
     /// When the origin created the copy, in Unix milliseconds.
     pub created_at_unix_ms: Option<u64>,
-    /// The copy.
+    /// The body of the copy.
     pub body: Bytes,
 }
 
-/// What a server sent is not an answer.
+/// The error if a server sent something that is not a valid answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// A line has no end within the bound.
-    #[error("expected the end of a line within {MAX_LINE_BYTES} bytes")]
+    /// A line is longer than [`MAX_LINE_BYTES`].
+    #[error("line exceeds {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    /// The line of an answer is id, status, fields and body length.
-    #[error("expected an answer of four words")]
+    /// The line does not consist of id, status, fields and body length.
+    #[error("answer line does not have four words")]
     WordCount,
-    /// The second word is none of the protocol's.
-    #[error("expected a known answer status")]
+    /// The second word is not a status of the protocol.
+    #[error("unknown answer status")]
     UnknownStatus,
-    /// The last word is not a number within the bound.
-    #[error("expected a body length of at most {MAX_BODY_BYTES} bytes")]
+    /// The last word is not a number, or it exceeds [`MAX_BODY_BYTES`].
+    #[error("invalid body length, or more than {MAX_BODY_BYTES} bytes")]
     BodyLength,
-    /// The body is not followed by the end of a line.
-    #[error("expected the end of a line after the body")]
+    /// The body is not followed by a line end.
+    #[error("no line end after the body")]
     BodyEnd,
 }
 
-/// Decodes answers from a stream that may be split anywhere.
+/// Decodes answers from a stream that may be split at any byte.
 #[derive(Default)]
 pub struct AnswerDecoder {
     partial: Option<PartialAnswer>,
 }
 
-/// An answer of which the line has been decoded, and the body not.
+/// An answer whose line has been decoded, and whose body is incomplete.
 struct PartialAnswer {
     answer: Answer,
     body_length: usize,
 }
 
 impl AnswerDecoder {
-    /// The id of the answer that is decoded in part.
+    /// The id of the partially decoded answer, if there is one.
     pub fn partial_id(&self) -> Option<&Bytes> {
         self.partial.as_ref().map(|partial| &partial.answer.id)
     }
 
-    /// The next whole answer in the buffer; `None` if more bytes are needed.
+    /// Decodes the next complete answer in the buffer. Returns `None` if more bytes are needed.
     ///
     /// # Errors
-    /// What the buffer has instead of an answer. The stream is of no use any more.
+    /// The data is not a valid answer. The stream cannot be used any more.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Answer>, ProtocolError> {
         let partial = match self.partial.take() {
             Some(partial) => partial,
@@ -204,7 +204,7 @@
     }
 }
 
-/// Takes a whole line from the buffer, without its end.
+/// Takes a complete line from the buffer, and strips the line end.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, ProtocolError> {
     let newline = buffer
         .iter()
@@ -225,7 +225,7 @@
 fn decode_line(line: &Bytes) -> Result<PartialAnswer, ProtocolError> {
     let mut line_words = line.split(|byte| *byte == b' ');
     let mut next_word = || line_words.next().map(|word| line.slice_ref(word));
-    let (Some(id), Some(status), Some(list), Some(length), None) = (
+    let (Some(id), Some(status), Some(field_list), Some(length), None) = (
         next_word(),
         next_word(),
         next_word(),
@@ -250,7 +250,7 @@
         created_at_unix_ms: None,
         body: Bytes::new(),
     };
-    for (name, value) in fields(&list) {
+    for (name, value) in fields(&field_list) {
         decode_field(&mut answer, name, value);
     }
     Ok(PartialAnswer {
@@ -259,7 +259,7 @@
     })
 }
 
-/// Unknown fields and values are left out.
+/// Decodes one field. Unknown fields are ignored.
 fn decode_field(answer: &mut Answer, name: &[u8], value: Bytes) {
     match name {
         words::REMARK => answer.remark = words::remark(&value),
@@ -276,8 +276,8 @@
     Duration::try_from_secs_f64(milliseconds / 1e3).ok()
 }
 
-/// A load report is `name:value` entries; unknown names and values that are no finite number are
-/// left out.
+/// Decodes a load report, a list of `name:value` entries. Unknown names and values that are not
+/// finite numbers are ignored.
 fn decode_load(report: &[u8]) -> Load {
     let mut load = Load::default();
     for entry in report.split(|byte| *byte == b';') {
--- a/crates/router/src/server_protocol/tests.rs
+++ b/crates/router/src/server_protocol/tests.rs
@@ -1,47 +1,47 @@
 use super::*;
 
 fn all(decoder: &mut AnswerDecoder, buffer: &mut BytesMut) -> Result<Vec<Answer>, ProtocolError> {
-    let mut found = Vec::new();
+    let mut answers = Vec::new();
     while let Some(answer) = decoder.decode(buffer)? {
-        found.push(answer);
+        answers.push(answer);
     }
-    Ok(found)
+    Ok(answers)
 }
 
 #[test]
 fn answers_are_the_same_at_every_split() {
     let stream = b"a1 OK tell=hit,etag=4be0,made=17,meter=inflight:7;util:0.61 6\r\nx\r\ny\r\n\r\n\
         b2 MISS - 0\r\n\r\nc3 SAME tell=via_origin,ttfb=12.5,etag=q 0\r\n\r\n";
-    let whole = all(
+    let expected = all(
         &mut AnswerDecoder::default(),
         &mut BytesMut::from(&stream[..]),
     )
     .unwrap();
-    assert_eq!(whole.len(), 3);
+    assert_eq!(expected.len(), 3);
     assert_eq!(
-        (whole[0].outcome, whole[0].remark),
+        (expected[0].outcome, expected[0].remark),
         (Outcome::Served, Remark::Hit)
     );
-    assert_eq!(whole[0].body, &b"x\r\ny\r\n"[..]);
+    assert_eq!(expected[0].body, &b"x\r\ny\r\n"[..]);
     assert_eq!(
-        (whole[0].load.in_hand, whole[0].load.busy),
+        (expected[0].load.in_hand, expected[0].load.busy),
         (Some(7.0), Some(0.61))
     );
-    assert_eq!(whole[1].outcome, Outcome::Missing);
-    assert!(whole[2].is_not_modified);
-    assert_eq!(whole[2].first_byte, Some(Duration::from_micros(12_500)));
+    assert_eq!(expected[1].outcome, Outcome::Missing);
+    assert!(expected[2].is_not_modified);
+    assert_eq!(expected[2].first_byte, Some(Duration::from_micros(12_500)));
     for at in 0..=stream.len() {
         let (mut decoder, mut buffer) = (AnswerDecoder::default(), BytesMut::from(&stream[..at]));
-        let mut found = all(&mut decoder, &mut buffer).unwrap();
+        let mut answers = all(&mut decoder, &mut buffer).unwrap();
         buffer.extend_from_slice(&stream[at..]);
-        found.extend(all(&mut decoder, &mut buffer).unwrap());
-        assert_eq!(found, whole, "split at {at}");
+        answers.extend(all(&mut decoder, &mut buffer).unwrap());
+        assert_eq!(answers, expected, "split at {at}");
     }
 }
 
 #[test]
 fn malformed_answers_are_protocol_errors() {
-    let bad = [
+    let malformed = [
         ("a OK - 256001\r\n", ProtocolError::BodyLength),
         ("a WHAT - 0\r\n", ProtocolError::UnknownStatus),
         ("a OK -\r\n", ProtocolError::WordCount),
@@ -49,7 +49,7 @@
         ("a OK - 1\r\nxyz", ProtocolError::BodyEnd),
         ("a OK - -1\r\n", ProtocolError::BodyLength),
     ];
-    for (text, error) in bad {
+    for (text, error) in malformed {
         let decoded = all(&mut AnswerDecoder::default(), &mut BytesMut::from(text));
         assert_eq!(decoded, Err(error), "{text:?}");
     }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_request_is_encoded_with_its_fill() {
+fn requests_are_encoded_with_their_fill_fields() {
     let bytes = Bytes::from_static;
     let mut forwarded = ForwardedFields {
         id: bytes(b"a1"),
--- a/crates/router/src/server_protocol/words.rs
+++ b/crates/router/src/server_protocol/words.rs
@@ -1,8 +1,8 @@
-//! The words of the servers' wire, and what they mean.
+//! The words of the server protocol and their meanings.
 
 use chalkhall::interface::{Outcome, Remark};
 
-// The line of a request, and its fields.
+// The word that begins a request line, and the fields of the line.
 pub(super) const REQUEST: &str = "ASK";
 pub(super) const CLASS: &str = "cls";
 pub(super) const OBJECT: &str = "item";
@@ -24,7 +24,7 @@
 /// The line that cancels a request.
 pub(super) const CANCEL: &[u8] = b"QUIT";
 
-/// The status of an answer whose body is left out, as the client has it.
+/// The status of an answer without a body, because the client has the same copy.
 pub(super) const STATUS_NOT_MODIFIED: &[u8] = b"SAME";
 
 // Fields of an answer.
@@ -44,7 +44,7 @@
 pub(super) const LOAD_HIT_RATIO: &str = "x0";
 pub(super) const LOAD_LINK: &str = "x1";
 
-/// The outcome of an attempt by the status of its answer; `None` for an unknown status.
+/// The outcome of an attempt with this answer status; `None` if the status is unknown.
 pub(super) fn outcome(status: &[u8]) -> Option<Outcome> {
     Some(match status {
         b"OK" | STATUS_NOT_MODIFIED => Outcome::Served,
@@ -56,7 +56,7 @@
     })
 }
 
-/// How the server came by its answer; an unknown word says nothing.
+/// How the server obtained its answer; [`Remark::None`] if the word is unknown.
 pub(super) fn remark(word: &[u8]) -> Remark {
     match word {
         b"hit" => Remark::Hit,
