--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Follows discovery: hands on its events in order, none twice and none left out.
+//! Follows the discovery service, and forwards its events to the decider in order, each exactly
+//! once.
 
 use crate::clock::Clock;
 use crate::discovery_events::{
@@ -17,75 +18,77 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// Discovery sends its last number each second: after this long without it the connection is dead.
-/// What a silent discovery service holds back counts as known 4 s after it stopped.
-const SILENCE: Duration = Duration::from_millis(1800);
-/// A service that is slow to begin would never be read if each watch were given up before its first
-/// line: the oldest silent watch is kept open for so long, beside newer ones.
-const SLOW_START: Duration = Duration::from_millis(7200);
+/// The time without a heartbeat after which a connection counts as dead. Discovery sends the number
+/// of its last event each second. Events that a silent service withholds count as known to this
+/// router 4 s after it stopped.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// How long the oldest watch without a first line is kept open beside newer ones. If every watch
+/// were closed after [`SILENCE_TIMEOUT`], a service that is slow to respond would never be read.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(7200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The backoff between attempts to connect: at first, and at most.
-const INITIAL_PAUSE: Duration = Duration::from_millis(20);
-const MAX_PAUSE: Duration = Duration::from_millis(320);
-/// A list of all servers fits well into this.
+/// The initial and the maximum backoff between attempts to connect.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(320);
+/// The maximum length of a line; a list of all servers is much shorter.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// Why a watch has ended, or could not begin.
+/// The reason for which a watch ended or could not be opened.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error("the router has ended")]
     RouterEnded,
-    #[error("no connection in time")]
+    #[error("connecting timed out")]
     ConnectTimeout,
-    #[error("silent")]
+    #[error("no response in time")]
     Silent,
-    #[error("silent, or nothing new")]
+    #[error("no current event or heartbeat in time")]
     NothingNew,
-    #[error("closed, or a line too long")]
+    #[error("connection closed, or line too long")]
     IncompleteLine,
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    #[error("not JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    #[error("an event without a number")]
+    #[error("event without a number")]
     Unnumbered,
-    #[error("at {number}, {last} came last")]
+    #[error("heartbeat {number} is ahead of the last event received, {last}")]
     Missed { number: u64, last: u64 },
-    #[error("event {number} after {last}")]
+    #[error("event {number} received after event {last}")]
     Gap { number: u64, last: u64 },
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// The actor that follows discovery.
+/// The actor that follows the discovery service.
 pub struct Discovery {
-    /// Where the service is.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// The number of the last event that was handed on.
+    /// The number of the last event that was forwarded.
     pub last_event: u64,
-    /// An event that could not be read: it is asked for once more, then skipped, lest it hide all
-    /// after it.
+    /// An event that could not be parsed. It is requested once more and then skipped, so that it
+    /// does not block all later events.
     pub unreadable_event: Option<u64>,
-    /// The names that events use.
+    /// The names to which events refer.
     pub names: DeploymentNames,
     /// The router's clock.
     pub clock: Clock,
-    /// Bounds the stamps of the events.
+    /// Bounds the timestamps of the events.
     pub event_times: EventTimes,
-    /// Where events go.
+    /// The channel on which the decider receives events.
     pub decider: mpsc::Sender<DiscoveryEvent>,
-    /// Jitter: spreads the attempts of a whole fleet that lost its discovery service at one moment.
+    /// The source of jitter, which spreads the reconnects of a fleet that has lost its discovery
+    /// service at once.
     pub random: fastrand::Rng,
-    /// The descriptor of the next connection, reserved before the first client comes: when idle
-    /// clients have taken all others, the list could otherwise be followed only after they have
-    /// gone.
+    /// A descriptor that is reserved for the next connection before the first client is accepted.
+    /// Otherwise, when idle clients use all descriptors, reconnecting would have to wait until they
+    /// leave.
     pub spare_socket: Option<TcpSocket>,
 }
 
-/// A descriptor to connect to an address with.
+/// Creates a socket to connect to an address with.
 ///
 /// # Errors
-/// The system has none left.
+/// The system has no descriptor left.
 pub fn socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
     retry_at_once(|| {
         if address.is_ipv4() {
@@ -96,36 +99,36 @@
     })
 }
 
-/// What a configuration that was read again says of discovery.
+/// The discovery settings of a reloaded configuration.
 pub struct NewDiscovery {
-    /// Where the service is.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// The events in the configuration.
+    /// The events in the configuration file.
     pub known_events: Vec<NumberedEvent>,
 }
 
-/// What a line of discovery shows.
+/// The state of the discovery service that a line indicates.
 enum Progress {
-    /// Discovery is not behind this router.
+    /// The service is up to date with this router.
     Current,
-    /// It repeats what the router has.
+    /// The service is behind: it sent what the router already has.
     Behind,
 }
 
-/// What survives from one watch to the next.
+/// The state that is kept from one watch to the next.
 struct WatchState {
-    /// Before the next attempt to connect.
-    pause: Duration,
-    /// An earlier watch that has not sent anything yet.
+    /// The time before the next attempt to connect.
+    backoff: Duration,
+    /// An earlier watch on which nothing has been received yet.
     silent_watch: Option<Watch>,
-    /// The error that was logged last: while the service is down each attempt fails alike.
+    /// The last logged error; repetitions, as while the service is down, are logged at debug level.
     logged_error: String,
 }
 
 impl WatchState {
     fn new() -> WatchState {
         WatchState {
-            pause: INITIAL_PAUSE,
+            backoff: INITIAL_BACKOFF,
             silent_watch: None,
             logged_error: String::new(),
         }
@@ -133,19 +136,19 @@
 }
 
 impl Discovery {
-    /// Follows discovery until the decider has ended.
+    /// Follows discovery until the decider ends.
     pub async fn run(mut self, mut reconfigured: mpsc::Receiver<NewDiscovery>) {
         let mut state = WatchState::new();
         while !self.decider.is_closed() {
             let last_before = self.last_event;
             let ended = tokio::select! {
                 biased;
-                // Whatever the old service is doing: nothing more comes of it, perhaps without a
-                // close.
+                // This takes priority over whatever the old service does: it may have stopped
+                // without closing the connection.
                 Some(new) = reconfigured.recv() => Err(new),
                 error = self.follow(&mut state) => Ok(error),
             };
-            // The descriptor is reserved again before any other task runs.
+            // The descriptor is reserved again before another task can take it.
             self.spare_socket = socket(self.address).ok();
             match ended {
                 Ok(error) => {
@@ -156,7 +159,7 @@
                 }
                 Err(new) => {
                     self.reconfigure(new).await;
-                    (state.pause, state.silent_watch) = (INITIAL_PAUSE, None);
+                    (state.backoff, state.silent_watch) = (INITIAL_BACKOFF, None);
                 }
             }
         }
@@ -176,7 +179,7 @@
         state.logged_error = reason;
     }
 
-    /// Waits before the next attempt, but not past a new configuration.
+    /// Waits before the next attempt, or until a new configuration is received.
     async fn back_off(
         &mut self,
         state: &mut WatchState,
@@ -184,7 +187,7 @@
         reconfigured: &mut mpsc::Receiver<NewDiscovery>,
     ) {
         if has_progressed {
-            state.pause = INITIAL_PAUSE;
+            state.backoff = INITIAL_BACKOFF;
         }
         tokio::select! {
             biased;
@@ -192,14 +195,14 @@
                 self.reconfigure(new).await;
                 state.silent_watch = None;
             }
-            () = sleep(self.with_jitter(state.pause)) => {}
+            () = sleep(self.with_jitter(state.backoff)) => {}
         }
-        state.pause = (state.pause * 2).min(MAX_PAUSE);
+        state.backoff = (state.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// At most so long, and at least half of it: each router by its own seed.
-    fn with_jitter(&mut self, pause: Duration) -> Duration {
-        pause.mul_f64(1.0 - self.random.f64() / 2.0)
+    /// Reduces a backoff randomly by up to half.
+    fn with_jitter(&mut self, backoff: Duration) -> Duration {
+        backoff.mul_f64(1.0 - self.random.f64() / 2.0)
     }
 
     async fn reconfigure(&mut self, new: NewDiscovery) {
@@ -209,18 +212,19 @@
         self.address = new.address;
         self.event_times.interrupted();
         for event in new.known_events {
-            // Past a gap the service itself sends what is between.
+            // After a gap, the service itself sends the missing events.
             if event.number == self.last_event + 1 && self.forward(event).await.is_err() {
                 return;
             }
         }
         log::info!(
             address:% = self.address, last_event = self.last_event;
-            "discovery: reconfigured"
+            "discovery: configuration reloaded"
         );
     }
 
-    /// Hands an event on. Cancelled while it waits, it has handed on nothing and counts nothing.
+    /// Forwards an event to the decider. If cancelled while it waits, the event is not forwarded and
+    /// does not count as received.
     async fn forward(&mut self, event: NumberedEvent) -> Result<(), WatchError> {
         let slot = self.decider.reserve().await;
         let slot = slot.map_err(|_| WatchError::RouterEnded)?;
@@ -233,7 +237,7 @@
         Ok(())
     }
 
-    /// Connects, and hands on what comes, until that fails.
+    /// Connects and forwards events until an error occurs.
     async fn follow(&mut self, state: &mut WatchState) -> WatchError {
         let Err(error) = self.try_follow(state).await;
         error
@@ -243,19 +247,19 @@
         self.event_times.interrupted();
         let watch = self.watch().await?;
         let mut watch = Watch::first_to_respond(watch, &mut state.silent_watch).await?;
-        // Only what shows that nothing newer is held back counts: a service that stays behind, or
-        // goes on with what it sent before, is worth as little as a silent one.
+        // Only lines that show that no newer event is withheld count. A service that stays behind or
+        // repeats old events is treated like a silent one.
         let mut current_at = watch.opened_at;
         loop {
             if let Progress::Current = self.process_line(&watch.line).await? {
-                (current_at, state.pause) = (Instant::now(), INITIAL_PAUSE);
+                (current_at, state.backoff) = (Instant::now(), INITIAL_BACKOFF);
             }
-            let line = timeout_at(current_at + SILENCE, watch.next()).await;
+            let line = timeout_at(current_at + SILENCE_TIMEOUT, watch.next_line()).await;
             line.map_err(|_| WatchError::NothingNew)??;
         }
     }
 
-    /// Connects, and asks for all events after the last.
+    /// Connects, and requests all events after the last one received.
     async fn watch(&mut self) -> Result<Watch, WatchError> {
         let spare = self.spare_socket.take();
         let socket = spare.map_or_else(|| socket(self.address), Ok)?;
@@ -284,7 +288,7 @@
         }
     }
 
-    /// The service sends the number of its last event.
+    /// Processes a heartbeat: the number of the last event of the service.
     fn process_heartbeat(&mut self, number: u64) -> Result<Progress, WatchError> {
         let last = self.last_event;
         if number > last {
@@ -294,7 +298,7 @@
             return Ok(Progress::Behind);
         }
         self.event_times.nothing_newer();
-        // Where the mailbox is full the next heartbeat will do.
+        // If the mailbox is full, the next heartbeat is sufficient.
         let _ = self.decider.try_send(DiscoveryEvent::UpToDate);
         Ok(Progress::Current)
     }
@@ -312,7 +316,10 @@
         let event = match parse_event(value, &self.names, &self.clock) {
             Ok(event) => event,
             Err(error) if self.unreadable_event == Some(number) => {
-                log::warn!(event = number, reason:% = error; "discovery: an event is skipped");
+                log::warn!(
+                    event = number, reason:% = error;
+                    "discovery: skipping an event that cannot be parsed"
+                );
                 NumberedEvent {
                     number,
                     event: None,
@@ -328,22 +335,22 @@
     }
 }
 
-/// One connection on which discovery has been asked for events.
+/// A connection on which events have been requested from discovery.
 struct Watch {
     lines: BufReader<Uninterrupted<TcpStream>>,
-    /// The last line, or the beginning of the next.
+    /// The last line, or the received part of the next one.
     line: Vec<u8>,
     opened_at: Instant,
 }
 
 impl Watch {
-    /// Waits for the next line. Cancelled while it waits, it keeps what has come of it.
-    async fn next(&mut self) -> Result<(), WatchError> {
+    /// Waits for the next line. If cancelled, the received part of the line is kept.
+    async fn next_line(&mut self) -> Result<(), WatchError> {
         if self.line.last() == Some(&b'\n') {
             self.line.clear();
         }
-        let room = MAX_LINE_BYTES - self.line.len() as u64;
-        let mut bounded = (&mut self.lines).take(room);
+        let remaining = MAX_LINE_BYTES - self.line.len() as u64;
+        let mut bounded = (&mut self.lines).take(remaining);
         bounded.read_until(b'\n', &mut self.line).await?;
         if self.line.last() == Some(&b'\n') {
             Ok(())
@@ -352,24 +359,24 @@
         }
     }
 
-    /// Waits for the first line of a new watch, or of an earlier one that has been silent so far.
+    /// Waits for the first line of a new watch, or of an earlier one that has not responded yet.
     async fn first_to_respond(
         mut new: Watch,
         earlier: &mut Option<Watch>,
     ) -> Result<Watch, WatchError> {
-        let give_up_at = new.opened_at + SILENCE;
+        let response_deadline = new.opened_at + SILENCE_TIMEOUT;
         loop {
             let earlier_line = tokio::select! {
                 biased;
-                line = Watch::next_of(earlier) => line,
-                line = new.next() => {
+                line = Watch::next_line_of(earlier) => line,
+                line = new.next_line() => {
                     line?;
                     *earlier = None;
                     return Ok(new);
                 }
-                () = sleep_until(give_up_at) => {
-                    let is_given_up = |watch: &Watch| watch.opened_at.elapsed() >= SLOW_START;
-                    if earlier.as_ref().is_none_or(is_given_up) {
+                () = sleep_until(response_deadline) => {
+                    let is_expired = |watch: &Watch| watch.opened_at.elapsed() >= FIRST_LINE_TIMEOUT;
+                    if earlier.as_ref().is_none_or(is_expired) {
                         *earlier = Some(new);
                     }
                     return Err(WatchError::Silent);
@@ -381,9 +388,9 @@
         }
     }
 
-    async fn next_of(watch: &mut Option<Watch>) -> Result<(), WatchError> {
+    async fn next_line_of(watch: &mut Option<Watch>) -> Result<(), WatchError> {
         match watch {
-            Some(watch) => watch.next().await,
+            Some(watch) => watch.next_line().await,
             None => std::future::pending().await,
         }
     }
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn discovery(seed: u64) -> Discovery {
+fn new_discovery(seed: u64) -> Discovery {
     let (decider, _) = mpsc::channel(1);
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let names = DeploymentNames {
@@ -23,27 +23,27 @@
     }
 }
 
-/// A fleet that lost its discovery service in one moment does not come back to it in one.
+/// The routers of a fleet that has lost its discovery service do not all reconnect at once.
 #[test]
-fn routers_come_again_at_times_of_their_own() {
-    let pause = Duration::from_millis(320);
+fn reconnects_of_different_routers_are_spread_by_jitter() {
+    let backoff = Duration::from_millis(320);
     let mut tenths = [0; 10];
     for seed in 0..300 {
-        let wait = discovery(seed).with_jitter(pause);
-        assert!(wait > pause / 2 && wait <= pause, "{wait:?}");
-        tenths[((wait - pause / 2).as_secs_f64() / 0.160 * 9.999) as usize] += 1;
+        let wait = new_discovery(seed).with_jitter(backoff);
+        assert!(wait > backoff / 2 && wait <= backoff, "{wait:?}");
+        tenths[((wait - backoff / 2).as_secs_f64() / 0.160 * 9.999) as usize] += 1;
     }
     assert!(tenths.iter().all(|n| (12..=60).contains(n)), "{tenths:?}");
 }
 
-/// An event has been read and finds the decider's mailbox full; then a new file comes. It is passed
-/// by neither half: the new service tells it, or the new file, and it is passed once.
+/// The configuration is reloaded while an event waits for space in the decider's mailbox. The event
+/// is then forwarded exactly once, from the new service or from the new file.
 #[tokio::test(flavor = "current_thread")]
-async fn an_event_half_passed_as_a_new_file_comes_is_passed_once() {
+async fn an_event_interrupted_by_a_reload_is_forwarded_once() {
     use tokio::net::{TcpListener, TcpStream};
     use tokio::task::{LocalSet, spawn_local, yield_now};
 
-    async fn watched(listener: &TcpListener) -> (BufReader<TcpStream>, String) {
+    async fn accept_watch(listener: &TcpListener) -> (BufReader<TcpStream>, String) {
         let (stream, _) = listener.accept().await.unwrap();
         let (mut stream, mut line) = (BufReader::new(stream), String::new());
         stream.read_line(&mut line).await.unwrap();
@@ -52,33 +52,33 @@
     fn purge(number: u64) -> String {
         format!("{{\"rev\":{number},\"flush\":{{\"collection\":{number},\"ms\":5}}}}\n")
     }
-    let inside = |file_knows: bool| async move {
+    let test = |is_in_file: bool| async move {
         let (a, b) = (
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             TcpListener::bind("127.0.0.1:0"),
         );
         let b = b.await.unwrap();
-        let (decider, mut notices) = mpsc::channel(1);
+        let (decider, mut events) = mpsc::channel(1);
         let address = a.local_addr().unwrap();
         let (reconfigure, reconfigured) = mpsc::channel(1);
         spawn_local(
             Discovery {
                 address,
                 decider,
-                ..discovery(1)
+                ..new_discovery(1)
             }
             .run(reconfigured),
         );
-        let (mut old, line) = watched(&a).await;
+        let (mut old, line) = accept_watch(&a).await;
         assert_eq!(line, "watch 0\n");
-        // Both in one piece: when the first is seen here, the second waits for its place.
+        // Both are sent at once: when the first is in the channel, the second waits for space.
         old.write_all([purge(1), purge(2)].concat().as_bytes())
             .await
             .unwrap();
-        while notices.is_empty() {
+        while events.is_empty() {
             yield_now().await;
         }
-        let known = if file_knows {
+        let file_events = if is_in_file {
             vec![NumberedEvent {
                 number: 2,
                 event: Some(DiscoveryEvent::Purge {
@@ -93,157 +93,156 @@
         reconfigure
             .send(NewDiscovery {
                 address: b.local_addr().unwrap(),
-                known_events: known,
+                known_events: file_events,
             })
             .await
             .unwrap();
         let mut groups = Vec::new();
-        let mut take = |notice| match notice {
+        let mut take = |event| match event {
             Some(DiscoveryEvent::Purge { group, .. }) => groups.push(group),
             Some(_) => {}
-            None => panic!("it has ended"),
+            None => panic!("discovery has ended"),
         };
-        if file_knows {
-            take(notices.recv().await);
-            take(notices.recv().await);
+        if is_in_file {
+            take(events.recv().await);
+            take(events.recv().await);
         }
-        let (mut new, line) = watched(&b).await;
-        assert_eq!(line, if file_knows { "watch 2\n" } else { "watch 1\n" });
+        let (mut new, line) = accept_watch(&b).await;
+        assert_eq!(line, if is_in_file { "watch 2\n" } else { "watch 1\n" });
         new.write_all([purge(2), purge(3)].concat().as_bytes())
             .await
             .unwrap();
         while groups.last() != Some(&3) {
-            let Some(DiscoveryEvent::Purge { group, .. }) = notices.recv().await else {
+            let Some(DiscoveryEvent::Purge { group, .. }) = events.recv().await else {
                 panic!("not a purge")
             };
             groups.push(group);
         }
         assert_eq!(groups, [1, 2, 3]);
     };
-    for file_knows in [false, true] {
-        LocalSet::new().run_until(inside(file_knows)).await;
+    for is_in_file in [false, true] {
+        LocalSet::new().run_until(test(is_in_file)).await;
     }
 }
 
-/// Turns of all tasks, so many that the system's events are looked at several times.
-async fn turns() {
+/// Lets all tasks run, often enough that the runtime polls for I/O several times.
+async fn run_other_tasks() {
     for _ in 0..256 {
         tokio::task::yield_now().await;
     }
 }
 
-/// What the router is told next, with no time passing.
-async fn noticed(notices: &mut mpsc::Receiver<DiscoveryEvent>) -> DiscoveryEvent {
+/// Receives the next event of the decider without letting paused time advance.
+async fn next_event(events: &mut mpsc::Receiver<DiscoveryEvent>) -> DiscoveryEvent {
     loop {
-        match notices.try_recv() {
-            Ok(notice) => return notice,
+        match events.try_recv() {
+            Ok(event) => return event,
             Err(mpsc::error::TryRecvError::Empty) => tokio::task::yield_now().await,
-            Err(mpsc::error::TryRecvError::Disconnected) => panic!("it has ended"),
+            Err(mpsc::error::TryRecvError::Disconnected) => panic!("discovery has ended"),
         }
     }
 }
 
-/// Time stands still but where the test moves it: an hour in which a service says its last number
-/// each second, then a minute in which it shuts each connection at once, then its return with a
-/// drain. The hour leaves nothing behind, the minute brings no storm, and the drain is passed on
-/// with the first watch.
+/// Time is paused and advanced by the test: the service sends heartbeats for an hour, closes each
+/// connection at once for a minute, and then returns with a drain. There is no reconnect in the hour
+/// and no reconnect storm in the minute, and the drain is forwarded with the first watch.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn an_hour_of_quiet_and_a_minute_down_end_in_one_watch_that_is_heard_at_once() {
+async fn a_drain_after_an_idle_hour_and_a_minute_of_outage_is_forwarded_at_once() {
     use std::io::Write;
     use tokio::time::advance;
 
-    const STEP: Duration = Duration::from_millis(10);
-    let inside = async {
+    const TIME_STEP: Duration = Duration::from_millis(10);
+    let test = async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (decider, mut notices) = mpsc::channel(64);
+        let (decider, mut events) = mpsc::channel(64);
         let (_reconfigure, reconfigured) = mpsc::channel(1);
         tokio::task::spawn_local(
             Discovery {
                 address,
                 decider,
-                ..discovery(1)
+                ..new_discovery(1)
             }
             .run(reconfigured),
         );
-        turns().await;
+        run_other_tasks().await;
         let (mut stream, _) = listener.accept().unwrap();
         listener.set_nonblocking(true).unwrap();
         for _ in 0..3600 {
             stream.write_all(b"0\n").unwrap();
             assert!(matches!(
-                noticed(&mut notices).await,
+                next_event(&mut events).await,
                 DiscoveryEvent::UpToDate
             ));
             advance(Duration::from_secs(1)).await;
         }
         assert!(
             listener.accept().is_err(),
-            "watched again in the quiet hour"
+            "reconnected during the idle hour"
         );
 
         drop(stream);
         let mut tries = 0;
         for _ in 0..6000 {
-            turns().await;
+            run_other_tasks().await;
             tries += std::iter::from_fn(|| listener.accept().ok()).count();
-            advance(STEP).await;
+            advance(TIME_STEP).await;
         }
-        // Pauses of 160 to 320 ms, but for the first few.
-        assert!((150..=385).contains(&tries), "{tries} tries in a minute");
+        // The backoff is 160 to 320 ms, except for the first few attempts.
+        assert!((150..=385).contains(&tries), "{tries} connects in a minute");
 
-        let back = Instant::now();
+        let recovered_at = Instant::now();
         let mut stream = loop {
-            turns().await;
+            run_other_tasks().await;
             if let Ok((stream, _)) = listener.accept() {
                 break stream;
             }
-            advance(STEP).await;
+            advance(TIME_STEP).await;
             assert!(
-                back.elapsed() <= MAX_PAUSE + STEP,
-                "no watch {:?} after its return",
-                back.elapsed()
+                recovered_at.elapsed() <= MAX_BACKOFF + TIME_STEP,
+                "no watch {:?} after the service returned",
+                recovered_at.elapsed()
             );
         };
         let drain = "{\"rev\":1,\"pool\":{\"hosts\":[{\"host\":\"c1\",\"dial\":\"127.0.0.1:9\",\
             \"site\":\"here\",\"class\":\"cache\",\"health\":\"leaving\"}]}}\n";
         stream.write_all(drain.as_bytes()).unwrap();
         assert!(matches!(
-            noticed(&mut notices).await,
+            next_event(&mut events).await,
             DiscoveryEvent::List { .. }
         ));
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// What discovery said last on the same connection bounds the stamp of an event; at the start, and
-/// after a connection was lost, nothing does.
+/// An event counts as no earlier than the previous heartbeat or event on its connection. At the
+/// start there is no such bound; after a lost connection an event counts as of its arrival.
 #[tokio::test(flavor = "current_thread")]
-async fn the_last_word_on_a_connection_bounds_the_stamps_that_follow_on_it() {
+async fn a_heartbeat_bounds_the_timestamps_of_later_events_on_its_connection() {
     use tokio::net::TcpListener;
     use tokio::task::{LocalSet, spawn_local};
 
     const HOUR_MS: u64 = 3_600_000;
 
-    let inside = async {
+    let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (decider, mut notices) = mpsc::channel(4);
-        let watcher = Discovery {
+        let (decider, mut events) = mpsc::channel(4);
+        let discovery = Discovery {
             address: listener.local_addr().unwrap(),
             decider,
-            ..discovery(1)
+            ..new_discovery(1)
         };
-        let clock = watcher.clock;
+        let clock = discovery.clock;
         let (_reconfigure, reconfigured) = mpsc::channel(1);
-        spawn_local(watcher.run(reconfigured));
+        spawn_local(discovery.run(reconfigured));
         let hour_ago = clock.unix_ms(clock.now()) - HOUR_MS;
         let event = |number: u64| {
             format!("{{\"rev\":{number},\"flush\":{{\"collection\":7,\"ms\":{hour_ago}}}}}\n")
         };
-        let mut counts_as = async |said: String, stream: &mut tokio::net::TcpStream| {
-            stream.write_all(said.as_bytes()).await.unwrap();
+        let mut bounded_ms = async |lines: String, stream: &mut tokio::net::TcpStream| {
+            stream.write_all(lines.as_bytes()).await.unwrap();
             loop {
-                match notices.recv().await.expect("it goes on") {
+                match events.recv().await.expect("discovery has ended") {
                     DiscoveryEvent::Purge { ms, .. } => return ms,
                     DiscoveryEvent::UpToDate => {}
                     _ => panic!("not a purge"),
@@ -252,22 +251,25 @@
         };
         let (mut first, _) = listener.accept().await.unwrap();
         assert_eq!(
-            counts_as(event(1), &mut first).await,
+            bounded_ms(event(1), &mut first).await,
             hour_ago,
             "at the start"
         );
         let before = clock.unix_ms(clock.now());
         assert!(
-            counts_as(format!("1\n{}", event(2)), &mut first).await >= before,
-            "live"
+            bounded_ms(format!("1\n{}", event(2)), &mut first).await >= before,
+            "after a heartbeat"
         );
         assert!(
-            counts_as(event(3), &mut first).await >= before,
-            "behind a live event"
+            bounded_ms(event(3), &mut first).await >= before,
+            "after an event"
         );
         drop(first);
         let (mut second, _) = listener.accept().await.unwrap();
-        assert!(counts_as(event(4), &mut second).await >= before, "replayed");
+        assert!(
+            bounded_ms(event(4), &mut second).await >= before,
+            "after a lost connection"
+        );
     };
-    LocalSet::new().run_until(inside).await;
+    LocalSet::new().run_until(test).await;
 }
--- a/crates/router/src/discovery_events.rs
+++ b/crates/router/src/discovery_events.rs
@@ -1,4 +1,4 @@
-//! Parses the events of discovery: changes of the list of servers, and purges. No I/O.
+//! Parses the events of discovery, which are server list changes and purges, without I/O.
 
 use crate::cell_routing::Plan;
 use crate::clock::Clock;
@@ -8,106 +8,106 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The names by which discovery calls zones and kinds of servers, from the settings.
+/// The names of zones and kinds of servers in the settings, to which discovery refers.
 #[derive(Clone, Debug, Default)]
 pub struct DeploymentNames {
     /// The zones, by index.
     pub zones: Vec<String>,
     /// The kinds of servers, by index.
     pub kinds: Vec<String>,
-    /// The kind that is a parent cache.
+    /// The index of the kind of parent caches.
     pub parent: Option<u64>,
-    /// The kind that is the origin.
+    /// The index of the kind of origins.
     pub origin: Option<u64>,
 }
 
-/// A server in the list, and where it is reached.
+/// An entry of the server list.
 #[derive(Debug)]
 pub struct DiscoveredServer {
-    /// The server as the decisions see it.
+    /// The server as the routing logic sees it.
     pub member: Member,
     /// Its address.
     pub address: SocketAddr,
 }
 
-/// Something that changed while the router runs.
+/// A change at run time.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
-    /// Not of discovery: these zones are drained by the operator's file.
+    /// The zones that the operator's file drains. This event does not come from discovery.
     Drained(Vec<usize>),
-    /// Servers were listed, or changed.
+    /// A list of servers, or changes to it.
     List {
-        /// Servers that are not among these have left.
+        /// Whether the list is complete: servers that are not in it have left.
         whole: bool,
         /// The servers.
         servers: Vec<DiscoveredServer>,
     },
-    /// Copies were purged.
+    /// A purge of copies.
     Purge {
-        /// Of this object, or of a whole group.
+        /// The purged object; `None` if a group is purged.
         object: Option<Id>,
         /// The group.
         group: u64,
-        /// When, in Unix milliseconds.
+        /// The time of the purge, in Unix milliseconds.
         ms: u64,
     },
-    /// Discovery has nothing newer than what it has sent.
+    /// Discovery has sent all of its events.
     UpToDate,
-    /// Not of discovery: the operator's file has another map of cells.
+    /// A new cell map from the operator's file. This event does not come from discovery.
     Cells(Box<Plan>),
 }
 
 /// A numbered event of discovery.
 #[derive(Debug)]
 pub struct NumberedEvent {
-    /// Its number; events count up by one.
+    /// The number of the event; the numbers are consecutive.
     pub number: u64,
-    /// The event; none where it is of a kind that this router does not know.
+    /// The event; `None` if this router does not know its kind.
     pub event: Option<DiscoveryEvent>,
 }
 
-/// Why an event cannot be read.
+/// The error if an event cannot be parsed.
 #[derive(Debug, Error)]
 pub enum EventError {
-    /// A key is missing or holds something else.
+    /// A key is missing or has a value of another type.
     #[error("{key} is not {expected}")]
     Unexpected {
-        /// The key at fault.
+        /// The invalid key.
         key: &'static str,
-        /// What it is to hold.
+        /// The expected value.
         expected: &'static str,
     },
-    /// A zone or a kind of server is not among those of the settings.
+    /// A zone or a kind of server is not in the settings.
     #[error("{key} {name:?} is not in the settings")]
     NotInSettings {
-        /// The key at fault.
+        /// The key.
         key: &'static str,
-        /// What it holds.
+        /// Its value.
         name: String,
     },
-    /// A server is in a state that this router does not know.
+    /// A server has an unknown health state.
     #[error("unknown health {0:?}")]
     UnknownHealth(String),
-    /// A server's address cannot be read.
+    /// The address of a server cannot be parsed.
     #[error("dial {0:?} is not an address")]
     NotAnAddress(String),
-    /// A purge says neither of which object nor of which group.
-    #[error("flush names neither asset nor collection")]
+    /// A purge has neither an object nor a group.
+    #[error("flush has neither asset nor collection")]
     PurgeWithoutTarget,
 }
 
-const WHOLE_NUMBER: &str = "a whole number";
+const UNSIGNED_INTEGER: &str = "a whole number";
 
 /// Parses one numbered event.
 ///
 /// # Errors
-/// What is missing in it, or cannot be read.
+/// A part of the event is missing or invalid.
 pub fn parse_event(
     event: &Value,
     names: &DeploymentNames,
     clock: &Clock,
 ) -> Result<NumberedEvent, EventError> {
-    let number = required(event, "rev", "rev", WHOLE_NUMBER, Value::as_u64)?;
+    let number = required(event, "rev", "rev", UNSIGNED_INTEGER, Value::as_u64)?;
     let event = match (event.get("pool"), event.get("flush")) {
         (Some(list), _) => Some(parse_list(list, names, clock)?),
         (None, Some(purge)) => Some(parse_purge(purge)?),
@@ -138,7 +138,7 @@
     Ok(DiscoveryEvent::Purge {
         object,
         group: group.unwrap_or(0),
-        ms: required(purge, "ms", "flush.ms", WHOLE_NUMBER, Value::as_u64)?,
+        ms: required(purge, "ms", "flush.ms", UNSIGNED_INTEGER, Value::as_u64)?,
     })
 }
 
@@ -183,17 +183,17 @@
     share.filter(|share| *share >= 0.0).unwrap_or(1.0)
 }
 
-/// When the server started; none where discovery does not know.
+/// The start time of the server; `None` if discovery does not know it.
 fn parse_start(host: &Value, clock: &Clock) -> Option<Duration> {
     let unix_ms = host.get("born_ms").and_then(Value::as_u64)?;
     (unix_ms > 0).then(|| clock.at_unix_ms(unix_ms))
 }
 
 fn text<'a>(host: &'a Value, key: &'static str) -> Result<&'a str, EventError> {
-    required(host, key, key, "a text", Value::as_str)
+    required(host, key, key, "a string", Value::as_str)
 }
 
-/// The index of the zone or kind that a key names.
+/// The index of the zone or kind that a key refers to.
 fn index_in(names: &[String], host: &Value, key: &'static str) -> Result<usize, EventError> {
     let name = text(host, key)?;
     let index = names.iter().position(|known| known == name);
@@ -203,7 +203,7 @@
     })
 }
 
-/// What a key holds, which must be there. `path`: the key as an operator knows it.
+/// The value of a required key. `path` is the key with its context, for error messages.
 fn required<'a, T>(
     object: &'a Value,
     key: &str,
--- a/crates/router/src/discovery_events/tests.rs
+++ b/crates/router/src/discovery_events/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn read(text: &str) -> Result<NumberedEvent, EventError> {
+fn parse(text: &str) -> Result<NumberedEvent, EventError> {
     parse_event(
         &serde_json::from_str(text).unwrap(),
         &names(),
@@ -22,17 +22,17 @@
     )
 }
 
-const HOST: &str = r#"{"rev":41,"pool":{"seq":7,"whole":true,"hosts":[{"host":"s-1","dial":"10.1.0.9:5050",
+const LIST_EVENT: &str = r#"{"rev":41,"pool":{"seq":7,"whole":true,"hosts":[{"host":"s-1","dial":"10.1.0.9:5050",
         "site":"east","class":"parent","block":2,"health":"leaving","share":4,"born_ms":0}]}}"#;
 
 #[test]
-fn lists_and_purges_are_read() {
+fn lists_and_purges_are_parsed() {
     let NumberedEvent {
         number,
         event: Some(DiscoveryEvent::List { whole, servers }),
-    } = read(HOST).unwrap()
+    } = parse(LIST_EVENT).unwrap()
     else {
-        panic!("no list")
+        panic!("not a list")
     };
     assert_eq!((number, whole, servers.len()), (41, true, 1));
     let DiscoveredServer { member, address } = &servers[0];
@@ -45,30 +45,30 @@
         (None, 5050, 4.0)
     );
     let Some(DiscoveryEvent::Purge { object, group, ms }) =
-        read(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#)
+        parse(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#)
             .unwrap()
             .event
     else {
-        panic!("no purge")
+        panic!("not a purge")
     };
     assert_eq!((object.as_deref(), group, ms), (Some("o"), 0, 5));
-    let unknown = read(r#"{"rev":3,"other":{}}"#).unwrap();
+    let unknown = parse(r#"{"rev":3,"other":{}}"#).unwrap();
     assert!(unknown.number == 3 && unknown.event.is_none());
 }
 
 #[test]
-fn faults_are_named() {
-    let faulty = [
-        (HOST.replace("east", "north"), "site"),
-        (HOST.replace("10.1.0.9:5050", "nowhere"), "dial"),
-        (HOST.replace("leaving", "odd"), "health"),
-        (HOST.replace(r#""host":"s-1","#, ""), "host"),
+fn errors_name_the_invalid_key() {
+    let invalid = [
+        (LIST_EVENT.replace("east", "north"), "site"),
+        (LIST_EVENT.replace("10.1.0.9:5050", "nowhere"), "dial"),
+        (LIST_EVENT.replace("leaving", "odd"), "health"),
+        (LIST_EVENT.replace(r#""host":"s-1","#, ""), "host"),
         (r#"{"rev":2,"flush":{"ms":5}}"#.into(), "asset"),
         (r#"{"flush":{"ms":5}}"#.into(), "rev"),
     ];
-    for (text, named) in faulty {
+    for (text, key) in invalid {
         assert!(
-            read(&text).unwrap_err().to_string().contains(named),
+            parse(&text).unwrap_err().to_string().contains(key),
             "{text}"
         );
     }
