--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -76,7 +76,7 @@
     fn has_capacity(&mut self) -> bool {
         let expected_bodies = self.dispatcher.expected_body_bytes_with_one_more();
         if let Some(local_cache) = &mut self.dispatcher.local_cache {
-            local_cache.make_room_for_bodies(expected_bodies);
+            local_cache.evict_for_bodies(expected_bodies);
         }
         expected_bodies <= self.max_body_bytes
             && self.dispatcher.requests.len() < self.limits.open_requests
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -1,5 +1,5 @@
-//! The local cache: copies that the router itself keeps, in memory and on disk. It stands between
-//! the store and the decisions, with names, clocks, bounds and threads.
+//! The router's own cache, with a memory tier and a disk tier. It connects the store with the routing
+//! logic: it translates names and times, limits memory use and runs the disk threads.
 
 mod open;
 mod report;
@@ -25,26 +25,27 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The names of the tiers as members of the list; no listed server's name begins with a colon.
-const MEMORY: &str = ":memory";
-const DISK: &str = ":disk";
-/// A purge that was made this long ago has been received: discovery cannot send what it does not
-/// know yet.
-const PURGE_DELAY: Duration = Duration::from_secs(10);
-/// Purges remembered while the disk is still being opened; a list at the start holds fewer.
+/// The names of the tiers as members of the list. Names of listed servers do not begin with a colon.
+const MEMORY_TIER: &str = ":memory";
+const DISK_TIER: &str = ":disk";
+/// Once discovery has sent all of its events, purges that are older than this have been received.
+/// Younger ones may not have reached discovery yet.
+const MAX_PURGE_DELAY: Duration = Duration::from_secs(10);
+/// The limit on purges that are remembered while the disk is being opened. The events known at the
+/// start contain fewer.
 const MAX_EARLY_PURGES: usize = 4096;
-/// A purge does not reach copies of a clock that was further ahead than this: a day.
-const MAX_PURGE_LEAD_MS: u64 = 24 * 3600 * 1000;
+/// The limit on the clock lead by which purges are extended to copies of an earlier start: a day.
+const MAX_CLOCK_LEAD_MS: u64 = 24 * 3600 * 1000;
 
-/// A purge as it was received: of an object or of a group, in Unix milliseconds of this start's
-/// clock.
+/// A purge of an object or a group as it was received. `ms` is in Unix milliseconds by the clock of
+/// this start.
 struct Purge {
     object: Option<Id>,
     group: u64,
     ms: u64,
 }
 
-/// A class of requests, with its name.
+/// A class of requests and its name.
 struct NamedClass {
     name: Bytes,
     class: Class,
@@ -53,32 +54,33 @@
 /// The router's own cache.
 pub struct LocalCache {
     store: Store,
-    shelf: Shelf,
+    disk_io: Shelf,
     clock: Clock,
-    /// Bounds the times at which copies were made.
+    /// Bounds the times at which copies were created.
     copy_times: CopyTimes,
-    /// By how many milliseconds the wall clock was set back since an earlier start wrote to the
-    /// disk; known once that is open.
+    /// The milliseconds by which the wall clock was set back since an earlier start wrote to the disk.
+    /// Known once the disk is open.
     set_back_ms: Arc<AtomicU64>,
-    /// Purges that came before, to be applied again then.
+    /// Purges received before the disk was open, which are applied again then if the clock was set
+    /// back.
     early_purges: Vec<Purge>,
     classes: Vec<NamedClass>,
     /// The members of the list that stand for memory and disk.
     tiers: [Id; 2],
-    /// Bytes that bodies and cached copies may fill together.
+    /// The bytes that bodies and cached copies may use together.
     usable_memory: u64,
-    /// How many answers the router's link carries at once.
-    link_answers: f64,
+    /// The number of answers that the router's link can carry at once.
+    link_capacity: f64,
     random: fastrand::Rng,
-    /// Reads from disk that attempts wait for, by ticket.
-    waiting_reads: HashMap<u64, AttemptId>,
+    /// The attempts that wait for a read from disk, by ticket.
+    pending_reads: HashMap<u64, AttemptId>,
 }
 
-/// How an attempt at the local cache ended.
+/// The result of an attempt at the local cache.
 pub struct AttemptResult {
-    /// Its outcome.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The answer, where there is one.
+    /// The answer, if there is one.
     pub answer: Option<Box<Answer>>,
 }
 
@@ -91,24 +93,24 @@
     }
 }
 
-/// A read from disk that an attempt waited for.
+/// A completed read from disk that an attempt waited for.
 pub struct CompletedRead {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What was read.
+    /// The result of the read.
     pub fetched: Fetched,
 }
 
-/// A request of the local cache itself, by which it learns whether a copy is still current.
+/// A request of the local cache itself that checks whether a copy is still current.
 pub struct Revalidation {
-    /// The request as the decisions see it.
+    /// The request as the routing logic sees it.
     pub arrival: Arrival,
     /// The fields that are forwarded to the server.
     pub forwarded: ForwardedFields,
 }
 
 impl LocalCache {
-    /// The tiers that a request can be sent to, as members of the list.
+    /// The tiers of this cache, as members of the list.
     pub fn members(&self) -> Vec<Member> {
         let tiers = self
             .tiers
@@ -118,7 +120,7 @@
             server: server.clone(),
             tier: Tier::Own,
             standing: Standing::Active,
-            capacity: self.link_answers,
+            capacity: self.link_capacity,
             ..Member::default()
         };
         tiers.map(member).collect()
@@ -129,9 +131,11 @@
         self.tiers.contains(server)
     }
 
-    /// The copy that a request could be answered with. `have`: the tag of the client's own copy.
-    pub fn lookup(&mut self, arrival: &Arrival, have: Option<&Bytes>) -> Option<Held> {
-        let found = self.store.find(part(arrival), have.map(|tag| &tag[..]))?;
+    /// Looks up a copy to answer a request with. `client_etag` is the tag of the client's copy.
+    pub fn lookup(&mut self, arrival: &Arrival, client_etag: Option<&Bytes>) -> Option<Held> {
+        let found = self
+            .store
+            .find(part(arrival), client_etag.map(|tag| &tag[..]))?;
         let place = &self.tiers[usize::from(found.place == Place::Disk)];
         Some(Held {
             place: place.clone(),
@@ -140,21 +144,21 @@
         })
     }
 
-    /// Attempts to answer a request from a tier. None: the disk is being read, and the result comes
-    /// with [`LocalCache::take_completed_reads`].
+    /// Attempts to answer a request from a tier. Returns `None` if the disk has to be read: the result
+    /// is then returned by [`LocalCache::take_completed_reads`].
     pub fn attempt(
         &mut self,
         key: &AttemptId,
         server: &Id,
         arrival: &Arrival,
-        have: Option<&Bytes>,
+        client_etag: Option<&Bytes>,
     ) -> Option<AttemptResult> {
         let now = self.clock.now();
         if *server == self.tiers[1] {
-            // A disk whose mailboxes are full is as good as none.
-            return match self.store.fetch(now, part(arrival), &mut self.shelf) {
+            // A disk whose job queues are full counts as unreachable.
+            return match self.store.fetch(now, part(arrival), &mut self.disk_io) {
                 Some(ticket) => {
-                    self.waiting_reads.insert(ticket, key.clone());
+                    self.pending_reads.insert(ticket, key.clone());
                     None
                 }
                 None => Some(AttemptResult::without_answer(Outcome::Unreachable)),
@@ -162,22 +166,22 @@
         }
         let copy = self.store.take(now, part(arrival));
         Some(match copy {
-            Some(copy) => self.answer(&copy, arrival, have),
+            Some(copy) => self.answer(&copy, arrival, client_etag),
             None => AttemptResult::without_answer(Outcome::Missing),
         })
     }
 
-    /// Cancels an attempt that waits for the disk. False: it does not wait.
+    /// Cancels an attempt that waits for the disk. Returns false if it does not.
     pub fn cancel(&mut self, key: &AttemptId) -> bool {
         let Some(ticket) = self
-            .waiting_reads
+            .pending_reads
             .iter()
             .find(|(_, k)| *k == key)
             .map(|(ticket, _)| *ticket)
         else {
             return false;
         };
-        self.waiting_reads.remove(&ticket);
+        self.pending_reads.remove(&ticket);
         self.store
             .disk_mut()
             .into_iter()
@@ -185,33 +189,38 @@
         true
     }
 
-    /// The reads from disk that have ended.
+    /// Takes the completed reads from disk.
     pub fn take_completed_reads(&mut self) -> Vec<CompletedRead> {
-        let fetched = std::mem::take(&mut self.shelf.fetched);
+        let fetched = std::mem::take(&mut self.disk_io.fetched);
         fetched
             .into_iter()
             .filter_map(|(ticket, fetched)| {
-                let attempt = self.waiting_reads.remove(&ticket)?;
+                let attempt = self.pending_reads.remove(&ticket)?;
                 Some(CompletedRead { attempt, fetched })
             })
             .collect()
     }
 
-    /// How the attempt that waited for a read has ended.
+    /// The result of the attempt that waited for a read.
     pub fn read_result(
         &self,
         fetched: &Fetched,
         arrival: &Arrival,
-        have: Option<&Bytes>,
+        client_etag: Option<&Bytes>,
     ) -> AttemptResult {
         match fetched {
-            Fetched::Copy(copy) => self.answer(copy, arrival, have),
+            Fetched::Copy(copy) => self.answer(copy, arrival, client_etag),
             Fetched::Gone => AttemptResult::without_answer(Outcome::Missing),
             Fetched::Failed => AttemptResult::without_answer(Outcome::Unreachable),
         }
     }
 
-    fn answer(&self, copy: &Rc<Copy>, arrival: &Arrival, have: Option<&Bytes>) -> AttemptResult {
+    fn answer(
+        &self,
+        copy: &Rc<Copy>,
+        arrival: &Arrival,
+        client_etag: Option<&Bytes>,
+    ) -> AttemptResult {
         let age = self
             .clock
             .now()
@@ -220,7 +229,7 @@
             .classes
             .get(arrival.class)
             .and_then(|named| named.class.fresh);
-        let is_not_modified = have.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
+        let is_not_modified = client_etag.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
         let answer = Answer {
             id: Bytes::new(),
             outcome: Outcome::Served,
@@ -246,23 +255,22 @@
         }
     }
 
-    /// When a copy that a server has just sent was created at the latest; none: its stamp does not
-    /// say.
-    pub fn bound_created_at(&mut self, made: u64) -> Option<u64> {
-        self.copy_times.bound(&self.clock, made)
+    /// The latest time at which a copy that a server has just sent can have been created; `None` if
+    /// its timestamp gives no such bound.
+    pub fn bound_created_at(&mut self, created_at_unix_ms: u64) -> Option<u64> {
+        self.copy_times.bound(&self.clock, created_at_unix_ms)
     }
 
-    /// Keeps a server's answer, if it says when it was created: without that its age is not known
-    /// later.
-    pub fn insert(&mut self, arrival: &Arrival, answer: &Answer, rank: u8) {
+    /// Stores a server's answer. An answer without a creation time is not stored, because its age
+    /// would be unknown.
+    pub fn insert(&mut self, arrival: &Arrival, answer: &Answer, retention_priority: u8) {
         let Some(made) = answer.created_at_unix_ms.filter(|made| *made > 0) else {
             return;
         };
         let Some(NamedClass { name, class }) = self.classes.get(arrival.class) else {
             return;
         };
-        // Texts and bodies share larger buffers as they came, and would keep all of those in
-        // memory.
+        // The received bytes share larger buffers, all of which they would keep in memory.
         let copied = |bytes: &[u8]| Bytes::copy_from_slice(bytes);
         let copy = Copy {
             object: copied(arrival.object.as_bytes()),
@@ -276,37 +284,41 @@
             tag: answer.etag.as_deref().map(copied).unwrap_or_default(),
             body: copied(&answer.body),
         };
-        self.store
-            .keep(self.clock.now(), copy, rank, &mut self.shelf);
+        self.store.keep(
+            self.clock.now(),
+            copy,
+            retention_priority,
+            &mut self.disk_io,
+        );
     }
 
-    /// Changes how early a copy is evicted.
-    pub fn set_retention_priority(&mut self, arrival: &Arrival, rank: u8) {
-        self.store.rank(part(arrival), rank);
+    /// Sets the retention priority of a copy, which determines how early it is evicted.
+    pub fn set_retention_priority(&mut self, arrival: &Arrival, retention_priority: u8) {
+        self.store.rank(part(arrival), retention_priority);
     }
 
-    /// A server has answered: its tag shows whether a copy on disk from before the start is
+    /// Records the answer of a server: its tag shows whether a copy on disk from an earlier start is
     /// current.
     pub fn record_server_answer(
         &mut self,
         arrival: &Arrival,
         answer: &Answer,
-        have: Option<&Bytes>,
+        client_etag: Option<&Bytes>,
     ) {
         let tag = answer
             .etag
             .as_ref()
-            .or(have.filter(|_| answer.is_not_modified));
-        if let (Some(tag), Some(made), true) =
+            .or(client_etag.filter(|_| answer.is_not_modified));
+        if let (Some(tag), Some(created_at), true) =
             (tag, answer.created_at_unix_ms, self.store.disk().is_some())
         {
-            self.store.proven(part(arrival), tag, made);
-            self.store.disproven(part(arrival), &mut self.shelf);
+            self.store.proven(part(arrival), tag, created_at);
+            self.store.disproven(part(arrival), &mut self.disk_io);
         }
     }
 
-    /// Purges an object or a group. Where the clock was set back, the purge also reaches copies
-    /// stamped by the clock that was ahead, for when that comes back.
+    /// Purges an object or a group. If the clock was set back, the purge also covers copies that were
+    /// stamped while it was ahead, so that it still holds if the clock is set forward again.
     pub fn purge(&mut self, object: Option<&Id>, group: u64, ms: u64) {
         let is_opening = self
             .store
@@ -322,41 +334,44 @@
         let lead = self
             .set_back_ms
             .load(Ordering::Acquire)
-            .min(MAX_PURGE_LEAD_MS);
+            .min(MAX_CLOCK_LEAD_MS);
         let ms = ms.saturating_add(lead);
         self.store
-            .purge(object.map(|o| o.as_bytes()), group, ms, &mut self.shelf);
+            .purge(object.map(|o| o.as_bytes()), group, ms, &mut self.disk_io);
     }
 
-    /// Discovery has sent all that it has.
+    /// Records that discovery has sent all of its events.
     pub fn confirm_up_to_date(&mut self) {
         let ms = self
             .clock
-            .unix_ms(self.clock.now().saturating_sub(PURGE_DELAY));
+            .unix_ms(self.clock.now().saturating_sub(MAX_PURGE_DELAY));
         self.store
             .disk_mut()
             .into_iter()
             .for_each(|disk| disk.heard(ms));
     }
 
-    /// Evicts copies where bodies, in memory and expected, need their memory.
-    pub fn make_room_for_bodies(&mut self, bodies: f64) {
+    /// Evicts copies from memory to free it for bodies, both present and expected.
+    pub fn evict_for_bodies(&mut self, body_bytes: f64) {
         let tables = self.store.bytes() - self.store.memory().bytes();
-        let left = self.usable_memory.saturating_sub(bodies as u64 + tables);
-        if self.store.memory().bytes() > left {
-            self.store.give_way(left);
+        let capacity = self
+            .usable_memory
+            .saturating_sub(body_bytes as u64 + tables);
+        if self.store.memory().bytes() > capacity {
+            self.store.give_way(capacity);
         }
     }
 
-    /// An operation of the disk has ended.
+    /// Handles the end of a disk operation.
     pub fn complete_disk_operation(&mut self, end: End) {
         if let End::Opened { .. } = &end {
             self.apply_clock_step();
         }
-        self.shelf.ended(&mut self.store, self.clock.now(), end);
+        self.disk_io.ended(&mut self.store, self.clock.now(), end);
     }
 
-    /// The disk is open: what it holds of earlier starts is not trusted after a step back.
+    /// Called when the disk is open. If the clock was set back, copies from earlier starts are not
+    /// served before they are revalidated, and early purges are applied again.
     fn apply_clock_step(&mut self) {
         let early_purges = std::mem::take(&mut self.early_purges);
         if self.set_back_ms.load(Ordering::Acquire) == 0 {
@@ -371,15 +386,15 @@
         }
     }
 
-    /// Does the background work that is due. `late`: by how much the event loop came later than
-    /// planned.
+    /// Does the background work that is due. `late` is the delay of the event loop behind its
+    /// planned wake-up.
     pub fn tick(&mut self, late: Duration) {
         let now = self.clock.now();
         self.store
             .disk_mut()
             .into_iter()
             .for_each(|disk| disk.turn(now, late));
-        self.store.tick(now, &mut self.shelf);
+        self.store.tick(now, &mut self.disk_io);
     }
 
     /// When background work is due next.
@@ -387,9 +402,9 @@
         self.store.disk()?.next_look(now)
     }
 
-    /// The requests by which copies of an earlier start are revalidated.
+    /// Takes the requests that revalidate copies from an earlier start.
     pub fn take_revalidations(&mut self) -> Vec<Revalidation> {
-        let unproven = std::mem::take(&mut self.shelf.unproven);
+        let unproven = std::mem::take(&mut self.disk_io.unproven);
         let revalidations = unproven.into_iter().filter_map(|copy| {
             let class = self
                 .classes
@@ -428,10 +443,10 @@
         report::report(&self.store)
     }
 
-    /// Seals what is open on disk. Its threads end when they are done.
+    /// Seals the open segments on disk. The disk threads stop when they have finished.
     pub fn close(mut self) {
         if let Some(disk) = self.store.disk_mut() {
-            disk.close(self.clock.now(), &mut self.shelf);
+            disk.close(self.clock.now(), &mut self.disk_io);
         }
     }
 }
--- a/crates/router/src/local_cache/open.rs
+++ b/crates/router/src/local_cache/open.rs
@@ -1,6 +1,6 @@
-//! Opens the local cache as the operator's file has it.
+//! Opens the local cache as configured by the operator's file.
 
-use super::{DISK, LocalCache, MEMORY, NamedClass};
+use super::{DISK_TIER, LocalCache, MEMORY_TIER, NamedClass};
 use crate::boot_time::{BootTime, StepBack};
 use crate::clock::Clock;
 use crate::configuration::Configuration;
@@ -19,50 +19,51 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Memory that the router takes for other things than bodies and cached copies.
-const OTHER_MEMORY: u64 = 8 << 20;
-/// The share of the rest that bodies and cached copies may fill: an allocator needs some for
-/// itself.
-const USABLE_SHARE: f64 = 0.75;
-/// An index that holds fewer parts is of no use.
+/// Memory that is reserved for everything but bodies and cached copies.
+const RESERVED_MEMORY_BYTES: u64 = 8 << 20;
+/// The fraction of the remaining memory that bodies and cached copies may use; the allocator needs
+/// the rest.
+const USABLE_FRACTION: f64 = 0.75;
+/// The minimum capacity of the index, below which a disk tier is useless.
 const MIN_INDEXED_PARTS: u64 = 1000;
 
 /// A local cache that has just been opened.
 pub struct OpenedCache {
     /// The cache.
     pub cache: LocalCache,
-    /// With a disk: how its operations end, for [`LocalCache::complete_disk_operation`].
+    /// The results of disk operations, for [`LocalCache::complete_disk_operation`]; `None` without a
+    /// disk.
     pub disk_results: Option<mpsc::Receiver<End>>,
 }
 
-/// Why a local cache cannot be opened as the operator's file has it.
+/// The error if the local cache cannot be opened as configured.
 #[derive(Debug, Error)]
 pub enum LocalCacheError {
-    /// The threads of the disk cannot be started.
+    /// The disk threads cannot be started.
     #[error("store: disk: {0}")]
     Disk(#[source] std::io::Error),
-    /// A segment is larger than the format on disk allows.
+    /// The segment size exceeds the limit of the on-disk format.
     #[error("store: segment is too large")]
     SegmentTooLarge,
-    /// The disk has no room for the segments that are always needed.
-    #[error("store: disk {bytes} bytes is too small: {SEGMENTS_LEAST} segments take {least}")]
+    /// The disk size is less than the minimum number of segments needs.
+    #[error("store: disk {bytes} bytes is too small: {SEGMENTS_LEAST} segments take {min_bytes}")]
     DiskTooSmall {
-        /// What it has.
+        /// The configured size.
         bytes: u64,
-        /// What it needs.
-        least: u64,
+        /// The required size.
+        min_bytes: u64,
     },
-    /// The index has no room for enough parts.
+    /// The index memory is too small for the minimum number of parts.
     #[error("store: index-memory {bytes} bytes is too small: it holds {parts} parts")]
     IndexTooSmall {
-        /// What it has.
+        /// The configured size.
         bytes: u64,
-        /// How many parts that holds.
+        /// The number of parts for which it suffices.
         parts: u64,
     },
 }
 
-/// A disk whose directory is being opened.
+/// A disk tier whose directory is being opened.
 struct OpeningDisk {
     disk: Disk,
     threads: threads::Threads,
@@ -70,10 +71,10 @@
 }
 
 impl LocalCache {
-    /// Opens the local cache. None: the operator's file turns on neither memory nor disk.
+    /// Opens the local cache. Returns `None` if the operator's file enables neither memory nor disk.
     ///
     /// # Errors
-    /// What cannot be opened, and by which directive.
+    /// A directive has an invalid size, or the disk threads cannot be started.
     pub fn open(
         settings: &Settings,
         configuration: &Configuration,
@@ -83,35 +84,35 @@
             return Ok(None);
         }
         let limit = configuration.limits.memory;
-        let usable = (limit.saturating_sub(OTHER_MEMORY) as f64 * USABLE_SHARE) as u64;
+        let usable = (limit.saturating_sub(RESERVED_MEMORY_BYTES) as f64 * USABLE_FRACTION) as u64;
         let memory = settings.memory.map(|memory| memory.of(limit).min(usable));
         let max_memory = memory.unwrap_or(0);
         let set_back_ms = Arc::new(AtomicU64::new(0));
-        let mut shelf = Shelf::default();
+        let mut disk_io = Shelf::default();
         let (mut disk, mut disk_results) = (None, None);
         if let Some((path, bytes)) = &settings.disk {
             let disk_settings = disk_settings(settings, *bytes, limit, usable)?;
             let opening = start_disk(settings, path, disk_settings, clock, set_back_ms.clone())?;
-            shelf.threads = Some(opening.threads);
+            disk_io.threads = Some(opening.threads);
             disk = Some(opening.disk);
             disk_results = Some(opening.results);
         }
         let disk_bytes = settings.disk.as_ref().map_or(0, |(_, bytes)| *bytes);
-        log::info!(memory_bytes = max_memory, disk_bytes = disk_bytes; "own copies");
+        log::info!(memory_bytes = max_memory, disk_bytes = disk_bytes; "local cache enabled");
         let seed = configuration.deployment.seed.rotate_left(7);
         let cache = LocalCache {
             store: Store::new(max_memory, disk),
-            shelf,
+            disk_io,
             clock,
             copy_times: CopyTimes::default(),
             set_back_ms,
             early_purges: Vec::new(),
             classes: classes(configuration),
-            tiers: [MEMORY.into(), DISK.into()],
+            tiers: [MEMORY_TIER.into(), DISK_TIER.into()],
             usable_memory: usable,
-            link_answers: configuration.link_answers.unwrap_or(f64::INFINITY),
+            link_capacity: configuration.link_answers.unwrap_or(f64::INFINITY),
             random: fastrand::Rng::with_seed(seed),
-            waiting_reads: HashMap::new(),
+            pending_reads: HashMap::new(),
         };
         Ok(Some(OpenedCache {
             cache,
@@ -120,7 +121,7 @@
     }
 }
 
-/// The classes of requests, with their names.
+/// The classes of requests and their names.
 fn classes(configuration: &Configuration) -> Vec<NamedClass> {
     let names = configuration.classes.iter();
     let names = names.map(|name| Bytes::copy_from_slice(name.as_bytes()));
@@ -131,7 +132,7 @@
         .collect()
 }
 
-/// Starts the threads of the disk, which open its directory. `set_back_ms` takes by how much the
+/// Starts the disk threads, which open the directory. They store in `set_back_ms` by how much the
 /// clock was set back, once that is known.
 fn start_disk(
     settings: &Settings,
@@ -143,7 +144,7 @@
     let (path, boot): (PathBuf, _) = (path.to_owned(), BootTime::read(&clock));
     let open_directory = move || {
         let directory = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
-        // The directory may be opened again after it failed; what was found out first stays so.
+        // Opening may be retried after a failure, so the largest value is kept.
         let set_back = boot.as_ref().map_or(0, |boot| set_back_by(boot, &path));
         set_back_ms.fetch_max(set_back, Ordering::Release);
         Ok(Arc::new(directory) as Arc<dyn Files>)
@@ -159,8 +160,8 @@
     })
 }
 
-/// By how much the wall clock was set back since an earlier start that used this directory, in
-/// milliseconds.
+/// The milliseconds by which the wall clock was set back since an earlier start that used this
+/// directory.
 fn set_back_by(boot: &BootTime, directory: &Path) -> u64 {
     let StepBack {
         ms: set_back,
@@ -169,14 +170,14 @@
     if set_back > 0 {
         log::warn!(
             set_back_ms = set_back;
-            "store: the clock was set back since an earlier start: its copies are revalidated first"
+            "store: the clock was set back since an earlier start; its copies are revalidated before use"
         );
     }
     if let Err(error) = recorded {
         let directory = directory.display();
         log::warn!(
             directory:% = directory, reason:% = error;
-            "store: a later step of the clock may not be detected"
+            "store: failed to record the boot time; a later clock step may not be detected"
         );
     }
     set_back
@@ -189,9 +190,9 @@
     usable: u64,
 ) -> Result<Wanted, LocalCacheError> {
     let segment = u32::try_from(settings.segment).map_err(|_| LocalCacheError::SegmentTooLarge)?;
-    let least = settings.segment * SEGMENTS_LEAST as u64;
-    if bytes < least {
-        return Err(LocalCacheError::DiskTooSmall { bytes, least });
+    let min_bytes = settings.segment * SEGMENTS_LEAST as u64;
+    if bytes < min_bytes {
+        return Err(LocalCacheError::DiskTooSmall { bytes, min_bytes });
     }
     let index = settings.index.of(limit).min(usable / 2);
     let parts = Index::parts_most(index);
--- a/crates/router/src/local_cache/report.rs
+++ b/crates/router/src/local_cache/report.rs
@@ -1,10 +1,10 @@
-//! The local cache's state and counters, as operators see them.
+//! The state and counters of the local cache, for operators.
 
 use chalkhall_store::decide::Store;
 use chalkhall_store::decide::disk::{Disk, Phase};
 use serde_json::{Value, json};
 
-/// What a store holds and has done.
+/// Reports the contents and the counters of a store.
 pub fn report(store: &Store) -> Value {
     let mut report = json!({"memory": memory(store)});
     if let Some(disk) = store.disk() {
