--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -1,5 +1,5 @@
-//! Cells as the decider uses them: the map applied to the list of servers, a request's cell, and
-//! the limits of tenants at admission.
+//! Applies the cell map to the list of servers, assigns cells to requests, and enforces the limits
+//! of tenants at admission.
 
 use chalkhall::interface::{Arrival, Id, Member, Outcome, Remark, Standing, Tier};
 use chalkhall_cells::limits::{Allowed, Tenants, Verdict, tenant};
@@ -12,86 +12,87 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Sets the cells of servers and of requests.
+/// Assigns cells to servers and requests.
 pub struct CellRouting {
     map: Map,
     moves: Vec<ActiveMove>,
-    /// Requests in flight, and what is remembered of them, have ended after this long.
-    settle: Duration,
+    /// The longest time for which a request, or the record of it for repetitions, lasts.
+    settling_time: Duration,
     /// The listed servers.
     members: BTreeMap<Id, Member>,
-    /// The limits of tenants, where there are any.
+    /// The limits of tenants, if there are any.
     tenants: Option<Tenants>,
-    /// Tenants are the settings' customers, or groups of objects where they name none.
+    /// Whether tenants are the customers of the settings. Without customers, tenants are groups of
+    /// objects.
     by_customer: bool,
     zone: usize,
 }
 
-/// A move that is under way.
+/// A move in progress.
 struct ActiveMove {
-    /// What moves.
+    /// The requests that move.
     scope: What,
     state: Move,
 }
 
-/// A move as the operator's file has it.
+/// A move in the operator's file.
 #[derive(Debug)]
 struct PlannedMove {
-    /// What moves.
+    /// The requests that move.
     scope: What,
     from: Cell,
     to: Cell,
 }
 
-/// A map of cells, and the moves within it: of something that is bound to one cell, to another.
+/// A cell map and its moves, each of which moves a scope from the cell that it is bound to.
 #[derive(Debug)]
-pub struct Plan {
+pub struct CellPlan {
     /// The map.
     pub map: Map,
     moves: Vec<PlannedMove>,
 }
 
-impl Plan {
-    /// The number of the map; a later one is greater.
+impl CellPlan {
+    /// The epoch of the map; later maps have greater ones.
     pub fn epoch(&self) -> u64 {
         self.map.epoch()
     }
 }
 
-/// One fault of a map of cells.
+/// A fault of a cell map.
 #[derive(Debug, Error)]
 pub enum CellFault {
-    /// A binding names a class that the settings do not have.
+    /// A binding refers to a class that is not in the settings.
     #[error("{0} is not a category")]
     UnknownClass(String),
-    /// The map itself does not hold together.
+    /// The map itself is invalid.
     #[error("{0}")]
     Map(String),
-    /// What moves is in no cell.
-    #[error("{0:?} moves, and is not bound anywhere")]
+    /// A scope that moves is not bound to a cell.
+    #[error("{0:?} moves but is not bound to a cell")]
     MoveOfUnbound(What),
-    /// What moves is in that cell already.
-    #[error("{0:?} moves to where it is")]
+    /// A scope moves to the cell that it is bound to.
+    #[error("{0:?} moves to the cell that it is bound to")]
     MoveToSameCell(What),
 }
 
-/// A map of cells that cannot be used, with all its faults.
+/// A cell map is invalid.
 #[derive(Debug, Error)]
 #[error("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
 pub struct CellMapError {
-    /// Its faults; there is at least one.
+    /// All faults of the map; there is at least one.
     pub faults: Vec<CellFault>,
 }
 
-/// A tenant is over its limit, and may retry after this long.
+/// A tenant is over its limit, and may retry after this time.
 #[derive(Debug)]
 pub struct RetryAfter(pub Duration);
 
-/// Reads the map of cells in the operator's file. `classes`: the names of the settings' classes.
+/// Reads the cell map of the operator's file. `classes` are the names of the classes in the settings.
 ///
 /// # Errors
 /// All faults of the map.
-pub fn plan(settings: &Settings, classes: &[String]) -> Result<Plan, CellMapError> {
+pub fn plan(settings: &Settings, classes: &[String]) -> Result<CellPlan, CellMapError> {
     let mut faults = Vec::new();
     let mut read_binding = |(bound, cell): &(Bound, String)| {
         let scope = read_scope(bound, classes, &mut faults);
@@ -106,15 +107,15 @@
             .map(|(name, of)| (name.clone(), members(of)))
             .collect(),
         bindings,
-        // What moves to a cell belongs to it as well.
+        // A scope that moves to a cell belongs to it as well.
         arriving: moves.iter().map(|(_, cell)| cell.clone()).collect(),
         otherwise: settings.otherwise.clone(),
         overlap: settings.overlap,
     });
     let map = match map {
         Ok(map) => map,
-        Err(of_map) => {
-            faults.extend(of_map.into_iter().map(CellFault::Map));
+        Err(map_faults) => {
+            faults.extend(map_faults.into_iter().map(CellFault::Map));
             return Err(CellMapError { faults });
         }
     };
@@ -130,10 +131,10 @@
         return Err(CellMapError { faults });
     }
     let moves = planned;
-    Ok(Plan { map, moves })
+    Ok(CellPlan { map, moves })
 }
 
-/// What a binding is about. A class that the settings do not have is a fault.
+/// Reads the scope of a binding. A class that is not in the settings is a fault.
 fn read_scope(bound: &Bound, classes: &[String], faults: &mut Vec<CellFault>) -> What {
     match bound {
         Bound::Prefix(prefix) => What::Prefix(prefix.clone()),
@@ -158,7 +159,8 @@
 }
 
 impl CellRouting {
-    /// The cells of the operator's file. None: it has neither cells nor limits of tenants.
+    /// Configures the cells of the operator's file. Returns `None` if it has neither cells nor limits
+    /// of tenants.
     ///
     /// # Errors
     /// All faults of the map.
@@ -167,32 +169,32 @@
         classes: &[String],
         zone: usize,
         by_customer: bool,
-        settle: Duration,
+        settling_time: Duration,
         seed: u64,
     ) -> Result<Option<CellRouting>, CellMapError> {
         if settings.cells.is_empty() && settings.tenant.is_none() {
             return Ok(None);
         }
-        let Plan { map, moves } = plan(settings, classes)?;
+        let CellPlan { map, moves } = plan(settings, classes)?;
         let tenants = settings
             .tenant
             .map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
         log::info!(
             cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some();
-            "cells"
+            "cells: map loaded"
         );
         let moves = moves
             .into_iter()
             .map(|planned| ActiveMove {
                 scope: planned.scope,
-                state: Move::new(planned.from, planned.to, settle),
+                state: Move::new(planned.from, planned.to, settling_time),
             })
             .collect();
         let members = BTreeMap::new();
         Ok(Some(CellRouting {
             map,
             moves,
-            settle,
+            settling_time,
             members,
             tenants,
             by_customer,
@@ -200,9 +202,9 @@
         }))
     }
 
-    /// Takes over another map, and returns the servers whose cells change. A move that is in both
-    /// maps goes on from where it is. None: the map is older than the one in force.
-    pub fn replace_map(&mut self, now: Duration, plan: Plan) -> Option<Vec<Member>> {
+    /// Replaces the map, and returns the servers whose cells change. A move that is in both maps
+    /// continues from its state. Returns `None` if the new map is older than the current one.
+    pub fn replace_map(&mut self, now: Duration, plan: CellPlan) -> Option<Vec<Member>> {
         if plan.epoch() < self.map.epoch() {
             return None;
         }
@@ -216,9 +218,9 @@
             let continued = active.iter().position(continues);
             let mut state = match continued {
                 Some(index) => active.swap_remove(index).state,
-                None => Move::new(planned.from, planned.to, self.settle),
+                None => Move::new(planned.from, planned.to, self.settling_time),
             };
-            // The same cells may have other indices in the new map.
+            // The indices of the cells may differ in the new map.
             (state.from, state.to) = (planned.from, planned.to);
             let scope = planned.scope;
             self.moves.push(ActiveMove { scope, state });
@@ -227,13 +229,13 @@
         Some(self.assign_servers(now))
     }
 
-    /// The number of the map; a later one is greater.
+    /// The epoch of the map; later maps have greater ones.
     pub fn epoch(&self) -> u64 {
         self.map.epoch()
     }
 
-    /// Takes in changes of the list. Returns them with their cells, and all other servers whose
-    /// cells change.
+    /// Applies changes to the list. Returns the changed servers with their cells, and all other
+    /// servers whose cells change.
     pub fn update_members(
         &mut self,
         now: Duration,
@@ -257,7 +259,7 @@
         updated
     }
 
-    /// Applies the map to the caches of this zone. Returns those whose cells change.
+    /// Applies the map to the caches of this zone, and returns those whose cells change.
     fn assign_servers(&mut self, now: Duration) -> Vec<Member> {
         let is_assigned = |member: &&Member| {
             member.tier == Tier::Cache
@@ -278,28 +280,31 @@
         for fault in self.map.faults() {
             log::warn!(
                 epoch = self.map.epoch(), fault:% = fault;
-                "cells: the map does not fit the servers"
+                "cells: the servers do not satisfy the map"
             );
         }
         self.update_moves(now);
         moved
     }
 
-    /// Tells the moves which cells have a server that takes requests.
+    /// Informs the moves which cells have an active server.
     fn update_moves(&mut self, now: Duration) {
         let is_active =
             |member: &&Member| member.tier == Tier::Cache && member.standing == Standing::Active;
         let active = self.members.values().filter(is_active);
-        let alive: BTreeSet<Cell> = active
+        let live_cells: BTreeSet<Cell> = active
             .flat_map(|member| member.cells.iter().copied())
             .collect();
         for ActiveMove { scope, state } in &mut self.moves {
-            let (from, to) = (alive.contains(&state.from), alive.contains(&state.to));
+            let (from, to) = (
+                live_cells.contains(&state.from),
+                live_cells.contains(&state.to),
+            );
             advance(&self.map, scope, state, |state| state.alive(now, from, to));
         }
     }
 
-    /// An attempt at a server has ended: the moves of its request go by the outcome.
+    /// Records the result of an attempt at a server, on which the moves of its request depend.
     pub fn record_attempt(
         &mut self,
         now: Duration,
@@ -320,7 +325,7 @@
         }
     }
 
-    /// The map in force and the state of its moves, for operators.
+    /// Reports the map and the state of its moves, for operators.
     pub fn report(&self) -> Value {
         let cells = self.map.report().into_iter().map(|(name, servers)| {
             let servers: Vec<String> = servers.iter().map(ToString::to_string).collect();
@@ -339,11 +344,11 @@
         json!({"epoch": self.map.epoch(), "cells": cells, "moves": moves})
     }
 
-    /// Sets the cell of a new request.
+    /// Assigns a cell to a new request.
     ///
     /// # Errors
-    /// Its tenant is over its limit, and may retry after so long. A non-idempotent request is never
-    /// limited: it is the last to be rejected.
+    /// The tenant is over its limit, and may retry after this time. Non-idempotent requests are never
+    /// limited: they are the last to be rejected.
     pub fn assign_cell(
         &mut self,
         now: Duration,
@@ -368,7 +373,7 @@
         }
     }
 
-    /// A request was served, which counts towards its tenant's limit.
+    /// Counts a request that was served towards its tenant's limit.
     pub fn record_served(&mut self, now: Duration, arrival: &Arrival) {
         if let Some(tenants) = &mut self.tenants {
             let tenant = tenant(arrival, self.by_customer);
@@ -377,7 +382,7 @@
     }
 }
 
-/// Takes a move one step further, and logs where that leads to another state.
+/// Applies a step to a move, and logs a change of its state.
 fn advance(map: &Map, scope: &What, state: &mut Move, step: impl FnOnce(&mut Move)) {
     let before = (state.state(), state.share());
     step(state);
@@ -387,7 +392,7 @@
         let (step, share) = after;
         log::info!(
             scope:? = scope, state:? = step, from = from, to = to, share = share;
-            "cells: a move has changed its state"
+            "cells: move changed state"
         );
     }
 }
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -3,7 +3,7 @@
 
 use super::servers::ListedServer;
 use super::{Decider, MAX_CONNECTIONS_PER_SERVER};
-use crate::cell_routing::Plan;
+use crate::cell_routing::CellPlan;
 use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
 use crate::local_cache::LocalCache;
 use chalkhall::interface::{Id, ListKind, Member, Standing};
@@ -30,7 +30,7 @@
         }
     }
 
-    fn replace_cell_map(&mut self, now: Duration, plan: Plan) {
+    fn replace_cell_map(&mut self, now: Duration, plan: CellPlan) {
         let Some(cell_routing) = &mut self.cell_routing else {
             return;
         };
--- a/crates/router/src/discovery_events.rs
+++ b/crates/router/src/discovery_events.rs
@@ -1,6 +1,6 @@
 //! Parses the events of discovery, which are server list changes and purges, without I/O.
 
-use crate::cell_routing::Plan;
+use crate::cell_routing::CellPlan;
 use crate::clock::Clock;
 use chalkhall::interface::{Id, Member, Standing, Tier};
 use serde_json::Value;
@@ -54,7 +54,7 @@
     /// Discovery has sent all of its events.
     UpToDate,
     /// A new cell map from the operator's file. This event does not come from discovery.
-    Cells(Box<Plan>),
+    Cells(Box<CellPlan>),
 }
 
 /// A numbered event of discovery.
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -1,6 +1,6 @@
-//! Failover between zones, decided together with the routers of all zones, as the decider uses it:
-//! the capacity of each zone by the list, a request's zone, the health of the local caches, gossip
-//! and latency probes. Nothing is decided here.
+//! Connects the decider with `chalkhall_failover`, by which the routers of all zones agree on the
+//! failover between them: passes it the capacity of each zone, the health of this zone's caches,
+//! datagrams and latency probes, and sets the zones of requests. No decisions are made here.
 
 use crate::clock::Clock;
 use crate::gossip_socket::GossipSender;
@@ -19,42 +19,42 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The most samples that one observation of an operator may stand for.
+/// The maximum number of samples that one `latency observe` may represent.
 const MAX_OBSERVED_SAMPLES: u32 = 1_000_000;
 
-/// The longest latency that an operator may report, in milliseconds.
+/// The maximum latency that an operator may report, in milliseconds.
 const MAX_OBSERVED_MS: u32 = 60_000;
 
-/// What a class of requests has to do with other zones.
+/// The failover policy of a class of requests.
 #[derive(Clone, Copy, Default)]
 struct ClassPolicy {
-    /// Its requests may be served by another zone: a cache answers them, and they may run again.
+    /// Whether its requests may be served by another zone: they are cacheable and idempotent.
     may_leave_zone: bool,
     latency_objective: Duration,
-    /// What it is worth to serve one of its requests.
+    /// The value of serving one of its requests.
     value: f64,
 }
 
-/// What was logged last: again only when it changes.
+/// The state that was logged last; it is logged only when it changes.
 #[derive(Clone, Copy, Default, PartialEq)]
 struct LoggedState {
     plan_number: u32,
-    is_zone_bad: bool,
+    is_zone_unhealthy: bool,
 }
 
-/// Failover between zones.
+/// The failover between zones.
 pub struct ZoneFailover {
     regions: Regions,
     sender: GossipSender,
-    /// Latency probes to other zones, where they are turned on.
+    /// The queue of latency probes to other zones, if they are enabled.
     probes: Option<mpsc::Sender<Probe>>,
     /// The names of the zones, by index.
-    names: Vec<String>,
-    /// By zone: the name of its region.
+    zone_names: Vec<String>,
+    /// The name of each zone's region, by zone index.
     region_of: Vec<Option<String>>,
     /// The index of this router's zone.
     zone: usize,
-    number: u64,
+    router_number: u64,
     slow_start: ColdStart,
     pass_through: bool,
     client_kb_per_s: f64,
@@ -62,7 +62,7 @@
     logged: LoggedState,
 }
 
-/// The operator's file names a zone that the settings do not have.
+/// The operator's file refers to a zone that is not in the settings.
 #[derive(Debug, Error)]
 #[error("regions: {0} is not a zone")]
 pub struct UnknownZone(pub String);
@@ -71,24 +71,24 @@
 #[derive(Debug)]
 pub struct NoCapacity;
 
-/// The least rate of a client, which is divided by.
+/// Lower bound of the client rate, which is used as a divisor.
 const MIN_CLIENT_KB_PER_S: f64 = 1e-9;
 
-/// The indices of the named zones.
+/// Looks up the indices of zones by name.
 ///
 /// # Errors
-/// Names one that there is not.
+/// One of the names is unknown.
 pub fn zone_indices(names: &[String], wanted: &[String]) -> Result<Vec<usize>, UnknownZone> {
-    let place = |name: &String| {
+    let index_of = |name: &String| {
         names
             .iter()
             .position(|known| known == name)
             .ok_or_else(|| UnknownZone(name.clone()))
     };
-    wanted.iter().map(place).collect()
+    wanted.iter().map(index_of).collect()
 }
 
-/// The region of each zone, where the operator's file names one.
+/// The region of each zone; `None` if the operator's file assigns none to it.
 fn regions_of_zones(
     settings: &Settings,
     names: &[String],
@@ -102,7 +102,7 @@
     Ok(region_of)
 }
 
-/// Starts the decisions. None: this router has to decide alone.
+/// Starts the failover logic. Returns `None` if failover cannot be coordinated with other routers.
 fn start_regions(
     clock: Clock,
     settings: &Settings,
@@ -112,7 +112,9 @@
     let number = u16::try_from(deployment.number);
     let zone = u8::try_from(deployment.zone);
     let (Ok(number), Ok(zone)) = (number, zone) else {
-        log::warn!("regions: this router's number or zone does not fit; it decides alone");
+        log::warn!(
+            "regions: failover is off: the number of this router or its zone is out of range"
+        );
         return None;
     };
     let now = clock.now();
@@ -121,26 +123,26 @@
         routers: deployment.routers,
         place: zone,
         places: zone_count,
-        // Tenths of a second, of which 32 bits overflow after thirteen years.
+        // In tenths of a second, which overflow 32 bits after thirteen years.
         incarnation: (clock.unix_ms(now) / 100) as u32,
         seed: deployment.seed,
         abroad: settings.abroad,
     };
     let regions = Regions::start(now, about);
     if regions.is_none() {
-        log::warn!("regions: there is nobody to talk to; this router decides alone");
+        log::warn!("regions: failover is off: there are no other routers");
     }
     regions
 }
 
-/// A latency in milliseconds, as an operator writes it.
+/// Parses a latency in milliseconds.
 fn parse_latency(ms: &str) -> Option<Duration> {
     let ms = ms.parse::<f64>().ok()?;
-    let is_possible = (0.0..=f64::from(MAX_OBSERVED_MS)).contains(&ms);
-    is_possible.then(|| Duration::from_secs_f64(ms / 1e3))
+    let is_in_range = (0.0..=f64::from(MAX_OBSERVED_MS)).contains(&ms);
+    is_in_range.then(|| Duration::from_secs_f64(ms / 1e3))
 }
 
-/// A number of samples, as an operator writes it.
+/// Parses a number of samples.
 fn parse_count(count: &str) -> Option<u32> {
     let count = count.parse().ok()?;
     (1..=MAX_OBSERVED_SAMPLES).contains(&count).then_some(count)
@@ -155,10 +157,10 @@
 }
 
 impl ZoneFailover {
-    /// Failover as the operator's file has it. None: it is off, or there are no other routers.
+    /// Starts failover as configured. Returns `None` if it is off or there are no other routers.
     ///
     /// # Errors
-    /// The operator's file names a zone that is none.
+    /// The operator's file refers to an unknown zone.
     pub fn new(
         clock: Clock,
         settings: &Settings,
@@ -177,15 +179,15 @@
         };
         regions.drain(&drained);
         let (abroad, measure) = (settings.abroad, settings.measure);
-        log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: in common");
+        log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: failover enabled");
         Ok(Some(ZoneFailover {
             regions,
             sender,
             probes: settings.measure.then_some(probes),
-            names: names.to_vec(),
+            zone_names: names.to_vec(),
             region_of,
             zone: deployment.zone,
-            number: deployment.number,
+            router_number: deployment.number,
             slow_start: deployment.cold_cache,
             pass_through: deployment.pass_through,
             client_kb_per_s: deployment.client_kb_per_s.max(MIN_CLIENT_KB_PER_S),
@@ -194,38 +196,40 @@
         }))
     }
 
-    /// When there is work to do next.
+    /// When [`ZoneFailover::tick`] is due next.
     pub fn next_wakeup(&self) -> Duration {
         self.regions.next()
     }
 
-    /// The operator's file drains these zones, and no others.
+    /// Drains these zones, and no others.
     pub fn drain_zones(&mut self, zones: &[usize]) {
         self.regions.drain(zones);
     }
 
-    /// Takes in a datagram of another router. False: it is not about failover.
+    /// Handles a datagram of another router. Returns false if it does not belong to failover.
     pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         self.regions.heard(now, from, bytes)
     }
 
-    /// A latency probe to a zone has come back after so long; none: it has not.
+    /// Records the round trip of a latency probe to a zone; `None` if it was lost.
     pub fn record_latency(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
         self.regions.model().saw(now, edge, round_trip);
-        // The local caches do not answer: silence shows by this, while requests only become late.
+        // A lost probe shows that caches of this zone do not respond, which requests show only as
+        // timeouts.
         if edge == self.zone && round_trip.is_none() {
             self.regions.saw(now, false);
         }
     }
 
-    /// Does what is due: gossip, decisions, latency probes. `address`: where a server is reached.
+    /// Does the work that is due: gossip, decisions and latency probes. `address` looks up the
+    /// address of a server.
     pub fn tick(
         &mut self,
         now: Duration,
         router: &Router,
         address: impl Fn(&Id) -> Option<SocketAddr>,
     ) {
-        let mut capacities = vec![Place::default(); self.names.len()];
+        let mut capacities = vec![Place::default(); self.zone_names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
         let is_active =
             |member: &&Member| member.tier == Tier::Cache && member.standing == Standing::Active;
@@ -242,16 +246,16 @@
         self.log(now);
     }
 
-    /// Counts a cache towards the capacity of its zone, less while it is in slow start.
+    /// Adds a cache to the capacity of its zone; in slow start it counts only in part.
     fn add_capacity(&self, now: Duration, member: &Member, zone: &mut Place) {
         let age = member
             .started
             .map(|at| now.saturating_sub(at).as_secs_f64());
         let warm_within = self.slow_start.warm_within.as_secs_f64().max(1e-9);
         let warmth = age.map_or(1.0, |age| (age / warm_within).min(1.0));
-        let from = self.slow_start.from;
+        let initial_share = self.slow_start.from;
         zone.capacity += member.capacity;
-        zone.present += member.capacity * (from + (1.0 - from) * warmth);
+        zone.present += member.capacity * (initial_share + (1.0 - initial_share) * warmth);
         zone.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
     }
 
@@ -265,9 +269,12 @@
             return;
         };
         for edge in self.regions.to_measure(now) {
-            // Each router that measures a zone probes another of its caches.
-            let of_zone = caches.get(&edge).filter(|of_zone| !of_zone.is_empty());
-            let server = of_zone.map(|of_zone| of_zone[(self.number as usize) % of_zone.len()]);
+            // Routers that measure the same zone probe different caches of it.
+            let candidates = caches
+                .get(&edge)
+                .filter(|candidates| !candidates.is_empty());
+            let server = candidates
+                .map(|candidates| candidates[(self.router_number as usize) % candidates.len()]);
             if let Some(address) = server.and_then(|server| address(&server.server)) {
                 let _ = probes.try_send(Probe { edge, address });
             }
@@ -277,7 +284,7 @@
     fn log(&mut self, now: Duration) {
         let state = LoggedState {
             plan_number: self.regions.plan_number(),
-            is_zone_bad: self.regions.is_bad(),
+            is_zone_unhealthy: self.regions.is_bad(),
         };
         if state == self.logged {
             return;
@@ -289,7 +296,7 @@
             .map(|(name, share)| format!("{name} {share:.2}"))
             .collect();
         let (shares, at_ms) = (shares.join(", "), now.as_millis() as u64);
-        let (plan, bad) = (state.plan_number, state.is_zone_bad);
+        let (plan, bad) = (state.plan_number, state.is_zone_unhealthy);
         log::info!(
             plan = plan, bad = bad, at_ms = at_ms, shares = shares.as_str();
             "regions: new plan"
@@ -297,7 +304,7 @@
     }
 
     fn shares(&self) -> Vec<(&str, f64)> {
-        let name = |edge: usize| self.names.get(edge).map_or("", String::as_str);
+        let name = |edge: usize| self.zone_names.get(edge).map_or("", String::as_str);
         self.regions
             .plan_shares()
             .iter()
@@ -305,7 +312,7 @@
             .collect()
     }
 
-    /// Sets the zone of a new request.
+    /// Assigns a zone to a new request.
     ///
     /// # Errors
     /// No zone has capacity for it.
@@ -313,23 +320,24 @@
         let work = arrival.kb / self.client_kb_per_s;
         self.regions.asked(now, work);
         let class = self.classes.get(arrival.class).copied().unwrap_or_default();
-        // A cell consists of caches of this zone: a request that belongs to one stays here.
+        // A cell consists of caches of this zone, so requests of a cell stay in it.
         let may_leave = class.may_leave_zone && arrival.cell.is_none();
-        let at = xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
+        let hash_fraction =
+            xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
         match self
             .regions
-            .request(at, may_leave, class.value / work.max(1e-6))
+            .request(hash_fraction, may_leave, class.value / work.max(1e-6))
         {
             Where::Home => {}
             Where::Abroad(place) => arrival.at = Some(place),
-            // Parents may still have it; where they take no attempts nobody has.
+            // Parents may serve it, if they accept attempts.
             Where::Nowhere if self.pass_through => {}
             Where::Nowhere => return Err(NoCapacity),
         }
         Ok(())
     }
 
-    /// An attempt has ended at a server, which shows something about the caches of this zone.
+    /// Records the result of an attempt at a server as evidence on the health of this zone's caches.
     pub fn record_attempt(
         &mut self,
         now: Duration,
@@ -348,12 +356,12 @@
             Served | Missing | Full => self.regions.saw(now, true),
             Unreachable | Broken => self.regions.saw(now, false),
             Error if remark == Remark::None => self.regions.saw(now, false),
-            // An attempt that is late or cancelled may be so because of its source.
+            // Timeouts and cancellations may be due to the source of a fill.
             _ => {}
         }
     }
 
-    /// A request of a client has its final answer.
+    /// Records the final answer to a client's request.
     pub fn record_final_answer(
         &mut self,
         now: Duration,
@@ -367,24 +375,27 @@
             .answered(now, was_served && took <= class.latency_objective);
     }
 
-    /// `latency observe REGION EDGE MS [COUNT]`: the latency of clients to a zone's edge, as a
-    /// front measured it.
-    pub fn observe(&mut self, now: Duration, words: &[&str]) -> Value {
+    /// Handles `latency observe REGION EDGE MS [COUNT]`: records the latency between clients and a
+    /// zone's edge that a front measured.
+    pub fn observe(&mut self, now: Duration, arguments: &[&str]) -> Value {
         let error = |text: String| json!({"error": text});
-        let ([region, edge, ms] | [region, edge, ms, _]) = *words else {
+        let ([region, edge, ms] | [region, edge, ms, _]) = *arguments else {
             return error(
                 "latency observe is written: latency observe REGION EDGE MS [COUNT]".into(),
             );
         };
-        let is_local = self.names.get(self.zone).is_some_and(|name| name == region)
+        let is_local = self
+            .zone_names
+            .get(self.zone)
+            .is_some_and(|name| name == region)
             || self.region_of.get(self.zone).and_then(Option::as_deref) == Some(region);
         if !is_local {
             return error(format!("{region} is not this router's region or zone"));
         }
-        let Some(edge) = self.names.iter().position(|name| name == edge) else {
+        let Some(edge) = self.zone_names.iter().position(|name| name == edge) else {
             return error(format!("{edge} is not a zone"));
         };
-        let count = words.get(3).copied().unwrap_or("1");
+        let count = arguments.get(3).copied().unwrap_or("1");
         let (Some(latency), Some(count)) = (parse_latency(ms), parse_count(count)) else {
             return error(format!(
                 "MS is from 0 to {MAX_OBSERVED_MS}, COUNT from 1 to {MAX_OBSERVED_SAMPLES}"
@@ -394,12 +405,13 @@
         json!({"observed": count})
     }
 
-    /// `steer show`: for a front, which edges are to take this region's clients, in order.
+    /// Handles `steer show`: the edges to which a front should send this region's clients, in order
+    /// of preference.
     pub fn steer(&self, now: Duration) -> Value {
         let ms = |latency: Option<Duration>| latency.map(|latency| latency.as_secs_f64() * 1e3);
         let edges = self.regions.steer(now).into_iter().map(|edge| {
             json!({
-                "edge": self.names.get(edge.edge).map_or("", String::as_str),
+                "edge": self.zone_names.get(edge.edge).map_or("", String::as_str),
                 "share": edge.share,
                 "room": edge.room,
                 "bad": edge.bad,
@@ -410,16 +422,16 @@
             })
         });
         json!({
-            "location": self.names.get(self.zone),
+            "location": self.zone_names.get(self.zone),
             "region": self.region_of.get(self.zone),
             "edges": edges.collect::<Vec<Value>>(),
         })
     }
 
-    /// `regions stat`.
+    /// Handles `regions stat`.
     pub fn report(&self, now: Duration) -> Value {
         let report = self.regions.report(now);
-        let zones = report.places.iter().zip(&self.names);
+        let zones = report.places.iter().zip(&self.zone_names);
         let zones = zones.map(|((bad, drained, demand, room), name)| {
             json!({
                 "location": name,
@@ -429,7 +441,7 @@
                 "room": room,
             })
         });
-        let share = |(edge, share): &(usize, f64)| json!([self.names.get(*edge), share]);
+        let share = |(edge, share): &(usize, f64)| json!([self.zone_names.get(*edge), share]);
         let plan = report.plan.map(|(plan, coordinator)| {
             json!({
                 "number": plan.number,
@@ -439,7 +451,7 @@
         });
         let dropped = self.regions.gossip().dropped();
         json!({
-            "location": self.names.get(self.zone),
+            "location": self.zone_names.get(self.zone),
             "bad": report.bad,
             "drained": report.drained,
             "flaps": report.flaps,
