--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -1,5 +1,5 @@
-//! The control socket: one line of words in, one JSON object out, for `chalkhall`'s commands
-//! against a live router.
+//! The control socket, by which `chalkhall` commands query a running router. Each connection sends
+//! one line of words and receives one JSON object.
 
 use crate::io_errors::AcceptFailure;
 use crate::messages::{Message, OperatorQuery};
@@ -18,18 +18,17 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Connections that are not answered yet; more wait to be accepted.
-const MAX_OPEN: usize = 4;
+/// The limit on concurrent connections; more wait to be accepted.
+const MAX_CONNECTIONS: usize = 4;
 const MAX_LINE_BYTES: u64 = 256;
-/// For a connection to be read and answered.
+/// The time limit for reading and answering a query.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// After an accept failed, unless only one connection did.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Connections that fail as they are accepted, one after the other, before there is a pause all the
-/// same.
-const MAX_FAILURES_IN_A_ROW: usize = 32;
+/// The pause after accepting failed persistently.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// The number of consecutive failures that causes a pause even if each one is transient.
+const MAX_CONSECUTIVE_FAILURES: usize = 32;
 
-/// A socket that only its owner may use; it is removed at the end.
+/// A socket that is accessible only to its owner. The file is removed on drop.
 pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
@@ -41,16 +40,17 @@
     }
 }
 
-/// Listens at a path. A socket that an earlier process left there is removed; anything else is not.
+/// Listens on a path. A stale socket of an earlier process is removed; a file of another type is
+/// not.
 ///
 /// # Errors
-/// Another router listens there, or the system refuses.
+/// Another router listens on the path, or the socket cannot be created.
 pub fn listen(path: &Path) -> io::Result<ControlSocket> {
     if fs::symlink_metadata(path).is_ok_and(|found| found.file_type().is_socket()) {
         if std::os::unix::net::UnixStream::connect(path).is_ok() {
             return Err(io::Error::new(
                 io::ErrorKind::AddrInUse,
-                "another router listens there",
+                "another router is listening on this path",
             ));
         }
         fs::remove_file(path)?;
@@ -67,34 +67,36 @@
 struct Acceptor {
     socket: ControlSocket,
     decider: mpsc::Sender<Message>,
-    /// Connections that are not answered yet.
-    open: usize,
-    /// Each connection reports its end here.
-    done: mpsc::Sender<()>,
-    failures_in_a_row: usize,
+    /// The number of open connections.
+    open_connections: usize,
+    /// Notified by each connection when it ends.
+    connection_ended: mpsc::Sender<()>,
+    consecutive_failures: usize,
     log: RateLimitedLog,
 }
 
-/// Answers operators until the router ends.
+/// Answers queries until the router ends.
 pub async fn run(socket: ControlSocket, decider: mpsc::Sender<Message>) {
-    let (done, mut ended) = mpsc::channel::<()>(MAX_OPEN);
+    let (connection_ended, mut ended) = mpsc::channel::<()>(MAX_CONNECTIONS);
     let mut acceptor = Acceptor {
         socket,
         decider,
-        open: 0,
-        done,
-        failures_in_a_row: 0,
+        open_connections: 0,
+        connection_ended,
+        consecutive_failures: 0,
         log: RateLimitedLog::default(),
     };
     loop {
         tokio::select! {
-            accepted = acceptor.socket.listener.accept(), if acceptor.open < MAX_OPEN => {
+            accepted = acceptor.socket.listener.accept(),
+                if acceptor.open_connections < MAX_CONNECTIONS =>
+            {
                 match accepted {
                     Ok((stream, _)) => acceptor.serve(stream),
                     Err(error) => acceptor.back_off(&error).await,
                 }
             }
-            Some(()) = ended.recv() => acceptor.open -= 1,
+            Some(()) = ended.recv() => acceptor.open_connections -= 1,
         }
     }
 }
@@ -102,32 +104,33 @@
 impl Acceptor {
     /// Starts the task that answers a connection.
     fn serve(&mut self, stream: UnixStream) {
-        self.failures_in_a_row = 0;
-        self.open += 1;
-        let (decider, done) = (self.decider.clone(), self.done.clone());
+        self.consecutive_failures = 0;
+        self.open_connections += 1;
+        let (decider, connection_ended) = (self.decider.clone(), self.connection_ended.clone());
         spawn_local(async move {
             let answered = timeout(CONNECTION_TIMEOUT, answer(stream, decider)).await;
             if let Ok(Err(error)) = answered {
-                log::debug!(reason:% = error; "control socket: a connection failed");
+                log::debug!(reason:% = error; "control socket: connection failed");
             }
-            let _ = done.send(()).await;
+            let _ = connection_ended.send(()).await;
         });
     }
 
-    /// Pauses where accepting failed for what may last.
+    /// Pauses after a failure to accept that may persist.
     async fn back_off(&mut self, error: &io::Error) {
-        self.failures_in_a_row += 1;
+        self.consecutive_failures += 1;
         let is_transient = AcceptFailure::from(error).is_transient();
-        if is_transient && self.failures_in_a_row < MAX_FAILURES_IN_A_ROW {
+        if is_transient && self.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
             return;
         }
-        self.failures_in_a_row = 0;
-        self.log.log(&format!("control socket: {error}"));
-        sleep(PAUSE).await;
+        self.consecutive_failures = 0;
+        self.log
+            .log(&format!("control socket: accept failed: {error}"));
+        sleep(ACCEPT_PAUSE).await;
     }
 }
 
-/// Reads one query, and writes its answer.
+/// Reads a query and writes its answer.
 async fn answer(stream: UnixStream, decider: mpsc::Sender<Message>) -> io::Result<()> {
     let (reader, writer) = stream.into_split();
     let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
@@ -141,7 +144,7 @@
     let sent = decider.send(Message::OperatorQuery(query)).await;
     let reply = match (sent, answered.await) {
         (Ok(()), Ok(reply)) => reply,
-        _ => json!({"error": "the router has ended"}),
+        _ => json!({"error": "the router has stopped"}),
     };
     writer.write_all(format!("{reply}\n").as_bytes()).await
 }
--- a/crates/router/src/gossip_socket.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -1,8 +1,8 @@
-//! The socket on which routers gossip: it sends what `chalkhall_gossip` encodes, and hands received
-//! datagrams to the decider with the number of their sender.
+//! The UDP socket for gossip between routers. It sends the datagrams that `chalkhall_gossip`
+//! encodes, and passes received ones to the decider with the number of their sender.
 //!
-//! Nothing waits for gossip. What cannot be taken at once is dropped, as any datagram may be lost:
-//! clients that wait for capacity in the decider's mailbox go before it. Datagrams of unknown
+//! Gossip never blocks. A datagram that cannot be queued at once is dropped, as any datagram may be
+//! lost; clients that wait for space in the decider's mailbox have priority. Datagrams from unknown
 //! senders are dropped here.
 
 use crate::configuration::Peers;
@@ -22,16 +22,16 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Nothing is received for so long after a failure that may last, or after many in a row.
+/// The pause before the next receive after a persistent failure, or after many consecutive ones.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
-/// So many failures in a row end in a pause, whatever they are.
+/// The number of consecutive failures of any kind that causes a pause.
 const MAX_CONSECUTIVE_FAILURES: usize = 32;
-/// Datagrams queued for the socket; more are dropped.
+/// The capacity of the queue of outgoing datagrams; more are dropped.
 const SEND_QUEUE_CAPACITY: usize = 256;
-/// One byte more than a datagram may have tells one that is too long from one that is not.
+/// One byte more than the maximum length, so that datagrams that are too long can be recognized.
 const RECEIVE_BUFFER_BYTES: usize = MOST_BYTES + 1;
 
-/// An encoded datagram that is to be sent.
+/// An encoded datagram to be sent.
 #[derive(Debug)]
 pub struct OutgoingDatagram {
     destination: To,
@@ -48,22 +48,23 @@
             destination: to,
             bytes: bytes.to_vec(),
         };
-        // Dropped if the queue is full.
+        // The datagram is dropped if the queue is full.
         let _ = self.0.try_send(datagram);
     }
 }
 
-/// The sender for the decisions, and the queue for [`run`].
+/// Creates the queue of outgoing datagrams: a sender, and the receiver for [`run`].
 pub fn channel() -> (GossipSender, mpsc::Receiver<OutgoingDatagram>) {
     let (sender, receiver) = mpsc::channel(SEND_QUEUE_CAPACITY);
     (GossipSender(sender), receiver)
 }
 
-/// A socket of datagrams, or what stands for it in a test.
+/// A datagram socket, or its stand-in in tests.
 pub trait DatagramSocket {
-    /// Waits for the next datagram: its length and its sender. If cancelled, it has taken none.
+    /// Waits for the next datagram, and returns its length and sender. If cancelled, no datagram is
+    /// lost.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
-    /// Sends a datagram at once, or not at all.
+    /// Sends a datagram without waiting.
     fn send(&self, bytes: &[u8], destination: SocketAddr) -> io::Result<usize>;
 }
 
@@ -77,15 +78,15 @@
     }
 }
 
-/// Binds the socket. `None`, after a warning, if that fails: a start goes on without gossip, which
-/// costs hints only, as where an earlier process still has the address for a moment.
+/// Binds the socket. If that fails, logs a warning and returns `None`: the router runs without
+/// gossip, which only provides hints. An earlier process may still hold the address for a moment.
 pub async fn bind(peers: &Peers) -> Option<UdpSocket> {
     match bind_with(|| try_bind(peers.listen)).await {
         Ok(socket) => Some(socket),
         Err(error) => {
             log::warn!(
                 address:% = peers.listen, reason:% = error;
-                "peer_listen: no gossip with peers"
+                "peer_listen: bind failed; gossip is off"
             );
             None
         }
@@ -102,28 +103,28 @@
 pub async fn run(
     socket: impl DatagramSocket,
     peers: Peers,
-    mut outgoing: mpsc::Receiver<OutgoingDatagram>,
+    mut outbound: mpsc::Receiver<OutgoingDatagram>,
     decider: mpsc::Sender<Message>,
 ) {
-    let mut incoming = Incoming::new(&peers, decider);
+    let mut inbound = Inbound::new(&peers, decider);
     let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     let mut paused_until = None;
     loop {
         tokio::select! {
-            datagram = outgoing.recv() => {
+            datagram = outbound.recv() => {
                 let Some(datagram) = datagram else { return };
                 send(&socket, &peers, &datagram);
             }
             () = at(paused_until), if paused_until.is_some() => paused_until = None,
             received = socket.receive(&mut buffer), if paused_until.is_none() => match received {
-                Ok((length, sender)) => incoming.received(sender, &buffer[..length]),
-                Err(error) => paused_until = incoming.failed(Instant::now(), &error),
+                Ok((length, sender)) => inbound.received(sender, &buffer[..length]),
+                Err(error) => paused_until = inbound.failed(Instant::now(), &error),
             },
         }
     }
 }
 
-/// Sends a datagram to whom it is for. One that fails, or is for nobody, is lost.
+/// Sends a datagram to its destination. It is lost if that fails or the destination is unknown.
 fn send(socket: &impl DatagramSocket, peers: &Peers, datagram: &OutgoingDatagram) {
     let address = match datagram.destination {
         To::All => Some(peers.all),
@@ -136,11 +137,11 @@
         return;
     };
     if let Err(error) = send_uninterrupted(socket, &datagram.bytes, address) {
-        log::debug!(peer:% = address, reason:% = error; "a gossip datagram was not sent");
+        log::debug!(peer:% = address, reason:% = error; "sending a gossip datagram failed");
     }
 }
 
-/// Sends a datagram, again after each interruption by a signal.
+/// Sends a datagram, with a retry after each interruption by a signal.
 fn send_uninterrupted(
     socket: &impl DatagramSocket,
     bytes: &[u8],
@@ -158,17 +159,17 @@
     sent
 }
 
-/// The way of received datagrams to the decider.
-struct Incoming {
+/// Forwards received datagrams to the decider.
+struct Inbound {
     numbers: HashMap<SocketAddr, u64>,
     decider: mpsc::Sender<Message>,
     unknown_senders: RateLimitedLog,
     consecutive_failures: usize,
 }
 
-impl Incoming {
-    fn new(peers: &Peers, decider: mpsc::Sender<Message>) -> Incoming {
-        Incoming {
+impl Inbound {
+    fn new(peers: &Peers, decider: mpsc::Sender<Message>) -> Inbound {
+        Inbound {
             numbers: peers.each.iter().copied().zip(0..).collect(),
             decider,
             unknown_senders: RateLimitedLog::default(),
@@ -179,16 +180,16 @@
     fn received(&mut self, sender: SocketAddr, bytes: &[u8]) {
         self.consecutive_failures = 0;
         let Some(number) = self.numbers.get(&sender) else {
-            let line = format!("peers: a datagram from {sender}, which is none of them");
+            let line = format!("peers: datagram dropped: its sender {sender} is not a known peer");
             return self.unknown_senders.log(&line);
         };
-        // Dropped if the mailbox is full.
+        // The datagram is dropped if the mailbox is full.
         let _ = self.decider.try_send(Message::Peer(*number, bytes.into()));
     }
 
-    /// Returns until when nothing should be received, if there has to be a pause.
+    /// Records a failure to receive. Returns the end of a pause, if one is necessary.
     fn failed(&mut self, now: Instant, error: &io::Error) -> Option<Instant> {
-        log::debug!(reason:% = error; "no gossip datagram was received");
+        log::debug!(reason:% = error; "receiving a gossip datagram failed");
         self.consecutive_failures += 1;
         let is_persistent = DatagramFailure::from(error) == DatagramFailure::Persistent;
         if !is_persistent && self.consecutive_failures < MAX_CONSECUTIVE_FAILURES {
--- a/crates/router/src/gossip_socket/tests.rs
+++ b/crates/router/src/gossip_socket/tests.rs
@@ -6,24 +6,24 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// A busy loop is one that makes so many calls while no time passes.
-const BUSY: usize = 10_000;
+/// This many calls while no time passes count as a busy loop.
+const BUSY_LOOP_CALLS: usize = 10_000;
 
-/// A socket that fails with these errors, one a call (0: it does not); or with the first of them
-/// for good.
-struct Failing {
+/// A socket that fails with the given errors, one per call (0: the call succeeds), or permanently
+/// with the first one.
+struct FailingSocket {
     receiving: RefCell<VecDeque<i32>>,
-    for_good: bool,
+    is_permanent: bool,
     sending: RefCell<VecDeque<i32>>,
     received: Cell<usize>,
     sent: RefCell<Vec<Vec<u8>>>,
 }
 
-impl Failing {
-    fn new(receiving: &[i32], for_good: bool, sending: &[i32]) -> Rc<Failing> {
-        Rc::new(Failing {
+impl FailingSocket {
+    fn new(receiving: &[i32], is_permanent: bool, sending: &[i32]) -> Rc<FailingSocket> {
+        Rc::new(FailingSocket {
             receiving: RefCell::new(receiving.iter().copied().collect()),
-            for_good,
+            is_permanent,
             sending: RefCell::new(sending.iter().copied().collect()),
             received: Cell::new(0),
             sent: RefCell::default(),
@@ -31,13 +31,13 @@
     }
 }
 
-impl DatagramSocket for Rc<Failing> {
+impl DatagramSocket for Rc<FailingSocket> {
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         self.received.set(self.received.get() + 1);
-        assert!(self.received.get() < BUSY, "a busy loop");
+        assert!(self.received.get() < BUSY_LOOP_CALLS, "a busy loop");
         yield_now().await;
         let errno = match &mut *self.receiving.borrow_mut() {
-            script if self.for_good => script.front().copied(),
+            script if self.is_permanent => script.front().copied(),
             script => script.pop_front(),
         };
         if let Some(errno) = errno {
@@ -83,13 +83,13 @@
         libc::EINTR,
         libc::ECONNREFUSED,
     ] {
-        let socket = Failing::new(&[errno], true, &[]);
-        let (_sender, outgoing) = channel();
+        let socket = FailingSocket::new(&[errno], true, &[]);
+        let (_sender, outbound) = channel();
         let (decider, _messages) = mpsc::channel(8);
-        let running = run(socket.clone(), peers(), outgoing, decider);
+        let running = run(socket.clone(), peers(), outbound, decider);
         assert!(
             timeout(Duration::from_secs(1), running).await.is_err(),
-            "errno {errno}: it has ended"
+            "errno {errno}: the actor has stopped"
         );
     }
 }
@@ -103,31 +103,31 @@
         libc::EPERM,
         libc::ENOMEM,
     ];
-    let socket = Failing::new(&failures, false, &[]);
-    let (_sender, outgoing) = channel();
+    let socket = FailingSocket::new(&failures, false, &[]);
+    let (_sender, outbound) = channel();
     let (decider, mut messages) = mpsc::channel(8);
-    let come = async {
+    let receive = async {
         match messages.recv().await {
             Some(Message::Peer(0, bytes)) => assert_eq!(*bytes, [7]),
-            _ => panic!("no datagram"),
+            _ => panic!("unexpected message"),
         }
     };
     tokio::select! {
-        () = run(socket, peers(), outgoing, decider) => panic!("it has ended"),
-        come = timeout(Duration::from_secs(1), come) => come.expect("nothing came"),
+        () = run(socket, peers(), outbound, decider) => panic!("the actor has stopped"),
+        received = timeout(Duration::from_secs(1), receive) => received.expect("no datagram"),
     }
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn an_interrupted_send_is_repeated_and_a_failed_one_loses_only_its_datagram() {
-    let socket = Failing::new(&[], false, &[libc::EINTR, 0, libc::ENOBUFS, libc::EPERM]);
-    let (mut sender, outgoing) = channel();
+    let socket = FailingSocket::new(&[], false, &[libc::EINTR, 0, libc::ENOBUFS, libc::EPERM]);
+    let (mut sender, outbound) = channel();
     let (decider, _messages) = mpsc::channel(8);
     for byte in 1..=4 {
         sender.say(To::All, &[byte]);
     }
-    // The actor ends when all senders are dropped, once everything is sent.
+    // The actor stops when all senders are dropped, after everything is sent.
     drop(sender);
-    run(socket.clone(), peers(), outgoing, decider).await;
+    run(socket.clone(), peers(), outbound, decider).await;
     assert_eq!(*socket.sent.borrow(), [[1], [4]]);
 }
--- a/crates/router/src/latency_probes.rs
+++ b/crates/router/src/latency_probes.rs
@@ -1,9 +1,8 @@
-//! Measures network paths: a probe to a cache server and back, on connections of its own, each with
-//! one probe at a time.
+//! Measures the round trip of network paths with probes to cache servers, on separate connections
+//! with one probe at a time.
 //!
-//! A probe that does not come back within [`PATIENCE`] is reported as lost; a connection that broke
-//! or was silent is replaced for the next probe. Nothing waits for a probe, and probes beyond the
-//! bounds are dropped.
+//! A probe without an answer within [`PATIENCE`] is reported as lost, and the next one uses a new
+//! connection. Probes never block, and those that exceed the limits are dropped.
 
 use crate::io_errors::{ConnectFailure, set_nodelay};
 use crate::messages::Message;
@@ -19,32 +18,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// Probes queued for the actor; more are dropped.
+/// The capacity of the probe queue; more probes are dropped.
 pub const PROBE_QUEUE_CAPACITY: usize = 128;
-/// Probes to servers without a connection are dropped while there are so many connections.
+/// The limit on connections; probes that would need another one are dropped.
 const MAX_CONNECTIONS: usize = 64;
-/// A connection without a probe for so long is closed.
+/// The time without a probe after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A longer line of an answer is taken in parts.
+/// The maximum read at a time; longer lines of an answer are read in parts.
 const MAX_LINE_BYTES: u64 = 512;
-/// The word of the servers' wire for a request that does nothing.
+/// The word for a request without effect in the server protocol.
 const PROBE_REQUEST: &str = "NOOP";
 
 type ProbeStream = BufReader<Uninterrupted<TcpStream>>;
 
-/// A probe that is to be sent to a cache server.
+/// A probe to be sent to a cache server.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    /// The network path that it measures.
+    /// The zone whose edge it measures.
     pub edge: usize,
-    /// Where the cache server is.
+    /// The address of the cache server.
     pub address: SocketAddr,
 }
 
-/// Why a probe did not come back.
+/// The error if a probe got no answer.
 #[derive(Debug, thiserror::Error)]
 enum ProbeError {
-    /// This machine lacked a resource to connect with: nothing was sent.
+    /// Connecting failed for lack of a local resource: nothing was sent.
     #[error("not sent: {0}")]
     NotSent(#[source] io::Error),
     /// The server refused the connection, or it broke.
@@ -53,12 +52,12 @@
     /// The server has closed the connection.
     #[error("closed by the server")]
     ClosedByServer,
-    /// Nothing came back in time.
+    /// There was no answer in time.
     #[error("no answer in time")]
     TimedOut,
 }
 
-/// Sends probes until the decider has dropped their queue.
+/// Sends probes until the decider drops the queue.
 pub async fn run(mut probes: mpsc::Receiver<Probe>, decider: mpsc::Sender<Message>) {
     let mut connections: HashMap<SocketAddr, mpsc::Sender<usize>> = HashMap::new();
     while let Some(Probe { edge, address }) = probes.recv().await {
@@ -72,12 +71,12 @@
             spawn_local(prober.run(edges));
             sender
         });
-        // Dropped if the one before it is still queued.
+        // The probe is dropped if the previous one is still queued.
         let _ = connection.try_send(edge);
     }
 }
 
-/// Sends the probes to one server.
+/// Sends probes to one server.
 struct Prober {
     address: SocketAddr,
     decider: mpsc::Sender<Message>,
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Ends when there was no probe for a while, or with the decider.
+    /// Runs until the idle timeout has passed without a probe, or the decider has ended.
     async fn run(mut self, mut edges: mpsc::Receiver<usize>) {
         while let Ok(Some(edge)) = timeout(IDLE_TIMEOUT, edges.recv()).await {
             let measured = timeout(PATIENCE, self.probe()).await;
@@ -104,10 +103,10 @@
                 Err(error) => {
                     log::debug!(
                         address:% = self.address, reason:% = error;
-                        "a latency probe failed"
+                        "latency probe failed"
                     );
                     if matches!(error, ProbeError::NotSent(_)) {
-                        // This says nothing about the path.
+                        // A local failure is no evidence on the path.
                         continue;
                     }
                     self.stream = None;
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Sends one probe and waits for its answer: the round trip, without the connect.
+    /// Sends one probe, waits for its answer and returns the round trip, which excludes connecting.
     async fn probe(&mut self) -> Result<Duration, ProbeError> {
         self.last_id += 1;
         let id = self.last_id.to_string();
@@ -134,7 +133,7 @@
         stream.get_mut().write_all(request.as_bytes()).await?;
         loop {
             let line = read_line(stream).await?;
-            // There are empty lines between answers, and answers to probes that were given up.
+            // Empty lines between answers, and late answers to earlier probes, are skipped.
             if line.split_whitespace().next() == Some(id.as_str()) {
                 return Ok(sent_at.elapsed());
             }
--- a/crates/router/src/latency_probes/tests.rs
+++ b/crates/router/src/latency_probes/tests.rs
@@ -2,7 +2,7 @@
 use tokio::net::TcpListener;
 
 #[test]
-fn answered_probes_are_measured_and_all_others_are_lost() {
+fn answered_probes_are_measured_and_others_are_reported_lost() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -13,9 +13,9 @@
         spawn_local(run(receiver, decider));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let shut = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let nobody = shut.local_addr().unwrap();
-        drop(shut);
+        let closed_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let refusing_address = closed_listener.local_addr().unwrap();
+        drop(closed_listener);
         probes.send(Probe { edge: 3, address }).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let mut stream = BufReader::new(stream);
@@ -31,8 +31,8 @@
             messages.recv().await,
             Some(Message::Way(3, Some(_)))
         ));
-        // The connection is used again; where it breaks the probe is lost, and the next one opens
-        // another.
+        // The connection is reused. When it breaks, the probe is lost, and the next one uses a new
+        // connection.
         probes.send(Probe { edge: 3, address }).await.unwrap();
         line.clear();
         stream.read_line(&mut line).await.unwrap();
@@ -42,7 +42,7 @@
         probes
             .send(Probe {
                 edge: 4,
-                address: nobody,
+                address: refusing_address,
             })
             .await
             .unwrap();
@@ -52,11 +52,11 @@
     });
 }
 
-/// Linux has no route for TCP to the broadcast address of its loopback network: ENETUNREACH, at
-/// once.
+/// Connecting to the broadcast address of the loopback network fails at once on Linux, without a
+/// route (ENETUNREACH).
 #[tokio::test(flavor = "current_thread")]
 async fn a_probe_that_was_not_sent_is_not_reported() {
-    let inside = async {
+    let test = async {
         let (decider, mut messages) = mpsc::channel(8);
         let (edges, receiver) = mpsc::channel(8);
         edges.send(3).await.unwrap();
@@ -65,5 +65,5 @@
         Prober::new(address, decider).run(receiver).await;
         assert!(messages.recv().await.is_none());
     };
-    tokio::task::LocalSet::new().run_until(inside).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/crates/router/src/operator_query.rs
+++ b/crates/router/src/operator_query.rs
@@ -1,35 +1,35 @@
-//! What an operator can ask a running router, parsed from the words of one line.
+//! The queries of operators to a running router, parsed from the words of a line.
 
 /// A query of an operator.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Query {
-    /// `store stat`: state and counters of the local cache.
+    /// `store stat`: the state and counters of the local cache.
     StoreStat,
-    /// `cells stat`: the map of cells and its moves.
+    /// `cells stat`: the cell map and its moves.
     CellsStat,
-    /// `peers stat`: the gossip with the routers of the zone.
+    /// `peers stat`: gossip with the routers of the zone.
     PeersStat,
-    /// About the failover between zones.
+    /// A query about zone failover.
     ZoneFailover(ZoneFailoverQuery),
-    /// Words that are no query.
+    /// An unknown query.
     Unknown(String),
 }
 
-/// A query about the failover between zones.
+/// A query about zone failover.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ZoneFailoverQuery {
     /// `regions stat`: the zones, and the plan between them.
     Stat,
-    /// `steer show`: which edges are to take the clients of this region.
+    /// `steer show`: the edges to which this region's clients should be sent.
     Steer,
-    /// `latency observe`, with its arguments: a latency that a front has measured.
+    /// `latency observe` and its arguments: a latency that a front measured.
     ObserveLatency(Vec<String>),
-    /// Words that begin like such a query.
+    /// An unknown query that begins like one about zone failover.
     Unknown(String),
 }
 
 impl Query {
-    /// Parses a line. What is not known is a query too, which is answered with an error.
+    /// Parses a line. Unknown queries are returned as such, and are answered with an error.
     pub fn parse(line: &str) -> Query {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
--- a/crates/router/src/operator_query/tests.rs
+++ b/crates/router/src/operator_query/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_known_line_is_one_query_whatever_the_space_between_its_words() {
+fn known_queries_are_parsed_regardless_of_whitespace() {
     let known = [
         ("store stat\n", Query::StoreStat),
         ("  cells   stat\r\n", Query::CellsStat),
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_measured_latency_keeps_all_of_its_arguments() {
+fn latency_observe_keeps_all_of_its_arguments() {
     let query = Query::parse("latency observe north z2 5 20");
     let arguments = ["north", "z2", "5", "20"].map(str::to_owned).to_vec();
     let observe = ZoneFailoverQuery::ObserveLatency(arguments);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn words_that_are_no_query_are_named_in_the_error() {
+fn unknown_queries_keep_their_words() {
     assert_eq!(
         Query::parse("make  tea\n"),
         Query::Unknown("make tea".into())
@@ -32,9 +32,9 @@
         Query::Unknown("store stat all".into())
     });
     assert_eq!(Query::parse(""), Query::Unknown(String::new()));
-    let nonsense = ZoneFailoverQuery::Unknown("regions nonsense".into());
+    let unknown = ZoneFailoverQuery::Unknown("regions nonsense".into());
     assert_eq!(
         Query::parse("regions nonsense"),
-        Query::ZoneFailover(nonsense)
+        Query::ZoneFailover(unknown)
     );
 }
