--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -88,7 +88,8 @@
 #[derive(Debug)]
 pub struct RetryAfter(pub Duration);
 
-/// Reads the cell map of the operator's file. `classes` are the names of the classes in the settings.
+/// Reads the cell map of the operator's file. `classes` are the names of the classes in the
+/// settings.
 ///
 /// # Errors
 /// All faults of the map.
@@ -159,8 +160,8 @@
 }
 
 impl CellRouting {
-    /// Configures the cells of the operator's file. Returns `None` if it has neither cells nor limits
-    /// of tenants.
+    /// Configures the cells of the operator's file. Returns `None` if it has neither cells nor
+    /// limits of tenants.
     ///
     /// # Errors
     /// All faults of the map.
@@ -347,8 +348,8 @@
     /// Assigns a cell to a new request.
     ///
     /// # Errors
-    /// The tenant is over its limit, and may retry after this time. Non-idempotent requests are never
-    /// limited: they are the last to be rejected.
+    /// The tenant is over its limit, and may retry after this time. Non-idempotent requests are
+    /// never limited: they are the last to be rejected.
     pub fn assign_cell(
         &mut self,
         now: Duration,
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -37,7 +37,10 @@
         let epoch = plan.epoch();
         let Some(moved) = cell_routing.replace_map(now, plan) else {
             let in_force = cell_routing.epoch();
-            log::warn!(epoch = epoch, in_force = in_force; "cells: map ignored: its epoch is older than the current one");
+            log::warn!(
+                epoch = epoch, in_force = in_force;
+                "cells: map ignored: its epoch is older than the current one"
+            );
             return;
         };
         log::info!(epoch = epoch, moved = moved.len(); "cells: map replaced");
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -154,9 +154,9 @@
     }
 }
 
-/// Lets the tasks of discovery and of the connections run before timers fire. Otherwise answers that
-/// arrived during a stall would be unread, and their servers would be taken for silent. The number
-/// of messages is bounded by that of open attempts.
+/// Lets the tasks of discovery and of the connections run before timers fire. Otherwise answers
+/// that arrived during a stall would be unread, and their servers would be taken for silent. The
+/// number of messages is bounded by that of open attempts.
 async fn let_other_tasks_run(
     mailbox: &mut mpsc::Receiver<Message>,
     messages: &mut VecDeque<Message>,
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -60,8 +60,8 @@
         handle.commands.clone()
     }
 
-    /// Drops the mailbox of an actor that has stopped, to free its memory. An actor that was started
-    /// meanwhile is kept.
+    /// Drops the mailbox of an actor that has stopped, to free its memory. An actor that was
+    /// started meanwhile is kept.
     pub(super) fn forget_stopped_actor(&mut self, server: &Id) {
         if let Some(handle) = self.handles.get_mut(server) {
             handle.commands.take_if(|commands| commands.is_closed());
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -223,8 +223,8 @@
         );
     }
 
-    /// Forwards an event to the decider. If cancelled while it waits, the event is not forwarded and
-    /// does not count as received.
+    /// Forwards an event to the decider. If cancelled while it waits, the event is not forwarded
+    /// and does not count as received.
     async fn forward(&mut self, event: NumberedEvent) -> Result<(), WatchError> {
         let slot = self.decider.reserve().await;
         let slot = slot.map_err(|_| WatchError::RouterEnded)?;
@@ -247,8 +247,8 @@
         self.event_times.interrupted();
         let watch = self.watch().await?;
         let mut watch = Watch::first_to_respond(watch, &mut state.silent_watch).await?;
-        // Only lines that show that no newer event is withheld count. A service that stays behind or
-        // repeats old events is treated like a silent one.
+        // Only lines that show that no newer event is withheld count. A service that stays behind
+        // or repeats old events is treated like a silent one.
         let mut current_at = watch.opened_at;
         loop {
             if let Progress::Current = self.process_line(&watch.line).await? {
@@ -375,8 +375,8 @@
                     return Ok(new);
                 }
                 () = sleep_until(response_deadline) => {
-                    let is_expired = |watch: &Watch| watch.opened_at.elapsed() >= FIRST_LINE_TIMEOUT;
-                    if earlier.as_ref().is_none_or(is_expired) {
+                    let is_late = |watch: &Watch| watch.opened_at.elapsed() >= FIRST_LINE_TIMEOUT;
+                    if earlier.as_ref().is_none_or(is_late) {
                         *earlier = Some(new);
                     }
                     return Err(WatchError::Silent);
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -144,8 +144,8 @@
 }
 
 /// Time is paused and advanced by the test: the service sends heartbeats for an hour, closes each
-/// connection at once for a minute, and then returns with a drain. There is no reconnect in the hour
-/// and no reconnect storm in the minute, and the drain is forwarded with the first watch.
+/// connection at once for a minute, and then returns with a drain. There is no reconnect in the
+/// hour and no reconnect storm in the minute, and the drain is forwarded with the first watch.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_drain_after_an_idle_hour_and_a_minute_of_outage_is_forwarded_at_once() {
     use std::io::Write;
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -1,5 +1,5 @@
-//! The router's own cache, with a memory tier and a disk tier. It connects the store with the routing
-//! logic: it translates names and times, limits memory use and runs the disk threads.
+//! The router's own cache, with a memory tier and a disk tier. It connects the store with the
+//! routing logic: it translates names and times, limits memory use and runs the disk threads.
 
 mod open;
 mod report;
@@ -25,7 +25,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The names of the tiers as members of the list. Names of listed servers do not begin with a colon.
+/// The names of the tiers as members of the list. Names of listed servers do not begin with a
+/// colon.
 const MEMORY_TIER: &str = ":memory";
 const DISK_TIER: &str = ":disk";
 /// Once discovery has sent all of its events, purges that are older than this have been received.
@@ -58,8 +59,8 @@
     clock: Clock,
     /// Bounds the times at which copies were created.
     copy_times: CopyTimes,
-    /// The milliseconds by which the wall clock was set back since an earlier start wrote to the disk.
-    /// Known once the disk is open.
+    /// The milliseconds by which the wall clock was set back since an earlier start wrote to the
+    /// disk. Known once the disk is open.
     set_back_ms: Arc<AtomicU64>,
     /// Purges received before the disk was open, which are applied again then if the clock was set
     /// back.
@@ -144,8 +145,8 @@
         })
     }
 
-    /// Attempts to answer a request from a tier. Returns `None` if the disk has to be read: the result
-    /// is then returned by [`LocalCache::take_completed_reads`].
+    /// Attempts to answer a request from a tier. Returns `None` if the disk has to be read: the
+    /// result is then returned by [`LocalCache::take_completed_reads`].
     pub fn attempt(
         &mut self,
         key: &AttemptId,
@@ -297,8 +298,8 @@
         self.store.rank(part(arrival), retention_priority);
     }
 
-    /// Records the answer of a server: its tag shows whether a copy on disk from an earlier start is
-    /// current.
+    /// Records the answer of a server: its tag shows whether a copy on disk from an earlier start
+    /// is current.
     pub fn record_server_answer(
         &mut self,
         arrival: &Arrival,
@@ -317,8 +318,8 @@
         }
     }
 
-    /// Purges an object or a group. If the clock was set back, the purge also covers copies that were
-    /// stamped while it was ahead, so that it still holds if the clock is set forward again.
+    /// Purges an object or a group. If the clock was set back, the purge also covers copies that
+    /// were stamped while it was ahead, so that it still holds if the clock is set forward again.
     pub fn purge(&mut self, object: Option<&Id>, group: u64, ms: u64) {
         let is_opening = self
             .store
--- a/crates/router/src/local_cache/open.rs
+++ b/crates/router/src/local_cache/open.rs
@@ -31,8 +31,8 @@
 pub struct OpenedCache {
     /// The cache.
     pub cache: LocalCache,
-    /// The results of disk operations, for [`LocalCache::complete_disk_operation`]; `None` without a
-    /// disk.
+    /// The results of disk operations, for [`LocalCache::complete_disk_operation`]; `None` without
+    /// a disk.
     pub disk_results: Option<mpsc::Receiver<End>>,
 }
 
@@ -71,7 +71,8 @@
 }
 
 impl LocalCache {
-    /// Opens the local cache. Returns `None` if the operator's file enables neither memory nor disk.
+    /// Opens the local cache. Returns `None` if the operator's file enables neither memory nor
+    /// disk.
     ///
     /// # Errors
     /// A directive has an invalid size, or the disk threads cannot be started.
@@ -170,7 +171,7 @@
     if set_back > 0 {
         log::warn!(
             set_back_ms = set_back;
-            "store: the clock was set back since an earlier start; its copies are revalidated before use"
+            "store: clock was set back since an earlier start; its copies are revalidated first"
         );
     }
     if let Err(error) = recorded {
--- a/crates/router/src/server_connection/attempts.rs
+++ b/crates/router/src/server_connection/attempts.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Stages the next write once all earlier bytes have been written: cancellations first, then the
-    /// next attempt.
+    /// Stages the next write once all earlier bytes have been written: cancellations first, then
+    /// the next attempt.
     pub(super) fn stage_next_write(&mut self) {
         if self.has_to_write() {
             return;
--- a/crates/router/src/server_connection/connect/tests.rs
+++ b/crates/router/src/server_connection/connect/tests.rs
@@ -40,7 +40,8 @@
     }
 }
 
-/// Connects with these failures first: whether it succeeded, the number of tries and the time taken.
+/// Connects with these failures first: whether it succeeded, the number of tries and the time
+/// taken.
 async fn connect_after(failures: &[i32]) -> (bool, usize, Duration) {
     let (begin, mut tries) = (Instant::now(), 0);
     let connecting = connect_with_retry(|| {
--- a/crates/router/src/server_pool.rs
+++ b/crates/router/src/server_pool.rs
@@ -48,8 +48,8 @@
 }
 
 impl ServerActors {
-    /// Starts an actor and returns its mailbox. The actor closes the mailbox when it stops; a command
-    /// that the mailbox refuses has not been executed.
+    /// Starts an actor and returns its mailbox. The actor closes the mailbox when it stops; a
+    /// command that the mailbox refuses has not been executed.
     pub fn spawn(
         &self,
         name: Id,
@@ -93,8 +93,8 @@
 }
 
 impl ServerActor {
-    /// Runs until the decider has dropped the mailbox and all attempts have ended, or until the actor
-    /// has been idle for [`ACTOR_IDLE_TIMEOUT`].
+    /// Runs until the decider has dropped the mailbox and all attempts have ended, or until the
+    /// actor has been idle for [`ACTOR_IDLE_TIMEOUT`].
     async fn run(mut self, mut from_connections: mpsc::Receiver<ServerCommand>) {
         let mut is_listed = true;
         let mut last_command_at = Instant::now();
@@ -135,14 +135,15 @@
             .or(actor_timeout)
     }
 
-    /// Whether the idle timeout of the actor has passed and its mailbox is empty. A command that has
-    /// just arrived is handled first.
+    /// Whether the idle timeout of the actor has passed and its mailbox is empty. A command that
+    /// has just arrived is handled first.
     fn is_idle_timeout_over(&self, last_command_at: Instant) -> bool {
         Instant::now() >= last_command_at + ACTOR_IDLE_TIMEOUT && self.commands.is_empty()
     }
 
-    /// Closes the mailbox and stops. Nothing can have arrived since the mailbox was checked, because
-    /// the decider runs on the same thread. It starts another actor if it finds the mailbox closed.
+    /// Closes the mailbox and stops. Nothing can have arrived since the mailbox was checked,
+    /// because the decider runs on the same thread. It starts another actor if it finds the mailbox
+    /// closed.
     async fn stop(mut self) {
         self.commands.close();
         // If the decider has ended, the message is not needed.
--- a/crates/router/src/server_pool/pooled_connection.rs
+++ b/crates/router/src/server_pool/pooled_connection.rs
@@ -40,8 +40,8 @@
     pub(super) created_at: Instant,
     /// When an attempt was last sent to it or ended on it.
     pub(super) last_used_at: Instant,
-    /// Requests with an earlier attempt on this connection, in order. A late or second answer to such
-    /// an attempt would be mistaken for the answer to a later attempt of the same request.
+    /// Requests with an earlier attempt on this connection, in order. A late or second answer to
+    /// such an attempt would be mistaken for the answer to a later attempt of the same request.
     past_requests: VecDeque<Id>,
 }
 
--- a/crates/router/src/server_pool/tests.rs
+++ b/crates/router/src/server_pool/tests.rs
@@ -109,8 +109,8 @@
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// The connections to all servers together stay within the slots; an attempt that would need another
-/// one is not sent.
+/// The connections to all servers together stay within the slots; an attempt that would need
+/// another one is not sent.
 #[tokio::test(flavor = "current_thread")]
 async fn no_connection_is_opened_without_a_free_slot() {
     let test = async {
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -179,7 +179,10 @@
         };
         regions.drain(&drained);
         let (abroad, measure) = (settings.abroad, settings.measure);
-        log::info!(abroad = abroad, measure = measure, places = names.len(); "regions: failover enabled");
+        log::info!(
+            abroad = abroad, measure = measure, places = names.len();
+            "regions: failover enabled"
+        );
         Ok(Some(ZoneFailover {
             regions,
             sender,
@@ -337,7 +340,8 @@
         Ok(())
     }
 
-    /// Records the result of an attempt at a server as evidence on the health of this zone's caches.
+    /// Records the result of an attempt at a server as evidence on the health of this zone's
+    /// caches.
     pub fn record_attempt(
         &mut self,
         now: Duration,
