--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -16,7 +16,8 @@
 pub struct CellRouting {
     map: Map,
     moves: Vec<ActiveMove>,
-    /// The longest time for which a request, or the record of it for repetitions, lasts.
+    /// The maximum lifetime of a request and of the record by which its repetitions are recognized.
+    /// A move waits for this time before it is done.
     settling_time: Duration,
     /// The listed servers.
     members: BTreeMap<Id, Member>,
@@ -240,10 +241,10 @@
     pub fn update_members(
         &mut self,
         now: Duration,
-        is_whole: bool,
+        is_snapshot: bool,
         members: Vec<Member>,
     ) -> Vec<Member> {
-        if is_whole {
+        if is_snapshot {
             self.members.clear();
         }
         let mut changed: BTreeSet<Id> = BTreeSet::new();
@@ -253,7 +254,7 @@
         }
         let moved = self.assign_servers(now);
         changed.extend(moved.into_iter().map(|member| member.server));
-        let is_changed = |member: &&Member| is_whole || changed.contains(&member.server);
+        let is_changed = |member: &&Member| is_snapshot || changed.contains(&member.server);
         let updated = self.members.values().filter(is_changed).cloned().collect();
         self.members
             .retain(|_, member| member.standing != Standing::Gone);
--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -23,7 +23,7 @@
 const MAX_LINE_BYTES: u64 = 256;
 /// The time limit for reading and answering a query.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after accepting failed persistently.
+/// The pause after a persistent failure to accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// The number of consecutive failures that causes a pause even if each one is transient.
 const MAX_CONSECUTIVE_FAILURES: usize = 32;
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -32,7 +32,7 @@
 use crate::local_cache::LocalCache;
 use crate::messages::Message;
 use crate::rate_limited_log::RateLimitedLog;
-use crate::server_pool::{ConnectionSlots, ServerActors};
+use crate::server_pool::{ConnectionSlots, ServerActorFactory};
 use crate::zone_failover::ZoneFailover;
 use chalkhall::control::Router;
 use chalkhall::interface::{Class, Deployment, Effect, Member};
@@ -113,7 +113,7 @@
             now: clock.now(),
             clock,
             requests: RequestTable::default(),
-            servers: ServerHandles::new(server_actors(&limits, mailbox)),
+            servers: ServerHandles::new(server_actor_factory(&limits, mailbox)),
             timers: BinaryHeap::new(),
             local_results: VecDeque::new(),
             maybe_finished: Vec::new(),
@@ -158,11 +158,11 @@
 }
 
 /// Builds the factory of server actors, which share the descriptors that are not reserved.
-fn server_actors(limits: &Limits, decider: mpsc::Sender<Message>) -> ServerActors {
+fn server_actor_factory(limits: &Limits, decider: mpsc::Sender<Message>) -> ServerActorFactory {
     // A third of the descriptors is reserved for client connections.
     let reserved = limits.sockets / 3 + RESERVED_DESCRIPTORS;
     let max_connections = limits.sockets.saturating_sub(reserved);
-    ServerActors {
+    ServerActorFactory {
         max_streams: limits.streams,
         connect_timeout: limits.connect_timeout,
         idle_timeout: limits.idle_close.mul_f64(IDLE_TIMEOUT_FRACTION),
--- a/crates/router/src/decider/attempt_results.rs
+++ b/crates/router/src/decider/attempt_results.rs
@@ -31,7 +31,7 @@
         if let Some(answer) = answer {
             self.process_answer(&id, &attempt, answer, &mut result);
         }
-        if attempt.is_by_server {
+        if attempt.is_at_server {
             self.report_attempt(&id, &attempt, &result);
         }
         let request = self.dispatcher.requests.get(&id);
@@ -51,7 +51,7 @@
         mut answer: Box<Answer>,
         result: &mut interface::Ended,
     ) {
-        if let (true, Some(local_cache)) = (attempt.is_by_server, &mut self.dispatcher.local_cache)
+        if let (true, Some(local_cache)) = (attempt.is_at_server, &mut self.dispatcher.local_cache)
         {
             let created_at = answer.created_at_unix_ms;
             answer.created_at_unix_ms =
@@ -84,12 +84,12 @@
             if let Some(cell_routing) = &mut self.cell_routing {
                 cell_routing.record_served(dispatcher.now, &request.arrival);
             }
-            if let (true, Some(local_cache)) = (attempt.is_by_server, &mut dispatcher.local_cache) {
+            if let (true, Some(local_cache)) = (attempt.is_at_server, &mut dispatcher.local_cache) {
                 let client_etag = request.forwarded.have.as_ref();
                 local_cache.record_server_answer(&request.arrival, &answer, client_etag);
             }
         }
-        let is_storable = attempt.is_by_server && !answer.is_not_modified;
+        let is_storable = attempt.is_at_server && !answer.is_not_modified;
         dispatcher.served_answer = is_storable.then(|| ServedAnswer {
             request: id.clone(),
             answer,
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -56,29 +56,29 @@
         self.router.purged(now, object, group, age);
     }
 
-    fn update_list(&mut self, now: Duration, is_whole: bool, listed: Vec<DiscoveredServer>) {
-        self.update_servers(is_whole, &listed);
+    fn update_list(&mut self, now: Duration, is_snapshot: bool, listed: Vec<DiscoveredServer>) {
+        self.update_servers(is_snapshot, &listed);
         let mut members: Vec<Member> = listed.into_iter().map(|server| server.member).collect();
         if let Some(cell_routing) = &mut self.cell_routing {
-            members = cell_routing.update_members(now, is_whole, members);
+            members = cell_routing.update_members(now, is_snapshot, members);
         }
         members.append(&mut self.unlisted_local_members);
-        let kind = if is_whole {
+        let kind = if is_snapshot {
             ListKind::Whole
         } else {
             ListKind::Changes
         };
         self.router.list(now, kind, &members, &mut self.dispatcher);
         self.is_gossip_list_stale = true;
-        if is_whole {
+        if is_snapshot {
             self.refresh_gossip_members();
         }
     }
 
     /// Updates the server handles from the list. All servers share a third of the descriptors.
-    fn update_servers(&mut self, is_whole: bool, listed: &[DiscoveredServer]) {
+    fn update_servers(&mut self, is_snapshot: bool, listed: &[DiscoveredServer]) {
         let servers = &mut self.dispatcher.servers;
-        if is_whole {
+        if is_snapshot {
             let names: HashSet<&Id> = listed.iter().map(|server| &server.member.server).collect();
             servers.retain(&names);
         }
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -22,7 +22,7 @@
     pub(super) was_served: bool,
 }
 
-/// The answer to the request that is being handled, which the local cache may store.
+/// The answer with which the current request has been served. The local cache may store it.
 pub(super) struct ServedAnswer {
     pub(super) request: Id,
     pub(super) answer: Box<Answer>,
@@ -32,11 +32,12 @@
 pub(super) struct ClosedAttempt {
     pub(super) server: Id,
     /// False if the server is the local cache or is not listed.
-    pub(super) is_by_server: bool,
+    pub(super) is_at_server: bool,
     pub(super) took: Duration,
 }
 
-/// Executes the actions of the routing logic, and holds the state of those that are open.
+/// Executes the actions of the routing logic, and holds the requests, attempts and timers that are
+/// open as a result.
 pub(super) struct Dispatcher {
     /// The time at which the current event is handled.
     pub(super) now: Duration,
@@ -114,7 +115,7 @@
         self.open_attempts -= 1;
         Some(ClosedAttempt {
             server: attempt.server.clone(),
-            is_by_server: attempt.commands.is_some(),
+            is_at_server: attempt.commands.is_some(),
             took: self.now.saturating_sub(attempt.sent_at),
         })
     }
--- a/crates/router/src/decider/operator_queries.rs
+++ b/crates/router/src/decider/operator_queries.rs
@@ -26,7 +26,7 @@
             },
             Query::ZoneFailover(query) => match &mut self.zone_failover {
                 Some(failover) => query_zone_failover(failover, now, query),
-                None => error("regions: in-common is off"),
+                None => error("regions: failover is off"),
             },
             Query::Unknown(words) => unknown(&words),
         }
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -34,13 +34,13 @@
         self.requester.is_none() || !self.cancellation.still()
     }
 
-    /// Whether it is resolved and none of its attempts is open.
+    /// Whether nothing waits for its final answer any more and all its attempts have ended.
     fn is_finished(&self) -> bool {
         self.requester.is_none() && self.attempts.iter().all(|attempt| !attempt.is_open)
     }
 
     /// Whether it was sent with this tag by the client that has this reply channel.
-    fn is_of_client(&self, tag: u64, client: &mpsc::Sender<ClientReply>) -> bool {
+    fn belongs_to(&self, tag: u64, client: &mpsc::Sender<ClientReply>) -> bool {
         self.tag == tag
             && matches!(&self.requester,
                 Some(Requester::Client(reply)) if reply.same_channel_as_sender(client))
@@ -105,7 +105,7 @@
         let Some(request) = self
             .requests
             .get_mut(id)
-            .filter(|request| request.is_of_client(tag, client))
+            .filter(|request| request.belongs_to(tag, client))
         else {
             return false;
         };
@@ -114,7 +114,7 @@
         true
     }
 
-    /// Removes a request if it is resolved and all its attempts have ended.
+    /// Removes a request that is finished.
     pub(super) fn remove_if_finished(&mut self, id: &Id) {
         if self.get(id).is_some_and(PendingRequest::is_finished) {
             self.requests.remove(id);
--- a/crates/router/src/decider/servers.rs
+++ b/crates/router/src/decider/servers.rs
@@ -1,7 +1,7 @@
 //! The listed servers: the address of each, and the mailbox of its actor if one is running.
 
 use crate::messages::ServerCommand;
-use crate::server_pool::ServerActors;
+use crate::server_pool::ServerActorFactory;
 use chalkhall::interface::Id;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -29,14 +29,14 @@
 /// All listed servers, by name.
 pub(super) struct ServerHandles {
     handles: HashMap<Id, ServerHandle>,
-    actors: ServerActors,
+    actor_factory: ServerActorFactory,
 }
 
 impl ServerHandles {
-    pub(super) fn new(actors: ServerActors) -> ServerHandles {
+    pub(super) fn new(actor_factory: ServerActorFactory) -> ServerHandles {
         ServerHandles {
             handles: HashMap::new(),
-            actors,
+            actor_factory,
         }
     }
 
@@ -53,7 +53,7 @@
         let handle = self.handles.get_mut(server)?;
         if handle.commands.as_ref().is_none_or(mpsc::Sender::is_closed) {
             let commands =
-                self.actors
+                self.actor_factory
                     .spawn(server.clone(), handle.address, handle.max_connections);
             handle.commands = Some(commands);
         }
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -16,7 +16,7 @@
 /// Server handles whose actors share this many connection slots.
 fn new_handles(slots: usize) -> (ServerHandles, mpsc::Receiver<Message>) {
     let (decider, messages) = mpsc::channel(8);
-    let actors = ServerActors {
+    let actors = ServerActorFactory {
         max_streams: 100,
         connect_timeout: LONG_TIMEOUT,
         idle_timeout: LONG_TIMEOUT,
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -35,7 +35,8 @@
 /// The limit on purges that are remembered while the disk is being opened. The events known at the
 /// start contain fewer.
 const MAX_EARLY_PURGES: usize = 4096;
-/// The limit on the clock lead by which purges are extended to copies of an earlier start: a day.
+/// The limit on how far purges are extended to cover copies that were stamped by a clock that was
+/// ahead: a day.
 const MAX_CLOCK_LEAD_MS: u64 = 24 * 3600 * 1000;
 
 /// A purge of an object or a group as it was received. `ms` is in Unix milliseconds by the clock of
@@ -257,7 +258,7 @@
     }
 
     /// The latest time at which a copy that a server has just sent can have been created; `None` if
-    /// its timestamp gives no such bound.
+    /// its age cannot be determined.
     pub fn bound_created_at(&mut self, created_at_unix_ms: u64) -> Option<u64> {
         self.copy_times.bound(&self.clock, created_at_unix_ms)
     }
--- a/crates/router/src/server_pool.rs
+++ b/crates/router/src/server_pool.rs
@@ -34,7 +34,7 @@
 /// Starts the actors of servers. An actor is started when the first attempt is sent to its server:
 /// in a large fleet a router sends nothing to most servers, and an actor with its mailboxes takes
 /// several KB.
-pub struct ServerActors {
+pub struct ServerActorFactory {
     /// The limit on concurrent attempts on one connection.
     pub max_streams: usize,
     /// The timeout for connecting.
@@ -47,7 +47,7 @@
     pub slots: Rc<ConnectionSlots>,
 }
 
-impl ServerActors {
+impl ServerActorFactory {
     /// Starts an actor and returns its mailbox. The actor closes the mailbox when it stops; a
     /// command that the mailbox refuses has not been executed.
     pub fn spawn(
--- a/crates/router/src/server_pool/tests.rs
+++ b/crates/router/src/server_pool/tests.rs
@@ -249,7 +249,7 @@
     let test = async {
         let (decider, mut messages) = mpsc::channel(8);
         let slots = Rc::new(ConnectionSlots::new(2));
-        let actors = ServerActors {
+        let actors = ServerActorFactory {
             max_streams: 100,
             connect_timeout: TIMEOUT,
             idle_timeout: TIMEOUT * 60,
--- a/crates/router/src/server_protocol.rs
+++ b/crates/router/src/server_protocol.rs
@@ -4,7 +4,7 @@
 //! A message is a line of words separated by spaces, followed by a body. The last word of the line
 //! is the length of the body.
 
-mod words;
+mod keywords;
 
 use crate::client_protocol::{fields, number};
 use bytes::{Buf, Bytes, BytesMut};
@@ -51,23 +51,23 @@
     let text = |bytes: &Bytes| String::from_utf8_lossy(bytes).into_owned();
     let mut line = format!(
         "{} {} {}={},{}={},{}={},{}={}",
-        words::REQUEST,
+        keywords::REQUEST,
         text(&forwarded.id),
-        words::CLASS,
+        keywords::CLASS,
         text(&forwarded.class),
-        words::OBJECT,
+        keywords::OBJECT,
         text(&forwarded.object),
-        words::PART,
+        keywords::PART,
         text(&forwarded.part),
-        words::TIME_LIMIT,
+        keywords::TIME_LIMIT,
         remaining.as_millis().max(1)
     );
     encode_fill(&mut line, server, fill);
     if let Some(have) = &forwarded.have {
-        let _ = write!(line, ",{}={}", words::CLIENT_ETAG, text(have));
+        let _ = write!(line, ",{}={}", keywords::CLIENT_ETAG, text(have));
     }
     if let Some(key) = &forwarded.idempotency_key {
-        let _ = write!(line, ",{}={}", words::IDEMPOTENCY_KEY, text(key));
+        let _ = write!(line, ",{}={}", keywords::IDEMPOTENCY_KEY, text(key));
     }
     let _ = write!(line, " {}\r\n", forwarded.body.len());
     let mut encoded = BytesMut::from(line.as_str());
@@ -80,10 +80,10 @@
 fn encode_fill(line: &mut String, server: &str, fill: &Fill) {
     // A server that is its own source does not fill.
     if *fill.source != *server {
-        let _ = write!(line, ",{}={}", words::SOURCE, fill.source);
+        let _ = write!(line, ",{}={}", keywords::SOURCE, fill.source);
     }
     if fill.rank > 0 {
-        let _ = write!(line, ",{}={}", words::RETENTION_PRIORITY, fill.rank);
+        let _ = write!(line, ",{}={}", keywords::RETENTION_PRIORITY, fill.rank);
     }
     if let Some(max_age) = fill.oldest {
         // This is the age limit at the decision, although the server applies it when the line
@@ -92,26 +92,31 @@
         // Adding the delay to the limit could exceed the freshness lifetime, from which the limit
         // may be derived. The value is never 0, which would allow any age within that lifetime; the
         // fraction of 1 ms that this adds is within the grace period of a purge.
-        let _ = write!(line, ",{}={}", words::MAX_AGE, max_age.as_millis().max(1));
+        let _ = write!(
+            line,
+            ",{}={}",
+            keywords::MAX_AGE,
+            max_age.as_millis().max(1)
+        );
     }
     let flags = [
-        (fill.join, words::FLAG_COALESCE),
-        (fill.only_held, words::FLAG_ONLY_IF_CACHED),
-        (!fill.parent_keeps, words::FLAG_NO_STORE_AT_PARENT),
-        (fill.renew, words::FLAG_REFRESH),
+        (fill.join, keywords::FLAG_COALESCE),
+        (fill.only_held, keywords::FLAG_ONLY_IF_CACHED),
+        (!fill.parent_keeps, keywords::FLAG_NO_STORE_AT_PARENT),
+        (fill.renew, keywords::FLAG_REFRESH),
     ];
     let flags: Vec<_> = flags
         .into_iter()
         .filter_map(|(is_set, word)| is_set.then_some(word))
         .collect();
     if !flags.is_empty() {
-        let _ = write!(line, ",{}={}", words::FLAGS, flags.join("+"));
+        let _ = write!(line, ",{}={}", keywords::FLAGS, flags.join("+"));
     }
 }
 
 /// Encodes the cancellation of the request with this id.
 pub fn encode_cancel(id: &[u8]) -> Bytes {
-    [words::CANCEL, b" ", id, END_OF_LINE].concat().into()
+    [keywords::CANCEL, b" ", id, END_OF_LINE].concat().into()
 }
 
 /// An answer of a server.
@@ -234,7 +239,7 @@
     ) else {
         return Err(ProtocolError::WordCount);
     };
-    let outcome = words::outcome(&status).ok_or(ProtocolError::UnknownStatus)?;
+    let outcome = keywords::outcome(&status).ok_or(ProtocolError::UnknownStatus)?;
     let body_length = number(&length)
         .and_then(|length| usize::try_from(length).ok())
         .filter(|length| *length <= MAX_BODY_BYTES)
@@ -242,7 +247,7 @@
     let mut answer = Answer {
         id,
         outcome,
-        is_not_modified: &status[..] == words::STATUS_NOT_MODIFIED,
+        is_not_modified: &status[..] == keywords::STATUS_NOT_MODIFIED,
         remark: Remark::None,
         first_byte: None,
         load: Load::default(),
@@ -262,11 +267,11 @@
 /// Decodes one field. Unknown fields are ignored.
 fn decode_field(answer: &mut Answer, name: &[u8], value: Bytes) {
     match name {
-        words::REMARK => answer.remark = words::remark(&value),
-        words::FIRST_BYTE_MS => answer.first_byte = decode_milliseconds(&value),
-        words::LOAD => answer.load = decode_load(&value),
-        words::ETAG => answer.etag = Some(value),
-        words::CREATED_AT => answer.created_at_unix_ms = number(&value),
+        keywords::REMARK => answer.remark = keywords::remark(&value),
+        keywords::FIRST_BYTE_MS => answer.first_byte = decode_milliseconds(&value),
+        keywords::LOAD => answer.load = decode_load(&value),
+        keywords::ETAG => answer.etag = Some(value),
+        keywords::CREATED_AT => answer.created_at_unix_ms = number(&value),
         _ => {}
     }
 }
@@ -287,11 +292,11 @@
         };
         let value = value.parse().ok().filter(|value: &f64| value.is_finite());
         match name {
-            words::LOAD_IN_FLIGHT | words::LOAD_IN_FLIGHT_SHORT => load.in_hand = value,
-            words::LOAD_QUEUED | words::LOAD_QUEUED_SHORT => load.queued = value,
-            words::LOAD_UTILIZATION | words::LOAD_BUSY => load.busy = value,
-            words::LOAD_HIT_RATIO => load.hit_share = value,
-            words::LOAD_LINK => load.link = value,
+            keywords::LOAD_IN_FLIGHT | keywords::LOAD_IN_FLIGHT_SHORT => load.in_hand = value,
+            keywords::LOAD_QUEUED | keywords::LOAD_QUEUED_SHORT => load.queued = value,
+            keywords::LOAD_UTILIZATION | keywords::LOAD_BUSY => load.busy = value,
+            keywords::LOAD_HIT_RATIO => load.hit_share = value,
+            keywords::LOAD_LINK => load.link = value,
             _ => {}
         }
     }
--- a/crates/router/src/server_protocol/words.rs
+++ b/crates/router/src/server_protocol/keywords.rs
@@ -1,8 +1,8 @@
-//! The words of the server protocol and their meanings.
+//! The keywords of the server protocol and their meanings.
 
 use chalkhall::interface::{Outcome, Remark};
 
-// The word that begins a request line, and the fields of the line.
+// The first word of a request line, and the names of its fields.
 pub(super) const REQUEST: &str = "ASK";
 pub(super) const CLASS: &str = "cls";
 pub(super) const OBJECT: &str = "item";
@@ -15,7 +15,7 @@
 pub(super) const CLIENT_ETAG: &str = "have";
 pub(super) const IDEMPOTENCY_KEY: &str = "nonce";
 
-// Flags of a request.
+// Values of the flags field.
 pub(super) const FLAG_COALESCE: &str = "collapse";
 pub(super) const FLAG_ONLY_IF_CACHED: &str = "only-if-cached";
 pub(super) const FLAG_NO_STORE_AT_PARENT: &str = "no-store-up";
@@ -27,14 +27,14 @@
 /// The status of an answer without a body, because the client has the same copy.
 pub(super) const STATUS_NOT_MODIFIED: &[u8] = b"SAME";
 
-// Fields of an answer.
+// Names of the fields of an answer.
 pub(super) const REMARK: &[u8] = b"tell";
 pub(super) const FIRST_BYTE_MS: &[u8] = b"ttfb";
 pub(super) const LOAD: &[u8] = b"meter";
 pub(super) const ETAG: &[u8] = b"etag";
 pub(super) const CREATED_AT: &[u8] = b"made";
 
-// Entries of a load report.
+// Names of the entries of a load report.
 pub(super) const LOAD_IN_FLIGHT: &str = "inflight";
 pub(super) const LOAD_IN_FLIGHT_SHORT: &str = "rif";
 pub(super) const LOAD_QUEUED: &str = "queue";
