--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -1,9 +1,9 @@
-//! What discovery and the operator tell while the router runs: servers, purges, cells, drained
-//! zones.
+//! Updates from discovery and from the operator's file at run time: server lists, purges, cell maps
+//! and drained zones.
 
 use super::servers::ListedServer;
 use super::{Decider, MAX_CONNECTIONS_PER_SERVER};
-use crate::cell_routing::Plan;
+use crate::cell_routing::CellPlan;
 use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
 use crate::local_cache::LocalCache;
 use chalkhall::interface::{Id, ListKind, Member, Standing};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl Decider {
-    /// Hands an event to all that it concerns.
+    /// Applies an event to the routing logic and the subsystems.
     pub fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
         let now = self.dispatcher.clock.now();
         match event {
@@ -30,17 +30,20 @@
         }
     }
 
-    fn replace_cell_map(&mut self, now: Duration, plan: Plan) {
+    fn replace_cell_map(&mut self, now: Duration, plan: CellPlan) {
         let Some(cell_routing) = &mut self.cell_routing else {
             return;
         };
         let epoch = plan.epoch();
         let Some(moved) = cell_routing.replace_map(now, plan) else {
             let in_force = cell_routing.epoch();
-            log::warn!(epoch = epoch, in_force = in_force; "cells: an older map is not taken");
+            log::warn!(
+                epoch = epoch, in_force = in_force;
+                "cells: map ignored: its epoch is older than the current one"
+            );
             return;
         };
-        log::info!(epoch = epoch, moved = moved.len(); "cells: taken over");
+        log::info!(epoch = epoch, moved = moved.len(); "cells: map replaced");
         self.router
             .list(now, ListKind::Changes, &moved, &mut self.dispatcher);
     }
@@ -53,29 +56,29 @@
         self.router.purged(now, object, group, age);
     }
 
-    fn update_list(&mut self, now: Duration, is_whole: bool, listed: Vec<DiscoveredServer>) {
-        self.update_servers(is_whole, &listed);
+    fn update_list(&mut self, now: Duration, is_snapshot: bool, listed: Vec<DiscoveredServer>) {
+        self.update_servers(is_snapshot, &listed);
         let mut members: Vec<Member> = listed.into_iter().map(|server| server.member).collect();
         if let Some(cell_routing) = &mut self.cell_routing {
-            members = cell_routing.update_members(now, is_whole, members);
+            members = cell_routing.update_members(now, is_snapshot, members);
         }
         members.append(&mut self.unlisted_local_members);
-        let kind = if is_whole {
+        let kind = if is_snapshot {
             ListKind::Whole
         } else {
             ListKind::Changes
         };
         self.router.list(now, kind, &members, &mut self.dispatcher);
         self.is_gossip_list_stale = true;
-        if is_whole {
+        if is_snapshot {
             self.refresh_gossip_members();
         }
     }
 
-    /// Brings the server handles in line with the list. Servers share a third of the descriptors.
-    fn update_servers(&mut self, is_whole: bool, listed: &[DiscoveredServer]) {
+    /// Updates the server handles from the list. All servers share a third of the descriptors.
+    fn update_servers(&mut self, is_snapshot: bool, listed: &[DiscoveredServer]) {
         let servers = &mut self.dispatcher.servers;
-        if is_whole {
+        if is_snapshot {
             let names: HashSet<&Id> = listed.iter().map(|server| &server.member.server).collect();
             servers.retain(&names);
         }
