--- a/crates/failover/src/decide.rs
+++ b/crates/failover/src/decide.rs
@@ -22,7 +22,7 @@
 use crate::evidence::{Counted, Health};
 use crate::words::{HOME, Home, LOAD, Load, PLAN, Plan, TAKERS_MOST};
 use chalkhall_gossip::Mouth;
-use chalkhall_gossip::gossip::{Gossip, Lane, Stand};
+use chalkhall_gossip::gossip::{Gossip, KindPolicy, RouterIdentity};
 use chalkhall_latency::{Estimate, Model, Offer, Table};
 use chalkhall_stats::Recent;
 use std::time::Duration;
@@ -32,30 +32,30 @@
 const HOME_TELLERS: usize = 3;
 pub const PLAN_LASTS: Duration = Duration::from_millis(2000);
 /// All kinds that a router's gossip carries here, those of the latency model among them.
-pub const LANES: [Lane; 6] = [
-    chalkhall_latency::LANES[0],
-    chalkhall_latency::LANES[1],
-    chalkhall_latency::LANES[2],
-    Lane {
+pub const KIND_POLICIES: [KindPolicy; 6] = [
+    chalkhall_latency::KIND_POLICIES[0],
+    chalkhall_latency::KIND_POLICIES[1],
+    chalkhall_latency::KIND_POLICIES[2],
+    KindPolicy {
         kind: LOAD,
-        near: true,
+        zone_only: true,
         first: false,
-        keep: 256,
-        lasts: LASTS,
+        max_publishers: 256,
+        lifetime: LASTS,
     },
-    Lane {
+    KindPolicy {
         kind: HOME,
-        near: false,
+        zone_only: false,
         first: false,
-        keep: HOME_TELLERS,
-        lasts: LASTS,
+        max_publishers: HOME_TELLERS,
+        lifetime: LASTS,
     },
-    Lane {
+    KindPolicy {
         kind: PLAN,
-        near: true,
+        zone_only: true,
         first: true,
-        keep: 4,
-        lasts: PLAN_LASTS,
+        max_publishers: 4,
+        lifetime: PLAN_LASTS,
     },
 ];
 /// A peer that gave a sign of life so lately asks for something.
@@ -179,28 +179,28 @@
         let About {
             number,
             routers,
-            place,
+            place: zone,
             places,
             incarnation,
             seed,
             ..
         } = about;
-        let stand = Stand {
+        let identity = RouterIdentity {
             number,
             routers,
-            place,
+            zone,
             incarnation,
             seed,
         };
-        let fits = places <= usize::from(u8::MAX) && usize::from(place) < places;
-        let gossip = Gossip::start(now, stand, &LANES).filter(|_| fits)?;
+        let fits = places <= usize::from(u8::MAX) && usize::from(zone) < places;
+        let gossip = Gossip::start(now, identity, &KIND_POLICIES).filter(|_| fits)?;
         let mut chance = fastrand::Rng::with_seed(seed ^ 0x2e91);
         // Routers that start together do not all speak in the same instant.
         let lag = TURN_EVERY.mul_f64(chance.f64());
         Some(Regions {
             about,
             gossip,
-            model: Model::new(number, place, places),
+            model: Model::new(number, zone, places),
             seen: Counted::default(),
             health: Health::default(),
             demand: (0.0, now),
@@ -290,13 +290,13 @@
         if self.urgent {
             Duration::ZERO
         } else {
-            own.min(self.gossip.next())
+            own.min(self.gossip.next_tick())
         }
     }
 
     pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
-        let ours = self.gossip.heard(now, from, bytes);
-        for topic in self.gossip.news() {
+        let ours = self.gossip.receive(now, from, bytes);
+        for topic in self.gossip.take_updated_topics() {
             // A word of a peer that may turn what is held here is looked at now, a plan too.
             if topic.kind == LOAD || topic.kind == PLAN {
                 self.judge(now);
@@ -321,14 +321,14 @@
         let number = self.about.number;
         let peers = self
             .gossip
-            .words(now, LOAD)
-            .filter(move |(topic, _)| topic.teller != number);
-        let peers = peers.filter_map(move |(topic, word)| {
-            let age = now.saturating_sub(word.told);
+            .messages(now, LOAD)
+            .filter(move |(topic, _)| topic.publisher != number);
+        let peers = peers.filter_map(move |(topic, message)| {
+            let age = now.saturating_sub(message.published_at);
             let fades = (-age.div_duration_f64(crate::evidence::HALF_LIFE)).exp2();
-            let load = Load::decode(&word.body)?;
+            let load = Load::decode(&message.payload)?;
             Some((
-                topic.teller,
+                topic.publisher,
                 Load {
                     good: load.good * fades,
                     bad: load.bad * fades,
@@ -360,10 +360,10 @@
         }
         let words = self
             .gossip
-            .words(now, HOME)
-            .filter(|(_, word)| usize::from(word.place) == place);
+            .messages(now, HOME)
+            .filter(|(_, message)| usize::from(message.zone) == place);
         let told: Vec<Home> = words
-            .filter_map(|(_, word)| Home::decode(&word.body))
+            .filter_map(|(_, message)| Home::decode(&message.payload))
             .collect();
         let most =
             |of: fn(&Home) -> bool| told.iter().filter(|home| of(home)).count() * 2 > told.len();
@@ -387,7 +387,7 @@
         let (sum, known) = self.loads(now).fold((0.0, 0.0), |(sum, known), (_, load)| {
             (sum + load.demand, known + 1.0)
         });
-        let alive = self.gossip.peers(now, ALIVE).count() as f64 + 1.0;
+        let alive = self.gossip.live_peers(now, ALIVE).count() as f64 + 1.0;
         sum * (alive / known).max(1.0)
     }
 
@@ -492,12 +492,15 @@
     fn follow(&mut self, now: Duration) {
         let words = self
             .gossip
-            .words(now, PLAN)
-            .filter_map(|(topic, word)| Some((Plan::decode(&word.body)?, topic.teller)));
+            .messages(now, PLAN)
+            .filter_map(|(topic, message)| {
+                Some((Plan::decode(&message.payload)?, topic.publisher))
+            });
         // Of two under one number that of the lesser teller, everywhere.
-        let best = words.max_by_key(|(plan, teller)| (plan.number, std::cmp::Reverse(*teller)));
-        if let Some((plan, teller)) = &best
-            && *teller != self.about.number
+        let best =
+            words.max_by_key(|(plan, publisher)| (plan.number, std::cmp::Reverse(*publisher)));
+        if let Some((plan, publisher)) = &best
+            && *publisher != self.about.number
         {
             self.number = self.number.max(plan.number);
             self.table.adopt(now, &plan.shares);
@@ -529,7 +532,7 @@
                     good,
                     bad,
                 };
-                self.gossip.say(now, LOAD, 0, load.encode(), urgent);
+                self.gossip.publish(now, LOAD, 0, load.encode(), urgent);
                 let home = self.own_home(now);
                 // All zones hear at once only of what turns, and of no more tellers than are kept: a word
                 // in a hurry costs the whole fleet some datagrams each.
@@ -540,9 +543,9 @@
                     .filter(|(number, _)| *number < self.about.number)
                     .count();
                 self.gossip
-                    .say(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
+                    .publish(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
                 for (kind, part, body) in self.model.words(now, &self.gossip) {
-                    self.gossip.say(now, kind, part, body, false);
+                    self.gossip.publish(now, kind, part, body, false);
                 }
             }
             // Not so often that a plan's word is replaced before it has spread.
@@ -611,7 +614,7 @@
             shares,
         };
         self.gossip
-            .say(now, PLAN, self.about.place, plan.encode(), urgent || much);
+            .publish(now, PLAN, self.about.place, plan.encode(), urgent || much);
     }
 
     /// Where a request goes. `at`: from 0 to 1, the same for the same part, so that few move as shares do.
--- a/crates/failover/src/decide/tests.rs
+++ b/crates/failover/src/decide/tests.rs
@@ -457,15 +457,15 @@
             (1u8..12, any::<u8>(), 0u16..12, prop::collection::vec(any::<u8>(), 0..40)), 0..40,
         ),
     ) {
-        use chalkhall_gossip::gossip::{Carried, Topic, Version, encode};
+        use chalkhall_gossip::gossip::{Message, Topic, Version, encode};
         let mut regions = router(0, 0, 4, 12, 1, 1);
         regions.list(&[Place { capacity: 10.0, present: 10.0, warm: 10.0 }; 4]);
-        for (n, (kind, part, teller, body)) in words.into_iter().enumerate() {
-            let version = Version { incarnation: 1, number: n as u32 };
-            let place = (teller % 4) as u8;
-            let (topic, age) = (Topic { kind, part, teller }, Duration::ZERO);
-            let word = Carried { topic, place, version, age, urgent: true, body };
-            regions.heard(ms(10), u64::from(teller), &encode(place, &[word]));
+        for (n, (kind, key, publisher, payload)) in words.into_iter().enumerate() {
+            let version = Version { incarnation: 1, sequence: n as u32 };
+            let zone = (publisher % 4) as u8;
+            let (topic, age) = (Topic { kind, key, publisher }, Duration::ZERO);
+            let message = Message { topic, zone, version, age, urgent: true, payload };
+            regions.heard(ms(10), u64::from(publisher), &encode(zone, &[message]));
             regions.tick(ms(10 + n as u64 * 60), &mut Said::default());
             for at in [0.0, 0.3, 0.99] {
                 let _ = regions.request(at, true, 1.0);
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod evidence;
 pub mod words;
 
-pub use decide::{About, LANES, Place, Regions, Where};
+pub use decide::{About, KIND_POLICIES, Place, Regions, Where};
--- a/crates/gossip/src/codec/tests.rs
+++ b/crates/gossip/src/codec/tests.rs
@@ -17,20 +17,20 @@
 
 proptest! {
     #[test]
-    fn what_is_told_comes_back_as_far_as_it_fits(told in datagrams()) {
-        let bytes = told.encode();
+    fn encoding_round_trips_up_to_the_datagram_limit(sent in datagrams()) {
+        let bytes = sent.encode();
         prop_assert!(bytes.len() <= MOST_BYTES);
-        let back = Datagram::decode(&bytes).expect("own bytes");
-        prop_assert_eq!((back.looking, back.zone), (told.looking, told.zone));
-        prop_assert_eq!(&back.findings[..], &told.findings[..told.findings.len().min(FINDINGS_MOST)]);
+        let decoded = Datagram::decode(&bytes).expect("valid bytes");
+        prop_assert_eq!((decoded.looking, decoded.zone), (sent.looking, sent.zone));
+        prop_assert_eq!(&decoded.findings[..], &sent.findings[..sent.findings.len().min(MAX_FINDINGS)]);
     }
 
     #[test]
-    fn any_bytes_are_read_whole_or_refused(
-        mut bytes in prop::collection::vec(any::<u8>(), 0..300), own: bool,
+    fn decoding_accepts_only_bytes_that_encode_to_themselves(
+        mut bytes in prop::collection::vec(any::<u8>(), 0..300), with_header: bool,
     ) {
-        if own && bytes.len() > 1 {
-            (bytes[0], bytes[1]) = (FORMAT, bytes[1] & LOOKING);
+        if with_header && bytes.len() > 1 {
+            (bytes[0], bytes[1]) = (FINDINGS_FORMAT, bytes[1] & SEEKS_PEERS_FLAG);
         }
         if let Ok(read) = Datagram::decode(&bytes) {
             prop_assert_eq!(read.encode(), bytes);
@@ -38,43 +38,43 @@
     }
 
     #[test]
-    fn loads_come_back_and_any_bytes_are_read_whole_or_refused(
-        told in prop::collection::vec((1u8.., any::<u16>(), any::<u8>()), 0..80), zone: u16,
+    fn loads_round_trip_and_only_canonical_bytes_decode(
+        loads in prop::collection::vec((1u8.., any::<u16>(), any::<u8>()), 0..80), zone: u16,
         bytes in prop::collection::vec(any::<u8>(), 0..270),
     ) {
-        let load = |(cache, work_ms, count)| Load { cache, work_ms, count };
-        let told: Vec<Load> = told.into_iter().map(load).collect();
-        let sent = encode_loads(zone, &told);
+        let load = |(cache, work_ms, requests)| Load { cache, work_ms, requests };
+        let loads: Vec<Load> = loads.into_iter().map(load).collect();
+        let sent = encode_loads(zone, &loads);
         prop_assert!(sent.len() <= MOST_BYTES);
-        let back = decode_loads(&sent).expect("loads").expect("own bytes");
-        prop_assert_eq!(back, (zone, told[..told.len().min(63)].to_vec()));
-        prop_assert!(Datagram::decode(&sent).is_err(), "who does not know them takes nothing from them");
+        let decoded = decode_loads(&sent).expect("a datagram of loads").expect("valid bytes");
+        prop_assert_eq!(decoded, (zone, loads[..loads.len().min(63)].to_vec()));
+        prop_assert!(Datagram::decode(&sent).is_err(), "a decoder of findings rejects a datagram of loads");
         if let Some(Ok((zone, loads))) = decode_loads(&bytes) {
             prop_assert_eq!(encode_loads(zone, &loads), bytes);
         }
     }
 
     #[test]
-    fn what_is_cut_within_a_finding_is_refused(told in datagrams(), cut in 0usize..256) {
-        let bytes = told.encode();
-        if cut < bytes.len() && (cut < HEAD || !(cut - HEAD).is_multiple_of(FINDING)) {
-            prop_assert_eq!(Datagram::decode(&bytes[..cut]), Err(Fault::Length));
+    fn a_datagram_truncated_within_a_finding_is_rejected(sent in datagrams(), cut in 0usize..256) {
+        let bytes = sent.encode();
+        if cut < bytes.len() && (cut < HEADER_BYTES || !(cut - HEADER_BYTES).is_multiple_of(FINDING_BYTES)) {
+            prop_assert_eq!(Datagram::decode(&bytes[..cut]), Err(DecodeError::Length));
         }
     }
 
     #[test]
-    fn a_flipped_head_is_refused_or_says_something_else(told in datagrams(), bit in 0usize..16) {
-        let mut bytes = told.encode();
+    fn a_bit_flip_in_the_header_is_rejected_or_changes_only_the_search_flag(sent in datagrams(), bit in 0usize..16) {
+        let mut bytes = sent.encode();
         bytes[bit / 8] ^= 1 << (bit % 8);
         match Datagram::decode(&bytes) {
-            Ok(read) => prop_assert!(bit == 8 && read.looking != told.looking),
-            Err(fault) => prop_assert_eq!(fault, Fault::Format),
+            Ok(read) => prop_assert!(bit == 8 && read.looking != sent.looking),
+            Err(error) => prop_assert_eq!(error, DecodeError::UnknownFormat),
         }
     }
 }
 
 #[test]
-fn absurd_values_and_lengths_are_refused() {
+fn out_of_range_values_and_lengths_are_rejected() {
     for finding in [
         Finding {
             part: u32::MAX,
@@ -82,13 +82,13 @@
         },
         Finding { part: 1, cache: 0 },
     ] {
-        let wrong = Datagram {
+        let invalid = Datagram {
             findings: vec![finding],
             ..Datagram::default()
         };
-        assert_eq!(Datagram::decode(&wrong.encode()), Err(Fault::Value));
+        assert_eq!(Datagram::decode(&invalid.encode()), Err(DecodeError::Value));
     }
-    let mut long = Datagram::default().encode();
-    long.extend([1; 255]);
-    assert_eq!(Datagram::decode(&long), Err(Fault::Length));
+    let mut oversized = Datagram::default().encode();
+    oversized.extend([1; 255]);
+    assert_eq!(Datagram::decode(&oversized), Err(DecodeError::Length));
 }
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,676 +1,733 @@
-//! Words that all routers are to hear, or all of a zone, in bytes that do not grow with the fleet: an
-//! epidemic (Demers and others, "Epidemic algorithms for replicated database maintenance", 1987). No I/O.
+//! Dissemination of messages to all routers, or to all of a zone, with traffic per router that does
+//! not grow with the fleet: an epidemic protocol (Demers and others, "Epidemic algorithms for
+//! replicated database maintenance", 1987). No I/O.
 //!
-//! A word has a topic (its kind, a part of it, its teller) and a version; of two of one topic the newer
-//! stays. So it does not matter how often, how late or in what order words come, and nothing is counted
-//! twice. A teller that starts anew has a higher incarnation; where its wall clock was set back between, it
-//! is sent what is held of its earlier life, and goes above that (as members of SWIM refute: Das and others,
-//! "SWIM", 2002). A word carries its age, which each router adds
-//! to while it holds it, so no clocks are compared; past the span of its lane it is as if it had never been
-//! told. A datagram's own time on the way is not in the age.
+//! A message has a topic (its kind, a key within the kind, its publisher) and a version; of two
+//! messages on one topic the newer is kept. Hence it does not matter how often, how late or in what
+//! order messages arrive, and nothing is counted twice. A publisher that restarts has a higher
+//! incarnation. If its wall clock was set back in between, it is sent a message of its earlier
+//! incarnation that is still held, and raises its own above that (as members refute suspicions in
+//! SWIM: Das and others, "SWIM", 2002). A message carries its age, to which each router adds the
+//! time that it held the message, so clocks are never compared; past the lifetime of its kind it
+//! counts as never published. The time that a datagram is under way is not part of the age.
 //!
-//! Each period a router sends two datagrams to peers of its zone and one to any router of the fleet, with
-//! what it has told least; a word is told on so many times as spreads it to all (log2 of the fleet, and a few
-//! for loss) and no more. A word in a hurry is told on at once, within a bound a second. Of a part told from
-//! one place only the freshest few tellers are kept: enough to outvote one that lies, and no table grows with
+//! Each round a router sends two datagrams to peers of its zone and one to any router of the fleet,
+//! with the messages that it has sent least often. A message is sent as many times as spread it to
+//! all (log2 of the fleet, and a few more for loss) and then no more. An urgent message is sent at
+//! once, within a limit per second. Of the messages of one kind and key from one zone only those of
+//! the freshest few publishers are kept: enough to outvote one that lies, and no table grows with
 //! the fleet.
 //!
-//! Dangers answered: datagrams lost, doubled, late, turned round (versions, repeated telling); a teller
-//! killed and started anew (incarnations); one that falls silent (ages); one that floods (bounds by lane and
-//! place). Not answered: one router that speaks in another's name, since datagrams bear no signature yet;
-//! the peers' addresses must be the operator's.
+//! Failures handled: datagrams lost, duplicated, late or reordered (versions, repeated sending); a
+//! publisher killed and restarted (incarnations); one that falls silent (ages); one that floods
+//! (limits by kind and zone). Not handled: a router that publishes in another's name, since
+//! datagrams are not signed yet. The peers' addresses must be configured by the operator.
 
 use crate::codec::MOST_BYTES;
-use crate::talk::{Mouth, To};
+use crate::peer_exchange::{Mouth, To};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Between two rounds of telling.
-pub const PERIOD: Duration = Duration::from_millis(250);
-/// Peers of the zone that are told something in each; beside them one of all routers.
-const PEERS_TOLD: usize = 2;
-/// Words in a hurry go in rounds so soon after one another, to so many peers and to as many of all routers;
-/// and so many times a second at most.
-const HURRY: Duration = Duration::from_millis(20);
-const HURRY_TO: usize = 2;
-const HURRY_ROUNDS: u32 = 2;
-const HURRIES_MOST: u32 = 8;
-/// A router goes so far above the incarnation of its start at most, in tenths of a second: a day. Who claims
-/// more for it is not believed, and cannot push it to the greatest there is.
-const INCARNATION_LEAD_MOST: u32 = 24 * 3600 * 10;
-/// Tellers that are still to be sent a word of their own earlier lives; and so many of them a period.
-const RETURNS_MOST: usize = 32;
-const RETURNS_A_PERIOD: usize = 2;
-/// Told on so many times more than log2 of the fleet: what loss of a third takes back.
-const MORE: u32 = 8;
-/// Words held in all, whatever the lanes allow; and peers that are chosen among.
-const WORDS_MOST: usize = 8192;
-const PEERS_MOST: usize = 1024;
-/// Of a word's body.
-pub const BODY_MOST: usize = 128;
+/// Time between two rounds.
+pub const ROUND_INTERVAL: Duration = Duration::from_millis(250);
+/// Peers of the zone that are sent to in each round, besides one of all routers.
+const ZONE_FANOUT: usize = 2;
+/// Time between two rounds of an urgent burst.
+const URGENT_ROUND_INTERVAL: Duration = Duration::from_millis(20);
+/// Peers, and as many of all routers, that are sent to in a round of an urgent burst.
+const URGENT_FANOUT: usize = 2;
+/// Rounds of an urgent burst.
+const URGENT_ROUNDS: u32 = 2;
+const MAX_URGENT_BURSTS_PER_SECOND: u32 = 8;
+/// Upper bound on how far a router raises its incarnation above that of its start, in tenths of a
+/// second: a day. A message that claims more in its name is ignored, so it cannot be pushed to the
+/// largest value.
+const MAX_INCARNATION_LEAD: u32 = 24 * 3600 * 10;
+/// Publishers that are still to be sent a message of their own earlier incarnations.
+const MAX_PENDING_RETURNS: usize = 32;
+/// Of these, sent per round.
+const RETURNS_PER_ROUND: usize = 2;
+/// Transmissions of a message beyond log2 of the fleet: they compensate a loss of a third.
+const EXTRA_TRANSMISSIONS: u32 = 8;
+/// Messages held in total, whatever the limits by kind allow.
+const MAX_MESSAGES: usize = 8192;
+/// Peers that are chosen among.
+const MAX_PEERS: usize = 1024;
+/// Largest payload of a message.
+pub const MAX_PAYLOAD_BYTES: usize = 128;
 
 const FORMAT: u8 = 0xC3;
-const HEAD: usize = 4;
-/// Kind, part, place, teller, incarnation, number, age, length.
-const WORD_HEAD: usize = 16;
-const URGENT: u8 = 0x80;
+const HEADER_BYTES: usize = 4;
+/// Kind, key, zone, publisher, incarnation, sequence, age, length.
+const MESSAGE_HEADER_BYTES: usize = 16;
+const URGENT_FLAG: u8 = 0x80;
 const AGE_UNIT_MS: u64 = 10;
 
-/// What words of one kind are like.
+/// How messages of one kind are disseminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lane {
+pub struct KindPolicy {
     /// From 1 to 127.
     pub kind: u8,
-    /// Only for the routers of the teller's place.
-    pub near: bool,
-    /// Goes before all else in a datagram: what others act on together.
+    /// Sent only to routers of the publisher's zone.
+    pub zone_only: bool,
+    /// Packed into a datagram before other kinds: messages on which routers act together.
     pub first: bool,
-    /// So many tellers are kept of each part and place.
-    pub keep: usize,
-    /// It is believed for so long.
-    pub lasts: Duration,
+    /// Publishers that are kept for each key and zone.
+    pub max_publishers: usize,
+    /// Time after publication for which a message is valid.
+    pub lifetime: Duration,
 }
 
-/// Whose word, and on what.
+/// Identifies a message: a newer one replaces an older one on the same topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Topic {
     pub kind: u8,
-    pub part: u8,
-    pub teller: u16,
+    pub key: u8,
+    pub publisher: u16,
 }
 
-/// Of two words on a topic the greater is the newer.
+/// Of two messages on a topic the one with the greater version is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
     pub incarnation: u32,
-    pub number: u32,
+    pub sequence: u32,
 }
 
-/// A word as it is held.
+/// A message as it is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Word {
-    /// The zone of its teller.
-    pub place: u8,
+pub struct StoredMessage {
+    /// The zone of its publisher.
+    pub zone: u8,
     pub version: Version,
-    pub body: Vec<u8>,
-    /// When it was told, on this router's clock, as far as ages tell.
-    pub told: Duration,
+    pub payload: Vec<u8>,
+    /// Time of publication by this router's clock, as derived from the message's age.
+    pub published_at: Duration,
     urgent: bool,
-    passed_on: u32,
+    /// How many times this router has sent it.
+    transmissions: u32,
 }
 
-/// A word on its way.
+/// A message in a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carried {
+pub struct Message {
     pub topic: Topic,
-    pub place: u8,
+    pub zone: u8,
     pub version: Version,
     pub age: Duration,
     pub urgent: bool,
-    pub body: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
-/// What is wrong with a datagram of words; of such a one nothing counts.
+/// Why a datagram was rejected; nothing of such a datagram counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     Length,
     Value,
 }
 
-/// The datagram of these words; those past what fits are left out.
-pub fn encode(place: u8, words: &[Carried]) -> Vec<u8> {
-    let mut bytes = vec![FORMAT, 0, place, 0];
-    for word in words {
-        if bytes.len() + WORD_HEAD + word.body.len() > MOST_BYTES || word.body.len() > BODY_MOST {
+/// Encodes as many of the messages as fit, in their order.
+pub fn encode(zone: u8, messages: &[Message]) -> Vec<u8> {
+    let mut bytes = vec![FORMAT, 0, zone, 0];
+    for message in messages {
+        if bytes.len() + MESSAGE_HEADER_BYTES + message.payload.len() > MOST_BYTES
+            || message.payload.len() > MAX_PAYLOAD_BYTES
+        {
             continue;
         }
-        let urgent = if word.urgent { URGENT } else { 0 };
-        bytes.extend([word.topic.kind | urgent, word.topic.part, word.place]);
-        bytes.extend(word.topic.teller.to_be_bytes());
-        bytes.extend(word.version.incarnation.to_be_bytes());
-        bytes.extend(word.version.number.to_be_bytes());
-        let age = (word.age.as_millis() as u64 / AGE_UNIT_MS).min(u64::from(u16::MAX)) as u16;
+        let urgent = if message.urgent { URGENT_FLAG } else { 0 };
+        bytes.extend([message.topic.kind | urgent, message.topic.key, message.zone]);
+        bytes.extend(message.topic.publisher.to_be_bytes());
+        bytes.extend(message.version.incarnation.to_be_bytes());
+        bytes.extend(message.version.sequence.to_be_bytes());
+        let age = (message.age.as_millis() as u64 / AGE_UNIT_MS).min(u64::from(u16::MAX)) as u16;
         bytes.extend(age.to_be_bytes());
-        bytes.push(word.body.len() as u8);
-        bytes.extend(&word.body);
+        bytes.push(message.payload.len() as u8);
+        bytes.extend(&message.payload);
         bytes[3] += 1;
     }
     bytes
 }
 
-/// The sender's place and its words; none where it is no datagram of words.
+/// The sender's zone and its messages; `None` if it is not a datagram of messages.
 ///
-/// # Errors
-/// Says what is wrong.
-pub fn decode(bytes: &[u8]) -> Option<Result<(u8, Vec<Carried>), Fault>> {
-    let [FORMAT, flags, place, count, rest @ ..] = bytes else {
+/// # Errors Says what is wrong.
+pub fn decode(bytes: &[u8]) -> Option<Result<(u8, Vec<Message>), DecodeError>> {
+    let [FORMAT, flags, zone, count, rest @ ..] = bytes else {
         return None;
     };
-    Some(read(*flags, *count, rest).map(|words| (*place, words)))
+    Some(decode_messages(*flags, *count, rest).map(|messages| (*zone, messages)))
 }
 
-fn read(flags: u8, count: u8, mut rest: &[u8]) -> Result<Vec<Carried>, Fault> {
-    if flags != 0 || rest.len() + HEAD > MOST_BYTES {
+fn decode_messages(flags: u8, count: u8, mut rest: &[u8]) -> Result<Vec<Message>, DecodeError> {
+    if flags != 0 || rest.len() + HEADER_BYTES > MOST_BYTES {
         return Err(if flags == 0 {
-            Fault::Length
+            DecodeError::Length
         } else {
-            Fault::Value
+            DecodeError::Value
         });
     }
-    let mut words = Vec::new();
+    let mut messages = Vec::new();
     for _ in 0..count {
-        let (head, after) = rest.split_at_checked(WORD_HEAD).ok_or(Fault::Length)?;
+        let (head, after) = rest
+            .split_at_checked(MESSAGE_HEADER_BYTES)
+            .ok_or(DecodeError::Length)?;
         let length = usize::from(head[15]);
-        let (body, after) = after.split_at_checked(length).ok_or(Fault::Length)?;
-        let four =
+        let (payload, after) = after.split_at_checked(length).ok_or(DecodeError::Length)?;
+        let u32_at =
             |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let two = |at: usize| u16::from_be_bytes([head[at], head[at + 1]]);
-        let kind = head[0] & !URGENT;
-        if kind == 0 || length > BODY_MOST {
-            return Err(Fault::Value);
+        let u16_at = |at: usize| u16::from_be_bytes([head[at], head[at + 1]]);
+        let kind = head[0] & !URGENT_FLAG;
+        if kind == 0 || length > MAX_PAYLOAD_BYTES {
+            return Err(DecodeError::Value);
         }
-        words.push(Carried {
+        messages.push(Message {
             topic: Topic {
                 kind,
-                part: head[1],
-                teller: two(3),
+                key: head[1],
+                publisher: u16_at(3),
             },
-            place: head[2],
+            zone: head[2],
             version: Version {
-                incarnation: four(5),
-                number: four(9),
+                incarnation: u32_at(5),
+                sequence: u32_at(9),
             },
-            age: Duration::from_millis(u64::from(two(13)) * AGE_UNIT_MS),
-            urgent: head[0] & URGENT != 0,
-            body: body.to_vec(),
+            age: Duration::from_millis(u64::from(u16_at(13)) * AGE_UNIT_MS),
+            urgent: head[0] & URGENT_FLAG != 0,
+            payload: payload.to_vec(),
         });
         rest = after;
     }
     if rest.is_empty() {
-        Ok(words)
+        Ok(messages)
     } else {
-        Err(Fault::Length)
+        Err(DecodeError::Length)
     }
 }
 
-/// Where a router stands among all.
+/// Identity of a router within the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Stand {
+pub struct RouterIdentity {
     pub number: u16,
     pub routers: usize,
-    pub place: u8,
-    /// Greater at each start of this router: the Unix time at the start in tenths of a second will do. Where
-    /// the clock went back between, it is raised above that of the earlier life as soon as a word of that is
-    /// heard: within three periods, where no datagram is lost. One that is further ahead than
-    /// `INCARNATION_LEAD_MOST` is left to age away.
+    pub zone: u8,
+    /// Greater at each start of this router: the Unix time of the start in tenths of a second is
+    /// suitable. If the clock was set back in between, the incarnation is raised above the earlier
+    /// one as soon as a message of that one is received: within three rounds, if no datagram is
+    /// lost. An earlier incarnation that is ahead by more than `MAX_INCARNATION_LEAD` is left to
+    /// expire.
     pub incarnation: u32,
     pub seed: u64,
 }
 
-/// How often what came was dropped, and why.
+/// Counts of dropped input, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
+    /// Malformed datagrams.
     pub faulty: u64,
-    /// From or of nobody that there is, or of no lane.
+    /// From or of an unknown router, or of an unknown kind.
     pub strange: u64,
-    /// Too old, or no newer than what is held.
+    /// Expired, or no newer than what is held.
     pub old: u64,
 }
 
-/// Rounds that are still to be told at once, from when, and whether anything of them is for other zones
-/// too.
+/// Rounds that are sent outside the regular interval, for urgent messages.
 #[derive(Clone, Copy, Debug)]
-struct Hurry {
-    at: Duration,
-    rounds: u32,
-    far: bool,
+struct UrgentBurst {
+    next_round_at: Duration,
+    rounds_left: u32,
+    /// Some of the urgent messages are for other zones too.
+    fleet_wide: bool,
 }
 
+/// The messages that one router holds, and what it has to send.
 pub struct Gossip {
-    stand: Stand,
-    /// Up to which incarnation this router raises its own.
-    incarnation_most: u32,
-    lanes: Vec<Lane>,
-    words: BTreeMap<Topic, Word>,
-    /// Routers of this place, by their own words, and when they last gave a sign of life.
+    identity: RouterIdentity,
+    /// Upper bound for this router's own incarnation.
+    max_incarnation: u32,
+    policies: Vec<KindPolicy>,
+    messages: BTreeMap<Topic, StoredMessage>,
+    /// Routers of this zone by their own reports, and when each was last alive.
     peers: BTreeMap<u16, Duration>,
+    /// Sequence number of this router's last message.
     last: u32,
-    next: Duration,
-    /// Since when hurries are counted, how many there were; what is in a hurry now.
-    hurries: (Duration, u32),
-    hurry: Option<Hurry>,
-    chance: fastrand::Rng,
-    /// Topics that have a newer word since they were last asked for.
-    news: BTreeSet<Topic>,
-    /// Tellers that speak with a lower incarnation than they had, and a topic of which the earlier word is held.
-    returns: BTreeMap<u16, Topic>,
+    next_round_at: Duration,
+    /// Start of the current window of one second, and the bursts in it.
+    bursts_in_window: (Duration, u32),
+    urgent_burst: Option<UrgentBurst>,
+    rng: fastrand::Rng,
+    /// Topics with a newer message since the last call of [`Gossip::take_updated_topics`].
+    updated_topics: BTreeSet<Topic>,
+    /// Publishers that use a lower incarnation than before, each with a topic of which the earlier
+    /// message is held.
+    pending_returns: BTreeMap<u16, Topic>,
     dropped: Dropped,
 }
 
 impl Gossip {
-    /// None where there is nobody to talk to, or a number that does not fit.
-    pub fn start(now: Duration, stand: Stand, lanes: &[Lane]) -> Option<Gossip> {
-        let fits = stand.routers > 1 && stand.routers <= usize::from(u16::MAX);
-        let mut chance = fastrand::Rng::with_seed(stand.seed ^ 0x7e11);
-        let next = now + PERIOD.mul_f64(chance.f64());
-        (fits && usize::from(stand.number) < stand.routers).then(|| Gossip {
-            stand,
-            incarnation_most: stand.incarnation.saturating_add(INCARNATION_LEAD_MOST),
-            lanes: lanes.to_vec(),
-            words: BTreeMap::new(),
+    /// Returns `None` if there are no other routers, or a number is out of range.
+    pub fn start(
+        now: Duration,
+        identity: RouterIdentity,
+        policies: &[KindPolicy],
+    ) -> Option<Gossip> {
+        let fits = identity.routers > 1 && identity.routers <= usize::from(u16::MAX);
+        let mut rng = fastrand::Rng::with_seed(identity.seed ^ 0x7e11);
+        let next_round_at = now + ROUND_INTERVAL.mul_f64(rng.f64());
+        (fits && usize::from(identity.number) < identity.routers).then(|| Gossip {
+            identity,
+            max_incarnation: identity.incarnation.saturating_add(MAX_INCARNATION_LEAD),
+            policies: policies.to_vec(),
+            messages: BTreeMap::new(),
             peers: BTreeMap::new(),
             last: 0,
-            next,
-            hurries: (now, 0),
-            hurry: None,
-            chance,
-            news: BTreeSet::new(),
-            returns: BTreeMap::new(),
+            next_round_at,
+            bursts_in_window: (now, 0),
+            urgent_burst: None,
+            rng,
+            updated_topics: BTreeSet::new(),
+            pending_returns: BTreeMap::new(),
             dropped: Dropped::default(),
         })
     }
 
-    fn lane(&self, kind: u8) -> Option<Lane> {
-        self.lanes.iter().find(|lane| lane.kind == kind).copied()
+    fn policy(&self, kind: u8) -> Option<KindPolicy> {
+        self.policies
+            .iter()
+            .find(|policy| policy.kind == kind)
+            .copied()
     }
 
-    /// An own word, in place of the last one on this. Too long a body is not told at all.
-    pub fn say(&mut self, now: Duration, kind: u8, part: u8, body: Vec<u8>, urgent: bool) {
-        if body.len() > BODY_MOST || self.lane(kind).is_none() {
+    /// Publishes a message of this router, in place of its last one on the topic. One with too long
+    /// a payload is not published at all.
+    pub fn publish(&mut self, now: Duration, kind: u8, key: u8, payload: Vec<u8>, urgent: bool) {
+        if payload.len() > MAX_PAYLOAD_BYTES || self.policy(kind).is_none() {
             return;
         }
         self.last += 1;
         let version = Version {
-            incarnation: self.stand.incarnation,
-            number: self.last,
+            incarnation: self.identity.incarnation,
+            sequence: self.last,
         };
         let topic = Topic {
             kind,
-            part,
-            teller: self.stand.number,
+            key,
+            publisher: self.identity.number,
         };
-        let place = self.stand.place;
-        self.words.insert(
+        let zone = self.identity.zone;
+        self.messages.insert(
             topic,
-            Word {
-                place,
+            StoredMessage {
+                zone,
                 version,
-                body,
-                told: now,
+                payload,
+                published_at: now,
                 urgent,
-                passed_on: 0,
+                transmissions: 0,
             },
         );
         if urgent {
-            self.hurry_up(now, kind);
+            self.schedule_urgent_burst(now, kind);
         }
     }
 
-    fn hurry_up(&mut self, now: Duration, kind: u8) {
-        let far = self.lane(kind).is_some_and(|lane| !lane.near);
-        if let Some(hurry) = &mut self.hurry {
-            (hurry.rounds, hurry.far) = (HURRY_ROUNDS, hurry.far || far);
+    fn schedule_urgent_burst(&mut self, now: Duration, kind: u8) {
+        let fleet_wide = self.policy(kind).is_some_and(|policy| !policy.zone_only);
+        if let Some(burst) = &mut self.urgent_burst {
+            (burst.rounds_left, burst.fleet_wide) = (URGENT_ROUNDS, burst.fleet_wide || fleet_wide);
             return;
         }
-        if now >= self.hurries.0 + Duration::from_secs(1) {
-            self.hurries = (now, 0);
+        if now >= self.bursts_in_window.0 + Duration::from_secs(1) {
+            self.bursts_in_window = (now, 0);
         }
-        // Past the bound it goes with the next period: a fault that comes and goes must not make a storm.
-        if self.hurries.1 < HURRIES_MOST {
-            self.hurries.1 += 1;
-            let at = now + HURRY.mul_f64(self.chance.f64());
-            self.hurry = Some(Hurry {
-                at,
-                rounds: HURRY_ROUNDS,
-                far,
+        // Beyond the limit a message waits for the regular round: a flapping fault must not cause a
+        // storm.
+        if self.bursts_in_window.1 < MAX_URGENT_BURSTS_PER_SECOND {
+            self.bursts_in_window.1 += 1;
+            let next_round_at = now + URGENT_ROUND_INTERVAL.mul_f64(self.rng.f64());
+            self.urgent_burst = Some(UrgentBurst {
+                next_round_at,
+                rounds_left: URGENT_ROUNDS,
+                fleet_wide,
             });
         }
     }
 
-    /// When [`Gossip::tick`] has something to do.
-    pub fn next(&self) -> Duration {
-        self.hurry
-            .map_or(self.next, |hurry| hurry.at.min(self.next))
+    /// When [`Gossip::tick`] is due.
+    pub fn next_tick(&self) -> Duration {
+        self.urgent_burst.map_or(self.next_round_at, |burst| {
+            burst.next_round_at.min(self.next_round_at)
+        })
     }
 
-    /// A router that is known to be of this place by other ways, and was alive then.
-    pub fn peer(&mut self, number: u16, alive: Duration) {
-        if number != self.stand.number
-            && (self.peers.len() < PEERS_MOST || self.peers.contains_key(&number))
+    /// Records a router that is known by other means to be of this zone, and to have been alive at
+    /// that time.
+    pub fn record_peer(&mut self, number: u16, alive_at: Duration) {
+        if number != self.identity.number
+            && (self.peers.len() < MAX_PEERS || self.peers.contains_key(&number))
         {
             let known = self.peers.entry(number).or_default();
-            *known = alive.max(*known);
+            *known = alive_at.max(*known);
         }
     }
 
-    /// The peers that gave a sign of life within this span, in order.
-    pub fn peers(&self, now: Duration, within: Duration) -> impl Iterator<Item = u16> {
+    /// The peers that were alive within `timeout`, by number.
+    pub fn live_peers(&self, now: Duration, timeout: Duration) -> impl Iterator<Item = u16> {
         self.peers
             .iter()
-            .filter(move |(_, alive)| now <= **alive + within)
+            .filter(move |(_, alive_at)| now <= **alive_at + timeout)
             .map(|(number, _)| *number)
     }
 
+    /// Counts of dropped input since the start.
     pub fn dropped(&self) -> Dropped {
         self.dropped
     }
 
-    /// Those of which a newer word came, or an own one was told, since this was last asked.
-    pub fn news(&mut self) -> Vec<Topic> {
-        std::mem::take(&mut self.news).into_iter().collect()
+    /// The topics on which a newer message was received since the last call.
+    pub fn take_updated_topics(&mut self) -> Vec<Topic> {
+        std::mem::take(&mut self.updated_topics)
+            .into_iter()
+            .collect()
     }
 
-    pub fn word(&self, now: Duration, topic: &Topic) -> Option<&Word> {
-        let word = self.words.get(topic)?;
-        self.lane(topic.kind)
-            .filter(|lane| now < word.told + lane.lasts)
-            .map(|_| word)
+    /// The unexpired message on a topic.
+    pub fn message(&self, now: Duration, topic: &Topic) -> Option<&StoredMessage> {
+        let message = self.messages.get(topic)?;
+        self.policy(topic.kind)
+            .filter(|policy| now < message.published_at + policy.lifetime)
+            .map(|_| message)
     }
 
-    /// All words of a kind that are not past their age, with their topics, in order.
-    pub fn words(&self, now: Duration, kind: u8) -> impl Iterator<Item = (Topic, &Word)> {
-        let lasts = self.lane(kind).map_or(Duration::ZERO, |lane| lane.lasts);
+    /// All unexpired messages of a kind with their topics, in the order of topics.
+    pub fn messages(
+        &self,
+        now: Duration,
+        kind: u8,
+    ) -> impl Iterator<Item = (Topic, &StoredMessage)> {
+        let lifetime = self
+            .policy(kind)
+            .map_or(Duration::ZERO, |policy| policy.lifetime);
         let from = Topic {
             kind,
-            part: 0,
-            teller: 0,
+            key: 0,
+            publisher: 0,
         };
         let to = Topic {
             kind,
-            part: u8::MAX,
-            teller: u16::MAX,
+            key: u8::MAX,
+            publisher: u16::MAX,
         };
         let all = self
-            .words
+            .messages
             .range(from..=to)
-            .map(|(topic, word)| (*topic, word));
-        all.filter(move |(_, word)| now < word.told + lasts)
+            .map(|(topic, message)| (*topic, message));
+        all.filter(move |(_, message)| now < message.published_at + lifetime)
     }
 
-    /// How often a word is told on.
-    fn enough(&self) -> u32 {
-        usize::BITS - self.stand.routers.leading_zeros() + MORE
+    /// How many times a message is sent.
+    fn max_transmissions(&self) -> u32 {
+        usize::BITS - self.identity.routers.leading_zeros() + EXTRA_TRANSMISSIONS
     }
 
-    /// Tells on what was told least.
-    pub fn tick(&mut self, now: Duration, mouth: &mut dyn Mouth) {
-        if let Some(hurry) = self.hurry.filter(|hurry| now >= hurry.at) {
-            let rounds = hurry.rounds - 1;
-            self.hurry = (rounds > 0).then_some(Hurry {
-                at: now + HURRY,
-                rounds,
-                ..hurry
+    /// Sends what is due, the messages with the fewest transmissions first.
+    pub fn tick(&mut self, now: Duration, sender: &mut dyn Mouth) {
+        if let Some(burst) = self.urgent_burst.filter(|burst| now >= burst.next_round_at) {
+            let rounds_left = burst.rounds_left - 1;
+            self.urgent_burst = (rounds_left > 0).then_some(UrgentBurst {
+                next_round_at: now + URGENT_ROUND_INTERVAL,
+                rounds_left,
+                ..burst
             });
-            for _ in 0..HURRY_TO {
-                if hurry.far {
-                    let to = self.any();
-                    self.tell(now, to, true, mouth);
+            for _ in 0..URGENT_FANOUT {
+                if burst.fleet_wide {
+                    let to = self.random_router();
+                    self.send(now, to, true, sender);
                 }
-                if let Some(peer) = self.any_peer() {
-                    self.tell(now, peer, true, mouth);
+                if let Some(peer) = self.random_peer() {
+                    self.send(now, peer, true, sender);
                 }
             }
         }
-        if now < self.next {
+        if now < self.next_round_at {
             return;
         }
-        // After a pause no periods are made up for.
-        self.next = now + PERIOD;
-        self.forget(now);
-        for _ in 0..PEERS_TOLD {
-            if let Some(peer) = self.any_peer() {
-                self.tell(now, peer, false, mouth);
+        // Rounds missed during a pause are not made up for.
+        self.next_round_at = now + ROUND_INTERVAL;
+        self.expire(now);
+        for _ in 0..ZONE_FANOUT {
+            if let Some(peer) = self.random_peer() {
+                self.send(now, peer, false, sender);
             }
         }
-        let to = self.any();
-        self.tell(now, to, false, mouth);
-        for _ in 0..RETURNS_A_PERIOD {
-            self.return_earlier_word(now, mouth);
+        let to = self.random_router();
+        self.send(now, to, false, sender);
+        for _ in 0..RETURNS_PER_ROUND {
+            self.return_earlier_message(now, sender);
         }
     }
 
-    /// Sends a teller a word of its own earlier life, for it to go above that.
-    fn return_earlier_word(&mut self, now: Duration, mouth: &mut dyn Mouth) {
-        let Some((teller, topic)) = self.returns.pop_first() else {
+    /// Sends a publisher a message of its own earlier incarnation, so that it raises its own above
+    /// that.
+    fn return_earlier_message(&mut self, now: Duration, sender: &mut dyn Mouth) {
+        let Some((publisher, topic)) = self.pending_returns.pop_first() else {
             return;
         };
-        let Some(word) = self.word(now, &topic) else {
+        let Some(message) = self.message(now, &topic) else {
             return;
         };
-        let carried = Carried {
+        let outgoing = Message {
             topic,
-            place: word.place,
-            version: word.version,
-            age: now.saturating_sub(word.told),
+            zone: message.zone,
+            version: message.version,
+            age: now.saturating_sub(message.published_at),
             urgent: false,
-            body: word.body.clone(),
+            payload: message.payload.clone(),
         };
-        mouth.say(
-            To::One(u64::from(teller)),
-            &encode(self.stand.place, &[carried]),
+        sender.say(
+            To::One(u64::from(publisher)),
+            &encode(self.identity.zone, &[outgoing]),
         );
     }
 
-    fn any(&mut self) -> u16 {
-        let drawn = self.chance.usize(..self.stand.routers - 1) as u16;
-        drawn + u16::from(drawn >= self.stand.number)
+    fn random_router(&mut self) -> u16 {
+        let drawn = self.rng.usize(..self.identity.routers - 1) as u16;
+        drawn + u16::from(drawn >= self.identity.number)
     }
 
-    fn any_peer(&mut self) -> Option<u16> {
+    fn random_peer(&mut self) -> Option<u16> {
         let count = self.peers.len();
-        let at = (count > 0).then(|| self.chance.usize(..count))?;
+        let at = (count > 0).then(|| self.rng.usize(..count))?;
         self.peers.keys().nth(at).copied()
     }
 
-    fn forget(&mut self, now: Duration) {
-        let lanes = &self.lanes;
-        let lasts = |kind: u8| {
-            lanes
+    fn expire(&mut self, now: Duration) {
+        let policies = &self.policies;
+        let lifetime = |kind: u8| {
+            policies
                 .iter()
-                .find(|lane| lane.kind == kind)
-                .map_or(Duration::ZERO, |l| l.lasts)
+                .find(|policy| policy.kind == kind)
+                .map_or(Duration::ZERO, |policy| policy.lifetime)
         };
-        self.words
-            .retain(|topic, word| now < word.told + lasts(topic.kind));
+        self.messages
+            .retain(|topic, message| now < message.published_at + lifetime(topic.kind));
     }
 
-    /// One datagram, to a router of this place or not.
-    fn tell(&mut self, now: Duration, to: u16, urgent: bool, mouth: &mut dyn Mouth) {
-        let (near, enough) = (self.peers.contains_key(&to), self.enough());
-        let lanes = &self.lanes;
-        let lane = |kind: u8| lanes.iter().find(|lane| lane.kind == kind);
-        let chance = &mut self.chance;
-        // What was told least goes first, but by chance too: by age alone the youngest would fill every
-        // datagram, and what has come over two routers would never get to a third.
-        let mut fit: Vec<(f64, Topic, &mut Word)> = self
-            .words
+    /// Sends one datagram, to a router of this zone or of another.
+    fn send(&mut self, now: Duration, to: u16, urgent: bool, sender: &mut dyn Mouth) {
+        let (in_zone, max_transmissions) = (self.peers.contains_key(&to), self.max_transmissions());
+        let policies = &self.policies;
+        let policy = |kind: u8| policies.iter().find(|policy| policy.kind == kind);
+        let rng = &mut self.rng;
+        // Messages with the fewest transmissions go first, with some randomness: strictly by count
+        // the youngest would fill every datagram, and what has come over two routers would never
+        // reach a third.
+        let mut candidates: Vec<(f64, Topic, &mut StoredMessage)> = self
+            .messages
             .iter_mut()
-            .filter(|(topic, word)| {
-                lane(topic.kind)
-                    .is_some_and(|lane| (near || !lane.near) && now < word.told + lane.lasts)
-                    && word.passed_on < enough
-                    && topic.teller != to
-                    && (!urgent || word.urgent)
+            .filter(|(topic, message)| {
+                policy(topic.kind).is_some_and(|policy| {
+                    (in_zone || !policy.zone_only) && now < message.published_at + policy.lifetime
+                }) && message.transmissions < max_transmissions
+                    && topic.publisher != to
+                    && (!urgent || message.urgent)
             })
-            .map(|(topic, word)| {
-                let first = if lane(topic.kind).is_some_and(|lane| lane.first) {
+            .map(|(topic, message)| {
+                let first = if policy(topic.kind).is_some_and(|policy| policy.first) {
                     -1e3
                 } else {
                     0.0
                 };
                 (
-                    first + f64::from(word.passed_on) + 2.0 * chance.f64(),
+                    first + f64::from(message.transmissions) + 2.0 * rng.f64(),
                     *topic,
-                    word,
+                    message,
                 )
             })
             .collect();
-        if fit.is_empty() {
+        if candidates.is_empty() {
             return;
         }
-        fit.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (mut words, mut room) = (Vec::new(), MOST_BYTES - HEAD);
-        for (_, topic, word) in fit {
-            let needs = WORD_HEAD + word.body.len();
-            if needs > room {
+        candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let (mut messages, mut free_bytes) = (Vec::new(), MOST_BYTES - HEADER_BYTES);
+        for (_, topic, message) in candidates {
+            let size = MESSAGE_HEADER_BYTES + message.payload.len();
+            if size > free_bytes {
                 continue;
             }
-            room -= needs;
-            word.passed_on += 1;
-            words.push(Carried {
+            free_bytes -= size;
+            message.transmissions += 1;
+            messages.push(Message {
                 topic,
-                place: word.place,
-                version: word.version,
-                age: now.saturating_sub(word.told),
-                urgent: word.urgent,
-                body: word.body.clone(),
+                zone: message.zone,
+                version: message.version,
+                age: now.saturating_sub(message.published_at),
+                urgent: message.urgent,
+                payload: message.payload.clone(),
             });
         }
-        mouth.say(To::One(u64::from(to)), &encode(self.stand.place, &words));
+        sender.say(
+            To::One(u64::from(to)),
+            &encode(self.identity.zone, &messages),
+        );
     }
 
-    /// A datagram has come from the router of this number; false: it is none of words.
-    pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
-        let Some(read) = decode(bytes) else {
+    /// Receives a datagram from the router with this number. Returns false if it is not one of
+    /// messages.
+    pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
+        let Some(decoded) = decode(bytes) else {
             return false;
         };
-        let Ok((place, words)) = read else {
+        let Ok((zone, messages)) = decoded else {
             self.dropped.faulty += 1;
             return true;
         };
-        let there_is = from < self.stand.routers as u64 && from != u64::from(self.stand.number);
-        if !there_is {
+        let is_known_router =
+            from < self.identity.routers as u64 && from != u64::from(self.identity.number);
+        if !is_known_router {
             self.dropped.strange += 1;
             return true;
         }
-        if place == self.stand.place {
-            self.peer(from as u16, now);
+        if zone == self.identity.zone {
+            self.record_peer(from as u16, now);
         } else {
             self.peers.remove(&(from as u16));
         }
-        for word in words {
-            self.take(now, from, word);
+        for message in messages {
+            self.accept(now, from, message);
         }
         true
     }
 
-    fn take(&mut self, now: Duration, from: u64, carried: Carried) {
-        let Carried {
+    fn accept(&mut self, now: Duration, from: u64, received: Message) {
+        let Message {
             topic,
-            place,
+            zone,
             version,
             age,
             urgent,
-            body,
-        } = carried;
-        if topic.teller == self.stand.number {
+            payload,
+        } = received;
+        if topic.publisher == self.identity.number {
             return self.refute(version);
         }
-        let lane = self
-            .lane(topic.kind)
-            .filter(|lane| !lane.near || place == self.stand.place);
-        let (Some(lane), true) = (lane, usize::from(topic.teller) < self.stand.routers) else {
+        let policy = self
+            .policy(topic.kind)
+            .filter(|policy| !policy.zone_only || zone == self.identity.zone);
+        let (Some(policy), true) = (policy, usize::from(topic.publisher) < self.identity.routers)
+        else {
             self.dropped.strange += 1;
             return;
         };
         let known = self
-            .words
+            .messages
             .get(&topic)
-            .filter(|word| now < word.told + lane.lasts);
-        if age >= lane.lasts || known.is_some_and(|word| word.version >= version) {
+            .filter(|message| now < message.published_at + policy.lifetime);
+        if age >= policy.lifetime || known.is_some_and(|message| message.version >= version) {
             self.dropped.old += 1;
-            // Others may still pass on what was told by an earlier life; the teller itself speaks as it is now.
-            let lower = known.is_some_and(|word| word.version.incarnation > version.incarnation);
-            let restarted = lower && from == u64::from(topic.teller);
-            let has_place =
-                self.returns.len() < RETURNS_MOST || self.returns.contains_key(&topic.teller);
-            if restarted && has_place {
-                self.returns.insert(topic.teller, topic);
+            // Other routers may still relay messages of an earlier incarnation; the publisher
+            // itself sends its current ones.
+            let is_lower =
+                known.is_some_and(|message| message.version.incarnation > version.incarnation);
+            let has_restarted = is_lower && from == u64::from(topic.publisher);
+            let has_capacity = self.pending_returns.len() < MAX_PENDING_RETURNS
+                || self.pending_returns.contains_key(&topic.publisher);
+            if has_restarted && has_capacity {
+                self.pending_returns.insert(topic.publisher, topic);
             }
             return;
         }
-        let told = now.saturating_sub(age);
-        let (fresh, new) = (known.is_none_or(|word| word.body != body), known.is_none());
-        if place == self.stand.place {
-            self.peer(topic.teller, told);
+        let published_at = now.saturating_sub(age);
+        let (is_changed, is_new) = (
+            known.is_none_or(|message| message.payload != payload),
+            known.is_none(),
+        );
+        if zone == self.identity.zone {
+            self.record_peer(topic.publisher, published_at);
         }
-        if new && !self.room(&topic, place, told, lane) {
+        if is_new && !self.admit_publisher(&topic, zone, published_at, policy) {
             return;
         }
-        self.words.insert(
+        self.messages.insert(
             topic,
-            Word {
-                place,
+            StoredMessage {
+                zone,
                 version,
-                body,
-                told,
+                payload,
+                published_at,
                 urgent,
-                passed_on: 0,
+                transmissions: 0,
             },
         );
-        self.news.insert(topic);
-        // Only what says something new is worth a hurry: the same again goes its usual way.
-        if urgent && fresh {
-            self.hurry_up(now, topic.kind);
+        self.updated_topics.insert(topic);
+        // Only new content is urgent: a repetition waits for the regular round.
+        if urgent && is_changed {
+            self.schedule_urgent_burst(now, topic.kind);
         }
     }
 
-    /// A word in this router's own name: where it is newer than what this life has told it is of an earlier
-    /// one, whose clock was ahead. This life goes above it, and all its words with it.
-    fn refute(&mut self, heard: Version) {
-        let told = Version {
-            incarnation: self.stand.incarnation,
-            number: self.last,
+    /// Handles a received message in this router's own name. If it is newer than what this
+    /// incarnation has published, it stems from an earlier incarnation whose clock was ahead: this
+    /// router raises its incarnation above that one, along with all messages of its own.
+    fn refute(&mut self, claimed: Version) {
+        let published = Version {
+            incarnation: self.identity.incarnation,
+            sequence: self.last,
         };
-        if heard <= told || heard.incarnation >= self.incarnation_most {
-            self.dropped.old += u64::from(heard > told);
+        if claimed <= published || claimed.incarnation >= self.max_incarnation {
+            self.dropped.old += u64::from(claimed > published);
             return;
         }
-        self.stand.incarnation = heard.incarnation + 1;
-        let (number, last) = (self.stand.number, &mut self.last);
-        for (_, word) in self
-            .words
+        self.identity.incarnation = claimed.incarnation + 1;
+        let (number, last) = (self.identity.number, &mut self.last);
+        for (_, message) in self
+            .messages
             .iter_mut()
-            .filter(|(topic, _)| topic.teller == number)
+            .filter(|(topic, _)| topic.publisher == number)
         {
             *last += 1;
-            word.version = Version {
-                incarnation: self.stand.incarnation,
-                number: *last,
+            message.version = Version {
+                incarnation: self.identity.incarnation,
+                sequence: *last,
             };
-            word.passed_on = 0;
+            message.transmissions = 0;
         }
     }
 
-    /// Whether one more teller of this part and place is kept; it may push out the one that was heard longest
-    /// ago.
-    fn room(&mut self, topic: &Topic, place: u8, told: Duration, lane: Lane) -> bool {
+    /// Whether one more publisher of this key and zone is kept; it may evict the one whose message
+    /// is the oldest.
+    fn admit_publisher(
+        &mut self,
+        topic: &Topic,
+        zone: u8,
+        published_at: Duration,
+        policy: KindPolicy,
+    ) -> bool {
         let from = Topic {
-            teller: 0,
+            publisher: 0,
             ..*topic
         };
-        let same = self.words.range(
+        let same = self.messages.range(
             from..=Topic {
-                teller: u16::MAX,
+                publisher: u16::MAX,
                 ..*topic
             },
         );
-        let of_place =
-            same.filter(|(t, word)| word.place == place && t.teller != self.stand.number);
-        let (count, oldest) = of_place.fold(
+        let of_zone =
+            same.filter(|(t, message)| message.zone == zone && t.publisher != self.identity.number);
+        let (count, oldest) = of_zone.fold(
             (0, None::<(Duration, Topic)>),
-            |(count, oldest), (t, word)| {
-                let this = (word.told, *t);
+            |(count, oldest), (t, message)| {
+                let this = (message.published_at, *t);
                 (count + 1, Some(oldest.map_or(this, |o| o.min(this))))
             },
         );
         match oldest {
-            Some((at, _)) if count >= lane.keep && at >= told => false,
-            Some((_, gone)) if count >= lane.keep => {
-                self.words.remove(&gone);
+            Some((at, _)) if count >= policy.max_publishers && at >= published_at => false,
+            Some((_, evicted)) if count >= policy.max_publishers => {
+                self.messages.remove(&evicted);
                 true
             }
-            _ => self.words.len() < WORDS_MOST,
+            _ => self.messages.len() < MAX_MESSAGES,
         }
     }
 }
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the routers of one zone tell one another in small datagrams, and how far it is believed: which
-//! cache has which part of an object, as one of them has found or ordered.
+//! What the routers of one zone report to each other in small datagrams, and how far it is trusted:
+//! which cache has which part of an object, as one of them has found out or ordered.
 //!
-//! All of it is hints. Nothing here sends, rejects or answers a request; what a peer tells only goes where
-//! the decisions look anyway (`chalkhall::control::Router::told`), and no rule depends on it: a part that is
-//! said to be held is sighted as a repeat and is no likely fill, no more. With no peer heard everything is as
-//! without.
+//! All of it is hints. Nothing here sends, rejects or answers a request. A peer's report only
+//! influences where the decisions look anyway (`chalkhall::control::Router::told`), and no rule
+//! depends on it: a part that is reported as cached counts as a repeated access and as an unlikely
+//! fill, no more. Without reports from peers a router decides as if there were no gossip.
 
 pub mod codec;
 pub mod gossip;
-pub mod lean;
-pub mod talk;
+pub mod peer_exchange;
+pub mod weight_balancer;
 
-pub use lean::Leaning;
-pub use talk::{About, Dropped, Ear, Mouth, Talk, To};
+pub use peer_exchange::{About, Dropped, HintReceiver, Mouth, Talk, To};
+pub use weight_balancer::WeightReceiver;
--- a/crates/gossip/tests/stand_ins/mod.rs
+++ b/crates/gossip/tests/stand_ins/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of 200 routers in simulated time: the real decisions and the real talk, before simulated caches,
-//! parents and clients, from one seed. It watches what each router owes by itself and counts what all of them
-//! together do. Servers are models: a transfer runs at a client's pace while a server has no more than its
-//! capacity, else all share.
+//! A fleet of 200 routers in simulated time: the real decisions and the real exchange of hints,
+//! with simulated caches, parents and clients, from one seed. It asserts what each router
+//! guarantees by itself and counts what all of them do together. Servers are models: a transfer
+//! runs at a client's rate up to the server's capacity, above which all transfers share it.
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
@@ -24,67 +24,69 @@
     Duration::from_millis(ms)
 }
 
-/// What goes wrong on a day.
+/// The faults of a scenario.
 #[derive(Clone, Copy, Default)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
-    pub talk: bool,
-    /// Share of datagrams lost, and whether they come up to a second late and forged ones among them.
-    pub lost: f64,
-    pub spoilt: bool,
-    /// Seven in ten routers die at 6 s and start anew at 8 s; from 5 to 7 s a cache in four takes and never
-    /// answers.
-    pub killed: bool,
-    /// One request in seven is for the latest part of one film, four of which come a second.
-    pub hot: bool,
-    /// Every cache that is the first of its zone takes four times as long, and says nothing of it.
-    pub slow: bool,
+    pub exchange: bool,
+    /// Fraction of datagrams lost.
+    pub loss: f64,
+    /// Datagrams are up to a second late, and there are forged ones among them.
+    pub corrupts_datagrams: bool,
+    /// Seven in ten routers are killed at 6 s and restarted at 8 s; from 5 to 7 s one cache in four
+    /// accepts requests and never answers.
+    pub kills_routers: bool,
+    /// One request in seven is for the latest part of one object, of which four parts are published
+    /// per second.
+    pub popular_object: bool,
+    /// The first cache of every zone takes four times as long, and does not report it.
+    pub slow_cache: bool,
 }
 
 #[derive(Default, Debug)]
-pub struct Seen {
-    pub asked: usize,
-    pub in_time: usize,
+pub struct Counts {
+    pub requests: usize,
+    pub served_in_time: usize,
     pub rejected: usize,
     pub fills: usize,
-    /// Requests that were served by what a cache had.
+    /// Requests served from a cache's content.
     pub hits: usize,
     pub by_parent: BTreeMap<String, usize>,
-    pub by_first: usize,
+    pub attempts_at_first: usize,
     pub attempts: usize,
     pub bytes: usize,
     pub strangers: u64,
 }
 
 enum Event {
-    Ask(usize),
-    Wake(usize, u32, u64),
-    End {
+    Request(usize),
+    Timer(usize, u32, u64),
+    AttemptEnd {
         router: usize,
-        life: u32,
+        incarnation: u32,
         request: Id,
         attempt: usize,
         hit: bool,
-        ends: [Option<Id>; 2],
-        keep: Option<u64>,
+        endpoints: [Option<Id>; 2],
+        stored_key: Option<u64>,
     },
-    Due(usize, u32, Id),
+    Deadline(usize, u32, Id),
     Datagram(usize, u64, Vec<u8>),
     Tick(usize),
     Kill,
-    Revive,
+    Restart,
 }
 
-struct Served {
+struct ServerModel {
     capacity: f64,
-    pace: f64,
-    busy: u32,
-    held: LruCache<u64, ()>,
+    slowdown: f64,
+    in_flight: u32,
+    cached: LruCache<u64, ()>,
 }
 
-/// What a router orders in one call.
+/// The commands of a router in one call.
 #[derive(Default)]
-struct Orders {
+struct Commands {
     attempts: Vec<(Id, Id, Fill)>,
     answers: Vec<(Id, bool)>,
     cancels: Vec<(Id, usize)>,
@@ -92,7 +94,7 @@
     found: Vec<(u32, Id)>,
 }
 
-impl Outlet for Orders {
+impl Outlet for Commands {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
         self.attempts
             .push((request.clone(), server.clone(), fill.clone()));
@@ -106,8 +108,8 @@
     fn cancel(&mut self, request: &Id, attempt: usize) {
         self.cancels.push((request.clone(), attempt));
     }
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.wakes.push((at, mark));
+    fn wake_at(&mut self, at: Duration, timer: u64) {
+        self.wakes.push((at, timer));
     }
     fn watch_list(&mut self) {}
     fn found(&mut self, part: u32, cache: &Id) {
@@ -116,45 +118,45 @@
 }
 
 #[derive(Default)]
-struct Said(Vec<(To, Vec<u8>)>);
+struct SentDatagrams(Vec<(To, Vec<u8>)>);
 
-impl Mouth for Said {
+impl Mouth for SentDatagrams {
     fn say(&mut self, to: To, bytes: &[u8]) {
         self.0.push((to, bytes.to_vec()));
     }
 }
 
-/// A request that a living router has taken: when it came, its soft deadline and its own time.
-struct Taken {
+/// A request that a running router has accepted: its arrival, its soft deadline and its attempts.
+struct OpenRequest {
     arrival: Arrival,
     key: u64,
     soft: Duration,
     open: bool,
-    /// When each was sent; none: it has ended.
+    /// When each was sent; `None` once it has ended.
     attempts: Vec<Option<Duration>>,
 }
 
 struct Node {
-    life: u32,
+    incarnation: u32,
     router: Option<Router>,
-    talk: Option<Talk>,
-    taken: HashMap<Id, Taken>,
+    exchange: Option<Talk>,
+    open_requests: HashMap<Id, OpenRequest>,
 }
 
-pub struct World {
-    day: Day,
+pub struct Simulation {
+    scenario: Scenario,
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
-    what: HashMap<u64, Event>,
+    pending_events: HashMap<u64, Event>,
     last: u64,
     nodes: Vec<Node>,
-    servers: BTreeMap<Id, Served>,
+    servers: BTreeMap<Id, ServerModel>,
     list: Vec<Member>,
-    chance: fastrand::Rng,
-    seen: Seen,
+    rng: fastrand::Rng,
+    counts: Counts,
 }
 
-fn told(number: usize, seed: u64) -> Deployment {
+fn deployment(number: usize, seed: u64) -> Deployment {
     let cold = ColdStart {
         from: 0.3,
         warm_within: ms(10_000),
@@ -194,218 +196,235 @@
     }
 }
 
-impl World {
-    fn new(day: Day) -> World {
+impl Simulation {
+    fn new(scenario: Scenario) -> Simulation {
         let mut list = Vec::new();
         let mut servers = BTreeMap::new();
-        let mut add =
-            |name: String, tier: Tier, zone: usize, capacity: f64, holds: usize, pace: f64| {
-                let server: Id = name.as_str().into();
-                let member = Member {
-                    server: server.clone(),
-                    tier,
-                    zone,
-                    capacity,
-                    ..Member::default()
-                };
-                list.push(member);
-                let held = LruCache::new(NonZeroUsize::new(holds).expect("some"));
-                servers.insert(
-                    server,
-                    Served {
-                        capacity,
-                        pace,
-                        busy: 0,
-                        held,
-                    },
-                );
+        let mut add = |name: String,
+                       tier: Tier,
+                       zone: usize,
+                       capacity: f64,
+                       capacity_parts: usize,
+                       slowdown: f64| {
+            let server: Id = name.as_str().into();
+            let member = Member {
+                server: server.clone(),
+                tier,
+                zone,
+                capacity,
+                ..Member::default()
             };
+            list.push(member);
+            let cached =
+                LruCache::new(NonZeroUsize::new(capacity_parts).expect("a positive capacity"));
+            servers.insert(
+                server,
+                ServerModel {
+                    capacity,
+                    slowdown,
+                    in_flight: 0,
+                    cached,
+                },
+            );
+        };
         for zone in 0..ZONES {
             for n in 0..CACHES_HERE {
-                let pace = if day.slow && n == 0 { 4.0 } else { 1.0 };
+                let slowdown = if scenario.slow_cache && n == 0 {
+                    4.0
+                } else {
+                    1.0
+                };
                 add(
                     format!("cache-{zone}-{n}"),
                     Tier::Cache,
                     zone,
                     4.0,
                     80,
-                    pace,
+                    slowdown,
                 );
             }
         }
         (0..PARENTS).for_each(|n| add(format!("parent-{n}"), Tier::Parent, 999, 34.0, 20_000, 1.0));
         add("origin".into(), Tier::Origin, 999, 60.0, 1, 1.0);
         let nodes = (0..ROUTERS).map(|_| Node {
-            life: 0,
+            incarnation: 0,
             router: None,
-            talk: None,
-            taken: HashMap::new(),
+            exchange: None,
+            open_requests: HashMap::new(),
         });
-        let mut world = World {
-            day,
+        let mut simulation = Simulation {
+            scenario,
             now: Duration::ZERO,
             events: BinaryHeap::new(),
-            what: HashMap::new(),
+            pending_events: HashMap::new(),
             last: 0,
             nodes: nodes.collect(),
             servers,
             list,
-            chance: fastrand::Rng::with_seed(day.seed),
-            seen: Seen::default(),
+            rng: fastrand::Rng::with_seed(scenario.seed),
+            counts: Counts::default(),
         };
         for number in 0..ROUTERS {
-            world.begin(number);
-            let first = ms(world.chance.u64(0..150));
-            world.later(first, Event::Ask(number));
+            simulation.start_router(number);
+            let first = ms(simulation.rng.u64(0..150));
+            simulation.schedule(first, Event::Request(number));
         }
-        if day.killed {
-            world.later(ms(6000), Event::Kill);
-            world.later(ms(8000), Event::Revive);
+        if scenario.kills_routers {
+            simulation.schedule(ms(6000), Event::Kill);
+            simulation.schedule(ms(8000), Event::Restart);
         }
-        world
+        simulation
     }
 
-    fn later(&mut self, wait: Duration, event: Event) {
+    fn schedule(&mut self, wait: Duration, event: Event) {
         self.last += 1;
         self.events.push(Reverse((self.now + wait, self.last)));
-        self.what.insert(self.last, event);
+        self.pending_events.insert(self.last, event);
     }
 
-    fn begin(&mut self, number: usize) {
-        let seed = self.day.seed << 20 | (number as u64) << 4 | u64::from(self.nodes[number].life);
-        let about = told(number, seed);
-        let mut orders = Orders::default();
-        let mut router = Router::start(self.now, &about, &mut orders);
-        router.list(self.now, ListKind::Whole, &self.list, &mut orders);
-        let (routers, zone, number_of) = (ROUTERS, about.zone, number as u64);
-        let stands = About {
-            number: number_of,
+    fn start_router(&mut self, number: usize) {
+        let seed = self.scenario.seed << 20
+            | (number as u64) << 4
+            | u64::from(self.nodes[number].incarnation);
+        let deployment = deployment(number, seed);
+        let mut commands = Commands::default();
+        let mut router = Router::start(self.now, &deployment, &mut commands);
+        router.list(self.now, ListKind::Whole, &self.list, &mut commands);
+        let (routers, zone, own_number) = (ROUTERS, deployment.zone, number as u64);
+        let config = About {
+            number: own_number,
             routers,
             zone,
             routers_here: ROUTERS_HERE,
             seed,
         };
-        let mut talk = self
-            .day
-            .talk
-            .then(|| Talk::start(self.now, stands))
+        let mut exchange = self
+            .scenario
+            .exchange
+            .then(|| Talk::start(self.now, config))
             .flatten();
-        talk.iter_mut()
-            .for_each(|talk| talk.caches(router.caches().map(|m| &m.server)));
-        let wait = talk
+        exchange
+            .iter_mut()
+            .for_each(|exchange| exchange.caches(router.caches().map(|m| &m.server)));
+        let wait = exchange
             .as_ref()
-            .map_or(END, |talk| talk.next().saturating_sub(self.now));
+            .map_or(END, |exchange| exchange.next().saturating_sub(self.now));
         let node = &mut self.nodes[number];
-        (node.router, node.talk) = (Some(router), talk);
-        self.later(wait, Event::Tick(number));
+        (node.router, node.exchange) = (Some(router), exchange);
+        self.schedule(wait, Event::Tick(number));
     }
 
-    /// Calls the decisions of a living router, and carries out what they order.
-    fn call(&mut self, number: usize, call: impl FnOnce(&mut Router, Duration, &mut Orders)) {
-        let mut orders = Orders::default();
+    /// Calls the decisions of a running router, and executes their commands.
+    fn call(&mut self, number: usize, call: impl FnOnce(&mut Router, Duration, &mut Commands)) {
+        let mut commands = Commands::default();
         let Some(router) = &mut self.nodes[number].router else {
             return;
         };
-        call(router, self.now, &mut orders);
-        let life = self.nodes[number].life;
-        for (at, mark) in std::mem::take(&mut orders.wakes) {
-            self.later(at.saturating_sub(self.now), Event::Wake(number, life, mark));
+        call(router, self.now, &mut commands);
+        let incarnation = self.nodes[number].incarnation;
+        for (at, timer) in std::mem::take(&mut commands.wakes) {
+            self.schedule(
+                at.saturating_sub(self.now),
+                Event::Timer(number, incarnation, timer),
+            );
         }
-        for (part, cache) in std::mem::take(&mut orders.found) {
+        for (part, cache) in std::mem::take(&mut commands.found) {
             self.nodes[number]
-                .talk
+                .exchange
                 .iter_mut()
-                .for_each(|talk| talk.found(part, &cache));
+                .for_each(|exchange| exchange.found(part, &cache));
         }
-        for (id, rejected) in orders.answers {
-            let taken = self.nodes[number]
-                .taken
+        for (id, rejected) in commands.answers {
+            let request = self.nodes[number]
+                .open_requests
                 .get_mut(&id)
-                .expect("a request that was taken");
+                .expect("an open request");
             assert!(
-                std::mem::replace(&mut taken.open, false),
+                std::mem::replace(&mut request.open, false),
                 "a second answer for {id}"
             );
-            self.seen.rejected += usize::from(rejected);
+            self.counts.rejected += usize::from(rejected);
         }
-        for (id, server, fill) in orders.attempts {
+        for (id, server, fill) in commands.attempts {
             self.attempt(number, id, server, fill);
         }
-        for (id, attempt) in orders.cancels {
+        for (id, attempt) in commands.cancels {
             let out = self.nodes[number]
-                .taken
+                .open_requests
                 .get_mut(&id)
-                .and_then(|taken| taken.attempts.get_mut(attempt));
+                .and_then(|request| request.attempts.get_mut(attempt));
             if let Some(sent) = out.and_then(Option::take) {
                 let took = self.now - sent;
-                self.ended(number, &id, attempt, Outcome::Cancelled, Remark::None, took);
+                self.end_attempt(number, &id, attempt, Outcome::Cancelled, Remark::None, took);
             }
         }
     }
 
     fn attempt(&mut self, number: usize, id: Id, server: Id, fill: Fill) {
-        let taken = self.nodes[number]
-            .taken
+        let request = self.nodes[number]
+            .open_requests
             .get_mut(&id)
-            .expect("a request that was taken");
+            .expect("an open request");
         assert!(
-            taken.attempts.iter().all(Option::is_none),
+            request.attempts.iter().all(Option::is_none),
             "two attempts of {id} at once"
         );
-        taken.attempts.push(Some(self.now));
-        let (attempt, key) = (taken.attempts.len() - 1, taken.key);
-        let work = taken.arrival.kb / 5000.0;
-        self.seen.attempts += 1;
-        self.seen.by_first += usize::from(server.ends_with("-0") && server.starts_with("cache"));
+        request.attempts.push(Some(self.now));
+        let (attempt, key) = (request.attempts.len() - 1, request.key);
+        let work = request.arrival.kb / 5000.0;
+        self.counts.attempts += 1;
+        self.counts.attempts_at_first +=
+            usize::from(server.ends_with("-0") && server.starts_with("cache"));
         let at = self.servers.get_mut(&server).expect("a listed server");
-        at.busy += 1;
-        let hit = at.held.get(&key).is_some();
-        let mut slow = (f64::from(at.busy) / at.capacity).max(1.0) * at.pace;
-        let mut ends = [Some(server.clone()), None];
+        at.in_flight += 1;
+        let hit = at.cached.get(&key).is_some();
+        let mut slow = (f64::from(at.in_flight) / at.capacity).max(1.0) * at.slowdown;
+        let mut endpoints = [Some(server.clone()), None];
         let mut wait = 0.002;
         if !hit && fill.source != server {
             let source = self.servers.get_mut(&fill.source).expect("a listed source");
-            source.busy += 1;
-            slow = slow.max(f64::from(source.busy) / source.capacity);
-            wait += if source.held.put(key, ()).is_some() {
+            source.in_flight += 1;
+            slow = slow.max(f64::from(source.in_flight) / source.capacity);
+            wait += if source.cached.put(key, ()).is_some() {
                 0.010
             } else {
                 0.080
             };
-            ends[1] = Some(fill.source.clone());
+            endpoints[1] = Some(fill.source.clone());
             *self
-                .seen
+                .counts
                 .by_parent
                 .entry(fill.source.to_string())
                 .or_default() += 1;
-            self.seen.fills += 1;
+            self.counts.fills += 1;
         }
-        let keep = (fill.rank > 0).then_some(key);
-        let life = self.nodes[number].life;
+        let stored_key = (fill.rank > 0).then_some(key);
+        let incarnation = self.nodes[number].incarnation;
         let took = Duration::from_secs_f64(wait + work * slow);
-        let mute =
-            self.day.killed && (ms(5000)..ms(7000)).contains(&self.now) && server.ends_with("-1");
-        // What a mute cache says reaches nobody: no life has this number.
-        let life = if mute && server.starts_with("cache") {
+        let is_silent = self.scenario.kills_routers
+            && (ms(5000)..ms(7000)).contains(&self.now)
+            && server.ends_with("-1");
+        // The answer of a silent cache is dropped: no incarnation has this number.
+        let incarnation = if is_silent && server.starts_with("cache") {
             u32::MAX
         } else {
-            life
+            incarnation
         };
-        self.later(
+        self.schedule(
             took,
-            Event::End {
+            Event::AttemptEnd {
                 router: number,
-                life,
+                incarnation,
                 request: id,
                 attempt,
                 hit,
-                ends,
-                keep,
+                endpoints,
+                stored_key,
             },
         );
     }
 
-    fn ended(
+    fn end_attempt(
         &mut self,
         number: usize,
         id: &Id,
@@ -414,14 +433,14 @@
         remark: Remark,
         took: Duration,
     ) {
-        let Some(taken) = self.nodes[number].taken.get_mut(id) else {
+        let Some(request) = self.nodes[number].open_requests.get_mut(id) else {
             return;
         };
-        if outcome == Outcome::Served && std::mem::replace(&mut taken.open, false) {
-            self.seen.in_time += usize::from(self.now <= taken.soft);
-            self.seen.hits += usize::from(remark == Remark::Hit);
+        if outcome == Outcome::Served && std::mem::replace(&mut request.open, false) {
+            self.counts.served_in_time += usize::from(self.now <= request.soft);
+            self.counts.hits += usize::from(remark == Remark::Hit);
         }
-        let over = !taken.open;
+        let over = !request.open;
         let first_byte = Some(ms(10)).filter(|_| remark == Remark::Filled);
         let ended = Ended {
             outcome,
@@ -431,38 +450,43 @@
             over,
             load: Load::default(),
         };
-        self.call(number, |router, now, orders| {
-            router.result(now, id, attempt, &ended, orders)
+        self.call(number, |router, now, commands| {
+            router.result(now, id, attempt, &ended, commands)
         });
     }
 
-    fn ask(&mut self, number: usize) {
-        // Nine a second, whether or not the router lives: a dead one is nobody's gain.
-        let wait = ms(self.chance.u64(0..222));
-        self.later(wait, Event::Ask(number));
+    fn new_request(&mut self, number: usize) {
+        // Nine requests per second, whether or not the router is running: those of a killed one are
+        // not redistributed to others.
+        let wait = ms(self.rng.u64(0..222));
+        self.schedule(wait, Event::Request(number));
         if self.nodes[number].router.is_none() {
             return;
         }
-        // Popularity falls with the place; a third of the objects is wanted at one zone only.
-        let place = (300f64.powf(self.chance.f64()) - 1.0) as u64;
-        let local = if place.is_multiple_of(3) {
+        // Popularity falls with the rank; a third of the objects is requested in one zone only.
+        let rank = (300f64.powf(self.rng.f64()) - 1.0) as u64;
+        let local = if rank.is_multiple_of(3) {
             1 + number as u64 / ROUTERS_HERE as u64
         } else {
             0
         };
-        let hot = self.day.hot && self.chance.u64(0..7) == 0;
-        let (place, local) = if hot { (1 << 20, 0) } else { (place, local) };
-        let part = if hot {
+        let is_popular = self.scenario.popular_object && self.rng.u64(0..7) == 0;
+        let (rank, local) = if is_popular {
+            (1 << 20, 0)
+        } else {
+            (rank, local)
+        };
+        let part = if is_popular {
             self.now.as_millis() as u64 / 250
         } else {
-            self.chance.u64(0..PARTS)
+            self.rng.u64(0..PARTS)
         };
-        let n = self.seen.asked;
-        self.seen.asked += 1;
+        let n = self.counts.requests;
+        self.counts.requests += 1;
         let id: Id = format!("a{n}").as_str().into();
-        let object: Id = format!("o{place}-{local}").as_str().into();
-        let kb = 400.0 + ((place * 7919) % 17) as f64 * 120.0;
-        let key = place << 40 | local << 16 | part;
+        let object: Id = format!("o{rank}-{local}").as_str().into();
+        let kb = 400.0 + ((rank * 7919) % 17) as f64 * 120.0;
+        let key = rank << 40 | local << 16 | part;
         let left = ms(3000);
         let arrival = Arrival {
             id: id.clone(),
@@ -473,51 +497,51 @@
             ..Arrival::default()
         };
         let soft = self.now + ms(500) + Duration::from_secs_f64(2.0 * kb / 5000.0);
-        let taken = Taken {
+        let request = OpenRequest {
             arrival: arrival.clone(),
             key,
             soft,
             open: true,
             attempts: Vec::new(),
         };
-        let life = self.nodes[number].life;
-        self.nodes[number].taken.insert(id.clone(), taken);
-        self.later(left, Event::Due(number, life, id));
-        self.call(number, |router, now, orders| {
-            router.request(now, arrival, orders)
+        let incarnation = self.nodes[number].incarnation;
+        self.nodes[number].open_requests.insert(id.clone(), request);
+        self.schedule(left, Event::Deadline(number, incarnation, id));
+        self.call(number, |router, now, commands| {
+            router.request(now, arrival, commands)
         });
     }
 
     fn tick(&mut self, number: usize) {
-        let mut said = Said::default();
+        let mut sent = SentDatagrams::default();
         let node = &mut self.nodes[number];
-        let (Some(router), Some(talk)) = (&mut node.router, &mut node.talk) else {
+        let (Some(router), Some(exchange)) = (&mut node.router, &mut node.exchange) else {
             return;
         };
-        talk.tick(self.now, &mut said, router);
-        let wait = talk.next().saturating_sub(self.now);
-        self.later(wait, Event::Tick(number));
-        for (to, mut bytes) in said.0 {
+        exchange.tick(self.now, &mut sent, router);
+        let wait = exchange.next().saturating_sub(self.now);
+        self.schedule(wait, Event::Tick(number));
+        for (to, mut bytes) in sent.0 {
             let others: Vec<usize> = match to {
                 To::All => (0..ROUTERS).filter(|other| *other != number).collect(),
                 To::One(other) => vec![other as usize],
             };
             for other in others {
-                self.seen.bytes += bytes.len();
-                if self.chance.f64() < self.day.lost {
+                self.counts.bytes += bytes.len();
+                if self.rng.f64() < self.scenario.loss {
                     continue;
                 }
-                let mut wait = ms(self.chance.u64(1..20));
-                if self.day.spoilt && self.chance.u64(0..4) == 0 {
-                    wait += ms(self.chance.u64(0..1000));
+                let mut wait = ms(self.rng.u64(1..20));
+                if self.scenario.corrupts_datagrams && self.rng.u64(0..4) == 0 {
+                    wait += ms(self.rng.u64(0..1000));
                 }
-                if self.day.spoilt && self.chance.u64(0..10) == 0 {
-                    let place = self.chance.usize(0..bytes.len());
-                    bytes[place] ^= 1 << self.chance.u64(0..8);
-                    let cut = self.chance.usize(0..=bytes.len());
-                    self.later(wait, Event::Datagram(other, 7777, bytes[..cut].to_vec()));
+                if self.scenario.corrupts_datagrams && self.rng.u64(0..10) == 0 {
+                    let index = self.rng.usize(0..bytes.len());
+                    bytes[index] ^= 1 << self.rng.u64(0..8);
+                    let cut = self.rng.usize(0..=bytes.len());
+                    self.schedule(wait, Event::Datagram(other, 7777, bytes[..cut].to_vec()));
                 }
-                self.later(wait, Event::Datagram(other, number as u64, bytes.clone()));
+                self.schedule(wait, Event::Datagram(other, number as u64, bytes.clone()));
             }
         }
     }
@@ -526,57 +550,66 @@
         for number in 0..ROUTERS {
             if number % 10 < 7 {
                 let node = &mut self.nodes[number];
-                (node.router, node.talk, node.life) = (None, None, node.life + 1);
-                node.taken.clear();
+                (node.router, node.exchange, node.incarnation) = (None, None, node.incarnation + 1);
+                node.open_requests.clear();
             }
         }
     }
 
-    pub fn play(day: Day) -> Seen {
-        let mut world = World::new(day);
-        while let Some(Reverse((at, n))) = world.events.pop() {
-            world.now = at;
-            let event = world.what.remove(&n).expect("an event for each place");
-            let ending = at > END;
+    pub fn run(scenario: Scenario) -> Counts {
+        let mut simulation = Simulation::new(scenario);
+        while let Some(Reverse((at, n))) = simulation.events.pop() {
+            simulation.now = at;
+            let event = simulation
+                .pending_events
+                .remove(&n)
+                .expect("an event for each queue entry");
+            let is_past_end = at > END;
             match event {
-                Event::Ask(number) if !ending => world.ask(number),
-                Event::Tick(number) if !ending => world.tick(number),
-                Event::Ask(_) | Event::Tick(_) => {}
-                Event::Wake(number, life, mark) => {
-                    if world.nodes[number].life == life {
-                        world.call(number, |router, now, orders| router.wake(now, mark, orders));
+                Event::Request(number) if !is_past_end => simulation.new_request(number),
+                Event::Tick(number) if !is_past_end => simulation.tick(number),
+                Event::Request(_) | Event::Tick(_) => {}
+                Event::Timer(number, incarnation, timer) => {
+                    if simulation.nodes[number].incarnation == incarnation {
+                        simulation.call(number, |router, now, commands| {
+                            router.wake(now, timer, commands)
+                        });
                     }
                 }
-                Event::End {
+                Event::AttemptEnd {
                     router,
-                    life,
+                    incarnation,
                     request,
                     attempt,
                     hit,
-                    ends,
-                    keep,
+                    endpoints,
+                    stored_key,
                 } => {
-                    for end in ends.iter().flatten() {
-                        world.servers.get_mut(end).expect("listed").busy -= 1;
+                    for end in endpoints.iter().flatten() {
+                        simulation
+                            .servers
+                            .get_mut(end)
+                            .expect("a listed server")
+                            .in_flight -= 1;
                     }
-                    if let (Some(key), Some(cache)) = (keep, &ends[0]) {
-                        world
+                    if let (Some(key), Some(cache)) = (stored_key, &endpoints[0]) {
+                        simulation
                             .servers
                             .get_mut(cache)
-                            .expect("listed")
-                            .held
+                            .expect("a listed server")
+                            .cached
                             .put(key, ());
                     }
-                    let node = &mut world.nodes[router];
+                    let node = &mut simulation.nodes[router];
                     let out = node
-                        .taken
+                        .open_requests
                         .get_mut(&request)
-                        .and_then(|taken| taken.attempts.get_mut(attempt));
-                    if node.life == life
+                        .and_then(|request| request.attempts.get_mut(attempt));
+                    if node.incarnation == incarnation
                         && let Some(sent) = out.and_then(Option::take)
                     {
                         let remark = if hit { Remark::Hit } else { Remark::Filled };
-                        world.ended(
+                        simulation.end_attempt(
                             router,
                             &request,
                             attempt,
@@ -586,34 +619,41 @@
                         );
                     }
                 }
-                Event::Due(number, life, id) => {
-                    // Rule 1: whoever lived until now has answered.
-                    if world.nodes[number].life == life {
-                        let taken = world.nodes[number].taken.remove(&id).expect("taken");
+                Event::Deadline(number, incarnation, id) => {
+                    // Rule 1: a router that was running until now has answered.
+                    if simulation.nodes[number].incarnation == incarnation {
+                        let request = simulation.nodes[number]
+                            .open_requests
+                            .remove(&id)
+                            .expect("an open request");
                         assert!(
-                            !taken.open,
-                            "{id} got no answer in its time (seed {})",
-                            day.seed
+                            !request.open,
+                            "{id} was not answered by its deadline (seed {})",
+                            scenario.seed
                         );
                     }
                 }
                 Event::Datagram(number, from, bytes) => {
-                    let node = &mut world.nodes[number];
-                    if let (Some(talk), Some(router)) = (&mut node.talk, &mut node.router) {
-                        talk.heard(world.now, from, &bytes, router);
+                    let node = &mut simulation.nodes[number];
+                    if let (Some(exchange), Some(router)) = (&mut node.exchange, &mut node.router) {
+                        exchange.heard(simulation.now, from, &bytes, router);
                     }
                 }
-                Event::Kill => world.kill(),
-                Event::Revive => {
+                Event::Kill => simulation.kill(),
+                Event::Restart => {
                     let dead: Vec<usize> = (0..ROUTERS)
-                        .filter(|n| world.nodes[*n].router.is_none())
+                        .filter(|n| simulation.nodes[*n].router.is_none())
                         .collect();
-                    dead.into_iter().for_each(|number| world.begin(number));
+                    dead.into_iter()
+                        .for_each(|number| simulation.start_router(number));
                 }
             }
         }
-        let talks = world.nodes.iter().filter_map(|node| node.talk.as_ref());
-        world.seen.strangers = talks.map(|talk| talk.dropped().strangers).sum();
-        world.seen
+        let exchanges = simulation
+            .nodes
+            .iter()
+            .filter_map(|node| node.exchange.as_ref());
+        simulation.counts.strangers = exchanges.map(|exchange| exchange.dropped().strangers).sum();
+        simulation.counts
     }
 }
--- a/crates/latency/src/lib.rs
+++ b/crates/latency/src/lib.rs
@@ -18,6 +18,6 @@
 pub mod steer;
 
 pub use merge::Estimate;
-pub use model::{LANES, Model};
+pub use model::{KIND_POLICIES, Model};
 pub use sketch::{Share, Sketch};
 pub use steer::{Offer, Table};
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -14,7 +14,7 @@
 
 use crate::merge::{Estimate, merge};
 use crate::sketch::{HALF_LIFE, Share, Sketch, bucket, value};
-use chalkhall_gossip::gossip::{Gossip, Lane, Topic};
+use chalkhall_gossip::gossip::{Gossip, KindPolicy, Topic};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -27,27 +27,27 @@
 pub const LASTS: Duration = Duration::from_secs(5);
 /// Five tellers of a way are enough to leave out the least and the greatest; three of a matrix to outvote
 /// one.
-pub const LANES: [Lane; 3] = [
-    Lane {
+pub const KIND_POLICIES: [KindPolicy; 3] = [
+    KindPolicy {
         kind: WAYS,
-        near: true,
+        zone_only: true,
         first: false,
-        keep: 5,
-        lasts: LASTS,
+        max_publishers: 5,
+        lifetime: LASTS,
     },
-    Lane {
+    KindPolicy {
         kind: LEGS,
-        near: true,
+        zone_only: true,
         first: false,
-        keep: 5,
-        lasts: LASTS,
+        max_publishers: 5,
+        lifetime: LASTS,
     },
-    Lane {
+    KindPolicy {
         kind: MATRIX,
-        near: false,
+        zone_only: false,
         first: false,
-        keep: 3,
-        lasts: LASTS,
+        max_publishers: 3,
+        lifetime: LASTS,
     },
 ];
 /// Edges there may be: numbers of zones, then of hubs.
@@ -166,7 +166,7 @@
         if due.is_empty() {
             return due;
         }
-        let peers: Vec<u16> = gossip.peers(now, ALIVE).collect();
+        let peers: Vec<u16> = gossip.live_peers(now, ALIVE).collect();
         let draws = |number: u16, edge: usize| {
             xxh3_64(&[number.to_be_bytes(), (edge as u16).to_be_bytes()].concat())
         };
@@ -230,7 +230,7 @@
         }
         self.matrix_told = Some(now);
         // Only what was measured is told: a belief taken from peers would go round and outlive the truth.
-        let least = (gossip.peers(now, ALIVE).count() + 1).min(3);
+        let least = (gossip.live_peers(now, ALIVE).count() + 1).min(3);
         let measured = |edge: usize| {
             self.estimate(now, gossip, WAYS, &self.ways, edge)
                 .filter(|e| e.tellers >= least)
@@ -270,13 +270,16 @@
             .filter(|sketch| now < sketch.latest() + LASTS);
         // Decay since the last sample is in the count already.
         let mine = mine.and_then(|sketch| Some((sketch.share(now)?, Duration::ZERO)));
-        let told = gossip.words(now, kind).filter(|(topic, word)| {
-            usize::from(topic.part) == edge
-                && word.place == self.place
-                && topic.teller != self.number
+        let told = gossip.messages(now, kind).filter(|(topic, message)| {
+            usize::from(topic.key) == edge
+                && message.zone == self.place
+                && topic.publisher != self.number
         });
-        let told = told.filter_map(|(_, word)| {
-            Some((Share::decode(&word.body)?, now.saturating_sub(word.told)))
+        let told = told.filter_map(|(_, message)| {
+            Some((
+                Share::decode(&message.payload)?,
+                now.saturating_sub(message.published_at),
+            ))
         });
         let all: Vec<_> = mine.into_iter().chain(told).collect();
         merge(&all)
@@ -291,13 +294,13 @@
         from: u8,
         edge: usize,
     ) -> Option<(Cell, usize)> {
-        let of = |(topic, word): (Topic, &chalkhall_gossip::gossip::Word)| {
-            let fits = word.place == from
-                && usize::from(topic.part) == edge / CHUNK
-                && topic.teller != self.number;
-            let age = now.saturating_sub(word.told);
+        let of = |(topic, message): (Topic, &chalkhall_gossip::gossip::StoredMessage)| {
+            let fits = message.zone == from
+                && usize::from(topic.key) == edge / CHUNK
+                && topic.publisher != self.number;
+            let age = now.saturating_sub(message.published_at);
             fits.then(|| {
-                decode(&word.body)?
+                decode(&message.payload)?
                     .get(edge % CHUNK)
                     .copied()
                     .flatten()
@@ -305,7 +308,7 @@
             })
             .flatten()
         };
-        let cells: Vec<(Cell, Duration)> = gossip.words(now, MATRIX).filter_map(of).collect();
+        let cells: Vec<(Cell, Duration)> = gossip.messages(now, MATRIX).filter_map(of).collect();
         let middle = |of: &dyn Fn(&Cell) -> f64| {
             let mut all: Vec<f64> = cells.iter().map(|(cell, _)| of(cell)).collect();
             all.sort_by(f64::total_cmp);
--- a/crates/latency/src/model/tests.rs
+++ b/crates/latency/src/model/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use chalkhall_gossip::gossip::{Stand, encode as datagram};
+use chalkhall_gossip::gossip::{RouterIdentity, encode as datagram};
 use chalkhall_gossip::{Mouth, To};
 use proptest::prelude::*;
 
@@ -32,16 +32,16 @@
 }
 
 fn router(number: usize, places: usize, routers: usize, incarnation: u32) -> (Model, Gossip) {
-    let place = (number % places) as u8;
-    let stand = Stand {
+    let zone = (number % places) as u8;
+    let identity = RouterIdentity {
         number: number as u16,
         routers,
-        place,
+        zone,
         incarnation,
         seed: number as u64,
     };
-    let gossip = Gossip::start(Duration::ZERO, stand, &LANES).expect("not alone");
-    (Model::new(number as u16, place, places), gossip)
+    let gossip = Gossip::start(Duration::ZERO, identity, &KIND_POLICIES).expect("not alone");
+    (Model::new(number as u16, zone, places), gossip)
 }
 
 impl World {
@@ -108,14 +108,16 @@
                         words.push((MATRIX, 0, super::encode(&vec![Some(cell); self.places])));
                     }
                     words.into_iter().for_each(|(kind, part, body)| {
-                        gossip.say(ms(now), kind, part, body, false)
+                        gossip.publish(ms(now), kind, part, body, false)
                     });
                 }
                 let mut said = Said::default();
                 self.routers[n].1.tick(ms(now), &mut said);
                 for (to, bytes) in said.0 {
                     if self.chance.f64() >= self.loses {
-                        self.routers[to as usize].1.heard(ms(now), n as u64, &bytes);
+                        self.routers[to as usize]
+                            .1
+                            .receive(ms(now), n as u64, &bytes);
                     }
                 }
             }
@@ -126,13 +128,13 @@
     /// far routers of one zone lie apart in p50, as the mean deviation from their mean.
     fn errors(&self, now: u64) -> (f64, f64, f64) {
         let (mut e50, mut e90, mut spread, mut count, mut ways) = (0.0, 0.0, 0.0, 0.0, 0.0);
-        for place in 0..self.places {
+        for zone in 0..self.places {
             for edge in 0..self.places {
-                let truth = self.truth[place][edge];
+                let truth = self.truth[zone][edge];
                 let ninth = truth * (1.2816 * self.sigma).exp();
                 let mut believed = Vec::new();
                 for (n, (model, gossip)) in self.routers.iter().enumerate() {
-                    if n % self.places != place || self.liar == Some(n) {
+                    if n % self.places != zone || self.liar == Some(n) {
                         continue;
                     }
                     let Some(way) = model.way(ms(now), gossip, edge) else {
@@ -205,7 +207,7 @@
     let count = |here: usize| {
         let mut all: Vec<_> = (0..here).map(|n| router(n * 6, 6, here * 6, 1)).collect();
         for (_, gossip) in &mut all {
-            (0..here).for_each(|m| gossip.peer(m as u16 * 6, ms(38_000)));
+            (0..here).for_each(|m| gossip.record_peer(m as u16 * 6, ms(38_000)));
         }
         let mut found = 0;
         for now in (0..40_000).step_by(100) {
@@ -220,7 +222,7 @@
     assert_eq!((few, many, alone), (10.0, 10.0, 2.0), "a second and way");
     // The dead are not waited for: who gave no sign of life leaves its ways to others.
     let (mut model, mut gossip) = router(0, 6, 120, 1);
-    (1..20).for_each(|n| gossip.peer(n * 6, ms(0)));
+    (1..20).for_each(|n| gossip.record_peer(n * 6, ms(0)));
     assert!(model.to_measure(ms(1000), &gossip).len() < 6);
     assert_eq!(model.to_measure(ms(6000), &gossip).len(), 6);
 }
@@ -250,19 +252,19 @@
     assert!((leg.p50.expect("back").as_secs_f64() / 0.040 - 1.0).abs() < 0.06);
     let mut said = Said::default();
     for (kind, part, body) in model.words(ms(0), &gossip) {
-        gossip.say(ms(0), kind, part, body, false);
+        gossip.publish(ms(0), kind, part, body, false);
     }
-    gossip.peer(6, ms(0));
+    gossip.record_peer(6, ms(0));
     (1..200).for_each(|n| gossip.tick(ms(n * 250), &mut said));
     let (mut here, mut there) = (router(6, 6, 120, 1).1, router(7, 6, 120, 1).1);
     for (_, bytes) in &said.0 {
-        here.heard(ms(0), 0, bytes);
-        there.heard(ms(0), 0, bytes);
+        here.receive(ms(0), 0, bytes);
+        there.receive(ms(0), 0, bytes);
     }
     assert_eq!(
         (
-            here.words(ms(0), LEGS).count(),
-            there.words(ms(0), LEGS).count()
+            here.messages(ms(0), LEGS).count(),
+            there.messages(ms(0), LEGS).count()
         ),
         (1, 0)
     );
