--- a/crates/failover/src/decide.rs
+++ b/crates/failover/src/decide.rs
@@ -23,7 +23,7 @@
 use crate::words::{HOME, Home, LOAD, Load, PLAN, Plan, TAKERS_MOST};
 use chalkhall_gossip::Mouth;
 use chalkhall_gossip::gossip::{Gossip, KindPolicy, RouterIdentity};
-use chalkhall_latency::{Estimate, Model, Offer, Table};
+use chalkhall_latency::{Estimate, Model, Offer, ShareTable};
 use chalkhall_stats::Recent;
 use std::time::Duration;
 
@@ -157,7 +157,7 @@
     /// What each had room for when it was last reckoned, and when that was.
     rooms: Vec<f64>,
     reckoned: Option<Duration>,
-    table: Table,
+    table: ShareTable,
     number: u32,
     /// The last plan acted on, and whose it was.
     plan: Option<(Plan, u16)>,
@@ -209,7 +209,7 @@
             drained: vec![false; places],
             rooms: vec![0.0; places],
             reckoned: None,
-            table: Table::default(),
+            table: ShareTable::default(),
             number: 0,
             plan: None,
             trial: TRIAL_BLIND,
@@ -282,7 +282,7 @@
         if now < self.started + SETTLE {
             return Vec::new();
         }
-        self.model.to_measure(now, &self.gossip)
+        self.model.paths_to_probe(now, &self.gossip)
     }
 
     pub fn next(&self) -> Duration {
@@ -443,17 +443,17 @@
                 } else {
                     Duration::ZERO
                 };
-                let way = Some(Estimate {
+                let path = Some(Estimate {
                     p50: Some(last),
                     p90: Some(last),
                     lost: 0.0,
                     doubt: 0.0,
-                    tellers: 1,
+                    reporters: 1,
                 });
                 offers.push(Offer {
                     edge,
-                    way,
-                    room: if self.health.is_bad() {
+                    path,
+                    capacity: if self.health.is_bad() {
                         0.0
                     } else {
                         place.present
@@ -463,8 +463,8 @@
             }
             // Of whom nothing is heard nothing is known: it may be down with all of its routers.
             let Some(home) = home else { continue };
-            let way = self.model.way(now, &self.gossip, edge);
-            let silent = way.is_some_and(|way| way.p50.is_none());
+            let path = self.model.path(now, &self.gossip, edge);
+            let silent = path.is_some_and(|path| path.p50.is_none());
             let usable =
                 self.about.abroad && !home.bad && !home.drained && !self.drained[edge] && !silent;
             let strain = 1.0 - (home.strain / STRAIN_MOST).min(1.0);
@@ -475,8 +475,8 @@
             let room = room / bad;
             offers.push(Offer {
                 edge,
-                way,
-                room: if usable { room } else { 0.0 },
+                path,
+                capacity: if usable { room } else { 0.0 },
             });
         }
         (offers, rooms)
@@ -516,7 +516,7 @@
             let home = usize::from(self.about.place);
             self.trial = match self
                 .model
-                .way(now, &self.gossip, home)
+                .path(now, &self.gossip, home)
                 .filter(|_| self.health.is_bad())
             {
                 None => TRIAL_BLIND,
@@ -544,7 +544,7 @@
                     .count();
                 self.gossip
                     .publish(now, HOME, 0, home.encode(), turned && before < HOME_TELLERS);
-                for (kind, part, body) in self.model.words(now, &self.gossip) {
+                for (kind, part, body) in self.model.messages_to_publish(now, &self.gossip) {
                     self.gossip.publish(now, kind, part, body, false);
                 }
             }
@@ -570,14 +570,14 @@
             self.table.adopt(now, &[(own, 1.0)]);
         } else if before.is_empty()
             && !self.drained[own]
-            && offers.iter().any(|o| o.edge == own && o.room >= demand)
+            && offers.iter().any(|o| o.edge == own && o.capacity >= demand)
         {
             return; // Nothing has ever left, and nothing has to.
         } else {
             if before.is_empty() {
                 self.table.adopt(now, &[(own, 1.0)]);
             }
-            self.table.turn(now, demand, &offers);
+            self.table.update(now, demand, &offers);
         }
         let shares: Vec<(usize, f64)> = self
             .table
@@ -605,7 +605,7 @@
         let home_again = shares == [(own, 1.0)];
         if home_again && !changed {
             // All is at home: once peers have heard so, nothing needs to be told.
-            self.table = Table::default();
+            self.table = ShareTable::default();
             return;
         }
         self.number += u32::from(changed);
@@ -676,7 +676,7 @@
             let room = offers
                 .iter()
                 .find(|o| o.edge == edge)
-                .map_or(0.0, |o| o.room);
+                .map_or(0.0, |o| o.capacity);
             let home = self.plan.is_none() && edge == own && !self.health.is_bad();
             let planned = self
                 .plan_shares()
@@ -688,14 +688,14 @@
                 share: planned.unwrap_or(f64::from(u8::from(home))),
                 room,
                 bad: homes[edge].is_some_and(|home| home.bad),
-                way: self.model.way(now, &self.gossip, edge),
-                leg: self.model.leg(now, &self.gossip, edge),
+                way: self.model.path(now, &self.gossip, edge),
+                leg: self.model.client_path(now, &self.gossip, edge),
             }
         };
         let mut edges: Vec<Edge> = (0..self.about.places).map(edge).collect();
         let cost = |edge: &Edge| {
             let leg = edge.leg.and_then(|leg| leg.p50).unwrap_or(Duration::ZERO);
-            let way = edge
+            let path = edge
                 .way
                 .and_then(|way| way.p50)
                 .unwrap_or(if edge.edge == own {
@@ -703,7 +703,7 @@
                 } else {
                     Duration::MAX
                 });
-            if edge.leg.is_some() { leg } else { way }
+            if edge.leg.is_some() { leg } else { path }
         };
         edges.sort_by_key(|edge| (edge.room <= 0.0, cost(edge), edge.edge));
         edges
@@ -717,7 +717,7 @@
             offers
                 .iter()
                 .find(|o| o.edge == edge)
-                .map_or(0.0, |o| o.room)
+                .map_or(0.0, |o| o.capacity)
         };
         let of = |(place, home): (usize, &Option<Home>)| {
             let home = home.unwrap_or_default();
--- a/crates/latency/src/lib.rs
+++ b/crates/latency/src/lib.rs
@@ -1,23 +1,24 @@
-//! What each way between zones costs: one model of the whole fleet, measured by few, told to all,
-//! forgotten with time. No I/O. `docs/latency.md` has the ways weighed.
+//! What each network path between zones costs: one model of the whole fleet, measured by few
+//! routers, sent to all, and forgotten with time. No I/O. `docs/latency.md` compares the
+//! alternatives.
 //!
-//! | module | what |
+//! | module | content |
 //! | --- | --- |
-//! | [`sketch`] | a distribution as one router has seen it, decaying; the few bytes in which it is told |
-//! | [`merge`] | many routers' distributions in one, that no single one can bend |
-//! | [`model`] | who measures what and when, what is told, what is believed |
-//! | [`steer`] | from ways and room to shares, without a herd and without a swing |
+//! | [`sketch`] | a decaying distribution as one router has observed it, and its compact encoding |
+//! | [`merge`] | the distributions of many routers as one that no single router can distort |
+//! | [`model`] | who measures what and when, what is sent, what is accepted |
+//! | [`share_table`] | from paths and capacities to shares, without herding and without oscillation |
 //!
-//! A way is what a word costs from here to there and back, apart from what its server makes of it: queue,
-//! fill and the size of a part are none of it. Steering by a sum that held the queue would send all to where
-//! the queue is short, and make it long.
+//! The cost of a path is the round trip of a probe, without what its server adds: queueing, fills
+//! and the size of a part are excluded. Selection by a sum that included the queue would send
+//! everything to where the queue is short, and make it long.
 
 pub mod merge;
 pub mod model;
+pub mod share_table;
 pub mod sketch;
-pub mod steer;
 
 pub use merge::Estimate;
 pub use model::{KIND_POLICIES, Model};
-pub use sketch::{Share, Sketch};
-pub use steer::{Offer, Table};
+pub use share_table::{Offer, ShareTable};
+pub use sketch::{Sketch, SketchSummary};
--- a/crates/latency/src/merge/tests.rs
+++ b/crates/latency/src/merge/tests.rs
@@ -2,13 +2,13 @@
 use crate::sketch::Sketch;
 use proptest::prelude::*;
 
-fn told(spans_ms: &[f64], age_ms: u64) -> (Share, Duration) {
+fn report(spans_ms: &[f64], age_ms: u64) -> (SketchSummary, Duration) {
     let mut sketch = Sketch::default();
     spans_ms
         .iter()
-        .for_each(|ms| sketch.came(Duration::ZERO, Duration::from_secs_f64(ms / 1e3)));
+        .for_each(|ms| sketch.record_round_trip(Duration::ZERO, Duration::from_secs_f64(ms / 1e3)));
     (
-        sketch.share(Duration::ZERO).expect("seen"),
+        sketch.summary(Duration::ZERO).expect("a sample"),
         Duration::from_millis(age_ms),
     )
 }
@@ -18,65 +18,75 @@
 }
 
 #[test]
-fn one_liar_of_several_moves_nothing_past_what_the_honest_saw() {
+fn one_liar_among_several_reporters_moves_no_quantile_past_the_honest_ones() {
     let honest: Vec<_> = (0..4)
-        .map(|n| told(&[9.0, 10.0, 11.0, 10.0 + f64::from(n) * 0.2], 0))
+        .map(|n| report(&[9.0, 10.0, 11.0, 10.0 + f64::from(n) * 0.2], 0))
         .collect();
-    let truly = merge(&honest).expect("told");
+    let expected = merge(&honest).expect("a report");
     for lie in [
-        told(&[0.1; 200], 0),
-        told(&[9000.0; 200], 0),
-        told(&[1.0, 3000.0], 0),
+        report(&[0.1; 200], 0),
+        report(&[9000.0; 200], 0),
+        report(&[1.0, 3000.0], 0),
     ] {
-        for place in 0..=honest.len() {
+        for index in 0..=honest.len() {
             let mut all = honest.clone();
-            all.insert(place, lie);
-            let bent = merge(&all).expect("told");
+            all.insert(index, lie);
+            let merged = merge(&all).expect("a report");
             assert!(
-                (ms(bent.p50) / ms(truly.p50) - 1.0).abs() < 0.06,
-                "{bent:?} of {truly:?}"
+                (ms(merged.p50) / ms(expected.p50) - 1.0).abs() < 0.06,
+                "{merged:?}, without the liar {expected:?}"
+            );
+            assert!(
+                (9.0..12.5).contains(&ms(merged.p90)),
+                "{merged:?}, without the liar {expected:?}"
             );
-            assert!((9.0..12.5).contains(&ms(bent.p90)), "{bent:?} of {truly:?}");
         }
     }
-    // With nobody to vote it out it is believed: two tellers, one of them a liar.
+    // With two reporters, one of them a liar, the lie cannot be outvoted.
     assert!(
-        ms(merge(&[honest[0], told(&[9000.0; 9], 0)])
-            .expect("told")
+        ms(merge(&[honest[0], report(&[9000.0; 9], 0)])
+            .expect("a report")
             .p90)
             > 1000.0
     );
 }
 
 #[test]
-fn what_does_not_come_back_is_slower_than_all_that_does() {
+fn a_path_that_loses_most_probes_counts_as_slower_than_any_that_answers() {
     let mut sketch = Sketch::default();
-    (0..4).for_each(|_| sketch.came(Duration::ZERO, Duration::from_millis(2)));
-    (0..6).for_each(|_| sketch.lost(Duration::ZERO));
-    let silent =
-        merge(&[(sketch.share(Duration::ZERO).expect("seen"), Duration::ZERO)]).expect("told");
-    let slow = merge(&[told(&[400.0; 8], 0)]).expect("told");
+    (0..4).for_each(|_| sketch.record_round_trip(Duration::ZERO, Duration::from_millis(2)));
+    (0..6).for_each(|_| sketch.record_loss(Duration::ZERO));
+    let silent = merge(&[(
+        sketch.summary(Duration::ZERO).expect("a sample"),
+        Duration::ZERO,
+    )])
+    .expect("a report");
+    let slow = merge(&[report(&[400.0; 8], 0)]).expect("a report");
     assert_eq!(silent.p50, None);
     assert!(silent.bounds().0 > slow.bounds().1);
 }
 
 #[test]
 fn doubt_widens_with_age_and_shrinks_with_samples() {
-    let of = |n: usize, age| merge(&[told(&vec![10.0; n], age)]).expect("told").doubt;
-    assert!(of(2, 0) > of(20, 0) && of(20, 3000) > of(20, 0) + 0.14);
+    let doubt_of = |n: usize, age| {
+        merge(&[report(&vec![10.0; n], age)])
+            .expect("a report")
+            .doubt
+    };
+    assert!(doubt_of(2, 0) > doubt_of(20, 0) && doubt_of(20, 3000) > doubt_of(20, 0) + 0.14);
     assert_eq!(merge(&[]), None);
 }
 
 proptest! {
     #[test]
-    fn order_of_tellers_says_nothing_and_quantiles_rise(
+    fn the_order_of_reports_does_not_matter_and_quantiles_ascend(
         all in prop::collection::vec((prop::collection::vec(0.1f64..900.0, 1..20), 0u64..3000), 1..8),
-        turn in any::<u64>(),
+        seed in any::<u64>(),
     ) {
-        let mut words: Vec<_> = all.iter().map(|(spans, age)| told(spans, *age)).collect();
-        let first = merge(&words).expect("told");
-        fastrand::Rng::with_seed(turn).shuffle(&mut words);
-        prop_assert_eq!(merge(&words).expect("told"), first);
+        let mut reports: Vec<_> = all.iter().map(|(spans, age)| report(spans, *age)).collect();
+        let first = merge(&reports).expect("a report");
+        fastrand::Rng::with_seed(seed).shuffle(&mut reports);
+        prop_assert_eq!(merge(&reports).expect("a report"), first);
         prop_assert!(first.p50 <= first.p90 || first.p90.is_none());
     }
 }
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -1,260 +1,280 @@
-//! Who measures which way and when, what of it is told, and what is believed. No I/O.
+//! Which router measures which path and when, what it sends of that, and what is accepted. No I/O.
 //!
-//! Two legs: from the routers of a zone to an edge (a zone's caches, or a hub's parents), measured by
-//! the routers; and from a region's clients to an edge, as fronts have measured it and tell over a control
-//! socket. Each router sketches what it has seen itself and tells its zone (kinds [`WAYS`], [`LEGS`]);
-//! what a zone believes is told to all in four bytes an edge (kind [`MATRIX`]), three tellers a zone,
-//! so that everybody knows the whole matrix and no single one can bend it.
+//! There are two kinds of paths: from the routers of a zone to an edge (a zone's caches, or a hub's
+//! parents), probed by the routers; and from a region's clients to an edge, as measured by fronts
+//! and reported over a control socket. Each router keeps sketches of its own observations and sends
+//! them to its zone (kinds [`PATHS`], [`CLIENT_PATHS`]). A zone's estimates are sent to all in four
+//! bytes per edge (kind [`MATRIX`]), by three publishers per zone, so that every router knows the
+//! whole matrix and no single one can distort it.
 //!
-//! **Explored within a budget.** A way is measured by the [`MEASURERS`] routers of the zone that draw the
-//! least number for it by hash, of those that gave a sign of life lately, each at [`EVERY`]: what it costs
-//! does not grow with the zone, and nobody has to be told who measures. Who hears nobody measures all.
-//! Drawn anew by time (tried first) a way was now and then measured by none for seconds, and those who had
-//! just ceased told what had been.
+//! **Probing within a budget.** A path is probed by the [`PROBERS_PER_PATH`] routers of the zone
+//! that have the lowest hashes for it, of those that were alive within [`PEER_TIMEOUT`], each at
+//! [`PROBE_INTERVAL`]: the cost does not grow with the zone, and no coordination is needed. A
+//! router that knows no live peers probes all paths. When the probers changed with time (tried
+//! first), a path sometimes had no prober for seconds, and the previous ones kept sending old
+//! values.
 
 use crate::merge::{Estimate, merge};
-use crate::sketch::{HALF_LIFE, Share, Sketch, bucket, value};
+use crate::sketch::{HALF_LIFE, Sketch, SketchSummary, bucket_index, bucket_value};
 use chalkhall_gossip::gossip::{Gossip, KindPolicy, Topic};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Kinds of words.
-pub const WAYS: u8 = 1;
-pub const LEGS: u8 = 2;
+/// Kind of messages with sketches of paths from routers.
+pub const PATHS: u8 = 1;
+/// Kind of messages with sketches of paths from clients.
+pub const CLIENT_PATHS: u8 = 2;
+/// Kind of messages with a zone's estimates.
 pub const MATRIX: u8 = 3;
-/// Past this age a way is unknown: five half lives.
-pub const LASTS: Duration = Duration::from_secs(5);
-/// Five tellers of a way are enough to leave out the least and the greatest; three of a matrix to outvote
-/// one.
+/// A path without reports for this long is unknown: five half-lives.
+pub const LIFETIME: Duration = Duration::from_secs(5);
+/// Five publishers of a path are enough to leave out the lowest and the highest; three of a matrix
+/// are enough to outvote one.
 pub const KIND_POLICIES: [KindPolicy; 3] = [
     KindPolicy {
-        kind: WAYS,
+        kind: PATHS,
         zone_only: true,
         first: false,
         max_publishers: 5,
-        lifetime: LASTS,
+        lifetime: LIFETIME,
     },
     KindPolicy {
-        kind: LEGS,
+        kind: CLIENT_PATHS,
         zone_only: true,
         first: false,
         max_publishers: 5,
-        lifetime: LASTS,
+        lifetime: LIFETIME,
     },
     KindPolicy {
         kind: MATRIX,
         zone_only: false,
         first: false,
         max_publishers: 3,
-        lifetime: LASTS,
+        lifetime: LIFETIME,
     },
 ];
-/// Edges there may be: numbers of zones, then of hubs.
-pub const EDGES_MOST: usize = 64;
-/// Of a zone, at one way: so many measure, so often; who gave no sign of life for so long is not one.
-pub const MEASURERS: usize = 5;
-pub const EVERY: Duration = Duration::from_millis(500);
-pub const MATRIX_EVERY: Duration = Duration::from_secs(1);
-pub const ALIVE: Duration = Duration::from_secs(5);
-/// What is waited for an answer: longer is lost.
+/// Largest number of edges: those of zones come first, then those of hubs.
+pub const MAX_EDGES: usize = 64;
+/// Routers of a zone that probe one path.
+pub const PROBERS_PER_PATH: usize = 5;
+/// Time between two probes of a path by one router.
+pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two messages of the matrix by one router.
+pub const MATRIX_INTERVAL: Duration = Duration::from_secs(1);
+/// A peer that was not alive for this long does not count as a prober.
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after which an unanswered probe counts as lost.
 pub const PATIENCE: Duration = Duration::from_millis(800);
-/// Edges in one word of the matrix, and what one takes.
-const CHUNK: usize = 32;
-const CELL: usize = 4;
+/// Edges in one message of the matrix.
+const MATRIX_CHUNK_EDGES: usize = 32;
+/// Size of an encoded entry.
+const ENTRY_BYTES: usize = 4;
 
-/// A way of the matrix, as a zone believes it.
+/// An entry of the matrix: a zone's estimate of one path.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cell {
+pub struct MatrixEntry {
     pub p50: Option<Duration>,
     pub p90: Option<Duration>,
     pub lost: f64,
     pub doubt: f64,
 }
 
-/// A bucket in a byte: 255 where there is none.
-fn byte(span: Option<Duration>) -> u8 {
-    span.map_or(255, |span| bucket(span) as u8)
+/// Encodes the bucket of a span as one byte; 255 stands for none.
+fn encode_span(span: Option<Duration>) -> u8 {
+    span.map_or(255, |span| bucket_index(span) as u8)
 }
 
-fn span(byte: u8) -> Option<Duration> {
-    (byte < 255).then(|| value(f64::from(byte)))
+fn decode_span(byte: u8) -> Option<Duration> {
+    (byte < 255).then(|| bucket_value(f64::from(byte)))
 }
 
-fn encode(cells: &[Option<Cell>]) -> Vec<u8> {
-    let cell = |cell: &Option<Cell>| match cell {
-        // No doubt is that of who knows nothing.
+fn encode_entries(entries: &[Option<MatrixEntry>]) -> Vec<u8> {
+    let entry = |entry: &Option<MatrixEntry>| match entry {
+        // An uncertainty of 255 marks an unknown path.
         None => [255, 255, 255, 255],
-        Some(cell) => {
-            let doubt = (cell.doubt * 100.0).round().min(254.0) as u8;
+        Some(entry) => {
+            let doubt = (entry.doubt * 100.0).round().min(254.0) as u8;
             [
-                byte(cell.p50),
-                byte(cell.p90),
-                (cell.lost * 255.0) as u8,
+                encode_span(entry.p50),
+                encode_span(entry.p90),
+                (entry.lost * 255.0) as u8,
                 doubt,
             ]
         }
     };
-    cells.iter().flat_map(cell).collect()
+    entries.iter().flat_map(entry).collect()
 }
 
-/// None where it makes no sense.
-fn decode(bytes: &[u8]) -> Option<Vec<Option<Cell>>> {
-    if bytes.len() > CHUNK * CELL || !bytes.len().is_multiple_of(CELL) {
+/// Returns `None` for malformed bytes.
+fn decode_entries(bytes: &[u8]) -> Option<Vec<Option<MatrixEntry>>> {
+    if bytes.len() > MATRIX_CHUNK_EDGES * ENTRY_BYTES || !bytes.len().is_multiple_of(ENTRY_BYTES) {
         return None;
     }
-    let cell = |b: &[u8]| {
+    let entry = |b: &[u8]| {
         let known = b[3] < 255;
-        let cell = Cell {
-            p50: span(b[0]),
-            p90: span(b[1]),
+        let entry = MatrixEntry {
+            p50: decode_span(b[0]),
+            p90: decode_span(b[1]),
             lost: f64::from(b[2]) / 255.0,
             doubt: f64::from(b[3]) / 100.0,
         };
-        known.then_some(cell)
+        known.then_some(entry)
     };
-    Some(bytes.chunks_exact(CELL).map(cell).collect())
+    Some(bytes.chunks_exact(ENTRY_BYTES).map(entry).collect())
 }
 
-/// What one router has seen, of both legs.
+/// The observations of one router, for both kinds of paths.
 pub struct Model {
     number: u16,
-    place: u8,
+    zone: u8,
     edges: usize,
-    ways: BTreeMap<usize, Sketch>,
-    legs: BTreeMap<usize, Sketch>,
-    /// By edge: when it was measured last.
-    measured: BTreeMap<usize, Duration>,
-    /// When words were last asked for, and when the matrix was last told.
-    asked: Duration,
-    matrix_told: Option<Duration>,
-    refused: u64,
+    paths: BTreeMap<usize, Sketch>,
+    client_paths: BTreeMap<usize, Sketch>,
+    /// The time of the last probe, by edge.
+    last_probed: BTreeMap<usize, Duration>,
+    /// When [`Model::messages_to_publish`] was last called.
+    last_collected: Duration,
+    /// When the matrix was last published.
+    matrix_published_at: Option<Duration>,
+    rejected: u64,
 }
 
 impl Model {
-    /// `edges`: at most [`EDGES_MOST`]; those past it are not known.
-    pub fn new(number: u16, place: u8, edges: usize) -> Model {
+    /// `edges`: at most [`MAX_EDGES`]; those beyond are ignored.
+    pub fn new(number: u16, zone: u8, edges: usize) -> Model {
         Model {
             number,
-            place,
-            edges: edges.min(EDGES_MOST),
-            ways: BTreeMap::new(),
-            legs: BTreeMap::new(),
-            measured: BTreeMap::new(),
-            asked: Duration::ZERO,
-            matrix_told: None,
-            refused: 0,
+            zone,
+            edges: edges.min(MAX_EDGES),
+            paths: BTreeMap::new(),
+            client_paths: BTreeMap::new(),
+            last_probed: BTreeMap::new(),
+            last_collected: Duration::ZERO,
+            matrix_published_at: None,
+            rejected: 0,
         }
     }
 
+    /// The number of edges.
     pub fn edges(&self) -> usize {
         self.edges
     }
 
-    /// How long a measurement waits between two of this router's own.
-    pub fn due(&self, edge: usize) -> Duration {
-        self.measured
+    /// The earliest time of this router's next probe to an edge.
+    pub fn next_probe_at(&self, edge: usize) -> Duration {
+        self.last_probed
             .get(&edge)
-            .map_or(Duration::ZERO, |at| *at + EVERY)
+            .map_or(Duration::ZERO, |at| *at + PROBE_INTERVAL)
     }
 
-    /// The edges that this router is to measure now; each counts as measured from now on.
-    pub fn to_measure(&mut self, now: Duration, gossip: &Gossip) -> Vec<usize> {
+    /// The edges that this router has to probe now; each counts as probed from now on.
+    pub fn paths_to_probe(&mut self, now: Duration, gossip: &Gossip) -> Vec<usize> {
         let due: Vec<usize> = (0..self.edges)
-            .filter(|edge| now >= self.due(*edge))
+            .filter(|edge| now >= self.next_probe_at(*edge))
             .collect();
         if due.is_empty() {
             return due;
         }
-        let peers: Vec<u16> = gossip.live_peers(now, ALIVE).collect();
-        let draws = |number: u16, edge: usize| {
+        let peers: Vec<u16> = gossip.live_peers(now, PEER_TIMEOUT).collect();
+        let draw = |number: u16, edge: usize| {
             xxh3_64(&[number.to_be_bytes(), (edge as u16).to_be_bytes()].concat())
         };
-        let mine = |edge: &usize| {
-            let own = draws(self.number, *edge);
+        let is_prober = |edge: &usize| {
+            let own = draw(self.number, *edge);
             peers
                 .iter()
-                .filter(|peer| draws(**peer, *edge) < own)
+                .filter(|peer| draw(**peer, *edge) < own)
                 .count()
-                < MEASURERS
+                < PROBERS_PER_PATH
         };
-        let found: Vec<usize> = due.into_iter().filter(mine).collect();
+        let found: Vec<usize> = due.into_iter().filter(is_prober).collect();
         for edge in &found {
-            self.measured.insert(*edge, now);
+            self.last_probed.insert(*edge, now);
         }
         found
     }
 
-    /// A word to an edge came back after so long; none: not within [`PATIENCE`].
-    pub fn saw(&mut self, now: Duration, edge: usize, way: Option<Duration>) {
+    /// Records a probe to an edge: its round trip, or `None` if it was not answered within
+    /// [`PATIENCE`].
+    pub fn saw(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
         if edge >= self.edges {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         }
-        let sketch = self.ways.entry(edge).or_default();
-        match way.filter(|way| *way < PATIENCE) {
-            Some(way) => sketch.came(now, way),
-            None => sketch.lost(now),
+        let sketch = self.paths.entry(edge).or_default();
+        match round_trip.filter(|round_trip| *round_trip < PATIENCE) {
+            Some(round_trip) => sketch.record_round_trip(now, round_trip),
+            None => sketch.record_loss(now),
         }
     }
 
-    /// A front has measured the way of this region's clients to an edge, so many times the same.
-    pub fn observed(&mut self, now: Duration, edge: usize, way: Duration, count: u32) {
+    /// Records `count` equal samples of the latency of this region's clients to an edge, as
+    /// measured by a front.
+    pub fn observed(&mut self, now: Duration, edge: usize, latency: Duration, count: u32) {
         if edge >= self.edges {
-            self.refused += 1;
+            self.rejected += 1;
             return;
         }
-        let sketch = self.legs.entry(edge).or_default();
-        (0..count.min(64)).for_each(|_| sketch.came(now, way));
+        let sketch = self.client_paths.entry(edge).or_default();
+        (0..count.min(64)).for_each(|_| sketch.record_round_trip(now, latency));
     }
 
-    /// What is to be told of it: kind, part and body. Only where something was seen since, so that a word has
-    /// spread before the next one takes its place; the matrix at [`MATRIX_EVERY`].
-    pub fn words(&mut self, now: Duration, gossip: &Gossip) -> Vec<(u8, u8, Vec<u8>)> {
-        let asked = std::mem::replace(&mut self.asked, now);
-        let fresh = |sketch: &Sketch| sketch.latest() >= asked && sketch.count(now) > 0.0;
-        let told = |kind: u8, sketches: &BTreeMap<usize, Sketch>| {
-            let all = sketches.iter().filter(|(_, sketch)| fresh(sketch));
+    /// The messages to publish: kind, key and payload. Only those with samples since the last call,
+    /// so that a message has spread before the next one replaces it; the matrix at
+    /// [`MATRIX_INTERVAL`].
+    pub fn messages_to_publish(
+        &mut self,
+        now: Duration,
+        gossip: &Gossip,
+    ) -> Vec<(u8, u8, Vec<u8>)> {
+        let last_collected = std::mem::replace(&mut self.last_collected, now);
+        let is_fresh =
+            |sketch: &Sketch| sketch.latest() >= last_collected && sketch.count(now) > 0.0;
+        let summaries = |kind: u8, sketches: &BTreeMap<usize, Sketch>| {
+            let all = sketches.iter().filter(|(_, sketch)| is_fresh(sketch));
             let all = all.filter_map(|(edge, sketch)| {
-                Some((kind, *edge as u8, sketch.share(now)?.encode().to_vec()))
+                Some((kind, *edge as u8, sketch.summary(now)?.encode().to_vec()))
             });
             all.collect::<Vec<_>>()
         };
-        let mut words = told(WAYS, &self.ways);
-        words.extend(told(LEGS, &self.legs));
+        let mut messages = summaries(PATHS, &self.paths);
+        messages.extend(summaries(CLIENT_PATHS, &self.client_paths));
         let due = self
-            .matrix_told
-            .is_none_or(|told| now >= told + MATRIX_EVERY);
+            .matrix_published_at
+            .is_none_or(|published_at| now >= published_at + MATRIX_INTERVAL);
         if !due {
-            return words;
+            return messages;
         }
-        self.matrix_told = Some(now);
-        // Only what was measured is told: a belief taken from peers would go round and outlive the truth.
-        let least = (gossip.live_peers(now, ALIVE).count() + 1).min(3);
+        self.matrix_published_at = Some(now);
+        // Only measured paths are published: estimates taken from peers would circulate and outlive
+        // the measurements.
+        let min_reporters = (gossip.live_peers(now, PEER_TIMEOUT).count() + 1).min(3);
         let measured = |edge: usize| {
-            self.estimate(now, gossip, WAYS, &self.ways, edge)
-                .filter(|e| e.tellers >= least)
+            self.estimate(now, gossip, PATHS, &self.paths, edge)
+                .filter(|e| e.reporters >= min_reporters)
         };
-        for (part, first) in (0..self.edges).step_by(CHUNK).enumerate() {
-            let edges = first..(first + CHUNK).min(self.edges);
-            let cell = |Estimate {
-                            p50,
-                            p90,
-                            lost,
-                            doubt,
-                            ..
-                        }| Cell {
+        for (chunk, first) in (0..self.edges).step_by(MATRIX_CHUNK_EDGES).enumerate() {
+            let edges = first..(first + MATRIX_CHUNK_EDGES).min(self.edges);
+            let entry = |Estimate {
+                             p50,
+                             p90,
+                             lost,
+                             doubt,
+                             ..
+                         }| MatrixEntry {
                 p50,
                 p90,
                 lost,
                 doubt,
             };
-            let cells: Vec<Option<Cell>> = edges.map(|edge| measured(edge).map(cell)).collect();
-            if cells.iter().any(Option::is_some) {
-                words.push((MATRIX, part as u8, encode(&cells)));
+            let entries: Vec<Option<MatrixEntry>> =
+                edges.map(|edge| measured(edge).map(entry)).collect();
+            if entries.iter().any(Option::is_some) {
+                messages.push((MATRIX, chunk as u8, encode_entries(&entries)));
             }
         }
-        words
+        messages
     }
 
     fn estimate(
@@ -265,104 +285,118 @@
         own: &BTreeMap<usize, Sketch>,
         edge: usize,
     ) -> Option<Estimate> {
-        let mine = own
+        let own_report = own
             .get(&edge)
-            .filter(|sketch| now < sketch.latest() + LASTS);
-        // Decay since the last sample is in the count already.
-        let mine = mine.and_then(|sketch| Some((sketch.share(now)?, Duration::ZERO)));
-        let told = gossip.messages(now, kind).filter(|(topic, message)| {
+            .filter(|sketch| now < sketch.latest() + LIFETIME);
+        // The count already includes the decay since the last sample.
+        let own_report = own_report.and_then(|sketch| Some((sketch.summary(now)?, Duration::ZERO)));
+        let reports = gossip.messages(now, kind).filter(|(topic, message)| {
             usize::from(topic.key) == edge
-                && message.zone == self.place
+                && message.zone == self.zone
                 && topic.publisher != self.number
         });
-        let told = told.filter_map(|(_, message)| {
+        let reports = reports.filter_map(|(_, message)| {
             Some((
-                Share::decode(&message.payload)?,
+                SketchSummary::decode(&message.payload)?,
                 now.saturating_sub(message.published_at),
             ))
         });
-        let all: Vec<_> = mine.into_iter().chain(told).collect();
+        let all: Vec<_> = own_report.into_iter().chain(reports).collect();
         merge(&all)
     }
 
-    /// What the tellers of a zone say of its way to an edge, and how young the youngest word is: the
-    /// middle of them at each figure. And how many they are.
-    fn heard(
+    /// What the publishers of a zone report about its path to an edge: the median of each value,
+    /// with the uncertainty for the age of the youngest report. Also returns the number of
+    /// publishers.
+    fn reported_entry(
         &self,
         now: Duration,
         gossip: &Gossip,
         from: u8,
         edge: usize,
-    ) -> Option<(Cell, usize)> {
-        let of = |(topic, message): (Topic, &chalkhall_gossip::gossip::StoredMessage)| {
-            let fits = message.zone == from
-                && usize::from(topic.key) == edge / CHUNK
-                && topic.publisher != self.number;
-            let age = now.saturating_sub(message.published_at);
-            fits.then(|| {
-                decode(&message.payload)?
-                    .get(edge % CHUNK)
-                    .copied()
+    ) -> Option<(MatrixEntry, usize)> {
+        let matching_entry =
+            |(topic, message): (Topic, &chalkhall_gossip::gossip::StoredMessage)| {
+                let is_match = message.zone == from
+                    && usize::from(topic.key) == edge / MATRIX_CHUNK_EDGES
+                    && topic.publisher != self.number;
+                let age = now.saturating_sub(message.published_at);
+                is_match
+                    .then(|| {
+                        decode_entries(&message.payload)?
+                            .get(edge % MATRIX_CHUNK_EDGES)
+                            .copied()
+                            .flatten()
+                            .map(|entry| (entry, age))
+                    })
                     .flatten()
-                    .map(|cell| (cell, age))
-            })
-            .flatten()
-        };
-        let cells: Vec<(Cell, Duration)> = gossip.messages(now, MATRIX).filter_map(of).collect();
-        let middle = |of: &dyn Fn(&Cell) -> f64| {
-            let mut all: Vec<f64> = cells.iter().map(|(cell, _)| of(cell)).collect();
+            };
+        let entries: Vec<(MatrixEntry, Duration)> = gossip
+            .messages(now, MATRIX)
+            .filter_map(matching_entry)
+            .collect();
+        let median = |of: &dyn Fn(&MatrixEntry) -> f64| {
+            let mut all: Vec<f64> = entries.iter().map(|(entry, _)| of(entry)).collect();
             all.sort_by(f64::total_cmp);
             all.get((all.len().max(1) - 1) / 2).copied()
         };
         let seconds = |span: Option<Duration>| span.map_or(f64::INFINITY, |s| s.as_secs_f64());
-        let back = |s: f64| s.is_finite().then(|| Duration::from_secs_f64(s));
-        let age = cells.iter().map(|(_, age)| *age).min()?;
-        let cell = Cell {
-            p50: back(middle(&|cell| seconds(cell.p50))?),
-            p90: back(middle(&|cell| seconds(cell.p90))?),
-            lost: middle(&|cell| cell.lost)?,
-            // A word half a life old has lost half of its samples.
-            doubt: middle(&|cell| cell.doubt)? * age.div_duration_f64(HALF_LIFE).exp2().sqrt(),
+        let from_seconds = |s: f64| s.is_finite().then(|| Duration::from_secs_f64(s));
+        let age = entries.iter().map(|(_, age)| *age).min()?;
+        let entry = MatrixEntry {
+            p50: from_seconds(median(&|entry| seconds(entry.p50))?),
+            p90: from_seconds(median(&|entry| seconds(entry.p90))?),
+            lost: median(&|entry| entry.lost)?,
+            // A report that is one half-life old has lost half of its samples.
+            doubt: median(&|entry| entry.doubt)? * age.div_duration_f64(HALF_LIFE).exp2().sqrt(),
         };
-        Some((cell, cells.len()))
+        Some((entry, entries.len()))
     }
 
-    /// What is believed of the way from here to an edge. Of fewer than three tellers one that lies could not
-    /// be told from the others: then what peers believe of it stands in.
-    pub fn way(&self, now: Duration, gossip: &Gossip, edge: usize) -> Option<Estimate> {
-        let own = self.estimate(now, gossip, WAYS, &self.ways, edge);
-        if own.is_some_and(|own| own.tellers >= 3) {
+    /// The estimate of the path from this zone to an edge. With fewer than three reporters a false
+    /// one could not be identified; then the estimates of peers are used instead.
+    pub fn path(&self, now: Duration, gossip: &Gossip, edge: usize) -> Option<Estimate> {
+        let own = self.estimate(now, gossip, PATHS, &self.paths, edge);
+        if own.is_some_and(|own| own.reporters >= 3) {
             return own;
         }
-        match self.heard(now, gossip, self.place, edge) {
+        match self.reported_entry(now, gossip, self.zone, edge) {
             Some((
-                Cell {
+                MatrixEntry {
                     p50,
                     p90,
                     lost,
                     doubt,
                 },
-                tellers,
-            )) if tellers >= 3 => Some(Estimate {
+                reporters,
+            )) if reporters >= 3 => Some(Estimate {
                 p50,
                 p90,
                 lost,
                 doubt,
-                tellers,
+                reporters,
             }),
             _ => own,
         }
     }
 
-    /// The same of this region's clients.
-    pub fn leg(&self, now: Duration, gossip: &Gossip, edge: usize) -> Option<Estimate> {
-        self.estimate(now, gossip, LEGS, &self.legs, edge)
+    /// The same for the clients of this region.
+    pub fn client_path(&self, now: Duration, gossip: &Gossip, edge: usize) -> Option<Estimate> {
+        self.estimate(now, gossip, CLIENT_PATHS, &self.client_paths, edge)
     }
 
-    /// What zone `from` believes of its way to an edge.
-    pub fn matrix(&self, now: Duration, gossip: &Gossip, from: u8, edge: usize) -> Option<Cell> {
-        if from != self.place {
-            return self.heard(now, gossip, from, edge).map(|(cell, _)| cell);
+    /// Zone `from`'s estimate of its path to an edge.
+    pub fn matrix_entry(
+        &self,
+        now: Duration,
+        gossip: &Gossip,
+        from: u8,
+        edge: usize,
+    ) -> Option<MatrixEntry> {
+        if from != self.zone {
+            return self
+                .reported_entry(now, gossip, from, edge)
+                .map(|(entry, _)| entry);
         }
         let Estimate {
             p50,
@@ -370,8 +404,8 @@
             lost,
             doubt,
             ..
-        } = self.way(now, gossip, edge)?;
-        Some(Cell {
+        } = self.path(now, gossip, edge)?;
+        Some(MatrixEntry {
             p50,
             p90,
             lost,
@@ -379,9 +413,9 @@
         })
     }
 
-    /// What was refused since the start: of edges that there are not.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Number of samples rejected since the start because their edge is out of range.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 }
 
--- a/crates/latency/src/sketch.rs
+++ b/crates/latency/src/sketch.rs
@@ -1,55 +1,60 @@
-//! A distribution of spans in buckets of equal ratio, so that each quantile is right within [`ALPHA`]
-//! (DDSketch: Masson, Rim and Lee, VLDB 2019), in which what is old counts less: forward decay (Cormode,
-//! Shkapenyuk, Srivastava and Xu, ICDE 2009), weights growing with time in place of all counts shrinking.
+//! A distribution of spans in buckets of equal ratio, so that each quantile is correct within
+//! [`RELATIVE_ERROR`] (DDSketch: Masson, Rim and Lee, VLDB 2019), in which old samples count less:
+//! forward decay (Cormode, Shkapenyuk, Srivastava and Xu, ICDE 2009), where the weights of new
+//! samples grow with time instead of all counts shrinking.
 //!
-//! The crate `sketches-ddsketch` was weighed: its counts are whole numbers, so nothing decays, and its bytes
-//! are hundreds. Here a fixed row of buckets does, and what is told of it are 16 heights of four bits.
+//! The crate `sketches-ddsketch` was considered: its counts are integers, so they cannot decay, and
+//! its encoding takes hundreds of bytes. Here a fixed array of buckets is enough, and its summary
+//! consists of 16 heights of four bits.
 //!
-//! What was lost is a sample too: longer than it was waited for. It lies in a bucket above all others, so an
-//! edge that falls silent does not look fast by its survivors.
+//! A lost probe is a sample too, longer than the timeout. It lies in a bucket above all others, so
+//! that an edge that stops answering does not look fast by the probes that it did answer.
 
 use std::time::Duration;
 
-/// Relative error of a value read back.
-pub const ALPHA: f64 = 0.05;
-/// Upper bound of a bucket over its lower; a value is read back as the middle of both, by ratio.
-const RATIO: f64 = (1.0 + ALPHA) * (1.0 + ALPHA);
-/// Upper bound of the first bucket; with [`BUCKETS`] of them the last ends at some 10 s.
-const LEAST_S: f64 = 50e-6;
+/// Relative error of a restored value.
+pub const RELATIVE_ERROR: f64 = 0.05;
+/// Ratio of a bucket's upper bound to its lower one; a value is restored as their geometric mean.
+const BUCKET_RATIO: f64 = (1.0 + RELATIVE_ERROR) * (1.0 + RELATIVE_ERROR);
+/// Upper bound of the first bucket; with [`BUCKETS`] of them the last one ends at about 10 s.
+const MIN_SECONDS: f64 = 50e-6;
 pub const BUCKETS: usize = 126;
-/// A sample so old counts half of a new one. Five seconds after a step what was before is 1 %, and 5 % in a
-/// word that is two seconds old by then: well under what the ninetieth percentile would be bent by.
+/// Age at which a sample counts half of a new one. Five seconds after a step change the older
+/// samples weigh 1 %, and 5 % in a summary that is by then two seconds old: too little to distort
+/// the ninetieth percentile.
 pub const HALF_LIFE: Duration = Duration::from_millis(700);
-/// Weights are brought down again before they leave what a float holds well.
+/// Weights are rescaled before they exceed the precision of a float.
 const RESCALE_AT: f64 = 1e12;
-/// Heights of a share.
-pub const HEIGHTS: usize = 16;
-/// What a share takes in a datagram.
-pub const SHARE_BYTES: usize = 3 + HEIGHTS / 2;
-/// Samples of a share, in quarters.
+/// Heights of a summary.
+pub const SUMMARY_HEIGHTS: usize = 16;
+/// Size of an encoded summary.
+pub const SUMMARY_BYTES: usize = 3 + SUMMARY_HEIGHTS / 2;
+/// Unit of an encoded count: a quarter of a sample.
 const COUNT_UNIT: f64 = 0.25;
 
-/// In which bucket a span lies.
-pub fn bucket(span: Duration) -> usize {
-    let ratio = span.as_secs_f64() / LEAST_S;
+/// The index of the bucket that a span lies in.
+pub fn bucket_index(span: Duration) -> usize {
+    let ratio = span.as_secs_f64() / MIN_SECONDS;
     if ratio <= 1.0 {
         0
     } else {
-        ((ratio.ln() / RATIO.ln()).ceil() as usize).min(BUCKETS - 1)
+        ((ratio.ln() / BUCKET_RATIO.ln()).ceil() as usize).min(BUCKETS - 1)
     }
 }
 
-/// The span at a place among the buckets; halves lie between their bounds.
-pub fn value(place: f64) -> Duration {
-    Duration::from_secs_f64(LEAST_S * RATIO.powf(place.clamp(-1.0, BUCKETS as f64) - 0.5))
+/// The span at a bucket index; fractional indices lie between the bounds of a bucket.
+pub fn bucket_value(index: f64) -> Duration {
+    Duration::from_secs_f64(
+        MIN_SECONDS * BUCKET_RATIO.powf(index.clamp(-1.0, BUCKETS as f64) - 0.5),
+    )
 }
 
-/// What one router has seen of one way.
+/// The observations of one router for one path.
 #[derive(Clone, Debug)]
 pub struct Sketch {
-    weights: [f64; BUCKETS],
+    bucket_weights: [f64; BUCKETS],
     lost: f64,
-    /// Weights count from here; none: nothing was seen.
+    /// Reference time of the weights; `None` without samples.
     since: Option<Duration>,
     latest: Duration,
 }
@@ -57,7 +62,7 @@
 impl Default for Sketch {
     fn default() -> Sketch {
         Sketch {
-            weights: [0.0; BUCKETS],
+            bucket_weights: [0.0; BUCKETS],
             lost: 0.0,
             since: None,
             latest: Duration::ZERO,
@@ -65,7 +70,7 @@
     }
 }
 
-fn grown(since: Duration, now: Duration) -> f64 {
+fn growth(since: Duration, now: Duration) -> f64 {
     now.saturating_sub(since).div_duration_f64(HALF_LIFE).exp2()
 }
 
@@ -73,49 +78,49 @@
     fn weight(&mut self, now: Duration) -> f64 {
         let since = *self.since.get_or_insert(now);
         self.latest = self.latest.max(now);
-        let weight = grown(since, now);
+        let weight = growth(since, now);
         if weight < RESCALE_AT {
             return weight;
         }
-        self.weights.iter_mut().for_each(|w| *w /= weight);
+        self.bucket_weights.iter_mut().for_each(|w| *w /= weight);
         self.lost /= weight;
         self.since = Some(now);
         1.0
     }
 
-    /// A word went there and back in this time.
-    pub fn came(&mut self, now: Duration, way: Duration) {
+    /// Records the round trip of an answered probe.
+    pub fn record_round_trip(&mut self, now: Duration, round_trip: Duration) {
         let weight = self.weight(now);
-        self.weights[bucket(way)] += weight;
+        self.bucket_weights[bucket_index(round_trip)] += weight;
     }
 
-    /// One did not come back as long as it was waited for.
-    pub fn lost(&mut self, now: Duration) {
+    /// Records a probe that was not answered in time.
+    pub fn record_loss(&mut self, now: Duration) {
         self.lost += self.weight(now);
     }
 
-    /// Samples as they count now.
+    /// Number of samples, decayed to `now`.
     pub fn count(&self, now: Duration) -> f64 {
         let Some(since) = self.since else { return 0.0 };
-        (self.weights.iter().sum::<f64>() + self.lost) / grown(since, now)
+        (self.bucket_weights.iter().sum::<f64>() + self.lost) / growth(since, now)
     }
 
-    /// When the last sample came.
+    /// Time of the last sample.
     pub fn latest(&self) -> Duration {
         self.latest
     }
 
-    /// What is told of it; none where there is less than half a sample.
-    pub fn share(&self, now: Duration) -> Option<Share> {
+    /// The summary to send; `None` for less than half a sample.
+    pub fn summary(&self, now: Duration) -> Option<SketchSummary> {
         let count = self.count(now);
-        let sum: f64 = self.weights.iter().sum();
+        let sum: f64 = self.bucket_weights.iter().sum();
         if count < COUNT_UNIT * 2.0 {
             return None;
         }
         let lost = self.lost / (sum + self.lost);
-        let mut heights = [0u8; HEIGHTS];
+        let mut heights = [0u8; SUMMARY_HEIGHTS];
         if sum <= 0.0 {
-            return Some(Share {
+            return Some(SketchSummary {
                 count,
                 lost: 1.0,
                 base: 0,
@@ -123,26 +128,26 @@
                 heights,
             });
         }
-        let at = |share: f64| {
-            let mut left = share * sum;
-            self.weights.iter().position(|w| {
-                left -= w;
-                left <= 0.0
+        let at = |fraction: f64| {
+            let mut remaining = fraction * sum;
+            self.bucket_weights.iter().position(|w| {
+                remaining -= w;
+                remaining <= 0.0
             })
         };
         let (low, high) = (at(0.02).unwrap_or(0), at(0.98).unwrap_or(BUCKETS - 1));
-        let wide = high - low >= HEIGHTS;
+        let wide = high - low >= SUMMARY_HEIGHTS;
         let base = low.min(BUCKETS - 1);
         let step = 1 + usize::from(wide);
-        let mut sums = [0.0; HEIGHTS];
-        for (n, weight) in self.weights.iter().enumerate() {
-            sums[(n.saturating_sub(base) / step).min(HEIGHTS - 1)] += weight;
+        let mut sums = [0.0; SUMMARY_HEIGHTS];
+        for (n, weight) in self.bucket_weights.iter().enumerate() {
+            sums[(n.saturating_sub(base) / step).min(SUMMARY_HEIGHTS - 1)] += weight;
         }
-        let most = sums.iter().copied().fold(0.0, f64::max);
+        let highest = sums.iter().copied().fold(0.0, f64::max);
         for (height, sum) in heights.iter_mut().zip(sums) {
-            *height = (sum / most * 15.0).round() as u8;
+            *height = (sum / highest * 15.0).round() as u8;
         }
-        Some(Share {
+        Some(SketchSummary {
             count,
             lost,
             base: base as u8,
@@ -152,24 +157,24 @@
     }
 }
 
-/// A distribution as it is told.
+/// A distribution as it is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
-    /// Samples that it stands for, as they counted when it was told.
+pub struct SketchSummary {
+    /// Number of samples, decayed to the time of sending.
     pub count: f64,
-    /// Share of them that did not come back.
+    /// Share of samples that are lost probes.
     pub lost: f64,
-    /// The first bucket of the heights.
+    /// Index of the first bucket covered by the heights.
     pub base: u8,
-    /// Each height stands for two buckets.
+    /// Each height covers two buckets.
     pub wide: bool,
-    /// Over the greatest: 15.
-    pub heights: [u8; HEIGHTS],
+    /// Relative to the highest, which is 15.
+    pub heights: [u8; SUMMARY_HEIGHTS],
 }
 
-impl Share {
-    pub fn encode(&self) -> [u8; SHARE_BYTES] {
-        let mut bytes = [0; SHARE_BYTES];
+impl SketchSummary {
+    pub fn encode(&self) -> [u8; SUMMARY_BYTES] {
+        let mut bytes = [0; SUMMARY_BYTES];
         bytes[0] = (self.count / COUNT_UNIT).round().clamp(1.0, 255.0) as u8;
         bytes[1] = (self.lost * 255.0).round() as u8;
         bytes[2] = self.base | if self.wide { 0x80 } else { 0 };
@@ -179,25 +184,25 @@
         bytes
     }
 
-    /// None where it makes no sense: of it nothing counts.
-    pub fn decode(bytes: &[u8]) -> Option<Share> {
+    /// Returns `None` for malformed bytes, of which nothing counts.
+    pub fn decode(bytes: &[u8]) -> Option<SketchSummary> {
         let [count, lost, base, rest @ ..] = bytes else {
             return None;
         };
-        let mut heights = [0; HEIGHTS];
-        if rest.len() != HEIGHTS / 2 || *count == 0 || usize::from(base & 0x7f) >= BUCKETS {
+        let mut heights = [0; SUMMARY_HEIGHTS];
+        if rest.len() != SUMMARY_HEIGHTS / 2 || *count == 0 || usize::from(base & 0x7f) >= BUCKETS {
             return None;
         }
         for (pair, byte) in heights.chunks_exact_mut(2).zip(rest) {
             (pair[0], pair[1]) = (byte >> 4, byte & 15);
         }
-        // Either something came back, or all was lost.
-        let none = heights.iter().all(|h| *h == 0);
-        if none != (*lost == 255) {
+        // Either some probes were answered, or all were lost.
+        let is_all_zero = heights.iter().all(|h| *h == 0);
+        if is_all_zero != (*lost == 255) {
             return None;
         }
         let (count, lost) = (f64::from(*count) * COUNT_UNIT, f64::from(*lost) / 255.0);
-        Some(Share {
+        Some(SketchSummary {
             count,
             lost,
             base: base & 0x7f,
@@ -206,17 +211,18 @@
         })
     }
 
-    /// Share of all samples at or below the end of each bucket: it ends at what was not lost.
-    pub fn below(&self) -> [f64; BUCKETS] {
+    /// Share of all samples at or below the end of each bucket. The last value is the share of
+    /// answered probes.
+    pub fn cumulative(&self) -> [f64; BUCKETS] {
         let (sum, mut below) = (
             self.heights.iter().map(|h| f64::from(*h)).sum::<f64>(),
             [0.0; BUCKETS],
         );
-        let (step, came) = (1 + usize::from(self.wide), 1.0 - self.lost);
+        let (step, returned) = (1 + usize::from(self.wide), 1.0 - self.lost);
         for (n, height) in self.heights.iter().enumerate() {
             for k in 0..step {
                 let at = (usize::from(self.base) + n * step + k).min(BUCKETS - 1);
-                below[at] += f64::from(*height) / sum.max(1.0) / step as f64 * came;
+                below[at] += f64::from(*height) / sum.max(1.0) / step as f64 * returned;
             }
         }
         let mut all = 0.0;
