--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -1,63 +1,80 @@
-//! What the routers of a zone see of its caches. One router of twenty sees a few outcomes a second;
-//! pooled they tell within a part of a second whether the place is down, and one router that is itself
-//! broken is outvoted by the rest.
+//! The evidence that the routers of a zone have about its caches. One router of twenty sees a few
+//! outcomes per second; pooled, they show within a fraction of a second whether the zone is down,
+//! and one router that is faulty itself is outvoted by the rest.
 
 use std::time::Duration;
 
-/// An outcome so old counts half.
+/// Age at which an outcome counts half.
 pub const HALF_LIFE: Duration = Duration::from_millis(800);
-/// Outcomes that must be bad, over all routers, and their share, for a place to be held for bad.
-const BAD_LEAST: f64 = 4.0;
-const BAD_SHARE: f64 = 0.7;
-/// What an outcome leaves of those of the other kind: what was a while ago says little of a place that has
-/// just gone. Where six in ten fail on end, seven in ten of what is left are bad.
-const LEAVES: f64 = 0.8;
-/// For good again it takes more: so many good, hardly any bad, and a while.
-const GOOD_LEAST: f64 = 4.0;
-const GOOD_SHARE: f64 = 0.1;
-/// How long it is held for bad at least; doubled each time it was good for less than `CALM` before.
-pub const HOLD: Duration = Duration::from_millis(1000);
-const HOLD_MOST: Duration = Duration::from_secs(16);
-const CALM: Duration = Duration::from_secs(20);
+/// Bad outcomes over all routers from which a zone counts as bad.
+const MIN_BAD_OUTCOMES: f64 = 4.0;
+/// Share of bad outcomes above which a zone counts as bad.
+const MIN_BAD_SHARE: f64 = 0.7;
+/// Fraction of the outcomes of the other kind that is kept at each outcome: older ones say little
+/// about a zone that has just failed. If six in ten fail continuously, seven in ten of the
+/// remaining count are bad.
+const OPPOSITE_RETENTION: f64 = 0.8;
+/// Good outcomes over all routers from which a bad zone counts as good again. Recovery needs more
+/// evidence than failure: few bad outcomes, and some time.
+const MIN_GOOD_OUTCOMES: f64 = 4.0;
+/// Share of bad outcomes below which a bad zone counts as good again.
+const MAX_BAD_SHARE: f64 = 0.1;
+/// Minimum time for which a zone counts as bad; doubled each time if it was good for less than
+/// `CALM_PERIOD` before.
+pub const MIN_HOLD: Duration = Duration::from_millis(1000);
+/// Upper bound of that time.
+const MAX_HOLD: Duration = Duration::from_secs(16);
+/// After this time without a failure the hold starts at its minimum again.
+const CALM_PERIOD: Duration = Duration::from_secs(20);
 
-/// Counts that fade.
+/// Counts of outcomes that decay with time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted {
+pub struct DecayingCounts {
     good: f64,
     bad: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
-impl Counted {
-    pub fn saw(&mut self, now: Duration, good: bool, weight: f64) {
-        let ((g, b), leaves) = (self.now(now), LEAVES.powf(weight));
+impl DecayingCounts {
+    /// Records an outcome.
+    pub fn record(&mut self, now: Duration, good: bool, weight: f64) {
+        let ((old_good, old_bad), retention) =
+            (self.counts_at(now), OPPOSITE_RETENTION.powf(weight));
         let (good, bad) = if good {
-            (g + weight, b * leaves)
+            (old_good + weight, old_bad * retention)
         } else {
-            (g * leaves, b + weight)
+            (old_good * retention, old_bad + weight)
+        };
+        *self = DecayingCounts {
+            good,
+            bad,
+            updated_at: now,
         };
-        *self = Counted { good, bad, at: now };
     }
 
-    /// By this router's own outcomes alone the place would be bad.
-    pub fn says_bad(&self, now: Duration) -> bool {
-        let (good, bad) = self.now(now);
-        bad >= BAD_LEAST / 2.0 && bad > BAD_SHARE * (good + bad)
+    /// Whether the zone would count as bad by this router's own outcomes alone.
+    pub fn suggests_bad(&self, now: Duration) -> bool {
+        let (good, bad) = self.counts_at(now);
+        bad >= MIN_BAD_OUTCOMES / 2.0 && bad > MIN_BAD_SHARE * (good + bad)
     }
 
-    /// Good ones and bad ones, as they count now.
-    pub fn now(&self, now: Duration) -> (f64, f64) {
-        let fades = (-now.saturating_sub(self.at).div_duration_f64(HALF_LIFE)).exp2();
-        (self.good * fades, self.bad * fades)
+    /// The counts of good and bad outcomes, decayed to `now`.
+    pub fn counts_at(&self, now: Duration) -> (f64, f64) {
+        let decay = (-now
+            .saturating_sub(self.updated_at)
+            .div_duration_f64(HALF_LIFE))
+        .exp2();
+        (self.good * decay, self.bad * decay)
     }
 }
 
-/// What is held of a place.
+/// Whether a zone counts as bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Health {
     bad: bool,
-    /// Since when it is as it is.
+    /// Time of the last change.
     since: Duration,
+    /// Minimum time in the bad state.
     hold: Duration,
     flaps: u32,
 }
@@ -67,40 +84,42 @@
         Health {
             bad: false,
             since: Duration::ZERO,
-            hold: HOLD,
+            hold: MIN_HOLD,
             flaps: 0,
         }
     }
 }
 
 impl Health {
+    /// Whether the zone counts as bad.
     pub fn is_bad(&self) -> bool {
         self.bad
     }
 
-    /// How often it went bad.
+    /// How many times the zone went bad.
     pub fn flaps(&self) -> u32 {
         self.flaps
     }
 
-    /// By the pooled outcomes of a span of [`HALF_LIFE`] or so. True: it has changed.
-    pub fn judge(&mut self, now: Duration, good: f64, bad: f64) -> bool {
+    /// Updates by the pooled outcomes of about one [`HALF_LIFE`]. Returns whether the state has
+    /// changed.
+    pub fn update(&mut self, now: Duration, good: f64, bad: f64) -> bool {
         let share = bad / (good + bad).max(1e-9);
-        let turns = if self.bad {
-            now >= self.since + self.hold && good >= GOOD_LEAST && share < GOOD_SHARE
+        let changes = if self.bad {
+            now >= self.since + self.hold && good >= MIN_GOOD_OUTCOMES && share < MAX_BAD_SHARE
         } else {
-            bad >= BAD_LEAST && share > BAD_SHARE
+            bad >= MIN_BAD_OUTCOMES && share > MIN_BAD_SHARE
         };
-        if !turns {
+        if !changes {
             return false;
         }
         if !self.bad {
-            // A fault that comes and goes is one fault: each return is waited for longer.
-            let calm = self.flaps == 0 || now >= self.since + CALM;
-            self.hold = if calm {
-                HOLD
+            // A flapping fault is one fault: the zone stays bad for longer each time.
+            let was_calm = self.flaps == 0 || now >= self.since + CALM_PERIOD;
+            self.hold = if was_calm {
+                MIN_HOLD
             } else {
-                (self.hold * 2).min(HOLD_MOST)
+                (self.hold * 2).min(MAX_HOLD)
             };
             self.flaps += 1;
         }
@@ -108,7 +127,7 @@
         true
     }
 
-    /// A peer's verdict, where this router sees too little to have its own.
+    /// Takes over a peer's state, for a router with too few outcomes of its own.
     pub fn adopt(&mut self, now: Duration, bad: bool) {
         if self.bad != bad {
             (self.bad, self.since) = (bad, now);
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,19 +1,21 @@
-//! Where a zone's requests go when a place is down: decided in common by the routers of the zone, by
-//! what all zones tell of themselves. No I/O. `docs/regions.md` has the ways weighed and the promises.
+//! Failover of a zone's requests to other zones: decided together by the routers of the zone, from
+//! the states that all zones publish. No I/O. `docs/regions.md` compares the alternatives and
+//! states the guarantees.
 //!
-//! | module | what |
+//! | module | content |
 //! | --- | --- |
-//! | [`evidence`] | what each router sees of its caches, pooled; when a place is bad, and good again |
-//! | [`words`] | what is told, in bytes |
-//! | [`decide`] | rooms, the plan of the zone, where a request goes |
+//! | [`evidence`] | pooled outcomes at the zone's caches; when a zone counts as bad, and as good again |
+//! | [`messages`] | what is published, in bytes |
+//! | [`planner`] | spare capacities, the plan of the zone, the zone of a request |
 //!
-//! Nothing here sends, rejects or answers: a request is told among which zone's caches the decisions are
-//! to draw, and each rule is kept where every send passes. Only what may run again and leaves no mark goes to
-//! another zone: a deduplicated request never leaves the group that knows its mark, and what must not run
-//! twice stays where it was asked for.
+//! Nothing here sends, rejects or answers a request: it only selects the zone among whose caches
+//! the decisions choose, and every rule is enforced where each attempt passes. Only requests that
+//! may be repeated and have no side effect go to another zone: a deduplicated request never leaves
+//! the group of servers that drops its repeats, and one that must not run twice stays in the zone
+//! that received it.
 
-pub mod decide;
 pub mod evidence;
-pub mod words;
+pub mod messages;
+pub mod planner;
 
-pub use decide::{About, KIND_POLICIES, Place, Regions, Where};
+pub use planner::{About, KIND_POLICIES, Place, Regions, Where};
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -42,6 +42,7 @@
     pub cache: u8,
 }
 
+/// A datagram of findings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Datagram {
     pub looking: bool,
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -45,7 +45,7 @@
 const MAX_INCARNATION_LEAD: u32 = 24 * 3600 * 10;
 /// Publishers that are still to be sent a message of their own earlier incarnations.
 const MAX_PENDING_RETURNS: usize = 32;
-/// Of these, sent per round.
+/// Number of them that are sent per round.
 const RETURNS_PER_ROUND: usize = 2;
 /// Transmissions of a message beyond log2 of the fleet: they compensate a loss of a third.
 const EXTRA_TRANSMISSIONS: u32 = 8;
@@ -270,10 +270,10 @@
         identity: RouterIdentity,
         policies: &[KindPolicy],
     ) -> Option<Gossip> {
-        let fits = identity.routers > 1 && identity.routers <= usize::from(u16::MAX);
+        let is_valid = identity.routers > 1 && identity.routers <= usize::from(u16::MAX);
         let mut rng = fastrand::Rng::with_seed(identity.seed ^ 0x7e11);
         let next_round_at = now + ROUND_INTERVAL.mul_f64(rng.f64());
-        (fits && usize::from(identity.number) < identity.routers).then(|| Gossip {
+        (is_valid && usize::from(identity.number) < identity.routers).then(|| Gossip {
             identity,
             max_incarnation: identity.incarnation.saturating_add(MAX_INCARNATION_LEAD),
             policies: policies.to_vec(),
@@ -571,8 +571,8 @@
         );
     }
 
-    /// Receives a datagram from the router with this number. Returns false if it is not one of
-    /// messages.
+    /// Receives a datagram from the router with this number. Returns false if it is no datagram
+    /// of messages.
     pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         let Some(decoded) = decode(bytes) else {
             return false;
--- a/crates/gossip/src/peer_exchange.rs
+++ b/crates/gossip/src/peer_exchange.rs
@@ -18,8 +18,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Length of a period: the time between two datagrams to the peers, each with the findings since the
-/// last one.
+/// Length of a period: the time between two datagrams to the peers, each with the findings since
+/// the last one.
 pub const SEND_INTERVAL: Duration = Duration::from_millis(500);
 /// A peer that is silent for this long counts as absent: four consecutive datagrams are seldom lost
 /// by chance.
--- a/crates/gossip/src/weight_balancer.rs
+++ b/crates/gossip/src/weight_balancer.rs
@@ -10,9 +10,10 @@
 //! routers acting on the same reports do not oscillate.
 //!
 //! Nothing depends on a peer. Without reports a router adjusts weights by what it sent itself,
-//! which is little, and returns to none where it sends too little to tell. No report moves a weight
-//! past [`MAX_WEIGHT_FACTOR`], so a false one costs evenness within that bound and breaks no rule:
-//! which caches may be sent to, and how much, is decided where every attempt passes.
+//! which is little; if that is too little for a conclusion, its adjustments decay to none. No
+//! report moves a weight past [`MAX_WEIGHT_FACTOR`], so a false one costs evenness within that
+//! bound and breaks no rule: which caches may be sent to, and how much, is decided where every
+//! attempt passes.
 
 use crate::codec::{Load, cache_tag};
 use chalkhall::interface::Id;
@@ -45,6 +46,7 @@
     log_factor: f64,
 }
 
+/// Remembered work by cache, and the weights that follow from it.
 #[derive(Debug, Default)]
 pub struct WeightBalancer {
     /// By tag. `None` where two caches have the same tag: those keep their own weights.
