--- a/crates/gossip/src/weight_balancer/tests.rs
+++ b/crates/gossip/src/weight_balancer/tests.rs
@@ -60,13 +60,14 @@
             }
             let router = rng.usize(..routers);
             let key = key as u64 ^ seed << 20;
-            let (place, plain) = (
+            let (chosen, unadjusted) = (
                 preferred_cache(&all[router].1, key, count),
                 preferred_cache(&Weights::default(), key, count),
             );
-            all[router].0.record_sent(&names(count)[place], 0.08);
+            all[router].0.record_sent(&names(count)[chosen], 0.08);
             if period >= 60 {
-                (with[place], without[plain]) = (with[place] + 1.0, without[plain] + 1.0);
+                (with[chosen], without[unadjusted]) =
+                    (with[chosen] + 1.0, without[unadjusted] + 1.0);
             }
         }
         for router in 0..routers {
--- a/crates/latency/src/sketch/tests.rs
+++ b/crates/latency/src/sketch/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_silent_edge_does_not_look_fast_by_its_survivors() {
+fn an_edge_with_lost_probes_does_not_look_fast_by_its_answered_ones() {
     let mut sketch = Sketch::default();
     (0..40).for_each(|n| sketch.record_round_trip(Duration::from_millis(n), ms(5.0)));
     (0..60).for_each(|n| sketch.record_loss(Duration::from_millis(40 + n)));
