--- a/crates/store/examples/catalogues.rs
+++ b/crates/store/examples/catalogues.rs
@@ -6,7 +6,7 @@
 //! the next.
 
 use chalkhall_store::decide::index::{Index, Spot};
-use chalkhall_store::format::{Entry, footer, read_footer};
+use chalkhall_store::format::{Entry, decode_footer, encode_footer};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs;
 use std::io::Write;
@@ -101,7 +101,7 @@
             let _ = index.put(entry.key, &spot(entry, segment as u32));
         }
         let mut file = fs::File::create(folder.join(format!("{segment}"))).expect("a file");
-        file.write_all(&footer(&entries, 1, segment as u32, 0))
+        file.write_all(&encode_footer(&entries, 1, segment as u32, 0))
             .expect("written");
         file.sync_data().expect("synced");
     }
@@ -115,7 +115,7 @@
     let mut index = Index::new(u64::MAX);
     for segment in 0..parts / PARTS_A_SEGMENT {
         let bytes = fs::read(folder.join(format!("{segment}"))).expect("read");
-        for entry in read_footer(&bytes, 1, segment as u32, 0).expect("whole") {
+        for entry in decode_footer(&bytes, 1, segment as u32, 0).expect("whole") {
             let _ = index.put(entry.key, &spot(&entry, segment as u32));
         }
     }
--- a/crates/store/src/boot_clock.rs
+++ b/crates/store/src/boot_clock.rs
@@ -1,24 +1,24 @@
-//! How the wall clock stands to the clock that runs on since the machine's start: by this a later start of the
-//! program sees that the wall clock was stepped meanwhile.
+//! The offset between the wall clock and the machine's uptime. Comparing it across restarts of the program
+//! shows whether the wall clock was stepped in between.
 
 use std::fs;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Two readings that differ by no more than this are of a clock that was not stepped: they are taken one after
-/// the other, and the program may be held up between them.
+/// Differences up to this do not count as a step: wall clock and uptime are read one after the other, and the
+/// program may be preempted between the two reads.
 const STEP_TOLERANCE_MS: u64 = 500;
 
-/// The wall clock's time at the machine's start, as the wall clock tells it now.
+/// The time at which the machine booted, according to the current wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootClock {
-    /// Which start of the machine: another number for each.
+    /// A hash of the kernel's boot ID, which differs for each boot.
     pub boot: u64,
     pub unix_at_boot_ms: u64,
 }
 
 impl BootClock {
-    /// Reads both clocks. None: the system does not tell how long it has run.
+    /// Reads both clocks. `None` if the system's boot ID or uptime cannot be read.
     pub fn read() -> Option<BootClock> {
         let boot_id = fs::read("/proc/sys/kernel/random/boot_id").ok()?;
         let uptime = parse_uptime(&fs::read_to_string("/proc/uptime").ok()?)?;
@@ -30,7 +30,8 @@
         })
     }
 
-    /// The wall clock was stepped between two readings. After a restart of the machine this is not known.
+    /// Whether the wall clock was stepped between two readings. Always false for readings of different boots,
+    /// which cannot be compared.
     pub fn has_stepped_since(self, earlier: BootClock) -> bool {
         self.boot == earlier.boot
             && self.unix_at_boot_ms.abs_diff(earlier.unix_at_boot_ms) > STEP_TOLERANCE_MS
--- a/crates/store/src/boot_clock/tests.rs
+++ b/crates/store/src/boot_clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn two_readings_in_a_row_show_no_step() {
+fn two_consecutive_readings_show_no_step() {
     let (first, second) = (
         BootClock::read().expect("readable"),
         BootClock::read().expect("readable"),
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_step_either_way_shows_and_another_start_of_the_machine_hides_it() {
+fn a_step_in_either_direction_is_detected_within_one_boot_only() {
     let earlier = BootClock {
         boot: 1,
         unix_at_boot_ms: 1_800_000_000_000,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_uptime_that_cannot_be_read_is_none() {
+fn an_unreadable_uptime_is_none() {
     assert_eq!(
         parse_uptime("12.50 40.00\n"),
         Some(Duration::from_millis(12_500))
--- a/crates/store/src/catalogue.rs
+++ b/crates/store/src/catalogue.rs
@@ -4,7 +4,7 @@
 
 use crate::boot_clock::BootClock;
 use crate::decide::purges::Mark;
-use crate::files::{File, Files, read_exactly};
+use crate::files::{File, Files, read_exact_at};
 use redb::backends::InMemoryBackend;
 use redb::{
     Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
@@ -129,7 +129,7 @@
         if length > FILE_MOST {
             return Err(other("it is too long"));
         }
-        let bytes = read_exactly(file, 0, length as usize).map_err(Unusable::Io)?;
+        let bytes = read_exact_at(file, 0, length as usize).map_err(Unusable::Io)?;
         let copy = InMemoryBackend::new();
         copy.set_len(length).map_err(other)?;
         copy.write(0, &bytes.ok_or_else(|| other("it was cut short"))?)
--- a/crates/store/src/copy.rs
+++ b/crates/store/src/copy.rs
@@ -1,24 +1,24 @@
-//! One part of an object, as a store keeps it.
+//! A cached copy of one part of an object.
 
 use bytes::Bytes;
 
-/// A copy of one part. Times are Unix milliseconds, as the origin's are.
+/// A copy of one part. Times are Unix milliseconds, by the origin's clock.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Copy {
     pub object: Bytes,
     pub part: u64,
     pub group: u64,
-    /// How its class is called.
+    /// The name of its class.
     pub class: Bytes,
-    /// When the origin gave it out.
+    /// When the origin sent it.
     pub made: u64,
-    /// For how long it is fresh from then, in milliseconds; 0: until it is purged.
+    /// Milliseconds after `made` for which it is fresh; 0: until it is purged.
     pub fresh: u64,
-    /// Its size as requests tell it.
+    /// The size that requests state, in KB.
     pub kb: f64,
-    /// One of several parts of its object.
+    /// Whether its object consists of several parts.
     pub in_parts: bool,
-    /// The tag by which its source knows this version.
+    /// The entity tag of this version, as its source sent it.
     pub tag: Bytes,
     pub body: Bytes,
 }
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -21,9 +21,11 @@
 use super::segments::{CLASSES, Segments, State, class_of};
 use crate::catalogue::{Known, Line};
 use crate::copy::Copy;
-use crate::format::{self, Entry, SEGMENT_HEAD, TRAILER, fits, record_length, tag_sum};
+use crate::format::{
+    self, Entry, FOOTER_TRAILER_LEN, SEGMENT_HEADER_LEN, fits_in_record, record_len, tag_hash,
+};
 use crate::key::{self, Key};
-use crate::recovery::{Failed, Recovered};
+use crate::recovery::{Recovered, RecoveryError};
 use chalkhall::control::Judged;
 use chalkhall_scheduler::{Cost, Done, Kind, Rate, Scheduler};
 use retry::Retry;
--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -88,7 +88,7 @@
         &mut self,
         now: Duration,
         segment: u32,
-        found: Result<Recovered, Failed>,
+        found: Result<Recovered, RecoveryError>,
         purges: &Purges,
         out: &mut dyn Outlet,
     ) {
@@ -108,7 +108,7 @@
                 self.segments
                     .found(segment, found.class as usize, found.end, now);
                 self.counts.damaged += found.damaged;
-                self.counts.torn_bytes += found.torn;
+                self.counts.torn_bytes += found.torn_bytes;
                 let mut held = 0;
                 for entry in found.entries {
                     held += usize::from(self.take_back(segment, entry, purges));
@@ -117,9 +117,9 @@
                     self.segments.set(segment, State::Failed);
                 }
             }
-            Err(Failed::Io(_)) => self.could_not_read(segment, again),
+            Err(RecoveryError::Io(_)) => self.could_not_read(segment, again),
             // What is another version's is left alone, and takes its place.
-            Err(Failed::Version(_)) => {
+            Err(RecoveryError::UnsupportedVersion(_)) => {
                 self.counts.foreign += 1;
                 if again {
                     self.unread.pop_front();
--- a/crates/store/src/decide/disk/work.rs
+++ b/crates/store/src/decide/disk/work.rs
@@ -232,7 +232,7 @@
         let holds = self
             .index
             .get(key)
-            .is_some_and(|spot| spot.tag == tag_sum(tag));
+            .is_some_and(|spot| spot.tag == tag_hash(tag));
         if holds {
             self.counts.revalidated += 1;
             self.index.change(key, |spot| {
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -65,7 +65,7 @@
             .get(key)
             .filter(|spot| self.segments.get(spot.segment).is_some());
         let same =
-            |held: Spot| held.made == copy.made && held.tag == tag_sum(&copy.tag) && held.proven;
+            |held: Spot| held.made == copy.made && held.tag == tag_hash(&copy.tag) && held.proven;
         if held.is_some_and(|held| held.made > copy.made || same(held)) {
             self.rank(key, rank);
             return Err(Refusal::Outdated);
@@ -77,8 +77,8 @@
         {
             return Err(Refusal::Outdated);
         }
-        let length = record_length(copy);
-        if !fits(copy) || length as u64 > u64::from(self.wanted.segment / LARGEST_SHARE) {
+        let length = record_len(copy);
+        if !fits_in_record(copy) || length as u64 > u64::from(self.wanted.segment / LARGEST_SHARE) {
             return Err(Refusal::TooLarge);
         }
         if !self.may_write(now, length) || self.index.is_full() {
@@ -123,7 +123,7 @@
         carried: bool,
         out: &mut dyn Outlet,
     ) -> Option<u32> {
-        let length = record_length(copy);
+        let length = record_len(copy);
         let class = class_of(length);
         let (segment, at) = match self.place(class, length) {
             Some(place) => place,
@@ -133,7 +133,7 @@
                     return None;
                 }
                 self.seal(class, out);
-                let head = SEGMENT_HEAD as u32;
+                let head = SEGMENT_HEADER_LEN as u32;
                 let segment = self.segments.begin(class, head, now)?;
                 if !out.begin(segment, class as u32) {
                     self.segments.removed(segment);
@@ -143,13 +143,13 @@
                 (segment, head)
             }
         };
-        let place = format::Place {
-            store: self.store,
+        let place = format::DiskAddress {
+            store_id: self.store,
             segment,
             at,
         };
         let mut record = Vec::with_capacity(length);
-        format::write_record(&mut record, copy, rank, place);
+        format::encode_record(&mut record, copy, rank, place);
         debug_assert_eq!(record.len(), length);
         let ticket = self.tickets + 1;
         if !out.append(ticket, segment, at, record) {
@@ -162,7 +162,7 @@
         let (key, group, tag) = (
             key::part(object, copy.part),
             group_slot(copy.group) as u16,
-            tag_sum(&copy.tag),
+            tag_hash(&copy.tag),
         );
         let (length, made) = (length as u32, copy.made);
         let entry = Entry {
@@ -211,8 +211,10 @@
             .written
             .get(&segment)
             .map_or(0, |(entries, _)| entries.len());
-        self.segments
-            .place(class, length + (entries + 1) * format::ENTRY + TRAILER)
+        self.segments.place(
+            class,
+            length + (entries + 1) * format::FOOTER_ENTRY_LEN + FOOTER_TRAILER_LEN,
+        )
     }
 
     pub(super) fn seal(&mut self, class: usize, out: &mut dyn Outlet) {
@@ -226,7 +228,7 @@
             .written
             .get(&segment)
             .map_or(&[][..], |(entries, _)| entries);
-        let footer = format::footer(entries, self.store, segment, end);
+        let footer = format::encode_footer(entries, self.store, segment, end);
         // Where the order is not taken nothing is lost: the next start walks through it.
         let state = if out.seal(segment, end, footer) {
             State::Sealing
--- a/crates/store/src/decide/mod.rs
+++ b/crates/store/src/decide/mod.rs
@@ -9,9 +9,9 @@
 
 use crate::catalogue::Known;
 use crate::copy::Copy;
-use crate::format::{Entry, tag_sum};
+use crate::format::{Entry, tag_hash};
 use crate::key::{self, Key};
-use crate::recovery::{Failed, Recovered};
+use crate::recovery::{Recovered, RecoveryError};
 use disk::{Disk, Fault, Outlet};
 use memory::Memory;
 use purges::{Purges, group_slot};
@@ -121,7 +121,7 @@
             .disk
             .as_mut()?
             .find(key, object, group_slot(part.group), &self.purges)?;
-        let same = have.is_some_and(|tag| tag_sum(tag) == spot.tag);
+        let same = have.is_some_and(|tag| tag_hash(tag) == spot.tag);
         Some(Found {
             place: Place::Disk,
             made: spot.made,
@@ -188,7 +188,7 @@
             .peek(key)
             .filter(|held| held.object == copy.object);
         let held = in_memory
-            .map(|held| (held.made, tag_sum(&held.tag)))
+            .map(|held| (held.made, tag_hash(&held.tag)))
             .or(on_disk);
         if let Some((made, tag)) = held {
             if made > copy.made {
@@ -202,7 +202,7 @@
                     rank,
                 );
             }
-            if tag != tag_sum(&copy.tag) && copy.in_parts {
+            if tag != tag_hash(&copy.tag) && copy.in_parts {
                 // The object has changed: of its other parts, what was made before belongs to the older
                 // version.
                 let marks = self.purges.object(object, copy.made.saturating_sub(1));
@@ -291,7 +291,7 @@
         &mut self,
         now: Duration,
         segment: u32,
-        result: Result<Recovered, Failed>,
+        result: Result<Recovered, RecoveryError>,
         out: &mut dyn Outlet,
     ) {
         if let Some(disk) = &mut self.disk {
--- a/crates/store/src/files/real.rs
+++ b/crates/store/src/files/real.rs
@@ -1,4 +1,4 @@
-//! Files as the system gives them.
+//! The file layer on the operating system's file system.
 
 use super::{File, Files};
 use std::fs::{self, OpenOptions, TryLockError};
@@ -7,22 +7,22 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-const LOCK: &str = "lock";
+const LOCK_FILE_NAME: &str = "lock";
 
-/// A directory that this process alone writes to, as long as it holds this.
+/// A directory that is locked for this process until the value is dropped.
 pub struct Directory {
     path: PathBuf,
-    /// Held open: its lock goes with it, also when the process is killed.
+    /// Kept open: the system releases the lock with the file, also when the process is killed.
     _lock: fs::File,
 }
 
 impl Directory {
-    /// Makes the directory if it is not there, and takes it.
+    /// Creates the directory if it is missing, and locks it.
     ///
     /// # Errors
-    /// Another process holds it: the message says which.
+    /// `ResourceBusy` if another process holds the lock; the message names that process.
     pub fn take(path: &Path) -> io::Result<Directory> {
-        create_durable(path)?;
+        create_dir_durably(path)?;
         let options = || {
             OpenOptions::new()
                 .read(true)
@@ -31,7 +31,7 @@
                 .truncate(false)
                 .clone()
         };
-        let mut lock = options().open(path.join(LOCK))?;
+        let mut lock = options().open(path.join(LOCK_FILE_NAME))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::Error(e)) => return Err(e),
@@ -41,8 +41,8 @@
                 let holder = Some(holder.trim())
                     .filter(|h| !h.is_empty())
                     .unwrap_or("another process");
-                let what = format!("{} is held by {holder}", path.display());
-                return Err(io::Error::new(io::ErrorKind::ResourceBusy, what));
+                let message = format!("{} is held by {holder}", path.display());
+                return Err(io::Error::new(io::ErrorKind::ResourceBusy, message));
             }
         }
         lock.set_len(0)?;
@@ -55,8 +55,8 @@
     }
 }
 
-/// Makes a directory with all above it that are not there, and syncs each name that it made.
-fn create_durable(path: &Path) -> io::Result<()> {
+/// Creates a directory with its missing parents, and syncs the parent of each directory that it creates.
+fn create_dir_durably(path: &Path) -> io::Result<()> {
     if path.is_dir() {
         return Ok(());
     }
@@ -64,10 +64,10 @@
         .parent()
         .filter(|parent| !parent.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    create_durable(parent)?;
+    create_dir_durably(parent)?;
     match fs::create_dir(path) {
         Err(error) if error.kind() == io::ErrorKind::AlreadyExists && path.is_dir() => {}
-        made => made?,
+        created => created?,
     }
     fs::File::open(parent)?.sync_all()
 }
@@ -77,7 +77,7 @@
         let names = fs::read_dir(&self.path)?
             .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()));
         names
-            .filter(|name| name.as_ref().map_or(true, |name| name != LOCK))
+            .filter(|name| name.as_ref().map_or(true, |name| name != LOCK_FILE_NAME))
             .collect()
     }
 
@@ -117,10 +117,10 @@
         Ok(self.metadata()?.len())
     }
 
-    fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize> {
+    fn read_at(&self, buffer: &mut [u8], offset: u64) -> io::Result<usize> {
         let mut read = 0;
         while read < buffer.len() {
-            match FileExt::read_at(self, &mut buffer[read..], at + read as u64) {
+            match FileExt::read_at(self, &mut buffer[read..], offset + read as u64) {
                 Ok(0) => break,
                 Ok(n) => read += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -130,9 +130,9 @@
         Ok(read)
     }
 
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        // Goes on after a short write and after EINTR.
-        self.write_all_at(bytes, at)
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<()> {
+        // Continues after short writes and EINTR.
+        self.write_all_at(bytes, offset)
     }
 
     fn truncate(&self, length: u64) -> io::Result<()> {
--- a/crates/store/src/files/real/tests.rs
+++ b/crates/store/src/files/real/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn the_second_is_told_who_holds_it() {
+fn a_second_lock_attempt_names_the_holder() {
     let path = std::env::temp_dir().join(format!("chalkhall-lock-{}", std::process::id()));
     let first = Directory::take(&path).unwrap();
-    let what = Directory::take(&path).err().unwrap().to_string();
+    let message = Directory::take(&path).err().unwrap().to_string();
     assert!(
-        what.contains(&format!("is held by process {}", std::process::id())),
-        "{what}"
+        message.contains(&format!("is held by process {}", std::process::id())),
+        "{message}"
     );
     drop(first);
     assert!(Directory::take(&path).is_ok_and(|again| again.list().unwrap().is_empty()));
@@ -15,21 +15,21 @@
 }
 
 #[test]
-fn a_directory_is_made_with_all_above_it() {
-    let above = std::env::temp_dir().join(format!("chalkhall-store-above-{}", std::process::id()));
-    let path = above.join("one").join("two");
-    drop(Directory::take(&path).expect("made"));
-    drop(Directory::take(&path).expect("there already"));
-    std::fs::write(above.join("file"), b"").expect("writable");
+fn missing_parent_directories_are_created() {
+    let top = std::env::temp_dir().join(format!("chalkhall-store-parents-{}", std::process::id()));
+    let path = top.join("one").join("two");
+    drop(Directory::take(&path).expect("created"));
+    drop(Directory::take(&path).expect("exists already"));
+    std::fs::write(top.join("file"), b"").expect("writable");
     assert!(
-        Directory::take(&above.join("file").join("three")).is_err(),
+        Directory::take(&top.join("file").join("three")).is_err(),
         "below a file"
     );
-    std::fs::remove_dir_all(&above).expect("removable");
+    std::fs::remove_dir_all(&top).expect("removable");
 }
 
 #[test]
-fn an_error_of_the_system_keeps_its_kind() {
+fn a_system_error_keeps_its_kind() {
     let full = OpenOptions::new()
         .read(true)
         .write(true)
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,8 +1,8 @@
-//! Segments and records as they lie on disk. Pure: bytes in, bytes out; nothing read is trusted.
+//! The on-disk format of segments and records: encoding and decoding without I/O. Input is not trusted.
 //!
-//! A segment is a head, records one after the other, and, once sealed, a footer that lists them. All numbers
-//! are little-endian; records and footer begin at multiples of 8. Each checksum starts from the store's
-//! number, the segment's and the place in it, so bytes that belong elsewhere never pass.
+//! A segment consists of a header, records one after the other, and, once sealed, a footer that lists them.
+//! All numbers are little-endian; records and the footer start at multiples of 8. Each checksum is seeded with
+//! the store's ID, the segment's number and the offset in the segment, so misplaced bytes never verify.
 
 use crate::copy::Copy;
 use crate::decide::purges::group_slot;
@@ -11,117 +11,127 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The version that this program writes. Another one is refused and left as it is.
-pub const VERSION: u32 = 1;
-pub const SEGMENT_HEAD: usize = 64;
-pub const RECORD_HEAD_LEAST: usize = 72;
-/// The longest head: three texts of 255 bytes each.
-pub const RECORD_HEAD_MOST: usize = RECORD_HEAD_LEAST + 3 * 255 + 8;
-/// No body is longer.
-pub const BODY_MOST: usize = 64 << 20;
-pub const ENTRY: usize = 40;
-pub const TRAILER: usize = 40;
+/// The format version that this program writes. Segments of other versions are rejected and left unchanged.
+pub const FORMAT_VERSION: u32 = 1;
+pub const SEGMENT_HEADER_LEN: usize = 64;
+pub const MIN_RECORD_HEADER_LEN: usize = 72;
+/// The header of a record with three texts of 255 bytes each.
+pub const MAX_RECORD_HEADER_LEN: usize = MIN_RECORD_HEADER_LEN + 3 * 255 + 8;
+pub const MAX_BODY_LEN: usize = 64 << 20;
+pub const FOOTER_ENTRY_LEN: usize = 40;
+pub const FOOTER_TRAILER_LEN: usize = 40;
 const SEGMENT_MAGIC: &[u8; 8] = b"CHSEGMNT";
 const RECORD_MAGIC: &[u8; 4] = b"CHRC";
 const FOOTER_MAGIC: &[u8; 8] = b"CHFOOTER";
 
-/// Why something read is not what it should be.
+/// Why bytes read from disk cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// It ends before it should, as a write that was torn does.
-    Short,
-    /// A checksum, a mark or a length does not fit.
+pub enum FormatError {
+    /// The input ends too early, as after a torn write.
+    Truncated,
+    /// A checksum, magic number or length does not match.
     Damaged,
-    /// Written by a program of another version.
-    Version(u32),
-    /// Whole, but of another part than was asked for.
-    Other,
+    /// Written in another format version.
+    UnsupportedVersion(u32),
+    /// Intact, but of another part than requested.
+    WrongPart,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for FormatError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Wrong::Short => f.write_str("ends too soon"),
-            Wrong::Damaged => f.write_str("damaged"),
-            Wrong::Version(found) => {
-                write!(f, "of format version {found}, this program reads {VERSION}")
+            FormatError::Truncated => f.write_str("truncated"),
+            FormatError::Damaged => f.write_str("damaged"),
+            FormatError::UnsupportedVersion(found) => {
+                write!(
+                    f,
+                    "format version {found} is not supported; this program reads version {FORMAT_VERSION}"
+                )
             }
-            Wrong::Other => f.write_str("of another part"),
+            FormatError::WrongPart => f.write_str("record belongs to another part"),
         }
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for FormatError {}
 
-/// Where something lies: the seed of its checksums.
+/// The position of a record or footer on disk, which seeds its checksums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    pub store: u64,
+pub struct DiskAddress {
+    pub store_id: u64,
     pub segment: u32,
     pub at: u32,
 }
 
-impl Place {
-    fn seed(self) -> u64 {
-        self.store ^ (u64::from(self.segment) << 32 | u64::from(self.at)).rotate_left(17)
+impl DiskAddress {
+    fn checksum_seed(self) -> u64 {
+        self.store_id ^ (u64::from(self.segment) << 32 | u64::from(self.at)).rotate_left(17)
     }
 }
 
-pub fn padded(length: usize) -> usize {
+pub fn padded_len(length: usize) -> usize {
     length.next_multiple_of(8)
 }
 
-/// The head of a segment: of which store, which number, which size group.
-pub fn segment_head(store: u64, segment: u32, class: u32) -> [u8; SEGMENT_HEAD] {
-    let mut head = [0; SEGMENT_HEAD];
-    head[..8].copy_from_slice(SEGMENT_MAGIC);
-    head[8..12].copy_from_slice(&VERSION.to_le_bytes());
-    head[12..16].copy_from_slice(&segment.to_le_bytes());
-    head[16..24].copy_from_slice(&store.to_le_bytes());
-    head[24..28].copy_from_slice(&class.to_le_bytes());
-    let sum = xxh3_64_with_seed(&head[..56], store);
-    head[56..].copy_from_slice(&sum.to_le_bytes());
-    head
+/// Encodes a segment's header: the store's ID, the segment's number and its size class.
+pub fn encode_segment_header(store_id: u64, segment: u32, class: u32) -> [u8; SEGMENT_HEADER_LEN] {
+    let mut header = [0; SEGMENT_HEADER_LEN];
+    header[..8].copy_from_slice(SEGMENT_MAGIC);
+    header[8..12].copy_from_slice(&FORMAT_VERSION.to_le_bytes());
+    header[12..16].copy_from_slice(&segment.to_le_bytes());
+    header[16..24].copy_from_slice(&store_id.to_le_bytes());
+    header[24..28].copy_from_slice(&class.to_le_bytes());
+    let sum = xxh3_64_with_seed(&header[..56], store_id);
+    header[56..].copy_from_slice(&sum.to_le_bytes());
+    header
 }
 
-/// The size group in a segment's head. The version goes first: of another one nothing else is known.
-pub fn read_segment_head(bytes: &[u8], store: u64, segment: u32) -> Result<u32, Wrong> {
-    let head = bytes.get(..SEGMENT_HEAD).ok_or(Wrong::Short)?;
-    let version = u32_at(head, 8);
-    if &head[..8] == SEGMENT_MAGIC && version != VERSION {
-        return Err(Wrong::Version(version));
+/// Decodes a segment's header and returns its size class. The version is checked first, because the layout of
+/// other versions is unknown.
+pub fn decode_segment_header(
+    bytes: &[u8],
+    store_id: u64,
+    segment: u32,
+) -> Result<u32, FormatError> {
+    let header = bytes
+        .get(..SEGMENT_HEADER_LEN)
+        .ok_or(FormatError::Truncated)?;
+    let version = u32_at(header, 8);
+    if &header[..8] == SEGMENT_MAGIC && version != FORMAT_VERSION {
+        return Err(FormatError::UnsupportedVersion(version));
     }
-    let sound = &head[..8] == SEGMENT_MAGIC
-        && u64_at(head, 56) == xxh3_64_with_seed(&head[..56], store)
-        && u64_at(head, 16) == store
-        && u32_at(head, 12) == segment;
-    if sound {
-        Ok(u32_at(head, 24))
+    let valid = &header[..8] == SEGMENT_MAGIC
+        && u64_at(header, 56) == xxh3_64_with_seed(&header[..56], store_id)
+        && u64_at(header, 16) == store_id
+        && u32_at(header, 12) == segment;
+    if valid {
+        Ok(u32_at(header, 24))
     } else {
-        Err(Wrong::Damaged)
+        Err(FormatError::Damaged)
     }
 }
 
-/// What a record's head says of it.
+/// A decoded record header.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Head {
-    /// Of the head and of the body; the record takes both, padded.
-    pub length: usize,
-    pub body: usize,
+pub struct RecordHeader {
+    /// Lengths of the header and of the body; the record takes both, with the body padded.
+    pub header_len: usize,
+    pub body_len: usize,
     pub rank: u8,
-    /// The copy without its body.
+    /// The copy, without its body.
     pub copy: Copy,
-    body_sum: u64,
+    body_checksum: u64,
 }
 
-impl Head {
-    pub fn record(&self) -> usize {
-        self.length + padded(self.body)
+impl RecordHeader {
+    pub fn record_len(&self) -> usize {
+        self.header_len + padded_len(self.body_len)
     }
 
-    /// The body's checksum is right.
-    pub fn vouches_for(&self, body: &[u8], place: Place) -> bool {
-        body.len() == self.body && xxh3_64_with_seed(body, place.seed()) == self.body_sum
+    /// Whether the body has the length and checksum given in the header.
+    pub fn verifies_body(&self, body: &[u8], address: DiskAddress) -> bool {
+        body.len() == self.body_len
+            && xxh3_64_with_seed(body, address.checksum_seed()) == self.body_checksum
     }
 
     pub fn entry(&self, at: u32) -> Entry {
@@ -130,39 +140,38 @@
             key: key::part(object, self.copy.part),
             object,
             at,
-            length: self.record() as u32,
+            length: self.record_len() as u32,
             made: self.copy.made,
             group: group_slot(self.copy.group) as u16,
             rank: self.rank,
-            tag: tag_sum(&self.copy.tag),
+            tag: tag_hash(&self.copy.tag),
         }
     }
 }
 
-/// A short sum of a tag, by which versions are told apart without it.
-pub fn tag_sum(tag: &[u8]) -> u32 {
+/// A short hash of an entity tag, which distinguishes versions where the tag itself is not stored.
+pub fn tag_hash(tag: &[u8]) -> u32 {
     xxh3_64_with_seed(tag, 0) as u32
 }
 
-/// How long the record of a copy is.
-pub fn record_length(copy: &Copy) -> usize {
-    head_length(copy) + padded(copy.body.len())
+pub fn record_len(copy: &Copy) -> usize {
+    record_header_len(copy) + padded_len(copy.body.len())
 }
 
-fn head_length(copy: &Copy) -> usize {
-    RECORD_HEAD_LEAST + padded(copy.object.len() + copy.tag.len() + copy.class.len())
+fn record_header_len(copy: &Copy) -> usize {
+    MIN_RECORD_HEADER_LEN + padded_len(copy.object.len() + copy.tag.len() + copy.class.len())
 }
 
-/// A copy whose texts or body are too long for a record cannot be written.
-pub fn fits(copy: &Copy) -> bool {
+/// Whether a copy's texts and body are short enough for a record.
+pub fn fits_in_record(copy: &Copy) -> bool {
     let texts = [&copy.object, &copy.tag, &copy.class];
-    texts.iter().all(|text| text.len() <= 255) && copy.body.len() <= BODY_MOST
+    texts.iter().all(|text| text.len() <= 255) && copy.body.len() <= MAX_BODY_LEN
 }
 
-/// Appends the record of a copy, as it stands at this place.
-pub fn write_record(out: &mut Vec<u8>, copy: &Copy, rank: u8, place: Place) {
-    debug_assert!(fits(copy) && place.at.is_multiple_of(8));
-    let (start, length) = (out.len(), head_length(copy));
+/// Appends the record of a copy, as stored at this address.
+pub fn encode_record(out: &mut Vec<u8>, copy: &Copy, rank: u8, address: DiskAddress) {
+    debug_assert!(fits_in_record(copy) && address.at.is_multiple_of(8));
+    let (start, length) = (out.len(), record_header_len(copy));
     out.extend_from_slice(RECORD_MAGIC);
     out.extend_from_slice(&(length as u16).to_le_bytes());
     out.extend_from_slice(&[rank, u8::from(copy.in_parts)]);
@@ -179,42 +188,48 @@
     ] {
         out.extend_from_slice(&number.to_le_bytes());
     }
-    out.extend_from_slice(&xxh3_64_with_seed(&copy.body, place.seed()).to_le_bytes());
+    out.extend_from_slice(&xxh3_64_with_seed(&copy.body, address.checksum_seed()).to_le_bytes());
     texts.iter().for_each(|text| out.extend_from_slice(text));
     out.resize(start + length - 8, 0);
-    let sum = xxh3_64_with_seed(&out[start..], place.seed());
+    let sum = xxh3_64_with_seed(&out[start..], address.checksum_seed());
     out.extend_from_slice(&sum.to_le_bytes());
     out.extend_from_slice(&copy.body);
-    out.resize(start + length + padded(copy.body.len()), 0);
+    out.resize(start + length + padded_len(copy.body.len()), 0);
 }
 
-/// Reads a record's head from bytes that begin at this place and may end anywhere.
-pub fn read_head(bytes: &[u8], place: Place) -> Result<Head, Wrong> {
-    let fixed = bytes.get(..RECORD_HEAD_LEAST).ok_or(Wrong::Short)?;
+/// Decodes a record's header from bytes that start at this address and may end anywhere.
+pub fn decode_record_header(
+    bytes: &[u8],
+    address: DiskAddress,
+) -> Result<RecordHeader, FormatError> {
+    let fixed = bytes
+        .get(..MIN_RECORD_HEADER_LEN)
+        .ok_or(FormatError::Truncated)?;
     if &fixed[..4] != RECORD_MAGIC {
-        return Err(Wrong::Damaged);
+        return Err(FormatError::Damaged);
     }
-    let length = u16::from_le_bytes([fixed[4], fixed[5]]) as usize;
+    let header_len = u16::from_le_bytes([fixed[4], fixed[5]]) as usize;
     let texts = [12, 13, 14].map(|at| fixed[at] as usize);
-    if length != RECORD_HEAD_LEAST + padded(texts.iter().sum()) {
-        return Err(Wrong::Damaged);
+    if header_len != MIN_RECORD_HEADER_LEN + padded_len(texts.iter().sum()) {
+        return Err(FormatError::Damaged);
     }
-    let head = bytes.get(..length).ok_or(Wrong::Short)?;
-    let body = u32_at(head, 8) as usize;
-    let kb = f64::from_bits(u64_at(head, 48));
-    if u64_at(head, length - 8) != xxh3_64_with_seed(&head[..length - 8], place.seed())
-        || body > BODY_MOST
+    let header = bytes.get(..header_len).ok_or(FormatError::Truncated)?;
+    let body_len = u32_at(header, 8) as usize;
+    let kb = f64::from_bits(u64_at(header, 48));
+    if u64_at(header, header_len - 8)
+        != xxh3_64_with_seed(&header[..header_len - 8], address.checksum_seed())
+        || body_len > MAX_BODY_LEN
         || !kb.is_finite()
     {
-        return Err(Wrong::Damaged);
+        return Err(FormatError::Damaged);
     }
     let mut at = 64;
     let [object, tag, class] = texts.map(|length| {
         at += length;
-        Bytes::copy_from_slice(&head[at - length..at])
+        Bytes::copy_from_slice(&header[at - length..at])
     });
-    let [part, group, made, fresh] = [16, 24, 32, 40].map(|at| u64_at(head, at));
-    let (in_parts, body_none) = (head[7] & 1 == 1, Bytes::new());
+    let [part, group, made, fresh] = [16, 24, 32, 40].map(|at| u64_at(header, at));
+    let (in_parts, empty_body) = (header[7] & 1 == 1, Bytes::new());
     let copy = Copy {
         object,
         part,
@@ -225,57 +240,62 @@
         kb,
         in_parts,
         tag,
-        body: body_none,
+        body: empty_body,
     };
-    Ok(Head {
-        length,
-        body,
-        rank: head[6],
+    Ok(RecordHeader {
+        header_len,
+        body_len,
+        rank: header[6],
         copy,
-        body_sum: u64_at(head, 56),
+        body_checksum: u64_at(header, 56),
     })
 }
 
-/// Reads a whole record. The body is a part of `bytes`: nothing is copied.
-pub fn read_record(bytes: &Bytes, place: Place) -> Result<(Copy, u8), Wrong> {
-    let head = read_head(bytes, place)?;
-    if bytes.len() < head.length + head.body {
-        return Err(Wrong::Short);
+/// Decodes a whole record. The returned body is a slice of `bytes`, without copying.
+pub fn decode_record(bytes: &Bytes, address: DiskAddress) -> Result<(Copy, u8), FormatError> {
+    let header = decode_record_header(bytes, address)?;
+    if bytes.len() < header.header_len + header.body_len {
+        return Err(FormatError::Truncated);
     }
-    let body = bytes.slice(head.length..head.length + head.body);
-    if !head.vouches_for(&body, place) {
-        return Err(Wrong::Damaged);
+    let body = bytes.slice(header.header_len..header.header_len + header.body_len);
+    if !header.verifies_body(&body, address) {
+        return Err(FormatError::Damaged);
     }
-    Ok((Copy { body, ..head.copy }, head.rank))
+    Ok((
+        Copy {
+            body,
+            ..header.copy
+        },
+        header.rank,
+    ))
 }
 
-/// The next place at or after `from` where a record's mark stands: past damage, that is where reading goes
-/// on.
-pub fn next_mark(bytes: &[u8], from: usize) -> Option<usize> {
+/// The next offset at or after `from` that holds a record's magic number. Scans resume there after damage.
+pub fn find_record_magic(bytes: &[u8], from: usize) -> Option<usize> {
     let from = from.next_multiple_of(8);
     (from..bytes.len().saturating_sub(3))
         .step_by(8)
         .find(|at| &bytes[*at..*at + 4] == RECORD_MAGIC)
 }
 
-/// One record, as the footer of its segment lists it.
+/// A record's entry in the footer of its segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub key: Key,
     pub object: Key,
     pub at: u32,
-    /// Of the whole record.
+    /// The length of the whole record.
     pub length: u32,
     pub made: u64,
-    /// The slot of its group.
+    /// The slot of its group in the purge table.
     pub group: u16,
     pub rank: u8,
     pub tag: u32,
 }
 
-/// The footer of a segment whose records end at `at`.
-pub fn footer(entries: &[Entry], store: u64, segment: u32, at: u32) -> Vec<u8> {
-    let mut out = Vec::with_capacity(entries.len() * ENTRY + TRAILER);
+/// Encodes the footer of a segment whose records end at `at`.
+pub fn encode_footer(entries: &[Entry], store_id: u64, segment: u32, at: u32) -> Vec<u8> {
+    let mut out = Vec::with_capacity(entries.len() * FOOTER_ENTRY_LEN + FOOTER_TRAILER_LEN);
     for entry in entries {
         out.extend_from_slice(&entry.key.to_le_bytes());
         out.extend_from_slice(&entry.object.to_le_bytes());
@@ -289,36 +309,64 @@
     out.extend_from_slice(FOOTER_MAGIC);
     out.extend_from_slice(&at.to_le_bytes());
     out.extend_from_slice(&(entries.len() as u32).to_le_bytes());
-    out.extend_from_slice(&VERSION.to_le_bytes());
+    out.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     out.extend_from_slice(&[0; 12]);
-    let sum = xxh3_64_with_seed(&out, Place { store, segment, at }.seed());
+    let sum = xxh3_64_with_seed(
+        &out,
+        DiskAddress {
+            store_id,
+            segment,
+            at,
+        }
+        .checksum_seed(),
+    );
     out.extend_from_slice(&sum.to_le_bytes());
     out
 }
 
-/// Where the footer begins and how long it is, by the last bytes of a segment `length` long; none: not
-/// sealed.
-pub fn footer_span(trailer: &[u8], length: u64) -> Option<(u32, usize)> {
-    let trailer = trailer.get(..TRAILER).filter(|t| &t[..8] == FOOTER_MAGIC)?;
+/// The offset and length of the footer, from the last bytes of a segment that is `length` bytes long. `None`
+/// if the segment is not sealed.
+pub fn locate_footer(trailer: &[u8], length: u64) -> Option<(u32, usize)> {
+    let trailer = trailer
+        .get(..FOOTER_TRAILER_LEN)
+        .filter(|t| &t[..8] == FOOTER_MAGIC)?;
     let (at, count) = (u32_at(trailer, 8), u32_at(trailer, 12) as usize);
-    let span = count.checked_mul(ENTRY)?.checked_add(TRAILER)?;
-    (u64::from(at) + span as u64 == length).then_some((at, span))
+    let footer_len = count
+        .checked_mul(FOOTER_ENTRY_LEN)?
+        .checked_add(FOOTER_TRAILER_LEN)?;
+    (u64::from(at) + footer_len as u64 == length).then_some((at, footer_len))
 }
 
-/// Reads a footer that begins at `at`.
-pub fn read_footer(bytes: &[u8], store: u64, segment: u32, at: u32) -> Result<Vec<Entry>, Wrong> {
-    let (Some(end), true) = (bytes.len().checked_sub(8), bytes.len() >= TRAILER) else {
-        return Err(Wrong::Short);
+/// Decodes a footer that starts at `at`.
+pub fn decode_footer(
+    bytes: &[u8],
+    store_id: u64,
+    segment: u32,
+    at: u32,
+) -> Result<Vec<Entry>, FormatError> {
+    let (Some(end), true) = (
+        bytes.len().checked_sub(8),
+        bytes.len() >= FOOTER_TRAILER_LEN,
+    ) else {
+        return Err(FormatError::Truncated);
     };
-    let listed = &bytes[..bytes.len() - TRAILER];
-    let whole = listed.len().is_multiple_of(ENTRY)
-        && footer_span(&bytes[listed.len()..], u64::from(at) + bytes.len() as u64).is_some()
+    let listed = &bytes[..bytes.len() - FOOTER_TRAILER_LEN];
+    let valid = listed.len().is_multiple_of(FOOTER_ENTRY_LEN)
+        && locate_footer(&bytes[listed.len()..], u64::from(at) + bytes.len() as u64).is_some()
         && u64_at(bytes, end)
-            == xxh3_64_with_seed(&bytes[..end], Place { store, segment, at }.seed());
-    if !whole {
-        return Err(Wrong::Damaged);
+            == xxh3_64_with_seed(
+                &bytes[..end],
+                DiskAddress {
+                    store_id,
+                    segment,
+                    at,
+                }
+                .checksum_seed(),
+            );
+    if !valid {
+        return Err(FormatError::Damaged);
     }
-    let entries = listed.chunks_exact(ENTRY).map(|e| Entry {
+    let entries = listed.chunks_exact(FOOTER_ENTRY_LEN).map(|e| Entry {
         key: u64_at(e, 0),
         object: u64_at(e, 8),
         made: u64_at(e, 16),
@@ -331,7 +379,7 @@
     Ok(entries.collect())
 }
 
-/// Callers have checked that the bytes are there.
+/// Panics if the bytes are missing; callers check the length first.
 fn u32_at(bytes: &[u8], at: usize) -> u32 {
     u32::from_le_bytes(std::array::from_fn(|n| bytes[at + n]))
 }
--- a/crates/store/src/format/tests.rs
+++ b/crates/store/src/format/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use proptest::prelude::*;
 
-const PLACE: Place = Place {
-    store: 77,
+const ADDRESS: DiskAddress = DiskAddress {
+    store_id: 77,
     segment: 5,
     at: 4096,
 };
 
-fn copies() -> impl Strategy<Value = Copy> {
+fn arbitrary_copy() -> impl Strategy<Value = Copy> {
     let text = || prop::collection::vec(any::<u8>(), 0..40).prop_map(Bytes::from);
     let body = prop::collection::vec(any::<u8>(), 0..3000).prop_map(Bytes::from);
     let numbers = (
@@ -37,49 +37,49 @@
 
 fn record(copy: &Copy, rank: u8) -> Vec<u8> {
     let mut out = Vec::new();
-    write_record(&mut out, copy, rank, PLACE);
+    encode_record(&mut out, copy, rank, ADDRESS);
     out
 }
 
 proptest! {
     #[test]
-    fn a_record_reads_back_and_only_at_its_place(copy in copies(), rank in 1u8..4) {
+    fn a_record_decodes_only_at_its_own_address(copy in arbitrary_copy(), rank in 1u8..4) {
         let bytes = Bytes::from(record(&copy, rank));
-        prop_assert_eq!(bytes.len(), record_length(&copy));
-        prop_assert_eq!(read_record(&bytes, PLACE), Ok((copy, rank)));
-        for place in [
-            Place { at: 4104, ..PLACE },
-            Place { segment: 6, ..PLACE },
-            Place { store: 78, ..PLACE },
+        prop_assert_eq!(bytes.len(), record_len(&copy));
+        prop_assert_eq!(decode_record(&bytes, ADDRESS), Ok((copy, rank)));
+        for address in [
+            DiskAddress { at: 4104, ..ADDRESS },
+            DiskAddress { segment: 6, ..ADDRESS },
+            DiskAddress { store_id: 78, ..ADDRESS },
         ] {
-            prop_assert!(read_record(&bytes, place).is_err());
+            prop_assert!(decode_record(&bytes, address).is_err());
         }
     }
 
     #[test]
-    fn no_flipped_bit_and_no_cut_passes(copy in copies(), at in any::<prop::sample::Index>(), bit in 0u8..8) {
+    fn flipped_bits_and_truncation_are_detected(copy in arbitrary_copy(), at in any::<prop::sample::Index>(), bit in 0u8..8) {
         let whole = record(&copy, 2);
-        let (head, body) = (head_length(&copy), copy.body.len());
-        // What pads a body to its end says nothing, and may be anything.
-        let at = at.index(head + body);
+        let (header, body) = (record_header_len(&copy), copy.body.len());
+        // The padding after a body is not covered by a checksum.
+        let at = at.index(header + body);
         let mut flipped = whole.clone();
         flipped[at] ^= 1 << bit;
-        prop_assert!(read_record(&Bytes::from(flipped), PLACE).is_err(), "bit {bit} of byte {at}");
-        prop_assert!(read_record(&Bytes::from(whole[..at].to_vec()), PLACE).is_err(), "cut at {at}");
+        prop_assert!(decode_record(&Bytes::from(flipped), ADDRESS).is_err(), "bit {bit} of byte {at}");
+        prop_assert!(decode_record(&Bytes::from(whole[..at].to_vec()), ADDRESS).is_err(), "cut at {at}");
     }
 
     #[test]
-    fn whatever_bytes_come_nothing_breaks(bytes in prop::collection::vec(any::<u8>(), 0..400), at in any::<u32>()) {
-        let _ = read_segment_head(&bytes, 1, 1);
-        let _ = (read_head(&bytes, Place { at, ..PLACE }), read_footer(&bytes, 1, 1, at));
-        let _ = (footer_span(&bytes, u64::from(at)), next_mark(&bytes, at as usize % 500));
-        // A mark in front leads further in.
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400), at in any::<u32>()) {
+        let _ = decode_segment_header(&bytes, 1, 1);
+        let _ = (decode_record_header(&bytes, DiskAddress { at, ..ADDRESS }), decode_footer(&bytes, 1, 1, at));
+        let _ = (locate_footer(&bytes, u64::from(at)), find_record_magic(&bytes, at as usize % 500));
+        // A magic number in front gets past the first check.
         let marked = [&RECORD_MAGIC[..], &bytes].concat();
-        prop_assert!(read_record(&Bytes::from(marked), PLACE).is_err());
+        prop_assert!(decode_record(&Bytes::from(marked), ADDRESS).is_err());
     }
 
     #[test]
-    fn a_footer_reads_back_and_no_flipped_bit_passes(
+    fn a_footer_decodes_and_flipped_bits_are_detected(
         keys in prop::collection::vec(any::<u64>(), 0..60),
         at in any::<prop::sample::Index>(),
     ) {
@@ -87,23 +87,32 @@
             key: *key, object: !key, at: 64 + n as u32 * 8, length: 8, made: key >> 3, group: 1023, rank: 3, tag: 9,
         };
         let entries: Vec<Entry> = keys.iter().enumerate().map(entry).collect();
-        let bytes = footer(&entries, 1, 2, 640);
+        let bytes = encode_footer(&entries, 1, 2, 640);
         let length = 640 + bytes.len() as u64;
-        prop_assert_eq!(footer_span(&bytes[bytes.len() - TRAILER..], length), Some((640, bytes.len())));
-        prop_assert_eq!(read_footer(&bytes, 1, 2, 640), Ok(entries.clone()));
-        prop_assert!(read_footer(&bytes, 1, 3, 640).is_err() && read_footer(&bytes, 1, 2, 648).is_err());
+        prop_assert_eq!(locate_footer(&bytes[bytes.len() - FOOTER_TRAILER_LEN..], length), Some((640, bytes.len())));
+        prop_assert_eq!(decode_footer(&bytes, 1, 2, 640), Ok(entries.clone()));
+        prop_assert!(decode_footer(&bytes, 1, 3, 640).is_err() && decode_footer(&bytes, 1, 2, 648).is_err());
         let mut flipped = bytes.clone();
         flipped[at.index(bytes.len())] ^= 16;
-        prop_assert!(read_footer(&flipped, 1, 2, 640).is_err());
+        prop_assert!(decode_footer(&flipped, 1, 2, 640).is_err());
     }
 }
 
 #[test]
-fn a_segment_of_another_version_is_told_apart_from_a_damaged_one() {
-    let mut head = segment_head(7, 3, 2);
-    assert_eq!(read_segment_head(&head, 7, 3), Ok(2));
-    assert_eq!(read_segment_head(&head, 8, 3), Err(Wrong::Damaged));
-    head[8] = 2;
-    assert_eq!(read_segment_head(&head, 7, 3), Err(Wrong::Version(2)));
-    assert_eq!(read_segment_head(&head[..40], 7, 3), Err(Wrong::Short));
+fn an_unsupported_version_is_distinguished_from_damage() {
+    let mut header = encode_segment_header(7, 3, 2);
+    assert_eq!(decode_segment_header(&header, 7, 3), Ok(2));
+    assert_eq!(
+        decode_segment_header(&header, 8, 3),
+        Err(FormatError::Damaged)
+    );
+    header[8] = 2;
+    assert_eq!(
+        decode_segment_header(&header, 7, 3),
+        Err(FormatError::UnsupportedVersion(2))
+    );
+    assert_eq!(
+        decode_segment_header(&header[..40], 7, 3),
+        Err(FormatError::Truncated)
+    );
 }
--- a/crates/store/src/hands.rs
+++ b/crates/store/src/hands.rs
@@ -4,9 +4,11 @@
 use crate::catalogue::{Catalogue, Known, Line, Unusable};
 use crate::copy::Copy;
 use crate::decide::disk::Fault;
-use crate::files::{File, Files, read_exactly};
-use crate::format::{Entry, Place, SEGMENT_HEAD, Wrong, read_record, segment_head};
-use crate::recovery::{Failed, Recovered, listed, recover, seal};
+use crate::files::{File, Files, read_exact_at};
+use crate::format::{
+    DiskAddress, Entry, FormatError, SEGMENT_HEADER_LEN, decode_record, encode_segment_header,
+};
+use crate::recovery::{Recovered, RecoveryError, read_footer_entries, recover, seal};
 use bytes::Bytes;
 use lru::LruCache;
 use std::collections::HashMap;
@@ -42,10 +44,10 @@
 /// `Catalogue::open`.
 pub fn open(
     files: &Arc<dyn Files>,
-    store: u64,
+    store_id: u64,
     clock: Option<BootClock>,
 ) -> Result<(Catalogue, Known, Vec<u32>), Unusable> {
-    let (catalogue, known) = Catalogue::open(files.clone(), store, clock)?;
+    let (catalogue, known) = Catalogue::open(files.clone(), store_id, clock)?;
     let names = files.list().map_err(Unusable::Io)?;
     Ok((
         catalogue,
@@ -57,7 +59,7 @@
 /// The files of one store, for one thread.
 pub struct Hands {
     files: Arc<dyn Files>,
-    store: u64,
+    store_id: u64,
     open: LruCache<u32, Arc<dyn File>>,
     /// Segments of which something failed, until they are removed: what an order said to follow it must not
     /// be taken for whole.
@@ -74,10 +76,10 @@
 }
 
 impl Hands {
-    pub fn new(files: Arc<dyn Files>, store: u64) -> Hands {
+    pub fn new(files: Arc<dyn Files>, store_id: u64) -> Hands {
         Hands {
             files,
-            store,
+            store_id,
             open: LruCache::new(OPEN_MOST),
             broken: HashMap::new(),
         }
@@ -95,38 +97,38 @@
     /// A record, if it proves whole.
     pub fn read(&mut self, segment: u32, at: u32, length: u32) -> Result<(Copy, u8), Fault> {
         let file = self.file(segment).map_err(fault)?;
-        let bytes = read_exactly(&*file, u64::from(at), length as usize)
+        let bytes = read_exact_at(&*file, u64::from(at), length as usize)
             .map_err(fault)?
             .ok_or(Fault::Damaged)?;
-        let place = Place {
-            store: self.store,
+        let place = DiskAddress {
+            store_id: self.store_id,
             segment,
             at,
         };
-        read_record(&Bytes::from(bytes), place).map_err(|_: Wrong| Fault::Damaged)
+        decode_record(&Bytes::from(bytes), place).map_err(|_: FormatError| Fault::Damaged)
     }
 
     /// What a segment lists; one that has no good footer is walked through.
     pub fn list(&mut self, segment: u32) -> Result<Vec<Entry>, Fault> {
         let file = self.file(segment).map_err(fault)?;
         let length = file.length().map_err(fault)?;
-        match listed(&*file, self.store, segment, length).map_err(fault)? {
+        match read_footer_entries(&*file, self.store_id, segment, length).map_err(fault)? {
             Some(entries) => Ok(entries),
-            None => match recover(&*file, self.store, segment) {
+            None => match recover(&*file, self.store_id, segment) {
                 Ok(found) => Ok(found.entries),
-                Err(Failed::Io(what)) => Err(fault(what)),
-                Err(Failed::Version(_)) => Err(Fault::Damaged),
+                Err(RecoveryError::Io(what)) => Err(fault(what)),
+                Err(RecoveryError::UnsupportedVersion(_)) => Err(Fault::Damaged),
             },
         }
     }
 
     /// What a segment of an earlier life holds. One that was not sealed is from now on.
-    pub fn recover(&mut self, segment: u32) -> Result<Recovered, Failed> {
+    pub fn recover(&mut self, segment: u32) -> Result<Recovered, RecoveryError> {
         let file = self.file(segment)?;
-        let found = recover(&*file, self.store, segment)?;
+        let found = recover(&*file, self.store_id, segment)?;
         if !found.sealed {
             // Where that fails the next start walks through it again.
-            let _ = seal(&*file, self.store, segment, &found);
+            let _ = seal(&*file, self.store_id, segment, &found);
         }
         self.open.pop(&segment);
         Ok(found)
@@ -138,14 +140,14 @@
             .iter()
             .map(|e| e.at + e.length)
             .max()
-            .unwrap_or(SEGMENT_HEAD as u32);
+            .unwrap_or(SEGMENT_HEADER_LEN as u32);
         let file = self.file(segment).map_err(fault)?;
         let found = Recovered {
             entries,
             end,
             ..Recovered::default()
         };
-        seal(&*file, self.store, segment, &found).map_err(fault)
+        seal(&*file, self.store_id, segment, &found).map_err(fault)
     }
 
     /// Makes a segment's file and sees to it that its name lasts. After an error nothing is written to it.
@@ -156,7 +158,7 @@
 
     fn begin_file(&mut self, segment: u32, class: u32) -> io::Result<()> {
         let file = self.files.create(&name(segment))?;
-        file.write_at(&segment_head(self.store, segment, class), 0)?;
+        file.write_at(&encode_segment_header(self.store_id, segment, class), 0)?;
         self.files.sync_names()?;
         self.open.put(segment, file);
         Ok(())
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! A router's own copies: in memory, and behind that on a disk that survives a crash.
+//! The router's local cache: a memory tier, backed by a crash-safe disk tier.
 //!
-//! `decide` holds what is decided, without I/O: the same code runs in the router, in tests on a disk that
-//! crashes and in the proof. `format` says how things lie on disk, `recovery` what is left of them; `files`
-//! is the file layer, `hands` carries out orders on it, `threads` does so beside the router. `stand_ins` is a
-//! disk that fails as told.
+//! `decide` holds the decisions, without I/O: the same code runs in the router, in tests on a simulated disk
+//! that crashes, and in the proof. `format` defines the on-disk format and `recovery` reads segments after a
+//! restart; `files` is the file layer, `hands` runs disk operations on it, and `threads` does so on worker
+//! threads beside the router. `stand_ins` holds a disk with injected faults and a driver for tests.
 
 pub mod boot_clock;
 pub mod catalogue;
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,134 +1,141 @@
-//! What a segment of an earlier life still holds: by its footer where it was sealed, else record by record.
-//! Nothing that is damaged, torn or of another place passes, and what can be read behind damage is found.
+//! Recovers the records of segments that an earlier run wrote: from the footer if the segment was sealed,
+//! otherwise by scanning record by record. Damaged, torn and misplaced records are skipped, and intact records
+//! behind damage are found.
 
-use crate::files::{File, read_exactly};
+use crate::files::{File, read_exact_at};
 use crate::format::{
-    Entry, Place, RECORD_HEAD_LEAST, RECORD_HEAD_MOST, SEGMENT_HEAD, TRAILER, Wrong, footer,
-    footer_span, next_mark, padded, read_footer, read_head, read_segment_head,
+    DiskAddress, Entry, FOOTER_TRAILER_LEN, FormatError, MAX_RECORD_HEADER_LEN,
+    MIN_RECORD_HEADER_LEN, SEGMENT_HEADER_LEN, decode_footer, decode_record_header,
+    decode_segment_header, encode_footer, find_record_magic, locate_footer, padded_len,
 };
 use std::io;
 
-/// Read at once while records are walked through.
-const WINDOW: usize = 1 << 20;
+/// Bytes read at once while searching for the next record.
+const SCAN_WINDOW_BYTES: usize = 1 << 20;
 
-/// What was found in a segment.
+/// The contents of a recovered segment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
     pub class: u32,
     pub entries: Vec<Entry>,
-    /// It had its footer: nothing was walked through.
+    /// Whether the segment had a valid footer, so that no scan was needed.
     pub sealed: bool,
-    /// Where the last good record ends.
+    /// The offset at which the last intact record ends.
     pub end: u32,
-    /// Records or stretches that were damaged, and bytes cut off at the end.
+    /// Damaged records or stretches of records.
     pub damaged: u64,
-    pub torn: u64,
+    /// Bytes after the last intact record.
+    pub torn_bytes: u64,
 }
 
-/// Why a segment says nothing.
+/// Why a segment could not be recovered.
 #[derive(Debug)]
-pub enum Failed {
+pub enum RecoveryError {
     Io(io::Error),
-    /// Written by a program of another version: it must be left alone.
-    Version(u32),
+    /// Written in another format version; the segment must not be changed.
+    UnsupportedVersion(u32),
 }
 
-impl From<io::Error> for Failed {
-    fn from(what: io::Error) -> Failed {
-        Failed::Io(what)
+impl From<io::Error> for RecoveryError {
+    fn from(error: io::Error) -> RecoveryError {
+        RecoveryError::Io(error)
     }
 }
 
-/// Reads what a segment holds.
-pub fn recover(file: &dyn File, store: u64, segment: u32) -> Result<Recovered, Failed> {
+/// Reads the records of a segment, without changing it.
+pub fn recover(file: &dyn File, store_id: u64, segment: u32) -> Result<Recovered, RecoveryError> {
     let length = file.length()?;
-    let head = read_exactly(file, 0, SEGMENT_HEAD.min(length as usize))?.unwrap_or_default();
-    let class = match read_segment_head(&head, store, segment) {
+    let header =
+        read_exact_at(file, 0, SEGMENT_HEADER_LEN.min(length as usize))?.unwrap_or_default();
+    let class = match decode_segment_header(&header, store_id, segment) {
         Ok(class) => class,
-        Err(Wrong::Version(found)) => return Err(Failed::Version(found)),
-        // Its records vouch for themselves.
+        Err(FormatError::UnsupportedVersion(found)) => {
+            return Err(RecoveryError::UnsupportedVersion(found));
+        }
+        // The records have checksums of their own and are still usable.
         Err(_) => u32::MAX,
     };
-    if let Some(entries) = listed(file, store, segment, length)? {
+    if let Some(entries) = read_footer_entries(file, store_id, segment, length)? {
         let end = entries
             .iter()
             .map(|e| e.at + e.length)
             .max()
-            .unwrap_or(SEGMENT_HEAD as u32);
+            .unwrap_or(SEGMENT_HEADER_LEN as u32);
         return Ok(Recovered {
             class,
             entries,
             sealed: true,
             end,
             damaged: 0,
-            torn: 0,
+            torn_bytes: 0,
         });
     }
     let mut found = Recovered {
         class,
-        end: SEGMENT_HEAD as u32,
+        end: SEGMENT_HEADER_LEN as u32,
         ..Recovered::default()
     };
-    walk(
+    scan_records(
         file,
-        store,
+        store_id,
         segment,
         length.min(u64::from(u32::MAX)),
         &mut found,
     )?;
-    found.torn = length.saturating_sub(u64::from(found.end));
+    found.torn_bytes = length.saturating_sub(u64::from(found.end));
     Ok(found)
 }
 
-/// The entries of a sealed segment; none: it has no footer, or a damaged one.
-pub fn listed(
+/// The entries in a segment's footer. `None` if the footer is missing or damaged.
+pub fn read_footer_entries(
     file: &dyn File,
-    store: u64,
+    store_id: u64,
     segment: u32,
     length: u64,
 ) -> io::Result<Option<Vec<Entry>>> {
-    if length < (SEGMENT_HEAD + TRAILER) as u64 {
+    if length < (SEGMENT_HEADER_LEN + FOOTER_TRAILER_LEN) as u64 {
         return Ok(None);
     }
-    let trailer = read_exactly(file, length - TRAILER as u64, TRAILER)?.unwrap_or_default();
-    let Some((at, span)) = footer_span(&trailer, length) else {
+    let trailer = read_exact_at(file, length - FOOTER_TRAILER_LEN as u64, FOOTER_TRAILER_LEN)?
+        .unwrap_or_default();
+    let Some((at, footer_len)) = locate_footer(&trailer, length) else {
         return Ok(None);
     };
-    let bytes = read_exactly(file, u64::from(at), span)?.unwrap_or_default();
-    Ok(read_footer(&bytes, store, segment, at).ok())
+    let bytes = read_exact_at(file, u64::from(at), footer_len)?.unwrap_or_default();
+    Ok(decode_footer(&bytes, store_id, segment, at).ok())
 }
 
-/// Walks through records from the head on. Bodies are read too: without a footer nothing says that they came
-/// whole.
-fn walk(
+/// Scans the records after the segment's header. Bodies are read too, because without a footer a body may not
+/// have been written completely.
+fn scan_records(
     file: &dyn File,
-    store: u64,
+    store_id: u64,
     segment: u32,
     length: u64,
     found: &mut Recovered,
 ) -> io::Result<()> {
-    let (mut at, mut lost) = (SEGMENT_HEAD as u64, false);
-    while at + RECORD_HEAD_LEAST as u64 <= length {
-        let place = Place {
-            store,
+    let (mut at, mut in_damage) = (SEGMENT_HEADER_LEN as u64, false);
+    while at + MIN_RECORD_HEADER_LEN as u64 <= length {
+        let address = DiskAddress {
+            store_id,
             segment,
             at: at as u32,
         };
-        let head = read_part(file, at, RECORD_HEAD_MOST, length)?;
-        if let Ok(head) = read_head(&head, place) {
-            let record = head.record() as u64;
-            let body = read_part(file, at + head.length as u64, head.body, length)?;
-            if at + record <= length && head.vouches_for(&body, place) {
-                found.entries.push(head.entry(at as u32));
+        let header = read_up_to(file, at, MAX_RECORD_HEADER_LEN, length)?;
+        if let Ok(header) = decode_record_header(&header, address) {
+            let record = header.record_len() as u64;
+            let body = read_up_to(file, at + header.header_len as u64, header.body_len, length)?;
+            if at + record <= length && header.verifies_body(&body, address) {
+                found.entries.push(header.entry(at as u32));
                 at += record;
                 found.end = at as u32;
-                lost = false;
+                in_damage = false;
                 continue;
             }
         }
-        // One stretch of damage is counted once; behind it the next mark that proves true goes on.
-        found.damaged += u64::from(!std::mem::replace(&mut lost, true));
-        match seek(file, at + 8, length)? {
+        // A stretch of damage counts once. The scan resumes at the next magic number with a valid record.
+        found.damaged += u64::from(!std::mem::replace(&mut in_damage, true));
+        match find_next_record(file, at + 8, length)? {
             Some(next) => at = next,
             None => break,
         }
@@ -136,31 +143,34 @@
     Ok(())
 }
 
-fn seek(file: &dyn File, from: u64, length: u64) -> io::Result<Option<u64>> {
+fn find_next_record(file: &dyn File, from: u64, length: u64) -> io::Result<Option<u64>> {
     let mut from = from.next_multiple_of(8);
     while from < length {
-        let window = read_part(file, from, WINDOW, length)?;
-        if let Some(at) = next_mark(&window, 0) {
+        let window = read_up_to(file, from, SCAN_WINDOW_BYTES, length)?;
+        if let Some(at) = find_record_magic(&window, 0) {
             return Ok(Some(from + at as u64));
         }
-        from += WINDOW as u64;
+        from += SCAN_WINDOW_BYTES as u64;
     }
     Ok(None)
 }
 
-fn read_part(file: &dyn File, at: u64, most: usize, length: u64) -> io::Result<Vec<u8>> {
-    let most = (most as u64).min(length.saturating_sub(at)) as usize;
-    let mut buffer = vec![0; most];
+fn read_up_to(file: &dyn File, at: u64, max_length: usize, length: u64) -> io::Result<Vec<u8>> {
+    let max_length = (max_length as u64).min(length.saturating_sub(at)) as usize;
+    let mut buffer = vec![0; max_length];
     let read = file.read_at(&mut buffer, at)?;
     buffer.truncate(read);
     Ok(buffer)
 }
 
-/// Cuts off what was torn and lists what is left, so that the next start need not walk.
-pub fn seal(file: &dyn File, store: u64, segment: u32, found: &Recovered) -> io::Result<()> {
-    let end = padded(found.end as usize) as u32;
+/// Truncates a torn tail and writes a footer, so that the next start need not scan the segment.
+pub fn seal(file: &dyn File, store_id: u64, segment: u32, found: &Recovered) -> io::Result<()> {
+    let end = padded_len(found.end as usize) as u32;
     file.truncate(u64::from(end))?;
-    file.write_at(&footer(&found.entries, store, segment, end), u64::from(end))?;
+    file.write_at(
+        &encode_footer(&found.entries, store_id, segment, end),
+        u64::from(end),
+    )?;
     file.sync()
 }
 
--- a/crates/store/src/recovery/tests.rs
+++ b/crates/store/src/recovery/tests.rs
@@ -1,31 +1,31 @@
 use super::*;
 use crate::files::Files;
-use crate::format::{segment_head, write_record};
+use crate::format::{encode_record, encode_segment_header};
 use crate::stand_ins::{Disk, Piece};
 use proptest::prelude::*;
 
-/// A segment of whole records, and where each begins.
+/// A segment of intact records, with the offset of each.
 fn segment(parts: u64, sizes: usize) -> (Vec<u8>, Vec<u32>) {
-    let (mut bytes, mut places) = (segment_head(9, 4, 1).to_vec(), Vec::new());
+    let (mut bytes, mut offsets) = (encode_segment_header(9, 4, 1).to_vec(), Vec::new());
     for part in 0..parts {
         let at = bytes.len() as u32;
-        places.push(at);
+        offsets.push(at);
         let copy = Piece { object: 5, part }.version(1, 1000 + part, sizes);
-        write_record(
+        encode_record(
             &mut bytes,
             &copy,
             2,
-            Place {
-                store: 9,
+            DiskAddress {
+                store_id: 9,
                 segment: 4,
                 at,
             },
         );
     }
-    (bytes, places)
+    (bytes, offsets)
 }
 
-fn found(bytes: &[u8]) -> Recovered {
+fn recover_bytes(bytes: &[u8]) -> Recovered {
     let disk = Disk::new();
     disk.create("s").expect("new");
     disk.swap("s", bytes);
@@ -33,50 +33,55 @@
 }
 
 proptest! {
-    /// Damage anywhere costs the records that it touches and no others.
+    /// Damage loses only the records that it overlaps.
     #[test]
-    fn what_is_whole_is_found_behind_damage(
+    fn intact_records_behind_damage_are_found(
         holes in prop::collection::vec((any::<prop::sample::Index>(), 1usize..700), 0..5),
         sizes in 1usize..900,
     ) {
-        let (mut bytes, places) = segment(20, sizes);
+        let (mut bytes, offsets) = segment(20, sizes);
         let mut touched = std::collections::HashSet::new();
         for (at, length) in holes {
             let at = 64 + at.index(bytes.len() - 64);
             let end = (at + length).min(bytes.len());
             bytes[at..end].iter_mut().for_each(|byte| *byte = !*byte);
-            let ends = places.iter().skip(1).map(|p| *p as usize).chain([bytes.len()]);
-            for (n, (from, to)) in places.iter().zip(ends).enumerate() {
-                // A hole may be undone by another: only what differs in the end counts.
+            let ends = offsets.iter().skip(1).map(|p| *p as usize).chain([bytes.len()]);
+            for (n, (from, to)) in offsets.iter().zip(ends).enumerate() {
+                // Two overlapping holes may cancel out, so a record in `touched` may still be intact.
                 if at < to && end > *from as usize {
                     touched.insert(n as u64);
                 }
             }
         }
-        let found = found(&bytes);
-        let whole: Vec<u32> = found.entries.iter().map(|e| e.at).collect();
-        for (n, at) in places.iter().enumerate() {
-            prop_assert!(whole.contains(at) || touched.contains(&(n as u64)), "record {n} at {at} was lost");
+        let found = recover_bytes(&bytes);
+        let recovered: Vec<u32> = found.entries.iter().map(|e| e.at).collect();
+        for (n, at) in offsets.iter().enumerate() {
+            prop_assert!(recovered.contains(at) || touched.contains(&(n as u64)), "record {n} at {at} was lost");
         }
     }
 
     #[test]
-    fn whatever_a_file_holds_nothing_breaks(bytes in prop::collection::vec(any::<u8>(), 0..3000)) {
-        prop_assert!(found(&bytes).entries.is_empty());
+    fn arbitrary_files_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..3000)) {
+        prop_assert!(recover_bytes(&bytes).entries.is_empty());
     }
 }
 
 #[test]
-fn a_torn_tail_is_cut_and_the_next_start_need_not_walk() {
-    let (bytes, places) = segment(5, 300);
-    let cut = places[4] as usize + 100;
+fn a_torn_tail_is_truncated_and_the_segment_sealed() {
+    let (bytes, offsets) = segment(5, 300);
+    let cut = offsets[4] as usize + 100;
     let disk = Disk::new();
     disk.create("s").expect("new");
     disk.swap("s", &bytes[..cut]);
     let file = disk.open("s").expect("there");
     let first = recover(&*file, 9, 4).expect("no fault");
     assert_eq!(
-        (first.entries.len(), first.torn, first.damaged, first.sealed),
+        (
+            first.entries.len(),
+            first.torn_bytes,
+            first.damaged,
+            first.sealed
+        ),
         (4, 100, 1, false)
     );
     seal(&*file, 9, 4, &first).expect("no fault");
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -10,7 +10,7 @@
 use crate::format::Entry;
 use crate::hands::{self, Hands};
 use crate::key::Key;
-use crate::recovery::{Failed, Recovered};
+use crate::recovery::{Recovered, RecoveryError};
 use bytes::Bytes;
 use std::io;
 use std::path::Path;
@@ -50,7 +50,7 @@
     },
     Recovered {
         segment: u32,
-        result: Result<Recovered, Failed>,
+        result: Result<Recovered, RecoveryError>,
     },
     Appended {
         ticket: u64,
@@ -405,7 +405,7 @@
             End::Read { ticket, result } => store.read(now, ticket, result, self),
             End::Listed { segment, result } => store.listed(now, segment, result, self),
             End::Recovered { segment, result } => {
-                if let Err(Failed::Version(found)) = &result {
+                if let Err(RecoveryError::UnsupportedVersion(found)) = &result {
                     log::warn!(
                         "store: segment {segment} is of format version {found}: it is left alone"
                     );
