--- a/crates/store/src/catalogue.rs
+++ b/crates/store/src/catalogue.rs
@@ -1,6 +1,6 @@
-//! What is not in the segments themselves: the store's number and version, the purges, how long the notice
-//! discovery was heard. An embedded store of its own (`redb`), over the same file layer, so that a crash is
-//! played on it too.
+//! The catalogue: what is not in the segments themselves. That is the store's ID and version, the purges, and
+//! the time up to which discovery confirmed that all purges were received. It is an embedded database (`redb`)
+//! over the same file layer as the segments, so that simulated crashes cover it too.
 
 use crate::boot_clock::BootClock;
 use crate::decide::purges::Mark;
@@ -16,106 +16,112 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 pub const NAME: &str = "catalogue";
-const BEGUN: &str = "catalogue.begun";
+const TEMPORARY_NAME: &str = "catalogue.begun";
 /// The version of a store's directory as a whole.
-const VERSION: u64 = 1;
-/// What the embedded store keeps of its file in memory.
-const CACHE: usize = 1 << 20;
-/// No catalogue is longer: its rows are bounded.
-const FILE_MOST: u64 = 256 << 20;
-
-const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
-const OBJECTS: TableDefinition<u64, u64> = TableDefinition::new("objects");
-const FOLDED: TableDefinition<u64, u64> = TableDefinition::new("folded");
-const GROUPS: TableDefinition<u64, u64> = TableDefinition::new("groups");
-
-/// One thing to be written down.
+const DIRECTORY_VERSION: u64 = 1;
+/// The database's cache of its file.
+const DATABASE_CACHE_BYTES: usize = 1 << 20;
+/// Longer files are rejected. The number of rows is bounded, so no valid catalogue reaches this length.
+const MAX_FILE_LEN: u64 = 256 << 20;
+
+const METADATA: TableDefinition<&str, u64> = TableDefinition::new("about");
+const OBJECT_PURGES: TableDefinition<u64, u64> = TableDefinition::new("objects");
+const FOLDED_PURGES: TableDefinition<u64, u64> = TableDefinition::new("folded");
+const GROUP_PURGES: TableDefinition<u64, u64> = TableDefinition::new("groups");
+
+/// One change to the catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Line {
     Purge(Mark),
-    /// Every purge made up to this Unix millisecond was told and stands before this.
-    Heard(u64),
-    /// Of copies in segments up to this number a purge may have been missed: no later word of `Heard` covers
-    /// them.
-    Uncovered(u32),
-    /// Of segments up to this number the times cannot be compared with those of a later start: the wall clock
-    /// was stepped since.
-    Undated(u32),
+    /// Discovery confirmed that every purge made up to this Unix millisecond was received; those purges are
+    /// written before this line.
+    ConfirmedUpTo(u64),
+    /// Purges of copies in segments up to this number may have been missed; no later `ConfirmedUpTo` applies
+    /// to them.
+    PurgesMissedUpTo(u32),
+    /// Times in segments up to this number cannot be compared with those of later starts, because the wall
+    /// clock was stepped since.
+    TimesUnreliableUpTo(u32),
 }
 
-/// What an earlier life wrote down.
+/// The contents of the catalogue when it is opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Known {
-    /// The store's own number, drawn at its first start.
+    /// The store's ID, chosen at random when it was first opened.
     pub store: u64,
     pub marks: Vec<Mark>,
-    /// None: never.
+    /// The last `Line::ConfirmedUpTo`. `None` if there was none since the last step of the clock.
     pub heard: Option<u64>,
-    /// The last segment of which a purge may have been missed, and of which the times are not known; 0: none.
-    pub uncovered: u32,
-    pub undated: u32,
-    /// The wall clock was stepped since the store was last opened: by its times nothing can be compared.
+    /// The last segment whose purges may have been missed, and the last one whose times are unreliable; 0:
+    /// none.
+    pub purges_missed_up_to: u32,
+    pub times_unreliable_up_to: u32,
+    /// The wall clock was stepped since the store was last opened, so earlier times cannot be compared.
     pub clock_stepped: bool,
 }
 
-/// Why a catalogue cannot be used.
+/// Why a catalogue cannot be opened or written.
 #[derive(Debug)]
-pub enum Unusable {
-    /// Written by a program of another version: nothing is touched.
-    Version(u64),
-    /// The system failed a call: it may pass.
+pub enum CatalogueError {
+    /// Written by another version of the program; the directory is not changed.
+    UnsupportedVersion(u64),
+    /// A system call failed; a later attempt may succeed.
     Io(io::Error),
-    Other(String),
+    /// The file is not a valid catalogue.
+    Invalid(String),
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for CatalogueError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unusable::Version(found) => {
+            CatalogueError::UnsupportedVersion(found) => {
                 write!(
                     f,
-                    "the directory is of version {found}, this program reads {VERSION}; it is left as it is"
+                    "directory version {found} is not supported (this program reads version {DIRECTORY_VERSION}); it is left unchanged"
                 )
             }
-            Unusable::Io(error) => write!(f, "{NAME}: {error}"),
-            Unusable::Other(what) => f.write_str(what),
+            CatalogueError::Io(error) => write!(f, "{NAME}: {error}"),
+            CatalogueError::Invalid(message) => f.write_str(message),
         }
     }
 }
 
-fn other(what: impl fmt::Display) -> Unusable {
-    Unusable::Other(format!("{NAME}: {what}"))
+fn invalid(message: impl fmt::Display) -> CatalogueError {
+    CatalogueError::Invalid(format!("{NAME}: {message}"))
 }
 
-/// An error of the embedded store: one of the system may pass, any other says that the file is no catalogue.
-fn failed(what: impl Into<redb::Error>) -> Unusable {
-    match what.into() {
-        redb::Error::Io(error) if !is_damage(&error) => Unusable::Io(error),
-        redb::Error::PreviousIo => Unusable::Io(io::Error::other("an earlier write failed")),
-        error => other(error),
+/// Converts a database error: I/O errors may be transient, all others mean that the file is not a valid
+/// catalogue.
+fn from_redb(error: impl Into<redb::Error>) -> CatalogueError {
+    match error.into() {
+        redb::Error::Io(error) if !is_corruption(&error) => CatalogueError::Io(error),
+        redb::Error::PreviousIo => {
+            CatalogueError::Io(io::Error::other("an earlier write to the catalogue failed"))
+        }
+        error => invalid(error),
     }
 }
 
-fn is_damage(error: &io::Error) -> bool {
+fn is_corruption(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::UnexpectedEof | io::ErrorKind::InvalidData
     )
 }
 
-fn database(backend: impl redb::StorageBackend) -> Result<Database, Unusable> {
+fn open_database(backend: impl redb::StorageBackend) -> Result<Database, CatalogueError> {
     let mut builder = Database::builder();
-    builder.set_cache_size(CACHE);
-    builder.create_with_backend(backend).map_err(failed)
+    builder.set_cache_size(DATABASE_CACHE_BYTES);
+    builder.create_with_backend(backend).map_err(from_redb)
 }
 
-/// What the catalogue's file holds or is to hold, row by row.
+/// The rows of the catalogue, as read from its file or as they will be written to it.
 #[derive(Clone, Debug, Default)]
 struct Rows {
-    store: u64,
-    heard: Option<u64>,
-    uncovered: u32,
-    undated: u32,
+    store_id: u64,
+    confirmed_up_to: Option<u64>,
+    purges_missed_up_to: u32,
+    times_unreliable_up_to: u32,
     clock: Option<BootClock>,
     objects: BTreeMap<u64, u64>,
     folded: BTreeMap<u64, u64>,
@@ -123,46 +129,54 @@
 }
 
 impl Rows {
-    /// Reads a catalogue's file without writing to it: what repairs it needs are made on a copy in memory.
-    fn read(file: &dyn File) -> Result<Rows, Unusable> {
-        let length = file.length().map_err(Unusable::Io)?;
-        if length > FILE_MOST {
-            return Err(other("it is too long"));
+    /// Reads a catalogue's file without writing to it: the database repairs a copy in memory.
+    fn read(file: &dyn File) -> Result<Rows, CatalogueError> {
+        let length = file.length().map_err(CatalogueError::Io)?;
+        if length > MAX_FILE_LEN {
+            return Err(invalid("file is too long"));
         }
-        let bytes = read_exact_at(file, 0, length as usize).map_err(Unusable::Io)?;
+        let bytes = read_exact_at(file, 0, length as usize).map_err(CatalogueError::Io)?;
         let copy = InMemoryBackend::new();
-        copy.set_len(length).map_err(other)?;
-        copy.write(0, &bytes.ok_or_else(|| other("it was cut short"))?)
-            .map_err(other)?;
-        Rows::load(&database(copy)?)
+        copy.set_len(length).map_err(invalid)?;
+        copy.write(
+            0,
+            &bytes.ok_or_else(|| invalid("file was truncated while it was read"))?,
+        )
+        .map_err(invalid)?;
+        Rows::load(&open_database(copy)?)
     }
 
-    fn load(database: &Database) -> Result<Rows, Unusable> {
-        let read = database.begin_read().map_err(failed)?;
-        let about = match read.open_table(ABOUT) {
+    fn load(database: &Database) -> Result<Rows, CatalogueError> {
+        let read = database.begin_read().map_err(from_redb)?;
+        let metadata = match read.open_table(METADATA) {
             Err(TableError::TableDoesNotExist(_)) => {
-                return Err(other("it does not say what it is"));
+                return Err(invalid("the version table is missing"));
             }
-            found => found.map_err(failed)?,
+            found => found.map_err(from_redb)?,
+        };
+        let get = |name: &str| {
+            Ok(metadata
+                .get(name)
+                .map_err(from_redb)?
+                .map(|value| value.value()))
         };
-        let get = |name: &str| Ok(about.get(name).map_err(failed)?.map(|value| value.value()));
         match get("version")? {
-            Some(VERSION) => {}
-            found => return Err(Unusable::Version(found.unwrap_or(0))),
+            Some(DIRECTORY_VERSION) => {}
+            found => return Err(CatalogueError::UnsupportedVersion(found.unwrap_or(0))),
         }
         let boot = get("boot")?.zip(get("unix at boot")?);
         Ok(Rows {
-            store: get("store")?.ok_or_else(|| other("the store's number is missing"))?,
-            heard: get("heard")?,
-            uncovered: get("uncovered")?.unwrap_or(0) as u32,
-            undated: get("undated")?.unwrap_or(0) as u32,
+            store_id: get("store")?.ok_or_else(|| invalid("the store's ID is missing"))?,
+            confirmed_up_to: get("heard")?,
+            purges_missed_up_to: get("uncovered")?.unwrap_or(0) as u32,
+            times_unreliable_up_to: get("undated")?.unwrap_or(0) as u32,
             clock: boot.map(|(boot, unix_at_boot_ms)| BootClock {
                 boot,
                 unix_at_boot_ms,
             }),
-            objects: table(&read, OBJECTS)?,
-            folded: table(&read, FOLDED)?,
-            groups: table(&read, GROUPS)?,
+            objects: read_table(&read, OBJECT_PURGES)?,
+            folded: read_table(&read, FOLDED_PURGES)?,
+            groups: read_table(&read, GROUP_PURGES)?,
         })
     }
 
@@ -174,32 +188,36 @@
                 self.objects.remove(object);
                 self.folded.insert(*slot as u64, *ms);
             }
-            Line::Heard(ms) => self.heard = Some(*ms),
-            Line::Uncovered(segment) => self.uncovered = self.uncovered.max(*segment),
-            Line::Undated(segment) => self.undated = self.undated.max(*segment),
+            Line::ConfirmedUpTo(ms) => self.confirmed_up_to = Some(*ms),
+            Line::PurgesMissedUpTo(segment) => {
+                self.purges_missed_up_to = self.purges_missed_up_to.max(*segment)
+            }
+            Line::TimesUnreliableUpTo(segment) => {
+                self.times_unreliable_up_to = self.times_unreliable_up_to.max(*segment)
+            }
         }
     }
 
-    /// Writes all rows into a new file, durable once this returns.
+    /// Writes all rows to a new file; they are durable once this returns.
     fn write_all(&self, database: &Database) -> Result<(), redb::Error> {
         let write = database.begin_write()?;
         {
-            let mut about = write.open_table(ABOUT)?;
-            about.insert("version", VERSION)?;
-            about.insert("store", self.store)?;
-            about.insert("uncovered", u64::from(self.uncovered))?;
-            about.insert("undated", u64::from(self.undated))?;
-            if let Some(heard) = self.heard {
-                about.insert("heard", heard)?;
+            let mut metadata = write.open_table(METADATA)?;
+            metadata.insert("version", DIRECTORY_VERSION)?;
+            metadata.insert("store", self.store_id)?;
+            metadata.insert("uncovered", u64::from(self.purges_missed_up_to))?;
+            metadata.insert("undated", u64::from(self.times_unreliable_up_to))?;
+            if let Some(heard) = self.confirmed_up_to {
+                metadata.insert("heard", heard)?;
             }
             if let Some(clock) = self.clock {
-                about.insert("boot", clock.boot)?;
-                about.insert("unix at boot", clock.unix_at_boot_ms)?;
+                metadata.insert("boot", clock.boot)?;
+                metadata.insert("unix at boot", clock.unix_at_boot_ms)?;
             }
             for (definition, rows) in [
-                (OBJECTS, &self.objects),
-                (FOLDED, &self.folded),
-                (GROUPS, &self.groups),
+                (OBJECT_PURGES, &self.objects),
+                (FOLDED_PURGES, &self.folded),
+                (GROUP_PURGES, &self.groups),
             ] {
                 let mut table = write.open_table(definition)?;
                 for (key, ms) in rows {
@@ -224,66 +242,66 @@
             .iter()
             .map(|(object, ms)| Mark::Object(*object, *ms));
         Known {
-            store: self.store,
+            store: self.store_id,
             marks: folded.chain(groups).chain(objects).collect(),
-            heard: self.heard,
-            uncovered: self.uncovered,
-            undated: self.undated,
+            heard: self.confirmed_up_to,
+            purges_missed_up_to: self.purges_missed_up_to,
+            times_unreliable_up_to: self.times_unreliable_up_to,
             clock_stepped: false,
         }
     }
 }
 
-fn table(
+fn read_table(
     read: &redb::ReadTransaction,
     definition: TableDefinition<u64, u64>,
-) -> Result<BTreeMap<u64, u64>, Unusable> {
+) -> Result<BTreeMap<u64, u64>, CatalogueError> {
     let table = match read.open_table(definition) {
         Err(TableError::TableDoesNotExist(_)) => return Ok(BTreeMap::new()),
-        found => found.map_err(failed)?,
+        found => found.map_err(from_redb)?,
     };
-    let rows = table.iter().map_err(failed)?;
+    let rows = table.iter().map_err(from_redb)?;
     rows.map(|row| {
         row.map(|(key, ms)| (key.value(), ms.value()))
-            .map_err(failed)
+            .map_err(from_redb)
     })
     .collect()
 }
 
-/// The catalogue of a directory. A file of it is written only by the `Catalogue` that made it, and not again
-/// after a write or a sync of it has failed: what such a file holds on the disk is not known. All rows are then
-/// written to a new file, which takes the old one's name once it is durable.
+/// The catalogue of a directory. A catalogue file is written only by the `Catalogue` that created it, and no
+/// more after a write or sync of it has failed, because its state on disk is then unknown. All rows are then
+/// written to a new file, which replaces the old one once it is durable.
 pub struct Catalogue {
     files: Arc<dyn Files>,
     rows: Rows,
-    /// None: the next write begins a new file.
+    /// `None` if the next write must create a new file.
     database: Option<Database>,
 }
 
 impl Catalogue {
-    /// Opens the catalogue, or begins one with the number `store`. `clock`: how the wall clock stands to the
-    /// machine's own at this start of the program; none, where that is not known or nothing is to be judged by
-    /// it: then an earlier reading stays.
+    /// Opens the catalogue, or creates one with the ID `store_id`. `clock` is the boot clock read at this start
+    /// of the program; `None` if it is unknown or steps of the clock do not matter, which keeps the reading of
+    /// an earlier start.
     ///
     /// # Errors
-    /// `Unusable::Io` may pass: opening can be tried again.
+    /// After `CatalogueError::Io`, opening can be tried again.
     pub fn open(
         files: Arc<dyn Files>,
-        store: u64,
+        store_id: u64,
         clock: Option<BootClock>,
-    ) -> Result<(Catalogue, Known), Unusable> {
-        let names = files.list().map_err(Unusable::Io)?;
+    ) -> Result<(Catalogue, Known), CatalogueError> {
+        let names = files.list().map_err(CatalogueError::Io)?;
         if names.iter().any(|name| name == NAME) {
-            let mut rows = Rows::read(&*files.open(NAME).map_err(Unusable::Io)?)?;
-            // The name may stem from an opening whose sync of the names failed.
-            files.sync_names().map_err(Unusable::Io)?;
+            let mut rows = Rows::read(&*files.open(NAME).map_err(CatalogueError::Io)?)?;
+            // An earlier opening may have created the name without syncing it.
+            files.sync_names().map_err(CatalogueError::Io)?;
             let clock_stepped = rows
                 .clock
                 .zip(clock)
                 .is_some_and(|(then, now)| now.has_stepped_since(then));
             if clock_stepped {
-                // A time by a clock that is no longer kept says nothing.
-                rows.heard = None;
+                // This time was read from the clock before the step and cannot be compared.
+                rows.confirmed_up_to = None;
             }
             let known = Known {
                 clock_stepped,
@@ -300,7 +318,7 @@
             ));
         }
         let rows = Rows {
-            store,
+            store_id,
             clock,
             ..Rows::default()
         };
@@ -314,37 +332,42 @@
         Ok((catalogue, known))
     }
 
-    /// Writes lines down, in their order; once this returns they outlive a crash. After an error they may or
-    /// may not do so, and the next write includes them.
-    pub fn write(&mut self, lines: &[Line]) -> Result<(), Unusable> {
+    /// Writes lines in their order; they are durable once this returns. After an error it is unknown whether
+    /// they are, and the next write includes them again.
+    pub fn write(&mut self, lines: &[Line]) -> Result<(), CatalogueError> {
         lines.iter().for_each(|line| self.rows.apply(line));
         let Some(database) = &self.database else {
             return self.rewrite();
         };
-        let written = append(database, lines, &self.rows).map_err(failed);
+        let written = append(database, lines, &self.rows).map_err(from_redb);
         if written.is_err() {
             self.database = None;
         }
         written
     }
 
-    /// Writes all rows to a new file. It takes its name once it is whole: what a crash or an error leaves of
-    /// it is begun again.
-    fn rewrite(&mut self) -> Result<(), Unusable> {
-        let names = self.files.list().map_err(Unusable::Io)?;
-        if names.iter().any(|name| name == BEGUN) {
-            self.files.remove(BEGUN).map_err(Unusable::Io)?;
+    /// Writes all rows to a new file, which is renamed once it is complete. A partial file that a crash or an
+    /// error left behind is discarded first.
+    fn rewrite(&mut self) -> Result<(), CatalogueError> {
+        let names = self.files.list().map_err(CatalogueError::Io)?;
+        if names.iter().any(|name| name == TEMPORARY_NAME) {
+            self.files
+                .remove(TEMPORARY_NAME)
+                .map_err(CatalogueError::Io)?;
         }
-        let file = self.files.create(BEGUN).map_err(Unusable::Io)?;
-        let database = database(Backend {
+        let file = self
+            .files
+            .create(TEMPORARY_NAME)
+            .map_err(CatalogueError::Io)?;
+        let database = open_database(Backend {
             file,
             failed: AtomicBool::new(false),
         })?;
-        self.rows.write_all(&database).map_err(failed)?;
+        self.rows.write_all(&database).map_err(from_redb)?;
         self.files
-            .rename(BEGUN, NAME)
+            .rename(TEMPORARY_NAME, NAME)
             .and_then(|()| self.files.sync_names())
-            .map_err(Unusable::Io)?;
+            .map_err(CatalogueError::Io)?;
         self.database = Some(database);
         Ok(())
     }
@@ -353,10 +376,10 @@
 fn append(database: &Database, lines: &[Line], rows: &Rows) -> Result<(), redb::Error> {
     let write = database.begin_write()?;
     {
-        let mut about = write.open_table(ABOUT)?;
-        let mut objects = write.open_table(OBJECTS)?;
-        let mut folded = write.open_table(FOLDED)?;
-        let mut groups = write.open_table(GROUPS)?;
+        let mut metadata = write.open_table(METADATA)?;
+        let mut objects = write.open_table(OBJECT_PURGES)?;
+        let mut folded = write.open_table(FOLDED_PURGES)?;
+        let mut groups = write.open_table(GROUP_PURGES)?;
         for line in lines {
             match line {
                 Line::Purge(Mark::Object(object, ms)) => drop(objects.insert(object, ms)?),
@@ -365,29 +388,33 @@
                     objects.remove(object)?;
                     folded.insert(*slot as u64, ms)?;
                 }
-                Line::Heard(ms) => drop(about.insert("heard", ms)?),
-                Line::Uncovered(_) => drop(about.insert("uncovered", u64::from(rows.uncovered))?),
-                Line::Undated(_) => drop(about.insert("undated", u64::from(rows.undated))?),
+                Line::ConfirmedUpTo(ms) => drop(metadata.insert("heard", ms)?),
+                Line::PurgesMissedUpTo(_) => {
+                    drop(metadata.insert("uncovered", u64::from(rows.purges_missed_up_to))?)
+                }
+                Line::TimesUnreliableUpTo(_) => {
+                    drop(metadata.insert("undated", u64::from(rows.times_unreliable_up_to))?)
+                }
             }
         }
     }
     Ok(write.commit()?)
 }
 
-/// The embedded store's file, over the file layer. After a failed write or sync nothing more is written.
+/// The database's file, on the file layer. After a failed write or sync, all later writes are refused.
 struct Backend {
     file: Arc<dyn File>,
     failed: AtomicBool,
 }
 
 impl Backend {
-    fn change(&self, change: impl FnOnce(&dyn File) -> io::Result<()>) -> io::Result<()> {
+    fn modify(&self, operation: impl FnOnce(&dyn File) -> io::Result<()>) -> io::Result<()> {
         if self.failed.load(Ordering::Relaxed) {
-            return Err(io::Error::other("an earlier write failed"));
+            return Err(io::Error::other("an earlier write to the catalogue failed"));
         }
-        let changed = change(&*self.file);
-        self.failed.fetch_or(changed.is_err(), Ordering::Relaxed);
-        changed
+        let result = operation(&*self.file);
+        self.failed.fetch_or(result.is_err(), Ordering::Relaxed);
+        result
     }
 }
 
@@ -402,23 +429,23 @@
         self.file.length()
     }
 
-    fn read(&self, at: u64, out: &mut [u8]) -> io::Result<()> {
-        match self.file.read_at(out, at)? {
+    fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
+        match self.file.read_at(out, offset)? {
             read if read == out.len() => Ok(()),
             _ => Err(io::ErrorKind::UnexpectedEof.into()),
         }
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.change(|file| file.truncate(length))
+        self.modify(|file| file.truncate(length))
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.change(|file| file.sync())
+        self.modify(|file| file.sync())
     }
 
-    fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.change(|file| file.write_at(bytes, at))
+    fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        self.modify(|file| file.write_at(bytes, offset))
     }
 }
 
--- a/crates/store/src/catalogue/tests.rs
+++ b/crates/store/src/catalogue/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::stand_ins::{Disk, Faults};
 
-fn open(disk: &Disk, store: u64) -> Result<(Catalogue, Known), Unusable> {
-    Catalogue::open(Arc::new(disk.clone()), store, None)
+fn open(disk: &Disk, store_id: u64) -> Result<(Catalogue, Known), CatalogueError> {
+    Catalogue::open(Arc::new(disk.clone()), store_id, None)
 }
 
 #[test]
-fn what_was_written_down_is_known_after_a_crash() {
+fn written_lines_survive_a_crash() {
     let disk = Disk::new();
     let (mut catalogue, known) = open(&disk, 77).unwrap();
     assert_eq!((known.store, known.heard), (77, None));
@@ -17,7 +17,7 @@
         ])
         .unwrap();
     catalogue
-        .write(&[Line::Purge(Mark::Folded(1, 5, 10)), Line::Heard(30)])
+        .write(&[Line::Purge(Mark::Folded(1, 5, 10)), Line::ConfirmedUpTo(30)])
         .unwrap();
     drop(catalogue);
     let (_, known) = open(&disk.crashed(1), 5).unwrap();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_crash_at_any_operation_loses_nothing_written_down() {
+fn a_crash_at_any_operation_loses_no_written_line() {
     for crash_at in 1.. {
         let disk = Disk::new();
         disk.set(Faults {
@@ -38,7 +38,7 @@
             while written < 8 {
                 let lines = [
                     Line::Purge(Mark::Object(written, written + 1)),
-                    Line::Heard(written + 1),
+                    Line::ConfirmedUpTo(written + 1),
                 ];
                 if catalogue.write(&lines).is_err() {
                     break;
@@ -51,7 +51,7 @@
             let (_, known) = open(&after, 77).unwrap_or_else(|e| panic!("{crash_at} {seed}: {e}"));
             let heard = known.heard.unwrap_or(0);
             assert!(heard >= written, "{crash_at} {seed}: {heard} of {written}");
-            // A mark stands only with every purge before it.
+            // A confirmation is durable only together with every purge before it.
             assert_eq!(known.marks.len() as u64, heard, "{crash_at} {seed}");
         }
         if written == 8 {
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -1,13 +1,12 @@
-//! The disk tier: what is written, where, what is reclaimed, and what may be served of what an earlier life
-//! left.
+//! The disk tier: what is written and where, what is reclaimed, and which copies of earlier runs may be served.
 //!
-//! Orders go out through `Outlet` and are carried out elsewhere, in their order for one segment; how each
-//! ended comes back by a call. Nothing here waits. A copy on disk is served only if all of this holds: its
-//! record proves whole at the very place that the index names, it is of the part that was asked for, it was
-//! made after the last purge that concerns it, and, where it is from before this start, no purge can have
-//! been missed since it was written.
+//! Operations are sent through `DiskBackend` and run elsewhere, in order for each segment; a completion call
+//! delivers each result. Nothing here blocks. A copy on disk is served only if all of the following hold: its
+//! record verifies at the position that the index names, it is of the requested part, it was made after the
+//! last purge that applies to it, and, if it is from before this start, no purge can have been missed since
+//! it was written.
 
-mod marks;
+mod catalogue_updates;
 mod reclaim;
 mod retry;
 mod serve;
@@ -16,9 +15,9 @@
 mod write;
 
 use super::admission::{Admission, Refusal};
-use super::index::{Index, NoRoom, Spot};
+use super::index::{Index, IndexFull, Spot};
 use super::purges::{Mark, Purges, group_slot};
-use super::segments::{CLASSES, Segments, State, class_of};
+use super::segments::{SIZE_CLASSES, Segments, State, size_class};
 use crate::catalogue::{Known, Line};
 use crate::copy::Copy;
 use crate::format::{
@@ -33,53 +32,54 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Segments kept free, so that a write need not wait for a reclaim.
-const RESERVE: usize = 2;
-/// Fewer segments than this cannot hold one open of each size group and something to reclaim.
+/// Segments kept free, so that writes need not wait for a reclaim.
+const RESERVED_SEGMENTS: usize = 2;
+/// The least number of segments that can hold an open one of each size class and others to reclaim.
 pub const SEGMENTS_LEAST: usize = 8;
-/// A record takes no more of a segment than this share of it.
-const LARGEST_SHARE: u32 = 4;
-/// Bytes of records on their way to the disk, and of copies that wait for their turn to be written.
-const WRITING_MOST: usize = 8 << 20;
-const DEMOTING_MOST: usize = 4 << 20;
-/// Segments of an earlier life read at once; records of a reclaimed one read at once.
-const RECOVERING_MOST: usize = 4;
-const CARRYING_MOST: usize = 4;
-/// Purges that wait to be written down. Past them nothing more is said of how long discovery was heard.
-const UNMARKED_MOST: usize = 65_536;
-/// Unproven parts that were asked for and go first when copies are revalidated.
-const ASKED_MOST: usize = 256;
-const REVALIDATING_MOST: usize = 32;
-/// Buckets of the index looked at in one step of a sweep or of a search for unproven ones.
+/// The least ratio of a segment's size to the length of a record in it.
+const MIN_SEGMENT_TO_RECORD_RATIO: u32 = 4;
+/// Bytes of records being written, and of copies queued for admission to the disk.
+const MAX_PENDING_WRITE_BYTES: usize = 8 << 20;
+const MAX_DEMOTION_QUEUE_BYTES: usize = 4 << 20;
+/// Segments of earlier runs recovered at once, and records of a reclaimed segment read at once.
+const MAX_CONCURRENT_RECOVERIES: usize = 4;
+const MAX_CONCURRENT_CARRIES: usize = 4;
+/// Catalogue lines that wait to be written. If more purges arrive, no further confirmation of discovery is
+/// written in this run.
+const MAX_QUEUED_LINES: usize = 65_536;
+/// Requested parts with unproven copies, which are revalidated first.
+const MAX_REQUESTED_UNPROVEN: usize = 256;
+const MAX_CONCURRENT_REVALIDATIONS: usize = 32;
+/// Buckets of the index examined in one step of a sweep or of a scan for unproven copies.
 const SWEEP_BUCKETS: usize = 256;
-/// Parts asked for lately, by which is known that one is asked for in turn.
-const TURNS_MOST: usize = 4096;
-/// Until a sync that found its mailbox full is tried again.
-const SYNC_AGAIN: Duration = Duration::from_millis(5);
-/// Between two words on how long discovery was heard.
-const HEARD_EVERY: Duration = Duration::from_secs(10);
-/// Purges that could not be written down are tried again after the first of these spans, which doubles with
-/// each failure up to the second; so are files that could not be removed, listed or read.
-const MARK_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+/// Slots for the last requested part of each object, by which sequential reads are detected.
+const SEQUENCE_SLOTS: usize = 4096;
+/// The delay before an operation that met a full queue is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
+/// The interval between confirmations of discovery in the catalogue.
+const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(10);
+/// Shortest and longest backoff before a failed catalogue write is tried again, and before a segment that could
+/// not be removed, listed or read is tried again. The backoff doubles with each failure.
+const CATALOGUE_RETRY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
 const FILE_RETRY: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
-/// A segment that is to be reclaimed goes without being listed after so many failures to list it.
-const LIST_FAILURES_MOST: u32 = 3;
+/// After this many failures to list a segment, it is reclaimed without carrying over any record.
+const MAX_LIST_FAILURES: u32 = 3;
 
-/// Kinds of background work, by their numbers.
+/// Kinds of background work, as indices of the scheduler's kinds.
 const RECLAIM: usize = 0;
 const DEMOTE: usize = 1;
 const REVALIDATE: usize = 2;
 const SCRUB: usize = 3;
 const SWEEP: usize = 4;
-const AHEAD: usize = 5;
+const READ_AHEAD: usize = 5;
 
-/// How the tier is to be, in plain figures.
+/// The settings of the disk tier.
 #[derive(Clone, Debug)]
 pub struct Wanted {
-    /// Of all segments together, and of one.
+    /// The maximum bytes of all segments together, and of one segment.
     pub bytes: u64,
     pub segment: u32,
-    /// Of memory for the index.
+    /// The maximum memory of the index, in bytes.
     pub index: u64,
     pub write_rate: Option<u64>,
     pub write_day: Option<u64>,
@@ -87,14 +87,14 @@
     pub carry: f64,
     pub sync_after: Duration,
     pub sync_bytes: u64,
-    /// What is known at the start names every purge of this long before.
+    /// The first list from discovery contains every purge made within this time before the start.
     pub known_purges: Duration,
-    /// Unproven copies asked for again in a second; 0: they are dropped.
+    /// Unproven copies revalidated per second; 0: unproven copies are dropped.
     pub revalidate: f64,
     pub read_ahead: usize,
     pub scrub: u64,
     pub yield_over: Duration,
-    /// Baseline for measurements: all that comes is admitted and nothing is told apart by rank.
+    /// Baseline for measurements: copies are admitted regardless of rank, and none are carried over.
     pub admit_all: bool,
 }
 
@@ -120,59 +120,62 @@
     }
 }
 
-/// Why an order was not carried out.
+/// Why a disk operation failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The system failed it.
+    /// A system call failed.
     Io(String),
-    /// No room is left on the disk.
+    /// The disk is full.
     Full,
-    /// What was read is not whole, or not what should be there.
+    /// The data read is damaged, missing or misplaced.
     Damaged,
 }
 
-/// What became of a read that somebody waits for.
+/// The result of a read for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fetched {
     Copy(Rc<Copy>),
-    /// It may not be served any more, or is damaged: it never was there for the asker.
+    /// The copy is damaged or may no longer be served; the request treats it as a miss.
     Gone,
     /// The disk failed.
     Failed,
 }
 
-/// Through this the tier acts. An order that answers false was not taken and will not end.
-pub trait Outlet {
-    /// The record at this place. Ends in `Store::read`.
+/// Runs the tier's disk operations and receives its notifications. An operation that returns false was rejected
+/// and will not complete.
+pub trait DiskBackend {
+    /// Reads the record at this position. Completes with `Store::complete_read`.
     fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool;
-    /// What a sealed segment lists. Ends in `Store::listed`.
+    /// Lists the records of a segment. Completes with `Store::complete_list`.
     fn list(&mut self, segment: u32) -> bool;
-    /// What a segment of an earlier life holds; it is sealed on the way. Ends in `Store::recovered`.
+    /// Recovers a segment of an earlier run, sealing it if necessary. Completes with
+    /// `Store::complete_recovery`.
     fn recover(&mut self, segment: u32) -> bool;
-    /// Makes a segment's file. Its failure shows in what is written to it.
-    fn begin(&mut self, segment: u32, class: u32) -> bool;
-    /// Ends in `Store::appended`.
+    /// Creates a segment's file. A failure also fails the later writes to the segment.
+    fn create_segment(&mut self, segment: u32, class: u32) -> bool;
+    /// Writes a record. Completes with `Store::complete_append`.
     fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool;
-    /// Ends in `Store::synced`.
+    /// Syncs a segment. Completes with `Store::complete_sync`.
     fn sync(&mut self, segment: u32, up_to: u32) -> bool;
-    /// Writes the footer and syncs. Ends in `Store::sealed`.
+    /// Writes the footer and syncs. Completes with `Store::complete_seal`.
     fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool;
-    /// Ends in `Store::removed`.
+    /// Removes a segment's file. Completes with `Store::complete_removal`.
     fn remove(&mut self, segment: u32) -> bool;
-    /// Writes lines down, in their order. Ends in `Store::marked`.
-    fn mark(&mut self, lines: Vec<Line>) -> bool;
-    /// What became of a read that `Store::fetch` asked for.
-    fn fetched(&mut self, _ticket: u64, _fetched: Fetched) {}
-    /// Asks the source of this copy whether it still holds; ends in `Store::proven`, `Store::keep` or not at
-    /// all.
+    /// Writes lines to the catalogue, in their order. Completes with `Store::complete_catalogue_write`.
+    fn write_catalogue(&mut self, lines: Vec<Line>) -> bool;
+    /// Delivers the result of a read started with `Store::fetch`.
+    fn read_completed(&mut self, _ticket: u64, _fetched: Fetched) {}
+    /// Requests a revalidation of this copy with its source. Completes with `Store::proven` or `Store::keep`, or
+    /// not at all.
     fn revalidate(&mut self, _copy: &Copy) {}
-    /// This copy outlives a crash from now on.
-    fn outlives(&mut self, _key: Key, _made: u64) {}
-    /// This copy is let go of.
-    fn lets_go(&mut self, _key: Key) {}
+    /// Notifies that this copy is durable.
+    fn copy_durable(&mut self, _key: Key, _made: u64) {}
+    /// Notifies that this copy was dropped.
+    fn copy_dropped(&mut self, _key: Key) {}
 }
 
-/// What happened so far, for operators. `unknown`: parts for which the index had no room.
+/// Counters of the disk tier, for operators. `unknown` counts parts for which the index had no room, `foreign`
+/// segments of other format versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     pub hits: u64,
@@ -204,24 +207,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not opened yet: nothing is known.
+    /// The directory is not open yet.
     Opening,
-    /// What an earlier life left is being read; the rest goes on.
+    /// Segments of earlier runs are being recovered; reads and writes already work.
     Recovering,
     Ready,
-    /// It cannot be used, and why.
+    /// The directory cannot be used, for this reason.
     Refused(String),
 }
 
-enum Purpose {
-    Answer {
+/// Why a record is being read.
+enum ReadPurpose {
+    Request {
         key: Key,
         spot: Spot,
         object: Vec<u8>,
         part: u64,
         group: usize,
     },
-    Ahead {
+    ReadAhead {
         key: Key,
         spot: Spot,
     },
@@ -236,100 +240,104 @@
         key: Key,
         spot: Spot,
     },
-    /// Nobody waits for it any more.
-    Nobody,
+    /// The request that waited for it was cancelled.
+    Cancelled,
 }
 
-struct Writing {
+/// A record being written.
+struct PendingAppend {
     key: Key,
     object: Key,
     spot: Spot,
     carried: bool,
 }
 
-/// The segment that is being reclaimed.
+/// The state of the current reclaim.
 struct Reclaim {
     segment: u32,
-    /// Its state before.
-    was: State,
-    todo: VecDeque<Entry>,
-    /// Reads and writes of what is carried over that are not back yet.
-    open: usize,
-    /// Segments to be synced before the old one goes, once nothing more is carried over.
-    into: Option<HashSet<u32>>,
+    /// The segment's state before, which is restored if it cannot be listed.
+    previous_state: State,
+    to_carry: VecDeque<Entry>,
+    /// Pending operations: the listing, and reads and writes of carried records.
+    in_flight: usize,
+    /// Segments to be synced before this one is removed; known once nothing more is carried over.
+    sync_first: Option<HashSet<u32>>,
     removing: bool,
 }
 
+/// The bytes of a segment that were not synced yet.
 #[derive(Default)]
 struct Unsynced {
     bytes: u64,
     since: Option<Duration>,
-    /// Up to where a sync is under way.
-    under_way: Option<u32>,
+    /// The offset up to which a sync is in flight.
+    in_flight_up_to: Option<u32>,
 }
 
+/// The disk tier.
 pub struct Disk {
-    wanted: Wanted,
+    settings: Wanted,
     phase: Phase,
-    store: u64,
+    store_id: u64,
     start_ms: u64,
     index: Index,
     segments: Segments,
     admission: Admission,
-    /// Of writes and syncs. Reads that requests wait for are judged where requests are decided.
-    writes: Judged,
+    /// Outlier detection for writes and syncs. Reads for requests are judged by the request decisions instead.
+    write_health: Judged,
     counts: Counts,
-    tickets: u64,
-    reads: HashMap<u64, Purpose>,
-    writing: HashMap<u64, Writing>,
-    writing_bytes: usize,
-    demoting: VecDeque<(Rc<Copy>, u8)>,
-    demoting_bytes: usize,
-    /// Of each segment that is written: its records so far, and what of it waits to be synced.
-    written: BTreeMap<u32, (Vec<Entry>, Unsynced)>,
+    last_ticket: u64,
+    pending_reads: HashMap<u64, ReadPurpose>,
+    pending_appends: HashMap<u64, PendingAppend>,
+    pending_append_bytes: usize,
+    demotion_queue: VecDeque<(Rc<Copy>, u8)>,
+    demotion_queue_bytes: usize,
+    /// Records and unsynced bytes of each segment that is not sealed.
+    unsealed: BTreeMap<u32, (Vec<Entry>, Unsynced)>,
     reclaim: Option<Reclaim>,
     reclaim_retry: Retry,
-    /// Segments whose files could not be removed, and such as could not be read: tried again, one at a time.
-    unremoved: VecDeque<u32>,
+    /// Segments whose files could not be removed, and segments that could not be recovered. Both are retried one
+    /// at a time.
+    failed_removals: VecDeque<u32>,
     remove_retry: Retry,
-    removing_again: bool,
-    unread: VecDeque<u32>,
-    read_retry: Retry,
-    reading_again: bool,
-    to_recover: VecDeque<u32>,
-    recovering: usize,
-    /// Purges before this are told by what is known at the start; up to when discovery was heard in earlier
-    /// lives.
-    known_since: u64,
-    heard_before: Option<u64>,
-    /// Segments up to these numbers hold copies of which a purge may have been missed, and copies whose times
-    /// were told by another clock.
-    uncovered: u32,
-    undated: u32,
-    /// The wall clock was set back since an earlier start, by what the caller has found out.
+    retrying_removal: bool,
+    failed_recoveries: VecDeque<u32>,
+    recovery_retry: Retry,
+    retrying_recovery: bool,
+    recovery_queue: VecDeque<u32>,
+    active_recoveries: usize,
+    /// Discovery's first list contains all purges made after this Unix millisecond.
+    purges_known_since: u64,
+    /// The last confirmation of discovery that earlier runs wrote to the catalogue.
+    confirmed_before_start: Option<u64>,
+    /// Segments up to these numbers hold copies whose purges may have been missed, and copies whose times are
+    /// unreliable because the wall clock was stepped.
+    purges_missed_up_to: u32,
+    times_unreliable_up_to: u32,
+    /// The caller has detected that the wall clock was set back since an earlier start.
     earlier_starts_distrusted: bool,
-    unmarked: Vec<Line>,
-    marking: Option<Vec<Line>>,
-    mark_retry: Retry,
-    mark_due: bool,
-    /// A purge could not be written down: of this life no more is said than was.
-    mute: bool,
-    heard: Option<u64>,
-    heard_said: Duration,
-    asked: VecDeque<Key>,
-    seeking: Option<(u8, usize)>,
-    sweep: usize,
-    scrub: usize,
-    /// Of objects by slot: which part was asked for last; and the object lately asked for in turn.
-    turns: Vec<(Key, u64)>,
-    in_turn: Option<(Key, u64)>,
-    work: Scheduler,
+    queued_lines: Vec<Line>,
+    lines_in_flight: Option<Vec<Line>>,
+    catalogue_retry: Retry,
+    catalogue_retry_due: bool,
+    /// A purge could not be queued for the catalogue, so no more confirmations are written in this run.
+    confirmations_stopped: bool,
+    confirmed_up_to: Option<u64>,
+    last_confirmation: Duration,
+    requested_unproven: VecDeque<Key>,
+    unproven_scan: Option<(u8, usize)>,
+    sweep_position: usize,
+    scrub_position: usize,
+    /// The last requested part of each object, by slot, and the part at which the last sequential read stands.
+    last_parts: Vec<(Key, u64)>,
+    sequential_read: Option<(Key, u64)>,
+    scheduler: Scheduler,
 }
 
 impl Disk {
-    /// `start_ms`: the Unix time of this start.
-    pub fn new(wanted: Wanted, now: Duration, start_ms: u64) -> Disk {
-        let most = (wanted.bytes / u64::from(wanted.segment).max(1)) as usize;
+    /// `start_ms` is the Unix time of this start.
+    pub fn new(settings: Wanted, now: Duration, start_ms: u64) -> Disk {
+        let most = (settings.bytes / u64::from(settings.segment).max(1)) as usize;
         let s = Duration::from_secs;
         let kind = |name, priority| Kind {
             name,
@@ -337,8 +345,7 @@
             ..Kind::default()
         };
         let at_once = |n, kind: Kind| Kind { at_once: n, ..kind };
-        // A demotion that waits holds memory, a reclaim that waits holds up writes: both go soon, also under
-        // load.
+        // Waiting demotions hold memory and waiting reclaims block writes, so both have short deadlines.
         let reclaim = Kind {
             deadline: s(1),
             starves: s(5),
@@ -350,11 +357,11 @@
             ..kind("demote", 2)
         };
         let revalidate = Kind {
-            operations: (wanted.revalidate > 0.0).then(|| Rate::a_second(wanted.revalidate)),
-            ..at_once(REVALIDATING_MOST, kind("revalidate", 2))
+            operations: (settings.revalidate > 0.0).then(|| Rate::a_second(settings.revalidate)),
+            ..at_once(MAX_CONCURRENT_REVALIDATIONS, kind("revalidate", 2))
         };
         let scrub = Kind {
-            bytes: (wanted.scrub > 0).then(|| Rate::a_second(wanted.scrub as f64)),
+            bytes: (settings.scrub > 0).then(|| Rate::a_second(settings.scrub as f64)),
             starves: Duration::MAX / 4,
             ..at_once(1, kind("scrub", 0))
         };
@@ -370,50 +377,55 @@
         let kinds = vec![reclaim, demote, revalidate, scrub, sweep, ahead];
         Disk {
             phase: Phase::Opening,
-            store: 0,
+            store_id: 0,
             start_ms,
-            index: Index::new(wanted.index),
-            segments: Segments::new(wanted.segment, most),
-            admission: Admission::new(wanted.write_rate, wanted.write_day, wanted.least_fresh, now),
-            writes: Judged::default(),
+            index: Index::new(settings.index),
+            segments: Segments::new(settings.segment, most),
+            admission: Admission::new(
+                settings.write_rate,
+                settings.write_day,
+                settings.least_fresh,
+                now,
+            ),
+            write_health: Judged::default(),
             counts: Counts::default(),
-            tickets: 0,
-            reads: HashMap::new(),
-            writing: HashMap::new(),
-            writing_bytes: 0,
-            demoting: VecDeque::new(),
-            demoting_bytes: 0,
-            written: BTreeMap::new(),
+            last_ticket: 0,
+            pending_reads: HashMap::new(),
+            pending_appends: HashMap::new(),
+            pending_append_bytes: 0,
+            demotion_queue: VecDeque::new(),
+            demotion_queue_bytes: 0,
+            unsealed: BTreeMap::new(),
             reclaim: None,
             reclaim_retry: Retry::new(FILE_RETRY),
-            unremoved: VecDeque::new(),
+            failed_removals: VecDeque::new(),
             remove_retry: Retry::new(FILE_RETRY),
-            removing_again: false,
-            unread: VecDeque::new(),
-            read_retry: Retry::new(FILE_RETRY),
-            reading_again: false,
-            to_recover: VecDeque::new(),
-            recovering: 0,
-            known_since: start_ms.saturating_sub(wanted.known_purges.as_millis() as u64),
-            heard_before: None,
-            uncovered: 0,
-            undated: 0,
+            retrying_removal: false,
+            failed_recoveries: VecDeque::new(),
+            recovery_retry: Retry::new(FILE_RETRY),
+            retrying_recovery: false,
+            recovery_queue: VecDeque::new(),
+            active_recoveries: 0,
+            purges_known_since: start_ms.saturating_sub(settings.known_purges.as_millis() as u64),
+            confirmed_before_start: None,
+            purges_missed_up_to: 0,
+            times_unreliable_up_to: 0,
             earlier_starts_distrusted: false,
-            unmarked: Vec::new(),
-            marking: None,
-            mark_retry: Retry::new(MARK_RETRY),
-            mark_due: false,
-            mute: false,
-            heard: None,
-            heard_said: now,
-            asked: VecDeque::new(),
-            seeking: None,
-            sweep: 0,
-            scrub: 0,
-            turns: vec![(0, 0); TURNS_MOST],
-            in_turn: None,
-            work: Scheduler::new(kinds, wanted.yield_over),
-            wanted,
+            queued_lines: Vec::new(),
+            lines_in_flight: None,
+            catalogue_retry: Retry::new(CATALOGUE_RETRY),
+            catalogue_retry_due: false,
+            confirmations_stopped: false,
+            confirmed_up_to: None,
+            last_confirmation: now,
+            requested_unproven: VecDeque::new(),
+            unproven_scan: None,
+            sweep_position: 0,
+            scrub_position: 0,
+            last_parts: vec![(0, 0); SEQUENCE_SLOTS],
+            sequential_read: None,
+            scheduler: Scheduler::new(kinds, settings.yield_over),
+            settings,
         }
     }
 
@@ -438,35 +450,35 @@
     }
 
     pub fn is_set_aside(&self) -> bool {
-        self.writes.is_aside()
+        self.write_health.is_aside()
     }
 
     pub fn work(&self) -> impl Iterator<Item = (&'static str, usize, usize, Done)> {
-        self.work.report()
+        self.scheduler.report()
     }
 
-    /// Nothing is on its way to the disk or waits for it.
+    /// Whether no writes to the disk are queued or in flight.
     pub fn is_quiet(&self) -> bool {
-        self.writing.is_empty()
-            && self.demoting.is_empty()
-            && self.unmarked.is_empty()
-            && self.marking.is_none()
+        self.pending_appends.is_empty()
+            && self.demotion_queue.is_empty()
+            && self.queued_lines.is_empty()
+            && self.lines_in_flight.is_none()
             && self.reclaim.is_none()
             && self
-                .written
+                .unsealed
                 .values()
-                .all(|(_, unsynced)| unsynced.bytes == 0 && unsynced.under_way.is_none())
+                .all(|(_, unsynced)| unsynced.bytes == 0 && unsynced.in_flight_up_to.is_none())
     }
 
-    /// What waits here of memory: copies and records on their way.
+    /// The memory of the index, of queued copies and of records being written.
     pub fn bytes(&self) -> u64 {
-        (self.demoting_bytes + self.writing_bytes) as u64 + self.index.bytes()
+        (self.demotion_queue_bytes + self.pending_append_bytes) as u64 + self.index.bytes()
     }
 
-    /// Seals what is open, so that the next start is quick. Done when `is_quiet`.
-    pub fn close(&mut self, now: Duration, out: &mut dyn Outlet) {
-        (self.demoting, self.demoting_bytes) = (VecDeque::new(), 0);
-        (0..CLASSES).for_each(|class| self.seal(class, out));
-        self.say_heard(now, out);
+    /// Seals the open segments, so that the next start need not scan them. Completed once `is_quiet`.
+    pub fn close(&mut self, now: Duration, backend: &mut dyn DiskBackend) {
+        (self.demotion_queue, self.demotion_queue_bytes) = (VecDeque::new(), 0);
+        (0..SIZE_CLASSES).for_each(|class| self.seal(class, backend));
+        self.write_confirmation(now, backend);
     }
 }
--- a/crates/store/src/decide/disk/reclaim.rs
+++ b/crates/store/src/decide/disk/reclaim.rs
@@ -1,56 +1,59 @@
-//! Reclaiming a segment: what of it is carried over, and when it goes.
+//! Reclaims segments: carries the most valuable records over to open segments, then removes the file.
 
 use super::*;
 
 impl Disk {
-    pub(super) fn begin_reclaim(&mut self, now: Duration, out: &mut dyn Outlet) {
-        let victim = self.segments.victim(now).filter(|_| self.reclaim.is_none());
-        let Some(segment) = victim.filter(|segment| out.list(*segment)) else {
-            return self.work.done(RECLAIM, Cost::default());
+    pub(super) fn start_reclaim(&mut self, now: Duration, backend: &mut dyn DiskBackend) {
+        let victim = self
+            .segments
+            .select_victim(now)
+            .filter(|_| self.reclaim.is_none());
+        let Some(segment) = victim.filter(|segment| backend.list(*segment)) else {
+            return self.scheduler.done(RECLAIM, Cost::default());
         };
-        let was = self
+        let previous_state = self
             .segments
             .get(segment)
             .map_or(State::Failed, |found| found.state);
-        self.segments.set(segment, State::Reclaimed);
-        let (todo, into) = (VecDeque::new(), None);
+        self.segments.set_state(segment, State::Reclaiming);
+        let (to_carry, sync_first) = (VecDeque::new(), None);
         self.reclaim = Some(Reclaim {
             segment,
-            was,
-            todo,
-            open: 1,
-            into,
+            previous_state,
+            to_carry,
+            in_flight: 1,
+            sync_first,
             removing: false,
         });
     }
 
-    /// What the segment that is reclaimed lists. The best of what is still wanted is carried over, within a
-    /// share of what is admitted; the rest goes with it.
-    pub fn listed(
+    /// Selects the records of the reclaimed segment to carry over: those that are still valid and were read or
+    /// have the highest rank, up to a share of the admitted bytes. The others are dropped.
+    pub fn complete_list(
         &mut self,
         now: Duration,
         segment: u32,
         result: Result<Vec<Entry>, Fault>,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         let Some(mut reclaim) = self.reclaim.take_if(|reclaim| reclaim.segment == segment) else {
             return;
         };
         if matches!(result, Err(Fault::Io(_) | Fault::Full)) {
             self.reclaim_retry.failed();
-            if self.reclaim_retry.failures() < LIST_FAILURES_MOST {
-                // What it holds may outlive the trouble: it stays, and is listed again later.
+            if self.reclaim_retry.failures() < MAX_LIST_FAILURES {
+                // The error may be transient: the segment is kept, and listed again later.
                 self.counts.read_faults += 1;
-                self.segments.set(segment, reclaim.was);
-                return self.work.done(RECLAIM, Cost::default());
+                self.segments.set_state(segment, reclaim.previous_state);
+                return self.scheduler.done(RECLAIM, Cost::default());
             }
         }
         self.reclaim_retry.succeeded();
-        reclaim.open -= 1;
-        let mut wanted = Vec::new();
+        reclaim.in_flight -= 1;
+        let mut candidates = Vec::new();
         for entry in result.unwrap_or_default() {
-            if !self.leads_to(entry.key, segment, entry.at) {
+            if !self.index_refers_to(entry.key, segment, entry.at) {
                 continue;
             }
             let spot = self.index.get(entry.key).filter(|spot| {
@@ -59,76 +62,76 @@
                     && purges.survives(entry.object, group, spot.made)
                     && (spot.heat > 0 || spot.rank > 2)
             });
-            match spot.filter(|_| !self.wanted.admit_all && self.writes.sound(now)) {
-                Some(spot) => wanted.push(((spot.heat > 0, spot.rank, spot.heat), entry)),
-                None => self.forget(entry.key, out),
+            match spot.filter(|_| !self.settings.admit_all && self.write_health.sound(now)) {
+                Some(spot) => candidates.push(((spot.heat > 0, spot.rank, spot.heat), entry)),
+                None => self.forget(entry.key, backend),
             }
         }
-        wanted.sort_by_key(|(worth, _)| std::cmp::Reverse(*worth));
-        for (_, entry) in wanted {
+        candidates.sort_by_key(|(value, _)| std::cmp::Reverse(*value));
+        for (_, entry) in candidates {
             if self
                 .admission
-                .carries(now, entry.length as usize, self.wanted.carry)
+                .admits_carry(now, entry.length as usize, self.settings.carry)
             {
-                reclaim.todo.push_back(entry);
+                reclaim.to_carry.push_back(entry);
             } else {
-                self.forget(entry.key, out);
+                self.forget(entry.key, backend);
             }
         }
         self.reclaim = Some(reclaim);
-        self.reclaim_on(now, out);
+        self.continue_reclaim(now, backend);
     }
 
-    pub(super) fn carried(
+    pub(super) fn complete_carry(
         &mut self,
         now: Duration,
         entry: Entry,
         result: Result<(Copy, u8), Fault>,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         let segment = self.reclaim.as_ref().map_or(0, |reclaim| reclaim.segment);
         let spot = self
             .index
             .get(entry.key)
             .filter(|spot| (spot.segment, spot.at) == (segment, entry.at));
-        let good =
+        let valid =
             spot.filter(|spot| purges.survives(entry.object, spot.group as usize, spot.made));
-        let written = match (result, good) {
-            (Ok((copy, _)), Some(spot)) if self.may_write(now, entry.length as usize) => {
+        let written = match (result, valid) {
+            (Ok((copy, _)), Some(spot)) if self.can_write(now, entry.length as usize) => {
                 let copy = Copy {
                     made: spot.made,
                     ..copy
                 };
-                self.write(now, &copy, spot.rank, true, out)
+                self.append_record(now, &copy, spot.rank, true, backend)
             }
             _ => None,
         };
         match (written, &mut self.reclaim) {
-            // Its place is taken by what was read when it is written.
+            // The pending append takes over the read's place among the operations in flight.
             (Some(_), Some(_)) => {}
             _ => {
-                self.forget_at(entry.key, segment, entry.at, out);
-                self.carry_back(now, out);
+                self.forget_at(entry.key, segment, entry.at, backend);
+                self.carry_ended(now, backend);
             }
         }
     }
 
-    pub(super) fn carry_back(&mut self, now: Duration, out: &mut dyn Outlet) {
+    pub(super) fn carry_ended(&mut self, now: Duration, backend: &mut dyn DiskBackend) {
         if let Some(reclaim) = &mut self.reclaim {
-            reclaim.open = reclaim.open.saturating_sub(1);
+            reclaim.in_flight = reclaim.in_flight.saturating_sub(1);
         }
-        self.reclaim_on(now, out);
+        self.continue_reclaim(now, backend);
     }
 
-    /// Goes on with the reclaim: reads what is carried over, syncs it where it is now, then removes the
-    /// segment.
-    pub(super) fn reclaim_on(&mut self, now: Duration, out: &mut dyn Outlet) {
+    /// Continues the reclaim: reads the records to carry over, syncs the segments that they were written to,
+    /// then removes the reclaimed segment.
+    pub(super) fn continue_reclaim(&mut self, now: Duration, backend: &mut dyn DiskBackend) {
         let Some(mut reclaim) = self.reclaim.take() else {
             return;
         };
-        while reclaim.open < CARRYING_MOST {
-            let Some(entry) = reclaim.todo.pop_front() else {
+        while reclaim.in_flight < MAX_CONCURRENT_CARRIES {
+            let Some(entry) = reclaim.to_carry.pop_front() else {
                 break;
             };
             let Some(spot) = self
@@ -139,56 +142,56 @@
                 continue;
             };
             if self
-                .order_read(spot, Purpose::Carry { entry }, out)
+                .start_read(spot, ReadPurpose::Carry { entry }, backend)
                 .is_none()
             {
-                reclaim.todo.push_front(entry);
+                reclaim.to_carry.push_front(entry);
                 break;
             }
-            reclaim.open += 1;
+            reclaim.in_flight += 1;
         }
-        if reclaim.open == 0 && reclaim.todo.is_empty() {
-            // What was synced there must outlive a crash here, before it goes there: what was carried over, and
-            // what has replaced a copy there.
+        if reclaim.in_flight == 0 && reclaim.to_carry.is_empty() {
+            // A copy that was durable in this segment must be durable elsewhere before the segment is removed:
+            // both carried records and newer copies that replaced records of this segment.
             let all = || {
                 let unsynced = self
-                    .written
+                    .unsealed
                     .iter()
                     .filter(|(_, (_, unsynced))| unsynced.bytes > 0);
                 unsynced.map(|(segment, _)| *segment).collect()
             };
-            let into: &mut HashSet<u32> = reclaim.into.get_or_insert_with(all);
-            into.retain(|into| {
+            let sync_first: &mut HashSet<u32> = reclaim.sync_first.get_or_insert_with(all);
+            sync_first.retain(|segment| {
                 let unsynced = self
-                    .written
-                    .get(into)
-                    .is_some_and(|(_, u)| u.bytes > 0 || u.under_way.is_some());
+                    .unsealed
+                    .get(segment)
+                    .is_some_and(|(_, u)| u.bytes > 0 || u.in_flight_up_to.is_some());
                 unsynced
-                    && self.segments.get(*into).is_some_and(|s| {
+                    && self.segments.get(*segment).is_some_and(|s| {
                         matches!(s.state, State::Open | State::Sealing | State::Failed)
                     })
             });
-            if !into.is_empty() {
-                self.sync(now, out, true);
+            if !sync_first.is_empty() {
+                self.sync(now, backend, true);
             } else if !reclaim.removing {
-                reclaim.removing = out.remove(reclaim.segment);
+                reclaim.removing = backend.remove(reclaim.segment);
                 if reclaim.removing {
-                    self.segments.set(reclaim.segment, State::Removing);
+                    self.segments.set_state(reclaim.segment, State::Removing);
                 }
             }
         }
         self.reclaim = Some(reclaim);
     }
 
-    pub fn removed(
+    pub fn complete_removal(
         &mut self,
         now: Duration,
         segment: u32,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        if self.removing_again && self.unremoved.front() == Some(&segment) {
-            return self.removed_again(result);
+        if self.retrying_removal && self.failed_removals.front() == Some(&segment) {
+            return self.complete_removal_retry(result);
         }
         if self
             .reclaim
@@ -197,39 +200,40 @@
         {
             return;
         }
-        let gone = self.segments.get(segment).map_or(0, |s| s.end);
-        self.work.done(
+        let removed_bytes = self.segments.get(segment).map_or(0, |s| s.end);
+        self.scheduler.done(
             RECLAIM,
             Cost {
-                bytes: f64::from(gone),
+                bytes: f64::from(removed_bytes),
                 operations: 1.0,
                 core: 0.0,
             },
         );
-        self.written.remove(&segment);
-        self.segments.removed(segment);
+        self.unsealed.remove(&segment);
+        self.segments.remove_segment(segment);
         match result {
             Ok(()) => self.counts.reclaimed += 1,
-            // Its file may still be there: nothing leads to it, and it takes its place until it is removed.
+            // The file may still exist. Nothing refers to it, but it takes up space, so one segment fewer is
+            // allowed until it is removed.
             Err(_) => {
                 self.counts.write_faults += 1;
                 self.segments.most = self.segments.most.saturating_sub(1);
-                self.unremoved.push_back(segment);
+                self.failed_removals.push_back(segment);
                 self.remove_retry.failed();
             }
         }
-        self.reclaim_on(now, out);
+        self.continue_reclaim(now, backend);
     }
 
-    /// A removal that had failed was tried again.
-    fn removed_again(&mut self, result: Result<(), Fault>) {
-        self.removing_again = false;
+    /// Handles the result of a retried removal.
+    fn complete_removal_retry(&mut self, result: Result<(), Fault>) {
+        self.retrying_removal = false;
         if result.is_err() {
             self.remove_retry.failed();
-            // Another one goes first next time.
-            return self.unremoved.rotate_left(1);
+            // The next retry is for another segment.
+            return self.failed_removals.rotate_left(1);
         }
-        self.unremoved.pop_front();
+        self.failed_removals.pop_front();
         self.remove_retry.succeeded();
         self.segments.most += 1;
         self.counts.reclaimed += 1;
--- a/crates/store/src/decide/disk/retry.rs
+++ b/crates/store/src/decide/disk/retry.rs
@@ -1,28 +1,28 @@
-//! Backoff for work on the disk that failed.
+//! Exponential backoff for failed disk operations.
 
 use std::time::Duration;
 
-/// When work that failed is tried again: after a first span that doubles with each failure, up to a longest.
+/// When a failed operation is retried: after a delay that doubles with each failure, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Retry {
     first: Duration,
-    longest: Duration,
+    max_delay: Duration,
     failures: u32,
-    /// None after a failure: the next look at the clock sets it.
+    /// `None` after a failure, until `is_due` sets it with the current time.
     due: Option<Duration>,
 }
 
 impl Retry {
-    pub fn new((first, longest): (Duration, Duration)) -> Retry {
+    pub fn new((first, max_delay): (Duration, Duration)) -> Retry {
         Retry {
             first,
-            longest,
+            max_delay,
             failures: 0,
             due: None,
         }
     }
 
-    /// Failures in a row.
+    /// The number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
@@ -36,17 +36,18 @@
         (self.failures, self.due) = (0, None);
     }
 
-    /// It may be tried now.
+    /// Whether the operation may be tried now.
     pub fn is_due(&mut self, now: Duration) -> bool {
         if self.failures == 0 {
             return true;
         }
         let doublings = (self.failures - 1).min(16);
-        let span = (self.first * (1 << doublings)).min(self.longest);
-        now >= *self.due.get_or_insert(now + span)
+        let delay = (self.first * (1 << doublings)).min(self.max_delay);
+        now >= *self.due.get_or_insert(now + delay)
     }
 
-    /// When it may be tried again; none: it has not failed.
+    /// When it may be tried again. `None` if the last attempt succeeded or `is_due` was not called since the
+    /// failure.
     pub fn due(&self) -> Option<Duration> {
         self.due
     }
--- a/crates/store/src/decide/disk/serve.rs
+++ b/crates/store/src/decide/disk/serve.rs
@@ -1,26 +1,31 @@
-//! What is found and read for requests, and what is read ahead.
+//! Lookups and reads for requests, and read-ahead.
 
 use super::*;
 
 impl Disk {
-    /// Where a part is that may be served.
+    /// The position of a part's copy, if the copy may be served.
     pub fn find(&mut self, key: Key, object: Key, group: usize, purges: &Purges) -> Option<Spot> {
         let spot = self.index.get(key)?;
-        // What leads to a segment that has gone leads nowhere.
-        let there = self
+        // Entries of removed segments may remain until the next sweep.
+        let segment_exists = self
             .segments
             .get(spot.segment)
             .is_some_and(|s| s.state != State::Removing);
-        let sound = there
+        let valid = segment_exists
             && purges.survives(object, spot.group as usize, spot.made)
             && purges.survives(object, group, spot.made);
-        if sound && !spot.proven && self.asked.len() < ASKED_MOST && !self.asked.contains(&key) {
-            self.asked.push_back(key);
+        if valid
+            && !spot.proven
+            && self.requested_unproven.len() < MAX_REQUESTED_UNPROVEN
+            && !self.requested_unproven.contains(&key)
+        {
+            self.requested_unproven.push_back(key);
         }
-        (sound && spot.proven).then_some(spot)
+        (valid && spot.proven).then_some(spot)
     }
 
-    /// Reads a part for a request; ends in `Outlet::fetched`. None: not taken.
+    /// Starts reading a part for a request. Completes with `DiskBackend::read_completed`. `None` if the read
+    /// queue is full.
     pub fn fetch(
         &mut self,
         key: Key,
@@ -28,89 +33,89 @@
         object: &[u8],
         part: u64,
         group: usize,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) -> Option<u64> {
-        let purpose = Purpose::Answer {
+        let purpose = ReadPurpose::Request {
             key,
             spot,
             object: object.to_vec(),
             part,
             group,
         };
-        self.order_read(spot, purpose, out)
+        self.start_read(spot, purpose, backend)
     }
 
-    pub(super) fn order_read(
+    pub(super) fn start_read(
         &mut self,
         spot: Spot,
-        purpose: Purpose,
-        out: &mut dyn Outlet,
+        purpose: ReadPurpose,
+        backend: &mut dyn DiskBackend,
     ) -> Option<u64> {
-        let ticket = self.tickets + 1;
-        if !out.read(ticket, spot.segment, spot.at, spot.length) {
+        let ticket = self.last_ticket + 1;
+        if !backend.read(ticket, spot.segment, spot.at, spot.length) {
             return None;
         }
-        self.tickets = ticket;
-        self.reads.insert(ticket, purpose);
+        self.last_ticket = ticket;
+        self.pending_reads.insert(ticket, purpose);
         Some(ticket)
     }
 
-    /// Nobody waits for this read any more.
+    /// Cancels a read: its result is discarded.
     pub fn leave(&mut self, ticket: u64) {
-        self.reads
+        self.pending_reads
             .get_mut(&ticket)
             .into_iter()
-            .for_each(|purpose| *purpose = Purpose::Nobody);
+            .for_each(|purpose| *purpose = ReadPurpose::Cancelled);
     }
 
-    /// A read has ended. Returned is what goes to memory, and at which rank.
-    pub fn read(
+    /// Handles the result of a read. Returns the copy to keep in memory, with its rank.
+    pub fn complete_read(
         &mut self,
         now: Duration,
         ticket: u64,
         result: Result<(Copy, u8), Fault>,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) -> Option<(Rc<Copy>, u8)> {
-        let purpose = self.reads.remove(&ticket)?;
+        let purpose = self.pending_reads.remove(&ticket)?;
         self.counts.read_faults += u64::from(matches!(result, Err(Fault::Io(_) | Fault::Full)));
         let damaged = matches!(result, Err(Fault::Damaged));
-        let mut settle = |disk: &mut Disk, key: Key, spot: &Spot| {
-            if damaged && disk.leads_to(key, spot.segment, spot.at) {
+        let mut drop_if_damaged = |disk: &mut Disk, key: Key, spot: &Spot| {
+            if damaged && disk.index_refers_to(key, spot.segment, spot.at) {
                 disk.counts.damaged += 1;
-                disk.forget(key, out);
+                disk.forget(key, backend);
             }
         };
         match purpose {
-            Purpose::Answer {
+            ReadPurpose::Request {
                 key,
                 spot,
                 object,
                 part,
                 group,
             } => {
-                settle(self, key, &spot);
+                drop_if_damaged(self, key, &spot);
                 let fetched = match result {
                     Ok((copy, rank)) => {
-                        // Purged or replaced while it was read: it must not be served any more.
+                        // A copy that was purged or replaced while it was read must not be served.
                         let current = self
                             .index
                             .get(key)
                             .filter(|c| (c.segment, c.at) == (spot.segment, spot.at));
                         let object_key = key::object(&object);
-                        let good = current.filter(|current| {
+                        let valid = current.filter(|current| {
                             current.proven
                                 && *copy.object == *object
                                 && copy.part == part
                                 && purges.survives(object_key, current.group as usize, current.made)
                                 && purges.survives(object_key, group, current.made)
                         });
-                        good.map_or((Fetched::Gone, None), |current| {
+                        valid.map_or((Fetched::Gone, None), |current| {
                             let copy = Rc::new(Copy {
                                 made: current.made,
                                 ..copy
                             });
-                            self.hit(now, key, &current, &copy);
+                            self.record_hit(now, key, &current, &copy);
                             (
                                 Fetched::Copy(copy.clone()),
                                 Some((copy, rank.max(current.rank))),
@@ -120,13 +125,13 @@
                     Err(Fault::Damaged) => (Fetched::Gone, None),
                     Err(_) => (Fetched::Failed, None),
                 };
-                out.fetched(ticket, fetched.0);
+                backend.read_completed(ticket, fetched.0);
                 fetched.1
             }
-            Purpose::Ahead { key, spot } => {
-                settle(self, key, &spot);
-                self.work.done(
-                    AHEAD,
+            ReadPurpose::ReadAhead { key, spot } => {
+                drop_if_damaged(self, key, &spot);
+                self.scheduler.done(
+                    READ_AHEAD,
                     Cost {
                         bytes: f64::from(spot.length),
                         operations: 1.0,
@@ -134,10 +139,10 @@
                     },
                 );
                 let (copy, rank) = result.ok()?;
-                let good = self.leads_to(key, spot.segment, spot.at)
+                let valid = self.index_refers_to(key, spot.segment, spot.at)
                     && purges.survives(key::object(&copy.object), spot.group as usize, spot.made);
-                self.counts.read_ahead += u64::from(good);
-                good.then(|| {
+                self.counts.read_ahead += u64::from(valid);
+                valid.then(|| {
                     (
                         Rc::new(Copy {
                             made: spot.made,
@@ -147,10 +152,10 @@
                     )
                 })
             }
-            Purpose::Scrub { key, spot } => {
-                settle(self, key, &spot);
+            ReadPurpose::Scrub { key, spot } => {
+                drop_if_damaged(self, key, &spot);
                 self.counts.scrubbed += 1;
-                self.work.done(
+                self.scheduler.done(
                     SCRUB,
                     Cost {
                         bytes: f64::from(spot.length),
@@ -159,9 +164,9 @@
                 );
                 None
             }
-            Purpose::Revalidate { key, spot } => {
-                settle(self, key, &spot);
-                self.work.done(
+            ReadPurpose::Revalidate { key, spot } => {
+                drop_if_damaged(self, key, &spot);
+                self.scheduler.done(
                     REVALIDATE,
                     Cost {
                         operations: 1.0,
@@ -169,47 +174,47 @@
                     },
                 );
                 match result {
-                    Ok((copy, _)) if self.leads_to(key, spot.segment, spot.at) => {
-                        out.revalidate(&copy)
+                    Ok((copy, _)) if self.index_refers_to(key, spot.segment, spot.at) => {
+                        backend.revalidate(&copy)
                     }
-                    _ => self.forget_at(key, spot.segment, spot.at, out),
+                    _ => self.forget_at(key, spot.segment, spot.at, backend),
                 }
                 None
             }
-            Purpose::Carry { entry } => {
-                self.carried(now, entry, result, purges, out);
+            ReadPurpose::Carry { entry } => {
+                self.complete_carry(now, entry, result, purges, backend);
                 None
             }
-            Purpose::Nobody => None,
+            ReadPurpose::Cancelled => None,
         }
     }
 
-    pub(super) fn hit(&mut self, now: Duration, key: Key, spot: &Spot, copy: &Copy) {
+    pub(super) fn record_hit(&mut self, now: Duration, key: Key, spot: &Spot, copy: &Copy) {
         self.counts.hits += 1;
         self.counts.hit_bytes += copy.body.len() as u64;
         self.index
-            .change(key, |spot| spot.heat = (spot.heat + 1).min(3));
-        self.segments.used(spot.segment, now);
+            .update(key, |spot| spot.heat = (spot.heat + 1).min(3));
+        self.segments.touch(spot.segment, now);
     }
 
-    /// A further sighting sets the rank anew.
+    /// Changes a part's rank after another request for it.
     pub fn rank(&mut self, key: Key, rank: u8) {
-        self.index.change(key, |spot| spot.rank = rank);
+        self.index.update(key, |spot| spot.rank = rank);
     }
 
-    /// A part was asked for; where that is in turn, those after it are read ahead, as far as they are here
-    /// and not in memory already.
+    /// Records a request for a part. If parts are requested in sequence, the following ones are read ahead,
+    /// unless they are already in memory.
     pub fn sighted(&mut self, now: Duration, object: Key, part: u64) {
-        if self.wanted.read_ahead == 0 {
+        if self.settings.read_ahead == 0 {
             return;
         }
-        let last = &mut self.turns[key::slot(object, TURNS_MOST)];
+        let last = &mut self.last_parts[key::slot(object, SEQUENCE_SLOTS)];
         let before = std::mem::replace(last, (object, part));
         if before.0 == object && before.1.checked_add(1) == Some(part) {
-            self.in_turn = Some((object, part));
-            self.work.offer(
+            self.sequential_read = Some((object, part));
+            self.scheduler.offer(
                 now,
-                AHEAD,
+                READ_AHEAD,
                 Cost {
                     operations: 1.0,
                     ..Cost::default()
--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -1,175 +1,190 @@
-//! The start, and what an earlier life left: which of it may be served.
+//! Start and recovery: which copies of earlier runs may be served.
 
 use super::*;
 
 impl Disk {
-    /// The directory is open: what its catalogue says, and which segments there are.
-    pub fn opened(
+    /// The directory is open: applies the catalogue's contents and starts to recover the segments.
+    pub fn complete_open(
         &mut self,
         known: &Known,
         segments: Vec<u32>,
         purges: &mut Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        self.store = known.store;
+        self.store_id = known.store;
         known.marks.iter().for_each(|mark| purges.restore(*mark));
-        self.heard_before = known.heard;
-        (self.uncovered, self.undated) = (known.uncovered, known.undated);
+        self.confirmed_before_start = known.heard;
+        (self.purges_missed_up_to, self.times_unreliable_up_to) =
+            (known.purges_missed_up_to, known.times_unreliable_up_to);
         let mut segments = segments;
         segments.sort_unstable();
         if let Some(last) = segments.last().copied() {
-            self.segments.number_from(last);
+            self.segments.reserve_numbers_up_to(last);
             self.limit_trust(known, last);
         }
-        // The newest first: what was written last was wanted last.
-        self.to_recover = segments.into_iter().rev().collect();
+        // Newest first: the latest copies are the most likely to be requested.
+        self.recovery_queue = segments.into_iter().rev().collect();
         self.phase = Phase::Recovering;
-        self.recover(out);
+        self.recover(backend);
     }
 
-    /// The wall clock was set back since an earlier start: of what that left nothing is served unproven. To be
-    /// called before `opened`.
+    /// The wall clock was set back since an earlier start: all copies of earlier runs must be revalidated. To be
+    /// called before `complete_open`.
     pub fn distrust_earlier_starts(&mut self) {
         self.earlier_starts_distrusted = true;
     }
 
-    /// Writes down, before any word of this life on discovery, up to which segment what that word says does
-    /// not count: purges were missed in a gap before this start, or times were told by another clock.
+    /// Queues, before any confirmation of this run, up to which segment such confirmations do not apply, because
+    /// purges may have been missed before this start or times were read from a clock that was stepped.
     fn limit_trust(&mut self, known: &Known, last: u32) {
-        // A clock that was stepped says neither how old a copy is nor what happened meanwhile.
-        let heard_in_the_future = known.heard.is_some_and(|heard| heard > self.start_ms);
-        if self.earlier_starts_distrusted || known.clock_stepped || heard_in_the_future {
-            self.undated = self.undated.max(last);
-            self.unmarked.insert(0, Line::Undated(last));
+        // After a step of the clock, neither the age of copies nor the length of the gap is known.
+        let is_confirmation_in_future = known
+            .heard
+            .is_some_and(|confirmed| confirmed > self.start_ms);
+        if self.earlier_starts_distrusted || known.clock_stepped || is_confirmation_in_future {
+            self.times_unreliable_up_to = self.times_unreliable_up_to.max(last);
+            self.queued_lines.insert(0, Line::TimesUnreliableUpTo(last));
         }
         if !self.is_gap_covered() {
-            self.uncovered = self.uncovered.max(last);
-            self.unmarked.insert(0, Line::Uncovered(last));
+            self.purges_missed_up_to = self.purges_missed_up_to.max(last);
+            self.queued_lines.insert(0, Line::PurgesMissedUpTo(last));
         }
     }
 
-    /// What is known at this start reaches back to when discovery was last heard.
+    /// Whether discovery's first list reaches back to the last confirmation of earlier runs.
     fn is_gap_covered(&self) -> bool {
-        self.heard_before
-            .is_some_and(|heard| heard >= self.known_since)
+        self.confirmed_before_start
+            .is_some_and(|confirmed| confirmed >= self.purges_known_since)
     }
 
-    /// The directory cannot be used: nothing is read from it or written to it.
-    pub fn refused(&mut self, why: String) {
-        self.phase = Phase::Refused(why);
-        (self.to_recover, self.demoting, self.demoting_bytes) =
-            (VecDeque::new(), VecDeque::new(), 0);
+    /// The directory cannot be used; nothing is read from or written to it.
+    pub fn refused(&mut self, reason: String) {
+        self.phase = Phase::Refused(reason);
+        (
+            self.recovery_queue,
+            self.demotion_queue,
+            self.demotion_queue_bytes,
+        ) = (VecDeque::new(), VecDeque::new(), 0);
     }
 
-    pub(super) fn recover(&mut self, out: &mut dyn Outlet) {
-        while self.recovering < RECOVERING_MOST {
-            let Some(segment) = self.to_recover.front().copied() else {
+    pub(super) fn recover(&mut self, backend: &mut dyn DiskBackend) {
+        while self.active_recoveries < MAX_CONCURRENT_RECOVERIES {
+            let Some(segment) = self.recovery_queue.front().copied() else {
                 break;
             };
-            if !out.recover(segment) {
+            if !backend.recover(segment) {
                 break;
             }
-            self.to_recover.pop_front();
-            self.recovering += 1;
+            self.recovery_queue.pop_front();
+            self.active_recoveries += 1;
         }
-        if self.phase == Phase::Recovering && self.recovering == 0 && self.to_recover.is_empty() {
+        if self.phase == Phase::Recovering
+            && self.active_recoveries == 0
+            && self.recovery_queue.is_empty()
+        {
             self.phase = Phase::Ready;
-            self.seeking = (self.counts.unproven > 0).then_some((3, 0));
+            self.unproven_scan = (self.counts.unproven > 0).then_some((3, 0));
         }
     }
 
-    /// Nothing that was told up to now can have been missed since this copy was made.
+    /// Whether no purge can have been missed since this copy was made.
     pub(super) fn is_proven(&self, segment: u32, made: u64) -> bool {
-        let covered = self.is_gap_covered() && segment > self.uncovered || made >= self.known_since;
-        covered && segment > self.undated && made <= self.start_ms
+        let covered = self.is_gap_covered() && segment > self.purges_missed_up_to
+            || made >= self.purges_known_since;
+        covered && segment > self.times_unreliable_up_to && made <= self.start_ms
     }
 
-    pub fn recovered(
+    pub fn complete_recovery(
         &mut self,
         now: Duration,
         segment: u32,
         found: Result<Recovered, RecoveryError>,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        let again = self.unread.front() == Some(&segment) && self.reading_again;
-        if again {
-            self.reading_again = false;
+        let is_retry = self.failed_recoveries.front() == Some(&segment) && self.retrying_recovery;
+        if is_retry {
+            self.retrying_recovery = false;
         } else {
-            self.recovering = self.recovering.saturating_sub(1);
+            self.active_recoveries = self.active_recoveries.saturating_sub(1);
         }
         match found {
             Ok(found) => {
-                if again {
-                    self.unread.pop_front();
-                    self.read_retry.succeeded();
+                if is_retry {
+                    self.failed_recoveries.pop_front();
+                    self.recovery_retry.succeeded();
                     self.segments.most += 1;
                 }
                 self.segments
-                    .found(segment, found.class as usize, found.end, now);
+                    .add_recovered(segment, found.class as usize, found.end, now);
                 self.counts.damaged += found.damaged;
                 self.counts.torn_bytes += found.torn_bytes;
-                let mut held = 0;
+                let mut indexed = 0;
                 for entry in found.entries {
-                    held += usize::from(self.take_back(segment, entry, purges));
+                    indexed += usize::from(self.index_recovered(segment, entry, purges));
                 }
-                if held == 0 {
-                    self.segments.set(segment, State::Failed);
+                if indexed == 0 {
+                    self.segments.set_state(segment, State::Failed);
                 }
             }
-            Err(RecoveryError::Io(_)) => self.could_not_read(segment, again),
-            // What is another version's is left alone, and takes its place.
+            Err(RecoveryError::Io(_)) => self.record_recovery_failure(segment, is_retry),
+            // A segment of another format version is left unchanged and counts towards the limit.
             Err(RecoveryError::UnsupportedVersion(_)) => {
                 self.counts.foreign += 1;
-                if again {
-                    self.unread.pop_front();
+                if is_retry {
+                    self.failed_recoveries.pop_front();
                 } else {
                     self.segments.most = self.segments.most.saturating_sub(1);
                 }
             }
         }
-        if again && self.counts.unproven > 0 {
-            self.seeking.get_or_insert((3, 0));
+        if is_retry && self.counts.unproven > 0 {
+            self.unproven_scan.get_or_insert((3, 0));
         }
-        self.recover(out);
+        self.recover(backend);
     }
 
-    /// A segment that the system could not read takes its place, and is read again later: what it holds may
-    /// have been said to outlive a crash.
-    fn could_not_read(&mut self, segment: u32, again: bool) {
-        self.read_retry.failed();
-        if again {
-            // Another one goes first next time.
-            self.unread.rotate_left(1);
+    /// A segment that could not be read counts towards the limit and is recovered again later, because it may
+    /// hold copies that were reported as durable.
+    fn record_recovery_failure(&mut self, segment: u32, is_retry: bool) {
+        self.recovery_retry.failed();
+        if is_retry {
+            // The next retry is for another segment.
+            self.failed_recoveries.rotate_left(1);
             return;
         }
         self.counts.read_faults += 1;
         self.segments.most = self.segments.most.saturating_sub(1);
-        self.unread.push_back(segment);
+        self.failed_recoveries.push_back(segment);
     }
 
-    /// Tries again what failed at files: one removal and one reading at a time.
-    pub(super) fn retry_files(&mut self, now: Duration, out: &mut dyn Outlet) {
-        let unremoved = self
-            .unremoved
+    /// Retries failed removals and recoveries, one of each at a time.
+    pub(super) fn retry_files(&mut self, now: Duration, backend: &mut dyn DiskBackend) {
+        let failed_removals = self
+            .failed_removals
             .front()
             .copied()
-            .filter(|_| !self.removing_again);
-        if let Some(segment) = unremoved.filter(|_| self.remove_retry.is_due(now)) {
-            self.removing_again = out.remove(segment);
+            .filter(|_| !self.retrying_removal);
+        if let Some(segment) = failed_removals.filter(|_| self.remove_retry.is_due(now)) {
+            self.retrying_removal = backend.remove(segment);
         }
-        let unread = self.unread.front().copied().filter(|_| !self.reading_again);
-        if let Some(segment) = unread.filter(|_| self.read_retry.is_due(now)) {
-            self.reading_again = out.recover(segment);
+        let failed_recoveries = self
+            .failed_recoveries
+            .front()
+            .copied()
+            .filter(|_| !self.retrying_recovery);
+        if let Some(segment) = failed_recoveries.filter(|_| self.recovery_retry.is_due(now)) {
+            self.retrying_recovery = backend.recover(segment);
         }
     }
 
-    pub(super) fn take_back(&mut self, segment: u32, entry: Entry, purges: &Purges) -> bool {
+    /// Indexes a recovered record if it may be served or revalidated.
+    pub(super) fn index_recovered(&mut self, segment: u32, entry: Entry, purges: &Purges) -> bool {
         if !purges.survives(entry.object, entry.group as usize, entry.made) {
             return false;
         }
         let proven = self.is_proven(segment, entry.made);
-        if !proven && self.wanted.revalidate <= 0.0 {
+        if !proven && self.settings.revalidate <= 0.0 {
             self.counts.dropped_unproven += 1;
             return false;
         }
@@ -207,34 +222,41 @@
         put
     }
 
-    /// Puts a spot into the index and keeps the segments' accounts.
+    /// Inserts an entry into the index and updates the live bytes of segments. False: the index is full.
     pub(super) fn put(&mut self, key: Key, spot: Spot) -> bool {
         match self.index.put(key, &spot) {
             Ok(old) => {
                 old.into_iter()
-                    .for_each(|old| self.segments.take(old.segment, old.length));
-                self.segments.add(spot.segment, spot.length);
+                    .for_each(|old| self.segments.subtract_live_bytes(old.segment, old.length));
+                self.segments.add_live_bytes(spot.segment, spot.length);
                 true
             }
-            Err(NoRoom) => false,
+            Err(IndexFull) => false,
         }
     }
 
-    pub(super) fn forget(&mut self, key: Key, out: &mut dyn Outlet) {
-        if let Some(gone) = self.index.remove(key) {
-            self.segments.take(gone.segment, gone.length);
-            out.lets_go(key);
+    pub(super) fn forget(&mut self, key: Key, backend: &mut dyn DiskBackend) {
+        if let Some(removed) = self.index.remove(key) {
+            self.segments
+                .subtract_live_bytes(removed.segment, removed.length);
+            backend.copy_dropped(key);
         }
     }
 
-    /// Forgets it only where the index still leads there.
-    pub(super) fn forget_at(&mut self, key: Key, segment: u32, at: u32, out: &mut dyn Outlet) {
-        if self.leads_to(key, segment, at) {
-            self.forget(key, out);
+    /// Forgets a part only if the index still refers to this position.
+    pub(super) fn forget_at(
+        &mut self,
+        key: Key,
+        segment: u32,
+        at: u32,
+        backend: &mut dyn DiskBackend,
+    ) {
+        if self.index_refers_to(key, segment, at) {
+            self.forget(key, backend);
         }
     }
 
-    pub(super) fn leads_to(&self, key: Key, segment: u32, at: u32) -> bool {
+    pub(super) fn index_refers_to(&self, key: Key, segment: u32, at: u32) -> bool {
         self.index
             .get(key)
             .is_some_and(|spot| (spot.segment, spot.at) == (segment, at))
--- a/crates/store/src/decide/disk/work.rs
+++ b/crates/store/src/decide/disk/work.rs
@@ -1,62 +1,63 @@
-//! Background work: what goes at a turn.
+//! Background work: what is done at each tick.
 
 use super::*;
 
 impl Disk {
-    /// A turn of the program came so much later than it was due.
+    /// Reports by how much the event loop ran late; the scheduler pauses background work when it lags.
     pub fn turn(&mut self, now: Duration, late: Duration) {
-        self.work.turn(now, late);
+        self.scheduler.turn(now, late);
     }
 
-    /// Whatever is due. Call it often; it does little at a time.
+    /// Does the background work that is due, in small steps. Call it often.
     pub fn tick(
         &mut self,
         now: Duration,
         purges: &Purges,
         in_memory: &dyn Fn(Key) -> bool,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        self.recover(out);
+        self.recover(backend);
         if !matches!(self.phase, Phase::Recovering | Phase::Ready) {
             return;
         }
-        self.mark_on(now, out);
-        self.retry_files(now, out);
-        self.sync(now, out, false);
-        if now >= self.heard_said + HEARD_EVERY {
-            self.say_heard(now, out);
+        self.retry_catalogue(now, backend);
+        self.retry_files(now, backend);
+        self.sync(now, backend, false);
+        if now >= self.last_confirmation + CONFIRMATION_INTERVAL {
+            self.write_confirmation(now, backend);
         }
-        self.offer(now);
-        // No more at a turn than requests can wait for.
+        self.offer_work(now);
+        // Bounded, so that requests are not delayed.
         for _ in 0..64 {
-            let Some(kind) = self.work.next(now) else {
+            let Some(kind) = self.scheduler.next(now) else {
                 break;
             };
-            self.go(kind, now, purges, in_memory, out);
+            self.run_work(kind, now, purges, in_memory, backend);
         }
-        self.reclaim_on(now, out);
+        self.continue_reclaim(now, backend);
     }
 
-    /// When `tick` has something to do, if nothing else happens.
+    /// When `tick` must be called next if nothing else happens. `None` if no work is planned.
     pub fn next_look(&self, now: Duration) -> Option<Duration> {
-        // One that is due and was not taken is tried again soon, not at once.
-        let waits = self
-            .written
+        // A sync that was due but rejected is retried after a short delay, not at once.
+        let idle = self
+            .unsealed
             .values()
-            .filter(|(_, unsynced)| unsynced.under_way.is_none());
-        let syncs = waits
-            .filter_map(|(_, u)| Some((u.since? + self.wanted.sync_after).max(now + SYNC_AGAIN)));
+            .filter(|(_, unsynced)| unsynced.in_flight_up_to.is_none());
+        let syncs = idle.filter_map(|(_, u)| {
+            Some((u.since? + self.settings.sync_after).max(now + RETRY_DELAY))
+        });
         let retries = [
-            &self.mark_retry,
+            &self.catalogue_retry,
             &self.reclaim_retry,
             &self.remove_retry,
-            &self.read_retry,
+            &self.recovery_retry,
         ];
         let retries = retries
             .into_iter()
             .filter_map(|retry| retry.due())
-            .map(|due| due.max(now + SYNC_AGAIN));
-        self.work
+            .map(|due| due.max(now + RETRY_DELAY));
+        self.scheduler
             .next_look(now)
             .into_iter()
             .chain(syncs)
@@ -64,29 +65,30 @@
             .min()
     }
 
-    pub(super) fn offer(&mut self, now: Duration) {
-        let none = |work: &Scheduler, kind| work.held(kind) == (0, 0);
-        let one = Cost {
+    pub(super) fn offer_work(&mut self, now: Duration) {
+        let is_idle = |work: &Scheduler, kind| work.held(kind) == (0, 0);
+        let one_operation = Cost {
             operations: 1.0,
             ..Cost::default()
         };
-        let short = self.segments.free() <= RESERVE || self.index.is_full();
-        let short = short && self.reclaim_retry.is_due(now);
-        if short
+        let is_low_on_space = self.segments.free() <= RESERVED_SEGMENTS || self.index.is_full();
+        let is_low_on_space = is_low_on_space && self.reclaim_retry.is_due(now);
+        if is_low_on_space
             && self.reclaim.is_none()
-            && none(&self.work, RECLAIM)
-            && self.segments.victim(now).is_some()
+            && is_idle(&self.scheduler, RECLAIM)
+            && self.segments.select_victim(now).is_some()
         {
-            self.work.offer(now, RECLAIM, one);
+            self.scheduler.offer(now, RECLAIM, one_operation);
         }
-        let unproven = !self.asked.is_empty() || self.seeking.is_some();
-        if unproven && self.wanted.revalidate > 0.0 && self.work.held(REVALIDATE).0 == 0 {
-            self.work.offer(now, REVALIDATE, one);
+        let has_unproven = !self.requested_unproven.is_empty() || self.unproven_scan.is_some();
+        if has_unproven && self.settings.revalidate > 0.0 && self.scheduler.held(REVALIDATE).0 == 0
+        {
+            self.scheduler.offer(now, REVALIDATE, one_operation);
         }
         if self.phase == Phase::Ready && !self.index.is_empty() {
-            if self.wanted.scrub > 0 && none(&self.work, SCRUB) {
+            if self.settings.scrub > 0 && is_idle(&self.scheduler, SCRUB) {
                 let mean = self.segments.bytes().1 as f64 / self.index.len() as f64;
-                self.work.offer(
+                self.scheduler.offer(
                     now,
                     SCRUB,
                     Cost {
@@ -95,28 +97,28 @@
                     },
                 );
             }
-            if none(&self.work, SWEEP) {
-                self.work.offer(now, SWEEP, one);
+            if is_idle(&self.scheduler, SWEEP) {
+                self.scheduler.offer(now, SWEEP, one_operation);
             }
         }
     }
 
-    pub(super) fn go(
+    pub(super) fn run_work(
         &mut self,
         kind: usize,
         now: Duration,
         purges: &Purges,
         in_memory: &dyn Fn(Key) -> bool,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         match kind {
             DEMOTE => {
-                let bytes = self.demoting.pop_front().map_or(0, |(copy, rank)| {
-                    self.demoting_bytes -= copy.body.len();
-                    let _ = self.admit(now, &copy, rank, purges, out);
+                let bytes = self.demotion_queue.pop_front().map_or(0, |(copy, rank)| {
+                    self.demotion_queue_bytes -= copy.body.len();
+                    let _ = self.admit(now, &copy, rank, purges, backend);
                     copy.body.len()
                 });
-                self.work.done(
+                self.scheduler.done(
                     DEMOTE,
                     Cost {
                         bytes: bytes as f64,
@@ -124,40 +126,40 @@
                     },
                 );
             }
-            RECLAIM => self.begin_reclaim(now, out),
+            RECLAIM => self.start_reclaim(now, backend),
             REVALIDATE => {
-                let ordered = self.next_unproven().and_then(|(key, spot)| {
-                    self.order_read(spot, Purpose::Revalidate { key, spot }, out)
+                let started = self.next_unproven().and_then(|(key, spot)| {
+                    self.start_read(spot, ReadPurpose::Revalidate { key, spot }, backend)
                 });
-                if ordered.is_none() {
-                    self.work.done(REVALIDATE, Cost::default());
+                if started.is_none() {
+                    self.scheduler.done(REVALIDATE, Cost::default());
                 }
             }
             SCRUB => {
-                let (found, next) = self.index.some(self.scrub, 1);
+                let (found, next) = self.index.buckets_from(self.scrub_position, 1);
                 let found: Vec<(Key, Spot)> = found.collect();
-                // One of a bucket a round: which one changes from round to round.
-                let pick = found
-                    .get(self.tickets as usize % found.len().max(1))
+                // One entry per bucket and round; the choice varies from round to round.
+                let picked = found
+                    .get(self.last_ticket as usize % found.len().max(1))
                     .copied();
-                self.scrub = next.unwrap_or(0);
-                let ordered = pick.and_then(|(key, spot)| {
-                    self.order_read(spot, Purpose::Scrub { key, spot }, out)
+                self.scrub_position = next.unwrap_or(0);
+                let started = picked.and_then(|(key, spot)| {
+                    self.start_read(spot, ReadPurpose::Scrub { key, spot }, backend)
                 });
-                if ordered.is_none() {
-                    self.work.done(SCRUB, Cost::default());
+                if started.is_none() {
+                    self.scheduler.done(SCRUB, Cost::default());
                 }
             }
             SWEEP => {
-                let (found, next) = self.index.some(self.sweep, SWEEP_BUCKETS);
+                let (found, next) = self.index.buckets_from(self.sweep_position, SWEEP_BUCKETS);
                 let stale = |spot: &Spot| self.segments.get(spot.segment).is_none();
                 let stale: Vec<Key> = found
                     .filter(|(_, spot)| stale(spot))
                     .map(|(key, _)| key)
                     .collect();
-                self.sweep = next.unwrap_or(0);
-                stale.into_iter().for_each(|key| self.forget(key, out));
-                self.work.done(
+                self.sweep_position = next.unwrap_or(0);
+                stale.into_iter().for_each(|key| self.forget(key, backend));
+                self.scheduler.done(
                     SWEEP,
                     Cost {
                         operations: 1.0,
@@ -165,60 +167,60 @@
                     },
                 );
             }
-            AHEAD => {
-                let ordered = self
-                    .next_ahead(purges, in_memory)
-                    .map(|(key, spot)| self.order_read(spot, Purpose::Ahead { key, spot }, out));
-                if ordered.flatten().is_none() {
-                    self.work.done(AHEAD, Cost::default());
+            READ_AHEAD => {
+                let started = self.next_read_ahead(purges, in_memory).map(|(key, spot)| {
+                    self.start_read(spot, ReadPurpose::ReadAhead { key, spot }, backend)
+                });
+                if started.flatten().is_none() {
+                    self.scheduler.done(READ_AHEAD, Cost::default());
                 }
             }
             _ => {}
         }
     }
 
-    /// The part after one that was asked for in turn lately.
-    pub(super) fn next_ahead(
+    /// The next part to read ahead after the last sequential read.
+    pub(super) fn next_read_ahead(
         &mut self,
         purges: &Purges,
         in_memory: &dyn Fn(Key) -> bool,
     ) -> Option<(Key, Spot)> {
-        let (object, part) = self.in_turn?;
-        (1..=self.wanted.read_ahead as u64).find_map(|step| {
+        let (object, part) = self.sequential_read?;
+        (1..=self.settings.read_ahead as u64).find_map(|step| {
             let key = key::part(object, part.checked_add(step)?);
             let spot = self.find(key, object, 0, purges)?;
-            let coming = self
-                .reads
+            let in_flight = self
+                .pending_reads
                 .values()
-                .any(|p| matches!(p, Purpose::Ahead { key: k, .. } if *k == key));
-            (!coming && !in_memory(key)).then_some((key, spot))
+                .any(|p| matches!(p, ReadPurpose::ReadAhead { key: k, .. } if *k == key));
+            (!in_flight && !in_memory(key)).then_some((key, spot))
         })
     }
 
-    /// An unproven copy to ask its source about: one that was asked for lately, else by rank.
+    /// The next unproven copy to revalidate: a requested one, otherwise by rank.
     pub(super) fn next_unproven(&mut self) -> Option<(Key, Spot)> {
-        while let Some(key) = self.asked.pop_front() {
+        while let Some(key) = self.requested_unproven.pop_front() {
             if let Some(spot) = self.index.get(key).filter(|spot| !spot.proven) {
                 return Some((key, spot));
             }
         }
-        let (rank, from) = self.seeking?;
-        let busy: HashSet<Key> = self
-            .reads
+        let (rank, from) = self.unproven_scan?;
+        let in_flight: HashSet<Key> = self
+            .pending_reads
             .values()
             .filter_map(|p| match p {
-                Purpose::Revalidate { key, .. } => Some(*key),
+                ReadPurpose::Revalidate { key, .. } => Some(*key),
                 _ => None,
             })
             .collect();
-        let (found, next) = self.index.some(from, SWEEP_BUCKETS);
-        let mut found =
-            found.filter(|(key, spot)| !spot.proven && spot.rank == rank && !busy.contains(key));
+        let (found, next) = self.index.buckets_from(from, SWEEP_BUCKETS);
+        let mut found = found
+            .filter(|(key, spot)| !spot.proven && spot.rank == rank && !in_flight.contains(key));
         let first = found.next();
         let more = found.next().is_some();
         drop(found);
         if !more {
-            self.seeking = match next {
+            self.unproven_scan = match next {
                 Some(next) => Some((rank, next)),
                 None if rank > 1 => Some((rank - 1, 0)),
                 None => None,
@@ -227,25 +229,25 @@
         first
     }
 
-    /// A source says that a copy still holds, as of a copy made at `made`.
+    /// The source confirmed that the version with this entity tag was current at `made`.
     pub fn proven(&mut self, key: Key, tag: &[u8], made: u64) {
-        let holds = self
+        let is_current = self
             .index
             .get(key)
             .is_some_and(|spot| spot.tag == tag_hash(tag));
-        if holds {
+        if is_current {
             self.counts.revalidated += 1;
-            self.index.change(key, |spot| {
+            self.index.update(key, |spot| {
                 (spot.proven, spot.made) = (true, spot.made.max(made))
             });
         }
     }
 
-    /// A source says otherwise, or of another version.
-    pub fn disproven(&mut self, key: Key, out: &mut dyn Outlet) {
+    /// Drops a copy if it is still unproven: its source has another version or could not be reached.
+    pub fn disproven(&mut self, key: Key, backend: &mut dyn DiskBackend) {
         if self.index.get(key).is_some_and(|spot| !spot.proven) {
             self.counts.dropped_unproven += 1;
-            self.forget(key, out);
+            self.forget(key, backend);
         }
     }
 }
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -1,15 +1,15 @@
-//! What is written, where, and when it counts as there.
+//! Writes copies to segments, and tracks when they are durable.
 
 use super::*;
 
 impl Disk {
-    /// A copy that memory has no place for. It waits for its turn to be written, or is let go of.
+    /// Queues a copy evicted from memory for admission, or drops it if the queue is full.
     pub fn demote(&mut self, now: Duration, copy: Rc<Copy>, rank: u8) {
         let bytes = copy.body.len();
-        let taken = !matches!(self.phase, Phase::Refused(_))
-            && self.demoting_bytes + bytes <= DEMOTING_MOST;
-        if !taken
-            || !self.work.offer(
+        let has_room = !matches!(self.phase, Phase::Refused(_))
+            && self.demotion_queue_bytes + bytes <= MAX_DEMOTION_QUEUE_BYTES;
+        if !has_room
+            || !self.scheduler.offer(
                 now,
                 DEMOTE,
                 Cost {
@@ -21,42 +21,42 @@
             self.counts.refused_disk += 1;
             return;
         }
-        self.demoting_bytes += bytes;
-        self.demoting.push_back((copy, rank));
+        self.demotion_queue_bytes += bytes;
+        self.demotion_queue.push_back((copy, rank));
     }
 
-    /// Writes a copy, if it is worth it and there is a place.
+    /// Writes a copy if admission allows it and a segment has room.
     pub fn admit(
         &mut self,
         now: Duration,
         copy: &Copy,
         rank: u8,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) -> Result<(), Refusal> {
-        let admitted = self.admitted(now, copy, rank, purges, out);
+        let admitted = self.try_admit(now, copy, rank, purges, backend);
         match admitted {
             Ok(()) => {}
-            Err(Refusal::Expires) => self.counts.refused_expires += 1,
+            Err(Refusal::ExpiresSoon) => self.counts.refused_expires += 1,
             Err(Refusal::TooLarge) => self.counts.refused_size += 1,
-            Err(Refusal::Budget) => self.counts.refused_budget += 1,
-            Err(Refusal::Disk) => self.counts.refused_disk += 1,
+            Err(Refusal::OverBudget) => self.counts.refused_budget += 1,
+            Err(Refusal::DiskUnavailable) => self.counts.refused_disk += 1,
             Err(Refusal::Outdated) => self.counts.outdated += 1,
         }
         admitted
     }
 
-    pub(super) fn admitted(
+    pub(super) fn try_admit(
         &mut self,
         now: Duration,
         copy: &Copy,
         rank: u8,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) -> Result<(), Refusal> {
         let object = key::object(&copy.object);
         let key = key::part(object, copy.part);
-        let rank = if self.wanted.admit_all { 1 } else { rank };
+        let rank = if self.settings.admit_all { 1 } else { rank };
         if !purges.survives(object, group_slot(copy.group), copy.made) {
             return Err(Refusal::Outdated);
         }
@@ -71,93 +71,98 @@
             return Err(Refusal::Outdated);
         }
         if self
-            .writing
+            .pending_appends
             .values()
             .any(|w| w.key == key && w.spot.made >= copy.made)
         {
             return Err(Refusal::Outdated);
         }
         let length = record_len(copy);
-        if !fits_in_record(copy) || length as u64 > u64::from(self.wanted.segment / LARGEST_SHARE) {
+        if !fits_in_record(copy)
+            || length as u64 > u64::from(self.settings.segment / MIN_SEGMENT_TO_RECORD_RATIO)
+        {
             return Err(Refusal::TooLarge);
         }
-        if !self.may_write(now, length) || self.index.is_full() {
-            return Err(Refusal::Disk);
+        if !self.can_write(now, length) || self.index.is_full() {
+            return Err(Refusal::DiskUnavailable);
         }
         let age = self.unix_ms(now).saturating_sub(copy.made);
         let fresh = (copy.fresh > 0).then(|| Duration::from_millis(copy.fresh.saturating_sub(age)));
         self.admission.admits(
             now,
             length,
-            if self.wanted.admit_all { 3 } else { rank },
+            if self.settings.admit_all { 3 } else { rank },
             fresh,
         )?;
-        if self.write(now, copy, rank, false, out).is_none() {
-            return Err(Refusal::Disk);
+        if self
+            .append_record(now, copy, rank, false, backend)
+            .is_none()
+        {
+            return Err(Refusal::DiskUnavailable);
         }
         Ok(())
     }
 
-    /// The Unix time, as far as this start's clock tells it.
+    /// The Unix time by the clock as read at this start.
     pub(super) fn unix_ms(&self, now: Duration) -> u64 {
-        // `now` counts from a zero of its own; both were read at the start.
-        self.start_ms + now.saturating_sub(self.heard_zero()).as_millis() as u64
+        // `now` has an arbitrary epoch; the start is known in both scales.
+        self.start_ms + now.saturating_sub(self.start_time()).as_millis() as u64
     }
 
-    pub(super) fn heard_zero(&self) -> Duration {
+    pub(super) fn start_time(&self) -> Duration {
         self.admission.started()
     }
 
-    pub(super) fn may_write(&self, now: Duration, length: usize) -> bool {
+    pub(super) fn can_write(&self, now: Duration, length: usize) -> bool {
         matches!(self.phase, Phase::Recovering | Phase::Ready)
-            && self.writes.sound(now)
-            && self.writing_bytes + length <= WRITING_MOST
+            && self.write_health.sound(now)
+            && self.pending_append_bytes + length <= MAX_PENDING_WRITE_BYTES
     }
 
-    /// Orders a record to be written. None: there is no place for it now.
-    pub(super) fn write(
+    /// Starts writing a record. `None` if no segment has room for it now or the write queue is full.
+    pub(super) fn append_record(
         &mut self,
         now: Duration,
         copy: &Copy,
         rank: u8,
         carried: bool,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) -> Option<u32> {
         let length = record_len(copy);
-        let class = class_of(length);
-        let (segment, at) = match self.place(class, length) {
+        let class = size_class(length);
+        let (segment, at) = match self.append_position(class, length) {
             Some(place) => place,
             None => {
-                // What is carried over may take the last free one: a reclaim gives one back.
+                // Carried records may use the last free segment, since the reclaim frees one.
                 if self.segments.free() <= usize::from(!carried) {
                     return None;
                 }
-                self.seal(class, out);
+                self.seal(class, backend);
                 let head = SEGMENT_HEADER_LEN as u32;
-                let segment = self.segments.begin(class, head, now)?;
-                if !out.begin(segment, class as u32) {
-                    self.segments.removed(segment);
+                let segment = self.segments.open_new(class, head, now)?;
+                if !backend.create_segment(segment, class as u32) {
+                    self.segments.remove_segment(segment);
                     return None;
                 }
-                self.written.insert(segment, Default::default());
+                self.unsealed.insert(segment, Default::default());
                 (segment, head)
             }
         };
         let place = format::DiskAddress {
-            store_id: self.store,
+            store_id: self.store_id,
             segment,
             at,
         };
         let mut record = Vec::with_capacity(length);
         format::encode_record(&mut record, copy, rank, place);
         debug_assert_eq!(record.len(), length);
-        let ticket = self.tickets + 1;
-        if !out.append(ticket, segment, at, record) {
+        let ticket = self.last_ticket + 1;
+        if !backend.append(ticket, segment, at, record) {
             return None;
         }
-        self.tickets = ticket;
-        self.writes.sent(now);
-        self.segments.wrote(segment, length, now);
+        self.last_ticket = ticket;
+        self.write_health.sent(now);
+        self.segments.record_append(segment, length, now);
         let object = key::object(&copy.object);
         let (key, group, tag) = (
             key::part(object, copy.part),
@@ -175,7 +180,7 @@
             rank,
             tag,
         };
-        let (entries, unsynced) = self.written.entry(segment).or_default();
+        let (entries, unsynced) = self.unsealed.entry(segment).or_default();
         entries.push(entry);
         unsynced.bytes += u64::from(length);
         unsynced.since.get_or_insert(now);
@@ -190,34 +195,34 @@
             heat: 0,
             proven: true,
         };
-        self.writing.insert(
+        self.pending_appends.insert(
             ticket,
-            Writing {
+            PendingAppend {
                 key,
                 object,
                 spot,
                 carried,
             },
         );
-        self.writing_bytes += length as usize;
+        self.pending_append_bytes += length as usize;
         self.counts.written_bytes += u64::from(length);
         Some(segment)
     }
 
-    /// Where a record goes in the open segment of its size group, with room for the footer behind it.
-    pub(super) fn place(&self, class: usize, length: usize) -> Option<(u32, u32)> {
-        let (segment, _) = self.segments.place(class, length)?;
+    /// The position for a record in the open segment of its size class, if the footer also fits behind it.
+    pub(super) fn append_position(&self, class: usize, length: usize) -> Option<(u32, u32)> {
+        let (segment, _) = self.segments.append_position(class, length)?;
         let entries = self
-            .written
+            .unsealed
             .get(&segment)
             .map_or(0, |(entries, _)| entries.len());
-        self.segments.place(
+        self.segments.append_position(
             class,
             length + (entries + 1) * format::FOOTER_ENTRY_LEN + FOOTER_TRAILER_LEN,
         )
     }
 
-    pub(super) fn seal(&mut self, class: usize, out: &mut dyn Outlet) {
+    pub(super) fn seal(&mut self, class: usize, backend: &mut dyn DiskBackend) {
         let Some(segment) = self.segments.open(class) else {
             return;
         };
@@ -225,43 +230,43 @@
             return;
         };
         let entries = self
-            .written
+            .unsealed
             .get(&segment)
             .map_or(&[][..], |(entries, _)| entries);
-        let footer = format::encode_footer(entries, self.store, segment, end);
-        // Where the order is not taken nothing is lost: the next start walks through it.
-        let state = if out.seal(segment, end, footer) {
+        let footer = format::encode_footer(entries, self.store_id, segment, end);
+        // If the operation is rejected nothing is lost: the next start scans the segment.
+        let state = if backend.seal(segment, end, footer) {
             State::Sealing
         } else {
             State::Failed
         };
-        self.segments.set(segment, state);
+        self.segments.set_state(segment, state);
     }
 
-    pub fn appended(
+    pub fn complete_append(
         &mut self,
         now: Duration,
         ticket: u64,
         result: Result<(), Fault>,
         purges: &Purges,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        let Some(Writing {
+        let Some(PendingAppend {
             key,
             object,
             spot,
             carried,
-        }) = self.writing.remove(&ticket)
+        }) = self.pending_appends.remove(&ticket)
         else {
             return;
         };
-        self.writing_bytes -= spot.length as usize;
+        self.pending_append_bytes -= spot.length as usize;
         match result {
             Ok(()) => {
-                self.writes.judge(now, false, 1.0);
+                self.write_health.judge(now, false, 1.0);
                 self.counts.written += u64::from(!carried);
                 self.counts.carried += u64::from(carried);
-                // Purged or replaced while it waited to be written.
+                // The copy may have been purged or replaced while it was written.
                 let stale = !purges.survives(object, spot.group as usize, spot.made)
                     || self
                         .index
@@ -273,66 +278,67 @@
             }
             Err(_) => {
                 self.counts.write_faults += 1;
-                self.writes.judge(now, true, 1.0);
-                // What stands behind it there can be read, but nothing more is written: its end is not known.
+                self.write_health.judge(now, true, 1.0);
+                // Records that were already queued behind it can be read, but nothing more is appended, because
+                // the state of the segment's end is unknown.
                 if self
                     .segments
                     .get(spot.segment)
                     .is_some_and(|s| s.state == State::Open)
                 {
-                    self.segments.set(spot.segment, State::Failed);
+                    self.segments.set_state(spot.segment, State::Failed);
                 }
             }
         }
         if carried {
-            self.carry_back(now, out);
+            self.carry_ended(now, backend);
         }
     }
 
-    pub fn synced(
+    pub fn complete_sync(
         &mut self,
         now: Duration,
         segment: u32,
         up_to: u32,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        self.settle_sync(now, segment, up_to, result.is_ok(), out);
-        self.reclaim_on(now, out);
+        self.apply_sync_result(now, segment, up_to, result.is_ok(), backend);
+        self.continue_reclaim(now, backend);
     }
 
-    pub fn sealed(
+    pub fn complete_seal(
         &mut self,
         now: Duration,
         segment: u32,
         up_to: u32,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         let sealed = result.is_ok();
-        self.settle_sync(now, segment, up_to, sealed, out);
+        self.apply_sync_result(now, segment, up_to, sealed, backend);
         if sealed {
-            self.segments.set(segment, State::Sealed);
+            self.segments.set_state(segment, State::Sealed);
         }
-        self.written.remove(&segment);
-        self.reclaim_on(now, out);
+        self.unsealed.remove(&segment);
+        self.continue_reclaim(now, backend);
     }
 
-    pub(super) fn settle_sync(
+    pub(super) fn apply_sync_result(
         &mut self,
         now: Duration,
         segment: u32,
         up_to: u32,
         synced: bool,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
-        let before = self.segments.get(segment).map_or(0, |s| s.synced);
-        self.writes.judge(now, !synced, 1.0);
-        let Some((entries, unsynced)) = self.written.get_mut(&segment) else {
+        let before = self.segments.get(segment).map_or(0, |s| s.synced_up_to);
+        self.write_health.judge(now, !synced, 1.0);
+        let Some((entries, unsynced)) = self.unsealed.get_mut(&segment) else {
             return;
         };
-        unsynced.under_way = None;
-        let settled: Vec<Entry> = entries
+        unsynced.in_flight_up_to = None;
+        let synced_entries: Vec<Entry> = entries
             .iter()
             .filter(|e| e.at >= before && e.at < up_to)
             .copied()
@@ -344,38 +350,39 @@
                 .map(|e| u64::from(e.length))
                 .sum();
             unsynced.since = (unsynced.bytes > 0).then_some(now);
-            self.segments.synced(segment, up_to);
-            for entry in settled {
-                if self.leads_to(entry.key, segment, entry.at) {
-                    out.outlives(entry.key, entry.made);
+            self.segments.record_sync(segment, up_to);
+            for entry in synced_entries {
+                if self.index_refers_to(entry.key, segment, entry.at) {
+                    backend.copy_durable(entry.key, entry.made);
                 }
             }
             return;
         }
-        // Once a sync has failed, another one that succeeds proves nothing of what was written before it. All
-        // that was not synced is let go of, and the segment goes first.
+        // After a failed sync, a later successful one does not prove that earlier writes are durable. All
+        // unsynced records are dropped, and the segment is reclaimed first.
         self.counts.sync_faults += 1;
-        let lost: Vec<Entry> = entries.iter().filter(|e| e.at >= before).copied().collect();
+        let unsynced_entries: Vec<Entry> =
+            entries.iter().filter(|e| e.at >= before).copied().collect();
         (unsynced.bytes, unsynced.since) = (0, None);
-        for entry in lost {
-            self.forget_at(entry.key, segment, entry.at, out);
+        for entry in unsynced_entries {
+            self.forget_at(entry.key, segment, entry.at, backend);
         }
-        self.segments.set(segment, State::Failed);
+        self.segments.set_state(segment, State::Failed);
     }
 
-    /// What was written up to now is to be synced.
-    pub(super) fn sync(&mut self, now: Duration, out: &mut dyn Outlet, all: bool) {
-        let (after, most) = (self.wanted.sync_after, self.wanted.sync_bytes);
-        for (segment, (_, unsynced)) in &mut self.written {
-            let due = unsynced.bytes >= most
+    /// Starts the syncs that are due, or with `all`, of all unsynced segments.
+    pub(super) fn sync(&mut self, now: Duration, backend: &mut dyn DiskBackend, all: bool) {
+        let (after, max_bytes) = (self.settings.sync_after, self.settings.sync_bytes);
+        for (segment, (_, unsynced)) in &mut self.unsealed {
+            let due = unsynced.bytes >= max_bytes
                 || unsynced
                     .since
                     .is_some_and(|since| all || now >= since + after);
-            // Of one that failed, what was written before lasts all the same once it is synced.
+            // Records written before a failed write in a segment still become durable when it is synced.
             let written = self.segments.get(*segment);
             let written = written.filter(|s| matches!(s.state, State::Open | State::Failed));
-            if let Some(found) = written.filter(|_| due && unsynced.under_way.is_none()) {
-                unsynced.under_way = out.sync(*segment, found.end).then_some(found.end);
+            if let Some(found) = written.filter(|_| due && unsynced.in_flight_up_to.is_none()) {
+                unsynced.in_flight_up_to = backend.sync(*segment, found.end).then_some(found.end);
             }
         }
     }
--- a/crates/store/src/decide/index.rs
+++ b/crates/store/src/decide/index.rs
@@ -1,62 +1,63 @@
-//! Where each part lies on disk: a table in memory of 32 bytes a part and little more.
+//! The in-memory index of the parts on disk, at little more than 32 bytes per part.
 //!
-//! Linear hashing (Litwin, "Linear hashing: a new tool for file and table addressing", VLDB 1980): buckets
-//! are split one by one as parts come, so the table never doubles at once, neither in bytes nor in time. A
-//! bucket is a row of entries with hardly any room to spare.
+//! A linear hash table (Litwin, "Linear hashing: a new tool for file and table addressing", VLDB 1980): buckets
+//! are split one by one as parts are added, so the table never grows, or stalls an insert, by a whole doubling.
+//! A bucket is a vector of entries with little spare capacity.
 
 use crate::key::Key;
 
-/// Entries a bucket holds on average before the next one is split, and by how many a bucket's room grows.
-const FULL: usize = 32;
-const STEP: usize = 4;
-/// What a bucket takes beside its entries: its row's head, and what the allocator adds to a row.
-const BUCKET: u64 = 24 + 16;
-const ENTRY: u64 = std::mem::size_of::<Packed>() as u64;
+/// The mean number of entries per bucket beyond which the next bucket is split.
+const MEAN_BUCKET_ENTRIES: usize = 32;
+/// The number of entries by which a bucket's capacity grows.
+const BUCKET_GROWTH: usize = 4;
+/// The memory of a bucket beside its entries: the vector itself and the allocator's overhead.
+const BUCKET_OVERHEAD_BYTES: u64 = 24 + 16;
+const ENTRY_BYTES: u64 = std::mem::size_of::<PackedEntry>() as u64;
 
-/// One part on disk.
+/// The index entry of a part: its record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spot {
     pub segment: u32,
     pub at: u32,
-    /// Of the record.
+    /// The length of the record.
     pub length: u32,
-    /// A short sum of its tag.
+    /// A hash of its entity tag.
     pub tag: u32,
-    /// Unix milliseconds; 48 bits are kept.
+    /// Unix milliseconds; 48 bits are stored.
     pub made: u64,
-    /// Slot of its group; below 1024.
+    /// The slot of its group; below 1024.
     pub group: u16,
     /// 1 to 3.
     pub rank: u8,
-    /// How often it was read lately, up to 3.
+    /// The number of reads since it was written or recovered, up to 3.
     pub heat: u8,
-    /// It is known that no purge was missed that would concern it.
+    /// Whether no purge that applies to it can have been missed.
     pub proven: bool,
 }
 
 #[derive(Clone, Copy)]
-struct Packed {
+struct PackedEntry {
     key: Key,
     /// made: 48 bits, group: 10, rank: 2, heat: 2, proven: 1.
-    facts: u64,
+    metadata: u64,
     segment: u32,
     at: u32,
     length: u32,
     tag: u32,
 }
 
-const MADE: u64 = (1 << 48) - 1;
+const MADE_MASK: u64 = (1 << 48) - 1;
 
-impl Packed {
-    fn new(key: Key, spot: &Spot) -> Packed {
-        let facts = spot.made.min(MADE)
+impl PackedEntry {
+    fn new(key: Key, spot: &Spot) -> PackedEntry {
+        let metadata = spot.made.min(MADE_MASK)
             | u64::from(spot.group & 1023) << 48
             | u64::from(spot.rank.min(3)) << 58
             | u64::from(spot.heat.min(3)) << 60
             | u64::from(spot.proven) << 62;
-        Packed {
+        PackedEntry {
             key,
-            facts,
+            metadata,
             segment: spot.segment,
             at: spot.at,
             length: spot.length,
@@ -70,35 +71,35 @@
             at: self.at,
             length: self.length,
             tag: self.tag,
-            made: self.facts & MADE,
-            group: (self.facts >> 48 & 1023) as u16,
-            rank: (self.facts >> 58 & 3) as u8,
-            heat: (self.facts >> 60 & 3) as u8,
-            proven: self.facts >> 62 & 1 == 1,
+            made: self.metadata & MADE_MASK,
+            group: (self.metadata >> 48 & 1023) as u16,
+            rank: (self.metadata >> 58 & 3) as u8,
+            heat: (self.metadata >> 60 & 3) as u8,
+            proven: self.metadata >> 62 & 1 == 1,
         }
     }
 }
 
-/// The table is as large as it may get.
+/// The index has reached its memory limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoRoom;
+pub struct IndexFull;
 
 pub struct Index {
-    buckets: Vec<Vec<Packed>>,
+    buckets: Vec<Vec<PackedEntry>>,
     parts: usize,
-    /// Entries for which there is room in all rows.
-    room: usize,
-    most: u64,
+    /// The total capacity of all buckets, in entries.
+    capacity_entries: usize,
+    limit: u64,
 }
 
 impl Index {
-    /// Holds so many bytes at the most, its own overhead counted.
-    pub fn new(most: u64) -> Index {
+    /// An index that takes at most `limit` bytes, including overhead.
+    pub fn new(limit: u64) -> Index {
         Index {
             buckets: vec![Vec::new()],
             parts: 0,
-            room: 0,
-            most,
+            capacity_entries: 0,
+            limit,
         }
     }
 
@@ -110,26 +111,27 @@
         self.parts == 0
     }
 
-    /// The bytes that it takes.
+    /// The memory that it takes.
     pub fn bytes(&self) -> u64 {
-        self.room as u64 * ENTRY
-            + self.buckets.len() as u64 * BUCKET
+        self.capacity_entries as u64 * ENTRY_BYTES
+            + self.buckets.len() as u64 * BUCKET_OVERHEAD_BYTES
             + (self.buckets.capacity() - self.buckets.len()) as u64 * 24
     }
 
-    /// One more part may need a row to grow and the next bucket to be split.
+    /// Whether another part might exceed the limit: it may grow a bucket and split the next one.
     pub fn is_full(&self) -> bool {
-        self.bytes() + (STEP * 2) as u64 * ENTRY + BUCKET + 8192 * 24 > self.most
+        self.bytes() + (BUCKET_GROWTH * 2) as u64 * ENTRY_BYTES + BUCKET_OVERHEAD_BYTES + 8192 * 24
+            > self.limit
     }
 
-    /// How many parts fit, about.
-    pub fn parts_most(most: u64) -> u64 {
-        most.saturating_sub(8192 * 24) / (ENTRY + 6)
+    /// The approximate number of parts that fit into `limit` bytes.
+    pub fn parts_most(limit: u64) -> u64 {
+        limit.saturating_sub(8192 * 24) / (ENTRY_BYTES + 6)
     }
 
     fn bucket(&self, key: Key) -> usize {
         let (n, level) = (self.buckets.len(), self.buckets.len().next_power_of_two());
-        // The low bits choose; where the bucket of the next level is not there yet, one bit fewer does.
+        // The low bits select the bucket; if that bucket was not split off yet, one bit fewer is used.
         let at = (key as usize) & (level - 1);
         if at < n { at } else { at & (level / 2 - 1) }
     }
@@ -138,39 +140,39 @@
         self.buckets[self.bucket(key)]
             .iter()
             .find(|e| e.key == key)
-            .map(Packed::spot)
+            .map(PackedEntry::spot)
     }
 
-    /// Puts a part in place of an older copy, which is returned.
-    pub fn put(&mut self, key: Key, spot: &Spot) -> Result<Option<Spot>, NoRoom> {
+    /// Inserts or replaces the entry of a part, and returns the old entry.
+    pub fn put(&mut self, key: Key, spot: &Spot) -> Result<Option<Spot>, IndexFull> {
         let at = self.bucket(key);
         if let Some(entry) = self.buckets[at].iter_mut().find(|e| e.key == key) {
             let old = entry.spot();
-            *entry = Packed::new(key, spot);
+            *entry = PackedEntry::new(key, spot);
             return Ok(Some(old));
         }
         if self.is_full() {
-            return Err(NoRoom);
+            return Err(IndexFull);
         }
-        self.push(at, Packed::new(key, spot));
+        self.push(at, PackedEntry::new(key, spot));
         self.parts += 1;
-        if self.parts > self.buckets.len() * FULL {
+        if self.parts > self.buckets.len() * MEAN_BUCKET_ENTRIES {
             self.split();
         }
         Ok(None)
     }
 
-    fn push(&mut self, at: usize, entry: Packed) {
-        let row = &mut self.buckets[at];
-        if row.len() == row.capacity() {
-            let before = row.capacity();
-            row.reserve_exact(STEP);
-            self.room += row.capacity() - before;
+    fn push(&mut self, at: usize, entry: PackedEntry) {
+        let bucket = &mut self.buckets[at];
+        if bucket.len() == bucket.capacity() {
+            let before = bucket.capacity();
+            bucket.reserve_exact(BUCKET_GROWTH);
+            self.capacity_entries += bucket.capacity() - before;
         }
-        row.push(entry);
+        bucket.push(entry);
     }
 
-    /// Splits the bucket whose turn it is: its entries have one bit more to choose by.
+    /// Splits the next bucket in order: one more bit of the key divides its entries.
     fn split(&mut self) {
         if self.buckets.len() == self.buckets.capacity() {
             self.buckets
@@ -179,46 +181,47 @@
         let n = self.buckets.len();
         let from = n - n.next_power_of_two() / if n.is_power_of_two() { 1 } else { 2 };
         self.buckets.push(Vec::new());
-        let row = std::mem::take(&mut self.buckets[from]);
-        self.room -= row.capacity();
-        for entry in row {
+        let bucket = std::mem::take(&mut self.buckets[from]);
+        self.capacity_entries -= bucket.capacity();
+        for entry in bucket {
             let at = self.bucket(entry.key);
             self.push(at, entry);
         }
     }
 
-    /// Changes what is known of a part; not where it lies.
-    pub fn change(&mut self, key: Key, change: impl FnOnce(&mut Spot)) {
+    /// Updates the entry of a part, other than its position on disk.
+    pub fn update(&mut self, key: Key, update: impl FnOnce(&mut Spot)) {
         let at = self.bucket(key);
         if let Some(entry) = self.buckets[at].iter_mut().find(|e| e.key == key) {
             let mut spot = entry.spot();
-            change(&mut spot);
-            *entry = Packed::new(key, &spot);
+            update(&mut spot);
+            *entry = PackedEntry::new(key, &spot);
         }
     }
 
     pub fn remove(&mut self, key: Key) -> Option<Spot> {
         let at = self.bucket(key);
-        let row = &mut self.buckets[at];
-        let entry = row.iter().position(|e| e.key == key)?;
-        let gone = row.swap_remove(entry);
+        let bucket = &mut self.buckets[at];
+        let entry = bucket.iter().position(|e| e.key == key)?;
+        let removed = bucket.swap_remove(entry);
         self.parts -= 1;
-        // Room that many removals left is given back.
-        if row.capacity() >= row.len() + 4 * STEP {
-            let before = row.capacity();
-            row.shrink_to(row.len() + STEP);
-            self.room -= before - row.capacity();
+        // Returns spare capacity after many removals.
+        if bucket.capacity() >= bucket.len() + 4 * BUCKET_GROWTH {
+            let before = bucket.capacity();
+            bucket.shrink_to(bucket.len() + BUCKET_GROWTH);
+            self.capacity_entries -= before - bucket.capacity();
         }
-        Some(gone.spot())
+        Some(removed.spot())
     }
 
-    /// All parts; the order tells nothing.
+    /// All entries, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (Key, Spot)> {
         self.buckets.iter().flatten().map(|e| (e.key, e.spot()))
     }
 
-    /// The parts of some buckets from the `from`th on, and where to go on; none: that was the end.
-    pub fn some(
+    /// The entries of `buckets` buckets, starting with bucket `from`, and the bucket to continue with; `None` at
+    /// the end.
+    pub fn buckets_from(
         &self,
         from: usize,
         buckets: usize,
--- a/crates/store/src/decide/index/tests.rs
+++ b/crates/store/src/decide/index/tests.rs
@@ -18,53 +18,53 @@
 }
 
 #[test]
-fn it_agrees_with_a_plain_table() {
-    let (mut index, mut plain) = (Index::new(u64::MAX), HashMap::new());
-    let mut chance = fastrand::Rng::with_seed(3);
+fn it_agrees_with_a_hash_map() {
+    let (mut index, mut expected) = (Index::new(u64::MAX), HashMap::new());
+    let mut random = fastrand::Rng::with_seed(3);
     for n in 0..200_000u32 {
-        let key = chance.u64(..60_000).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        match chance.u8(..4) {
-            0 => assert_eq!(index.remove(key), plain.remove(&key)),
-            1 => assert_eq!(index.get(key), plain.get(&key).copied()),
-            _ => assert_eq!(index.put(key, &spot(n)), Ok(plain.insert(key, spot(n)))),
+        let key = random.u64(..60_000).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        match random.u8(..4) {
+            0 => assert_eq!(index.remove(key), expected.remove(&key)),
+            1 => assert_eq!(index.get(key), expected.get(&key).copied()),
+            _ => assert_eq!(index.put(key, &spot(n)), Ok(expected.insert(key, spot(n)))),
         }
     }
-    assert_eq!(index.len(), plain.len());
+    assert_eq!(index.len(), expected.len());
     assert!(
         index
             .iter()
-            .all(|(key, spot)| plain.get(&key) == Some(&spot))
+            .all(|(key, spot)| expected.get(&key) == Some(&spot))
     );
     let (mut walked, mut from) = (0, Some(0));
     while let Some(at) = from {
-        let (some, next) = index.some(at, 7);
+        let (some, next) = index.buckets_from(at, 7);
         (walked, from) = (walked + some.count(), next);
     }
-    assert_eq!(walked, plain.len());
+    assert_eq!(walked, expected.len());
 }
 
 #[test]
-fn a_bound_holds_at_every_size() {
-    for most in [300_000, 1 << 20, 4 << 20] {
-        let mut index = Index::new(most);
-        let mut chance = fastrand::Rng::with_seed(5);
-        while index.put(chance.u64(..), &spot(1)).is_ok() {
-            assert!(index.bytes() <= most);
+fn the_memory_limit_holds_at_every_size() {
+    for limit in [300_000, 1 << 20, 4 << 20] {
+        let mut index = Index::new(limit);
+        let mut random = fastrand::Rng::with_seed(5);
+        while index.put(random.u64(..), &spot(1)).is_ok() {
+            assert!(index.bytes() <= limit);
         }
-        let (fit, promised) = (index.len() as f64, Index::parts_most(most) as f64);
+        let (fit, promised) = (index.len() as f64, Index::parts_most(limit) as f64);
         assert!(
             fit > 0.8 * promised && fit < 1.2 * promised,
-            "{fit} of {promised} in {most}"
+            "{fit} of {promised} in {limit}"
         );
     }
 }
 
 #[test]
-fn few_bytes_a_part_at_every_count() {
+fn bytes_per_part_stay_low_while_growing() {
     let (mut index, mut worst) = (Index::new(u64::MAX), 0.0f64);
-    let mut chance = fastrand::Rng::with_seed(5);
+    let mut random = fastrand::Rng::with_seed(5);
     for n in 0..400_000u64 {
-        index.put(chance.u64(..), &spot(n as u32)).unwrap();
+        index.put(random.u64(..), &spot(n as u32)).unwrap();
         if n > 100_000 {
             worst = worst.max(index.bytes() as f64 / index.len() as f64);
         }
--- a/crates/store/src/decide/memory.rs
+++ b/crates/store/src/decide/memory.rs
@@ -1,34 +1,34 @@
-//! The memory tier: copies by rank, bounded in bytes with all that they take.
+//! The memory tier: copies by rank, bounded in bytes including overhead.
 
 use crate::copy::Copy;
 use crate::key::Key;
 use lru::LruCache;
 use std::rc::Rc;
 
-/// Ranks are 1 to 3; 3 stays longest.
+/// Ranks are 1 to 3; rank 3 is evicted last.
 pub const RANKS: usize = 3;
-/// What an entry takes beside its texts and body: itself, its node, its share of the table, what the
-/// allocator adds.
-const ENTRY: u64 = 368;
+/// The memory of an entry beside its texts and body: the copy, its list node, its share of the hash table, and
+/// the allocator's overhead.
+const ENTRY_OVERHEAD_BYTES: u64 = 368;
 
-/// Leaves lowest rank first, within a rank what was used longest ago; a new copy never pushes out a higher
-/// rank.
+/// Evicts the lowest rank first, and the least recently used copy within a rank. A new copy never evicts a
+/// higher rank.
 pub struct Memory {
-    /// Bytes that may be held at the most; 0: nothing is.
-    most: u64,
+    /// The maximum of bytes held; 0 disables the tier.
+    limit: u64,
     bytes: u64,
     ranks: [LruCache<Key, Rc<Copy>>; RANKS],
 }
 
-/// What a copy takes in memory.
-pub fn takes(copy: &Copy) -> u64 {
-    ENTRY + (copy.object.len() + copy.tag.len() + copy.body.len()) as u64
+/// The bytes of memory counted for a copy.
+pub fn charged_bytes(copy: &Copy) -> u64 {
+    ENTRY_OVERHEAD_BYTES + (copy.object.len() + copy.tag.len() + copy.body.len()) as u64
 }
 
 impl Memory {
-    pub fn new(most: u64) -> Memory {
+    pub fn new(limit: u64) -> Memory {
         Memory {
-            most,
+            limit,
             bytes: 0,
             ranks: std::array::from_fn(|_| LruCache::unbounded()),
         }
@@ -39,7 +39,7 @@
     }
 
     pub fn most(&self) -> u64 {
-        self.most
+        self.limit
     }
 
     pub fn len(&self) -> usize {
@@ -54,85 +54,85 @@
         self.ranks.iter().find_map(|rank| rank.peek(&key))
     }
 
-    /// Takes a copy for an answer: it is the one used last in its rank from now on.
+    /// Returns a copy for an answer and marks it as the most recently used of its rank.
     pub fn take(&mut self, key: Key) -> Option<Rc<Copy>> {
         self.ranks
             .iter_mut()
             .find_map(|rank| rank.get(&key).cloned())
     }
 
-    /// Sets a copy's rank anew, as a further sighting gives it.
-    pub fn rank(&mut self, key: Key, rank: u8) {
+    /// Changes a copy's rank after another request for it.
+    pub fn set_rank(&mut self, key: Key, rank: u8) {
         let Some(copy) = self.ranks.iter_mut().find_map(|r| r.pop(&key)) else {
             return;
         };
-        self.ranks[place(rank)].put(key, copy);
+        self.ranks[rank_index(rank)].put(key, copy);
     }
 
     pub fn drop(&mut self, key: Key) -> Option<Rc<Copy>> {
-        let gone = self.ranks.iter_mut().find_map(|rank| rank.pop(&key))?;
-        self.bytes -= takes(&gone);
-        Some(gone)
+        let removed = self.ranks.iter_mut().find_map(|rank| rank.pop(&key))?;
+        self.bytes -= charged_bytes(&removed);
+        Some(removed)
     }
 
-    /// Keeps a copy at a rank, in place of an older one of the same part. False: there is no place for it.
-    /// What had to leave is handed to `left`, with its rank.
+    /// Inserts a copy with a rank, replacing an older one of the same part. Returns false if there is no room.
+    /// Evicted copies are passed to `evicted`, with their ranks.
     pub fn keep(
         &mut self,
         key: Key,
         copy: Rc<Copy>,
         rank: u8,
-        left: &mut dyn FnMut(Rc<Copy>, u8),
+        evicted: &mut dyn FnMut(Rc<Copy>, u8),
     ) -> bool {
         self.drop(key);
-        let (size, rank) = (takes(&copy), place(rank));
-        // Counted before anything leaves: a copy that finds no place pushes nothing out.
+        let (size, rank) = (charged_bytes(&copy), rank_index(rank));
+        // Checked before anything is evicted, so that a copy that does not fit evicts nothing.
         let room = || {
             let lower = self.ranks[..=rank]
                 .iter()
-                .flat_map(|r| r.iter().map(|(_, copy)| takes(copy)));
-            let mut free = self.most.saturating_sub(self.bytes);
+                .flat_map(|r| r.iter().map(|(_, copy)| charged_bytes(copy)));
+            let mut free = self.limit.saturating_sub(self.bytes);
             free >= size
                 || lower.into_iter().any(|bytes| {
                     free += bytes;
                     free >= size
                 })
         };
-        if size > self.most || !room() {
+        if size > self.limit || !room() {
             return false;
         }
-        self.make_room(self.most - size, rank, left);
+        self.make_room(self.limit - size, rank, evicted);
         self.bytes += size;
         self.ranks[rank].put(key, copy);
         true
     }
 
-    /// Gives way until no more than so many bytes are held.
-    pub fn shrink(&mut self, to: u64, left: &mut dyn FnMut(Rc<Copy>, u8)) {
-        self.make_room(to, RANKS - 1, left);
+    /// Evicts copies until at most `to` bytes are held.
+    pub fn evict_to(&mut self, to: u64, evicted: &mut dyn FnMut(Rc<Copy>, u8)) {
+        self.make_room(to, RANKS - 1, evicted);
     }
 
-    /// The bound from now on.
-    pub fn bound(&mut self, most: u64, left: &mut dyn FnMut(Rc<Copy>, u8)) {
-        self.most = most;
-        self.shrink(most, left);
+    /// Changes the maximum of bytes held, evicting what exceeds it.
+    pub fn set_limit(&mut self, limit: u64, evicted: &mut dyn FnMut(Rc<Copy>, u8)) {
+        self.limit = limit;
+        self.evict_to(limit, evicted);
     }
 
-    fn make_room(&mut self, to: u64, up_to: usize, left: &mut dyn FnMut(Rc<Copy>, u8)) {
+    fn make_room(&mut self, to: u64, up_to: usize, evicted: &mut dyn FnMut(Rc<Copy>, u8)) {
         for at in 0..=up_to {
             while self.bytes > to {
-                let Some((_, gone)) = self.ranks[at].pop_lru() else {
+                let Some((_, removed)) = self.ranks[at].pop_lru() else {
                     break;
                 };
-                self.bytes -= takes(&gone);
-                left(gone, at as u8 + 1);
+                self.bytes -= charged_bytes(&removed);
+                evicted(removed, at as u8 + 1);
             }
         }
         debug_assert!(up_to < RANKS - 1 || self.bytes <= to);
     }
 }
 
-fn place(rank: u8) -> usize {
+fn rank_index(rank: u8) -> usize {
     usize::from(rank.clamp(1, RANKS as u8)) - 1
 }
 
--- a/crates/store/src/decide/mod.rs
+++ b/crates/store/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept, where, and for how long. No I/O.
+//! The decisions of the local cache: which copies are kept, in which tier, and for how long. No I/O.
 
 pub mod admission;
 pub mod disk;
@@ -12,21 +12,21 @@
 use crate::format::{Entry, tag_hash};
 use crate::key::{self, Key};
 use crate::recovery::{Recovered, RecoveryError};
-use disk::{Disk, Fault, Outlet};
+use disk::{Disk, DiskBackend, Fault};
 use memory::Memory;
 use purges::{Purges, group_slot};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Where an own copy is.
+/// The tier that holds a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     Memory,
     Disk,
 }
 
-/// An own copy that may be served: where it is, when it was made (Unix milliseconds), whether the asker has
-/// it.
+/// A copy that may be served: its tier, when it was made (Unix milliseconds), and whether the requester already
+/// has this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Found {
     pub place: Place,
@@ -34,7 +34,7 @@
     pub same: bool,
 }
 
-/// A part, as a request names it.
+/// A part as identified by a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Part<'a> {
     pub object: &'a [u8],
@@ -43,13 +43,13 @@
 }
 
 impl Part<'_> {
-    fn keys(&self) -> (Key, Key) {
+    fn hashes(&self) -> (Key, Key) {
         let object = key::object(self.object);
         (object, key::part(object, self.part))
     }
 }
 
-/// What happened so far in memory, for operators.
+/// Counters of the memory tier, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     pub kept: u64,
@@ -62,26 +62,26 @@
     pub hit_bytes: u64,
 }
 
-/// A router's own copies: a memory tier, and a disk tier behind it where one is wanted.
+/// The local cache: a memory tier, optionally backed by a disk tier.
 pub struct Store {
     memory: Memory,
     disk: Option<Disk>,
     purges: Purges,
     counts: Counts,
-    /// What had to leave memory, until it has been offered to the disk.
-    left: Vec<(Rc<Copy>, u8)>,
+    /// Copies evicted from memory that were not offered to the disk yet.
+    evicted: Vec<(Rc<Copy>, u8)>,
 }
 
 impl Store {
-    /// Holds so many bytes in memory at the most.
-    pub fn new(memory_most: u64, disk: Option<Disk>) -> Store {
-        let (memory, counts) = (Memory::new(memory_most), Counts::default());
+    /// A store whose memory tier holds at most `memory_limit` bytes.
+    pub fn new(memory_limit: u64, disk: Option<Disk>) -> Store {
+        let (memory, counts) = (Memory::new(memory_limit), Counts::default());
         Store {
             memory,
             disk,
             purges: Purges::default(),
             counts,
-            left: Vec::new(),
+            evicted: Vec::new(),
         }
     }
 
@@ -101,14 +101,14 @@
         self.disk.as_mut()
     }
 
-    /// The own copy of a part; `have`: the tag of the copy that the asker holds.
+    /// Finds a copy of a part. `have` is the entity tag of the requester's copy.
     pub fn find(&mut self, part: Part, have: Option<&[u8]>) -> Option<Found> {
-        let (object, key) = part.keys();
+        let (object, key) = part.hashes();
         let have = have.filter(|tag| !tag.is_empty());
         if let Some(copy) = self
             .memory
             .peek(key)
-            .filter(|copy| self.is_good(copy, part, object))
+            .filter(|copy| self.is_servable(copy, part, object))
         {
             let same = have.is_some_and(|tag| *tag == *copy.tag);
             return Some(Found {
@@ -129,13 +129,13 @@
         })
     }
 
-    /// Takes the copy in memory for an answer.
+    /// Returns the copy in memory for an answer.
     pub fn take(&mut self, now: Duration, part: Part) -> Option<Rc<Copy>> {
-        let (object, key) = part.keys();
+        let (object, key) = part.hashes();
         let copy = self
             .memory
             .take(key)
-            .filter(|copy| self.is_good(copy, part, object))?;
+            .filter(|copy| self.is_servable(copy, part, object))?;
         self.counts.hits += 1;
         self.counts.hit_bytes += copy.body.len() as u64;
         if let Some(disk) = &mut self.disk {
@@ -144,19 +144,24 @@
         Some(copy)
     }
 
-    /// Reads the copy on disk for an answer, which comes through `Outlet::fetched`. None: the disk does not
-    /// take it.
-    pub fn fetch(&mut self, now: Duration, part: Part, out: &mut dyn Outlet) -> Option<u64> {
-        let (object, key) = part.keys();
+    /// Starts reading the copy on disk for an answer; the result arrives with `DiskBackend::read_completed`.
+    /// `None` if there is no copy or the read queue is full.
+    pub fn fetch(
+        &mut self,
+        now: Duration,
+        part: Part,
+        backend: &mut dyn DiskBackend,
+    ) -> Option<u64> {
+        let (object, key) = part.hashes();
         let disk = self.disk.as_mut()?;
         let group = group_slot(part.group);
         let spot = disk.find(key, object, group, &self.purges)?;
         disk.sighted(now, object, part.part);
-        disk.fetch(key, spot, part.object, part.part, group, out)
+        disk.fetch(key, spot, part.object, part.part, group, backend)
     }
 
-    /// Of the part that is asked for, and no purge of it was told since it was made (rule 5).
-    fn is_good(&self, copy: &Copy, part: Part, object: Key) -> bool {
+    /// Whether a copy is of the requested part and no purge received since it was made applies to it (rule 5).
+    fn is_servable(&self, copy: &Copy, part: Part, object: Key) -> bool {
         *copy.object == *part.object
             && copy.part == part.part
             && self
@@ -167,8 +172,8 @@
                 .survives(object, group_slot(part.group), copy.made)
     }
 
-    /// Keeps a copy at a rank from 1 to 3, unless it is older than a purge or than the one that is held.
-    pub fn keep(&mut self, now: Duration, copy: Copy, rank: u8, out: &mut dyn Outlet) {
+    /// Keeps a copy with a rank from 1 to 3, unless it was purged or a newer copy is held.
+    pub fn keep(&mut self, now: Duration, copy: Copy, rank: u8, backend: &mut dyn DiskBackend) {
         let object = key::object(&copy.object);
         let key = key::part(object, copy.part);
         if !self
@@ -203,203 +208,224 @@
                 );
             }
             if tag != tag_hash(&copy.tag) && copy.in_parts {
-                // The object has changed: of its other parts, what was made before belongs to the older
+                // The object has changed: copies of its other parts that were made earlier are of an older
                 // version.
                 let marks = self.purges.object(object, copy.made.saturating_sub(1));
-                self.mark(marks, out);
+                self.record_marks(marks, backend);
             }
         }
         if let Some(disk) = &mut self.disk {
             disk.proven(key, &copy.tag, copy.made);
             disk.sighted(now, object, copy.part);
         }
-        self.put(now, key, Rc::new(copy), rank);
+        self.insert_copy(now, key, Rc::new(copy), rank);
     }
 
-    fn put(&mut self, now: Duration, key: Key, copy: Rc<Copy>, rank: u8) {
-        let (left, counts) = (&mut self.left, &mut self.counts);
+    fn insert_copy(&mut self, now: Duration, key: Key, copy: Rc<Copy>, rank: u8) {
+        let (evicted, counts) = (&mut self.evicted, &mut self.counts);
         let kept = self
             .memory
             .keep(key, copy.clone(), rank, &mut |copy, rank| {
-                left.push((copy, rank))
+                evicted.push((copy, rank))
             });
         if kept {
             counts.kept += 1;
         } else {
             counts.not_kept += 1;
-            left.push((copy, rank));
+            evicted.push((copy, rank));
         }
-        counts.left += left.len() as u64;
+        counts.left += evicted.len() as u64;
         self.demote(now);
     }
 
-    /// Offers to the disk what memory had no place for.
+    /// Offers the copies evicted from memory to the disk.
     fn demote(&mut self, now: Duration) {
-        let left = std::mem::take(&mut self.left);
+        let evicted = std::mem::take(&mut self.evicted);
         if let Some(disk) = &mut self.disk {
-            left.into_iter()
+            evicted
+                .into_iter()
                 .for_each(|(copy, rank)| disk.demote(now, copy, rank));
         }
     }
 
-    /// A further sighting sets the rank of what is held anew.
+    /// Changes the rank of a held copy after another request for it.
     pub fn rank(&mut self, part: Part, rank: u8) {
-        let (_, key) = part.keys();
-        self.memory.rank(key, rank);
+        let (_, key) = part.hashes();
+        self.memory.set_rank(key, rank);
         if let Some(disk) = &mut self.disk {
             disk.rank(key, rank);
         }
     }
 
-    /// An object, or none: a group, was purged at this Unix millisecond.
-    pub fn purge(&mut self, object: Option<&[u8]>, group: u64, ms: u64, out: &mut dyn Outlet) {
+    /// Applies a purge of an object, or of a group if `object` is `None`, made at this Unix millisecond.
+    pub fn purge(
+        &mut self,
+        object: Option<&[u8]>,
+        group: u64,
+        ms: u64,
+        backend: &mut dyn DiskBackend,
+    ) {
         self.counts.purges += 1;
         let marks = match object {
             Some(object) => self.purges.object(key::object(object), ms),
             None => [Some(self.purges.group(group, ms)), None],
         };
-        self.mark(marks, out);
+        self.record_marks(marks, backend);
     }
 
-    fn mark(&mut self, marks: [Option<purges::Mark>; 2], out: &mut dyn Outlet) {
+    fn record_marks(&mut self, marks: [Option<purges::Mark>; 2], backend: &mut dyn DiskBackend) {
         if let Some(disk) = &mut self.disk {
-            disk.purged(marks.into_iter().flatten(), out);
+            disk.purged(marks.into_iter().flatten(), backend);
         }
     }
 
-    /// Gives way in memory until no more than so many bytes are held there. What leaves is not offered to the
-    /// disk: it would take memory again while it waits.
+    /// Evicts copies until memory holds at most `to` bytes. They are not offered to the disk, because the queue
+    /// of writes would take memory again.
     pub fn give_way(&mut self, to: u64) {
         let gave_way = &mut self.counts.gave_way;
-        self.memory.shrink(to, &mut |_, _| *gave_way += 1);
+        self.memory.evict_to(to, &mut |_, _| *gave_way += 1);
     }
 
-    /// Bytes of memory that copies and tables take.
+    /// The memory that copies and tables take, in bytes.
     pub fn bytes(&self) -> u64 {
         self.memory.bytes() + self.disk.as_ref().map_or(0, Disk::bytes)
     }
 
-    // ---- How orders ended
+    // ---- Completion of disk operations
 
-    pub fn opened(&mut self, known: &Known, segments: Vec<u32>, out: &mut dyn Outlet) {
+    pub fn complete_open(
+        &mut self,
+        known: &Known,
+        segments: Vec<u32>,
+        backend: &mut dyn DiskBackend,
+    ) {
         if let Some(disk) = &mut self.disk {
-            disk.opened(known, segments, &mut self.purges, out);
+            disk.complete_open(known, segments, &mut self.purges, backend);
         }
     }
 
-    pub fn recovered(
+    pub fn complete_recovery(
         &mut self,
         now: Duration,
         segment: u32,
         result: Result<Recovered, RecoveryError>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
-            disk.recovered(now, segment, result, &self.purges, out);
+            disk.complete_recovery(now, segment, result, &self.purges, backend);
         }
     }
 
-    pub fn read(
+    pub fn complete_read(
         &mut self,
         now: Duration,
         ticket: u64,
         result: Result<(Copy, u8), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         let Some(disk) = &mut self.disk else { return };
-        if let Some((copy, rank)) = disk.read(now, ticket, result, &self.purges, out) {
+        if let Some((copy, rank)) = disk.complete_read(now, ticket, result, &self.purges, backend) {
             let key = key::part(key::object(&copy.object), copy.part);
-            self.put(now, key, copy, rank);
+            self.insert_copy(now, key, copy, rank);
         }
     }
 
-    pub fn listed(
+    pub fn complete_list(
         &mut self,
         now: Duration,
         segment: u32,
         result: Result<Vec<Entry>, Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
-            disk.listed(now, segment, result, &self.purges, out);
+            disk.complete_list(now, segment, result, &self.purges, backend);
         }
     }
 
-    pub fn appended(
+    pub fn complete_append(
         &mut self,
         now: Duration,
         ticket: u64,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
-            disk.appended(now, ticket, result, &self.purges, out);
+            disk.complete_append(now, ticket, result, &self.purges, backend);
         }
     }
 
-    pub fn synced(
+    pub fn complete_sync(
         &mut self,
         now: Duration,
         segment: u32,
         up_to: u32,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
-            disk.synced(now, segment, up_to, result, out);
+            disk.complete_sync(now, segment, up_to, result, backend);
         }
     }
 
-    pub fn sealed(
+    pub fn complete_seal(
         &mut self,
         now: Duration,
         segment: u32,
         up_to: u32,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
-            disk.sealed(now, segment, up_to, result, out);
+            disk.complete_seal(now, segment, up_to, result, backend);
         }
     }
 
-    pub fn removed(
+    pub fn complete_removal(
         &mut self,
         now: Duration,
         segment: u32,
         result: Result<(), Fault>,
-        out: &mut dyn Outlet,
+        backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
-            disk.removed(now, segment, result, out);
+            disk.complete_removal(now, segment, result, backend);
         }
     }
 
-    pub fn marked(&mut self, result: Result<(), Fault>, out: &mut dyn Outlet) {
+    pub fn complete_catalogue_write(
+        &mut self,
+        result: Result<(), Fault>,
+        backend: &mut dyn DiskBackend,
+    ) {
         if let Some(disk) = &mut self.disk {
-            disk.marked(result, out);
+            disk.complete_catalogue_write(result, backend);
         }
     }
 
-    /// Whatever is due.
-    pub fn tick(&mut self, now: Duration, out: &mut dyn Outlet) {
+    /// Does the background work that is due.
+    pub fn tick(&mut self, now: Duration, backend: &mut dyn DiskBackend) {
         let memory = &self.memory;
         if let Some(disk) = &mut self.disk {
-            disk.tick(now, &self.purges, &|key| memory.peek(key).is_some(), out);
+            disk.tick(
+                now,
+                &self.purges,
+                &|key| memory.peek(key).is_some(),
+                backend,
+            );
         }
     }
 
-    /// The source of a copy says that it still holds, as of a copy made at `made`.
+    /// The source confirmed that the version with this entity tag was current at `made`.
     pub fn proven(&mut self, part: Part, tag: &[u8], made: u64) {
         if let Some(disk) = &mut self.disk {
-            disk.proven(part.keys().1, tag, made);
+            disk.proven(part.hashes().1, tag, made);
         }
     }
 
-    /// It does not, or could not be asked.
-    pub fn disproven(&mut self, part: Part, out: &mut dyn Outlet) {
+    /// Drops the disk copy if it is still unproven: its source has another version or could not be reached.
+    pub fn disproven(&mut self, part: Part, backend: &mut dyn DiskBackend) {
         if let Some(disk) = &mut self.disk {
-            disk.disproven(part.keys().1, out);
+            disk.disproven(part.hashes().1, backend);
         }
     }
 }
--- a/crates/store/src/decide/purges.rs
+++ b/crates/store/src/decide/purges.rs
@@ -1,23 +1,24 @@
-//! What was purged, and when: for ever, in bounded memory.
+//! All purges ever received, in bounded memory.
 //!
-//! The latest purges of single objects stand one by one. Older ones are folded into a table by hash, where a
-//! purge takes along whatever falls into its slot: a copy too many is dropped, never one too few kept.
+//! The latest purges of objects are kept exactly. Older ones are folded into a hash table, where a purge
+//! applies to every object in its slot: this may drop more copies than were purged, but never fewer.
 
 use crate::key::{self, Key};
 use lru::LruCache;
 use std::num::NonZeroUsize;
 
-/// Single objects remembered one by one; at a purge a second, over an hour's.
-const EXACT: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
-/// Slots of the table of older ones, and of groups: two groups in one slot are purged together.
-pub const SLOTS: usize = 65_536;
+/// Objects whose purges are kept exactly. At one purge a second this covers more than an hour.
+const MAX_EXACT: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+/// Slots of the table of older purges.
+pub const FOLDED_SLOTS: usize = 65_536;
+/// Slots of groups; groups that share a slot are purged together.
 pub const GROUPS: usize = 1024;
 
-/// What has to be written down for a purge to outlive the program. Times are Unix milliseconds.
+/// A catalogue entry that makes a purge durable. Times are Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mark {
     Object(Key, u64),
-    /// No longer one by one: it stands in its slot.
+    /// The object's purge is no longer kept exactly, but in its slot.
     Folded(Key, usize, u64),
     Group(usize, u64),
 }
@@ -31,23 +32,23 @@
 impl Default for Purges {
     fn default() -> Purges {
         Purges {
-            exact: LruCache::new(EXACT),
-            folded: vec![0; SLOTS],
+            exact: LruCache::new(MAX_EXACT),
+            folded: vec![0; FOLDED_SLOTS],
             groups: vec![0; GROUPS],
         }
     }
 }
 
 impl Purges {
-    /// A purge of an object, told or read back. Returns what is to be written down.
+    /// Applies a purge of an object. Returns the entries to write to the catalogue.
     pub fn object(&mut self, object: Key, ms: u64) -> [Option<Mark>; 2] {
         let latest = self.exact.get(&object).copied().unwrap_or(0).max(ms);
-        let pushed = self
+        let evicted = self
             .exact
             .push(object, latest)
             .filter(|(old, _)| *old != object);
-        let folded = pushed.map(|(old, at)| {
-            let slot = key::slot(old, SLOTS);
+        let folded = evicted.map(|(old, at)| {
+            let slot = key::slot(old, FOLDED_SLOTS);
             self.folded[slot] = self.folded[slot].max(at);
             Mark::Folded(old, slot, self.folded[slot])
         });
@@ -60,14 +61,14 @@
         Mark::Group(slot, self.groups[slot])
     }
 
-    /// A mark read back from an earlier life.
+    /// Applies an entry that was read from the catalogue.
     pub fn restore(&mut self, mark: Mark) {
         match mark {
             Mark::Object(object, ms) => {
                 self.object(object, ms);
             }
             Mark::Folded(_, slot, ms) => {
-                let at = &mut self.folded[slot % SLOTS];
+                let at = &mut self.folded[slot % FOLDED_SLOTS];
                 *at = ms.max(*at);
             }
             Mark::Group(slot, ms) => {
@@ -77,20 +78,22 @@
         }
     }
 
-    /// The last purge that may concern a copy of this object, in the slot of its group; 0: none.
-    pub fn last(&self, object: Key, group_slot: usize) -> u64 {
+    /// The time of the last purge that may apply to a copy of this object, or to its group's slot; 0: none.
+    pub fn last_purge_ms(&self, object: Key, group_slot: usize) -> u64 {
         let exact = self.exact.peek(&object).copied().unwrap_or(0);
         exact
-            .max(self.folded[key::slot(object, SLOTS)])
+            .max(self.folded[key::slot(object, FOLDED_SLOTS)])
             .max(self.groups[group_slot % GROUPS])
     }
 
-    /// Rule 5: a copy made in the very millisecond of a purge may be the one that was purged.
+    /// Whether a copy made at this time is newer than every purge that may apply to it (rule 5). A copy made in
+    /// the millisecond of a purge does not survive, since it may be the purged version.
     pub fn survives(&self, object: Key, group_slot: usize, made: u64) -> bool {
-        made > self.last(object, group_slot)
+        made > self.last_purge_ms(object, group_slot)
     }
 }
 
+/// The slot of a group in the purge table.
 pub fn group_slot(group: u64) -> usize {
     (group % GROUPS as u64) as usize
 }
--- a/crates/store/src/decide/purges/tests.rs
+++ b/crates/store/src/decide/purges/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_flood_of_purges_forgets_none() {
+fn many_purges_lose_none() {
     let mut purges = Purges::default();
     let all: Vec<Key> = (0..20_000u64)
         .map(|n| key::object(&n.to_be_bytes()))
@@ -10,10 +10,10 @@
     for (n, key) in all.iter().enumerate() {
         marks.extend(purges.object(*key, 1000 + n as u64).into_iter().flatten());
     }
-    let mut again = Purges::default();
-    marks.iter().for_each(|mark| again.restore(*mark));
+    let mut restored = Purges::default();
+    marks.iter().for_each(|mark| restored.restore(*mark));
     for (n, key) in all.iter().enumerate() {
-        for purges in [&purges, &again] {
+        for purges in [&purges, &restored] {
             assert!(
                 !purges.survives(*key, 0, 1000 + n as u64),
                 "copy of object {n}"
@@ -21,23 +21,29 @@
             assert!(purges.survives(*key, 0, 1000 + all.len() as u64));
         }
     }
-    let others =
+    let also_purged =
         (50_000..60_000u64).filter(|n| !purges.survives(key::object(&n.to_be_bytes()), 0, 500));
-    let share = others.count() as f64 / 10_000.0;
+    let share = also_purged.count() as f64 / 10_000.0;
     assert!(
         (0.01..0.4).contains(&share),
-        "{share} of the others went along"
+        "{share} of the other objects were purged too"
     );
 }
 
 #[test]
-fn an_earlier_purge_that_comes_late_changes_nothing() {
+fn a_late_earlier_purge_changes_nothing() {
     let mut purges = Purges::default();
     let object = key::object(b"a");
     purges.object(object, 50);
     purges.object(object, 40);
     purges.group(17, 60);
     purges.group(17, 30);
-    assert_eq!((purges.last(object, 0), purges.last(object, 17)), (50, 60));
+    assert_eq!(
+        (
+            purges.last_purge_ms(object, 0),
+            purges.last_purge_ms(object, 17)
+        ),
+        (50, 60)
+    );
     assert!(!purges.survives(object, 0, 50) && purges.survives(object, 0, 51));
 }
--- a/crates/store/src/decide/segments.rs
+++ b/crates/store/src/decide/segments.rs
@@ -1,79 +1,81 @@
-//! Which segments there are, which is written to, and which is reclaimed next.
+//! The segments of a store: which are written to, and which is reclaimed next.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Records of like size lie together: a row of large ones that nobody asks for again fills segments of its
-/// own, and goes with them.
-pub const CLASSES: usize = 4;
-const CLASS_ENDS: [usize; CLASSES - 1] = [8 << 10, 32 << 10, 128 << 10];
-/// What a segment is worth halves with each such span since it was last read from or written to.
-const FADES: Duration = Duration::from_secs(600);
+/// Records are grouped by size: a burst of large records that are not requested again fills segments of its
+/// own, and is reclaimed with them.
+pub const SIZE_CLASSES: usize = 4;
+const SIZE_CLASS_LIMITS: [usize; SIZE_CLASSES - 1] = [8 << 10, 32 << 10, 128 << 10];
+/// A segment's value halves with each such interval since it was last read or written.
+const VALUE_HALF_LIFE: Duration = Duration::from_secs(600);
 
-pub fn class_of(record: usize) -> usize {
-    CLASS_ENDS
+pub fn size_class(record: usize) -> usize {
+    SIZE_CLASS_LIMITS
         .iter()
         .position(|end| record <= *end)
-        .unwrap_or(CLASSES - 1)
+        .unwrap_or(SIZE_CLASSES - 1)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Written to.
+    /// Records are appended to it.
     Open,
-    /// Its footer is on the way to the disk.
+    /// Its footer is being written.
     Sealing,
     Sealed,
-    /// A write or a sync of it failed: nothing more is written, what is left of it goes first.
+    /// A write or sync failed: nothing more is appended, and it is reclaimed first.
     Failed,
-    /// Its parts are being looked through, then it is removed.
-    Reclaimed,
+    /// Records worth keeping are being carried over; then it is removed.
+    Reclaiming,
     Removing,
 }
 
 #[derive(Clone, Debug)]
 pub struct Segment {
     pub state: State,
+    /// Its size class.
     pub class: usize,
-    /// Where the next record goes, and up to where all is known to be on the disk.
+    /// The offset of the next record.
     pub end: u32,
-    pub synced: u32,
-    /// Bytes of records that the index still leads to.
-    live: u64,
-    used: Duration,
+    /// The offset up to which records are known to be durable.
+    pub synced_up_to: u32,
+    /// Bytes of records that the index refers to.
+    live_bytes: u64,
+    last_used: Duration,
 }
 
 impl Segment {
-    pub fn live(&self) -> u64 {
-        self.live
+    pub fn live_bytes(&self) -> u64 {
+        self.live_bytes
     }
 
-    /// What a byte of it is worth keeping. Ranks do not count here: they have decided what was written, and
-    /// decide what is carried over. Counted once more they cost bytes (docs/store.md).
-    fn worth(&self, now: Duration) -> f64 {
-        let idle = now.saturating_sub(self.used).as_secs_f64() / FADES.as_secs_f64();
-        self.live as f64 / f64::from(self.end.max(1)) * (-idle).exp2()
+    /// The value of keeping a byte of it. Ranks are not included: they decide what is written and what is
+    /// carried over, and counting them here again lowered the byte hit ratio (docs/store.md).
+    fn value(&self, now: Duration) -> f64 {
+        let idle = now.saturating_sub(self.last_used).as_secs_f64() / VALUE_HALF_LIFE.as_secs_f64();
+        self.live_bytes as f64 / f64::from(self.end.max(1)) * (-idle).exp2()
     }
 }
 
-/// All segments of a store, by number. Numbers only go up: bytes of an earlier segment never pass for a later
-/// one's.
+/// All segments of a store, by number. Numbers are never reused, so bytes of an earlier segment never verify
+/// as those of a later one.
 pub struct Segments {
     all: BTreeMap<u32, Segment>,
-    open: [Option<u32>; CLASSES],
+    open: [Option<u32>; SIZE_CLASSES],
     next: u32,
-    /// How long a segment gets, and how many there may be.
-    pub size: u32,
+    /// The maximum length of a segment, and the maximum number of segments.
+    pub segment_size: u32,
     pub most: usize,
 }
 
 impl Segments {
-    pub fn new(size: u32, most: usize) -> Segments {
+    pub fn new(segment_size: u32, most: usize) -> Segments {
         Segments {
             all: BTreeMap::new(),
-            open: [None; CLASSES],
+            open: [None; SIZE_CLASSES],
             next: 1,
-            size,
+            segment_size,
             most,
         }
     }
@@ -94,43 +96,43 @@
         self.all.iter().map(|(number, segment)| (*number, segment))
     }
 
-    /// Bytes of all segments, and of what the index leads to.
+    /// Bytes of all segments, and of the records in them that the index refers to.
     pub fn bytes(&self) -> (u64, u64) {
         self.all.values().fold((0, 0), |(all, live), s| {
-            (all + u64::from(s.end), live + s.live)
+            (all + u64::from(s.end), live + s.live_bytes)
         })
     }
 
-    /// New ones begin after this number.
-    pub fn number_from(&mut self, last: u32) {
+    /// New segments get numbers after `last`.
+    pub fn reserve_numbers_up_to(&mut self, last: u32) {
         self.next = self.next.max(last.saturating_add(1));
     }
 
-    /// A segment of an earlier life, before its parts are known.
-    pub fn found(&mut self, number: u32, class: usize, end: u32, now: Duration) {
-        self.number_from(number);
-        let class = class.min(CLASSES - 1);
+    /// Adds a segment that an earlier run wrote, before its records are indexed.
+    pub fn add_recovered(&mut self, number: u32, class: usize, end: u32, now: Duration) {
+        self.reserve_numbers_up_to(number);
+        let class = class.min(SIZE_CLASSES - 1);
         let found = Segment {
             state: State::Sealed,
             class,
             end,
-            synced: end,
-            live: 0,
-            used: now,
+            synced_up_to: end,
+            live_bytes: 0,
+            last_used: now,
         };
         self.all.insert(number, found);
     }
 
-    /// How many more may be begun.
+    /// How many more segments can be opened.
     pub fn free(&self) -> usize {
         self.most.saturating_sub(self.all.len())
     }
 
-    /// The open segment of a class if it takes so many bytes more, and where they go.
-    pub fn place(&self, class: usize, length: usize) -> Option<(u32, u32)> {
+    /// The open segment of a size class and the offset of its next record, if `length` more bytes fit.
+    pub fn append_position(&self, class: usize, length: usize) -> Option<(u32, u32)> {
         let number = self.open[class]?;
         let segment = self.all.get(&number)?;
-        (u64::from(segment.end) + length as u64 <= u64::from(self.size))
+        (u64::from(segment.end) + length as u64 <= u64::from(self.segment_size))
             .then_some((number, segment.end))
     }
 
@@ -138,8 +140,8 @@
         self.open[class]
     }
 
-    /// Begins a segment of a class. None: there may be no more, or numbers have run out.
-    pub fn begin(&mut self, class: usize, head: u32, now: Duration) -> Option<u32> {
+    /// Opens a new segment of a size class. `None` if no more are allowed or the numbers have run out.
+    pub fn open_new(&mut self, class: usize, head: u32, now: Duration) -> Option<u32> {
         let (number, next) = (self.next, self.next.checked_add(1)?);
         if self.free() == 0 {
             return None;
@@ -152,30 +154,30 @@
                 state,
                 class,
                 end,
-                synced: 0,
-                live: 0,
-                used: now,
+                synced_up_to: 0,
+                live_bytes: 0,
+                last_used: now,
             },
         );
         self.open[class] = Some(number);
         Some(number)
     }
 
-    pub fn wrote(&mut self, segment: u32, length: usize, now: Duration) {
+    pub fn record_append(&mut self, segment: u32, length: usize, now: Duration) {
         if let Some(segment) = self.all.get_mut(&segment) {
             segment.end += length as u32;
-            segment.used = now;
+            segment.last_used = now;
         }
     }
 
-    pub fn synced(&mut self, segment: u32, up_to: u32) {
+    pub fn record_sync(&mut self, segment: u32, up_to: u32) {
         if let Some(segment) = self.all.get_mut(&segment) {
-            segment.synced = segment.synced.max(up_to);
+            segment.synced_up_to = segment.synced_up_to.max(up_to);
         }
     }
 
-    /// From here on it is not written to.
-    pub fn set(&mut self, segment: u32, state: State) {
+    /// Changes a segment's state; in any state but `Open` it takes no more records.
+    pub fn set_state(&mut self, segment: u32, state: State) {
         if let Some(found) = self.all.get_mut(&segment) {
             found.state = state;
             let open = &mut self.open[found.class];
@@ -185,48 +187,48 @@
         }
     }
 
-    pub fn used(&mut self, segment: u32, now: Duration) {
+    pub fn touch(&mut self, segment: u32, now: Duration) {
         self.all
             .get_mut(&segment)
             .into_iter()
-            .for_each(|s| s.used = now);
+            .for_each(|s| s.last_used = now);
     }
 
-    /// The index leads to so many bytes more in it.
-    pub fn add(&mut self, segment: u32, bytes: u32) {
+    /// Counts bytes that the index now refers to.
+    pub fn add_live_bytes(&mut self, segment: u32, bytes: u32) {
         self.all
             .get_mut(&segment)
             .into_iter()
-            .for_each(|s| s.live += u64::from(bytes));
+            .for_each(|s| s.live_bytes += u64::from(bytes));
     }
 
-    pub fn take(&mut self, segment: u32, bytes: u32) {
+    pub fn subtract_live_bytes(&mut self, segment: u32, bytes: u32) {
         if let Some(segment) = self.all.get_mut(&segment) {
             debug_assert!(
-                segment.live >= u64::from(bytes),
-                "more taken than there was"
+                segment.live_bytes >= u64::from(bytes),
+                "more bytes subtracted than are live"
             );
-            segment.live = segment.live.saturating_sub(u64::from(bytes));
+            segment.live_bytes = segment.live_bytes.saturating_sub(u64::from(bytes));
         }
     }
 
-    pub fn removed(&mut self, segment: u32) {
+    pub fn remove_segment(&mut self, segment: u32) {
         self.all.remove(&segment);
     }
 
-    /// Which goes next: one that failed, else the sealed one whose bytes are worth least.
-    pub fn victim(&self, now: Duration) -> Option<u32> {
-        let worth = |s: &Segment| {
+    /// The segment to reclaim next: a failed one, otherwise the sealed one with the least value.
+    pub fn select_victim(&self, now: Duration) -> Option<u32> {
+        let value = |s: &Segment| {
             if s.state == State::Failed {
                 -1.0
             } else {
-                s.worth(now)
+                s.value(now)
             }
         };
-        let may_go = |s: &&Segment| matches!(s.state, State::Sealed | State::Failed);
-        let victims = self.all.iter().filter(|(_, s)| may_go(s));
-        victims
-            .min_by(|(_, a), (_, b)| worth(a).total_cmp(&worth(b)))
+        let is_reclaimable = |s: &&Segment| matches!(s.state, State::Sealed | State::Failed);
+        let candidates = self.all.iter().filter(|(_, s)| is_reclaimable(s));
+        candidates
+            .min_by(|(_, a), (_, b)| value(a).total_cmp(&value(b)))
             .map(|(number, _)| *number)
     }
 }
--- a/crates/store/src/decide/tests.rs
+++ b/crates/store/src/decide/tests.rs
@@ -22,10 +22,10 @@
     }
 }
 
-/// No disk: nothing is ordered.
+/// Rejects all operations.
 struct NoDisk;
 
-impl Outlet for NoDisk {
+impl DiskBackend for NoDisk {
     fn read(&mut self, _: u64, _: u32, _: u32, _: u32) -> bool {
         false
     }
@@ -35,7 +35,7 @@
     fn recover(&mut self, _: u32) -> bool {
         false
     }
-    fn begin(&mut self, _: u32, _: u32) -> bool {
+    fn create_segment(&mut self, _: u32, _: u32) -> bool {
         false
     }
     fn append(&mut self, _: u64, _: u32, _: u32, _: Vec<u8>) -> bool {
@@ -50,7 +50,7 @@
     fn remove(&mut self, _: u32) -> bool {
         false
     }
-    fn mark(&mut self, _: Vec<crate::catalogue::Line>) -> bool {
+    fn write_catalogue(&mut self, _: Vec<crate::catalogue::Line>) -> bool {
         false
     }
 }
@@ -58,7 +58,7 @@
 const NOW: Duration = Duration::ZERO;
 
 #[test]
-fn nothing_older_than_a_purge_is_found_or_kept() {
+fn copies_older_than_a_purge_are_neither_found_nor_kept() {
     let mut store = Store::new(1 << 20, None);
     store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
     assert_eq!(
@@ -69,7 +69,7 @@
     assert!(store.take(NOW, PART).is_some(), "made after the purge");
     store.purge(None, 17, 100, &mut NoDisk);
     assert!(store.find(PART, None).is_none() && store.take(NOW, PART).is_none());
-    // Under way when the purge was told.
+    // A fill that was in progress when the purge arrived.
     store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
     assert!(store.find(PART, None).is_none());
     store.keep(NOW, copy(101, "b", 3), 2, &mut NoDisk);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_object_that_changed_takes_its_older_parts_along() {
+fn a_new_version_invalidates_older_parts_of_the_object() {
     let mut store = Store::new(1 << 20, None);
     store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
     store.keep(NOW, copy(150, "a", 3), 2, &mut NoDisk);
@@ -91,7 +91,7 @@
     store.keep(NOW, copy(180, "a", 2), 2, &mut NoDisk);
     assert!(
         store.find(Part { part: 2, ..PART }, None).is_none(),
-        "came late"
+        "older than the newer version"
     );
     store.keep(NOW, copy(190, "a", 3), 2, &mut NoDisk);
     assert_eq!(
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_refreshed_copy_of_the_same_version_leaves_the_others() {
+fn refreshing_the_same_version_keeps_the_other_parts() {
     let mut store = Store::new(1 << 20, None);
     store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
     store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
