--- a/crates/store/src/hands.rs
+++ b/crates/store/src/hands.rs
@@ -1,7 +1,7 @@
-//! Carries out orders on files. May block; runs on threads of its own, or in a test's turn.
+//! Runs disk operations on segment files. Calls may block; they run on worker threads, or inside a test driver.
 
 use crate::boot_clock::BootClock;
-use crate::catalogue::{Catalogue, Known, Line, Unusable};
+use crate::catalogue::{Catalogue, CatalogueError, Known, Line};
 use crate::copy::Copy;
 use crate::decide::disk::Fault;
 use crate::files::{File, Files, read_exact_at};
@@ -16,63 +16,66 @@
 use std::num::NonZeroUsize;
 use std::sync::Arc;
 
-/// Files held open by one thread.
-const OPEN_MOST: NonZeroUsize = NonZeroUsize::new(16).unwrap();
-const PREFIX: &str = "segment-";
+/// Files kept open by each thread.
+const MAX_OPEN_FILES: NonZeroUsize = NonZeroUsize::new(16).unwrap();
+const SEGMENT_FILE_PREFIX: &str = "segment-";
 
-fn name(segment: u32) -> String {
-    format!("{PREFIX}{segment:010}")
+fn segment_file_name(segment: u32) -> String {
+    format!("{SEGMENT_FILE_PREFIX}{segment:010}")
 }
 
-fn number(name: &str) -> Option<u32> {
-    name.strip_prefix(PREFIX)
+fn parse_segment_number(name: &str) -> Option<u32> {
+    name.strip_prefix(SEGMENT_FILE_PREFIX)
         .filter(|digits| digits.len() == 10)?
         .parse()
         .ok()
 }
 
-fn fault(what: io::Error) -> Fault {
-    match what.kind() {
+fn fault_of(error: io::Error) -> Fault {
+    match error.kind() {
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => Fault::Full,
-        // A file that has been taken away or cut short holds nothing that could be served.
+        // A missing or truncated file holds nothing that could be served.
         io::ErrorKind::NotFound | io::ErrorKind::UnexpectedEof => Fault::Damaged,
-        _ => Fault::Io(what.to_string()),
+        _ => Fault::Io(error.to_string()),
     }
 }
 
-/// Opens a directory: its catalogue, what that knows, and the numbers of its segments. `clock` as for
-/// `Catalogue::open`.
+/// Opens a directory: returns its catalogue, the catalogue's contents, and the numbers of its segments. For
+/// `clock` see `Catalogue::open`.
 pub fn open(
     files: &Arc<dyn Files>,
     store_id: u64,
     clock: Option<BootClock>,
-) -> Result<(Catalogue, Known, Vec<u32>), Unusable> {
+) -> Result<(Catalogue, Known, Vec<u32>), CatalogueError> {
     let (catalogue, known) = Catalogue::open(files.clone(), store_id, clock)?;
-    let names = files.list().map_err(Unusable::Io)?;
+    let names = files.list().map_err(CatalogueError::Io)?;
     Ok((
         catalogue,
         known,
-        names.iter().filter_map(|name| number(name)).collect(),
+        names
+            .iter()
+            .filter_map(|name| parse_segment_number(name))
+            .collect(),
     ))
 }
 
-/// The files of one store, for one thread.
+/// Runs disk operations on the segment files of one store, on one thread.
 pub struct Hands {
     files: Arc<dyn Files>,
     store_id: u64,
     open: LruCache<u32, Arc<dyn File>>,
-    /// Segments of which something failed, until they are removed: what an order said to follow it must not
-    /// be taken for whole.
-    broken: HashMap<u32, Broken>,
+    /// Segments with a failed operation, until they are removed. Later operations on them were ordered on the
+    /// assumption that the failed one succeeds, so they must not report success.
+    faulty: HashMap<u32, SegmentFault>,
 }
 
-/// What may still be done to a segment of which something failed.
+/// Which operations a segment with a failed operation still allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
-    /// A record was not written: those before it can be synced, but none is added and no footer lists them.
-    Unwritten,
-    /// A sync failed, or the segment's name may not last: no later sync proves anything.
-    Unsynced,
+enum SegmentFault {
+    /// A record was not written: earlier records can still be synced, but no record or footer may follow.
+    WriteFailed,
+    /// A sync or the file's creation failed: later syncs do not prove that the data is durable.
+    SyncFailed,
 }
 
 impl Hands {
@@ -80,8 +83,8 @@
         Hands {
             files,
             store_id,
-            open: LruCache::new(OPEN_MOST),
-            broken: HashMap::new(),
+            open: LruCache::new(MAX_OPEN_FILES),
+            faulty: HashMap::new(),
         }
     }
 
@@ -89,16 +92,16 @@
         if let Some(file) = self.open.get(&segment) {
             return Ok(file.clone());
         }
-        let file = self.files.open(&name(segment))?;
+        let file = self.files.open(&segment_file_name(segment))?;
         self.open.put(segment, file.clone());
         Ok(file)
     }
 
-    /// A record, if it proves whole.
+    /// Reads and verifies a record.
     pub fn read(&mut self, segment: u32, at: u32, length: u32) -> Result<(Copy, u8), Fault> {
-        let file = self.file(segment).map_err(fault)?;
+        let file = self.file(segment).map_err(fault_of)?;
         let bytes = read_exact_at(&*file, u64::from(at), length as usize)
-            .map_err(fault)?
+            .map_err(fault_of)?
             .ok_or(Fault::Damaged)?;
         let place = DiskAddress {
             store_id: self.store_id,
@@ -108,56 +111,57 @@
         decode_record(&Bytes::from(bytes), place).map_err(|_: FormatError| Fault::Damaged)
     }
 
-    /// What a segment lists; one that has no good footer is walked through.
+    /// Lists a segment's records, by scanning it if it has no valid footer.
     pub fn list(&mut self, segment: u32) -> Result<Vec<Entry>, Fault> {
-        let file = self.file(segment).map_err(fault)?;
-        let length = file.length().map_err(fault)?;
-        match read_footer_entries(&*file, self.store_id, segment, length).map_err(fault)? {
+        let file = self.file(segment).map_err(fault_of)?;
+        let length = file.length().map_err(fault_of)?;
+        match read_footer_entries(&*file, self.store_id, segment, length).map_err(fault_of)? {
             Some(entries) => Ok(entries),
             None => match recover(&*file, self.store_id, segment) {
                 Ok(found) => Ok(found.entries),
-                Err(RecoveryError::Io(what)) => Err(fault(what)),
+                Err(RecoveryError::Io(error)) => Err(fault_of(error)),
                 Err(RecoveryError::UnsupportedVersion(_)) => Err(Fault::Damaged),
             },
         }
     }
 
-    /// What a segment of an earlier life holds. One that was not sealed is from now on.
+    /// Recovers a segment that an earlier run wrote, and seals it if it was not sealed.
     pub fn recover(&mut self, segment: u32) -> Result<Recovered, RecoveryError> {
         let file = self.file(segment)?;
         let found = recover(&*file, self.store_id, segment)?;
         if !found.sealed {
-            // Where that fails the next start walks through it again.
+            // If sealing fails, the next start scans the segment again.
             let _ = seal(&*file, self.store_id, segment, &found);
         }
         self.open.pop(&segment);
         Ok(found)
     }
 
-    /// Lists these records alone from now on; what stands behind the last of them is cut off.
+    /// Replaces the segment's footer by one that lists only these records, and truncates the file after the
+    /// last of them.
     pub fn rewrite(&mut self, segment: u32, entries: Vec<Entry>) -> Result<(), Fault> {
         let end = entries
             .iter()
             .map(|e| e.at + e.length)
             .max()
             .unwrap_or(SEGMENT_HEADER_LEN as u32);
-        let file = self.file(segment).map_err(fault)?;
+        let file = self.file(segment).map_err(fault_of)?;
         let found = Recovered {
             entries,
             end,
             ..Recovered::default()
         };
-        seal(&*file, self.store_id, segment, &found).map_err(fault)
+        seal(&*file, self.store_id, segment, &found).map_err(fault_of)
     }
 
-    /// Makes a segment's file and sees to it that its name lasts. After an error nothing is written to it.
-    pub fn begin(&mut self, segment: u32, class: u32) -> Result<(), Fault> {
-        let begun = self.begin_file(segment, class);
-        self.note(segment, Broken::Unsynced, begun)
+    /// Creates a segment's file and syncs its name. After an error the segment takes no writes.
+    pub fn create_segment(&mut self, segment: u32, class: u32) -> Result<(), Fault> {
+        let created = self.create_segment_file(segment, class);
+        self.record_result(segment, SegmentFault::SyncFailed, created)
     }
 
-    fn begin_file(&mut self, segment: u32, class: u32) -> io::Result<()> {
-        let file = self.files.create(&name(segment))?;
+    fn create_segment_file(&mut self, segment: u32, class: u32) -> io::Result<()> {
+        let file = self.files.create(&segment_file_name(segment))?;
         file.write_at(&encode_segment_header(self.store_id, segment, class), 0)?;
         self.files.sync_names()?;
         self.open.put(segment, file);
@@ -165,65 +169,76 @@
     }
 
     pub fn append(&mut self, segment: u32, at: u32, record: &[u8]) -> Result<(), Fault> {
-        self.refuse_broken(segment, &[Broken::Unwritten, Broken::Unsynced])?;
+        self.check_not_faulty(
+            segment,
+            &[SegmentFault::WriteFailed, SegmentFault::SyncFailed],
+        )?;
         let written = self
             .file(segment)
             .and_then(|file| file.write_at(record, u64::from(at)));
-        self.note(segment, Broken::Unwritten, written)
+        self.record_result(segment, SegmentFault::WriteFailed, written)
     }
 
     pub fn sync(&mut self, segment: u32) -> Result<(), Fault> {
-        self.refuse_broken(segment, &[Broken::Unsynced])?;
+        self.check_not_faulty(segment, &[SegmentFault::SyncFailed])?;
         let synced = self.file(segment).and_then(|file| file.sync());
-        self.note(segment, Broken::Unsynced, synced)
+        self.record_result(segment, SegmentFault::SyncFailed, synced)
     }
 
-    /// A footer vouches for every record that it lists: one that was not written must not stand in it, where
-    /// it would hide an older one of the same part.
+    /// Writes the footer and syncs. Refused after a failed write: a footer that listed an unwritten record
+    /// would hide an older copy of the same part at recovery.
     pub fn seal(&mut self, segment: u32, at: u32, footer: &[u8]) -> Result<(), Fault> {
-        self.refuse_broken(segment, &[Broken::Unwritten, Broken::Unsynced])?;
+        self.check_not_faulty(
+            segment,
+            &[SegmentFault::WriteFailed, SegmentFault::SyncFailed],
+        )?;
         let sealed = self.file(segment).and_then(|file| {
             file.write_at(footer, u64::from(at))?;
             file.sync()
         });
-        self.note(segment, Broken::Unsynced, sealed)
+        self.record_result(segment, SegmentFault::SyncFailed, sealed)
     }
 
-    /// Removes a segment's file. One that is not there is removed already, or never was made.
+    /// Removes a segment's file. A missing file counts as removed: it was removed before or never created.
     pub fn remove(&mut self, segment: u32) -> Result<(), Fault> {
         self.open.pop(&segment);
-        let removed = match self.files.remove(&name(segment)) {
+        let removed = match self.files.remove(&segment_file_name(segment)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
             removed => removed,
         };
         removed
             .and_then(|()| self.files.sync_names())
-            .map_err(fault)?;
-        self.broken.remove(&segment);
+            .map_err(fault_of)?;
+        self.faulty.remove(&segment);
         Ok(())
     }
 
-    fn refuse_broken(&self, segment: u32, refused: &[Broken]) -> Result<(), Fault> {
-        match self.broken.get(&segment) {
-            Some(broken) if refused.contains(broken) => {
-                Err(Fault::Io("an earlier write or sync failed".into()))
-            }
+    fn check_not_faulty(&self, segment: u32, refused: &[SegmentFault]) -> Result<(), Fault> {
+        match self.faulty.get(&segment) {
+            Some(fault) if refused.contains(fault) => Err(Fault::Io(
+                "an earlier write or sync of this segment failed".into(),
+            )),
             _ => Ok(()),
         }
     }
 
-    fn note(&mut self, segment: u32, broken: Broken, result: io::Result<()>) -> Result<(), Fault> {
+    fn record_result(
+        &mut self,
+        segment: u32,
+        fault: SegmentFault,
+        result: io::Result<()>,
+    ) -> Result<(), Fault> {
         if result.is_err() {
-            self.broken.insert(segment, broken);
+            self.faulty.insert(segment, fault);
         }
-        result.map_err(fault)
+        result.map_err(fault_of)
     }
 }
 
 pub fn mark(catalogue: &mut Catalogue, lines: &[Line]) -> Result<(), Fault> {
     catalogue
         .write(lines)
-        .map_err(|what| Fault::Io(what.to_string()))
+        .map_err(|error| Fault::Io(error.to_string()))
 }
 
 #[cfg(test)]
--- a/crates/store/src/hands/tests.rs
+++ b/crates/store/src/hands/tests.rs
@@ -3,14 +3,14 @@
 
 const SEGMENT: u32 = 7;
 
-fn worker(disk: &Disk) -> Hands {
+fn new_hands(disk: &Disk) -> Hands {
     Hands::new(Arc::new(disk.clone()), 1)
 }
 
-/// A segment that is begun, with one record that is written and synced.
-fn begun(disk: &Disk) -> Hands {
-    let mut hands = worker(disk);
-    hands.begin(SEGMENT, 0).expect("sound");
+/// Creates a segment with one record that is written and synced.
+fn hands_with_synced_record(disk: &Disk) -> Hands {
+    let mut hands = new_hands(disk);
+    hands.create_segment(SEGMENT, 0).expect("sound");
     hands.append(SEGMENT, 64, &[1; 100]).expect("sound");
     hands.sync(SEGMENT).expect("sound");
     hands
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn a_segment_whose_name_may_not_last_takes_no_record() {
-    // Creation, head and the sync of the names.
+fn a_segment_whose_creation_failed_takes_no_record() {
+    // Creating the file, writing its header, syncing the directory.
     for failing in 0..3 {
         let disk = Disk::new();
-        let mut hands = worker(&disk);
+        let mut hands = new_hands(&disk);
         fail_next_call(&disk, failing);
-        assert!(hands.begin(SEGMENT, 0).is_err());
+        assert!(hands.create_segment(SEGMENT, 0).is_err());
         assert!(
             hands.append(SEGMENT, 64, &[1; 100]).is_err(),
             "call {failing}"
@@ -45,32 +45,32 @@
 }
 
 #[test]
-fn after_a_failed_write_what_stands_before_it_is_synced_and_no_footer_is_written() {
+fn after_a_failed_write_earlier_records_are_synced_and_no_footer_is_written() {
     let disk = Disk::new();
-    let mut hands = begun(&disk);
+    let mut hands = hands_with_synced_record(&disk);
     hands.append(SEGMENT, 168, &[2; 100]).expect("sound");
     fail_next_call(&disk, 0);
     assert!(hands.append(SEGMENT, 272, &[3; 100]).is_err());
     assert!(
         hands.append(SEGMENT, 376, &[4; 100]).is_err(),
-        "nothing is added"
+        "no record may follow"
     );
-    hands.sync(SEGMENT).expect("what stands there lasts");
+    hands.sync(SEGMENT).expect("earlier records can be synced");
     assert!(
         hands.seal(SEGMENT, 476, &[5; 40]).is_err(),
         "its footer would list the missing record"
     );
-    let left = disk.crashed(1).bytes(&name(SEGMENT));
+    let left = disk.crashed(1).bytes(&segment_file_name(SEGMENT));
     assert_eq!(left[168..], [2; 100]);
 }
 
 #[test]
-fn after_a_failed_sync_no_later_one_counts() {
+fn after_a_failed_sync_all_later_operations_fail() {
     for seal in [false, true] {
         let disk = Disk::new();
-        let mut hands = begun(&disk);
+        let mut hands = hands_with_synced_record(&disk);
         hands.append(SEGMENT, 168, &[2; 100]).expect("sound");
-        // The seal writes its footer first.
+        // A seal writes its footer before it syncs.
         fail_next_call(&disk, u64::from(seal));
         let failed = if seal {
             hands.seal(SEGMENT, 272, &[5; 40])
@@ -84,14 +84,14 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_removed_already() {
+fn removing_a_missing_file_succeeds() {
     let disk = Disk::new();
-    let mut hands = worker(&disk);
+    let mut hands = new_hands(&disk);
     fail_next_call(&disk, 0);
-    assert!(hands.begin(SEGMENT, 0).is_err(), "never made");
+    assert!(hands.create_segment(SEGMENT, 0).is_err(), "never created");
     hands.remove(SEGMENT).expect("nothing to remove");
-    // Its name went, and that did not last: the second try makes it so.
-    let mut hands = begun(&disk);
+    // The name was removed, but the sync failed: the second attempt makes the removal durable.
+    let mut hands = hands_with_synced_record(&disk);
     fail_next_call(&disk, 1);
     assert!(hands.remove(SEGMENT).is_err());
     hands.remove(SEGMENT).expect("sound");
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -2,9 +2,9 @@
 //! What the store says of its copies is written down, to be held against what is found.
 
 use crate::boot_clock::BootClock;
-use crate::catalogue::{Catalogue, Line, Unusable};
+use crate::catalogue::{Catalogue, CatalogueError, Line};
 use crate::copy::Copy;
-use crate::decide::disk::{Disk as Tier, Fetched, Outlet, Wanted};
+use crate::decide::disk::{Disk as Tier, DiskBackend, Fetched, Wanted};
 use crate::decide::{Part, Place, Store};
 use crate::files::Files;
 use crate::hands::{self, Hands};
@@ -51,7 +51,7 @@
     }
 }
 
-impl Outlet for Orders {
+impl DiskBackend for Orders {
     fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
         self.take(Job::Read(ticket, segment, at, length))
     }
@@ -61,7 +61,7 @@
     fn recover(&mut self, segment: u32) -> bool {
         self.take(Job::Recover(segment))
     }
-    fn begin(&mut self, segment: u32, class: u32) -> bool {
+    fn create_segment(&mut self, segment: u32, class: u32) -> bool {
         self.take(Job::Begin(segment, class))
     }
     fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
@@ -76,10 +76,10 @@
     fn remove(&mut self, segment: u32) -> bool {
         self.take(Job::Remove(segment))
     }
-    fn mark(&mut self, lines: Vec<Line>) -> bool {
+    fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
         self.take(Job::Mark(lines))
     }
-    fn fetched(&mut self, ticket: u64, fetched: Fetched) {
+    fn read_completed(&mut self, ticket: u64, fetched: Fetched) {
         self.fetched.insert(ticket, fetched);
     }
     fn revalidate(&mut self, copy: &Copy) {
@@ -88,10 +88,10 @@
             ..copy.clone()
         });
     }
-    fn outlives(&mut self, key: Key, made: u64) {
+    fn copy_durable(&mut self, key: Key, made: u64) {
         self.durable.insert(key, made);
     }
-    fn lets_go(&mut self, key: Key) {
+    fn copy_dropped(&mut self, key: Key) {
         self.durable.remove(&key);
         self.let_go += 1;
     }
@@ -143,9 +143,11 @@
         match hands::open(&files, 0xc0ffee, clock) {
             Ok((catalogue, known, segments)) => {
                 self.hands = Some((Hands::new(files, known.store), catalogue));
-                self.store.opened(&known, segments, &mut self.orders);
+                self.store.complete_open(&known, segments, &mut self.orders);
+            }
+            Err(CatalogueError::Io(_)) => {
+                self.opening = Some((files, clock, self.now + OPEN_AGAIN))
             }
-            Err(Unusable::Io(_)) => self.opening = Some((files, clock, self.now + OPEN_AGAIN)),
             Err(why) => self
                 .store
                 .disk_mut()
@@ -164,25 +166,31 @@
         else {
             return false;
         };
-        let (now, store, out) = (self.now, &mut self.store, &mut self.orders);
+        let (now, store, backend) = (self.now, &mut self.store, &mut self.orders);
         match job {
             Job::Read(ticket, segment, at, length) => {
-                store.read(now, ticket, hands.read(segment, at, length), out)
+                store.complete_read(now, ticket, hands.read(segment, at, length), backend)
+            }
+            Job::List(segment) => store.complete_list(now, segment, hands.list(segment), backend),
+            Job::Recover(segment) => {
+                store.complete_recovery(now, segment, hands.recover(segment), backend)
             }
-            Job::List(segment) => store.listed(now, segment, hands.list(segment), out),
-            Job::Recover(segment) => store.recovered(now, segment, hands.recover(segment), out),
-            Job::Begin(segment, class) => drop(hands.begin(segment, class)),
+            Job::Begin(segment, class) => drop(hands.create_segment(segment, class)),
             Job::Append(ticket, segment, at, record) => {
-                store.appended(now, ticket, hands.append(segment, at, &record), out);
+                store.complete_append(now, ticket, hands.append(segment, at, &record), backend);
             }
             Job::Sync(segment, up_to) => {
-                store.synced(now, segment, up_to, hands.sync(segment), out)
+                store.complete_sync(now, segment, up_to, hands.sync(segment), backend)
             }
             Job::Seal(segment, at, footer) => {
-                store.sealed(now, segment, at, hands.seal(segment, at, &footer), out)
+                store.complete_seal(now, segment, at, hands.seal(segment, at, &footer), backend)
+            }
+            Job::Remove(segment) => {
+                store.complete_removal(now, segment, hands.remove(segment), backend)
+            }
+            Job::Mark(lines) => {
+                store.complete_catalogue_write(hands::mark(catalogue, &lines), backend)
             }
-            Job::Remove(segment) => store.removed(now, segment, hands.remove(segment), out),
-            Job::Mark(lines) => store.marked(hands::mark(catalogue, &lines), out),
         }
         true
     }
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -1,11 +1,11 @@
-//! The threads that touch the disk, each behind a bounded mailbox. Whoever orders never waits for them: a
-//! mailbox that is full takes nothing, and a disk that hangs holds up its own threads alone.
+//! The threads that access the disk, each with a bounded queue. Callers never wait: a full queue rejects
+//! operations, so a disk that hangs blocks only its own threads.
 
 use crate::boot_clock::BootClock;
-use crate::catalogue::{Catalogue, Known, Line, Unusable};
+use crate::catalogue::{Catalogue, CatalogueError, Known, Line};
 use crate::copy::Copy;
 use crate::decide::Store;
-use crate::decide::disk::{Fault, Fetched, Outlet, Phase};
+use crate::decide::disk::{DiskBackend, Fault, Fetched, Phase};
 use crate::files::Files;
 use crate::format::Entry;
 use crate::hands::{self, Hands};
@@ -20,25 +20,26 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{Sender, channel};
 
-/// Orders that wait for one thread.
-const READS_MOST: usize = 16;
-const WRITES_MOST: usize = 256;
-const MARKS_MOST: usize = 4;
-const RECOVERS_MOST: usize = 8;
-/// What ended and has not been heard of: as many as can be out.
-const ENDS_MOST: usize = 2048;
-/// A directory that cannot be opened is tried again after this span, which doubles up to the longest.
-const OPEN_RETRY_FIRST: Duration = Duration::from_secs(1);
-const OPEN_RETRY_LONGEST: Duration = Duration::from_secs(30);
+/// Operations queued for each thread.
+const READ_QUEUE_LEN: usize = 16;
+const WRITE_QUEUE_LEN: usize = 256;
+const CATALOGUE_QUEUE_LEN: usize = 4;
+const RECOVERY_QUEUE_LEN: usize = 8;
+/// Results that have not been received yet; exceeds the number of operations that can be queued or running.
+const RESULT_QUEUE_LEN: usize = 2048;
+/// Exponential backoff between attempts to open the directory.
+const MIN_OPEN_RETRY: Duration = Duration::from_secs(1);
+const MAX_OPEN_RETRY: Duration = Duration::from_secs(30);
 
-/// How an order ended.
+/// A completed operation, with its result.
 pub enum End {
     Opened {
         known: Known,
         segments: Vec<u32>,
     },
-    /// The system failed the opening; it is tried again.
-    NotOpenedYet(String),
+    /// A system call failed while opening; opening is tried again.
+    OpenFailed(String),
+    /// The directory cannot be used; opening is not tried again.
     Refused(String),
     Read {
         ticket: u64,
@@ -70,10 +71,10 @@
         segment: u32,
         result: Result<(), Fault>,
     },
-    Marked(Result<(), Fault>),
+    CatalogueWritten(Result<(), Fault>),
 }
 
-enum Job {
+enum Operation {
     Read {
         ticket: u64,
         segment: u32,
@@ -82,7 +83,7 @@
     },
     List(u32),
     Recover(u32),
-    Begin {
+    CreateSegment {
         segment: u32,
         class: u32,
     },
@@ -104,55 +105,55 @@
     Remove(u32),
 }
 
-/// The threads of one store. Dropped, they end when what they have is done.
+/// The threads of one store. After this is dropped, they finish the queued operations and end.
 pub struct Threads {
-    readers: Vec<SyncSender<Job>>,
-    writer: SyncSender<Job>,
-    recoverer: SyncSender<Job>,
-    marker: SyncSender<Vec<Line>>,
-    next: usize,
+    readers: Vec<SyncSender<Operation>>,
+    writer: SyncSender<Operation>,
+    recovery: SyncSender<Operation>,
+    catalogue_writer: SyncSender<Vec<Line>>,
+    next_reader: usize,
 }
 
-/// Why the files of a store cannot be had.
+/// Why a store's directory cannot be opened.
 #[derive(Debug)]
 pub enum NotTaken {
-    /// It may pass: the opening is tried again.
+    /// The failure may be transient; opening is tried again.
     Io(String),
+    /// Opening is not tried again.
     Refused(String),
 }
 
 impl NotTaken {
-    /// Of an error of the system: what only another hand can mend is not tried again.
+    /// Classifies a system error: errors that need an operator's intervention are not retried.
     pub fn of(path: &Path, error: &io::Error) -> NotTaken {
-        let what = format!("{}: {error}", path.display());
+        let message = format!("{}: {error}", path.display());
         match error.kind() {
             io::ErrorKind::ResourceBusy
             | io::ErrorKind::PermissionDenied
-            | io::ErrorKind::NotADirectory => NotTaken::Refused(what),
-            _ => NotTaken::Io(what),
+            | io::ErrorKind::NotADirectory => NotTaken::Refused(message),
+            _ => NotTaken::Io(message),
         }
     }
 }
 
-/// Opens a directory on a thread of its own and starts the others once it is open. `take` gives the files,
-/// which may itself take a while. Where the system fails that, it is tried again, with backoff. Every end comes
-/// through the receiver, the opening's first.
+/// Opens a directory on a new thread and starts the other threads once it is open. `open_directory` may block;
+/// it is retried with backoff after transient errors. The receiver gets the results of all operations, that of
+/// the opening first.
 pub fn start(
-    mut take: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
-    store: u64,
+    mut open_directory: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
+    store_id: u64,
     readers: usize,
 ) -> io::Result<(Threads, tokio::sync::mpsc::Receiver<End>)> {
-    let (ends, receiver) = channel(ENDS_MOST);
-    // Read here, as close as can be to the start that the store's times are compared with.
+    let (results, receiver) = channel(RESULT_QUEUE_LEN);
+    // Read here, as close as possible to the start time that the store compares its times with.
     let clock = BootClock::read();
-    // The threads wait for the files, each behind its mailbox, so that all orders can be given from the
-    // start.
+    // The queues exist from the start, so that operations can be sent while the directory is being opened.
     let (readers, reads): (Vec<_>, Vec<_>) = (0..readers.max(1))
-        .map(|_| sync_channel(READS_MOST))
+        .map(|_| sync_channel(READ_QUEUE_LEN))
         .unzip();
-    let (writer, writes) = sync_channel(WRITES_MOST);
-    let (recoverer, recovers) = sync_channel(RECOVERS_MOST);
-    let (marker, marks) = sync_channel(MARKS_MOST);
+    let (writer, writes) = sync_channel(WRITE_QUEUE_LEN);
+    let (recovery, recoveries) = sync_channel(RECOVERY_QUEUE_LEN);
+    let (catalogue_writer, catalogue_writes) = sync_channel(CATALOGUE_QUEUE_LEN);
     let spawn = |name: &str, run: Box<dyn FnOnce() + Send>| {
         thread::Builder::new()
             .name(format!("store-{name}"))
@@ -162,78 +163,86 @@
     spawn(
         "open",
         Box::new(move || {
-            let opened = open(&mut take, store, clock, &marks, &ends);
+            let opened = open(
+                &mut open_directory,
+                store_id,
+                clock,
+                &catalogue_writes,
+                &results,
+            );
             let Some((files, (catalogue, known, segments))) = opened else {
                 return;
             };
-            let store = known.store;
-            let _ = ends.blocking_send(End::Opened { known, segments });
-            let jobs = reads.into_iter().chain([writes, recovers]);
-            for (n, jobs) in jobs.enumerate() {
-                let (hands, ends) = (Hands::new(files.clone(), store), ends.clone());
-                let run = move || work(jobs, ends, hands);
+            let store_id = known.store;
+            let _ = results.blocking_send(End::Opened { known, segments });
+            let operations = reads.into_iter().chain([writes, recoveries]);
+            for (n, operations) in operations.enumerate() {
+                let (hands, results) = (Hands::new(files.clone(), store_id), results.clone());
+                let run = move || run_worker(operations, results, hands);
                 let started = thread::Builder::new().name(format!("store-{n}")).spawn(run);
-                if let Err(what) = started {
-                    log::error!("a thread of the store could not be started: {what}");
+                if let Err(error) = started {
+                    log::error!("store: worker thread could not be started: {error}");
                 }
             }
             drop(files);
-            write_down(marks, ends, catalogue);
+            run_catalogue_writer(catalogue_writes, results, catalogue);
         }),
     )?;
     Ok((
         Threads {
             readers,
             writer,
-            recoverer,
-            marker,
-            next: 0,
+            recovery,
+            catalogue_writer,
+            next_reader: 0,
         },
         receiver,
     ))
 }
 
-type OpenDirectory = (Arc<dyn Files>, (Catalogue, Known, Vec<u32>));
+type OpenedStore = (Arc<dyn Files>, (Catalogue, Known, Vec<u32>));
 
-/// Takes and opens the files, as often as that fails for a while. None: it was refused, or nobody waits for it
-/// any more.
+/// Opens the directory and the store in it, retrying after transient errors. `None` if opening was refused or
+/// the store's owner has gone.
 fn open(
-    take: &mut dyn FnMut() -> Result<Arc<dyn Files>, NotTaken>,
-    store: u64,
+    open_directory: &mut dyn FnMut() -> Result<Arc<dyn Files>, NotTaken>,
+    store_id: u64,
     clock: Option<BootClock>,
-    marks: &Receiver<Vec<Line>>,
-    ends: &Sender<End>,
-) -> Option<OpenDirectory> {
-    let mut wait = OPEN_RETRY_FIRST;
+    catalogue_writes: &Receiver<Vec<Line>>,
+    results: &Sender<End>,
+) -> Option<OpenedStore> {
+    let mut wait = MIN_OPEN_RETRY;
     loop {
-        let opened = take().and_then(|files| match hands::open(&files, store, clock) {
-            Ok(found) => Ok((files, found)),
-            Err(Unusable::Io(error)) => Err(NotTaken::Io(error.to_string())),
-            Err(what) => Err(NotTaken::Refused(what.to_string())),
-        });
-        let why = match opened {
+        let opened =
+            open_directory().and_then(|files| match hands::open(&files, store_id, clock) {
+                Ok(found) => Ok((files, found)),
+                Err(CatalogueError::Io(error)) => Err(NotTaken::Io(error.to_string())),
+                Err(error) => Err(NotTaken::Refused(error.to_string())),
+            });
+        let reason = match opened {
             Ok(opened) => return Some(opened),
-            Err(NotTaken::Io(why)) => why,
-            Err(NotTaken::Refused(why)) => {
-                let _ = ends.blocking_send(End::Refused(why));
+            Err(NotTaken::Io(reason)) => reason,
+            Err(NotTaken::Refused(reason)) => {
+                let _ = results.blocking_send(End::Refused(reason));
                 return None;
             }
         };
-        ends.blocking_send(End::NotOpenedYet(why)).ok()?;
-        // Nothing is written down before the store is open: this wait ends early only with its owner.
-        if marks.recv_timeout(wait) != Err(RecvTimeoutError::Timeout) {
+        results.blocking_send(End::OpenFailed(reason)).ok()?;
+        // No catalogue writes are sent before the store is open, so this wait ends early only when the owner
+        // drops the sender.
+        if catalogue_writes.recv_timeout(wait) != Err(RecvTimeoutError::Timeout) {
             return None;
         }
-        wait = (wait * 2).min(OPEN_RETRY_LONGEST);
+        wait = (wait * 2).min(MAX_OPEN_RETRY);
     }
 }
 
-/// Lets go of the files before it says, by dropping `ends`, that it has ended: the next may take them at
-/// once.
-fn work(jobs: Receiver<Job>, ends: Sender<End>, mut hands: Hands) {
-    while let Ok(job) = jobs.recv() {
-        let end = match job {
-            Job::Read {
+/// Runs operations until the queue is closed. `hands` must be dropped before `results`: the closed channel
+/// signals that the directory is unlocked and can be opened again at once.
+fn run_worker(operations: Receiver<Operation>, results: Sender<End>, mut hands: Hands) {
+    while let Ok(operation) = operations.recv() {
+        let completed = match operation {
+            Operation::Read {
                 ticket,
                 segment,
                 at,
@@ -242,22 +251,22 @@
                 ticket,
                 result: hands.read(segment, at, length),
             },
-            Job::List(segment) => End::Listed {
+            Operation::List(segment) => End::Listed {
                 segment,
                 result: hands.list(segment),
             },
-            Job::Recover(segment) => End::Recovered {
+            Operation::Recover(segment) => End::Recovered {
                 segment,
                 result: hands.recover(segment),
             },
-            Job::Begin { segment, class } => {
-                // Shows in what is written to it.
-                if let Err(what) = hands.begin(segment, class) {
-                    log::debug!("segment {segment}: {what:?}");
+            Operation::CreateSegment { segment, class } => {
+                // A failure also fails the later writes to this segment.
+                if let Err(error) = hands.create_segment(segment, class) {
+                    log::debug!("segment {segment}: could not be created: {error:?}");
                 }
                 continue;
             }
-            Job::Append {
+            Operation::Append {
                 ticket,
                 segment,
                 at,
@@ -266,12 +275,12 @@
                 ticket,
                 result: hands.append(segment, at, &record),
             },
-            Job::Sync { segment, up_to } => End::Synced {
+            Operation::Sync { segment, up_to } => End::Synced {
                 segment,
                 up_to,
                 result: hands.sync(segment),
             },
-            Job::Seal {
+            Operation::Seal {
                 segment,
                 at,
                 footer,
@@ -280,21 +289,25 @@
                 at,
                 result: hands.seal(segment, at, &footer),
             },
-            Job::Remove(segment) => End::Removed {
+            Operation::Remove(segment) => End::Removed {
                 segment,
                 result: hands.remove(segment),
             },
         };
-        if ends.blocking_send(end).is_err() {
+        if results.blocking_send(completed).is_err() {
             return;
         }
     }
 }
 
-fn write_down(marks: Receiver<Vec<Line>>, ends: Sender<End>, mut catalogue: Catalogue) {
-    while let Ok(lines) = marks.recv() {
-        if ends
-            .blocking_send(End::Marked(hands::mark(&mut catalogue, &lines)))
+fn run_catalogue_writer(
+    catalogue_writes: Receiver<Vec<Line>>,
+    results: Sender<End>,
+    mut catalogue: Catalogue,
+) {
+    while let Ok(lines) = catalogue_writes.recv() {
+        if results
+            .blocking_send(End::CatalogueWritten(hands::mark(&mut catalogue, &lines)))
             .is_err()
         {
             return;
@@ -303,38 +316,41 @@
 }
 
 impl Threads {
-    /// To the next reader that takes it: one that hangs does not hold up the others.
+    /// Sends the read to the next reader with room in its queue, so that a reader that hangs does not block
+    /// the others.
     pub fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
         let count = self.readers.len();
-        self.next = (self.next + 1) % count;
-        let job = || Job::Read {
+        self.next_reader = (self.next_reader + 1) % count;
+        let operation = || Operation::Read {
             ticket,
             segment,
             at,
             length,
         };
         (0..count).any(|n| {
-            self.readers[(self.next + n) % count]
-                .try_send(job())
+            self.readers[(self.next_reader + n) % count]
+                .try_send(operation())
                 .is_ok()
         })
     }
 
     pub fn list(&mut self, segment: u32) -> bool {
-        self.recoverer.try_send(Job::List(segment)).is_ok()
+        self.recovery.try_send(Operation::List(segment)).is_ok()
     }
 
     pub fn recover(&mut self, segment: u32) -> bool {
-        self.recoverer.try_send(Job::Recover(segment)).is_ok()
+        self.recovery.try_send(Operation::Recover(segment)).is_ok()
     }
 
-    pub fn begin(&mut self, segment: u32, class: u32) -> bool {
-        self.writer.try_send(Job::Begin { segment, class }).is_ok()
+    pub fn create_segment(&mut self, segment: u32, class: u32) -> bool {
+        self.writer
+            .try_send(Operation::CreateSegment { segment, class })
+            .is_ok()
     }
 
     pub fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
         self.writer
-            .try_send(Job::Append {
+            .try_send(Operation::Append {
                 ticket,
                 segment,
                 at,
@@ -344,12 +360,14 @@
     }
 
     pub fn sync(&mut self, segment: u32, up_to: u32) -> bool {
-        self.writer.try_send(Job::Sync { segment, up_to }).is_ok()
+        self.writer
+            .try_send(Operation::Sync { segment, up_to })
+            .is_ok()
     }
 
     pub fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
         self.writer
-            .try_send(Job::Seal {
+            .try_send(Operation::Seal {
                 segment,
                 at,
                 footer,
@@ -358,120 +376,121 @@
     }
 
     pub fn remove(&mut self, segment: u32) -> bool {
-        self.writer.try_send(Job::Remove(segment)).is_ok()
+        self.writer.try_send(Operation::Remove(segment)).is_ok()
     }
 
-    pub fn mark(&mut self, lines: Vec<Line>) -> bool {
-        self.marker.try_send(lines).is_ok()
+    pub fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
+        self.catalogue_writer.try_send(lines).is_ok()
     }
 }
 
-/// Between a store and its threads: hands on orders, keeps what the store says until it is asked for.
+/// Connects a store to its threads: forwards operations, and holds the store's notifications until they are
+/// taken.
 #[derive(Default)]
 pub struct Shelf {
-    /// None: there is no disk, or it cannot be used.
+    /// `None` if there is no disk or it cannot be used.
     pub threads: Option<Threads>,
     pub fetched: Vec<(u64, Fetched)>,
-    /// Copies whose source is to be asked, without their bodies.
+    /// Copies to be revalidated with their source, without their bodies.
     pub unproven: Vec<Copy>,
-    /// What outlives a crash from now on (and when it was made), or was let go of (none); kept only where
-    /// wanted.
+    /// Copies that became durable (with the time they were made) or were dropped (`None`). Recorded only if
+    /// this is `Some`.
     pub said: Option<Vec<(Key, Option<u64>)>>,
 }
 
 impl Shelf {
-    fn order(&mut self, order: impl FnOnce(&mut Threads) -> bool) -> bool {
-        self.threads.as_mut().is_some_and(order)
+    fn send_operation(&mut self, send: impl FnOnce(&mut Threads) -> bool) -> bool {
+        self.threads.as_mut().is_some_and(send)
     }
 
-    /// Tells the store how an order ended.
-    pub fn ended(&mut self, store: &mut Store, now: Duration, end: End) {
-        match end {
+    /// Passes the result of an operation to the store.
+    pub fn ended(&mut self, store: &mut Store, now: Duration, completed: End) {
+        match completed {
             End::Opened { known, segments } => {
                 log::info!(segments = segments.len(); "store: opened");
-                store.opened(&known, segments, self);
+                store.complete_open(&known, segments, self);
             }
-            End::NotOpenedYet(why) => {
-                log::warn!("store: the disk cannot be opened, it is tried again: {why}")
+            End::OpenFailed(reason) => {
+                log::warn!("store: opening the disk failed, retrying: {reason}")
             }
-            End::Refused(why) => {
-                log::error!("store: the disk is not used: {why}");
+            End::Refused(reason) => {
+                log::error!("store: the disk is not used: {reason}");
                 self.threads = None;
                 store
                     .disk_mut()
                     .into_iter()
-                    .for_each(|disk| disk.refused(why.clone()));
+                    .for_each(|disk| disk.refused(reason.clone()));
             }
-            End::Read { ticket, result } => store.read(now, ticket, result, self),
-            End::Listed { segment, result } => store.listed(now, segment, result, self),
+            End::Read { ticket, result } => store.complete_read(now, ticket, result, self),
+            End::Listed { segment, result } => store.complete_list(now, segment, result, self),
             End::Recovered { segment, result } => {
                 if let Err(RecoveryError::UnsupportedVersion(found)) = &result {
                     log::warn!(
-                        "store: segment {segment} is of format version {found}: it is left alone"
+                        "store: segment {segment} has unsupported format version {found} and is left unchanged"
                     );
                 }
-                store.recovered(now, segment, result, self);
+                store.complete_recovery(now, segment, result, self);
                 if let Some(disk) = store.disk().filter(|disk| *disk.phase() == Phase::Ready) {
                     let (known, unknown) = (disk.index().len(), disk.counts().unknown);
                     log::info!(parts = known, damaged = disk.counts().damaged; "store: ready");
                     if unknown > 0 {
                         log::warn!(
                             parts = known, unknown = unknown;
-                            "store: index-memory is too small: some parts on disk are not known"
+                            "store: index-memory is too small: some parts on disk are not indexed"
                         );
                     }
                 }
             }
-            End::Appended { ticket, result } => store.appended(now, ticket, result, self),
+            End::Appended { ticket, result } => store.complete_append(now, ticket, result, self),
             End::Synced {
                 segment,
                 up_to,
                 result,
-            } => store.synced(now, segment, up_to, result, self),
+            } => store.complete_sync(now, segment, up_to, result, self),
             End::Sealed {
                 segment,
                 at,
                 result,
-            } => store.sealed(now, segment, at, result, self),
-            End::Removed { segment, result } => store.removed(now, segment, result, self),
-            End::Marked(result) => store.marked(result, self),
+            } => store.complete_seal(now, segment, at, result, self),
+            End::Removed { segment, result } => store.complete_removal(now, segment, result, self),
+            End::CatalogueWritten(result) => store.complete_catalogue_write(result, self),
         }
     }
 }
 
-impl Outlet for Shelf {
+impl DiskBackend for Shelf {
     fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
-        self.order(|t| t.read(ticket, segment, at, length))
+        self.send_operation(|t| t.read(ticket, segment, at, length))
     }
     fn list(&mut self, segment: u32) -> bool {
-        self.order(|t| t.list(segment))
+        self.send_operation(|t| t.list(segment))
     }
     fn recover(&mut self, segment: u32) -> bool {
-        self.order(|t| t.recover(segment))
+        self.send_operation(|t| t.recover(segment))
     }
-    fn begin(&mut self, segment: u32, class: u32) -> bool {
-        self.order(|t| t.begin(segment, class))
+    fn create_segment(&mut self, segment: u32, class: u32) -> bool {
+        self.send_operation(|t| t.create_segment(segment, class))
     }
     fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
-        self.order(|t| t.append(ticket, segment, at, record))
+        self.send_operation(|t| t.append(ticket, segment, at, record))
     }
     fn sync(&mut self, segment: u32, up_to: u32) -> bool {
-        self.order(|t| t.sync(segment, up_to))
+        self.send_operation(|t| t.sync(segment, up_to))
     }
     fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
-        self.order(|t| t.seal(segment, at, footer))
+        self.send_operation(|t| t.seal(segment, at, footer))
     }
     fn remove(&mut self, segment: u32) -> bool {
-        self.order(|t| t.remove(segment))
+        self.send_operation(|t| t.remove(segment))
     }
-    fn mark(&mut self, lines: Vec<Line>) -> bool {
-        self.order(|t| t.mark(lines))
+    fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
+        self.send_operation(|t| t.write_catalogue(lines))
     }
-    fn fetched(&mut self, ticket: u64, fetched: Fetched) {
+    fn read_completed(&mut self, ticket: u64, fetched: Fetched) {
         self.fetched.push((ticket, fetched));
     }
     fn revalidate(&mut self, copy: &Copy) {
-        // Its body is not needed, and would keep the whole record.
+        // The body is not needed and would keep the whole record in memory.
         let own = |bytes: &Bytes| Bytes::copy_from_slice(bytes);
         let (object, tag, class) = (own(&copy.object), own(&copy.tag), own(&copy.class));
         self.unproven.push(Copy {
@@ -482,12 +501,12 @@
             ..copy.clone()
         });
     }
-    fn outlives(&mut self, key: Key, made: u64) {
+    fn copy_durable(&mut self, key: Key, made: u64) {
         self.said
             .iter_mut()
             .for_each(|said| said.push((key, Some(made))));
     }
-    fn lets_go(&mut self, key: Key) {
+    fn copy_dropped(&mut self, key: Key) {
         self.said.iter_mut().for_each(|said| said.push((key, None)));
     }
 }
--- a/crates/store/tests/disk_faults.rs
+++ b/crates/store/tests/disk_faults.rs
@@ -477,7 +477,7 @@
         }
     };
     let (_threads, mut ends) = threads::start(take, 1, 1).expect("threads");
-    assert!(matches!(ends.blocking_recv(), Some(End::NotOpenedYet(_))));
+    assert!(matches!(ends.blocking_recv(), Some(End::OpenFailed(_))));
     assert!(matches!(ends.blocking_recv(), Some(End::Opened { .. })));
     let refuse = || Err(NotTaken::Refused("held by process 1".into()));
     let (_threads, mut ends) = threads::start(refuse, 1, 1).expect("threads");
@@ -490,7 +490,7 @@
 fn an_opening_that_waits_for_its_next_try_ends_with_its_owner() {
     let refuse = || Err(NotTaken::Io("no space".into()));
     let (threads, mut ends) = threads::start(refuse, 1, 1).expect("threads");
-    assert!(matches!(ends.blocking_recv(), Some(End::NotOpenedYet(_))));
+    assert!(matches!(ends.blocking_recv(), Some(End::OpenFailed(_))));
     drop(threads);
     assert!(ends.blocking_recv().is_none());
 }
