--- a/crates/store/examples/catalogues.rs
+++ b/crates/store/examples/catalogues.rs
@@ -1,9 +1,8 @@
-//! Ways to remember where each part lies, measured beside one another: an index in memory that is rebuilt
-//! from the segments' footers, and two embedded stores. `cargo run --release -p chalkhall-store --example
-//! catalogues [PARTS]`
+//! Benchmark of three ways to index parts: an in-memory index that is rebuilt from the segments' footers, and
+//! two embedded databases. `cargo run --release -p chalkhall-store --example catalogues [PARTS]`
 //!
-//! Parts come in batches of 64, as many as a sync of 8 MB holds at 128 KB each; each batch is durable before
-//! the next.
+//! Parts are added in batches of 64, as many as a sync of 8 MB holds at 128 KB each; each batch is durable before
+//! the next one starts.
 
 use chalkhall_store::decide::index::{Index, Spot};
 use chalkhall_store::format::{Entry, decode_footer, encode_footer};
@@ -14,12 +13,12 @@
 use std::time::Instant;
 
 const BATCH: u64 = 64;
-const PARTS_A_SEGMENT: u64 = 256;
+const PARTS_PER_SEGMENT: u64 = 256;
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("parts");
 
 fn entry(n: u64) -> Entry {
     let key = n.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let at = 64 + (n % PARTS_A_SEGMENT) as u32 * 131_072;
+    let at = 64 + (n % PARTS_PER_SEGMENT) as u32 * 131_072;
     Entry {
         key,
         object: key ^ 1,
@@ -63,15 +62,15 @@
     row
 }
 
-/// Bytes that this process has handed to the system to be written.
-fn written() -> u64 {
+/// Bytes that this process has written through system calls.
+fn written_bytes() -> u64 {
     let io = fs::read_to_string("/proc/self/io").unwrap_or_default();
     let line = io.lines().find_map(|line| line.strip_prefix("wchar: "));
     line.and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// Bytes of memory that are this process's own.
-fn resident() -> u64 {
+/// The anonymous resident memory of this process, in bytes.
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
         .lines()
@@ -83,19 +82,19 @@
 
 fn report(name: &str, parts: u64, wrote: u64, filled: f64, memory: u64, reopened: f64) {
     println!(
-        "{name:<22} {:>7.1} bytes written a part, filled in {filled:>6.2} s, {:>6.1} bytes of memory a part, \
-         known again in {reopened:>6.3} s",
+        "{name:<22} {:>7.1} bytes written per part, filled in {filled:>6.2} s, {:>6.1} bytes of memory per part, \
+         reopened in {reopened:>6.3} s",
         wrote as f64 / parts as f64,
         memory as f64 / parts as f64
     );
 }
 
-fn rebuilt(folder: &Path, parts: u64) {
-    let (before, wrote, begun) = (resident(), written(), Instant::now());
+fn rebuilt_index(folder: &Path, parts: u64) {
+    let (before, wrote, started) = (resident_bytes(), written_bytes(), Instant::now());
     let mut index = Index::new(u64::MAX);
-    for segment in 0..parts / PARTS_A_SEGMENT {
-        let entries: Vec<Entry> = (0..PARTS_A_SEGMENT)
-            .map(|n| entry(segment * PARTS_A_SEGMENT + n))
+    for segment in 0..parts / PARTS_PER_SEGMENT {
+        let entries: Vec<Entry> = (0..PARTS_PER_SEGMENT)
+            .map(|n| entry(segment * PARTS_PER_SEGMENT + n))
             .collect();
         for entry in &entries {
             let _ = index.put(entry.key, &spot(entry, segment as u32));
@@ -106,14 +105,14 @@
         file.sync_data().expect("synced");
     }
     let (filled, memory, wrote) = (
-        begun.elapsed().as_secs_f64(),
-        resident() - before,
-        written() - wrote,
+        started.elapsed().as_secs_f64(),
+        resident_bytes() - before,
+        written_bytes() - wrote,
     );
     drop(index);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut index = Index::new(u64::MAX);
-    for segment in 0..parts / PARTS_A_SEGMENT {
+    for segment in 0..parts / PARTS_PER_SEGMENT {
         let bytes = fs::read(folder.join(format!("{segment}"))).expect("read");
         for entry in decode_footer(&bytes, 1, segment as u32, 0).expect("whole") {
             let _ = index.put(entry.key, &spot(&entry, segment as u32));
@@ -126,12 +125,12 @@
         wrote,
         filled,
         memory,
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
 }
 
 fn redb(folder: &Path, parts: u64) {
-    let (before, wrote, begun) = (resident(), written(), Instant::now());
+    let (before, wrote, started) = (resident_bytes(), written_bytes(), Instant::now());
     let open = || {
         let mut builder = Database::builder();
         builder.set_cache_size(16 << 20);
@@ -150,14 +149,14 @@
         write.commit().expect("durable");
     }
     let (filled, memory, wrote) = (
-        begun.elapsed().as_secs_f64(),
-        resident() - before,
-        written() - wrote,
+        started.elapsed().as_secs_f64(),
+        resident_bytes() - before,
+        written_bytes() - wrote,
     );
-    // As after a kill: it is not closed.
+    // Not closed, as after a kill.
     std::mem::forget(database);
     fs::copy(folder.join("redb"), folder.join("redb-again")).expect("copied");
-    let begun = Instant::now();
+    let started = Instant::now();
     let database = Database::open(folder.join("redb-again")).expect("opens");
     let read = database.begin_read().expect("begins");
     let count = read
@@ -173,13 +172,13 @@
         wrote,
         filled,
         memory,
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
 }
 
 fn fjall(folder: &Path, parts: u64) {
     use fjall::{Database, KeyspaceCreateOptions, PersistMode};
-    let (before, wrote, begun) = (resident(), written(), Instant::now());
+    let (before, wrote, started) = (resident_bytes(), written_bytes(), Instant::now());
     let open = || {
         let database = Database::builder(folder.join("fjall"))
             .cache_size(16 << 20)
@@ -201,12 +200,12 @@
         database.persist(PersistMode::SyncData).expect("durable");
     }
     let (filled, memory, wrote) = (
-        begun.elapsed().as_secs_f64(),
-        resident() - before,
-        written() - wrote,
+        started.elapsed().as_secs_f64(),
+        resident_bytes() - before,
+        written_bytes() - wrote,
     );
     drop((database, rows));
-    let begun = Instant::now();
+    let started = Instant::now();
     let (_database, rows) = open();
     assert_eq!(rows.iter().count() as u64, parts);
     report(
@@ -215,7 +214,7 @@
         wrote,
         filled,
         memory,
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
 }
 
@@ -224,11 +223,11 @@
         .nth(1)
         .and_then(|n| n.parse().ok())
         .unwrap_or(200_000);
-    let parts = parts / PARTS_A_SEGMENT * PARTS_A_SEGMENT;
+    let parts = parts / PARTS_PER_SEGMENT * PARTS_PER_SEGMENT;
     let folder: PathBuf =
         std::env::temp_dir().join(format!("chalkhall-catalogues-{}", std::process::id()));
     for (name, run) in [
-        ("index", rebuilt as fn(&Path, u64)),
+        ("index", rebuilt_index as fn(&Path, u64)),
         ("redb", redb),
         ("fjall", fjall),
     ] {
--- a/crates/store/src/catalogue/tests.rs
+++ b/crates/store/src/catalogue/tests.rs
@@ -20,7 +20,7 @@
         .write(&[Line::Purge(Mark::Folded(1, 5, 10)), Line::ConfirmedUpTo(30)])
         .unwrap();
     drop(catalogue);
-    let (_, known) = open(&disk.crashed(1), 5).unwrap();
+    let (_, known) = open(&disk.after_crash(1), 5).unwrap();
     assert_eq!((known.store, known.heard), (77, Some(30)));
     assert_eq!(known.marks, [Mark::Folded(0, 5, 10), Mark::Group(3, 20)]);
 }
@@ -29,7 +29,7 @@
 fn a_crash_at_any_operation_loses_no_written_line() {
     for crash_at in 1.. {
         let disk = Disk::new();
-        disk.set(Faults {
+        disk.set_faults(Faults {
             crash_at: Some(crash_at),
             ..Faults::default()
         });
@@ -47,7 +47,7 @@
             }
         }
         for seed in 0..8 {
-            let after = disk.crashed(crash_at * 100 + seed);
+            let after = disk.after_crash(crash_at * 100 + seed);
             let (_, known) = open(&after, 77).unwrap_or_else(|e| panic!("{crash_at} {seed}: {e}"));
             let heard = known.heard.unwrap_or(0);
             assert!(heard >= written, "{crash_at} {seed}: {heard} of {written}");
--- a/crates/store/src/decide/admission.rs
+++ b/crates/store/src/decide/admission.rs
@@ -10,7 +10,7 @@
 const DAY: Duration = Duration::from_secs(24 * 3600);
 /// The capacity of the per-second bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 10.0;
-/// How full both buckets must remain after a write of rank 1, 2 and 3.
+/// The share of both buckets that must remain after a write of rank 1, 2 and 3.
 const MIN_FILL_BY_RANK: [f64; 3] = [0.5, 0.25, 0.0];
 
 /// Why a copy is not written.
--- a/crates/store/src/decide/disk/catalogue_updates.rs
+++ b/crates/store/src/decide/disk/catalogue_updates.rs
@@ -4,7 +4,11 @@
 
 impl Disk {
     /// Queues a received purge for the catalogue, before any later confirmation of discovery.
-    pub fn purged(&mut self, marks: impl IntoIterator<Item = Mark>, backend: &mut dyn DiskBackend) {
+    pub fn queue_purges(
+        &mut self,
+        marks: impl IntoIterator<Item = Mark>,
+        backend: &mut dyn DiskBackend,
+    ) {
         if self.queued_lines.len() >= MAX_QUEUED_LINES {
             self.confirmations_stopped = true;
             return;
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -151,7 +151,7 @@
     /// Recovers a segment of an earlier run, sealing it if necessary. Completes with
     /// `Store::complete_recovery`.
     fn recover(&mut self, segment: u32) -> bool;
-    /// Creates a segment's file. A failure also fails the later writes to the segment.
+    /// Creates the file of a segment of this size class. A failure also fails the later writes to the segment.
     fn create_segment(&mut self, segment: u32, class: u32) -> bool;
     /// Writes a record. Completes with `Store::complete_append`.
     fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool;
--- a/crates/store/src/decide/disk/serve.rs
+++ b/crates/store/src/decide/disk/serve.rs
@@ -204,7 +204,7 @@
 
     /// Records a request for a part. If parts are requested in sequence, the following ones are read ahead,
     /// unless they are already in memory.
-    pub fn sighted(&mut self, now: Duration, object: Key, part: u64) {
+    pub fn record_request(&mut self, now: Duration, object: Key, part: u64) {
         if self.settings.read_ahead == 0 {
             return;
         }
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -131,7 +131,7 @@
         let length = record_len(copy);
         let class = size_class(length);
         let (segment, at) = match self.append_position(class, length) {
-            Some(place) => place,
+            Some(position) => position,
             None => {
                 // Carried records may use the last free segment, since the reclaim frees one.
                 if self.segments.free() <= usize::from(!carried) {
@@ -148,13 +148,13 @@
                 (segment, head)
             }
         };
-        let place = format::DiskAddress {
+        let address = format::DiskAddress {
             store_id: self.store_id,
             segment,
             at,
         };
         let mut record = Vec::with_capacity(length);
-        format::encode_record(&mut record, copy, rank, place);
+        format::encode_record(&mut record, copy, rank, address);
         debug_assert_eq!(record.len(), length);
         let ticket = self.last_ticket + 1;
         if !backend.append(ticket, segment, at, record) {
@@ -279,8 +279,8 @@
             Err(_) => {
                 self.counts.write_faults += 1;
                 self.write_health.judge(now, true, 1.0);
-                // Records that were already queued behind it can be read, but nothing more is appended, because
-                // the state of the segment's end is unknown.
+                // Records already written to the segment can be read, but nothing more is appended, because the
+                // state of its end is unknown.
                 if self
                     .segments
                     .get(spot.segment)
--- a/crates/store/src/decide/mod.rs
+++ b/crates/store/src/decide/mod.rs
@@ -139,7 +139,7 @@
         self.counts.hits += 1;
         self.counts.hit_bytes += copy.body.len() as u64;
         if let Some(disk) = &mut self.disk {
-            disk.sighted(now, object, part.part);
+            disk.record_request(now, object, part.part);
         }
         Some(copy)
     }
@@ -156,7 +156,7 @@
         let disk = self.disk.as_mut()?;
         let group = group_slot(part.group);
         let spot = disk.find(key, object, group, &self.purges)?;
-        disk.sighted(now, object, part.part);
+        disk.record_request(now, object, part.part);
         disk.fetch(key, spot, part.object, part.part, group, backend)
     }
 
@@ -211,12 +211,12 @@
                 // The object has changed: copies of its other parts that were made earlier are of an older
                 // version.
                 let marks = self.purges.object(object, copy.made.saturating_sub(1));
-                self.record_marks(marks, backend);
+                self.record_purges(marks, backend);
             }
         }
         if let Some(disk) = &mut self.disk {
             disk.proven(key, &copy.tag, copy.made);
-            disk.sighted(now, object, copy.part);
+            disk.record_request(now, object, copy.part);
         }
         self.insert_copy(now, key, Rc::new(copy), rank);
     }
@@ -270,12 +270,12 @@
             Some(object) => self.purges.object(key::object(object), ms),
             None => [Some(self.purges.group(group, ms)), None],
         };
-        self.record_marks(marks, backend);
+        self.record_purges(marks, backend);
     }
 
-    fn record_marks(&mut self, marks: [Option<purges::Mark>; 2], backend: &mut dyn DiskBackend) {
+    fn record_purges(&mut self, marks: [Option<purges::Mark>; 2], backend: &mut dyn DiskBackend) {
         if let Some(disk) = &mut self.disk {
-            disk.purged(marks.into_iter().flatten(), backend);
+            disk.queue_purges(marks.into_iter().flatten(), backend);
         }
     }
 
--- a/crates/store/src/hands.rs
+++ b/crates/store/src/hands.rs
@@ -63,7 +63,7 @@
 pub struct Hands {
     files: Arc<dyn Files>,
     store_id: u64,
-    open: LruCache<u32, Arc<dyn File>>,
+    open_files: LruCache<u32, Arc<dyn File>>,
     /// Segments with a failed operation, until they are removed. Later operations on them were ordered on the
     /// assumption that the failed one succeeds, so they must not report success.
     faulty: HashMap<u32, SegmentFault>,
@@ -83,17 +83,17 @@
         Hands {
             files,
             store_id,
-            open: LruCache::new(MAX_OPEN_FILES),
+            open_files: LruCache::new(MAX_OPEN_FILES),
             faulty: HashMap::new(),
         }
     }
 
     fn file(&mut self, segment: u32) -> io::Result<Arc<dyn File>> {
-        if let Some(file) = self.open.get(&segment) {
+        if let Some(file) = self.open_files.get(&segment) {
             return Ok(file.clone());
         }
         let file = self.files.open(&segment_file_name(segment))?;
-        self.open.put(segment, file.clone());
+        self.open_files.put(segment, file.clone());
         Ok(file)
     }
 
@@ -103,12 +103,12 @@
         let bytes = read_exact_at(&*file, u64::from(at), length as usize)
             .map_err(fault_of)?
             .ok_or(Fault::Damaged)?;
-        let place = DiskAddress {
+        let address = DiskAddress {
             store_id: self.store_id,
             segment,
             at,
         };
-        decode_record(&Bytes::from(bytes), place).map_err(|_: FormatError| Fault::Damaged)
+        decode_record(&Bytes::from(bytes), address).map_err(|_: FormatError| Fault::Damaged)
     }
 
     /// Lists a segment's records, by scanning it if it has no valid footer.
@@ -133,7 +133,7 @@
             // If sealing fails, the next start scans the segment again.
             let _ = seal(&*file, self.store_id, segment, &found);
         }
-        self.open.pop(&segment);
+        self.open_files.pop(&segment);
         Ok(found)
     }
 
@@ -164,7 +164,7 @@
         let file = self.files.create(&segment_file_name(segment))?;
         file.write_at(&encode_segment_header(self.store_id, segment, class), 0)?;
         self.files.sync_names()?;
-        self.open.put(segment, file);
+        self.open_files.put(segment, file);
         Ok(())
     }
 
@@ -201,7 +201,7 @@
 
     /// Removes a segment's file. A missing file counts as removed: it was removed before or never created.
     pub fn remove(&mut self, segment: u32) -> Result<(), Fault> {
-        self.open.pop(&segment);
+        self.open_files.pop(&segment);
         let removed = match self.files.remove(&segment_file_name(segment)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
             removed => removed,
--- a/crates/store/src/hands/tests.rs
+++ b/crates/store/src/hands/tests.rs
@@ -18,7 +18,7 @@
 
 fn fail_next_call(disk: &Disk, after: u64) {
     let call = disk.calls() + 1 + after;
-    disk.set(Faults {
+    disk.set_faults(Faults {
         failing_calls: call..call + 1,
         error_number: Some(5),
         ..Faults::default()
@@ -60,7 +60,7 @@
         hands.seal(SEGMENT, 476, &[5; 40]).is_err(),
         "its footer would list the missing record"
     );
-    let left = disk.crashed(1).bytes(&segment_file_name(SEGMENT));
+    let left = disk.after_crash(1).bytes(&segment_file_name(SEGMENT));
     assert_eq!(left[168..], [2; 100]);
 }
 
@@ -95,5 +95,5 @@
     fail_next_call(&disk, 1);
     assert!(hands.remove(SEGMENT).is_err());
     hands.remove(SEGMENT).expect("sound");
-    assert!((0..20).all(|seed| disk.crashed(seed).list().expect("names").is_empty()));
+    assert!((0..20).all(|seed| disk.after_crash(seed).list().expect("names").is_empty()));
 }
--- a/crates/store/src/stand_ins/crashes.rs
+++ b/crates/store/src/stand_ins/crashes.rs
@@ -1,8 +1,9 @@
-//! A day of a store that ends in a crash at a chosen operation of its disk, and what may be found after it.
+//! Runs a random workload on a store, crashes it at a chosen disk operation, and checks what is found after the
+//! restart.
 //!
-//! Checked from outside, by what the day knows: nothing that is answered is torn, of another part or older
-//! than a purge that was told; and what the store said outlives a crash is there, unless it was let go of,
-//! purged or replaced.
+//! The checks use only what the workload knows: no answer is torn, of another part or older than a purge that
+//! was sent; and copies that the store reported as durable are found, unless they were dropped, purged or
+//! replaced.
 
 use super::{Disk, Driver, Faults, Piece, size_of};
 use crate::copy::Copy;
@@ -17,79 +18,81 @@
 const OBJECTS: u64 = 120;
 const PARTS: u64 = 2;
 const ACTIONS: usize = 400;
-const LARGEST: usize = 15_000;
-/// So long after the disk is sound again new copies are kept as before.
-pub const HEALED_WITHIN: Duration = Duration::from_secs(35);
-/// Of copies that are offered one a second from then on, so many may still be held back.
-const HELD_BACK: usize = 6;
+const BODY_BYTES_RANGE: usize = 15_000;
+/// Within this time after the faults end, the disk tier accepts new copies as before.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(35);
+/// The number of copies that may still be refused after that, of copies offered at one per second.
+const MAX_REFUSED_AFTER_FAULTS: usize = 6;
 
-/// What a crash point showed.
+/// The results of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Seen {
-    /// The crash came before the day was over.
+    /// The crash came before the workload ended.
     pub crashed: bool,
-    /// Answers checked, copies that outlive a crash and were looked for, and copies let go of in reclaims.
+    /// Answers checked, durable copies looked for, and segments reclaimed.
     pub answers: u64,
     pub durable: u64,
     pub reclaimed: u64,
-    /// The three ways to fail.
+    /// The failures: torn answers, answers older than a purge, and durable copies that were not found.
     pub torn: u64,
     pub stale: u64,
     pub lost: u64,
-    /// Of the copies offered after the disk was sound again, those that were not kept.
-    pub not_kept_again: u64,
-    /// Calls of the disk during the day and from the restart on.
+    /// Copies offered after the faults ended that did not become durable.
+    pub not_durable_after_faults: u64,
+    /// Disk calls during the workload, and since the restart.
     pub calls: u64,
     pub restart_calls: u64,
 }
 
-struct Day {
-    chance: fastrand::Rng,
-    /// By object: its version now; by object and by group: the last purge.
+struct Workload {
+    random: fastrand::Rng,
+    /// The current version of each object.
     versions: HashMap<u64, u64>,
+    /// When an object's version last changed, in Unix milliseconds.
     changed: HashMap<u64, u64>,
-    objects: HashMap<u64, u64>,
-    groups: HashMap<u64, u64>,
-    told: Vec<(Option<u64>, u64, u64)>,
+    /// The last purge of each object and of each group, in Unix milliseconds.
+    object_purges: HashMap<u64, u64>,
+    group_purges: HashMap<u64, u64>,
+    sent_purges: Vec<(Option<u64>, u64, u64)>,
 }
 
-impl Day {
+impl Workload {
     fn piece(&mut self) -> Piece {
-        // A few are asked for often, most seldom.
-        let object = (self.chance.f64().powi(3) * OBJECTS as f64) as u64;
+        // A few objects are requested often, most rarely.
+        let object = (self.random.f64().powi(3) * OBJECTS as f64) as u64;
         Piece {
             object,
-            part: self.chance.u64(..PARTS),
+            part: self.random.u64(..PARTS),
         }
     }
 
-    fn purged(&self, piece: Piece) -> u64 {
-        let object = self.objects.get(&piece.object).copied().unwrap_or(0);
-        object.max(self.groups.get(&piece.group()).copied().unwrap_or(0))
+    fn last_purge_ms(&self, piece: Piece) -> u64 {
+        let object = self.object_purges.get(&piece.object).copied().unwrap_or(0);
+        object.max(self.group_purges.get(&piece.group()).copied().unwrap_or(0))
     }
 
-    fn act(&mut self, driver: &mut Driver, seen: &mut Seen) {
+    fn run_action(&mut self, driver: &mut Driver, seen: &mut Seen) {
         let piece = self.piece();
         let now = driver.unix_ms();
-        match self.chance.u8(..100) {
+        match self.random.u8(..100) {
             0..=54 => {
                 let version = *self.versions.entry(piece.object).or_insert(1);
-                let made = now - self.chance.u64(..200);
-                let copy = piece.version(version, made, size_of(piece, LARGEST));
-                driver.keep(copy, 1 + self.chance.u8(..3));
+                let made = now - self.random.u64(..200);
+                let copy = piece.version(version, made, size_of(piece, BODY_BYTES_RANGE));
+                driver.keep(copy, 1 + self.random.u8(..3));
             }
             55..=69 => get(driver, piece)
                 .iter()
-                .for_each(|copy| self.check(piece, copy, seen)),
+                .for_each(|copy| self.check_copy(piece, copy, seen)),
             70..=73 => {
                 let ms = driver.purge(Some(&piece.name()), 0);
-                self.objects.insert(piece.object, ms);
-                self.told.push((Some(piece.object), 0, ms));
+                self.object_purges.insert(piece.object, ms);
+                self.sent_purges.push((Some(piece.object), 0, ms));
             }
             74 => {
                 let ms = driver.purge(None, piece.group());
-                self.groups.insert(piece.group(), ms);
-                self.told.push((None, piece.group(), ms));
+                self.group_purges.insert(piece.group(), ms);
+                self.sent_purges.push((None, piece.group(), ms));
             }
             75..=78 => {
                 *self.versions.entry(piece.object).or_insert(1) += 1;
@@ -101,12 +104,12 @@
                 }
             }
             _ => {
-                driver.now += Duration::from_millis(self.chance.u64(1..400));
+                driver.now += Duration::from_millis(self.random.u64(1..400));
                 driver.store.tick(driver.now, &mut driver.orders);
             }
         }
-        // Orders wait, or some are carried out.
-        for _ in 0..self.chance.u8(..8) {
+        // Some of the queued operations are run.
+        for _ in 0..self.random.u8(..8) {
             driver.step();
         }
     }
@@ -123,7 +126,7 @@
         .map(|(_, copy)| copy)
 }
 
-fn wanted() -> Wanted {
+fn settings() -> Wanted {
     Wanted {
         bytes: 640 << 10,
         segment: 64 << 10,
@@ -138,53 +141,53 @@
     }
 }
 
-/// A day, and what goes wrong with its disk.
+/// A workload and the faults of its disk.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub actions: usize,
-    /// During the day, and from the restart after it on.
+    /// The faults during the workload, and since the restart.
     pub faults: Faults,
     pub restart_faults: Faults,
-    /// The disk is sound again before the program is killed; else it is killed as the day ends.
-    pub heals: bool,
+    /// The faults end before the program is killed; otherwise it is killed when the workload ends.
+    pub faults_end_before_kill: bool,
 }
 
-/// Plays the day of this seed, crashes it at an operation, and looks at what is found.
+/// Runs the workload of this seed, crashes it at an operation, and checks what is found.
 pub fn crash_point(seed: u64, crash_at: u64) -> Seen {
     let faults = Faults {
         crash_at: Some(crash_at),
         ..Faults::default()
     };
-    play(&Scenario {
+    run(&Scenario {
         seed,
         actions: ACTIONS,
         faults,
         restart_faults: Faults::default(),
-        heals: false,
+        faults_end_before_kill: false,
     })
 }
 
-/// Plays a day, kills the program and looks at what the next start finds.
-pub fn play(scenario: &Scenario) -> Seen {
+/// Runs a scenario, kills the program, and checks what the next start finds.
+pub fn run(scenario: &Scenario) -> Seen {
     let seed = scenario.seed;
-    let chance = fastrand::Rng::with_seed(seed);
+    let random = fastrand::Rng::with_seed(seed);
     let (versions, changed) = (HashMap::new(), HashMap::new());
-    let (objects, groups, told) = (HashMap::new(), HashMap::new(), Vec::new());
-    let mut day = Day {
-        chance,
+    let (object_purges, group_purges, sent_purges) = (HashMap::new(), HashMap::new(), Vec::new());
+    let mut workload = Workload {
+        random,
         versions,
         changed,
-        objects,
-        groups,
-        told,
+        object_purges,
+        group_purges,
+        sent_purges,
     };
     let disk = Disk::new();
-    disk.set(scenario.faults.clone());
-    let mut driver = Driver::start(Arc::new(disk.clone()), 30_000, wanted(), START);
+    disk.set_faults(scenario.faults.clone());
+    let mut driver = Driver::start(Arc::new(disk.clone()), 30_000, settings(), START);
     let mut seen = Seen::default();
     for _ in 0..scenario.actions {
-        day.act(&mut driver, &mut seen);
+        workload.run_action(&mut driver, &mut seen);
         if scenario
             .faults
             .crash_at
@@ -194,75 +197,79 @@
             break;
         }
     }
-    if scenario.heals {
-        disk.set(Faults::default());
-        driver.pass(HEALED_WITHIN);
-        seen.not_kept_again = not_kept(&mut driver);
+    if scenario.faults_end_before_kill {
+        disk.set_faults(Faults::default());
+        driver.advance(RECOVERY_TIME);
+        seen.not_durable_after_faults = count_not_durable(&mut driver);
         let durable = driver.orders.durable.clone();
-        day.look(&mut driver, &durable, true, &mut seen);
+        workload.check_all_parts(&mut driver, &durable, true, &mut seen);
     }
     seen.calls = disk.calls();
     seen.reclaimed = driver
         .store
         .disk()
         .map_or(0, |disk| disk.counts().reclaimed);
-    let died = driver.unix_ms();
+    let killed_at = driver.unix_ms();
     let durable = std::mem::take(&mut driver.orders.durable);
     drop(driver);
-    // The next life is told of purges some way back, or of none that is old; sometimes the clock was set
-    // back.
-    let down = day.chance.u64(..20_000);
-    let window = *day
-        .chance
+    // The next start receives the purges of a random time before it; sometimes the clock was set back.
+    let downtime = workload.random.u64(..20_000);
+    let window = *workload
+        .random
         .choice(&[500, 5_000, 30_000, 10_000_000])
         .unwrap_or(&0);
-    let start = if day.chance.u8(..10) == 0 {
-        died - day.chance.u64(1..60_000)
+    let start = if workload.random.u8(..10) == 0 {
+        killed_at - workload.random.u64(1..60_000)
     } else {
-        died + down
+        killed_at + downtime
     };
-    let mut known = Wanted {
+    let mut restart_settings = Wanted {
         known_purges: Duration::from_millis(window),
-        ..wanted()
+        ..settings()
     };
     if !scenario.restart_faults.failing_calls.is_empty() {
-        // Time passes after this start: nothing is to be let go of for want of space.
-        known.bytes *= 4;
+        // Work continues after this start, and no copy may be dropped for lack of space.
+        restart_settings.bytes *= 4;
     }
-    let after = disk.crashed(
+    let disk_after_crash = disk.after_crash(
         seed ^ scenario
             .faults
             .crash_at
             .unwrap_or(seen.calls)
             .rotate_left(32),
     );
-    after.set(scenario.restart_faults.clone());
-    let mut again = Driver::start(Arc::new(after.clone()), 60_000, known, start);
-    for (object, group, ms) in &day.told {
+    disk_after_crash.set_faults(scenario.restart_faults.clone());
+    let mut restarted = Driver::start(
+        Arc::new(disk_after_crash.clone()),
+        60_000,
+        restart_settings,
+        start,
+    );
+    for (object, group, ms) in &workload.sent_purges {
         if *ms + window >= start {
             let name = object.map(|object| Piece { object, part: 0 }.name());
-            again
+            restarted
                 .store
-                .purge(name.as_deref(), *group, *ms, &mut again.orders);
+                .purge(name.as_deref(), *group, *ms, &mut restarted.orders);
         }
     }
-    let trusted = window == 10_000_000 && start >= died;
-    // Asked while the index fills and after.
-    day.look(&mut again, &durable, false, &mut seen);
+    let must_be_found = window == 10_000_000 && start >= killed_at;
+    // Checked before the segments are recovered, and again after.
+    workload.check_all_parts(&mut restarted, &durable, false, &mut seen);
     if !scenario.restart_faults.failing_calls.is_empty() {
-        again.pass(Duration::from_secs(5));
-        after.set(Faults::default());
-        again.pass(HEALED_WITHIN);
+        restarted.advance(Duration::from_secs(5));
+        disk_after_crash.set_faults(Faults::default());
+        restarted.advance(RECOVERY_TIME);
     }
-    again.settle();
-    seen.restart_calls = after.calls();
-    day.look(&mut again, &durable, trusted, &mut seen);
+    restarted.settle();
+    seen.restart_calls = disk_after_crash.calls();
+    workload.check_all_parts(&mut restarted, &durable, must_be_found, &mut seen);
     seen
 }
 
-/// Offers new copies, one a second and more than memory holds, and counts those that do not come to outlive a
-/// crash: the first few may be held back, as a tier that was set aside takes its writes one by one.
-fn not_kept(driver: &mut Driver) -> u64 {
+/// Offers new copies, one per second and more than memory holds, and counts those that do not become durable.
+/// The first few may be refused, because a tier that was ejected admits writes one at a time at first.
+fn count_not_durable(driver: &mut Driver) -> u64 {
     let pieces: Vec<Piece> = (0..14)
         .map(|object| Piece {
             object: 10_000 + object,
@@ -272,34 +279,37 @@
     for piece in &pieces {
         let made = driver.unix_ms();
         driver.keep(piece.version(1, made, 10_000), 3);
-        driver.pass(Duration::from_secs(1));
+        driver.advance(Duration::from_secs(1));
     }
-    pieces[HELD_BACK..10]
+    pieces[MAX_REFUSED_AFTER_FAULTS..10]
         .iter()
         .filter(|piece| !driver.orders.durable.contains_key(&piece.key()))
         .count() as u64
 }
 
-impl Day {
-    /// Asks for every part, and holds what is answered against what the day knows. `durable`: copies that must
-    /// be there, if it is known that they may be served.
-    fn look(
+impl Workload {
+    /// Requests every part and checks the answers. With `must_be_found`, the `durable` copies must be among
+    /// them.
+    fn check_all_parts(
         &self,
         driver: &mut Driver,
         durable: &HashMap<Key, u64>,
-        trusted: bool,
+        must_be_found: bool,
         seen: &mut Seen,
     ) {
         for object in 0..OBJECTS {
             for part in 0..PARTS {
                 let piece = Piece { object, part };
                 let found = get(driver, piece);
-                found.iter().for_each(|copy| self.check(piece, copy, seen));
-                let Some(made) = durable.get(&piece.key()).filter(|_| trusted) else {
+                found
+                    .iter()
+                    .for_each(|copy| self.check_copy(piece, copy, seen));
+                let Some(made) = durable.get(&piece.key()).filter(|_| must_be_found) else {
                     continue;
                 };
-                let let_go = *made <= self.purged(piece) || self.changed.contains_key(&object);
-                if !let_go {
+                let invalidated =
+                    *made <= self.last_purge_ms(piece) || self.changed.contains_key(&object);
+                if !invalidated {
                     seen.durable += 1;
                     seen.lost += u64::from(found.is_none_or(|copy| copy.made < *made));
                 }
@@ -307,15 +317,15 @@
         }
     }
 
-    /// A copy that was answered is whole, of the part asked for, and not older than its last purge.
-    fn check(&self, piece: Piece, copy: &Copy, seen: &mut Seen) {
+    /// Checks that an answer is intact, of the requested part, and newer than the last purge.
+    fn check_copy(&self, piece: Piece, copy: &Copy, seen: &mut Seen) {
         seen.answers += 1;
         let version = std::str::from_utf8(&copy.tag)
             .ok()
             .and_then(|tag| u64::from_str_radix(tag, 16).ok());
-        let right =
-            version.map(|version| piece.version(version, copy.made, size_of(piece, LARGEST)));
-        seen.torn += u64::from(right.as_ref() != Some(copy));
-        seen.stale += u64::from(copy.made <= self.purged(piece));
+        let expected = version
+            .map(|version| piece.version(version, copy.made, size_of(piece, BODY_BYTES_RANGE)));
+        seen.torn += u64::from(expected.as_ref() != Some(copy));
+        seen.stale += u64::from(copy.made <= self.last_purge_ms(piece));
     }
 }
--- a/crates/store/src/stand_ins/disk.rs
+++ b/crates/store/src/stand_ins/disk.rs
@@ -1,6 +1,7 @@
-//! A disk in memory that keeps what was synced, and of the rest, at a crash, whatever a real one might: any
-//! subset of the writes in any order, each of them torn at sectors; names made or removed but not synced, or
-//! not. It fails and hangs as told. One seed makes one run.
+//! A disk in memory with injected faults, crashes and hangs. After a crash, synced data is intact; of the rest,
+//! any state that a real disk could leave may remain: any subset of the unsynced writes in any order, torn at
+//! sector boundaries, and each unsynced creation, rename or removal of a name either done or not. The seed
+//! determines the result.
 
 use crate::files::{File, Files};
 use std::collections::BTreeMap;
@@ -11,23 +12,23 @@
 const SECTOR: usize = 512;
 
 #[derive(Clone, Debug)]
-enum Change {
+enum PendingChange {
     Write { at: u64, bytes: Vec<u8> },
     Truncate(u64),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Content {
+struct FileContents {
     durable: Vec<u8>,
-    /// As programs see it, and what made it so since the last sync.
-    seen: Vec<u8>,
-    pending: Vec<Change>,
+    /// The contents as programs read them, and the changes since the last sync.
+    visible: Vec<u8>,
+    pending: Vec<PendingChange>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    files: Vec<Content>,
-    /// Names as programs see them and as they are on the disk: to which file each leads.
+    files: Vec<FileContents>,
+    /// Names as programs see them and as they are on the disk, each with the index of its file.
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     operations: u64,
@@ -37,28 +38,28 @@
     hung: bool,
 }
 
-/// What goes wrong, and when. Operations are counted from 1: creations, removals, writes, truncations and
-/// syncs. Calls are counted from 1 as well, and include what only reads: listings, opens, lengths, reads.
+/// Injected faults. Operations are counted from 1: creations, removals, renames, writes, truncations and syncs.
+/// Calls are counted from 1 as well, and also include listings, opens, lengths and reads.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// From this operation on the disk is gone: every call fails.
+    /// From this operation on, every call fails.
     pub crash_at: Option<u64>,
-    /// These syncs fail, and what they should have synced is lost at a crash.
+    /// All syncs fail, and the data that they should have synced is lost at a crash.
     pub syncs_fail: bool,
     pub writes_fail: bool,
     pub reads_fail: bool,
     pub removals_fail: bool,
-    /// All files together hold so many bytes at the most.
-    pub room: Option<u64>,
-    /// Every call whose number is in this range fails.
+    /// The maximum bytes of all files together.
+    pub capacity_bytes: Option<u64>,
+    /// Calls whose numbers are in this range fail.
     pub failing_calls: Range<u64>,
-    /// The error number of the system that failing calls return; without one, an error of no kind.
+    /// The system error number that these calls return; without one, an error of kind `Other`.
     pub error_number: Option<i32>,
-    /// A failed sync also evicts the file from the page cache: reads see what is on the disk.
-    pub evicts: bool,
+    /// A failed sync also evicts the file from the page cache, so that reads return the data on the disk.
+    pub evict_on_failed_sync: bool,
 }
 
-/// The disk itself; clones share it.
+/// A simulated disk. Clones share its state.
 #[derive(Clone, Default)]
 pub struct Disk {
     shared: Arc<(Mutex<State>, Condvar)>,
@@ -69,8 +70,8 @@
     file: usize,
 }
 
-fn failed(what: &str) -> io::Error {
-    io::Error::other(what.to_owned())
+fn other_error(message: &str) -> io::Error {
+    io::Error::other(message.to_owned())
 }
 
 impl Disk {
@@ -82,50 +83,49 @@
         self.shared
             .0
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Waits while the disk hangs.
-    fn awake(&self) -> MutexGuard<'_, State> {
+    /// Locks the state; blocks while the disk hangs.
+    fn lock_unless_hung(&self) -> MutexGuard<'_, State> {
         let mut state = self.state();
         while state.hung {
             state = self
                 .shared
                 .1
                 .wait(state)
-                .unwrap_or_else(|broken| broken.into_inner());
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
         }
         state
     }
 
-    pub fn set(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Every call waits from now on, or goes on.
+    /// Makes every call block, or lets blocked calls continue.
     pub fn hang(&self, hung: bool) {
         self.state().hung = hung;
         self.shared.1.notify_all();
     }
 
-    /// How many operations there were, and how many bytes were written.
+    /// The number of operations so far, and of bytes written.
     pub fn operations(&self) -> (u64, u64) {
         let state = self.state();
         (state.operations, state.written)
     }
 
-    /// How many calls there were, those that only read included.
+    /// The number of calls so far, including reads.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// The disk as it may be found after a crash at this moment.
-    pub fn crashed(&self, seed: u64) -> Disk {
-        let mut chance = fastrand::Rng::with_seed(seed);
+    /// A copy of the disk in a state that a crash at this moment could leave.
+    pub fn after_crash(&self, seed: u64) -> Disk {
+        let mut random = fastrand::Rng::with_seed(seed);
         let state = self.state();
         let mut after = State::default();
-        // Each name that differs is as before or as after, by itself: one that was renamed may be at both or
-        // at none.
+        // Each unsynced name change is independently done or not: a renamed file may have both names or none.
         let mut names = state.durable_names.clone();
         let differ = |name: &&String| state.names.get(*name) != state.durable_names.get(*name);
         for name in state
@@ -134,7 +134,7 @@
             .chain(state.durable_names.keys())
             .filter(differ)
         {
-            if chance.bool() {
+            if random.bool() {
                 match state.names.get(name) {
                     Some(file) => names.insert(name.clone(), *file),
                     None => names.remove(name),
@@ -142,7 +142,9 @@
             }
         }
         for (name, file) in names {
-            after.files.push(survivor(&state.files[file], &mut chance));
+            after
+                .files
+                .push(contents_after_crash(&state.files[file], &mut random));
             after.names.insert(name, after.files.len() - 1);
         }
         after.durable_names = after.names.clone();
@@ -151,27 +153,27 @@
         }
     }
 
-    /// Flips a bit of a file, as a disk that ages does.
-    pub fn rot(&self, name: &str, at: usize) {
+    /// Flips a bit of a file, to simulate bit rot.
+    pub fn flip_bit(&self, name: &str, at: usize) {
         let mut state = self.state();
         let Some(file) = state.names.get(name).copied() else {
             return;
         };
         let content = &mut state.files[file];
-        for bytes in [&mut content.seen, &mut content.durable] {
+        for bytes in [&mut content.visible, &mut content.durable] {
             bytes.get_mut(at).into_iter().for_each(|byte| *byte ^= 1);
         }
     }
 
-    /// Puts bytes in place of a file's, behind the program's back.
+    /// Replaces a file's contents without the program's knowledge.
     pub fn swap(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state();
         let Some(file) = state.names.get(name).copied() else {
             return;
         };
-        state.files[file] = Content {
+        state.files[file] = FileContents {
             durable: bytes.to_vec(),
-            seen: bytes.to_vec(),
+            visible: bytes.to_vec(),
             pending: Vec::new(),
         };
     }
@@ -181,70 +183,71 @@
         state
             .names
             .get(name)
-            .map(|file| state.files[*file].seen.clone())
+            .map(|file| state.files[*file].visible.clone())
             .unwrap_or_default()
     }
 }
 
-/// What is left of a file: some of its changes, in some order, writes sector by sector.
-fn survivor(content: &Content, chance: &mut fastrand::Rng) -> Content {
+/// A file's contents after a crash: some of the unsynced changes, in some order, with the last one possibly torn
+/// at sector boundaries.
+fn contents_after_crash(content: &FileContents, random: &mut fastrand::Rng) -> FileContents {
     let mut bytes = content.durable.clone();
-    let mut pending: Vec<&Change> = content.pending.iter().collect();
-    // Mostly the last writes are lost; sometimes any, in any order.
-    match chance.u8(..3) {
-        0 => pending.truncate(chance.usize(..=pending.len())),
-        1 => pending.retain(|_| chance.bool()),
-        _ => chance.shuffle(&mut pending),
-    }
-    let torn = chance.u8(..4) != 0;
+    let mut pending: Vec<&PendingChange> = content.pending.iter().collect();
+    // Lose the last changes, any subset, or none but in another order.
+    match random.u8(..3) {
+        0 => pending.truncate(random.usize(..=pending.len())),
+        1 => pending.retain(|_| random.bool()),
+        _ => random.shuffle(&mut pending),
+    }
+    let torn = random.u8(..4) != 0;
     for (n, change) in pending.iter().enumerate() {
         match change {
-            Change::Truncate(length) => bytes.resize(*length as usize, 0),
-            Change::Write { at, bytes: new } => {
+            PendingChange::Truncate(length) => bytes.resize(*length as usize, 0),
+            PendingChange::Write { at, bytes: new } => {
                 let last = n + 1 == pending.len();
-                for (sector, part) in new.chunks(SECTOR).enumerate() {
-                    if torn && last && chance.bool() {
+                for (sector_index, sector_bytes) in new.chunks(SECTOR).enumerate() {
+                    if torn && last && random.bool() {
                         continue;
                     }
-                    let at = *at as usize + sector * SECTOR;
-                    if bytes.len() < at + part.len() {
-                        bytes.resize(at + part.len(), 0);
+                    let at = *at as usize + sector_index * SECTOR;
+                    if bytes.len() < at + sector_bytes.len() {
+                        bytes.resize(at + sector_bytes.len(), 0);
                     }
-                    bytes[at..at + part.len()].copy_from_slice(part);
+                    bytes[at..at + sector_bytes.len()].copy_from_slice(sector_bytes);
                 }
             }
         }
     }
-    Content {
+    FileContents {
         durable: bytes.clone(),
-        seen: bytes,
+        visible: bytes,
         pending: Vec::new(),
     }
 }
 
-impl Content {
-    /// Makes durable what was written since the last sync, and nothing that an earlier failed sync dropped.
+impl FileContents {
+    /// Makes the changes since the last sync durable, except for those dropped by a failed sync.
     fn sync(&mut self) {
         for change in std::mem::take(&mut self.pending) {
             change.apply(&mut self.durable);
         }
     }
 
-    /// A sync that fails as real systems do: what could not be written is forgotten, and the next sync says
-    /// that all is well.
-    fn fail_sync(&mut self, evicts: bool) {
+    /// A failed sync, as on real systems: the data that could not be written is dropped, and the next sync
+    /// succeeds.
+    fn fail_sync(&mut self, evict_on_failed_sync: bool) {
         self.pending.clear();
-        if evicts {
-            self.seen = self.durable.clone();
+        if evict_on_failed_sync {
+            self.visible = self.durable.clone();
         }
     }
 }
 
-impl Change {
+impl PendingChange {
     fn apply(&self, bytes: &mut Vec<u8>) {
         match self {
-            Change::Truncate(length) => bytes.resize(*length as usize, 0),
-            Change::Write { at, bytes: new } => write_into(bytes, *at as usize, new),
+            PendingChange::Truncate(length) => bytes.resize(*length as usize, 0),
+            PendingChange::Write { at, bytes: new } => write_into(bytes, *at as usize, new),
         }
     }
 }
@@ -258,18 +261,18 @@
 }
 
 impl State {
-    /// Counts an operation, which may be the one at which the disk is gone.
-    fn operate(&mut self) -> io::Result<()> {
+    /// Counts an operation, and fails if the disk has crashed or the call is to fail.
+    fn check_operation(&mut self) -> io::Result<()> {
         self.operations += 1;
-        self.alive()
+        self.check_call()
     }
 
-    /// Counts a call, which may be one of those that fail.
-    fn alive(&mut self) -> io::Result<()> {
+    /// Counts a call, and fails if the disk has crashed or the call is to fail.
+    fn check_call(&mut self) -> io::Result<()> {
         self.calls += 1;
         match self.has_crashed() {
-            true => Err(failed("crashed")),
-            _ if self.faults.failing_calls.contains(&self.calls) => Err(self.error()),
+            true => Err(other_error("crashed")),
+            _ if self.faults.failing_calls.contains(&self.calls) => Err(self.injected_error()),
             _ => Ok(()),
         }
     }
@@ -278,27 +281,27 @@
         self.faults.crash_at.is_some_and(|at| self.operations >= at)
     }
 
-    fn error(&self) -> io::Error {
+    fn injected_error(&self) -> io::Error {
         self.faults
             .error_number
-            .map_or_else(|| failed("call failed"), io::Error::from_raw_os_error)
+            .map_or_else(|| other_error("call failed"), io::Error::from_raw_os_error)
     }
 }
 
 impl Files for Disk {
     fn list(&self) -> io::Result<Vec<String>> {
-        let mut state = self.awake();
-        state.alive()?;
+        let mut state = self.lock_unless_hung();
+        state.check_call()?;
         Ok(state.names.keys().cloned().collect())
     }
 
     fn create(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        let mut state = self.awake();
-        state.operate()?;
+        let mut state = self.lock_unless_hung();
+        state.check_operation()?;
         if state.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        state.files.push(Content::default());
+        state.files.push(FileContents::default());
         let file = state.files.len() - 1;
         state.names.insert(name.to_owned(), file);
         Ok(Arc::new(Handle {
@@ -308,8 +311,8 @@
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn File>> {
-        let mut state = self.awake();
-        state.alive()?;
+        let mut state = self.lock_unless_hung();
+        state.check_call()?;
         let file = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(Arc::new(Handle {
             disk: self.clone(),
@@ -318,10 +321,10 @@
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        let mut state = self.awake();
-        state.operate()?;
+        let mut state = self.lock_unless_hung();
+        state.check_operation()?;
         if state.faults.removals_fail {
-            return Err(failed("removal failed"));
+            return Err(other_error("removal failed"));
         }
         state
             .names
@@ -331,18 +334,18 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        let mut state = self.awake();
-        state.operate()?;
+        let mut state = self.lock_unless_hung();
+        state.check_operation()?;
         let file = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.names.insert(to.to_owned(), file);
         Ok(())
     }
 
     fn sync_names(&self) -> io::Result<()> {
-        let mut state = self.awake();
-        state.operate()?;
+        let mut state = self.lock_unless_hung();
+        state.check_operation()?;
         if state.faults.syncs_fail {
-            return Err(failed("sync failed"));
+            return Err(other_error("sync failed"));
         }
         state.durable_names = state.names.clone();
         Ok(())
@@ -351,50 +354,50 @@
 
 impl File for Handle {
     fn length(&self) -> io::Result<u64> {
-        let mut state = self.disk.awake();
-        state.alive()?;
-        Ok(state.files[self.file].seen.len() as u64)
+        let mut state = self.disk.lock_unless_hung();
+        state.check_call()?;
+        Ok(state.files[self.file].visible.len() as u64)
     }
 
     fn read_at(&self, buffer: &mut [u8], at: u64) -> io::Result<usize> {
-        let mut state = self.disk.awake();
-        state.alive()?;
+        let mut state = self.disk.lock_unless_hung();
+        state.check_call()?;
         if state.faults.reads_fail {
-            return Err(failed("read failed"));
+            return Err(other_error("read failed"));
         }
-        let seen = &state.files[self.file].seen;
-        let from = seen.get(at as usize..).unwrap_or_default();
+        let visible = &state.files[self.file].visible;
+        let from = visible.get(at as usize..).unwrap_or_default();
         let length = from.len().min(buffer.len());
         buffer[..length].copy_from_slice(&from[..length]);
         Ok(length)
     }
 
     fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<()> {
-        let mut state = self.disk.awake();
-        state.operate()?;
+        let mut state = self.disk.lock_unless_hung();
+        state.check_operation()?;
         if state.faults.writes_fail {
-            return Err(failed("write failed"));
+            return Err(other_error("write failed"));
         }
         let end = at as usize + bytes.len();
-        let grows = end.saturating_sub(state.files[self.file].seen.len()) as u64;
-        let held = |state: &State| {
+        let grows = end.saturating_sub(state.files[self.file].visible.len()) as u64;
+        let total_bytes = |state: &State| {
             state
                 .names
                 .values()
-                .map(|f| state.files[*f].seen.len() as u64)
+                .map(|f| state.files[*f].visible.len() as u64)
                 .sum::<u64>()
         };
         if state
             .faults
-            .room
-            .is_some_and(|room| held(&state) + grows > room)
+            .capacity_bytes
+            .is_some_and(|capacity| total_bytes(&state) + grows > capacity)
         {
             return Err(io::ErrorKind::StorageFull.into());
         }
         state.written += bytes.len() as u64;
         let content = &mut state.files[self.file];
-        write_into(&mut content.seen, at as usize, bytes);
-        content.pending.push(Change::Write {
+        write_into(&mut content.visible, at as usize, bytes);
+        content.pending.push(PendingChange::Write {
             at,
             bytes: bytes.to_vec(),
         });
@@ -402,29 +405,29 @@
     }
 
     fn truncate(&self, length: u64) -> io::Result<()> {
-        let mut state = self.disk.awake();
-        state.operate()?;
+        let mut state = self.disk.lock_unless_hung();
+        state.check_operation()?;
         let content = &mut state.files[self.file];
-        content.seen.resize(length as usize, 0);
-        content.pending.push(Change::Truncate(length));
+        content.visible.resize(length as usize, 0);
+        content.pending.push(PendingChange::Truncate(length));
         Ok(())
     }
 
     fn sync(&self) -> io::Result<()> {
-        let mut state = self.disk.awake();
-        let alive = state.operate();
-        let (fails, evicts, crashed) = (
+        let mut state = self.disk.lock_unless_hung();
+        let status = state.check_operation();
+        let (fails, evict_on_failed_sync, crashed) = (
             state.faults.syncs_fail,
-            state.faults.evicts,
+            state.faults.evict_on_failed_sync,
             state.has_crashed(),
         );
         let content = &mut state.files[self.file];
-        if !crashed && (fails || alive.is_err()) {
-            content.fail_sync(evicts);
+        if !crashed && (fails || status.is_err()) {
+            content.fail_sync(evict_on_failed_sync);
         }
-        alive?;
+        status?;
         if fails {
-            return Err(failed("sync failed"));
+            return Err(other_error("sync failed"));
         }
         content.sync();
         Ok(())
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -1,5 +1,5 @@
-//! A store with hands but no threads: orders wait in a row and are carried out one at a time, when told to.
-//! What the store says of its copies is written down, to be held against what is found.
+//! Drives a store without threads: disk operations are queued and run one at a time, under the test's control.
+//! The store's notifications are recorded, to be compared with what is found later.
 
 use crate::boot_clock::BootClock;
 use crate::catalogue::{Catalogue, CatalogueError, Line};
@@ -14,76 +14,76 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Until a directory that could not be opened is opened again.
-const OPEN_AGAIN: Duration = Duration::from_secs(1);
+/// The delay before a directory that could not be opened is opened again.
+const OPEN_RETRY: Duration = Duration::from_secs(1);
 
-enum Job {
+enum Operation {
     Read(u64, u32, u32, u32),
     List(u32),
     Recover(u32),
-    Begin(u32, u32),
+    CreateSegment(u32, u32),
     Append(u64, u32, u32, Vec<u8>),
     Sync(u32, u32),
     Seal(u32, u32, Vec<u8>),
     Remove(u32),
-    Mark(Vec<Line>),
+    WriteCatalogue(Vec<Line>),
 }
 
-/// What a store ordered and said.
+/// Queues a store's disk operations and records its notifications.
 #[derive(Default)]
-pub struct Orders {
-    row: VecDeque<Job>,
-    /// Nothing is taken while it stands: as by mailboxes that are full.
-    pub full: bool,
-    pub fetched: HashMap<u64, Fetched>,
-    pub revalidate: Vec<Copy>,
-    /// By part: when the copy was made that outlives a crash from here on.
+pub struct RecordingBackend {
+    queue: VecDeque<Operation>,
+    /// Rejects all operations, as full queues do.
+    pub rejects_all: bool,
+    pub completed_reads: HashMap<u64, Fetched>,
+    pub revalidations: Vec<Copy>,
+    /// By part: when the copy was made that is reported as durable.
     pub durable: HashMap<Key, u64>,
-    pub let_go: u64,
+    pub dropped: u64,
 }
 
-impl Orders {
-    fn take(&mut self, job: Job) -> bool {
-        if !self.full {
-            self.row.push_back(job);
+impl RecordingBackend {
+    fn enqueue(&mut self, operation: Operation) -> bool {
+        if !self.rejects_all {
+            self.queue.push_back(operation);
         }
-        !self.full
+        !self.rejects_all
     }
 }
 
-impl DiskBackend for Orders {
+impl DiskBackend for RecordingBackend {
     fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
-        self.take(Job::Read(ticket, segment, at, length))
+        self.enqueue(Operation::Read(ticket, segment, at, length))
     }
     fn list(&mut self, segment: u32) -> bool {
-        self.take(Job::List(segment))
+        self.enqueue(Operation::List(segment))
     }
     fn recover(&mut self, segment: u32) -> bool {
-        self.take(Job::Recover(segment))
+        self.enqueue(Operation::Recover(segment))
     }
     fn create_segment(&mut self, segment: u32, class: u32) -> bool {
-        self.take(Job::Begin(segment, class))
+        self.enqueue(Operation::CreateSegment(segment, class))
     }
     fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
-        self.take(Job::Append(ticket, segment, at, record))
+        self.enqueue(Operation::Append(ticket, segment, at, record))
     }
     fn sync(&mut self, segment: u32, up_to: u32) -> bool {
-        self.take(Job::Sync(segment, up_to))
+        self.enqueue(Operation::Sync(segment, up_to))
     }
     fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
-        self.take(Job::Seal(segment, at, footer))
+        self.enqueue(Operation::Seal(segment, at, footer))
     }
     fn remove(&mut self, segment: u32) -> bool {
-        self.take(Job::Remove(segment))
+        self.enqueue(Operation::Remove(segment))
     }
     fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
-        self.take(Job::Mark(lines))
+        self.enqueue(Operation::WriteCatalogue(lines))
     }
     fn read_completed(&mut self, ticket: u64, fetched: Fetched) {
-        self.fetched.insert(ticket, fetched);
+        self.completed_reads.insert(ticket, fetched);
     }
     fn revalidate(&mut self, copy: &Copy) {
-        self.revalidate.push(Copy {
+        self.revalidations.push(Copy {
             body: Bytes::new(),
             ..copy.clone()
         });
@@ -93,29 +93,29 @@
     }
     fn copy_dropped(&mut self, key: Key) {
         self.durable.remove(&key);
-        self.let_go += 1;
+        self.dropped += 1;
     }
 }
 
-/// A store on files, and a clock that goes on when told.
+/// A store on files, with a simulated clock.
 pub struct Driver {
     pub store: Store,
-    pub orders: Orders,
+    pub orders: RecordingBackend,
     pub now: Duration,
     start_ms: u64,
     hands: Option<(Hands, Catalogue)>,
-    /// What is opened again, and when, as long as the system fails that.
+    /// After a failed opening: what is opened again, and when.
     opening: Option<(Arc<dyn Files>, Option<BootClock>, Duration)>,
 }
 
 impl Driver {
-    /// Starts at this Unix millisecond. The directory is opened at once; what it holds is read as orders are
-    /// carried out.
+    /// Starts a store at this Unix millisecond. The directory is opened at once; its segments are recovered as
+    /// operations are run.
     pub fn start(files: Arc<dyn Files>, memory: u64, wanted: Wanted, start_ms: u64) -> Driver {
         Driver::start_with_clock(files, memory, wanted, start_ms, None)
     }
 
-    /// As `start`, where it is known how the wall clock stands to the machine's own.
+    /// Like `start`, with a boot clock.
     pub fn start_with_clock(
         files: Arc<dyn Files>,
         memory: u64,
@@ -125,7 +125,7 @@
     ) -> Driver {
         let now = Duration::from_secs(1000);
         let store = Store::new(memory, Some(Tier::new(wanted, now, start_ms)));
-        let orders = Orders::default();
+        let orders = RecordingBackend::default();
         let mut driver = Driver {
             store,
             orders,
@@ -138,7 +138,7 @@
         driver
     }
 
-    /// Opens the directory. What the system fails is tried again later, as the threads do.
+    /// Opens the directory. After a transient error, opening is tried again later, as the threads do.
     fn open(&mut self, files: Arc<dyn Files>, clock: Option<BootClock>) {
         match hands::open(&files, 0xc0ffee, clock) {
             Ok((catalogue, known, segments)) => {
@@ -146,13 +146,13 @@
                 self.store.complete_open(&known, segments, &mut self.orders);
             }
             Err(CatalogueError::Io(_)) => {
-                self.opening = Some((files, clock, self.now + OPEN_AGAIN))
+                self.opening = Some((files, clock, self.now + OPEN_RETRY))
             }
-            Err(why) => self
+            Err(reason) => self
                 .store
                 .disk_mut()
                 .into_iter()
-                .for_each(|disk| disk.refused(why.to_string())),
+                .for_each(|disk| disk.refused(reason.to_string())),
         }
     }
 
@@ -160,50 +160,53 @@
         self.start_ms + (self.now - Duration::from_secs(1000)).as_millis() as u64
     }
 
-    /// Carries out the next order. False: there is none.
+    /// Runs the next operation. False: there is none.
     pub fn step(&mut self) -> bool {
-        let (Some(job), Some((hands, catalogue))) = (self.orders.row.pop_front(), &mut self.hands)
+        let (Some(operation), Some((hands, catalogue))) =
+            (self.orders.queue.pop_front(), &mut self.hands)
         else {
             return false;
         };
         let (now, store, backend) = (self.now, &mut self.store, &mut self.orders);
-        match job {
-            Job::Read(ticket, segment, at, length) => {
+        match operation {
+            Operation::Read(ticket, segment, at, length) => {
                 store.complete_read(now, ticket, hands.read(segment, at, length), backend)
             }
-            Job::List(segment) => store.complete_list(now, segment, hands.list(segment), backend),
-            Job::Recover(segment) => {
+            Operation::List(segment) => {
+                store.complete_list(now, segment, hands.list(segment), backend)
+            }
+            Operation::Recover(segment) => {
                 store.complete_recovery(now, segment, hands.recover(segment), backend)
             }
-            Job::Begin(segment, class) => drop(hands.create_segment(segment, class)),
-            Job::Append(ticket, segment, at, record) => {
+            Operation::CreateSegment(segment, class) => drop(hands.create_segment(segment, class)),
+            Operation::Append(ticket, segment, at, record) => {
                 store.complete_append(now, ticket, hands.append(segment, at, &record), backend);
             }
-            Job::Sync(segment, up_to) => {
+            Operation::Sync(segment, up_to) => {
                 store.complete_sync(now, segment, up_to, hands.sync(segment), backend)
             }
-            Job::Seal(segment, at, footer) => {
+            Operation::Seal(segment, at, footer) => {
                 store.complete_seal(now, segment, at, hands.seal(segment, at, &footer), backend)
             }
-            Job::Remove(segment) => {
+            Operation::Remove(segment) => {
                 store.complete_removal(now, segment, hands.remove(segment), backend)
             }
-            Job::Mark(lines) => {
+            Operation::WriteCatalogue(lines) => {
                 store.complete_catalogue_write(hands::mark(catalogue, &lines), backend)
             }
         }
         true
     }
 
-    /// Carries out all that is ordered, and what follows from it.
+    /// Runs operations until the queue is empty.
     pub fn settle(&mut self) {
         while self.step() {}
     }
 
-    /// Lets time pass, in steps, with all that falls due in it.
-    pub fn pass(&mut self, span: Duration) {
+    /// Advances the clock in steps of 50 ms, running all work that becomes due.
+    pub fn advance(&mut self, duration: Duration) {
         let step = Duration::from_millis(50);
-        let end = self.now + span;
+        let end = self.now + duration;
         while self.now < end {
             self.now = (self.now + step).min(end);
             if let Some((files, clock, _)) = self.opening.take_if(|(_, _, due)| self.now >= *due) {
@@ -224,18 +227,18 @@
         ms
     }
 
-    /// What a request for a part is answered with, and from where.
+    /// Answers a request for a part, and returns the tier and the copy.
     pub fn get(&mut self, part: Part) -> Option<(Place, Copy)> {
         let found = self.store.find(part, None)?;
         match found.place {
             Place::Memory => {
-                let copy = self.store.take(self.now, part).expect("it was found");
+                let copy = self.store.take(self.now, part).expect("found above");
                 Some((Place::Memory, (*copy).clone()))
             }
             Place::Disk => {
                 let ticket = self.store.fetch(self.now, part, &mut self.orders)?;
                 self.settle();
-                match self.orders.fetched.remove(&ticket) {
+                match self.orders.completed_reads.remove(&ticket) {
                     Some(Fetched::Copy(copy)) => Some((Place::Disk, (*copy).clone())),
                     _ => None,
                 }
@@ -243,7 +246,7 @@
         }
     }
 
-    /// The end of a program that may take its time.
+    /// Shuts the store down gracefully.
     pub fn close(&mut self) {
         if let Some(disk) = self.store.disk_mut() {
             disk.close(self.now, &mut self.orders);
@@ -252,7 +255,7 @@
     }
 }
 
-/// An object by number, and its parts with bodies that can be told from one another.
+/// A part of a numbered test object. Its bodies are unique for each part and version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Piece {
     pub object: u64,
@@ -272,16 +275,16 @@
         key::part(key::object(&self.name()), self.part)
     }
 
-    /// Its copy as made at this Unix millisecond, a version of its own.
+    /// A copy made at this Unix millisecond, which is also its version.
     pub fn copy(self, made: u64, bytes: usize) -> Copy {
         self.version(made, made, bytes)
     }
 
-    /// Its copy in a version of its object: nothing of the body can pass for another's.
+    /// A copy of this version of the object. The body is pseudo-random, so that no part of it equals another's.
     pub fn version(self, version: u64, made: u64, bytes: usize) -> Copy {
-        let mut chance = fastrand::Rng::with_seed(self.key() ^ version.rotate_left(40));
+        let mut random = fastrand::Rng::with_seed(self.key() ^ version.rotate_left(40));
         let mut body = vec![0; bytes];
-        chance.fill(&mut body);
+        random.fill(&mut body);
         Copy {
             object: self.name(),
             part: self.part,
@@ -297,8 +300,8 @@
     }
 }
 
-/// Bytes of a part, such that a part always has as many.
+/// The body length of a part, from 64 to 64 + `most` bytes; always the same for the same part.
 pub fn size_of(piece: Piece, most: usize) -> usize {
-    let draw = piece.key() as f64 / u64::MAX as f64;
-    64 + (most as f64 * draw) as usize
+    let fraction = piece.key() as f64 / u64::MAX as f64;
+    64 + (most as f64 * fraction) as usize
 }
--- a/crates/store/src/stand_ins/mod.rs
+++ b/crates/store/src/stand_ins/mod.rs
@@ -1,8 +1,9 @@
-//! Stand-ins: a disk that crashes and fails as told, and hands that carry out orders when told.
+//! Stand-ins for tests: a simulated disk with injected crashes and faults, and a driver that runs a store's
+//! disk operations one at a time.
 
 pub mod crashes;
 mod disk;
 mod driver;
 
 pub use disk::{Disk, Faults};
-pub use driver::{Driver, Orders, Piece, size_of};
+pub use driver::{Driver, Piece, RecordingBackend, size_of};
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -25,7 +25,7 @@
 const WRITE_QUEUE_LEN: usize = 256;
 const CATALOGUE_QUEUE_LEN: usize = 4;
 const RECOVERY_QUEUE_LEN: usize = 8;
-/// Results that have not been received yet; exceeds the number of operations that can be queued or running.
+/// Results that have not been received yet; sized for all operations that can be queued or running.
 const RESULT_QUEUE_LEN: usize = 2048;
 /// Exponential backoff between attempts to open the directory.
 const MIN_OPEN_RETRY: Duration = Duration::from_secs(1);
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A kill at any operation of the disk, and any subset and tearing of what was not synced.
+//! Crashes at any disk operation, with any subset of the unsynced writes lost or torn.
 
 use chalkhall_store::stand_ins::crashes::crash_point;
 use proptest::prelude::*;
@@ -6,22 +6,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, ..ProptestConfig::default() })]
 
-    /// Any seed must hold; the point shrinks to the first operation at which it fails.
+    /// Must pass with any seed. `crash_at` shrinks towards the first operation at which it fails.
     #[test]
-    fn nothing_torn_nothing_stale_nothing_lost(seed in any::<u64>(), crash_at in 1u64..900) {
-        let seen = crash_point(seed, crash_at);
-        prop_assert_eq!((seen.torn, seen.stale, seen.lost), (0, 0, 0), "{:?}", seen);
+    fn a_crash_at_any_operation_causes_no_torn_stale_or_lost_copy(seed in any::<u64>(), crash_at in 1u64..900) {
+        let results = crash_point(seed, crash_at);
+        prop_assert_eq!((results.torn, results.stale, results.lost), (0, 0, 0), "{:?}", results);
     }
 }
 
 #[test]
-fn the_days_do_what_they_are_to_test() {
+fn the_workloads_exercise_answers_durability_and_reclaims() {
     let mut all = chalkhall_store::stand_ins::crashes::Seen::default();
     for seed in 0..60 {
-        let seen = crash_point(seed, 40 + seed * 12);
-        all.answers += seen.answers;
-        all.durable += seen.durable;
-        all.reclaimed += seen.reclaimed;
+        let results = crash_point(seed, 40 + seed * 12);
+        all.answers += results.answers;
+        all.durable += results.durable;
+        all.reclaimed += results.reclaimed;
     }
     assert!(
         all.answers > 300 && all.durable > 100 && all.reclaimed > 10,
--- a/crates/store/tests/disk_faults.rs
+++ b/crates/store/tests/disk_faults.rs
@@ -1,11 +1,11 @@
-//! A folder that fails for a while, and a wall clock that was stepped between two starts.
+//! A disk that fails for a while, and a wall clock that is stepped between two starts.
 
 use chalkhall_store::boot_clock::BootClock;
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::Part;
 use chalkhall_store::decide::disk::Wanted;
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::crashes::{Scenario, Seen, play};
+use chalkhall_store::stand_ins::crashes::{Scenario, Seen, run};
 use chalkhall_store::stand_ins::{Disk, Driver, Faults, Piece};
 use chalkhall_store::threads::{self, End, NotTaken};
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
 const EIO: i32 = 5;
 const ENOSPC: i32 = 28;
 
-fn wanted(known_purges: Duration) -> Wanted {
+fn settings(known_purges: Duration) -> Wanted {
     Wanted {
         bytes: 16 << 20,
         segment: 1 << 20,
@@ -27,8 +27,8 @@
     }
 }
 
-fn started(disk: &Disk, known_purges: Duration, start_ms: u64) -> Driver {
-    let mut driver = Driver::start(Arc::new(disk.clone()), 0, wanted(known_purges), start_ms);
+fn start_driver(disk: &Disk, known_purges: Duration, start_ms: u64) -> Driver {
+    let mut driver = Driver::start(Arc::new(disk.clone()), 0, settings(known_purges), start_ms);
     driver.settle();
     driver
 }
@@ -41,7 +41,7 @@
     piece(object).name()
 }
 
-/// When the copy was made that a part is answered with; its bytes must be those of that copy.
+/// Requests a part, checks the answer's bytes, and returns when the copy was made.
 fn get(driver: &mut Driver, object: u64) -> Option<u64> {
     let (piece, name) = (piece(object), name(object));
     let (_, copy) = driver.get(Part {
@@ -60,159 +60,165 @@
 fn keep(driver: &mut Driver, object: u64) {
     let made = driver.unix_ms();
     driver.keep(piece(object).copy(made, 9000), 3);
-    driver.pass(SECOND / 10);
+    driver.advance(SECOND / 10);
 }
 
-fn hear(driver: &mut Driver) {
-    let heard = driver.unix_ms();
-    driver.store.disk_mut().expect("a disk").heard(heard);
-    driver.pass(20 * SECOND);
+fn confirm_discovery(driver: &mut Driver) {
+    let confirmed = driver.unix_ms();
+    driver.store.disk_mut().expect("a disk").heard(confirmed);
+    driver.advance(20 * SECOND);
 }
 
-/// A store of these objects, written and synced, of which discovery was heard until now.
-fn written(disk: &Disk, objects: u64) -> Driver {
-    let mut driver = started(disk, 1000 * SECOND, START);
+/// Starts a store with this many objects written and synced, and confirmed by discovery up to now.
+fn start_with_objects(disk: &Disk, objects: u64) -> Driver {
+    let mut driver = start_driver(disk, 1000 * SECOND, START);
     (0..objects).for_each(|object| keep(&mut driver, object));
-    driver.pass(3 * SECOND);
-    hear(&mut driver);
+    driver.advance(3 * SECOND);
+    confirm_discovery(&mut driver);
     driver
 }
 
 fn fail_from_now(disk: &Disk, error_number: i32) {
     let failing_calls = disk.calls() + 1..u64::MAX;
-    disk.set(Faults {
+    disk.set_faults(Faults {
         failing_calls,
         error_number: Some(error_number),
         ..Faults::default()
     });
 }
 
-/// A purge came while the program was down for an hour, and discovery's first list no longer names it. The
-/// next start serves nothing of before; the start after it follows soon upon its last word of discovery.
+/// A purge was made while the program was down for an hour, and discovery's first list no longer contains it.
+/// The next start serves no earlier copy. The start after that follows soon after a confirmation, which must not
+/// make those copies servable again.
 #[test]
-fn a_purge_missed_in_one_gap_is_missed_by_every_later_start() {
+fn copies_whose_purges_may_be_missed_stay_unserved_at_every_later_start() {
     let disk = Disk::new();
-    let mut first = written(&disk, 5);
+    let mut first = start_with_objects(&disk, 5);
     let ended = first.unix_ms();
     first.close();
-    let mut second = started(&disk, 600 * SECOND, ended + 3_600_000);
+    let mut second = start_driver(&disk, 600 * SECOND, ended + 3_600_000);
     assert!(
         (0..5).all(|object| get(&mut second, object).is_none()),
         "a purge may have been missed"
     );
     keep(&mut second, 9);
-    hear(&mut second);
+    confirm_discovery(&mut second);
     let ended = second.unix_ms();
-    let mut third = started(&disk.crashed(1), 600 * SECOND, ended + 5000);
+    let mut third = start_driver(&disk.after_crash(1), 600 * SECOND, ended + 5000);
     assert!(
         (0..5).all(|object| get(&mut third, object).is_none()),
-        "it is missed still"
+        "the purge is still missed"
     );
     assert!(
         get(&mut third, 9).is_some(),
-        "what the second start wrote is covered"
+        "copies of the second start are confirmed"
     );
 }
 
 #[test]
-fn purges_are_written_down_again_after_the_folder_failed_for_a_while() {
+fn purges_are_written_after_transient_errors() {
     for error_number in [EIO, ENOSPC] {
-        for evicts in [false, true] {
+        for evict_on_failed_sync in [false, true] {
             let disk = Disk::new();
-            let mut driver = written(&disk, 8);
+            let mut driver = start_with_objects(&disk, 8);
             fail_from_now(&disk, error_number);
             driver.purge(Some(&name(2)), 0);
-            driver.pass(5 * SECOND);
-            disk.set(Faults {
-                evicts,
+            driver.advance(5 * SECOND);
+            disk.set_faults(Faults {
+                evict_on_failed_sync,
                 ..Faults::default()
             });
-            driver.pass(30 * SECOND);
-            hear(&mut driver);
+            driver.advance(30 * SECOND);
+            confirm_discovery(&mut driver);
             let ended = driver.unix_ms();
-            // Discovery's first list reaches back forty seconds: the catalogue alone names the purge.
-            let mut again = started(&disk.crashed(3), 40 * SECOND, ended + 5000);
-            assert_eq!(get(&mut again, 2), None, "purged");
+            // Discovery's first list reaches back 40 s, so only the catalogue contains the purge.
+            let mut restarted = start_driver(&disk.after_crash(3), 40 * SECOND, ended + 5000);
+            assert_eq!(get(&mut restarted, 2), None, "purged");
             assert!(
-                get(&mut again, 3).is_some(),
-                "discovery was heard until shortly before"
+                get(&mut restarted, 3).is_some(),
+                "discovery confirmed purges until shortly before"
             );
         }
     }
 }
 
-const DAY_ACTIONS: usize = 120;
+const ACTIONS: usize = 120;
 
-fn faults(failing_calls: Range<u64>, error_number: i32, evicts: bool) -> Faults {
+fn faults(failing_calls: Range<u64>, error_number: i32, evict_on_failed_sync: bool) -> Faults {
     Faults {
         failing_calls,
         error_number: Some(error_number),
-        evicts,
+        evict_on_failed_sync,
         ..Faults::default()
     }
 }
 
-fn day(seed: u64) -> Scenario {
+fn scenario_with_seed(seed: u64) -> Scenario {
     let (faults, restart_faults) = (Faults::default(), Faults::default());
     Scenario {
         seed,
-        actions: DAY_ACTIONS,
+        actions: ACTIONS,
         faults,
         restart_faults,
-        heals: false,
+        faults_end_before_kill: false,
     }
 }
 
-fn assert_kept(scenario: &Scenario, seen: &Seen) {
-    let wrong = (seen.torn, seen.stale, seen.lost, seen.not_kept_again);
-    assert_eq!(wrong, (0, 0, 0, 0), "{scenario:?}: {seen:?}");
+fn assert_no_failures(scenario: &Scenario, results: &Seen) {
+    let failures = (
+        results.torn,
+        results.stale,
+        results.lost,
+        results.not_durable_after_faults,
+    );
+    assert_eq!(failures, (0, 0, 0, 0), "{scenario:?}: {results:?}");
 }
 
-/// A fault that begins with this call: which error, for how many calls, is drawn.
-fn drawn_faults(call: u64, chance: &mut fastrand::Rng) -> Faults {
-    let span = *chance.choice(&[1, 1, 5, 50, 300]).expect("not empty");
-    let error_number = if chance.bool() { EIO } else { ENOSPC };
-    faults(call..call + span, error_number, chance.bool())
+/// Faults that start with this call; the error and the number of failing calls are random.
+fn random_faults(call: u64, random: &mut fastrand::Rng) -> Faults {
+    let failing_count = *random.choice(&[1, 1, 5, 50, 300]).expect("not empty");
+    let error_number = if random.bool() { EIO } else { ENOSPC };
+    faults(call..call + failing_count, error_number, random.bool())
 }
 
-/// Each call of a day fails, alone or with those after it, with either error; the program is killed in the
-/// trouble or after it.
+/// Each call of a workload fails, alone or with those after it, with either error. The program is killed during
+/// the faults or after them.
 #[test]
-fn each_call_of_a_mixed_run_may_fail_once_or_for_a_while() {
+fn any_call_of_a_workload_may_fail_once_or_for_a_while() {
     let mut all = Seen::default();
-    for call in 1..=play(&day(0)).calls {
-        let mut chance = fastrand::Rng::with_seed(call);
-        let (faults, heals) = (drawn_faults(call, &mut chance), chance.bool());
+    for call in 1..=run(&scenario_with_seed(0)).calls {
+        let mut random = fastrand::Rng::with_seed(call);
+        let (faults, faults_end_before_kill) = (random_faults(call, &mut random), random.bool());
         let scenario = Scenario {
             faults,
-            heals,
-            ..day(chance.u64(..40))
+            faults_end_before_kill,
+            ..scenario_with_seed(random.u64(..40))
         };
-        let seen = play(&scenario);
-        assert_kept(&scenario, &seen);
-        all.answers += seen.answers;
-        all.durable += seen.durable;
+        let results = run(&scenario);
+        assert_no_failures(&scenario, &results);
+        all.answers += results.answers;
+        all.durable += results.durable;
     }
     assert!(all.answers > 2000 && all.durable > 200, "{all:?}");
 }
 
-/// Each call of a restart fails, alone or with those after it; what was said to outlive the kill before it is
-/// found once the folder is sound again.
+/// Each call of a restart fails, alone or with those after it. Copies reported as durable before the kill are
+/// found once the faults end.
 #[test]
-fn each_call_of_a_restart_may_fail_once_or_for_a_while() {
+fn any_call_of_a_restart_may_fail_once_or_for_a_while() {
     let mut all = Seen::default();
     for call in 1..=80 {
         for seed in 0..4 {
-            let mut chance = fastrand::Rng::with_seed(call * 10 + seed);
-            let restart_faults = drawn_faults(call, &mut chance);
+            let mut random = fastrand::Rng::with_seed(call * 10 + seed);
+            let restart_faults = random_faults(call, &mut random);
             let scenario = Scenario {
                 restart_faults,
-                ..day(chance.u64(..40))
+                ..scenario_with_seed(random.u64(..40))
             };
-            let seen = play(&scenario);
-            assert_kept(&scenario, &seen);
-            all.answers += seen.answers;
-            all.durable += seen.durable;
+            let results = run(&scenario);
+            assert_no_failures(&scenario, &results);
+            all.answers += results.answers;
+            all.durable += results.durable;
         }
     }
     assert!(all.answers > 2000 && all.durable > 200, "{all:?}");
@@ -222,14 +228,14 @@
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_fails_and_whenever_nothing_is_torn_stale_or_lost(
-        seed in any::<u64>(), call in 1u64..700, restart_call in 1u64..400, heals in any::<bool>(),
+    fn random_faults_cause_no_torn_stale_or_lost_copy(
+        seed in any::<u64>(), call in 1u64..700, restart_call in 1u64..400, faults_end_before_kill in any::<bool>(),
     ) {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let faults = drawn_faults(call, &mut chance);
-        let restart_faults = drawn_faults(restart_call, &mut chance);
-        let scenario = Scenario { faults, restart_faults, heals, ..day(seed) };
-        assert_kept(&scenario, &play(&scenario));
+        let mut random = fastrand::Rng::with_seed(seed);
+        let faults = random_faults(call, &mut random);
+        let restart_faults = random_faults(restart_call, &mut random);
+        let scenario = Scenario { faults, restart_faults, faults_end_before_kill, ..scenario_with_seed(seed) };
+        assert_no_failures(&scenario, &run(&scenario));
     }
 }
 
@@ -242,30 +248,30 @@
     })
 }
 
-fn started_with_clock(
+fn start_with_clock(
     disk: &Disk,
     known_purges: Duration,
     start_ms: u64,
     clock: Option<BootClock>,
 ) -> Driver {
     let files = Arc::new(disk.clone());
-    let mut driver = Driver::start_with_clock(files, 0, wanted(known_purges), start_ms, clock);
+    let mut driver = Driver::start_with_clock(files, 0, settings(known_purges), start_ms, clock);
     driver.settle();
     driver
 }
 
-/// Discovery was never heard, so no written time is later than the clock that was set back: copies that are
-/// an hour old would look new, and as if discovery's first list named every purge since they were made.
+/// Discovery never confirmed purges, so no time in the catalogue shows that the clock was set back. Copies that
+/// are an hour old would look new, as if discovery's first list contained every purge since they were made.
 #[test]
-fn a_step_of_the_wall_clock_between_two_starts_is_seen_by_the_machines_clock() {
+fn a_step_of_the_wall_clock_between_two_starts_is_detected_by_the_boot_clock() {
     let boot = START - 1_000_000;
     for step in [-HOUR_MS, -2000, 2000, HOUR_MS] {
         let disk = Disk::new();
-        let mut first = started_with_clock(&disk, 600 * SECOND, START, boot_clock(boot));
+        let mut first = start_with_clock(&disk, 600 * SECOND, START, boot_clock(boot));
         (0..3).for_each(|object| keep(&mut first, object));
-        first.pass(3 * SECOND);
+        first.advance(3 * SECOND);
         first.close();
-        // An hour and a little more goes by where the clock is set back, so that it stands after the copies.
+        // If the clock is set back, more time than that passes, so that it is still later than the copies.
         let down = if step < 0 {
             step.unsigned_abs() + 5000
         } else {
@@ -273,12 +279,12 @@
         };
         let start = (first.unix_ms() + down).saturating_add_signed(step);
         let stepped = boot_clock(boot.saturating_add_signed(step));
-        let mut second = started_with_clock(&disk.crashed(1), 8 * 3600 * SECOND, start, stepped);
+        let mut second = start_with_clock(&disk.after_crash(1), 8 * 3600 * SECOND, start, stepped);
         assert!(
             (0..3).all(|object| get(&mut second, object).is_none()),
             "stepped by {step}"
         );
-        // The same clock, and another start of the machine, say nothing against them.
+        // With an unchanged clock, after a reboot, or without a boot clock, the copies are served.
         for clock in [
             boot_clock(boot),
             Some(BootClock {
@@ -287,7 +293,8 @@
             }),
             None,
         ] {
-            let mut second = started_with_clock(&disk.crashed(1), 8 * 3600 * SECOND, start, clock);
+            let mut second =
+                start_with_clock(&disk.after_crash(1), 8 * 3600 * SECOND, start, clock);
             assert!(
                 (0..3).all(|object| get(&mut second, object).is_some()),
                 "{clock:?}"
@@ -296,46 +303,43 @@
     }
 }
 
-/// The start after a stepped one has no step to see: what was undated stays so, and the start's own copies are
-/// served.
+/// The start after the one that detected the step sees no step. It must still not serve copies from before the
+/// step, but serves those written since.
 #[test]
-fn copies_from_before_a_step_of_the_clock_stay_undated_for_later_starts() {
+fn copies_from_before_a_clock_step_stay_unserved_at_later_starts() {
     let disk = Disk::new();
     let boot = START - 1_000_000;
-    let mut first = started_with_clock(&disk, 600 * SECOND, START, boot_clock(boot));
+    let mut first = start_with_clock(&disk, 600 * SECOND, START, boot_clock(boot));
     (0..3).for_each(|object| keep(&mut first, object));
-    first.pass(3 * SECOND);
-    hear(&mut first);
+    first.advance(3 * SECOND);
+    confirm_discovery(&mut first);
     first.close();
     let (start, stepped) = (
         first.unix_ms() + 65 * 60_000 - HOUR_MS as u64,
         boot_clock(boot - HOUR_MS as u64),
     );
-    let mut second = started_with_clock(&disk, 600 * SECOND, start, stepped);
+    let mut second = start_with_clock(&disk, 600 * SECOND, start, stepped);
     keep(&mut second, 9);
-    second.pass(3 * SECOND);
-    hear(&mut second);
+    second.advance(3 * SECOND);
+    confirm_discovery(&mut second);
     let start = second.unix_ms() + 5000;
     second.close();
-    let mut third = started_with_clock(&disk, 600 * SECOND, start, stepped);
+    let mut third = start_with_clock(&disk, 600 * SECOND, start, stepped);
     assert!(
         (0..3).all(|object| get(&mut third, object).is_none()),
-        "undated still"
-    );
-    assert!(
-        get(&mut third, 9).is_some(),
-        "by the clock of its own start"
+        "their times are still unreliable"
     );
+    assert!(get(&mut third, 9).is_some(), "written after the step");
 }
 
-/// The second copy of a part is not written while other writes of its segment and its footer are under way: the
-/// first one was said to outlive a crash, and the next start must find it.
+/// The write of a part's second copy fails while the segment's footer, which would list it, is already queued.
+/// The first copy was reported as durable, and the next start must find it.
 #[test]
-fn a_footer_never_hides_a_durable_copy_behind_one_that_was_not_written() {
+fn a_footer_does_not_hide_a_durable_copy_behind_an_unwritten_one() {
     let disk = Disk::new();
-    let mut driver = written(&disk, 1);
+    let mut driver = start_with_objects(&disk, 1);
     let first = driver.orders.durable[&piece(0).key()];
-    // In one part: a new version leaves the old one to be replaced, and purges nothing.
+    // With `in_parts` unset, a new version only replaces the old one and purges nothing.
     let second = Copy {
         in_parts: false,
         ..piece(0).copy(driver.unix_ms(), 9000)
@@ -346,56 +350,53 @@
     let before = written_bytes(&driver);
     driver.now += SECOND / 10;
     driver.store.tick(driver.now, &mut driver.orders);
-    assert!(
-        written_bytes(&driver) > before,
-        "the record was not ordered"
-    );
-    // The record is ordered; the end of the program orders the footer behind it.
+    assert!(written_bytes(&driver) > before, "the record was not queued");
+    // The record is queued; shutting down queues the footer behind it.
     driver
         .store
         .disk_mut()
         .expect("a disk")
         .close(driver.now, &mut driver.orders);
-    disk.set(Faults {
+    disk.set_faults(Faults {
         writes_fail: true,
         ..Faults::default()
     });
     let failed = |driver: &Driver| driver.store.disk().expect("a disk").counts().write_faults > 0;
     while !failed(&driver) {
-        assert!(driver.step(), "the record was not ordered");
+        assert!(driver.step(), "the record was not queued");
     }
-    disk.set(Faults::default());
+    disk.set_faults(Faults::default());
     driver.settle();
-    let mut again = started(&disk.crashed(1), 1000 * SECOND, driver.unix_ms() + 1000);
-    assert_eq!(get(&mut again, 0), Some(first));
+    let mut restarted = start_driver(&disk.after_crash(1), 1000 * SECOND, driver.unix_ms() + 1000);
+    assert_eq!(get(&mut restarted, 0), Some(first));
 }
 
-/// The files of what is reclaimed cannot be removed for a while: their places come back.
+/// The files of reclaimed segments cannot be removed for a while; the limit of segments recovers afterwards.
 #[test]
-fn places_of_files_that_could_not_be_removed_come_back() {
+fn segments_that_could_not_be_removed_are_removed_later() {
     let disk = Disk::new();
-    let mut driver = started(&disk, 1000 * SECOND, START);
+    let mut driver = start_driver(&disk, 1000 * SECOND, START);
     let most = driver.store.disk().expect("a disk").segments().most;
-    let mut fewest = most;
+    let mut lowest = most;
     for object in 0..3000 {
         let made = driver.unix_ms();
         driver.keep(piece(object).copy(made, 100_000), 2);
-        driver.pass(SECOND / 10);
+        driver.advance(SECOND / 10);
         let tier = driver.store.disk().expect("a disk");
-        fewest = fewest.min(tier.segments().most);
+        lowest = lowest.min(tier.segments().most);
         if object == 150 {
-            disk.set(Faults {
+            disk.set_faults(Faults {
                 removals_fail: true,
                 ..Faults::default()
             });
         }
-        if fewest < most - 2 {
+        if lowest < most - 2 {
             break;
         }
     }
-    assert!(fewest < most - 2, "no removal failed");
-    disk.set(Faults::default());
-    driver.pass(120 * SECOND);
+    assert!(lowest < most - 2, "no removal failed");
+    disk.set_faults(Faults::default());
+    driver.advance(120 * SECOND);
     assert_eq!(driver.store.disk().expect("a disk").segments().most, most);
     let files = disk
         .list()
@@ -407,66 +408,66 @@
 }
 
 #[test]
-fn segments_that_could_not_be_read_at_the_start_are_read_later() {
+fn segments_that_could_not_be_read_at_the_start_are_recovered_later() {
     let disk = Disk::new();
-    let mut driver = written(&disk, 6);
+    let mut driver = start_with_objects(&disk, 6);
     let start = driver.unix_ms() + 1000;
     driver.close();
-    let mut again = Driver::start(Arc::new(disk.clone()), 0, wanted(1000 * SECOND), start);
-    disk.set(Faults {
+    let mut restarted = Driver::start(Arc::new(disk.clone()), 0, settings(1000 * SECOND), start);
+    disk.set_faults(Faults {
         reads_fail: true,
         ..Faults::default()
     });
-    again.pass(10 * SECOND);
+    restarted.advance(10 * SECOND);
     assert!(
-        (0..6).all(|object| get(&mut again, object).is_none()),
-        "absent while it cannot be read"
+        (0..6).all(|object| get(&mut restarted, object).is_none()),
+        "not served while the segment cannot be read"
     );
-    disk.set(Faults::default());
-    again.pass(31 * SECOND);
+    disk.set_faults(Faults::default());
+    restarted.advance(31 * SECOND);
     assert!(
-        (0..6).all(|object| get(&mut again, object).is_some()),
-        "there again"
+        (0..6).all(|object| get(&mut restarted, object).is_some()),
+        "served again"
     );
-    let tier = again.store.disk().expect("a disk");
+    let tier = restarted.store.disk().expect("a disk");
     assert_eq!((tier.segments().most, tier.counts().foreign), (16, 0));
 }
 
-/// A folder that fails for ten minutes is asked to write a purge down some dozens of times, not at each turn.
+/// While the disk fails for ten minutes, a purge is written about 120 times, not at each tick.
 #[test]
-fn a_purge_that_cannot_be_written_down_is_tried_again_with_backoff() {
+fn a_purge_that_cannot_be_written_is_retried_with_backoff() {
     let disk = Disk::new();
-    let mut driver = written(&disk, 1);
+    let mut driver = start_with_objects(&disk, 1);
     fail_from_now(&disk, ENOSPC);
     driver.purge(Some(&name(0)), 0);
     let before = driver.store.disk().expect("a disk").counts().write_faults;
     for _ in 0..60 {
-        hear_without_waiting(&mut driver);
-        driver.pass(10 * SECOND);
+        confirm_without_waiting(&mut driver);
+        driver.advance(10 * SECOND);
     }
-    let tries = driver.store.disk().expect("a disk").counts().write_faults - before;
-    assert!((100..=140).contains(&tries), "{tries}");
-    assert_eq!(get(&mut driver, 0), None, "it counts meanwhile");
+    let attempts = driver.store.disk().expect("a disk").counts().write_faults - before;
+    assert!((100..=140).contains(&attempts), "{attempts}");
+    assert_eq!(get(&mut driver, 0), None, "the purge applies meanwhile");
     assert!(
         !driver.store.disk().expect("a disk").is_quiet(),
-        "it waits still"
+        "the purge is still queued"
     );
-    disk.set(Faults::default());
-    driver.pass(6 * SECOND);
+    disk.set_faults(Faults::default());
+    driver.advance(6 * SECOND);
     assert!(
         driver.store.disk().expect("a disk").is_quiet(),
-        "written down within the longest backoff"
+        "written within the maximum backoff"
     );
 }
 
-fn hear_without_waiting(driver: &mut Driver) {
-    let heard = driver.unix_ms();
-    driver.store.disk_mut().expect("a disk").heard(heard);
+fn confirm_without_waiting(driver: &mut Driver) {
+    let confirmed = driver.unix_ms();
+    driver.store.disk_mut().expect("a disk").heard(confirmed);
 }
 
-/// The opening fails once with an error that may pass; a directory held by another is refused at once.
+/// Opening is retried after a transient error, but not if another process holds the directory.
 #[test]
-fn a_directory_that_cannot_be_opened_for_a_while_is_opened_later() {
+fn opening_a_directory_is_retried_after_transient_errors_only() {
     let disk = Disk::new();
     let mut failures = 1;
     let take = move || match failures {
@@ -476,36 +477,36 @@
             Err(NotTaken::Io("no space".into()))
         }
     };
-    let (_threads, mut ends) = threads::start(take, 1, 1).expect("threads");
-    assert!(matches!(ends.blocking_recv(), Some(End::OpenFailed(_))));
-    assert!(matches!(ends.blocking_recv(), Some(End::Opened { .. })));
+    let (_threads, mut results) = threads::start(take, 1, 1).expect("threads");
+    assert!(matches!(results.blocking_recv(), Some(End::OpenFailed(_))));
+    assert!(matches!(results.blocking_recv(), Some(End::Opened { .. })));
     let refuse = || Err(NotTaken::Refused("held by process 1".into()));
-    let (_threads, mut ends) = threads::start(refuse, 1, 1).expect("threads");
-    assert!(matches!(ends.blocking_recv(), Some(End::Refused(_))));
-    assert!(ends.blocking_recv().is_none(), "it is not tried again");
+    let (_threads, mut results) = threads::start(refuse, 1, 1).expect("threads");
+    assert!(matches!(results.blocking_recv(), Some(End::Refused(_))));
+    assert!(results.blocking_recv().is_none(), "opening is not retried");
 }
 
-/// Its owner does not wait for the next try to end.
+/// The owner need not wait for the next attempt.
 #[test]
-fn an_opening_that_waits_for_its_next_try_ends_with_its_owner() {
+fn an_opening_that_waits_for_its_retry_ends_with_its_owner() {
     let refuse = || Err(NotTaken::Io("no space".into()));
-    let (threads, mut ends) = threads::start(refuse, 1, 1).expect("threads");
-    assert!(matches!(ends.blocking_recv(), Some(End::OpenFailed(_))));
+    let (threads, mut results) = threads::start(refuse, 1, 1).expect("threads");
+    assert!(matches!(results.blocking_recv(), Some(End::OpenFailed(_))));
     drop(threads);
-    assert!(ends.blocking_recv().is_none());
+    assert!(results.blocking_recv().is_none());
 }
 
-/// A copy that was said to outlive a crash is replaced by one that is not synced yet, and its segment is
-/// reclaimed: one of the two is found after a crash.
+/// A durable copy is replaced by one that is not synced yet, and its segment is reclaimed. After a crash, one of
+/// the two must be found.
 #[test]
-fn a_durable_copy_is_not_reclaimed_before_the_one_in_its_place_is_synced() {
+fn a_durable_copy_is_not_reclaimed_before_its_replacement_is_synced() {
     let disk = Disk::new();
     let rarely_synced = Wanted {
         bytes: 10 << 20,
         sync_after: 1000 * SECOND,
         sync_bytes: u64::MAX,
         carry: 0.0,
-        ..wanted(1000 * SECOND)
+        ..settings(1000 * SECOND)
     };
     let mut driver = Driver::start(Arc::new(disk.clone()), 0, rarely_synced, START);
     driver.settle();
@@ -515,9 +516,9 @@
             ..piece(object).copy(driver.unix_ms(), bytes)
         };
         driver.keep(copy, 2);
-        driver.pass(SECOND / 10);
+        driver.advance(SECOND / 10);
     };
-    // Enough of one size group to fill and seal its segment.
+    // Enough copies of one size class to fill and seal its segment.
     (0..40).for_each(|object| offer(&mut driver, object, 30_000));
     let key = piece(0).key();
     assert!(driver.orders.durable.contains_key(&key), "sealed");
@@ -534,11 +535,15 @@
         object += 1;
         assert!(object < 400, "never reclaimed");
     }
-    let durable = *driver.orders.durable.get(&key).expect("not let go of");
+    let durable = *driver.orders.durable.get(&key).expect("not dropped");
     for seed in 0..30 {
-        let mut again = started(&disk.crashed(seed), 1000 * SECOND, driver.unix_ms() + 1000);
+        let mut restarted = start_driver(
+            &disk.after_crash(seed),
+            1000 * SECOND,
+            driver.unix_ms() + 1000,
+        );
         let name = name(0);
-        let found = again.get(Part {
+        let found = restarted.get(Part {
             object: &name,
             part: 0,
             group: piece(0).group(),
@@ -551,40 +556,40 @@
 }
 
 #[test]
-fn what_was_written_before_a_failed_write_comes_to_outlive_a_crash() {
+fn records_before_a_failed_write_become_durable() {
     let disk = Disk::new();
-    let mut driver = written(&disk, 1);
+    let mut driver = start_with_objects(&disk, 1);
     let offer = |driver: &mut Driver, object: u64| {
         driver.keep(piece(object).copy(driver.unix_ms(), 9000), 3);
-        driver.pass(SECOND / 10);
+        driver.advance(SECOND / 10);
     };
     offer(&mut driver, 1);
-    disk.set(Faults {
+    disk.set_faults(Faults {
         writes_fail: true,
         ..Faults::default()
     });
     offer(&mut driver, 2);
-    disk.set(Faults::default());
-    driver.pass(3 * SECOND);
+    disk.set_faults(Faults::default());
+    driver.advance(3 * SECOND);
     assert!(driver.orders.durable.contains_key(&piece(1).key()));
-    let mut again = started(&disk.crashed(1), 1000 * SECOND, driver.unix_ms() + 1000);
-    assert!(get(&mut again, 1).is_some() && get(&mut again, 2).is_none());
+    let mut restarted = start_driver(&disk.after_crash(1), 1000 * SECOND, driver.unix_ms() + 1000);
+    assert!(get(&mut restarted, 1).is_some() && get(&mut restarted, 2).is_none());
 }
 
-/// A tier that is about to reclaim the segment of its first three copies, which are read often.
-fn short_of_space(disk: &Disk) -> Driver {
-    let wanted = Wanted {
+/// A store that is about to reclaim the segment of its first three copies, which are read often.
+fn store_short_of_space(disk: &Disk) -> Driver {
+    let settings = Wanted {
         bytes: 10 << 20,
         carry: 0.5,
         scrub: 0,
-        ..wanted(1000 * SECOND)
+        ..settings(1000 * SECOND)
     };
-    let mut driver = Driver::start(Arc::new(disk.clone()), 0, wanted, START);
+    let mut driver = Driver::start(Arc::new(disk.clone()), 0, settings, START);
     driver.settle();
     let mut object = 0;
     while driver.store.disk().expect("a disk").segments().free() > 2 || object % 10 < 8 {
         driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
-        driver.pass(SECOND / 2);
+        driver.advance(SECOND / 2);
         for hot in 0..3 {
             get(&mut driver, hot);
         }
@@ -593,35 +598,35 @@
             break;
         }
     }
-    driver.pass(3 * SECOND);
+    driver.advance(3 * SECOND);
     driver
 }
 
 #[test]
-fn a_segment_that_cannot_be_listed_for_a_moment_is_not_reclaimed_with_all_it_holds() {
+fn a_transient_listing_error_does_not_lose_the_records_of_a_reclaimed_segment() {
     let disk = Disk::new();
-    let mut driver = short_of_space(&disk);
-    disk.set(Faults {
+    let mut driver = store_short_of_space(&disk);
+    disk.set_faults(Faults {
         reads_fail: true,
         ..Faults::default()
     });
     let failed = |driver: &Driver| driver.store.disk().expect("a disk").counts().read_faults > 0;
     for object in 1000..1030 {
         driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
-        driver.pass(SECOND / 20);
+        driver.advance(SECOND / 20);
         if failed(&driver) {
             break;
         }
     }
     assert!(failed(&driver), "no listing failed");
-    disk.set(Faults::default());
-    driver.pass(10 * SECOND);
+    disk.set_faults(Faults::default());
+    driver.advance(10 * SECOND);
     assert!(
         driver.store.disk().expect("a disk").counts().reclaimed > 0,
         "nothing was reclaimed"
     );
     assert!(
         (0..3).all(|hot| get(&mut driver, hot).is_some()),
-        "carried over once it could be listed"
+        "carried over once the segment could be listed"
     );
 }
--- a/crates/store/tests/guards.rs
+++ b/crates/store/tests/guards.rs
@@ -1,5 +1,5 @@
-//! Guards between a crash and a wrong answer, each caused through the store and its driver: a body that rots
-//! behind a whole head, a clock that is set back and forward, a purge that is in the journal alone.
+//! Safeguards against wrong answers after faults, each provoked through the store and its driver: a damaged body
+//! behind an intact header, a clock that is set back and forward, a purge that only the catalogue knows.
 
 use chalkhall_store::decide::disk::Wanted;
 use chalkhall_store::decide::{Part, Place};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 const START: u64 = 1_800_000_000_000;
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 
-fn wanted(known_purges: Duration) -> Wanted {
+fn settings(known_purges: Duration) -> Wanted {
     Wanted {
         bytes: 16 << 20,
         segment: 1 << 20,
@@ -20,13 +20,13 @@
     }
 }
 
-fn started(disk: &Disk, known_purges: Duration, start_ms: u64) -> Driver {
-    let mut driver = Driver::start(Arc::new(disk.clone()), 0, wanted(known_purges), start_ms);
+fn start_driver(disk: &Disk, known_purges: Duration, start_ms: u64) -> Driver {
+    let mut driver = Driver::start(Arc::new(disk.clone()), 0, settings(known_purges), start_ms);
     driver.settle();
     driver
 }
 
-/// When the copy was made that a part is answered with; its bytes must be those of that copy.
+/// Requests a part, checks the answer's bytes, and returns when the copy was made.
 fn get(driver: &mut Driver, object: u64) -> Option<u64> {
     let piece = Piece { object, part: 0 };
     let name = piece.name();
@@ -43,72 +43,72 @@
     Some(copy.made)
 }
 
-/// A store of these objects, written and synced, of which discovery was heard until now.
-fn written(disk: &Disk, objects: u64) -> Driver {
-    let mut driver = started(disk, 1000 * S, START);
+/// Starts a store with this many objects written and synced, and confirmed by discovery up to now.
+fn start_with_objects(disk: &Disk, objects: u64) -> Driver {
+    let mut driver = start_driver(disk, 1000 * SECOND, START);
     for object in 0..objects {
         let made = driver.unix_ms();
         driver.keep(Piece { object, part: 0 }.copy(made, 9000), 3);
-        driver.pass(S / 10);
+        driver.advance(SECOND / 10);
     }
-    driver.pass(3 * S);
-    hear(&mut driver);
+    driver.advance(3 * SECOND);
+    confirm_discovery(&mut driver);
     driver
 }
 
-fn hear(driver: &mut Driver) {
-    let heard = driver.unix_ms();
-    driver.store.disk_mut().expect("a disk").heard(heard);
-    driver.pass(20 * S);
+fn confirm_discovery(driver: &mut Driver) {
+    let confirmed = driver.unix_ms();
+    driver.store.disk_mut().expect("a disk").heard(confirmed);
+    driver.advance(20 * SECOND);
 }
 
 #[test]
-fn a_body_that_rots_behind_a_whole_head_between_two_reads_is_found() {
+fn a_body_damaged_between_two_reads_is_detected() {
     let disk = Disk::new();
-    let mut driver = written(&disk, 1);
+    let mut driver = start_with_objects(&disk, 1);
     let segment = disk
         .list()
         .expect("names")
         .into_iter()
         .find(|n| n.starts_with("segment"))
         .expect("one");
-    assert!(get(&mut driver, 0).is_some(), "sound at first");
-    // The body begins behind a head of a few hundred bytes at most: its middle is far from any head.
+    assert!(get(&mut driver, 0).is_some(), "intact at first");
+    // The header takes a few hundred bytes at most, so these offsets are in the body.
     for place in [64 + 3000, 64 + 5000, 64 + 8000] {
-        disk.rot(&segment, place);
-        assert_eq!(get(&mut driver, 0), None, "rotten at {place}");
+        disk.flip_bit(&segment, place);
+        assert_eq!(get(&mut driver, 0), None, "damaged at {place}");
         assert_eq!(driver.store.disk().expect("a disk").counts().damaged, 1);
-        assert_eq!(get(&mut driver, 0), None, "it is forgotten");
-        // Rot is a flip: the same again makes it whole, for the next place.
-        disk.rot(&segment, place);
-        driver = started(&disk, 1000 * S, driver.unix_ms());
-        assert!(get(&mut driver, 0).is_some(), "whole again");
+        assert_eq!(get(&mut driver, 0), None, "it was dropped");
+        // Flipping the same bit again restores the body for the next offset.
+        disk.flip_bit(&segment, place);
+        driver = start_driver(&disk, 1000 * SECOND, driver.unix_ms());
+        assert!(get(&mut driver, 0).is_some(), "intact again");
     }
 }
 
-/// Discovery was heard until 20 s after the copies were made. A purge came while the program was down, so
-/// long ago that discovery's first list, which reaches back ten minutes, no longer names it. A clock that
-/// stands before discovery was last heard makes all of that look recent.
+/// Discovery confirmed purges until 20 s after the copies were made. A purge was made while the program was
+/// down, so long ago that discovery's first list, which reaches back ten minutes, no longer contains it. With a
+/// clock set back to before the last confirmation, all of this looks recent, and the purge would be missed.
 #[test]
-fn a_clock_set_back_over_a_purge_and_forward_again_serves_nothing_purged() {
+fn a_clock_set_back_past_a_purge_and_forward_again_serves_nothing_purged() {
     let disk = Disk::new();
-    let mut driver = written(&disk, 5);
-    let died = driver.unix_ms();
+    let mut driver = start_with_objects(&disk, 5);
+    let killed_at = driver.unix_ms();
     driver.close();
-    let known = 600 * S;
+    let known_purges = 600 * SECOND;
     for back_by in [1, 1000, 15_000, 3_600_000] {
-        let mut back = started(&disk, known, died - 20_000 - back_by);
+        let mut back = start_driver(&disk, known_purges, killed_at - 20_000 - back_by);
         assert!(
             (0..5).all(|object| get(&mut back, object).is_none()),
             "set back by {back_by}"
         );
-        // What it writes by that clock is no safer for the next start.
+        // Copies written by that clock must not be served at the next start either.
         let made = back.unix_ms();
         back.keep(Piece { object: 9, part: 0 }.copy(made, 9000), 3);
-        back.pass(3 * S);
-        hear(&mut back);
+        back.advance(3 * SECOND);
+        confirm_discovery(&mut back);
         back.close();
-        let mut forward = started(&disk, known, died + 3_600_000);
+        let mut forward = start_driver(&disk, known_purges, killed_at + 3_600_000);
         assert!(
             (0..10).all(|object| get(&mut forward, object).is_none()),
             "forward, after {back_by}"
@@ -117,71 +117,75 @@
     }
 }
 
-/// And one that ran ahead: what was made by it is of the future for the next start.
+/// Copies made by a clock that ran ahead are from the future at the next start.
 #[test]
-fn what_was_made_by_a_clock_that_ran_ahead_is_not_served_by_one_that_does_not() {
+fn copies_made_by_a_clock_that_ran_ahead_are_not_served_after_it_is_corrected() {
     let disk = Disk::new();
-    let mut ahead = started(&disk, 1000 * S, START + 500_000);
+    let mut ahead = start_driver(&disk, 1000 * SECOND, START + 500_000);
     let made = ahead.unix_ms();
     ahead.keep(Piece { object: 1, part: 0 }.copy(made, 9000), 3);
-    ahead.pass(3 * S);
+    ahead.advance(3 * SECOND);
     ahead.close();
-    let mut right = started(&disk, 1000 * S, START);
+    let mut right = start_driver(&disk, 1000 * SECOND, START);
     assert_eq!(get(&mut right, 1), None);
 }
 
-/// A purge 80 s before the end stands in the journal alone: discovery's first list reaches back forty
-/// seconds. The purged records still lie in their segment, whole. At every step of what the purge orders the
-/// program may end, and any part of what was not synced may be lost.
+/// A purge 80 s before the end is known only from the catalogue, since discovery's first list reaches back 40 s,
+/// and the purged records are still intact in their segment. The program may end after any operation that the
+/// purge started, and any unsynced data may be lost.
 #[test]
-fn a_purge_in_the_journal_and_an_older_record_that_did_not_go() {
-    let mut journaled = 0;
+fn a_purge_known_only_from_the_catalogue_hides_older_records() {
+    let mut catalogued = 0;
     for steps in 0..40 {
         let disk = Disk::new();
-        let mut driver = written(&disk, 8);
+        let mut driver = start_with_objects(&disk, 8);
         let purged = driver.purge(Some(&Piece { object: 2, part: 0 }.name()), 0);
         let group = Piece { object: 3, part: 0 }.group();
         driver.purge(None, group);
         let done = (0..steps).take_while(|_| driver.step()).count();
-        let whole = done < steps;
-        if whole {
-            driver.pass(60 * S);
-            hear(&mut driver);
+        let completed = done < steps;
+        if completed {
+            driver.advance(60 * SECOND);
+            confirm_discovery(&mut driver);
         }
-        let died = driver.unix_ms();
+        let killed_at = driver.unix_ms();
         for seed in 0..5 {
-            let mut again = started(&disk.crashed(seed), 40 * S, died + 5000);
-            // Where discovery was not heard since, its list is all there is, and it names the purge.
-            if !whole {
-                again.store.purge(
+            let mut restarted =
+                start_driver(&disk.after_crash(seed), 40 * SECOND, killed_at + 5000);
+            // Without a later confirmation, discovery's first list is the only source, and it contains the
+            // purge.
+            if !completed {
+                restarted.store.purge(
                     Some(&Piece { object: 2, part: 0 }.name()),
                     0,
                     purged,
-                    &mut again.orders,
+                    &mut restarted.orders,
                 );
-                again.store.purge(None, group, purged, &mut again.orders);
-                again.settle();
+                restarted
+                    .store
+                    .purge(None, group, purged, &mut restarted.orders);
+                restarted.settle();
             }
-            let gone = |object: u64| object == 2 || object % 7 == group;
-            for object in (0..8).filter(|object| gone(*object)) {
+            let is_purged = |object: u64| object == 2 || object % 7 == group;
+            for object in (0..8).filter(|object| is_purged(*object)) {
                 assert_eq!(
-                    get(&mut again, object),
+                    get(&mut restarted, object),
                     None,
                     "{object} after {done} steps, seed {seed}"
                 );
             }
-            if whole {
-                journaled += 1;
-                let index = again.store.disk().expect("a disk").index().len();
-                let left = (0..8).filter(|object| !gone(*object)).count();
-                assert_eq!(index, left, "what was purged takes no place in the index");
+            if completed {
+                catalogued += 1;
+                let index = restarted.store.disk().expect("a disk").index().len();
+                let remaining = (0..8).filter(|object| !is_purged(*object)).count();
+                assert_eq!(index, remaining, "purged copies are not indexed");
                 assert!(
                     (0..8)
-                        .filter(|object| !gone(*object))
-                        .all(|object| get(&mut again, object).is_some())
+                        .filter(|object| !is_purged(*object))
+                        .all(|object| get(&mut restarted, object).is_some())
                 );
             }
         }
     }
-    assert!(journaled > 0, "no crash after the journal was written");
+    assert!(catalogued > 0, "no crash after the catalogue was written");
 }
--- a/crates/store/tests/tiers.rs
+++ b/crates/store/tests/tiers.rs
@@ -1,4 +1,4 @@
-//! Both tiers on a disk that fails as told.
+//! Both tiers together, on a disk with injected faults.
 
 use chalkhall_store::decide::disk::{Phase, Wanted};
 use chalkhall_store::decide::{Part, Place};
@@ -7,19 +7,19 @@
 use std::time::Duration;
 
 const START: u64 = 1_800_000_000_000;
-const S: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 
-fn wanted() -> Wanted {
+fn settings() -> Wanted {
     Wanted {
         bytes: 16 << 20,
         segment: 1 << 20,
-        known_purges: 1000 * S,
+        known_purges: 1000 * SECOND,
         ..Wanted::default()
     }
 }
 
-fn started(disk: &Disk, wanted: Wanted, start_ms: u64) -> Driver {
-    Driver::start(Arc::new(disk.clone()), 0, wanted, start_ms)
+fn start_driver(disk: &Disk, settings: Wanted, start_ms: u64) -> Driver {
+    Driver::start(Arc::new(disk.clone()), 0, settings, start_ms)
 }
 
 fn piece(object: u64, part: u64) -> Piece {
@@ -49,65 +49,63 @@
 }
 
 #[test]
-fn what_memory_has_no_place_for_is_read_from_the_disk() {
+fn copies_evicted_from_memory_are_read_from_disk() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     let made = keep(&mut driver, piece(1, 2), 50_000, 2);
     assert_eq!(get(&mut driver, piece(1, 2)), None, "not written yet");
-    driver.pass(S);
+    driver.advance(SECOND);
     assert_eq!(get(&mut driver, piece(1, 2)), Some(made));
     assert_eq!(get(&mut driver, piece(1, 3)), None);
     assert_eq!(driver.store.disk().unwrap().counts().hits, 1);
 }
 
 #[test]
-fn a_restart_finds_what_was_written_after_a_clean_end_and_after_none() {
+fn a_restart_finds_written_copies_after_a_clean_and_an_unclean_shutdown() {
     for clean in [true, false] {
         let disk = Disk::new();
-        let mut driver = started(&disk, wanted(), START);
+        let mut driver = start_driver(&disk, settings(), START);
         for n in 0..40 {
             keep(&mut driver, piece(n, 0), 60_000, 2);
-            driver.pass(S / 10);
+            driver.advance(SECOND / 10);
         }
-        driver.pass(3 * S);
+        driver.advance(3 * SECOND);
         assert_eq!(driver.orders.durable.len(), 40);
         if clean {
             driver.close();
         }
-        let mut again = started(&disk, wanted(), START + 60_000);
-        assert_eq!(*again.store.disk().unwrap().phase(), Phase::Recovering);
-        assert_eq!(
-            get(&mut again, piece(1, 0)),
-            None,
-            "not known yet, which is never wrong"
-        );
-        again.settle();
-        assert_eq!(*again.store.disk().unwrap().phase(), Phase::Ready);
-        assert!((0..40).all(|n| get(&mut again, piece(n, 0)).is_some()));
-        assert_eq!(again.store.disk().unwrap().counts().damaged, 0);
+        let mut restarted = start_driver(&disk, settings(), START + 60_000);
+        assert_eq!(*restarted.store.disk().unwrap().phase(), Phase::Recovering);
+        assert_eq!(get(&mut restarted, piece(1, 0)), None, "not indexed yet");
+        restarted.settle();
+        assert_eq!(*restarted.store.disk().unwrap().phase(), Phase::Ready);
+        assert!((0..40).all(|n| get(&mut restarted, piece(n, 0)).is_some()));
+        assert_eq!(restarted.store.disk().unwrap().counts().damaged, 0);
     }
 }
 
 #[test]
-fn purges_are_kept_before_during_and_after_a_write_and_while_it_is_read() {
+fn purges_apply_before_during_and_after_a_write_and_during_a_read() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
-    // Between made and admission.
+    let mut driver = start_driver(&disk, settings(), START);
+    // A purge between the creation of a copy and its admission.
     let made = driver.unix_ms();
-    driver.pass(S);
+    driver.advance(SECOND);
     driver.purge(Some(&piece(1, 0).name()), 0);
     driver.keep(piece(1, 0).copy(made, 9000), 3);
-    driver.pass(S);
+    driver.advance(SECOND);
     assert_eq!(get(&mut driver, piece(1, 0)), None);
-    // While it waits to be written.
+    // A purge while the copy waits to be written.
     keep(&mut driver, piece(2, 0), 9000, 3);
-    driver.store.tick(driver.now + S / 10, &mut driver.orders);
+    driver
+        .store
+        .tick(driver.now + SECOND / 10, &mut driver.orders);
     driver.purge(None, piece(2, 0).group());
     driver.settle();
     assert_eq!(get(&mut driver, piece(2, 0)), None);
-    // While it is read.
+    // A purge while the copy is read.
     keep(&mut driver, piece(3, 0), 9000, 3);
-    driver.pass(S);
+    driver.advance(SECOND);
     let name = piece(3, 0).name();
     let part = Part {
         object: &name,
@@ -121,21 +119,21 @@
     driver.purge(Some(&name), 0);
     driver.settle();
     assert_eq!(
-        driver.orders.fetched[&ticket],
+        driver.orders.completed_reads[&ticket],
         chalkhall_store::decide::disk::Fetched::Gone
     );
-    // What is made after is found.
-    driver.pass(S);
+    // A copy made after the purge is found.
+    driver.advance(SECOND);
     keep(&mut driver, piece(3, 0), 9000, 3);
-    driver.pass(S);
+    driver.advance(SECOND);
     assert!(get(&mut driver, piece(3, 0)).is_some());
 }
 
 #[test]
-fn a_purge_of_a_group_of_a_million_parts_takes_no_time() {
+fn a_group_purge_applies_to_a_million_parts_without_a_scan() {
     let mut purges = chalkhall_store::decide::purges::Purges::default();
     purges.group(3, START);
-    // It is looked up where a copy is: nothing is walked through, however many there are.
+    // The purge is checked when a copy is looked up, so its cost does not depend on the number of parts.
     let survivors = (0..1_000_000u64)
         .filter(|n| purges.survives(*n, 3, START))
         .count();
@@ -144,89 +142,96 @@
 }
 
 #[test]
-fn purges_told_outlive_a_kill_and_what_was_told_while_down_is_not_assumed() {
+fn purges_survive_a_kill_and_purges_missed_while_down_are_assumed_possible() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     for n in 0..10 {
         keep(&mut driver, piece(n, 0), 9000, 3);
     }
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     driver.purge(Some(&piece(1, 0).name()), 0);
     driver.purge(None, piece(2, 0).group());
-    let heard = driver.unix_ms();
-    driver.store.disk_mut().unwrap().heard(heard);
-    driver.pass(20 * S);
+    let confirmed = driver.unix_ms();
+    driver.store.disk_mut().unwrap().heard(confirmed);
+    driver.advance(20 * SECOND);
     let down_at = driver.unix_ms();
-    let gone = |n: u64| n == 1 || n % 7 == 2;
-    // Discovery's first list reaches back to before it was last heard: nothing can be missing.
-    let mut again = started(&disk.crashed(1), wanted(), down_at + 60_000);
-    again.settle();
+    let is_purged = |n: u64| n == 1 || n % 7 == 2;
+    // Discovery's first list reaches back to before its last confirmation, so no purge can be missing.
+    let mut restarted = start_driver(&disk.after_crash(1), settings(), down_at + 60_000);
+    restarted.settle();
     for n in 0..10 {
-        assert_eq!(get(&mut again, piece(n, 0)).is_none(), gone(n), "{n}");
+        assert_eq!(
+            get(&mut restarted, piece(n, 0)).is_none(),
+            is_purged(n),
+            "{n}"
+        );
     }
-    // It does not reach back so far: nothing is served.
-    let short = Wanted {
-        known_purges: S,
-        ..wanted()
+    // The list does not reach back that far, so nothing is served.
+    let short_list = Wanted {
+        known_purges: SECOND,
+        ..settings()
     };
-    let mut again = started(&disk.crashed(1), short.clone(), down_at + 60_000);
-    again.settle();
-    assert!((0..10).all(|n| get(&mut again, piece(n, 0)).is_none()));
+    let mut restarted = start_driver(&disk.after_crash(1), short_list.clone(), down_at + 60_000);
+    restarted.settle();
+    assert!((0..10).all(|n| get(&mut restarted, piece(n, 0)).is_none()));
     assert_eq!(
-        again.store.disk().unwrap().counts().dropped_unproven,
+        restarted.store.disk().unwrap().counts().dropped_unproven,
         7,
-        "none that was purged counts twice"
+        "purged copies are not counted as dropped"
     );
-    // The clock was set back: the same.
-    // Also where it now stands after every copy was made, and only discovery was heard later than that.
+    // The same if the clock was set back, even if it is later than every copy and earlier only than the last
+    // confirmation.
     for start in [START - 3_600_000, START + 1000] {
-        let mut again = started(&disk.crashed(1), wanted(), start);
-        again.settle();
+        let mut restarted = start_driver(&disk.after_crash(1), settings(), start);
+        restarted.settle();
         assert!(
-            (0..10).all(|n| get(&mut again, piece(n, 0)).is_none()),
+            (0..10).all(|n| get(&mut restarted, piece(n, 0)).is_none()),
             "{start}"
         );
     }
 }
 
 #[test]
-fn unproven_copies_are_asked_about_hottest_first_and_served_once_they_hold() {
+fn unproven_copies_are_revalidated_by_priority_and_served_once_confirmed() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     for n in 0..12 {
         keep(&mut driver, piece(n, 0), 9000, 1 + (n % 3) as u8);
     }
-    driver.pass(3 * S);
-    let wanted = Wanted {
+    driver.advance(3 * SECOND);
+    let settings = Wanted {
         known_purges: Duration::ZERO,
         revalidate: 2.0,
-        ..wanted()
+        ..settings()
     };
-    let mut again = started(&disk.crashed(1), wanted, START + 60_000);
-    again.settle();
-    // Asked for by a client: it goes first.
-    assert_eq!(get(&mut again, piece(0, 0)), None);
-    again.pass(5 * S);
-    let asked: Vec<u64> = again
+    let mut restarted = start_driver(&disk.after_crash(1), settings, START + 60_000);
+    restarted.settle();
+    // Copies requested by clients are revalidated first.
+    assert_eq!(get(&mut restarted, piece(0, 0)), None);
+    restarted.advance(5 * SECOND);
+    let asked: Vec<u64> = restarted
         .orders
-        .revalidate
+        .revalidations
         .iter()
         .map(|c| u64::from_str_radix(std::str::from_utf8(&c.object).unwrap(), 16).unwrap())
         .collect();
-    assert!((6..=12).contains(&asked.len()), "by its budget: {asked:?}");
+    assert!(
+        (6..=12).contains(&asked.len()),
+        "within the budget: {asked:?}"
+    );
     assert_eq!(asked[0], 0);
     assert!(
         asked[1..5].iter().all(|n| n % 3 == 2),
         "rank 3 first: {asked:?}"
     );
     let (first, second) = (
-        again.orders.revalidate[0].clone(),
-        again.orders.revalidate[1].clone(),
+        restarted.orders.revalidations[0].clone(),
+        restarted.orders.revalidations[1].clone(),
     );
     let part = |copy: &chalkhall_store::copy::Copy| (copy.object.clone(), copy.part, copy.group);
     let (object, n, group) = part(&first);
-    let now_ms = again.unix_ms();
-    again.store.proven(
+    let now_ms = restarted.unix_ms();
+    restarted.store.proven(
         Part {
             object: &object,
             part: n,
@@ -236,7 +241,7 @@
         now_ms,
     );
     assert_eq!(
-        again
+        restarted
             .get(Part {
                 object: &object,
                 part: n,
@@ -246,7 +251,7 @@
         Some(now_ms)
     );
     let (object, n, group) = part(&second);
-    again.store.proven(
+    restarted.store.proven(
         Part {
             object: &object,
             part: n,
@@ -256,38 +261,38 @@
         now_ms,
     );
     assert!(
-        again
+        restarted
             .get(Part {
                 object: &object,
                 part: n,
                 group
             })
             .is_none(),
-        "another version holds"
+        "another version is current"
     );
-    again.store.disproven(
+    restarted.store.disproven(
         Part {
             object: &object,
             part: n,
             group,
         },
-        &mut again.orders,
+        &mut restarted.orders,
     );
-    assert_eq!(again.store.disk().unwrap().index().len(), 11);
+    assert_eq!(restarted.store.disk().unwrap().index().len(), 11);
 }
 
 #[test]
 fn parts_of_two_versions_never_share_a_tag() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     let versions: Vec<u64> = (0..2)
         .map(|_| {
             let made = driver.unix_ms();
             for part in 0..4 {
-                // The second version is seen of part 2 first; parts 0 and 1 have not been asked for since.
+                // Part 2 is the first one of the second version; parts 0 and 1 are not requested again.
                 if made == START || part >= 2 {
                     driver.keep(piece(5, part).copy(made, 9000), 3);
-                    driver.pass(S);
+                    driver.advance(SECOND);
                 }
             }
             made
@@ -297,32 +302,32 @@
         .map(|part| get(&mut driver, piece(5, part)))
         .collect();
     assert_eq!(found, [None, None, Some(versions[1]), Some(versions[1])]);
-    let mut again = started(&disk.crashed(3), wanted(), driver.unix_ms() + 1000);
-    again.settle();
-    assert_eq!(get(&mut again, piece(5, 0)), None);
+    let mut restarted = start_driver(&disk.after_crash(3), settings(), driver.unix_ms() + 1000);
+    restarted.settle();
+    assert_eq!(get(&mut restarted, piece(5, 0)), None);
 }
 
 #[test]
-fn reclaiming_keeps_what_is_read_and_syncs_it_before_the_old_goes() {
+fn reclaiming_carries_read_copies_and_syncs_them_before_removal() {
     let disk = Disk::new();
-    let mut driver = started(
+    let mut driver = start_driver(
         &disk,
         Wanted {
             bytes: 10 << 20,
             carry: 0.5,
-            ..wanted()
+            ..settings()
         },
         START,
     );
     for n in 0..200 {
         keep(&mut driver, piece(n, 0), 100_000, 2);
-        driver.pass(S / 2);
-        // Three that everybody wants.
+        driver.advance(SECOND / 2);
+        // Three copies are read often.
         (0..3).filter(|hot| *hot < n).for_each(|hot| {
             get(&mut driver, piece(hot, 0));
         });
     }
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     let counts = driver.store.disk().unwrap().counts();
     assert!(counts.reclaimed >= 8, "{counts:?}");
     assert!(
@@ -334,30 +339,30 @@
         counts.written_bytes as f64 <= 1.5 * counts.admitted_bytes as f64,
         "{counts:?}"
     );
-    let (durable, mut again) = (
+    let (durable, mut restarted) = (
         driver.orders.durable.clone(),
-        started(&disk.crashed(9), wanted(), driver.unix_ms()),
+        start_driver(&disk.after_crash(9), settings(), driver.unix_ms()),
     );
-    again.settle();
+    restarted.settle();
     let lost = (0..200).filter(|n| {
-        durable.contains_key(&piece(*n, 0).key()) && get(&mut again, piece(*n, 0)).is_none()
+        durable.contains_key(&piece(*n, 0).key()) && get(&mut restarted, piece(*n, 0)).is_none()
     });
     assert_eq!(lost.count(), 0);
 }
 
 #[test]
-fn a_disk_that_fails_is_set_aside_and_tried_again() {
+fn a_failing_disk_is_ejected_and_probed_again() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     keep(&mut driver, piece(0, 0), 9000, 2);
-    driver.pass(3 * S);
-    disk.set(Faults {
+    driver.advance(3 * SECOND);
+    disk.set_faults(Faults {
         writes_fail: true,
         ..Faults::default()
     });
     for n in 1..50 {
         keep(&mut driver, piece(n, 0), 9000, 2);
-        driver.pass(S / 10);
+        driver.advance(SECOND / 10);
     }
     let counts = driver.store.disk().unwrap().counts();
     assert!(driver.store.disk().unwrap().is_set_aside());
@@ -367,40 +372,40 @@
     );
     assert!(
         get(&mut driver, piece(0, 0)).is_some(),
-        "what is there is served"
+        "existing copies are served"
     );
-    disk.set(Faults::default());
+    disk.set_faults(Faults::default());
     for n in 50..150 {
         keep(&mut driver, piece(n, 0), 9000, 2);
-        driver.pass(S / 2);
+        driver.advance(SECOND / 2);
     }
     assert!(!driver.store.disk().unwrap().is_set_aside());
     assert!((130..150).all(|n| get(&mut driver, piece(n, 0)).is_some()));
 }
 
 #[test]
-fn a_failed_sync_is_never_taken_for_one_that_worked_later() {
+fn a_later_sync_does_not_make_up_for_a_failed_one() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     keep(&mut driver, piece(0, 0), 9000, 2);
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     keep(&mut driver, piece(1, 0), 9000, 2);
-    disk.set(Faults {
+    disk.set_faults(Faults {
         syncs_fail: true,
         ..Faults::default()
     });
-    driver.pass(3 * S);
-    disk.set(Faults::default());
+    driver.advance(3 * SECOND);
+    disk.set_faults(Faults::default());
     keep(&mut driver, piece(2, 0), 9000, 2);
-    driver.pass(30 * S);
+    driver.advance(30 * SECOND);
     assert!(!driver.orders.durable.contains_key(&piece(1, 0).key()));
-    assert_eq!(get(&mut driver, piece(1, 0)), None, "let go of");
+    assert_eq!(get(&mut driver, piece(1, 0)), None, "dropped");
     let durable = driver.orders.durable.clone();
     for seed in 0..20 {
-        let mut again = started(&disk.crashed(seed), wanted(), driver.unix_ms());
-        again.settle();
+        let mut restarted = start_driver(&disk.after_crash(seed), settings(), driver.unix_ms());
+        restarted.settle();
         for n in 0..3 {
-            let found = get(&mut again, piece(n, 0));
+            let found = get(&mut restarted, piece(n, 0));
             assert!(
                 found.is_some() || !durable.contains_key(&piece(n, 0).key()),
                 "{n} is lost"
@@ -410,98 +415,98 @@
 }
 
 #[test]
-fn a_full_disk_gives_way_by_reclaiming_and_serves_what_it_has() {
+fn a_full_disk_serves_its_copies_and_accepts_writes_once_there_is_room() {
     let disk = Disk::new();
-    // Half of what it was told it has.
-    disk.set(Faults {
-        room: Some(8 << 20),
+    // Half of the configured size.
+    disk.set_faults(Faults {
+        capacity_bytes: Some(8 << 20),
         ..Faults::default()
     });
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     for n in 0..300 {
         keep(&mut driver, piece(n, 0), 100_000, 2);
-        driver.pass(S / 2);
+        driver.advance(SECOND / 2);
     }
     let counts = driver.store.disk().unwrap().counts();
     assert!(counts.write_faults > 0 && counts.hits == 0, "{counts:?}");
-    let there = (0..300)
+    let found = (0..300)
         .filter(|n| get(&mut driver, piece(*n, 0)).is_some())
         .count();
-    assert!(there > 20, "{there}");
-    disk.set(Faults::default());
+    assert!(found > 20, "{found}");
+    disk.set_faults(Faults::default());
     for n in 300..400 {
         keep(&mut driver, piece(n, 0), 100_000, 2);
-        driver.pass(S);
+        driver.advance(SECOND);
     }
     assert!(
         (380..400).all(|n| get(&mut driver, piece(n, 0)).is_some()),
-        "room again"
+        "written once there is room"
     );
 }
 
 #[test]
-fn rot_truncation_and_swaps_behind_its_back_are_found() {
+fn bit_rot_truncation_and_replaced_contents_are_detected() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     for n in 0..8 {
         keep(&mut driver, piece(n, 0), 9000, 2);
     }
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     let names: Vec<String> = chalkhall_store::files::Files::list(&disk).unwrap();
     let segment = names
         .iter()
         .find(|name| name.starts_with("segment"))
         .unwrap()
         .clone();
-    let whole = disk.bytes(&segment);
-    disk.rot(&segment, 64 + 200);
+    let intact = disk.bytes(&segment);
+    disk.flip_bit(&segment, 64 + 200);
     let found: Vec<bool> = (0..8)
         .map(|n| get(&mut driver, piece(n, 0)).is_some())
         .collect();
     assert_eq!(found.iter().filter(|f| !**f).count(), 1);
     assert_eq!(driver.store.disk().unwrap().counts().damaged, 1);
-    disk.swap(&segment, &whole[..whole.len() / 2]);
+    disk.swap(&segment, &intact[..intact.len() / 2]);
     let found = (0..8)
         .filter(|n| get(&mut driver, piece(*n, 0)).is_some())
         .count();
     assert!((1..5).contains(&found), "{found}");
-    // Another store's bytes in its place: nothing passes.
+    // Bytes at the wrong offsets do not verify.
     let other = Disk::new();
-    let mut elsewhere = started(&other, wanted(), START + 5);
+    let mut elsewhere = start_driver(&other, settings(), START + 5);
     for n in 0..8 {
         keep(&mut elsewhere, piece(n, 0), 9000, 2);
     }
-    elsewhere.pass(3 * S);
-    let shifted: Vec<u8> = [&whole[64 + 9000..], &whole[..64 + 9000]].concat();
+    elsewhere.advance(3 * SECOND);
+    let shifted: Vec<u8> = [&intact[64 + 9000..], &intact[..64 + 9000]].concat();
     disk.swap(&segment, &shifted);
     assert!((0..8).all(|n| get(&mut driver, piece(n, 0)).is_none()));
 }
 
 #[test]
-fn a_burst_that_is_wanted_once_stays_out_of_the_way() {
+fn a_burst_of_large_copies_requested_once_does_not_evict_requested_ones() {
     let disk = Disk::new();
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     for n in 0..40 {
         keep(&mut driver, piece(n, 0), 5000, 2);
-        driver.pass(S / 5);
+        driver.advance(SECOND / 5);
     }
-    // Large ones, several times what the disk holds; the others go on being read now and then.
+    // Large copies of several times the disk's size, while the small ones are still read now and then.
     for n in 1000..1400 {
         keep(&mut driver, piece(n, 0), 200_000, 1);
-        driver.pass(S / 5);
+        driver.advance(SECOND / 5);
         get(&mut driver, piece(n % 40, 0));
     }
     assert!((0..40).all(|n| get(&mut driver, piece(n, 0)).is_some()));
 }
 
 #[test]
-fn another_version_of_the_directory_is_refused_and_left_alone() {
+fn a_segment_of_another_version_is_left_unchanged() {
     let disk = Disk::new();
-    started(&disk, wanted(), START).close();
+    start_driver(&disk, settings(), START).close();
     let before = disk.bytes("catalogue");
-    let mut driver = started(&disk, wanted(), START);
+    let mut driver = start_driver(&disk, settings(), START);
     keep(&mut driver, piece(0, 0), 9000, 2);
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     let names = chalkhall_store::files::Files::list(&disk).unwrap();
     let segment = names
         .iter()
@@ -509,35 +514,35 @@
         .unwrap()
         .clone();
     drop(driver);
-    // A segment of a later version: not read, not sealed, not reclaimed.
+    // A segment of a later version is neither read nor sealed nor reclaimed.
     let mut bytes = disk.bytes(&segment);
     bytes[8] = 9;
     disk.swap(&segment, &bytes);
-    let mut again = started(&disk, wanted(), START + 1000);
-    again.settle();
-    keep(&mut again, piece(1, 0), 9000, 2);
-    again.pass(10 * S);
-    assert_eq!(again.store.disk().unwrap().counts().foreign, 1);
+    let mut restarted = start_driver(&disk, settings(), START + 1000);
+    restarted.settle();
+    keep(&mut restarted, piece(1, 0), 9000, 2);
+    restarted.advance(10 * SECOND);
+    assert_eq!(restarted.store.disk().unwrap().counts().foreign, 1);
     assert_eq!(disk.bytes(&segment), bytes);
     assert!(
-        get(&mut again, piece(1, 0)).is_some(),
-        "beside it the store goes on"
+        get(&mut restarted, piece(1, 0)).is_some(),
+        "the store keeps working beside it"
     );
     assert!(!before.is_empty());
 }
 
 #[test]
-fn a_catalogue_that_cannot_be_read_refuses_the_disk_and_memory_goes_on() {
+fn an_invalid_catalogue_disables_the_disk_and_memory_still_works() {
     let disk = Disk::new();
-    started(&disk, wanted(), START).close();
+    start_driver(&disk, settings(), START).close();
     disk.swap("catalogue", &[7; 4096]);
-    let mut driver = Driver::start(Arc::new(disk.clone()), 1 << 20, wanted(), START);
+    let mut driver = Driver::start(Arc::new(disk.clone()), 1 << 20, settings(), START);
     assert!(matches!(
         driver.store.disk().unwrap().phase(),
         Phase::Refused(_)
     ));
     driver.keep(piece(0, 0).copy(START, 9000), 2);
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     let name = piece(0, 0).name();
     let found = driver.get(Part {
         object: &name,
@@ -549,30 +554,30 @@
 }
 
 #[test]
-fn the_index_holds_its_bound_and_says_what_it_does_not_know() {
+fn the_index_keeps_its_limit_and_counts_parts_without_room() {
     let disk = Disk::new();
-    let mut driver = started(
+    let mut driver = start_driver(
         &disk,
         Wanted {
             index: 1 << 20,
             bytes: 256 << 20,
-            ..wanted()
+            ..settings()
         },
         START,
     );
     for n in 0..400 {
         keep(&mut driver, piece(n, 0), 100, 2);
     }
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     driver.close();
-    let small = Wanted {
+    let small_index = Wanted {
         index: 8192 * 24 + 60 * 40 + 400,
-        ..wanted()
+        ..settings()
     };
-    let mut again = started(&disk, small.clone(), START + 60_000);
-    again.settle();
-    let tier = again.store.disk().unwrap();
-    assert!(tier.index().bytes() <= small.index);
+    let mut restarted = start_driver(&disk, small_index.clone(), START + 60_000);
+    restarted.settle();
+    let tier = restarted.store.disk().unwrap();
+    assert!(tier.index().bytes() <= small_index.index);
     let counts = tier.counts();
     assert!(
         counts.unknown > 300 && counts.recovered + counts.unknown == 400,
@@ -581,27 +586,27 @@
 }
 
 #[test]
-fn parts_asked_for_in_turn_are_read_ahead() {
+fn parts_requested_in_sequence_are_read_ahead() {
     let disk = Disk::new();
     let mut driver = Driver::start(
         Arc::new(disk.clone()),
         1 << 20,
         Wanted {
             read_ahead: 2,
-            ..wanted()
+            ..settings()
         },
         START,
     );
-    let clip: Vec<Piece> = (0..30).map(|part| piece(9, part)).collect();
-    for piece in &clip {
+    let parts: Vec<Piece> = (0..30).map(|part| piece(9, part)).collect();
+    for piece in &parts {
         let made = driver.unix_ms();
         driver.keep(piece.copy(made, 100_000), 2);
-        driver.pass(S / 10);
+        driver.advance(SECOND / 10);
     }
-    driver.pass(3 * S);
+    driver.advance(3 * SECOND);
     driver.store.give_way(0);
     let mut places = Vec::new();
-    for piece in &clip[..15] {
+    for piece in &parts[..15] {
         let name = piece.name();
         let found = driver.get(Part {
             object: &name,
@@ -609,11 +614,11 @@
             group: piece.group(),
         });
         places.extend(found.map(|(place, _)| place));
-        driver.pass(S / 2);
+        driver.advance(SECOND / 2);
     }
-    let ahead = places
+    let read_ahead = places
         .iter()
         .filter(|place| **place == Place::Memory)
         .count();
-    assert!(ahead >= 10, "{places:?}");
+    assert!(read_ahead >= 10, "{places:?}");
 }
