--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -57,8 +57,8 @@
             .is_some_and(|confirmed| confirmed >= self.purges_known_since)
     }
 
-    /// The directory cannot be used; nothing is read from or written to it.
-    pub fn refused(&mut self, reason: String) {
+    /// Disables the tier, because its directory cannot be used.
+    pub fn disable(&mut self, reason: String) {
         self.phase = Phase::Refused(reason);
         (
             self.recovery_queue,
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -131,7 +131,7 @@
         let length = record_len(copy);
         let class = size_class(length);
         let (segment, at) = match self.append_position(class, length) {
-            Some(position) => position,
+            Some(target) => target,
             None => {
                 // Carried records may use the last free segment, since the reclaim frees one.
                 if self.segments.free() <= usize::from(!carried) {
--- a/crates/store/src/decide/purges.rs
+++ b/crates/store/src/decide/purges.rs
@@ -47,9 +47,9 @@
             .exact
             .push(object, latest)
             .filter(|(old, _)| *old != object);
-        let folded = evicted.map(|(old, at)| {
+        let folded = evicted.map(|(old, purged_at)| {
             let slot = key::slot(old, FOLDED_SLOTS);
-            self.folded[slot] = self.folded[slot].max(at);
+            self.folded[slot] = self.folded[slot].max(purged_at);
             Mark::Folded(old, slot, self.folded[slot])
         });
         [Some(Mark::Object(object, latest)), folded]
@@ -68,12 +68,12 @@
                 self.object(object, ms);
             }
             Mark::Folded(_, slot, ms) => {
-                let at = &mut self.folded[slot % FOLDED_SLOTS];
-                *at = ms.max(*at);
+                let purged_at = &mut self.folded[slot % FOLDED_SLOTS];
+                *purged_at = ms.max(*purged_at);
             }
             Mark::Group(slot, ms) => {
-                let at = &mut self.groups[slot % GROUPS];
-                *at = ms.max(*at);
+                let purged_at = &mut self.groups[slot % GROUPS];
+                *purged_at = ms.max(*purged_at);
             }
         }
     }
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -111,20 +111,20 @@
 impl Driver {
     /// Starts a store at this Unix millisecond. The directory is opened at once; its segments are recovered as
     /// operations are run.
-    pub fn start(files: Arc<dyn Files>, memory: u64, wanted: Wanted, start_ms: u64) -> Driver {
-        Driver::start_with_clock(files, memory, wanted, start_ms, None)
+    pub fn start(files: Arc<dyn Files>, memory: u64, settings: Wanted, start_ms: u64) -> Driver {
+        Driver::start_with_clock(files, memory, settings, start_ms, None)
     }
 
     /// Like `start`, with a boot clock.
     pub fn start_with_clock(
         files: Arc<dyn Files>,
         memory: u64,
-        wanted: Wanted,
+        settings: Wanted,
         start_ms: u64,
         clock: Option<BootClock>,
     ) -> Driver {
         let now = Duration::from_secs(1000);
-        let store = Store::new(memory, Some(Tier::new(wanted, now, start_ms)));
+        let store = Store::new(memory, Some(Tier::new(settings, now, start_ms)));
         let orders = RecordingBackend::default();
         let mut driver = Driver {
             store,
@@ -152,7 +152,7 @@
                 .store
                 .disk_mut()
                 .into_iter()
-                .for_each(|disk| disk.refused(reason.to_string())),
+                .for_each(|disk| disk.disable(reason.to_string())),
         }
     }
 
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -40,7 +40,7 @@
     /// A system call failed while opening; opening is tried again.
     OpenFailed(String),
     /// The directory cannot be used; opening is not tried again.
-    Refused(String),
+    OpenRefused(String),
     Read {
         ticket: u64,
         result: Result<(Copy, u8), Fault>,
@@ -223,7 +223,7 @@
             Ok(opened) => return Some(opened),
             Err(NotTaken::Io(reason)) => reason,
             Err(NotTaken::Refused(reason)) => {
-                let _ = results.blocking_send(End::Refused(reason));
+                let _ = results.blocking_send(End::OpenRefused(reason));
                 return None;
             }
         };
@@ -413,13 +413,13 @@
             End::OpenFailed(reason) => {
                 log::warn!("store: opening the disk failed, retrying: {reason}")
             }
-            End::Refused(reason) => {
+            End::OpenRefused(reason) => {
                 log::error!("store: the disk is not used: {reason}");
                 self.threads = None;
                 store
                     .disk_mut()
                     .into_iter()
-                    .for_each(|disk| disk.refused(reason.clone()));
+                    .for_each(|disk| disk.disable(reason.clone()));
             }
             End::Read { ticket, result } => store.complete_read(now, ticket, result, self),
             End::Listed { segment, result } => store.complete_list(now, segment, result, self),
--- a/crates/store/tests/disk_faults.rs
+++ b/crates/store/tests/disk_faults.rs
@@ -482,7 +482,7 @@
     assert!(matches!(results.blocking_recv(), Some(End::Opened { .. })));
     let refuse = || Err(NotTaken::Refused("held by process 1".into()));
     let (_threads, mut results) = threads::start(refuse, 1, 1).expect("threads");
-    assert!(matches!(results.blocking_recv(), Some(End::Refused(_))));
+    assert!(matches!(results.blocking_recv(), Some(End::OpenRefused(_))));
     assert!(results.blocking_recv().is_none(), "opening is not retried");
 }
 
