--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -1,11 +1,11 @@
-//! Days of requests through the real decisions and the real store, on a disk in memory, beside two baselines
-//! with the same bytes. Simulated: time is counted, and a fill takes none.
+//! Simulated days of requests through the router's decisions and the store, on an in-memory disk, next to two
+//! baselines of the same capacity. Time is simulated, and a fill takes none.
 //!
-//! Popularity falls off as a power (Breslau and others, "Web caching and Zipf-like distributions", INFOCOM
-//! 1999) and moves on slowly; two thirds of the objects are pages of one part, one third clips of 8 to 20
-//! parts that are asked for one after another; one start in twenty is for something that nobody asks for
-//! again. On a day with a scan, in its middle third, half as many requests again are for large parts that are
-//! wanted once.
+//! Popularity follows a power law (Breslau and others, "Web caching and Zipf-like distributions", INFOCOM 1999)
+//! and shifts slowly. Two thirds of the objects are pages of one part; one third are clips of 8 to 20 parts that
+//! are requested one after another. One start in twenty is for an object that is never requested again. On a day
+//! with a scan, half as many requests again arrive during its middle third, each for a large part that is
+//! requested only once.
 
 use bytes::Bytes;
 use chalkhall::control::Router;
@@ -20,33 +20,38 @@
 use std::time::Duration;
 
 const OBJECTS: usize = 3000;
-const EXPONENT: f64 = 0.95;
+const ZIPF_EXPONENT: f64 = 0.95;
 const REQUESTS: usize = 160_000;
-/// Requests from this share of the day on count; the scan lasts from one share to another.
-const WARM: f64 = 0.4;
-const SCAN: [f64; 2] = [0.45, 0.75];
-const MEMORY: u64 = 3 << 20;
-const DISK: u64 = 32 << 20;
-const SEGMENT: u32 = 512 << 10;
-const STEP: Duration = Duration::from_millis(5);
-const START: u64 = 1_800_000_000_000;
-const ONCE: u64 = 1 << 40;
-const SCANNED: u64 = 1 << 41;
+/// Share of the day's requests that warms the caches and is not counted.
+const WARMUP_SHARE: f64 = 0.4;
+/// The scan's start and end, as shares of the day.
+const SCAN_SPAN: [f64; 2] = [0.45, 0.75];
+const MEMORY_BYTES: u64 = 3 << 20;
+const DISK_BYTES: u64 = 32 << 20;
+const SEGMENT_BYTES: u32 = 512 << 10;
+const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
+const START_UNIX_MS: u64 = 1_800_000_000_000;
+/// Objects with ids from here on are requested only once.
+const FIRST_ONE_OFF_ID: u64 = 1 << 40;
+/// Objects of a scan have ids from here on.
+const FIRST_SCANNED_ID: u64 = 1 << 41;
 
-/// Shares from 0 to 1: of useful requests, and of all bytes, that were answered from own copies.
+/// Hit ratios: of the useful requests, which are those outside of scans for objects that may be requested again, and
+/// of all bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rates {
     pub useful: f64,
     pub bytes: f64,
 }
 
-pub struct Played {
-    pub own: Rates,
+pub struct DayOutcome {
+    pub local_cache: Rates,
     pub lru: Rates,
     pub all: Rates,
-    /// Bytes written over bytes admitted; live bytes over the disk's.
+    /// Bytes written over bytes admitted.
     pub write_amp: f64,
-    pub full: f64,
+    /// Live bytes over the disk's capacity.
+    pub disk_utilization: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -58,86 +63,88 @@
 
 impl Request {
     fn is_useful(self) -> bool {
-        self.object < ONCE
+        self.object < FIRST_ONE_OFF_ID
     }
 }
 
-/// A draw that an object always has alike.
-fn draw(object: u64, of: u64) -> f64 {
-    fastrand::Rng::with_seed(object.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ of).f64()
+/// A random number from 0 to 1 that depends only on the object and on what it is for.
+fn random_share(object: u64, salt: u64) -> f64 {
+    fastrand::Rng::with_seed(object.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ salt).f64()
 }
 
-fn parts_of(object: u64) -> u64 {
-    if draw(object, 1) < 0.33 {
-        8 + (draw(object, 2) * 13.0) as u64
+fn part_count(object: u64) -> u64 {
+    if random_share(object, 1) < 0.33 {
+        8 + (random_share(object, 2) * 13.0) as u64
     } else {
         1
     }
 }
 
-fn bytes_of(object: u64, parts: u64) -> usize {
-    let (least, most) = if parts > 1 {
+fn part_bytes(object: u64, parts: u64) -> usize {
+    let (smallest, largest) = if parts > 1 {
         (6_000.0, 24_000.0)
     } else {
         (600.0, 12_000.0)
     };
-    (least + (most - least) * draw(object, 3).powi(2)) as usize
+    (smallest + (largest - smallest) * random_share(object, 3).powi(2)) as usize
 }
 
-/// The day's requests in their order. Useful ones are the same with a scan and without.
+/// The day's requests, in order. The useful ones are the same with and without a scan.
 fn requests(seed: u64, scan: bool) -> Vec<Request> {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let mut scanner = fastrand::Rng::with_seed(seed ^ 0x5ca9);
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut scan_rng = fastrand::Rng::with_seed(seed ^ 0x5ca9);
     let weights: Vec<f64> = (1..=OBJECTS)
-        .map(|rank| (rank as f64).powf(-EXPONENT))
+        .map(|rank| (rank as f64).powf(-ZIPF_EXPONENT))
         .collect();
     let mut sum = 0.0;
-    let cumulated: Vec<f64> = weights
+    let cumulative_weights: Vec<f64> = weights
         .iter()
         .map(|w| {
             sum += w;
             sum
         })
         .collect();
-    let mut ranked: Vec<u64> = (0..OBJECTS as u64).collect();
-    let (mut next, mut once) = (OBJECTS as u64, ONCE);
-    let mut playing: Vec<(u64, u64, u64)> = Vec::new();
+    let mut by_popularity: Vec<u64> = (0..OBJECTS as u64).collect();
+    let (mut next_object, mut one_off) = (OBJECTS as u64, FIRST_ONE_OFF_ID);
+    let mut playing_clips: Vec<(u64, u64, u64)> = Vec::new();
     let mut day = Vec::new();
     let mut useful = 0;
     while useful < REQUESTS {
         if useful % 200 == 0 {
-            ranked[chance.usize(..OBJECTS)] = next;
-            next += 1;
+            by_popularity[rng.usize(..OBJECTS)] = next_object;
+            next_object += 1;
         }
-        // Forty clips play at a time at the most.
+        // At most 40 clips play at the same time.
         let (object, part, parts) =
-            if !playing.is_empty() && (playing.len() >= 40 || chance.f64() < 0.8) {
-                let at = chance.usize(..playing.len());
-                playing.swap_remove(at)
-            } else if chance.u8(..20) == 0 {
-                once += 1;
-                (once, 0, 1)
+            if !playing_clips.is_empty() && (playing_clips.len() >= 40 || rng.f64() < 0.8) {
+                let at = rng.usize(..playing_clips.len());
+                playing_clips.swap_remove(at)
+            } else if rng.u8(..20) == 0 {
+                one_off += 1;
+                (one_off, 0, 1)
             } else {
-                let at = chance.f64() * sum;
-                let object = ranked[cumulated.partition_point(|c| *c < at).min(OBJECTS - 1)];
-                (object, 0, parts_of(object))
+                let at = rng.f64() * sum;
+                let object = by_popularity[cumulative_weights
+                    .partition_point(|c| *c < at)
+                    .min(OBJECTS - 1)];
+                (object, 0, part_count(object))
             };
-        // One viewer in twelve leaves at each part.
-        if part + 1 < parts && chance.u8(..12) != 0 {
-            playing.push((object, part + 1, parts));
+        // After each part, one viewer in twelve leaves.
+        if part + 1 < parts && rng.u8(..12) != 0 {
+            playing_clips.push((object, part + 1, parts));
         }
         day.push(Request {
             object,
             part,
-            bytes: bytes_of(object, parts),
+            bytes: part_bytes(object, parts),
         });
         let share = useful as f64 / REQUESTS as f64;
-        if scan && (SCAN[0]..SCAN[1]).contains(&share) && scanner.bool() {
-            let object = SCANNED + day.len() as u64;
+        if scan && (SCAN_SPAN[0]..SCAN_SPAN[1]).contains(&share) && scan_rng.bool() {
+            let object = FIRST_SCANNED_ID + day.len() as u64;
             day.push(Request {
                 object,
                 part: 0,
-                bytes: 60_000 + scanner.usize(..60_000),
+                bytes: 60_000 + scan_rng.usize(..60_000),
             });
         }
         useful += 1;
@@ -147,12 +154,14 @@
 
 #[derive(Default)]
 struct Tally {
+    /// Hits and requests.
     useful: (u64, u64),
+    /// Bytes of hits and of all requests.
     bytes: (u64, u64),
 }
 
 impl Tally {
-    fn note(&mut self, request: Request, hit: bool) {
+    fn record(&mut self, request: Request, hit: bool) {
         if request.is_useful() {
             self.useful.0 += u64::from(hit);
             self.useful.1 += 1;
@@ -162,7 +171,7 @@
     }
 
     fn rates(&self) -> Rates {
-        let share = |(of, all): (u64, u64)| of as f64 / all.max(1) as f64;
+        let share = |(hits, all): (u64, u64)| hits as f64 / all.max(1) as f64;
         Rates {
             useful: share(self.useful),
             bytes: share(self.bytes),
@@ -170,13 +179,13 @@
     }
 }
 
-fn name(object: u64) -> String {
+fn object_name(object: u64) -> String {
     format!("{object:016x}")
 }
 
-fn copy_of(request: Request, made: u64, body: &Bytes) -> Copy {
+fn make_copy(request: Request, made: u64, body: &Bytes) -> Copy {
     Copy {
-        object: name(request.object).into(),
+        object: object_name(request.object).into(),
         part: request.part,
         group: 0,
         class: Bytes::from_static(b"clip"),
@@ -189,10 +198,10 @@
     }
 }
 
-fn wanted(admit_all: bool) -> Wanted {
+fn disk_settings(admit_all: bool) -> Wanted {
     Wanted {
-        bytes: DISK,
-        segment: SEGMENT,
+        bytes: DISK_BYTES,
+        segment: SEGMENT_BYTES,
         index: 4 << 20,
         scrub: 0,
         least_fresh: Duration::ZERO,
@@ -201,23 +210,23 @@
     }
 }
 
-/// What the decisions act through: own copies by the store, servers that always answer.
-struct World {
+/// The surroundings of the router's decisions: a local cache kept by the store, and servers that always answer.
+struct Environment {
     driver: Driver,
     body: Bytes,
     request: Request,
-    attempted: usize,
-    ends: VecDeque<(usize, Outcome, Remark)>,
-    wakes: Vec<(Duration, u64)>,
+    attempts: usize,
+    finished_attempts: VecDeque<(usize, Outcome, Remark)>,
+    timers: Vec<(Duration, u64)>,
     hit: bool,
-    ended: bool,
+    failed: bool,
 }
 
-impl Outlet for World {
+impl Outlet for Environment {
     fn attempt(&mut self, _request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
-        let own = server.starts_with('m');
-        let found = own.then(|| {
-            let object = name(self.request.object);
+        let is_local = server.starts_with('m');
+        let found = is_local.then(|| {
+            let object = object_name(self.request.object);
             let part = Part {
                 object: object.as_bytes(),
                 part: self.request.part,
@@ -231,22 +240,23 @@
             None => (Outcome::Served, Remark::Filled),
         };
         self.hit = found == Some(true);
-        self.ends.push_back((self.attempted, outcome, remark));
-        self.attempted += 1;
+        self.finished_attempts
+            .push_back((self.attempts, outcome, remark));
+        self.attempts += 1;
     }
     fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {
-        self.ended = true;
+        self.failed = true;
     }
     fn fail(&mut self, _request: &Id) {
-        self.ended = true;
+        self.failed = true;
     }
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.wakes.push((at, mark));
+        self.timers.push((at, mark));
     }
     fn watch_list(&mut self) {}
     fn held(&mut self, _request: &Id) -> Option<Held> {
-        let object = name(self.request.object);
+        let object = object_name(self.request.object);
         let part = Part {
             object: object.as_bytes(),
             part: self.request.part,
@@ -267,7 +277,7 @@
     }
     fn keep(&mut self, _request: &Id, rank: u8) {
         if self.hit {
-            let object = name(self.request.object);
+            let object = object_name(self.request.object);
             self.driver.store.rank(
                 Part {
                     object: object.as_bytes(),
@@ -277,13 +287,13 @@
                 rank,
             );
         } else {
-            let copy = copy_of(self.request, self.driver.unix_ms(), &self.body);
+            let copy = make_copy(self.request, self.driver.unix_ms(), &self.body);
             self.driver.keep(copy, rank);
         }
     }
 }
 
-/// A cache, a parent, the origin, and own copies in memory (`m1`) and on disk (`m2`).
+/// A cache server, a parent, the origin, and the local cache's memory tier (`m1`) and disk tier (`m2`).
 pub fn members() -> Vec<Member> {
     let member = |(server, tier): (&str, Tier)| {
         let capacity = if tier == Tier::Own {
@@ -298,14 +308,14 @@
             ..Member::default()
         }
     };
-    let own = [("m1", Tier::Own), ("m2", Tier::Own)];
+    let local = [("m1", Tier::Own), ("m2", Tier::Own)];
     [
         ("c1", Tier::Cache),
         ("p1", Tier::Parent),
         ("o1", Tier::Origin),
     ]
     .into_iter()
-    .chain(own)
+    .chain(local)
     .map(member)
     .collect()
 }
@@ -344,44 +354,62 @@
     }
 }
 
-fn own(day: &[Request], body: &Bytes) -> (Rates, f64, f64) {
-    let driver = Driver::start(Arc::new(Disk::new()), MEMORY, wanted(false), START);
+fn simulate_store(day: &[Request], body: &Bytes) -> (Rates, f64, f64) {
+    let driver = Driver::start(
+        Arc::new(Disk::new()),
+        MEMORY_BYTES,
+        disk_settings(false),
+        START_UNIX_MS,
+    );
     let request = day[0];
-    let (ends, wakes, body) = (VecDeque::new(), Vec::new(), body.clone());
-    let mut world = World {
+    let (finished_attempts, timers, body) = (VecDeque::new(), Vec::new(), body.clone());
+    let mut environment = Environment {
         driver,
         body,
         request,
-        attempted: 0,
-        ends,
-        wakes,
+        attempts: 0,
+        finished_attempts,
+        timers,
         hit: false,
-        ended: false,
+        failed: false,
     };
-    let mut router = Router::start(world.driver.now, &deployment(), &mut world);
-    router.list(world.driver.now, ListKind::Whole, &members(), &mut world);
+    let mut router = Router::start(environment.driver.now, &deployment(), &mut environment);
+    router.list(
+        environment.driver.now,
+        ListKind::Whole,
+        &members(),
+        &mut environment,
+    );
     let mut tally = Tally::default();
     for (n, request) in day.iter().enumerate() {
-        world.driver.now += STEP;
-        let now = world.driver.now;
+        environment.driver.now += REQUEST_INTERVAL;
+        let now = environment.driver.now;
         if n % 10 == 0 {
-            world.driver.store.tick(now, &mut world.driver.orders);
-            world.driver.settle();
+            environment
+                .driver
+                .store
+                .tick(now, &mut environment.driver.orders);
+            environment.driver.settle();
         }
-        (world.request, world.attempted, world.hit, world.ended) = (*request, 0, false, false);
+        (
+            environment.request,
+            environment.attempts,
+            environment.hit,
+            environment.failed,
+        ) = (*request, 0, false, false);
         let id: Id = n.to_string().into();
         let arrival = Arrival {
             id: id.clone(),
-            object: name(request.object).into(),
+            object: object_name(request.object).into(),
             part: request.part,
             kb: request.bytes as f64 / 1000.0,
             left: Duration::from_secs(5),
             ..Arrival::default()
         };
-        router.request(now, arrival, &mut world);
-        while let Some((attempt, outcome, remark)) = world.ends.pop_front() {
-            // What it costs to fetch an object: its source is near or far.
-            let wait = Duration::from_secs_f64(0.01 + 0.05 * draw(request.object, 4));
+        router.request(now, arrival, &mut environment);
+        while let Some((attempt, outcome, remark)) = environment.finished_attempts.pop_front() {
+            // The cost of a fill differs by object, from near sources to far ones.
+            let wait = Duration::from_secs_f64(0.01 + 0.05 * random_share(request.object, 4));
             let first_byte = (remark == Remark::Filled).then_some(wait);
             let over = outcome == Outcome::Served;
             let took = Duration::from_millis(1);
@@ -393,32 +421,37 @@
                 over,
                 load: Load::default(),
             };
-            router.result(now, &id, attempt, &ended, &mut world);
+            router.result(now, &id, attempt, &ended, &mut environment);
         }
-        assert!(!world.ended, "a request was rejected");
-        // Timers are of requests long over: what they would do is nothing.
-        world.wakes.clear();
-        if n as f64 >= WARM * day.len() as f64 {
-            tally.note(*request, world.hit);
+        assert!(!environment.failed, "a request was rejected or failed");
+        // All timers belong to requests that have ended, so that they have no effect.
+        environment.timers.clear();
+        if n as f64 >= WARMUP_SHARE * day.len() as f64 {
+            tally.record(*request, environment.hit);
         }
     }
-    let disk = world.driver.store.disk().expect("it has a disk");
+    let disk = environment.driver.store.disk().expect("it has a disk");
     let (counts, (_, live)) = (disk.counts(), disk.segments().bytes());
-    let amp = counts.written_bytes as f64 / counts.admitted_bytes.max(1) as f64;
-    (tally.rates(), amp, live as f64 / DISK as f64)
+    let write_amp = counts.written_bytes as f64 / counts.admitted_bytes.max(1) as f64;
+    (tally.rates(), write_amp, live as f64 / DISK_BYTES as f64)
 }
 
-/// All that comes is kept, at one rank, in the same store.
-fn all(day: &[Request], body: &Bytes) -> Rates {
-    let mut driver = Driver::start(Arc::new(Disk::new()), MEMORY, wanted(true), START);
+/// Baseline: the same store admits every copy, all with the same retention priority.
+fn simulate_admit_all(day: &[Request], body: &Bytes) -> Rates {
+    let mut driver = Driver::start(
+        Arc::new(Disk::new()),
+        MEMORY_BYTES,
+        disk_settings(true),
+        START_UNIX_MS,
+    );
     let mut tally = Tally::default();
     for (n, request) in day.iter().enumerate() {
-        driver.now += STEP;
+        driver.now += REQUEST_INTERVAL;
         if n % 10 == 0 {
             driver.store.tick(driver.now, &mut driver.orders);
             driver.settle();
         }
-        let object = name(request.object);
+        let object = object_name(request.object);
         let hit = driver
             .get(Part {
                 object: object.as_bytes(),
@@ -427,18 +460,18 @@
             })
             .is_some();
         if !hit {
-            let copy = copy_of(*request, driver.unix_ms(), body);
+            let copy = make_copy(*request, driver.unix_ms(), body);
             driver.keep(copy, 1);
         }
-        if n as f64 >= WARM * day.len() as f64 {
-            tally.note(*request, hit);
+        if n as f64 >= WARMUP_SHARE * day.len() as f64 {
+            tally.record(*request, hit);
         }
     }
     tally.rates()
 }
 
-/// Least recently used, by bodies alone: no overhead is counted against it.
-fn lru(day: &[Request]) -> Rates {
+/// Baseline: least recently used. Only bodies count towards its capacity, no overhead.
+fn simulate_lru(day: &[Request]) -> Rates {
     let mut held: LruCache<(u64, u64), usize> = LruCache::unbounded();
     let (mut bytes, mut tally) = (0, Tally::default());
     for (n, request) in day.iter().enumerate() {
@@ -447,40 +480,40 @@
         if !hit {
             held.put(key, request.bytes);
             bytes += request.bytes;
-            while bytes as u64 > MEMORY + DISK {
+            while bytes as u64 > MEMORY_BYTES + DISK_BYTES {
                 bytes -= held.pop_lru().map_or(0, |(_, gone)| gone);
             }
         }
-        if n as f64 >= WARM * day.len() as f64 {
-            tally.note(*request, hit);
+        if n as f64 >= WARMUP_SHARE * day.len() as f64 {
+            tally.record(*request, hit);
         }
     }
     tally.rates()
 }
 
-pub fn play(seed: u64, scan: bool) -> Played {
+pub fn simulate(seed: u64, scan: bool) -> DayOutcome {
     let day = requests(seed, scan);
-    let distinct: HashMap<(u64, u64), usize> =
+    let distinct_parts: HashMap<(u64, u64), usize> =
         day.iter().map(|a| ((a.object, a.part), a.bytes)).collect();
-    let all_bytes: usize = distinct.values().sum();
+    let all_bytes: usize = distinct_parts.values().sum();
     println!(
         "day {}: {} requests, {} parts, {} MB",
         if scan { "with a scan" } else { "without" },
         day.len(),
-        distinct.len(),
+        distinct_parts.len(),
         all_bytes >> 20
     );
     let body = Bytes::from(vec![7; 200_000]);
-    let (ours, write_amp, full) = own(&day, &body);
-    let (lru, all) = (lru(&day), all(&day, &body));
+    let (store_rates, write_amp, disk_utilization) = simulate_store(&day, &body);
+    let (lru, all) = (simulate_lru(&day), simulate_admit_all(&day, &body));
     println!(
-        "  own {ours:.4?} lru {lru:.4?} all {all:.4?} written/admitted {write_amp:.3} full {full:.3}"
+        "  own {store_rates:.4?} lru {lru:.4?} all {all:.4?} written/admitted {write_amp:.3} full {disk_utilization:.3}"
     );
-    Played {
-        own: ours,
+    DayOutcome {
+        local_cache: store_rates,
         lru,
         all,
         write_amp,
-        full,
+        disk_utilization,
     }
 }
--- a/crates/cli/src/bin/proof-store/timed.rs
+++ b/crates/cli/src/bin/proof-store/timings.rs
@@ -1,4 +1,4 @@
-//! Ratios of times, each of two things done in this run one beside the other.
+//! Ratios of durations. Both durations of a ratio are measured in the same run, close to one another.
 
 use crate::day;
 use bytes::Bytes;
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const LONG: Duration = Duration::from_secs(60);
+const STORE_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn wanted(bytes: u64) -> Wanted {
+fn disk_settings(bytes: u64) -> Wanted {
     Wanted {
         bytes,
         index: 64 << 20,
@@ -32,9 +32,10 @@
     }
 }
 
-/// A store with so many parts of this size on disk, all written. Ends without order, as by a kill.
-fn filled(path: &Path, parts: u64, size: usize) -> Result<Vec<Piece>, String> {
-    let mut rig = Rig::open(path, 0, wanted(4 << 30), 4)?;
+/// Writes `parts` parts of `size` bytes to a new store, which then stops without an orderly shutdown, as after a
+/// kill.
+fn fill_store(path: &Path, parts: u64, size: usize) -> Result<Vec<Piece>, String> {
+    let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
     let pieces: Vec<Piece> = (0..parts)
         .map(|n| Piece {
             object: n / 16,
@@ -43,11 +44,13 @@
         .collect();
     for (n, piece) in pieces.iter().enumerate() {
         let made = chalkhall_cli::rig::unix_ms();
-        let held = |rig: &Rig| rig.store.disk().map_or(0, |disk| disk.counts().written);
-        // No more in hand than its queues take.
-        let most = (2 << 20) / size as u64;
-        if !rig.until(LONG, |rig| n as u64 - held(rig) < most.clamp(4, 200)) {
-            return Err("the disk does not keep up".into());
+        let written_count = |rig: &Rig| rig.store.disk().map_or(0, |disk| disk.counts().written);
+        // Limits the writes in flight to what the store's queues accept.
+        let max_in_flight = (2 << 20) / size as u64;
+        if !rig.until(STORE_TIMEOUT, |rig| {
+            n as u64 - written_count(rig) < max_in_flight.clamp(4, 200)
+        }) {
+            return Err("the disk did not catch up with the writes within 60 s".into());
         }
         let now = rig.now();
         rig.store
@@ -58,14 +61,14 @@
             .disk()
             .is_some_and(|disk| disk.index().len() as u64 == parts)
     };
-    if !rig.until(LONG, all) {
+    if !rig.until(STORE_TIMEOUT, all) {
         return Err(format!("{:?}", rig.store.disk().map(|disk| disk.counts())));
     }
-    rig.end(LONG);
+    rig.end(STORE_TIMEOUT);
     Ok(pieces)
 }
 
-fn segments(path: &Path) -> Result<Vec<PathBuf>, String> {
+fn segment_files(path: &Path) -> Result<Vec<PathBuf>, String> {
     let names = std::fs::read_dir(path).map_err(|e| e.to_string())?;
     let names = names.filter_map(|entry| entry.ok().map(|entry| entry.path()));
     Ok(names
@@ -76,18 +79,18 @@
         .collect())
 }
 
-/// Verified reads of parts of 200 KB through the store, over plain reads of the same files in pieces as
-/// large: bytes a second, the median of several turns one after the other.
+/// Throughput of verified reads of 200 KB parts through the store, over that of plain reads of the same files in
+/// blocks of the same size: the median of several rounds, one after the other.
 pub fn read_ratio(path: &Path, seed: u64) -> Result<f64, String> {
     const SIZE: usize = 200_000;
-    let pieces = filled(path, 400, SIZE)?;
-    let files = segments(path)?;
-    let mut rig = Rig::open(path, 0, wanted(4 << 30), 4)?;
-    if !rig.until(LONG, |rig| rig.is_ready()) {
-        return Err("the store was not ready".into());
+    let pieces = fill_store(path, 400, SIZE)?;
+    let files = segment_files(path)?;
+    let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
+    if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
+        return Err("the store was not ready within 60 s".into());
     }
     let names: Vec<_> = pieces.iter().map(|piece| piece.name()).collect();
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut ratios = Vec::new();
     for _ in 0..7 {
         let (begun, mut plain) = (Instant::now(), 0);
@@ -103,12 +106,12 @@
         }
         let plain = plain as f64 / begun.elapsed().as_secs_f64();
         let mut order: Vec<usize> = (0..pieces.len()).collect();
-        chance.shuffle(&mut order);
+        rng.shuffle(&mut order);
         let (begun, mut read) = (Instant::now(), 0);
         let mut order = order.into_iter();
-        let (mut out, mut left) = (0usize, pieces.len());
-        while left > 0 {
-            while out < 16 {
+        let (mut in_flight, mut remaining) = (0usize, pieces.len());
+        while remaining > 0 {
+            while in_flight < 16 {
                 let Some(n) = order.next() else { break };
                 let part = Part {
                     object: &names[n],
@@ -118,8 +121,8 @@
                 let now = rig.now();
                 rig.store
                     .fetch(now, part, &mut rig.shelf)
-                    .ok_or("a part is not there")?;
-                out += 1;
+                    .ok_or("a part is missing from the store")?;
+                in_flight += 1;
             }
             rig.turn();
             for (_, fetched) in rig.shelf.fetched.drain(..) {
@@ -127,7 +130,7 @@
                     chalkhall_store::decide::disk::Fetched::Copy(copy) => read += copy.body.len(),
                     other => return Err(format!("{other:?}")),
                 }
-                (out, left) = (out - 1, left - 1);
+                (in_flight, remaining) = (in_flight - 1, remaining - 1);
             }
         }
         ratios.push(read as f64 / begun.elapsed().as_secs_f64() / plain);
@@ -135,74 +138,81 @@
     Ok(median(ratios))
 }
 
-/// Time to a full index after a kill, over the time to read the heads of the same records one after another.
-pub fn recover_ratio(path: &Path) -> Result<f64, String> {
-    let pieces = filled(path, 100_000, 300)?;
-    let files = segments(path)?;
+/// Time until the index is complete after a kill, over the time to read the headers of the same records in sequence.
+pub fn recovery_ratio(path: &Path) -> Result<f64, String> {
+    let pieces = fill_store(path, 100_000, 300)?;
+    let files = segment_files(path)?;
     let mut ratios = Vec::new();
     for _ in 0..5 {
-        let (begun, mut heads) = (Instant::now(), 0);
+        let (begun, mut headers) = (Instant::now(), 0);
         for file in &files {
             let file = File::open(file).map_err(|e| e.to_string())?;
             let length = file.metadata().map_err(|e| e.to_string())?.len();
             let mut at = 64;
-            let mut head = [0; 128];
-            while at + 128 <= length && file.read_at(&mut head, at).is_ok() && &head[..4] == b"CHRC"
+            let mut header = [0; 128];
+            while at + 128 <= length
+                && file.read_at(&mut header, at).is_ok()
+                && &header[..4] == b"CHRC"
             {
-                let of_head = u64::from(u16::from_le_bytes([head[4], head[5]]));
-                let body = u64::from(u32::from_le_bytes([head[8], head[9], head[10], head[11]]));
-                at += of_head + body.next_multiple_of(8);
-                heads += 1;
+                let header_bytes = u64::from(u16::from_le_bytes([header[4], header[5]]));
+                let body_bytes = u64::from(u32::from_le_bytes([
+                    header[8], header[9], header[10], header[11],
+                ]));
+                at += header_bytes + body_bytes.next_multiple_of(8);
+                headers += 1;
             }
         }
         let plain = begun.elapsed().as_secs_f64();
-        if heads != pieces.len() {
-            return Err(format!("{heads} heads of {} parts", pieces.len()));
+        if headers != pieces.len() {
+            return Err(format!(
+                "read {headers} record headers of {} parts",
+                pieces.len()
+            ));
         }
         let begun = Instant::now();
-        let mut rig = Rig::open(path, 0, wanted(4 << 30), 4)?;
-        let full = |rig: &mut Rig| {
+        let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
+        let is_complete = |rig: &mut Rig| {
             rig.is_ready()
                 && rig
                     .store
                     .disk()
                     .is_some_and(|d| d.index().len() == pieces.len())
         };
-        if !rig.until(LONG, full) {
-            return Err("the index was not full".into());
+        if !rig.until(STORE_TIMEOUT, is_complete) {
+            return Err("the index was not complete within 60 s".into());
         }
         ratios.push(begun.elapsed().as_secs_f64() / plain);
-        rig.end(LONG);
+        rig.end(STORE_TIMEOUT);
     }
     Ok(median(ratios))
 }
 
-/// What a request goes through, with its answer from memory: the decisions, and the store.
-struct Desk {
+/// Runs requests that are answered from memory through the router's decisions and the store.
+struct RequestRunner {
     router: Option<Router>,
     rig: Rig,
     name: Bytes,
-    got: Option<Rc<Copy>>,
-    wakes: Vec<u64>,
+    answer: Option<Rc<Copy>>,
+    timers: Vec<u64>,
 }
 
-impl Desk {
-    fn new(rig: Rig) -> Desk {
-        let mut desk = Desk {
+impl RequestRunner {
+    fn new(rig: Rig) -> RequestRunner {
+        let mut runner = RequestRunner {
             router: None,
             rig,
             name: Bytes::new(),
-            got: None,
-            wakes: Vec::new(),
+            answer: None,
+            timers: Vec::new(),
         };
-        let now = desk.rig.now();
-        let mut router = Router::start(now, &day::deployment(), &mut desk);
-        router.list(now, ListKind::Whole, &day::members(), &mut desk);
-        desk.router = Some(router);
-        desk
+        let now = runner.rig.now();
+        let mut router = Router::start(now, &day::deployment(), &mut runner);
+        router.list(now, ListKind::Whole, &day::members(), &mut runner);
+        runner.router = Some(router);
+        runner
     }
 
-    /// One request, from its coming to its end.
+    /// Runs one request and returns its duration, from its arrival to its end.
     fn request(&mut self, n: u64, piece: Piece, name: &Bytes) -> Result<Duration, String> {
         let id: Id = n.to_string().into();
         let object = std::str::from_utf8(name).map_err(|e| e.to_string())?;
@@ -215,8 +225,11 @@
             left,
             ..Arrival::default()
         };
-        (self.name, self.got) = (name.clone(), None);
-        let mut router = self.router.take().ok_or("no decisions")?;
+        (self.name, self.answer) = (name.clone(), None);
+        let mut router = self
+            .router
+            .take()
+            .ok_or("the router is already handling a request")?;
         let begun = Instant::now();
         let now = self.rig.now();
         router.request(now, arrival, self);
@@ -237,18 +250,22 @@
             self,
         );
         let took = begun.elapsed();
-        // Its timers find it over; they are not part of its time.
-        let wakes = std::mem::take(&mut self.wakes);
-        wakes
+        // Its timers fire after it has ended, outside of the measured duration.
+        let timers = std::mem::take(&mut self.timers);
+        timers
             .into_iter()
             .for_each(|mark| router.wake(now, mark, self));
         self.router = Some(router);
-        std::hint::black_box(self.got.take().ok_or("a hit was none")?);
+        std::hint::black_box(
+            self.answer
+                .take()
+                .ok_or("a request was not answered from memory")?,
+        );
         Ok(took)
     }
 }
 
-impl Outlet for Desk {
+impl Outlet for RequestRunner {
     fn attempt(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
         let now = self.rig.now();
         let part = Part {
@@ -256,13 +273,13 @@
             part: 0,
             group: 0,
         };
-        self.got = self.rig.store.take(now, part);
+        self.answer = self.rig.store.take(now, part);
     }
     fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
     fn wake_at(&mut self, _at: Duration, mark: u64) {
-        self.wakes.push(mark);
+        self.timers.push(mark);
     }
     fn watch_list(&mut self) {}
     fn held(&mut self, _request: &Id) -> Option<Held> {
@@ -272,7 +289,7 @@
             group: 0,
         };
         let found = self.rig.store.find(part, None)?;
-        // Made long ago: nothing expires here.
+        // Nothing expires in this deployment, so the age does not matter.
         Some(Held {
             place: "m1".into(),
             made: Duration::ZERO,
@@ -293,74 +310,82 @@
     }
 }
 
-/// The 99th percentile of requests answered from memory while the disk hangs with all its mailboxes full,
-/// over the same with no disk: the median of many rounds, each one beside the other, over stores made anew:
-/// where a table happens to lie in memory makes a tenth of difference.
+/// The 99th percentile of the durations of requests answered from memory while the disk hangs with all its queues
+/// full, over the same without a disk. It is the median over many pairs of new stores, since the position of a
+/// table in memory alone changes the durations by a tenth.
 pub fn hung_ratio(seed: u64) -> Result<f64, String> {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let ratios: Result<Vec<f64>, String> = (0..15).map(|_| hung_beside_none(&mut chance)).collect();
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let ratios: Result<Vec<f64>, String> = (0..15)
+        .map(|_| hung_ratio_of_new_stores(&mut rng))
+        .collect();
     Ok(median(ratios?))
 }
 
-fn hung_beside_none(chance: &mut fastrand::Rng) -> Result<f64, String> {
-    const COUNT: u64 = 500;
-    let pieces: Vec<Piece> = (0..COUNT).map(|object| Piece { object, part: 0 }).collect();
+fn hung_ratio_of_new_stores(rng: &mut fastrand::Rng) -> Result<f64, String> {
+    const OBJECTS: u64 = 500;
+    let pieces: Vec<Piece> = (0..OBJECTS)
+        .map(|object| Piece { object, part: 0 })
+        .collect();
     let names: Vec<Bytes> = pieces.iter().map(|piece| piece.name()).collect();
     let disk = Disk::new();
     let files = disk.clone();
     let take = move || Ok(Arc::new(files.clone()) as Arc<dyn Files>);
-    let mut rig = Rig::on(take, 64 << 20, wanted(1 << 30), 4)?;
-    if !rig.until(LONG, |rig| rig.is_ready()) {
-        return Err("the store was not ready".into());
+    let mut rig = Rig::on(take, 64 << 20, disk_settings(1 << 30), 4)?;
+    if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
+        return Err("the store was not ready within 60 s".into());
     }
-    let mut desks = [Desk::new(Rig::alone(64 << 20)), Desk::new(rig)];
-    if chance.bool() {
-        desks.reverse();
+    let mut runners = [
+        RequestRunner::new(Rig::alone(64 << 20)),
+        RequestRunner::new(rig),
+    ];
+    if rng.bool() {
+        runners.reverse();
     }
-    let hung = usize::from(desks[1].rig.store.disk().is_some());
+    let hung_index = usize::from(runners[1].rig.store.disk().is_some());
     let made = chalkhall_cli::rig::unix_ms();
-    for desk in &mut desks {
+    for runner in &mut runners {
         for piece in &pieces {
-            let now = desk.rig.now();
-            desk.rig
+            let now = runner.rig.now();
+            runner
+                .rig
                 .store
-                .keep(now, piece.version(1, made, 2000), 2, &mut desk.rig.shelf);
+                .keep(now, piece.version(1, made, 2000), 2, &mut runner.rig.shelf);
         }
     }
     disk.hang(true);
-    let (mut ratios, mut count) = (Vec::new(), 0);
+    let (mut ratios, mut requests) = (Vec::new(), 0);
     for round in 0..7u64 {
         let mut p99 = [0.0; 2];
-        // Which goes first changes from round to round.
+        // The two take turns in going first.
         for which in [round as usize % 2, 1 - round as usize % 2] {
             let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
             for n in 0..10_000u64 {
-                let at = chance.usize(..pieces.len());
-                let desk = &mut desks[which];
+                let at = rng.usize(..pieces.len());
+                let runner = &mut runners[which];
                 if n % 1000 == 0 {
-                    // Copies go on coming that memory has no place for, and work for the disk with them.
-                    let now = desk.rig.now();
-                    let lone = Piece {
-                        object: COUNT + round * 1000 + n,
+                    // Copies that the memory tier has no room for go on arriving, and with them writes to the disk.
+                    let now = runner.rig.now();
+                    let large = Piece {
+                        object: OBJECTS + round * 1000 + n,
                         part: 0,
                     };
-                    desk.rig.store.keep(
+                    runner.rig.store.keep(
                         now,
-                        lone.version(1, made, 1 << 20),
+                        large.version(1, made, 1 << 20),
                         1,
-                        &mut desk.rig.shelf,
+                        &mut runner.rig.shelf,
                     );
-                    desk.rig.turn();
+                    runner.rig.turn();
                 }
-                count += 1;
-                let took = desk.request(count, pieces[at], &names[at])?;
+                requests += 1;
+                let took = runner.request(requests, pieces[at], &names[at])?;
                 times
                     .record(took.as_nanos() as u64)
                     .map_err(|e| e.to_string())?;
             }
             p99[which] = times.value_at_quantile(0.99) as f64;
         }
-        ratios.push(p99[hung] / p99[1 - hung]);
+        ratios.push(p99[hung_index] / p99[1 - hung_index]);
     }
     disk.hang(false);
     Ok(median(ratios))
