--- a/crates/cli/src/bin/demo/client.rs
+++ b/crates/cli/src/bin/demo/client.rs
@@ -1,4 +1,5 @@
-//! A client of the router: one connection, one request at a time, in RESP arrays of bulk strings.
+//! A client of the router with one connection and one request at a time. Frames are RESP arrays of
+//! bulk strings.
 
 use crate::error::DemoError;
 use std::net::SocketAddr;
@@ -6,25 +7,24 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// The time that each request gives the router.
+/// The deadline of each request.
 pub const REQUEST_DEADLINE: Duration = Duration::from_millis(1_500);
 const MAX_PART_BYTES: usize = 300_000;
 
 /// The router's final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The object came.
+    /// The object was received.
     Served,
-    /// It never ran; the client may ask again.
+    /// The request never ran; the client may retry it.
     Rejected,
-    /// It may have run.
+    /// The request may have run.
     Failed,
 }
 
-/// A final answer, and how long it took.
+/// The router's answer to a request, and how long it took.
 #[derive(Debug)]
 pub struct Answer {
-    /// How the request ended.
     pub outcome: Outcome,
     /// From the first byte sent to the last one received.
     pub elapsed: Duration,
@@ -37,10 +37,10 @@
 }
 
 impl Client {
-    /// Connects.
+    /// Opens a connection to the router.
     ///
     /// # Errors
-    /// The router refuses, or is not there yet.
+    /// The router refuses the connection, or does not listen yet.
     pub async fn connect(router: SocketAddr) -> Result<Client, DemoError> {
         let stream = TcpStream::connect(router).await?;
         stream.set_nodelay(true)?;
@@ -53,7 +53,7 @@
     /// Sends one request and waits for its final answer.
     ///
     /// # Errors
-    /// The connection broke, or the answer is none of the protocol.
+    /// The connection broke, or the answer violates the protocol.
     pub async fn request(
         &mut self,
         class: &str,
@@ -68,7 +68,7 @@
             "ACK" => Outcome::Served,
             "NAK" => Outcome::Rejected,
             "FAIL" => Outcome::Failed,
-            _ => return Err(DemoError::Answer("neither ACK, NAK nor FAIL")),
+            _ => return Err(DemoError::InvalidAnswer("neither ACK, NAK nor FAIL")),
         };
         Ok(Answer {
             outcome,
@@ -76,11 +76,11 @@
         })
     }
 
-    /// True: the router answers `GREEN`, it takes requests; false: `RED`, it is starting or
-    /// draining.
+    /// Whether the router answers `GREEN` (it takes requests) rather than `RED` (it is starting or
+    /// draining).
     ///
     /// # Errors
-    /// The connection broke, or the answer is none of the protocol.
+    /// The connection broke, or the answer violates the protocol.
     pub async fn is_healthy(&mut self) -> Result<bool, DemoError> {
         Ok(self.exchange("HEALTH", &[]).await? == "GREEN")
     }
@@ -98,8 +98,10 @@
 
         let answer = self.read_frame().await?;
         match answer.as_slice() {
-            [answered, keyword, ..] if *answered == tag => Ok(keyword.clone()),
-            _ => Err(DemoError::Answer("another tag than the request's")),
+            [answer_tag, keyword, ..] if *answer_tag == tag => Ok(keyword.clone()),
+            _ => Err(DemoError::InvalidAnswer(
+                "its tag is not that of the request",
+            )),
         }
     }
 
@@ -116,13 +118,13 @@
         Ok(parts)
     }
 
-    async fn read_length(&mut self, sign: char) -> Result<usize, DemoError> {
+    async fn read_length(&mut self, prefix: char) -> Result<usize, DemoError> {
         let mut line = String::new();
         self.stream.read_line(&mut line).await?;
-        let digits = line.trim_end().strip_prefix(sign);
+        let digits = line.trim_end().strip_prefix(prefix);
         digits
             .and_then(|digits| digits.parse().ok())
             .filter(|length| *length <= MAX_PART_BYTES)
-            .ok_or(DemoError::Answer("no length where one is expected"))
+            .ok_or(DemoError::InvalidAnswer("a length is missing or invalid"))
     }
 }
--- a/crates/cli/src/bin/demo/configuration.rs
+++ b/crates/cli/src/bin/demo/configuration.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const EXAMPLE: &str = include_str!("../../../../../docs/example.json");
-/// Grace of a drain in the example's settings: afterwards a draining server gets nothing.
+/// The drain grace in the example's settings. After it, a draining server gets no requests.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 const LOCK_PORT: u16 = 6049;
@@ -40,12 +40,12 @@
         Err(DemoError::NoFreeAddress)
     }
 
-    /// Where the router listens for clients.
+    /// The address at which the router listens for clients.
     pub fn router(&self) -> SocketAddr {
         SocketAddr::from((self.address, ROUTER_PORT))
     }
 
-    /// Where a stand-in listens: at a port of the system's choice.
+    /// An address for a stand-in to listen at, with a port that the system chooses.
     pub fn any_port(&self) -> SocketAddr {
         SocketAddr::from((self.address, 0))
     }
@@ -62,9 +62,9 @@
         "block": 0, "health": health, "share": 4, "born_ms": 0})
 }
 
-/// The configuration file of the one router, removed with its folder when dropped.
+/// The configuration file of the one router, removed with its directory when dropped.
 pub struct ConfigurationFile {
-    folder: PathBuf,
+    directory: PathBuf,
     path: PathBuf,
 }
 
@@ -72,7 +72,7 @@
     /// Writes the example with these addresses and endpoints.
     ///
     /// # Errors
-    /// The example is no JSON, or the file cannot be written.
+    /// The example is not valid JSON, or the file cannot be written.
     pub fn write(
         listen: SocketAddr,
         discovery: SocketAddr,
@@ -83,15 +83,15 @@
         configuration["board"] = json!(discovery.to_string());
         configuration["known"]["notices"][0]["pool"]["hosts"] = json!(endpoints);
 
-        let folder = std::env::temp_dir().join(format!("chalkhall-demo-{}", std::process::id()));
-        let path = folder.join("router.json");
-        let failed = |source| DemoError::Configuration {
+        let directory = std::env::temp_dir().join(format!("chalkhall-demo-{}", std::process::id()));
+        let path = directory.join("router.json");
+        let write_error = |source| DemoError::Configuration {
             path: path.clone(),
             source,
         };
-        std::fs::create_dir_all(&folder).map_err(failed)?;
-        std::fs::write(&path, configuration.to_string()).map_err(failed)?;
-        Ok(ConfigurationFile { folder, path })
+        std::fs::create_dir_all(&directory).map_err(write_error)?;
+        std::fs::write(&path, configuration.to_string()).map_err(write_error)?;
+        Ok(ConfigurationFile { directory, path })
     }
 
     /// The path to hand to the router as `ROUTER_CONFIG`.
@@ -102,7 +102,7 @@
 
 impl Drop for ConfigurationFile {
     fn drop(&mut self) {
-        // Best effort: a file that stays in the temporary folder harms nobody.
-        let _ = std::fs::remove_dir_all(&self.folder);
+        // Best effort: a file left behind in the temporary directory does no harm.
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/cli/src/bin/demo/discovery.rs
+++ b/crates/cli/src/bin/demo/discovery.rs
@@ -1,4 +1,5 @@
-//! A stand-in of the discovery service: one numbered event a line, its last number each second.
+//! A stand-in for the discovery service. It sends one numbered event per line, and the number of
+//! the last event at least every second.
 
 use crate::error::DemoError;
 use serde_json::{Value, json};
@@ -13,10 +14,10 @@
 use tokio::time::timeout;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// The event that the router knows from its configuration.
+/// The number of the event that the router knows from its configuration.
 const FIRST_EVENT: usize = 1;
 
-/// The events after the first.
+/// The events that were published after the first one.
 #[derive(Default)]
 pub struct Discovery {
     lines: RefCell<Vec<String>>,
@@ -44,7 +45,7 @@
         Ok((discovery, address))
     }
 
-    /// Publishes a change of these endpoints, and returns when it is written to the router's
+    /// Publishes a change of these endpoints, and returns once it is written to the router's
     /// connection.
     pub async fn publish(&self, endpoints: &[Value]) {
         let number = self.last_event() + 1;
@@ -52,7 +53,7 @@
         let line = format!("{}\n", json!({"rev": number, "pool": pool}));
         self.lines.borrow_mut().push(line);
         self.changed.notify_waiters();
-        // The sender lives as long as this does, so that the wait cannot fail.
+        // The sender is a field of `self`, so that the wait cannot fail.
         let _ = self
             .written
             .subscribe()
@@ -77,7 +78,7 @@
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let (reader, mut writer) = stream.into_split();
         let mut line = String::new();
-        // A connection that breaks is made anew by the router.
+        // An error needs no handling: the router reconnects.
         let _ = BufReader::new(reader).read_line(&mut line).await;
         let number = line.trim_end().strip_prefix("watch ");
         let Some(mut sent) = number.and_then(|number| number.parse().ok()) else {
@@ -92,7 +93,7 @@
             sent = last;
             self.written.send_replace(last);
             if self.last_event() == sent {
-                // Either a change or a heartbeat is due.
+                // Waits for a change, at most until a heartbeat is due.
                 let _ = timeout(HEARTBEAT_INTERVAL, self.changed.notified()).await;
             }
         }
--- a/crates/cli/src/bin/demo/error.rs
+++ b/crates/cli/src/bin/demo/error.rs
@@ -1,11 +1,11 @@
-//! Why the demo could not be played to its end.
+//! Errors that end the demo early.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A fault of the demo's surroundings. A step that ended otherwise than expected is no error: it is
-/// shown in the summary.
+/// A failure of the demo's environment. A step with an unexpected result is not an error: the
+/// summary shows it.
 #[derive(Debug, thiserror::Error)]
 pub enum DemoError {
     /// No address of the loopback range could be reserved.
@@ -14,7 +14,7 @@
     /// A stand-in could not listen.
     #[error("a stand-in cannot listen at {address}")]
     Listen {
-        /// Where it should have listened.
+        /// The address that it could not bind.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
@@ -22,7 +22,7 @@
     /// The address of a listening stand-in could not be read.
     #[error("the address of a stand-in is unknown")]
     LocalAddress(#[source] io::Error),
-    /// The example configuration is not the JSON that the demo builds upon.
+    /// The example configuration is not valid JSON.
     #[error("docs/example.json is not valid JSON")]
     Example(#[from] serde_json::Error),
     /// The router's configuration could not be written.
@@ -36,16 +36,16 @@
     /// The router's process could not be started.
     #[error("the router cannot be started (is target/.../chalkhall built?)")]
     Start(#[source] io::Error),
-    /// The router's process ended before it was asked to.
-    #[error("the router ended by itself: {0}")]
-    EndedEarly(std::process::ExitStatus),
+    /// The router's process exited before it was told to.
+    #[error("the router exited unexpectedly: {0}")]
+    ExitedEarly(std::process::ExitStatus),
     /// The connection to the router failed.
     #[error("the connection to the router failed")]
     Connection(#[from] io::Error),
-    /// The router sent something that is no answer of the clients' protocol.
-    #[error("the router's answer cannot be read: {0}")]
-    Answer(&'static str),
-    /// The demo took longer than it may.
-    #[error("the demo was not over within {0:?}")]
-    TooLong(std::time::Duration),
+    /// The router sent an answer that violates the client protocol.
+    #[error("the router's answer is invalid: {0}")]
+    InvalidAnswer(&'static str),
+    /// The demo exceeded its time limit.
+    #[error("the demo did not finish within {0:?}")]
+    TimeLimitExceeded(std::time::Duration),
 }
--- a/crates/cli/src/bin/demo/main.rs
+++ b/crates/cli/src/bin/demo/main.rs
@@ -1,4 +1,4 @@
-//! `make demo`: one real router process on loopback between stand-ins of two cache servers, a
+//! `make demo`: runs one router process on loopback between stand-ins for two cache servers, a
 //! parent, an origin and discovery. Sends a few requests and prints what happened to each; exit
 //! code 0 only if all steps ended as expected.
 
@@ -27,7 +27,7 @@
     let outcome = LocalSet::new().block_on(&runtime, async {
         timeout(TIME_LIMIT, scenario::run()).await
     });
-    outcome.unwrap_or(Err(DemoError::TooLong(TIME_LIMIT)))
+    outcome.unwrap_or(Err(DemoError::TimeLimitExceeded(TIME_LIMIT)))
 }
 
 fn main() -> ExitCode {
--- a/crates/cli/src/bin/demo/scenario.rs
+++ b/crates/cli/src/bin/demo/scenario.rs
@@ -1,4 +1,5 @@
-//! The steps: a start, fills and a hit, a drain, a request to the origin, a rejection, a shutdown.
+//! The steps of the demo: a start, fills and a hit, a drain, a request to the origin, a rejection,
+//! a shutdown.
 
 use crate::client::{Answer, Client, Outcome};
 use crate::configuration::{ConfigurationFile, DRAIN_GRACE, ReservedAddress, endpoint};
@@ -16,10 +17,10 @@
 const OBJECT: &str = "00000000000000b1";
 const ORDER: &str = "00000000000000b2";
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The grace, and some time for the router to read what lies in its socket.
-const CHANGE_TAKES_EFFECT: Duration = DRAIN_GRACE.saturating_add(Duration::from_millis(100));
+/// The drain grace, and some time for the router to read the event from its socket.
+const CHANGE_EFFECT_DELAY: Duration = DRAIN_GRACE.saturating_add(Duration::from_millis(100));
 
-/// The stand-ins, the router between them, and the steps so far.
+/// The stand-ins, the router between them, and the results so far.
 struct Demo {
     fleet: Rc<Fleet>,
     discovery: Rc<Discovery>,
@@ -99,7 +100,7 @@
         Ok(demo)
     }
 
-    /// Sends a request, and notes whether it ended as `accepts` demands.
+    /// Sends a request and records whether `accepts` holds for its outcome and path.
     async fn request(
         &mut self,
         action: &str,
@@ -124,8 +125,8 @@
         Ok(())
     }
 
-    /// An object asked for the first time passes through unkept; from the second time on it is
-    /// cached.
+    /// An object passes through without being cached at its first request; from the second request
+    /// on it is cached.
     async fn fills_then_hit(&mut self) -> Result<(), DemoError> {
         let is_filled =
             |outcome, path: &[ServerAnswer]| outcome == Outcome::Served && path.len() > 1;
@@ -133,7 +134,7 @@
         let expected = "served by way of a cache that fills from the parent";
         self.request(first, "page", OBJECT, expected, is_filled)
             .await?;
-        let second = "the same object again: now it is kept";
+        let second = "the same object again: now it is cached";
         self.request(second, "page", OBJECT, expected, is_filled)
             .await?;
         let third = "the same object once more";
@@ -145,7 +146,7 @@
         Ok(())
     }
 
-    /// The cache that holds the object drains: after the grace the router asks another one.
+    /// The cache that holds the object drains: after the grace the router asks another cache.
     async fn drain_of_a_cache(&mut self) -> Result<(), DemoError> {
         let id = format!("{:016x}", self.requests);
         let draining = self
@@ -189,7 +190,8 @@
         Ok(())
     }
 
-    /// SIGTERM: the router says `RED` to who still asks, and ends with exit code 0.
+    /// On SIGTERM, the router answers `RED` to clients that are still connected, and exits with
+    /// code 0.
     async fn graceful_shutdown(&mut self) -> Result<(), DemoError> {
         let begun = Instant::now();
         self.router.terminate();
@@ -212,13 +214,13 @@
         Ok(())
     }
 
-    /// Publishes a state of some servers, and waits until the router must respect it.
-    async fn publish(&self, is_concerned: impl Fn(&str) -> bool, health: &str) {
+    /// Publishes the health of some servers, and waits until the router must act on it.
+    async fn publish(&self, is_affected: impl Fn(&str) -> bool, health: &str) {
         let servers = self.fleet.servers();
-        let concerned = servers.iter().filter(|server| is_concerned(server.name));
-        let endpoints: Vec<_> = concerned.map(|server| endpoint(server, health)).collect();
+        let affected = servers.iter().filter(|server| is_affected(server.name));
+        let endpoints: Vec<_> = affected.map(|server| endpoint(server, health)).collect();
         self.discovery.publish(&endpoints).await;
-        sleep(CHANGE_TAKES_EFFECT).await;
+        sleep(CHANGE_EFFECT_DELAY).await;
     }
 }
 
@@ -228,9 +230,9 @@
 ) -> Result<Client, DemoError> {
     loop {
         if let Some(status) = router.ended() {
-            return Err(DemoError::EndedEarly(status));
+            return Err(DemoError::ExitedEarly(status));
         }
-        // Refused until the router listens.
+        // Connections are refused until the router listens.
         if let Ok(mut client) = Client::connect(address).await
             && client.is_healthy().await.unwrap_or(false)
         {
@@ -240,7 +242,7 @@
     }
 }
 
-/// The outcome and the way of the object, as in `served: c1 (filled) <- p1 (filled) <- o1 (hit)`.
+/// The outcome and the path of the object, as in `served: c1 (filled) <- p1 (filled) <- o1 (hit)`.
 fn describe(answer: &Answer, path: &[ServerAnswer]) -> String {
     let outcome = match answer.outcome {
         Outcome::Served => "served",
--- a/crates/cli/src/bin/demo/servers.rs
+++ b/crates/cli/src/bin/demo/servers.rs
@@ -1,6 +1,6 @@
-//! Stand-ins of cache servers, the parent and the origin, each with a listener of its own. A cache
-//! or parent that does not hold an object fetches it over a connection from the next tier, as a
-//! real one.
+//! Stand-ins for cache servers, the parent and the origin, each with a listener of its own. Like a
+//! real one, a cache or parent that does not hold an object fetches it over a connection from the
+//! next tier.
 
 use crate::error::DemoError;
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
 const OBJECT_BYTES: usize = 2_000;
 const MAX_BODY_BYTES: usize = 64_000;
 
-/// Where a server stands in the hierarchy.
+/// A server's position in the hierarchy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tier {
     /// Asked by the router first.
@@ -26,26 +26,25 @@
     Origin,
 }
 
-/// One stand-in.
+/// A stand-in for a server.
 pub struct Server {
     /// Its name in discovery's list.
     pub name: &'static str,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Its place in the hierarchy.
     pub tier: Tier,
     held: RefCell<HashSet<String>>,
     fleet: Weak<Fleet>,
 }
 
-/// Whence a server had the object that it was asked for.
+/// How a server obtained the object that it was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retrieval {
     /// It held the object.
     Hit,
     /// It fetched the object from the next tier.
     Filled,
-    /// It had no way to the object.
+    /// It could not obtain the object.
     Missing,
 }
 
@@ -67,7 +66,7 @@
     pub request: String,
     /// The server's name.
     pub server: &'static str,
-    /// Whence it had the object.
+    /// How it obtained the object.
     pub retrieval: Retrieval,
 }
 
@@ -87,7 +86,7 @@
 }
 
 impl Fleet {
-    /// Starts one more server.
+    /// Starts a server.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -120,11 +119,12 @@
         self.servers.borrow().clone()
     }
 
-    /// The servers that answered a request, the one that the router asked first.
+    /// The answers of all servers to a request, starting with that of the server that the router
+    /// asked.
     pub fn answers_to(&self, request: &str) -> Vec<ServerAnswer> {
         let answers = self.answers.borrow();
         let of_request = answers.iter().filter(|answer| answer.request == request);
-        // A server answers after the one that it fetched from.
+        // A server records its answer after the server that it fetched from.
         of_request.rev().cloned().collect()
     }
 
@@ -142,7 +142,7 @@
 }
 
 impl Server {
-    /// One connection, until the other side closes it or sends what is no request.
+    /// Serves a connection until the other side closes it or sends an invalid request.
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let (reader, mut writer) = stream.into_split();
         let mut reader = BufReader::new(reader);
@@ -191,7 +191,7 @@
         answer
     }
 
-    /// Finds the object here or fetches it, and keeps it where the request asks for that.
+    /// Looks up the object or fetches it, and retains it if the request says so.
     async fn obtain(&self, request: &Request) -> Retrieval {
         if self.tier == Tier::Origin || self.held.borrow().contains(&request.object) {
             return Retrieval::Hit;
@@ -205,7 +205,7 @@
         Retrieval::Filled
     }
 
-    /// True: the source that the request names has sent the object.
+    /// Fetches the object from the next tier. Returns whether it was received.
     async fn fetch(&self, request: &Request) -> bool {
         let Some(fleet) = self.fleet.upgrade() else {
             return false;
@@ -239,7 +239,7 @@
     Ok(has_object)
 }
 
-/// The request of a line, and the length of the body that follows.
+/// Parses a request line. Returns the request and the length of the body that follows.
 fn parse_request(line: &str) -> Option<(Request, usize)> {
     let words: Vec<&str> = line.trim_end().split(' ').collect();
     let ["ASK", id, fields, length] = words.as_slice() else {
--- a/crates/cli/src/bin/demo/summary.rs
+++ b/crates/cli/src/bin/demo/summary.rs
@@ -1,19 +1,19 @@
-//! What happened, one line a step, and whether all was as expected.
+//! The summary: one line per step, and whether all steps ended as expected.
 
 use std::fmt;
 use std::time::Duration;
 
-/// One step of the demo, as it went.
+/// The result of one step.
 pub struct Step {
     /// What was done.
     pub action: String,
     /// How long it took.
     pub elapsed: Duration,
-    /// What came of it.
+    /// What happened.
     pub observed: String,
-    /// What must come of it.
+    /// What should happen.
     pub expected: &'static str,
-    /// Whether it did.
+    /// Whether it happened.
     pub succeeded: bool,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Summary {
-    /// True: every step ended as expected.
+    /// Whether every step ended as expected.
     pub fn succeeded(&self) -> bool {
         self.steps.iter().all(|step| step.succeeded)
     }
