--- a/crates/cli/src/bin/proof-fleet-size/bounds.rs
+++ b/crates/cli/src/bin/proof-fleet-size/bounds.rs
@@ -1,44 +1,45 @@
-//! How far what a router needs may grow with the number of cache servers.
+//! Bounds on how much more a router may need when there are more cache servers.
 
-use crate::scenario::{Day, Figures};
+use crate::scenario::{Conditions, Figures};
 
-/// Means of both sizes, and how many cache servers the larger one has.
+/// Means at both sizes, and the number of cache servers at the larger one.
 pub struct Growth {
-    pub usual: Figures,
+    pub base: Figures,
     pub larger: Figures,
     pub cache_servers: usize,
 }
 
-/// So many times what is needed at the usual size, plus so much, plus so much for each thousand cache servers.
+/// An upper bound at the larger size: a multiple of the figure at the base size, plus a constant, plus an amount for
+/// each thousand cache servers.
 struct Bound {
     name: &'static str,
-    of: fn(&Figures) -> f64,
-    times: f64,
-    plus: f64,
-    each_thousand: f64,
-    /// It is measured in time, which other work on the machine changes.
+    figure: fn(&Figures) -> f64,
+    factor: f64,
+    constant: f64,
+    per_thousand_servers: f64,
+    /// The figure is a duration, which depends on other work on the machine.
     timed: bool,
 }
 
 const fn bound(
     name: &'static str,
-    of: fn(&Figures) -> f64,
-    times: f64,
-    plus: f64,
-    each_thousand: f64,
+    figure: fn(&Figures) -> f64,
+    factor: f64,
+    constant: f64,
+    per_thousand_servers: f64,
 ) -> Bound {
     Bound {
         name,
-        of,
-        times,
-        plus,
-        each_thousand,
+        figure,
+        factor,
+        constant,
+        per_thousand_servers,
         timed: false,
     }
 }
 
-/// Those of production, for a day on which requests are served.
-const USUAL: [Bound; 5] = [
+/// Bounds for production, under conditions in which requests are served.
+const NORMAL_BOUNDS: [Bound; 5] = [
     Bound {
         timed: true,
         ..bound("cpu_s", |f| f.cpu_s, 1.4, 0.02, 0.03)
@@ -48,11 +49,12 @@
     bound("connections", |f| f.connections, 2.5, 40.0, 0.0),
     bound("list_bytes", |f| f.list_bytes, 2.0, 64e3, 500e3),
 ];
-const SERVED_LEAST: f64 = 0.85;
-/// Of a listed server, in memory, before anything is asked.
-const KB_A_SERVER: f64 = 4.0;
-/// Where every server refuses: the processor time of a request grows by this at most.
-const REFUSING: Bound = Bound {
+/// Minimum share of requests served at the larger size, over that at the base size.
+const MIN_SERVED_RATIO: f64 = 0.85;
+/// Memory that each listed server may take in an idle router.
+const MAX_IDLE_KB_PER_SERVER: f64 = 4.0;
+/// Bound on the processor time per request where every server refuses connections.
+const REFUSING_BOUND: Bound = Bound {
     timed: true,
     ..bound(
         "cpu_us_per_request",
@@ -64,59 +66,62 @@
 };
 
 impl Bound {
-    fn exceeded(&self, growth: &Growth) -> Option<String> {
+    fn violation(&self, growth: &Growth) -> Option<String> {
         let thousands = growth.cache_servers as f64 / 1000.0;
-        let most =
-            self.times * (self.of)(&growth.usual) + self.plus + self.each_thousand * thousands;
-        let found = (self.of)(&growth.larger);
-        (found > most).then(|| format!("{} is {found:.3}, at most {most:.3}", self.name))
+        let limit = self.factor * (self.figure)(&growth.base)
+            + self.constant
+            + self.per_thousand_servers * thousands;
+        let value = (self.figure)(&growth.larger);
+        (value > limit).then(|| format!("{} is {value:.3}, at most {limit:.3}", self.name))
     }
 }
 
-fn kb_a_server(growth: &Growth, usual_servers: f64) -> f64 {
-    let more_kb = (growth.larger.idle_memory_mb - growth.usual.idle_memory_mb) * 1024.0;
-    more_kb / (growth.cache_servers as f64 - usual_servers)
+fn idle_kb_per_server(growth: &Growth, base_servers: f64) -> f64 {
+    let added_kb = (growth.larger.idle_memory_mb - growth.base.idle_memory_mb) * 1024.0;
+    added_kb / (growth.cache_servers as f64 - base_servers)
 }
 
-/// What passed its bound, in words.
-pub fn exceeded(day: Day, growth: &Growth, counted_only: bool) -> Vec<String> {
-    let bounds: &[Bound] = if day == Day::Usual {
-        &USUAL
+/// Descriptions of the figures that exceed their bounds.
+pub fn violations(conditions: Conditions, growth: &Growth, counted_only: bool) -> Vec<String> {
+    let bounds: &[Bound] = if conditions == Conditions::Normal {
+        &NORMAL_BOUNDS
     } else {
-        &[REFUSING]
+        &[REFUSING_BOUND]
     };
     let bounds = bounds.iter().filter(|bound| !(bound.timed && counted_only));
-    let mut short: Vec<String> = bounds.filter_map(|bound| bound.exceeded(growth)).collect();
-    if day == Day::Usual {
-        let least = SERVED_LEAST * growth.usual.served;
-        if growth.larger.served < least {
-            short.push(format!(
-                "served is {:.3}, at least {least:.3}",
+    let mut violations: Vec<String> = bounds.filter_map(|bound| bound.violation(growth)).collect();
+    if conditions == Conditions::Normal {
+        let limit = MIN_SERVED_RATIO * growth.base.served;
+        if growth.larger.served < limit {
+            violations.push(format!(
+                "served is {:.3}, at least {limit:.3}",
                 growth.larger.served
             ));
         }
-        let kb = kb_a_server(growth, growth.usual.cache_servers);
-        if kb > KB_A_SERVER {
-            short.push(format!("kb_a_server is {kb:.2}, at most {KB_A_SERVER:.2}"));
+        let idle_kb = idle_kb_per_server(growth, growth.base.cache_servers);
+        if idle_kb > MAX_IDLE_KB_PER_SERVER {
+            violations.push(format!(
+                "kb_a_server is {idle_kb:.2}, at most {MAX_IDLE_KB_PER_SERVER:.2}"
+            ));
         }
     }
-    short
+    violations
 }
 
-/// The figures of both sizes, each with the larger over the usual.
-pub fn line(day: Day, growth: &Growth) -> String {
-    let (usual, larger) = (&growth.usual, &growth.larger);
-    let pair = |name: &str, of: fn(&Figures) -> f64| {
-        let (usual, larger) = (of(usual), of(larger));
+/// The figures at both sizes as one line, each with the ratio of the larger size to the base size.
+pub fn format_figures(conditions: Conditions, growth: &Growth) -> String {
+    let (base, larger) = (&growth.base, &growth.larger);
+    let pair = |name: &str, figure: fn(&Figures) -> f64| {
+        let (base, larger) = (figure(base), figure(larger));
         format!(
-            "{name}={usual:.3}/{larger:.3} {name}_ratio={:.3}",
-            larger / usual.max(1e-9)
+            "{name}={base:.3}/{larger:.3} {name}_ratio={:.3}",
+            larger / base.max(1e-9)
         )
     };
-    if day == Day::AllRefusing {
+    if conditions == Conditions::AllRefusing {
         return pair("refusing_cpu_us_per_request", |f| f.cpu_us_per_request);
     }
-    let kb = kb_a_server(growth, usual.cache_servers);
+    let idle_kb = idle_kb_per_server(growth, base.cache_servers);
     let [start, cpu] = [
         pair("cpu_start_s", |f| f.cpu_start_s),
         pair("cpu_s", |f| f.cpu_s),
@@ -124,13 +129,13 @@
     [
         format!(
             "cache_servers={}/{} requests={:.0}",
-            usual.cache_servers, growth.cache_servers, usual.requests
+            base.cache_servers, growth.cache_servers, base.requests
         ),
         start,
         cpu,
         pair("cpu_us_per_request", |f| f.cpu_us_per_request),
         pair("idle_memory_mb", |f| f.idle_memory_mb),
-        format!("kb_a_server={kb:.2}"),
+        format!("kb_a_server={idle_kb:.2}"),
         pair("peak_memory_mb", |f| f.peak_memory_mb),
         pair("descriptors", |f| f.descriptors),
         pair("connections", |f| f.connections),
--- a/crates/cli/src/bin/proof-fleet-size/cache_servers.rs
+++ b/crates/cli/src/bin/proof-fleet-size/cache_servers.rs
@@ -1,7 +1,7 @@
-//! Cache servers, parents and the origin, all in this process: each listens at an address of its own and
-//! answers at once, as a hit, with an object of a fixed size.
+//! Stand-ins for cache servers, parents and the origin, all in this process. Each listens at its own address and
+//! answers every request at once, as a hit, with an object of a fixed size.
 
-use crate::settings::{Listed, Tier};
+use crate::settings::{ListedServer, Tier};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -10,42 +10,42 @@
 
 const OBJECT_BYTES: usize = 2_000;
 
-/// What has come to them all.
+/// Connections and requests that all stand-ins have received.
 #[derive(Default)]
 pub struct Counts {
     pub connections: Cell<u64>,
     pub requests: Cell<u64>,
 }
 
-fn add(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-/// Listens for each server, until the set of tasks is dropped.
+/// Starts a listener for each server. They stop when the returned task set is dropped.
 ///
 /// # Errors
-/// An address can't be bound, for instance for want of descriptors.
-pub async fn listen(servers: &[Listed], counts: &Rc<Counts>) -> Result<JoinSet<()>, String> {
-    let mut listening = JoinSet::new();
+/// An address can't be bound, for example because the process is out of descriptors.
+pub async fn listen(servers: &[ListedServer], counts: &Rc<Counts>) -> Result<JoinSet<()>, String> {
+    let mut listeners = JoinSet::new();
     for server in servers {
         let bound = TcpListener::bind(server.address).await;
         let listener = bound.map_err(|e| format!("{}: {e}", server.address))?;
         let tier = server.tier;
         let counts = counts.clone();
-        listening.spawn_local(async move {
+        listeners.spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // What is counted and bounded: connections to cache servers.
+                // The bound applies to connections to cache servers only.
                 if tier == Tier::Cache {
-                    add(&counts.connections);
+                    increment(&counts.connections);
                 }
                 spawn_local(serve(stream, counts.clone()));
             }
         });
     }
-    Ok(listening)
+    Ok(listeners)
 }
 
-/// One connection, until the router closes it.
+/// Serves a connection until the router closes it.
 async fn serve(stream: TcpStream, counts: Rc<Counts>) {
     let _ = stream.set_nodelay(true);
     let (reader, mut writer) = stream.into_split();
@@ -69,7 +69,7 @@
         if reader.read_exact(&mut body).await.is_err() {
             return;
         }
-        add(&counts.requests);
+        increment(&counts.requests);
         let mut answer =
             format!("{id} OK tell=hit,etag=4be0c1927d55a6f3,made=1 {OBJECT_BYTES}\r\n")
                 .into_bytes();
--- a/crates/cli/src/bin/proof-fleet-size/main.rs
+++ b/crates/cli/src/bin/proof-fleet-size/main.rs
@@ -1,6 +1,7 @@
-//! Proves that what a router needs does not grow with the number of cache servers: real routers on loopback
-//! between stand-ins, at a usual size and at sixteen times the cache servers, with the same traffic a router.
-//! Ends on one line of measured figures; non-zero where one passes its bound, with its name.
+//! Checks that a router's resource use does not grow with the number of cache servers. Runs router processes on
+//! loopback between stand-ins, at a base size and with sixteen times as many cache servers, with the same traffic
+//! per router. Prints one line of measured figures at the end. Where a figure exceeds its bound, the line names it
+//! and the exit code is not zero.
 
 mod bounds;
 mod cache_servers;
@@ -10,40 +11,40 @@
 mod traffic;
 mod usage;
 
-use bounds::{Growth, exceeded, line};
+use bounds::{Growth, format_figures, violations};
 use chalkhall_cli::fleet::program;
 use chalkhall_harness::children::Program;
 use clap::Parser;
-use scenario::{Day, Figures, Scenario, Size};
+use scenario::{Conditions, Figures, Scenario, Size};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Proves that a router's needs do not grow with the fleet
+/// Checks that a router's resource use does not grow with the fleet of cache servers
 #[derive(Parser)]
 struct Arguments {
-    /// Any seed must hold
+    /// Seed of all random draws; the bounds must hold with any
     #[arg(long, env = "SEED", default_value_t = 1)]
     seed: u64,
-    /// Cache servers at the usual size
+    /// Cache servers at the base size
     #[arg(long, default_value_t = 200)]
     cache_servers: usize,
-    /// How many times as many the larger fleet has
+    /// Cache servers at the larger size, as a multiple of the base size
     #[arg(long, default_value_t = 16)]
     times: usize,
     /// Routers measured at each size
     #[arg(long, default_value_t = 4)]
     routers: usize,
-    /// Requests a second of a router, in the mean
+    /// Mean number of requests per second and router
     #[arg(long, default_value_t = 2.0)]
     rate: f64,
-    /// Length of the day
+    /// Length of a scenario
     #[arg(long, default_value_t = 80.0)]
     seconds: f64,
-    /// Another router than the one in `chalkhall`, to compare with
+    /// Router program to run instead of the one in `chalkhall`, for comparison
     #[arg(long)]
     router: Option<PathBuf>,
-    /// Only what is counted decides: no bound on CPU time
+    /// Check only figures that are counted: apply no bound to CPU time
     #[arg(long)]
     counted_only: bool,
 }
@@ -56,15 +57,15 @@
         }
     }
 
-    fn scenario(&self, times: usize, day: Day) -> Scenario {
-        let seconds = if day == Day::AllRefusing {
+    fn scenario(&self, times: usize, conditions: Conditions) -> Scenario {
+        let seconds = if conditions == Conditions::AllRefusing {
             self.seconds / 4.0
         } else {
             self.seconds
         };
         Scenario {
             size: self.size(times),
-            day,
+            conditions,
             seed: self.seed,
             routers: self.routers,
             rate: self.rate,
@@ -73,37 +74,41 @@
     }
 }
 
-/// Both sizes at the same time, so that both find the machine equally busy.
-async fn both_sizes(arguments: &Arguments, program: &Program, day: Day) -> Result<Growth, String> {
-    let usual = arguments.scenario(1, day);
-    let larger = arguments.scenario(arguments.times, day);
-    let played = tokio::join!(
-        scenario::play(program, &usual),
-        scenario::play(program, &larger)
+/// Runs both sizes at the same time, so that other work on the machine affects both equally.
+async fn run_both_sizes(
+    arguments: &Arguments,
+    program: &Program,
+    conditions: Conditions,
+) -> Result<Growth, String> {
+    let base = arguments.scenario(1, conditions);
+    let larger = arguments.scenario(arguments.times, conditions);
+    let outcomes = tokio::join!(
+        scenario::run(program, &base),
+        scenario::run(program, &larger)
     );
-    let (usual, larger): (Figures, Figures) = (played.0?, played.1?);
+    let (base, larger): (Figures, Figures) = (outcomes.0?, outcomes.1?);
     let cache_servers = arguments.cache_servers * arguments.times;
     Ok(Growth {
-        usual,
+        base,
         larger,
         cache_servers,
     })
 }
 
 async fn prove(arguments: &Arguments) -> Result<(String, Vec<String>), String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
+    let executable = std::env::current_exe().map_err(|e| e.to_string())?;
     let program = program(
-        &own.with_file_name("chalkhall"),
+        &executable.with_file_name("chalkhall"),
         arguments.router.as_deref(),
     );
-    let mut shown = Vec::new();
-    let mut short = Vec::new();
-    for day in [Day::Usual, Day::AllRefusing] {
-        let growth = both_sizes(arguments, &program, day).await?;
-        shown.push(line(day, &growth));
-        short.extend(exceeded(day, &growth, arguments.counted_only));
+    let mut figures = Vec::new();
+    let mut exceeded = Vec::new();
+    for conditions in [Conditions::Normal, Conditions::AllRefusing] {
+        let growth = run_both_sizes(arguments, &program, conditions).await?;
+        figures.push(format_figures(conditions, &growth));
+        exceeded.extend(violations(conditions, &growth, arguments.counted_only));
     }
-    Ok((shown.join(" "), short))
+    Ok((figures.join(" "), exceeded))
 }
 
 fn main() -> ExitCode {
@@ -111,24 +116,24 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let proved = runtime
+    let outcome = runtime
         .map_err(|e| e.to_string())
         .and_then(|runtime| tokio::task::LocalSet::new().block_on(&runtime, prove(&arguments)));
-    match proved {
-        Ok((line, short)) if short.is_empty() => {
+    match outcome {
+        Ok((line, exceeded)) if exceeded.is_empty() => {
             println!("proof-fleet-size: ok seed={} {line}", arguments.seed);
             ExitCode::SUCCESS
         }
-        Ok((line, short)) => {
+        Ok((line, exceeded)) => {
             println!(
                 "proof-fleet-size: falls short: {}: seed={} {line}",
-                short.join("; "),
+                exceeded.join("; "),
                 arguments.seed
             );
             ExitCode::FAILURE
         }
-        Err(what) => {
-            println!("proof-fleet-size: could not be played: {what}");
+        Err(reason) => {
+            println!("proof-fleet-size: could not run: {reason}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/bin/proof-fleet-size/settings.rs
+++ b/crates/cli/src/bin/proof-fleet-size/settings.rs
@@ -1,4 +1,4 @@
-//! Names, addresses and the configuration of the routers of one size.
+//! Names, addresses and router configurations at one size.
 
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -6,52 +6,58 @@
 
 pub const ZONES: usize = 4;
 pub const PARENTS: usize = 4;
-/// Routers of the whole tier at the usual size and at the larger one, of which only some are started; and
-/// what all cache servers together can do, for each router of the tier.
-const TIER: [usize; 2] = [300, 900];
-const CAPACITY_EACH_ROUTER: f64 = 8.0 / 3.0;
+/// Routers of the whole tier at the base size and at the larger size. Only some of them are started.
+const TIER_ROUTERS: [usize; 2] = [300, 900];
+/// Capacity of all cache servers together, for each router of the tier.
+const CAPACITY_PER_ROUTER: f64 = 8.0 / 3.0;
 const PORT: u16 = 6050;
-/// Where nobody listens.
+/// A port at which nothing listens.
 const CLOSED_PORT: u16 = 6049;
 
-/// A block of the loopback range that no other run on this machine uses, held by a listener.
-pub struct Block {
-    number: u8,
-    _held: TcpListener,
+/// A block of the loopback range that no other run on this machine uses, reserved by a listener.
+pub struct AddressBlock {
+    second_octet: u8,
+    _lock: TcpListener,
 }
 
-impl Block {
+impl AddressBlock {
+    /// Reserves a block, starting at one derived from the process id.
+    ///
     /// # Errors
-    /// All blocks are taken.
-    pub fn take() -> Result<Block, String> {
+    /// All blocks are in use.
+    pub fn reserve() -> Result<AddressBlock, String> {
         let first = std::process::id() % 40;
         for n in 0..40 {
-            let number = 160 + ((first + n) % 40) as u8;
-            if let Ok(held) = TcpListener::bind((Ipv4Addr::new(127, number, 255, 254), PORT)) {
-                return Ok(Block {
-                    number,
-                    _held: held,
+            let second_octet = 160 + ((first + n) % 40) as u8;
+            if let Ok(lock) = TcpListener::bind((Ipv4Addr::new(127, second_octet, 255, 254), PORT))
+            {
+                return Ok(AddressBlock {
+                    second_octet,
+                    _lock: lock,
                 });
             }
         }
         Err("no block of the loopback range is free".into())
     }
 
-    fn address(&self, third: u8, place: usize, port: u16) -> SocketAddr {
-        let [.., high, low] = (place as u32).to_be_bytes();
-        SocketAddr::from((Ipv4Addr::new(127, self.number, third + high, low), port))
+    fn address(&self, third_octet: u8, index: usize, port: u16) -> SocketAddr {
+        let [.., high, low] = (index as u32).to_be_bytes();
+        SocketAddr::from((
+            Ipv4Addr::new(127, self.second_octet, third_octet + high, low),
+            port,
+        ))
     }
 
-    pub fn cache_server(&self, place: usize) -> SocketAddr {
-        self.address(0, place, PORT)
+    pub fn cache_server(&self, index: usize) -> SocketAddr {
+        self.address(0, index, PORT)
     }
 
-    pub fn router(&self, place: usize) -> SocketAddr {
-        self.address(200, place, PORT)
+    pub fn router(&self, index: usize) -> SocketAddr {
+        self.address(200, index, PORT)
     }
 
-    pub fn discovery(&self, place: usize) -> SocketAddr {
-        self.address(210, place, PORT)
+    pub fn discovery(&self, index: usize) -> SocketAddr {
+        self.address(210, index, PORT)
     }
 }
 
@@ -62,9 +68,9 @@
     Origin,
 }
 
-/// A server as discovery tells of it.
+/// A server as discovery lists it.
 #[derive(Clone)]
-pub struct Listed {
+pub struct ListedServer {
     pub name: String,
     pub address: SocketAddr,
     pub tier: Tier,
@@ -73,7 +79,7 @@
     pub born_ms: u64,
 }
 
-impl Listed {
+impl ListedServer {
     pub fn entry(&self, health: &str) -> Value {
         let (site, class) = match self.tier {
             Tier::Cache => (format!("z{}", self.zone), "cache"),
@@ -84,8 +90,8 @@
             "block": 0, "health": health, "share": self.capacity, "born_ms": self.born_ms})
     }
 
-    /// The same, at an address at which connections are refused.
-    pub fn refusing(mut self) -> Listed {
+    /// The same server, at a port at which connections are refused.
+    pub fn refusing(mut self) -> ListedServer {
         self.address.set_port(CLOSED_PORT);
         self
     }
@@ -97,13 +103,13 @@
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-fn tier_size(larger: bool) -> usize {
-    TIER[usize::from(larger)]
+fn tier_routers(larger: bool) -> usize {
+    TIER_ROUTERS[usize::from(larger)]
 }
 
 /// All servers: cache servers spread over the zones, parents and the origin.
-pub fn servers(block: &Block, cache_servers: usize, larger: bool) -> Vec<Listed> {
-    let capacity = CAPACITY_EACH_ROUTER * tier_size(larger) as f64 / cache_servers as f64;
+pub fn servers(block: &AddressBlock, cache_servers: usize, larger: bool) -> Vec<ListedServer> {
+    let capacity = CAPACITY_PER_ROUTER * tier_routers(larger) as f64 / cache_servers as f64;
     let cache = |n: usize| (format!("c-{n:05}"), Tier::Cache, n % ZONES, capacity);
     let parent = |n: usize| (format!("p-{n}"), Tier::Parent, 0, 100.0);
     let origin = ("o-0".to_owned(), Tier::Origin, 0, 400.0);
@@ -113,9 +119,9 @@
         .chain([origin]);
     let listed = all
         .enumerate()
-        .map(|(place, (name, tier, zone, capacity))| {
-            let address = block.cache_server(place);
-            Listed {
+        .map(|(index, (name, tier, zone, capacity))| {
+            let address = block.cache_server(index);
+            ListedServer {
                 name,
                 address,
                 tier,
@@ -132,18 +138,18 @@
         "HardLimit": 3000, "Worth": 1, "LateWorth": 0.1, "Stream": false})
 }
 
-/// The settings of the site.
+/// The site's settings.
 fn settings(router: usize, larger: bool) -> Value {
     let zones: Vec<String> = (0..ZONES)
         .map(|n| format!("z{n}"))
         .chain(["hub".to_owned()])
         .collect();
-    let tier = tier_size(larger);
-    let crews: Vec<usize> = [tier / ZONES; ZONES].into_iter().chain([0]).collect();
+    let tier = tier_routers(larger);
+    let routers_by_zone: Vec<usize> = [tier / ZONES; ZONES].into_iter().chain([0]).collect();
     json!({
         "Classes": [class("page", "pure"), class("confirm", "side_effect")],
         "FamilyInfo": {"ClassFresh": [12000, 0], "ClassWrite": [false, true], "ClientKbPerS": 8800,
-            "CrewByZone": crews, "HomeHub": vec![ZONES; ZONES + 1], "ObeyAfter": 500, "PassThroughOk": true,
+            "CrewByZone": routers_by_zone, "HomeHub": vec![ZONES; ZONES + 1], "ObeyAfter": 500, "PassThroughOk": true,
             "ParentFloor": 0.1, "ParentRamp": 20000, "ParentFallMultiple": 2, "PurgeDone": 6000,
             "Says": "all", "ShieldKind": 1, "SourceKind": 2},
         "Granularity": 2, "Kinds": ["cache", "parent", "origin"],
@@ -155,13 +161,13 @@
             "TipMultiple": 2, "WarmWithin": 17000}})
 }
 
-/// A router's configuration, with the whole list as the first event.
+/// A router's configuration, with the whole endpoint list as the first event.
 pub fn configuration(
-    block: &Block,
+    block: &AddressBlock,
     router: usize,
     larger: bool,
     seed: u64,
-    listed: &[Listed],
+    listed: &[ListedServer],
 ) -> Value {
     let entries: Vec<Value> = listed.iter().map(|server| server.entry("active")).collect();
     let first = json!({"rev": 1, "pool": {"seq": 1, "whole": true, "hosts": entries}});
--- a/crates/cli/src/bin/proof-fleet-size/traffic.rs
+++ b/crates/cli/src/bin/proof-fleet-size/traffic.rs
@@ -1,4 +1,4 @@
-//! A router's clients: requests at random times, for objects of which few are wanted often.
+//! A router's clients: requests at random times, mostly for a few popular objects.
 
 use chalkhall_harness::wire;
 use std::cell::Cell;
@@ -13,46 +13,46 @@
 
 const CONNECTIONS: usize = 4;
 const OBJECTS: usize = 4_000;
-/// How steeply wishes fall with the place of an object.
-const ZIPF: f64 = 0.9;
-/// Share of the requests that must not run twice and go to the origin.
-const CONFIRMS: f64 = 0.1;
-const PATIENCE_MS: u64 = 2_500;
-const READY_WITHIN: Duration = Duration::from_secs(60);
-
-/// What was asked, and what was served of it.
+/// Exponent by which an object's popularity falls with its rank.
+const ZIPF_EXPONENT: f64 = 0.9;
+/// Share of the requests that have a side effect: they go to the origin and must not run twice.
+const SIDE_EFFECT_SHARE: f64 = 0.1;
+const DEADLINE_MS: u64 = 2_500;
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// The number of requests sent, and of those served.
 #[derive(Default)]
-pub struct Asked {
+pub struct RequestCounts {
     pub requests: Cell<u64>,
     pub served: Cell<u64>,
 }
 
-/// Draws objects by how much they are wanted.
-struct Wishes {
-    chance: fastrand::Rng,
-    sums: Vec<f64>,
+/// Draws objects by popularity, and the pauses between requests.
+struct RequestSampler {
+    rng: fastrand::Rng,
+    cumulative_weights: Vec<f64>,
 }
 
-impl Wishes {
-    fn new(seed: u64) -> Wishes {
+impl RequestSampler {
+    fn new(seed: u64) -> RequestSampler {
         let mut sum = 0.0;
-        let sums = (1..=OBJECTS).map(|place| {
-            sum += (place as f64).powf(-ZIPF);
+        let cumulative_weights = (1..=OBJECTS).map(|rank| {
+            sum += (rank as f64).powf(-ZIPF_EXPONENT);
             sum
         });
-        Wishes {
-            sums: sums.collect(),
-            chance: fastrand::Rng::with_seed(seed),
+        RequestSampler {
+            cumulative_weights: cumulative_weights.collect(),
+            rng: fastrand::Rng::with_seed(seed),
         }
     }
 
     fn object(&mut self) -> u64 {
-        let drawn = self.chance.f64() * self.sums.last().copied().unwrap_or_default();
-        self.sums.partition_point(|sum| *sum < drawn) as u64 + 1
+        let drawn = self.rng.f64() * self.cumulative_weights.last().copied().unwrap_or_default();
+        self.cumulative_weights.partition_point(|sum| *sum < drawn) as u64 + 1
     }
 
     fn pause(&mut self, rate: f64) -> Duration {
-        Duration::from_secs_f64(-(1.0 - self.chance.f64()).ln() / rate)
+        Duration::from_secs_f64(-(1.0 - self.rng.f64()).ln() / rate)
     }
 }
 
@@ -64,55 +64,56 @@
     text.into_bytes()
 }
 
-/// Waits until the router says that it serves.
+/// Waits until the router's health check answers that it takes requests.
 ///
 /// # Errors
-/// It does not in time.
-pub async fn ready(router: SocketAddr) -> Result<(), String> {
+/// It is not ready in time.
+pub async fn wait_until_ready(router: SocketAddr) -> Result<(), String> {
     let green = async {
         while !wire::green(router).await {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(READY_WITHIN, green)
+    timeout(READY_TIMEOUT, green)
         .await
-        .map_err(|_| format!("{router} does not serve"))
+        .map_err(|_| format!("{router} was not ready within 60 s"))
 }
 
-/// The answers of one connection, until it ends.
-async fn answers(reader: OwnedReadHalf, asked: Rc<Asked>) {
+/// Counts the answers on one connection until it ends.
+async fn count_answers(reader: OwnedReadHalf, counts: Rc<RequestCounts>) {
     let mut reader = BufReader::new(reader);
-    while let Some(served) = answer(&mut reader).await {
-        asked.served.set(asked.served.get() + u64::from(served));
+    while let Some(served) = read_answer(&mut reader).await {
+        counts.served.set(counts.served.get() + u64::from(served));
     }
 }
 
-/// Whether the next answer is one that serves; none: there is none.
-async fn answer(reader: &mut BufReader<OwnedReadHalf>) -> Option<bool> {
-    let parts = length(reader, '*').await?;
+/// Whether the next answer is `ACK`; none at the end of the connection.
+async fn read_answer(reader: &mut BufReader<OwnedReadHalf>) -> Option<bool> {
+    let parts = read_length(reader, '*').await?;
     let mut served = false;
-    for place in 0..parts {
-        let mut part = vec![0; length(reader, '$').await? + 2];
+    for index in 0..parts {
+        let mut part = vec![0; read_length(reader, '$').await? + 2];
         reader.read_exact(&mut part).await.ok()?;
-        served |= place == 1 && part == b"ACK\r\n";
+        served |= index == 1 && part == b"ACK\r\n";
     }
     Some(served)
 }
 
-async fn length(reader: &mut BufReader<OwnedReadHalf>, sign: char) -> Option<usize> {
+async fn read_length(reader: &mut BufReader<OwnedReadHalf>, prefix: char) -> Option<usize> {
     let mut line = String::new();
     reader.read_line(&mut line).await.ok()?;
-    line.trim_end().strip_prefix(sign)?.parse().ok()
+    line.trim_end().strip_prefix(prefix)?.parse().ok()
 }
 
-/// One connection of a client, made anew where the router has closed it: it may, with no request open.
+/// A connection of a client. The client reconnects when the router has closed it, which it may do while no request is
+/// open.
 struct Connection {
     writer: OwnedWriteHalf,
     reader: JoinHandle<()>,
 }
 
 impl Connection {
-    async fn open(router: SocketAddr, asked: &Rc<Asked>) -> Result<Connection, String> {
+    async fn open(router: SocketAddr, counts: &Rc<RequestCounts>) -> Result<Connection, String> {
         let stream = TcpStream::connect(router)
             .await
             .map_err(|e| format!("{router}: {e}"))?;
@@ -122,65 +123,65 @@
         let (reader, writer) = stream.into_split();
         Ok(Connection {
             writer,
-            reader: spawn_local(answers(reader, asked.clone())),
+            reader: spawn_local(count_answers(reader, counts.clone())),
         })
     }
 
-    /// False: the router has closed it.
+    /// Returns false if the router has closed the connection.
     async fn send(&mut self, request: &[u8]) -> bool {
         !self.reader.is_finished() && self.writer.write_all(request).await.is_ok()
     }
 }
 
-/// Clients of one router, for as long as the day lasts and all answers need to come.
+/// Runs the clients of one router for `length`, and then waits until all requests are past their deadlines.
 ///
 /// # Errors
-/// The router takes no connection.
-pub async fn play(
+/// The router accepts no connection.
+pub async fn run(
     router: SocketAddr,
     seed: u64,
     rate: f64,
     length: Duration,
-    asked: Rc<Asked>,
+    counts: Rc<RequestCounts>,
 ) -> Result<(), String> {
     let mut connections = Vec::new();
     for _ in 0..CONNECTIONS {
-        connections.push(Connection::open(router, &asked).await?);
+        connections.push(Connection::open(router, &counts).await?);
     }
-    let mut wishes = Wishes::new(seed);
+    let mut sampler = RequestSampler::new(seed);
     let end = Instant::now() + length;
     let mut at = Instant::now();
     for tag in 1.. {
-        at += wishes.pause(rate);
+        at += sampler.pause(rate);
         if at >= end {
             break;
         }
         sleep_until(at).await;
-        let request = request(&mut wishes, seed, tag);
+        let request = request(&mut sampler, seed, tag);
         let connection = &mut connections[tag as usize % CONNECTIONS];
         if !connection.send(&request).await {
-            *connection = Connection::open(router, &asked).await?;
+            *connection = Connection::open(router, &counts).await?;
             connection.send(&request).await;
         }
-        asked.requests.set(asked.requests.get() + 1);
+        counts.requests.set(counts.requests.get() + 1);
     }
-    sleep(Duration::from_millis(PATIENCE_MS)).await;
+    sleep(Duration::from_millis(DEADLINE_MS)).await;
     connections
         .iter()
         .for_each(|connection| connection.reader.abort());
     Ok(())
 }
 
-fn request(wishes: &mut Wishes, seed: u64, tag: u64) -> Vec<u8> {
-    let object = wishes.object();
-    let class = if wishes.chance.f64() < CONFIRMS {
+fn request(sampler: &mut RequestSampler, seed: u64, tag: u64) -> Vec<u8> {
+    let object = sampler.object();
+    let class = if sampler.rng.f64() < SIDE_EFFECT_SHARE {
         "confirm"
     } else {
         "page"
     };
     let id = (seed << 32).wrapping_add(tag);
     let fields = format!(
-        "i={id:016x},d={PATIENCE_MS},o={object:016x},lot={},m=64",
+        "i={id:016x},d={DEADLINE_MS},o={object:016x},lot={},m=64",
         object % 256
     );
     frame(&["REQ", &tag.to_string(), class, &fields, ""])
--- a/crates/cli/src/bin/proof-fleet-size/usage.rs
+++ b/crates/cli/src/bin/proof-fleet-size/usage.rs
@@ -1,11 +1,11 @@
-//! What the system says that a process uses.
+//! Resource use of a process, as the system reports it.
 
 use std::fs;
 
-/// Nanoseconds of processor time of all threads that there are.
+/// Seconds of processor time of all threads that exist now.
 ///
 /// # Errors
-/// The process is not there, or the system does not count it.
+/// The process does not exist.
 pub fn cpu_seconds(process: u32) -> Result<f64, String> {
     let path = format!("/proc/{process}/task");
     let threads = fs::read_dir(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -21,10 +21,10 @@
     Ok(nanoseconds as f64 / 1e9)
 }
 
-/// A figure of `/proc/PID/status` that is told in KB, in MB.
+/// A memory figure of `/proc/PID/status`, converted from KB to MB.
 ///
 /// # Errors
-/// The process is not there, or the figure is not.
+/// The process does not exist, or the figure is missing.
 pub fn memory_mb(process: u32, figure: &str) -> Result<f64, String> {
     let path = format!("/proc/{process}/status");
     let text = fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -36,7 +36,7 @@
         .ok_or_else(|| format!("{path}: no {figure}"))
 }
 
-/// Descriptors that it holds now; none where it has ended.
+/// Descriptors that a process holds now; 0 if it has exited.
 pub fn descriptors(process: u32) -> usize {
     fs::read_dir(format!("/proc/{process}/fd")).map_or(0, Iterator::count)
 }
