--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,9 +1,8 @@
-//! Which background work goes next, and when none may: a scheduler without I/O, threads or clock.
+//! A scheduler for background work, without I/O, threads or a clock of its own.
 //!
-//! Work comes in kinds. Each kind has a priority, budgets (bytes, operations and time of a core, each as a
-//! rate with a purse), a deadline after which waiting work counts as urgent, and a bound after which it goes
-//! even if all else says no: nothing starves. While the program's own turns come late, only what has passed
-//! that bound goes.
+//! Work comes in kinds. Each kind has a priority, token-bucket budgets (bytes, operations and core seconds), a
+//! deadline after which a waiting task counts as overdue, and a starvation limit after which it runs even
+//! past its budgets. While the program's event loop is delayed, only tasks past their starvation limit run.
 //!
 //! ```
 //! use chalkhall_scheduler::{Cost, Kind, Rate, Scheduler};
@@ -15,47 +14,47 @@
 //! work.offer(s(0), 0, Cost { bytes: 800.0, ..Cost::default() });
 //! work.offer(s(0), 0, Cost { bytes: 800.0, ..Cost::default() });
 //! assert_eq!(work.next(s(0)), Some(0));
-//! assert_eq!(work.next(s(0)), None, "its purse is spent");
+//! assert_eq!(work.next(s(0)), None, "the token bucket is empty");
 //! assert_eq!(work.next(s(1)), Some(0));
 //! ```
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Waiting work of one kind; what is offered past it is refused.
-const WAITING_MOST: usize = 4096;
-/// The delay of turns is averaged over about so many.
-const DELAY_MOVES: f64 = 1.0 / 8.0;
-/// A word of the delay that is older than this counts for nothing: who says nothing is not late.
-const DELAY_HOLDS: Duration = Duration::from_secs(1);
-/// Once paused, work goes on when turns come this much earlier than what paused it.
-const RESUME: f64 = 0.5;
-/// What a piece of one priority gets before one of the next lower, where both wait.
-const PRIORITY_STEP: f64 = 4.0;
+/// Maximum number of waiting tasks of one kind; further offers are refused.
+const MAX_WAITING: usize = 4096;
+/// Weight of a new sample in the moving average of the event loop's delay.
+const DELAY_SMOOTHING: f64 = 1.0 / 8.0;
+/// A delay sample older than this is ignored: a loop that reports no delay is not considered delayed.
+const DELAY_MAX_AGE: Duration = Duration::from_secs(1);
+/// Paused work resumes once the average delay falls below this fraction of the limit (hysteresis).
+const RESUME_FRACTION: f64 = 0.5;
+/// Ratio of the shares of two adjacent priorities while both have waiting tasks.
+const WEIGHT_PER_PRIORITY: f64 = 4.0;
 
-/// So much a second, saved up for `purse` seconds at the most.
+/// A token-bucket rate: `a_second` tokens per second, with a capacity of `burst_seconds` of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
     pub a_second: f64,
-    pub purse: f64,
+    pub burst_seconds: f64,
 }
 
 impl Rate {
-    /// With a purse of one second.
+    /// A rate whose bucket holds one second's worth of tokens.
     pub fn a_second(a_second: f64) -> Rate {
         Rate {
             a_second,
-            purse: 1.0,
+            burst_seconds: 1.0,
         }
     }
 }
 
-/// What a piece of work takes; as offered it is a guess, as done it is what it took.
+/// The cost of a task: an estimate when it is offered, the actual cost when it completes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     pub bytes: f64,
     pub operations: f64,
-    /// Seconds of a core.
+    /// Core seconds.
     pub core: f64,
 }
 
@@ -63,17 +62,17 @@
 #[derive(Clone, Debug)]
 pub struct Kind {
     pub name: &'static str,
-    /// 0 goes last. Each step up is worth four times as much of what all share.
+    /// 0 is the lowest. Each step up quadruples the kind's share of the scheduled tasks.
     pub priority: u8,
-    /// None: no bound.
+    /// `None`: unlimited.
     pub bytes: Option<Rate>,
     pub operations: Option<Rate>,
     pub core: Option<Rate>,
-    /// Work that has waited so long goes before what has not, whatever its priority.
+    /// A task that has waited this long runs before tasks that have not, whatever their priority.
     pub deadline: Duration,
-    /// Work that has waited so long goes even past its budget and while turns come late.
+    /// A task that has waited this long runs even past its budgets and while work is paused.
     pub starves: Duration,
-    /// Pieces of it under way at once.
+    /// Maximum number of tasks of this kind in flight.
     pub at_once: usize,
 }
 
@@ -92,247 +91,263 @@
     }
 }
 
-struct Purse {
+struct TokenBucket {
     rate: Rate,
-    held: f64,
+    tokens: f64,
 }
 
-impl Purse {
-    fn new(rate: Rate) -> Purse {
-        Purse {
+impl TokenBucket {
+    fn new(rate: Rate) -> TokenBucket {
+        TokenBucket {
             rate,
-            held: rate.a_second * rate.purse,
+            tokens: rate.a_second * rate.burst_seconds,
         }
     }
 
-    fn fill(&mut self, seconds: f64) {
-        let most = self.rate.a_second * self.rate.purse;
-        self.held = (self.held + self.rate.a_second * seconds).min(most);
+    fn refill(&mut self, seconds: f64) {
+        let capacity = self.rate.a_second * self.rate.burst_seconds;
+        self.tokens = (self.tokens + self.rate.a_second * seconds).min(capacity);
     }
 
-    /// One that costs more than a full purse goes when the purse is full; the debt is paid off after.
-    fn affords(&self, cost: f64) -> bool {
-        self.held >= cost.min(self.rate.a_second * self.rate.purse) - 1e-9
+    /// A task that costs more than the capacity runs when the bucket is full and leaves it in debt.
+    fn can_afford(&self, cost: f64) -> bool {
+        self.tokens >= cost.min(self.rate.a_second * self.rate.burst_seconds) - 1e-9
     }
 }
 
-/// What a kind has done so far.
+/// Counters of one kind of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Done {
     pub pieces: u64,
     pub bytes: f64,
     pub core: f64,
-    /// Pieces that went past their deadline, and past the bound on waiting.
+    /// Tasks that started past their deadline, and past their starvation limit.
     pub late: u64,
     pub starved: u64,
     pub refused: u64,
 }
 
-struct Row {
+struct Queue {
     kind: Kind,
-    purses: [Option<Purse>; 3],
+    buckets: [Option<TokenBucket>; 3],
     waiting: VecDeque<(Duration, Cost)>,
-    /// Costs of the pieces under way, as they were guessed, oldest first.
-    out: VecDeque<Cost>,
-    /// How much it has had of what all share, over its weight.
-    served: f64,
+    /// Estimated costs of the tasks in flight, oldest first.
+    in_flight: VecDeque<Cost>,
+    /// Number of tasks started, divided by the kind's weight (the virtual time of fair queueing).
+    weighted_service: f64,
     done: Done,
 }
 
-impl Row {
+impl Queue {
     fn weight(&self) -> f64 {
-        PRIORITY_STEP.powi(i32::from(self.kind.priority))
+        WEIGHT_PER_PRIORITY.powi(i32::from(self.kind.priority))
     }
 
-    fn affords(&self, cost: &Cost) -> bool {
+    fn can_afford(&self, cost: &Cost) -> bool {
         let costs = [cost.bytes, cost.operations, cost.core];
-        self.purses
+        self.buckets
             .iter()
             .zip(costs)
-            .all(|(purse, cost)| purse.as_ref().is_none_or(|p| p.affords(cost)))
+            .all(|(bucket, cost)| bucket.as_ref().is_none_or(|p| p.can_afford(cost)))
     }
 
-    fn pay(&mut self, cost: &Cost, sign: f64) {
+    fn charge(&mut self, cost: &Cost, sign: f64) {
         let costs = [cost.bytes, cost.operations, cost.core];
-        for (purse, cost) in self.purses.iter_mut().zip(costs) {
-            if let Some(purse) = purse {
-                purse.held -= cost * sign;
+        for (bucket, cost) in self.buckets.iter_mut().zip(costs) {
+            if let Some(bucket) = bucket {
+                bucket.tokens -= cost * sign;
             }
         }
     }
 }
 
-/// How urgent the oldest waiting piece of a kind is.
+/// How urgent the oldest waiting task of a kind is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    Usual,
-    Late,
+    Normal,
+    Overdue,
     Starved,
 }
 
 pub struct Scheduler {
-    rows: Vec<Row>,
-    filled: Duration,
-    /// Turns that come later than this pause all that can wait.
-    late_over: Duration,
-    delay: (Duration, f64),
+    queues: Vec<Queue>,
+    refilled_at: Duration,
+    /// An average event-loop delay above this pauses all work that is not starved.
+    max_loop_delay: Duration,
+    loop_delay: (Duration, f64),
     paused: bool,
 }
 
 impl Scheduler {
-    /// Kinds are numbered as they stand here. `late_over`: the delay of the program's own turns that pauses
-    /// work.
-    pub fn new(kinds: Vec<Kind>, late_over: Duration) -> Scheduler {
-        let row = |kind: Kind| Row {
-            purses: [kind.bytes, kind.operations, kind.core].map(|rate| rate.map(Purse::new)),
+    /// Creates a scheduler whose kinds are numbered by their position in `kinds`. `max_loop_delay`: the average
+    /// event-loop delay above which work pauses.
+    pub fn new(kinds: Vec<Kind>, max_loop_delay: Duration) -> Scheduler {
+        let queue = |kind: Kind| Queue {
+            buckets: [kind.bytes, kind.operations, kind.core]
+                .map(|rate| rate.map(TokenBucket::new)),
             kind,
             waiting: VecDeque::new(),
-            out: VecDeque::new(),
-            served: 0.0,
+            in_flight: VecDeque::new(),
+            weighted_service: 0.0,
             done: Done::default(),
         };
-        let rows = kinds.into_iter().map(row).collect();
+        let queues = kinds.into_iter().map(queue).collect();
         Scheduler {
-            rows,
-            filled: Duration::ZERO,
-            late_over,
-            delay: (Duration::ZERO, 0.0),
+            queues,
+            refilled_at: Duration::ZERO,
+            max_loop_delay,
+            loop_delay: (Duration::ZERO, 0.0),
             paused: false,
         }
     }
 
-    /// A turn of the program came so much later than it was due.
+    /// Records that an iteration of the event loop started `late` after it was due.
     pub fn turn(&mut self, now: Duration, late: Duration) {
-        let mean = self.delay.1 + (late.as_secs_f64() - self.delay.1) * DELAY_MOVES;
-        self.delay = (now, mean);
-        let bound = self.late_over.as_secs_f64();
-        self.paused = mean > if self.paused { bound * RESUME } else { bound };
+        let mean = self.loop_delay.1 + (late.as_secs_f64() - self.loop_delay.1) * DELAY_SMOOTHING;
+        self.loop_delay = (now, mean);
+        let limit = self.max_loop_delay.as_secs_f64();
+        self.paused = mean
+            > if self.paused {
+                limit * RESUME_FRACTION
+            } else {
+                limit
+            };
     }
 
-    /// Whether work is held back for the program's own turns.
+    /// Whether work is paused because the event loop is delayed.
     pub fn is_paused(&self, now: Duration) -> bool {
-        self.paused && now < self.delay.0 + DELAY_HOLDS
+        self.paused && now < self.loop_delay.0 + DELAY_MAX_AGE
     }
 
-    /// A piece of work of a kind waits from now on. False: too many do already.
+    /// Queues a task. Returns false if the kind is unknown or its queue is full.
     pub fn offer(&mut self, now: Duration, kind: usize, cost: Cost) -> bool {
-        let Some(row) = self.rows.get_mut(kind) else {
+        let Some(queue) = self.queues.get_mut(kind) else {
             return false;
         };
-        if row.waiting.len() >= WAITING_MOST {
-            row.done.refused += 1;
+        if queue.waiting.len() >= MAX_WAITING {
+            queue.done.refused += 1;
             return false;
         }
-        row.waiting.push_back((now, cost));
+        queue.waiting.push_back((now, cost));
         true
     }
 
-    /// Pieces of a kind that wait, and that are under way.
+    /// Number of waiting tasks and of tasks in flight of a kind.
     pub fn held(&self, kind: usize) -> (usize, usize) {
-        self.rows
+        self.queues
             .get(kind)
-            .map_or((0, 0), |row| (row.waiting.len(), row.out.len()))
+            .map_or((0, 0), |queue| (queue.waiting.len(), queue.in_flight.len()))
     }
 
-    /// The kind whose oldest piece goes now. Its guessed cost is paid; `done` settles the rest.
+    /// Starts the next task and returns its kind. Its estimated cost is charged; [`Scheduler::done`] corrects it.
     pub fn next(&mut self, now: Duration) -> Option<usize> {
-        let since = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        self.rows
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.queues
             .iter_mut()
-            .flat_map(|row| &mut row.purses)
+            .flat_map(|queue| &mut queue.buckets)
             .flatten()
-            .for_each(|purse| purse.fill(since));
+            .for_each(|bucket| bucket.refill(elapsed));
         let paused = self.is_paused(now);
-        let ready = self.rows.iter().enumerate().filter_map(|(n, row)| {
-            let (offered, cost) = row
+        let ready = self.queues.iter().enumerate().filter_map(|(n, queue)| {
+            let (offered, cost) = queue
                 .waiting
                 .front()
-                .filter(|_| row.out.len() < row.kind.at_once)?;
+                .filter(|_| queue.in_flight.len() < queue.kind.at_once)?;
             let waited = now.saturating_sub(*offered);
             let urgency = match waited {
-                waited if waited >= row.kind.starves => Urgency::Starved,
-                waited if waited >= row.kind.deadline => Urgency::Late,
-                _ => Urgency::Usual,
+                waited if waited >= queue.kind.starves => Urgency::Starved,
+                waited if waited >= queue.kind.deadline => Urgency::Overdue,
+                _ => Urgency::Normal,
             };
-            let may = urgency == Urgency::Starved || !paused && row.affords(cost);
-            may.then_some((urgency, row.served, n))
+            let can_run = urgency == Urgency::Starved || !paused && queue.can_afford(cost);
+            can_run.then_some((urgency, queue.weighted_service, n))
         });
-        // Most urgent first; among equals who had least of what its priority gives it.
+        // Most urgent first; ties go to the kind with the least weighted service.
         let best = ready.max_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)).then(b.2.cmp(&a.2)));
         let (urgency, _, n) = best?;
-        let row = &mut self.rows[n];
-        let (_, cost) = row.waiting.pop_front()?;
-        row.pay(&cost, 1.0);
-        row.out.push_back(cost);
-        row.done.late += u64::from(urgency == Urgency::Late);
-        row.done.starved += u64::from(urgency == Urgency::Starved);
-        // Who waited for nothing has no claim on the past: it starts level with the others.
-        let least = self
-            .rows
+        let queue = &mut self.queues[n];
+        let (_, cost) = queue.waiting.pop_front()?;
+        queue.charge(&cost, 1.0);
+        queue.in_flight.push_back(cost);
+        queue.done.late += u64::from(urgency == Urgency::Overdue);
+        queue.done.starved += u64::from(urgency == Urgency::Starved);
+        // A kind that was idle accumulates no credit: it starts level with the others.
+        let min_service = self
+            .queues
             .iter()
             .filter(|r| !r.waiting.is_empty())
-            .map(|r| r.served)
+            .map(|r| r.weighted_service)
             .fold(f64::INFINITY, f64::min);
-        let row = &mut self.rows[n];
-        if least.is_finite() {
-            row.served = row.served.max(least);
+        let queue = &mut self.queues[n];
+        if min_service.is_finite() {
+            queue.weighted_service = queue.weighted_service.max(min_service);
         }
-        row.served += 1.0 / row.weight();
+        queue.weighted_service += 1.0 / queue.weight();
         Some(n)
     }
 
-    /// A piece of a kind has ended, and took so much. The oldest one's guess is settled.
+    /// Records the completion of a task and replaces the estimate of the oldest task in flight by `cost`.
     pub fn done(&mut self, kind: usize, cost: Cost) {
-        let Some(row) = self.rows.get_mut(kind) else {
+        let Some(queue) = self.queues.get_mut(kind) else {
             return;
         };
-        let Some(guess) = row.out.pop_front() else {
+        let Some(estimate) = queue.in_flight.pop_front() else {
             return;
         };
-        row.pay(&guess, -1.0);
-        row.pay(&cost, 1.0);
-        row.done.pieces += 1;
-        row.done.bytes += cost.bytes;
-        row.done.core += cost.core;
+        queue.charge(&estimate, -1.0);
+        queue.charge(&cost, 1.0);
+        queue.done.pieces += 1;
+        queue.done.bytes += cost.bytes;
+        queue.done.core += cost.core;
     }
 
-    /// When something that waits may go that may not now, if nothing else happens; none: nothing waits.
+    /// When to call [`Scheduler::next`] again if nothing else happens; `None` if no waiting task can start.
     pub fn next_look(&self, now: Duration) -> Option<Duration> {
-        let of_row = |row: &Row| {
-            let (offered, cost) = row
+        let wakeup_of = |queue: &Queue| {
+            let (offered, cost) = queue
                 .waiting
                 .front()
-                .filter(|_| row.out.len() < row.kind.at_once)?;
-            let starves = *offered + row.kind.starves;
+                .filter(|_| queue.in_flight.len() < queue.kind.at_once)?;
+            let starves = *offered + queue.kind.starves;
             if self.is_paused(now) {
-                return Some(starves.min(self.delay.0 + DELAY_HOLDS));
+                return Some(starves.min(self.loop_delay.0 + DELAY_MAX_AGE));
             }
             let costs = [cost.bytes, cost.operations, cost.core];
-            let waits = row.purses.iter().zip(costs).filter_map(|(purse, cost)| {
-                let purse = purse.as_ref()?;
-                let need = cost.min(purse.rate.a_second * purse.rate.purse) - purse.held;
-                Some(if need <= 0.0 {
-                    0.0
-                } else {
-                    (need / purse.rate.a_second.max(1e-9)).min(3600.0)
-                })
-            });
+            let waits = queue
+                .buckets
+                .iter()
+                .zip(costs)
+                .filter_map(|(bucket, cost)| {
+                    let bucket = bucket.as_ref()?;
+                    let need =
+                        cost.min(bucket.rate.a_second * bucket.rate.burst_seconds) - bucket.tokens;
+                    Some(if need <= 0.0 {
+                        0.0
+                    } else {
+                        (need / bucket.rate.a_second.max(1e-9)).min(3600.0)
+                    })
+                });
             let wait = Duration::from_secs_f64(waits.fold(0.0, f64::max));
             Some(starves.min(now + wait))
         };
-        self.rows
+        self.queues
             .iter()
-            .filter_map(of_row)
+            .filter_map(wakeup_of)
             .min()
             .map(|at| at.max(now))
     }
 
-    /// Of each kind: its name, what waits, what is under way, what was done.
+    /// For each kind: its name, the number of waiting tasks and of tasks in flight, and its counters.
     pub fn report(&self) -> impl Iterator<Item = (&'static str, usize, usize, Done)> {
-        self.rows
-            .iter()
-            .map(|row| (row.kind.name, row.waiting.len(), row.out.len(), row.done))
+        self.queues.iter().map(|queue| {
+            (
+                queue.kind.name,
+                queue.waiting.len(),
+                queue.in_flight.len(),
+                queue.done,
+            )
+        })
     }
 }
 
--- a/crates/scheduler/src/tests.rs
+++ b/crates/scheduler/src/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn one() -> Cost {
+fn unit_cost() -> Cost {
     Cost {
         operations: 1.0,
         ..Cost::default()
@@ -22,67 +22,67 @@
 }
 
 #[test]
-fn priorities_share_and_none_is_shut_out() {
+fn priorities_share_in_proportion_without_starvation() {
     let mut work = Scheduler::new(vec![kind(0), kind(1)], ms(5));
-    let mut went = [0; 2];
+    let mut started = [0; 2];
     for _ in 0..500 {
         (0..2)
             .filter(|n| work.held(*n).0 < 5)
             .collect::<Vec<_>>()
             .into_iter()
             .for_each(|n| {
-                work.offer(ms(0), n, one());
+                work.offer(ms(0), n, unit_cost());
             });
         let next = work.next(ms(0)).unwrap();
-        went[next] += 1;
-        work.done(next, one());
+        started[next] += 1;
+        work.done(next, unit_cost());
     }
-    assert_eq!(went, [100, 400]);
+    assert_eq!(started, [100, 400]);
 }
 
 #[test]
-fn who_had_nothing_to_do_has_no_claim_on_the_past() {
+fn an_idle_kind_accumulates_no_credit() {
     let mut work = Scheduler::new(vec![kind(1), kind(1)], ms(5));
     for _ in 0..1000 {
-        work.offer(ms(0), 0, one());
+        work.offer(ms(0), 0, unit_cost());
         assert_eq!(work.next(ms(0)), Some(0));
     }
-    let mut went = [0; 2];
+    let mut started = [0; 2];
     for _ in 0..100 {
-        work.offer(ms(0), 0, one());
-        work.offer(ms(0), 1, one());
-        went[work.next(ms(0)).unwrap()] += 1;
+        work.offer(ms(0), 0, unit_cost());
+        work.offer(ms(0), 1, unit_cost());
+        started[work.next(ms(0)).unwrap()] += 1;
     }
-    assert!(went[0] >= 49, "{went:?}");
+    assert!(started[0] >= 49, "{started:?}");
 }
 
 #[test]
-fn late_turns_pause_all_but_what_starves() {
+fn a_delayed_event_loop_pauses_all_but_starved_work() {
     let mut work = Scheduler::new(vec![kind(1)], ms(5));
-    work.offer(ms(0), 0, one());
-    work.offer(ms(0), 0, one());
+    work.offer(ms(0), 0, unit_cost());
+    work.offer(ms(0), 0, unit_cost());
     (0..20).for_each(|_| work.turn(ms(100), ms(20)));
     assert!(work.is_paused(ms(100)) && work.next(ms(100)).is_none());
     assert_eq!(work.next_look(ms(100)), Some(ms(1100)));
-    // A little better is not enough to go on, half is.
+    // Work resumes only below half of the limit.
     (0..50).for_each(|_| work.turn(ms(200), ms(4)));
     assert!(work.is_paused(ms(200)));
     (0..50).for_each(|_| work.turn(ms(300), ms(2)));
     assert_eq!(work.next(ms(300)), Some(0));
     (0..50).for_each(|_| work.turn(ms(4900), ms(20)));
     assert_eq!((work.next(ms(4999)), work.next(ms(5000))), (None, Some(0)));
-    // Word of the delay that has stopped coming holds nothing up.
-    work.offer(ms(5000), 0, one());
+    // An outdated delay sample pauses nothing.
+    work.offer(ms(5000), 0, unit_cost());
     assert_eq!(work.next(ms(5901)), Some(0));
 }
 
 #[test]
-fn what_is_late_goes_before_a_higher_priority_and_no_more_at_once_than_may() {
+fn overdue_work_precedes_a_higher_priority_within_the_concurrency_limit() {
     let mut low = kind(0);
     low.at_once = 1;
     let mut work = Scheduler::new(vec![low, kind(3)], ms(5));
-    (0..2).for_each(|n| assert!(work.offer(ms(n), 0, one())));
-    work.offer(ms(1500), 1, one());
+    (0..2).for_each(|n| assert!(work.offer(ms(n), 0, unit_cost())));
+    work.offer(ms(1500), 1, unit_cost());
     assert_eq!(
         [
             work.next(ms(1500)),
@@ -91,12 +91,12 @@
         ],
         [Some(0), Some(1), None]
     );
-    work.done(0, one());
+    work.done(0, unit_cost());
     assert_eq!(work.next(ms(1500)), Some(0));
 }
 
 #[test]
-fn a_wrong_guess_is_settled_when_the_work_is_done() {
+fn a_wrong_cost_estimate_is_corrected_on_completion() {
     let bytes = Some(Rate::a_second(100.0));
     let mut work = Scheduler::new(vec![Kind { bytes, ..kind(0) }], ms(5));
     let cost = |bytes| Cost {
@@ -106,26 +106,26 @@
     (0..3).for_each(|_| assert!(work.offer(ms(0), 0, cost(10.0))));
     assert_eq!(work.next(ms(0)), Some(0));
     work.done(0, cost(290.0));
-    // 190 in debt: it takes two seconds until ten are there again.
+    // 190 tokens in debt at 100 a second: ten tokens are available again after 2 s.
     assert_eq!((work.next(ms(1999)), work.next(ms(2000))), (None, Some(0)));
     assert_eq!(work.next_look(ms(2000)), Some(ms(2100)));
 }
 
 #[test]
-fn what_waits_is_bounded() {
+fn the_queue_is_bounded() {
     let mut work = Scheduler::new(vec![kind(0)], ms(5));
-    let taken = (0..2 * WAITING_MOST)
-        .filter(|_| work.offer(ms(0), 0, one()))
+    let accepted = (0..2 * MAX_WAITING)
+        .filter(|_| work.offer(ms(0), 0, unit_cost()))
         .count();
     assert_eq!(
-        (taken, work.report().next().map(|r| r.3.refused)),
-        (WAITING_MOST, Some(WAITING_MOST as u64))
+        (accepted, work.report().next().map(|r| r.3.refused)),
+        (MAX_WAITING, Some(MAX_WAITING as u64))
     );
 }
 
 proptest! {
-    /// Whatever comes: over any run no kind takes more than its rate and one purse and one piece more,
-    /// unless it starved, and no piece waits past the bound while the scheduler is asked.
+    /// For any sequence of offers, no kind uses more than its rate plus one bucket and one task unless it
+    /// starved, and no task waits past its starvation limit while the scheduler is polled.
     #[test]
     fn budgets_hold_and_nothing_starves(
         seed in any::<u64>(),
@@ -135,28 +135,28 @@
             Kind { bytes: Some(Rate::a_second(*rate)), priority: n as u8, ..kind(0) }
         });
         let mut work = Scheduler::new(kinds.collect(), ms(5));
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let (mut paid, mut starved) = (vec![0.0; rates.len()], vec![0.0; rates.len()]);
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (mut used, mut starved) = (vec![0.0; rates.len()], vec![0.0; rates.len()]);
         let mut waiting: Vec<VecDeque<(Duration, f64)>> = vec![VecDeque::new(); rates.len()];
         for step in 0..2000u64 {
             let now = ms(step * 10);
-            let n = chance.usize(..rates.len());
-            let bytes = chance.f64() * 40.0;
-            if chance.u8(..3) == 0 && work.offer(now, n, Cost { bytes, ..Cost::default() }) {
+            let n = rng.usize(..rates.len());
+            let bytes = rng.f64() * 40.0;
+            if rng.u8(..3) == 0 && work.offer(now, n, Cost { bytes, ..Cost::default() }) {
                 waiting[n].push_back((now, bytes));
             }
-            work.turn(now, ms(chance.u64(..12)));
+            work.turn(now, ms(rng.u64(..12)));
             while let Some(n) = work.next(now) {
                 let (offered, bytes) = waiting[n].pop_front().unwrap();
                 let waited = now - offered;
                 prop_assert!(waited <= ms(5010), "{waited:?}");
-                if waited >= ms(5000) { starved[n] += bytes } else { paid[n] += bytes }
+                if waited >= ms(5000) { starved[n] += bytes } else { used[n] += bytes }
                 work.done(n, Cost { bytes, ..Cost::default() });
             }
         }
         for (n, rate) in rates.iter().enumerate() {
-            let most = rate * 20.0 + rate + 40.0 + starved[n];
-            prop_assert!(paid[n] <= most, "{} of {most}", paid[n]);
+            let limit = rate * 20.0 + rate + 40.0 + starved[n];
+            prop_assert!(used[n] <= limit, "{} of {limit}", used[n]);
         }
     }
 }
