--- a/crates/stats/src/lib.rs
+++ b/crates/stats/src/lib.rs
@@ -1,12 +1,11 @@
-//! Data structures without a decision: each bounded, each held against a plain one by property
-//! tests.
+//! Bounded data structures, each compared with a plain reference implementation by property tests.
 
-mod hashed;
 mod name_map;
 mod recent;
+mod rendezvous;
 mod window;
 
-pub use hashed::{draw, draw_seeded, name_seed};
 pub use name_map::NameMap;
 pub use recent::Recent;
+pub use rendezvous::{draw, draw_seeded, name_seed};
 pub use window::Window;
--- a/crates/stats/src/name_map.rs
+++ b/crates/stats/src/name_map.rs
@@ -1,17 +1,17 @@
-//! A map from names to values in which a value keeps its slot for as long as its name is listed.
+//! A map from names to values in which a value keeps its slot for as long as its name is present.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Looking up a name takes the same time however many there are. A value can be found by its slot,
-/// too, which stays the same until the name is removed; the slot of a removed name is given to a
-/// later one. Adding or removing a name leaves all others where they are.
+/// Looking up a name takes constant time. A value can also be accessed by its slot, which is stable
+/// until the name is removed; the slot of a removed name is reused. Adding or removing a name leaves
+/// all other slots unchanged.
 #[derive(Debug)]
 pub struct NameMap<V> {
     slots: Vec<Option<V>>,
     free_slots: Vec<usize>,
     slot_of: HashMap<Rc<str>, usize>,
-    /// The same, for going through all values in the order of their names.
+    /// The same mapping, for iteration in the order of the names.
     slots_by_name: BTreeMap<Rc<str>, usize>,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl<V: Default> NameMap<V> {
-    /// The value of a name, which is added if need be.
+    /// The value of a name, which is inserted with the default value if missing.
     pub fn get_or_default(&mut self, name: &Rc<str>) -> &mut V {
         let slot = match self.slot_of.get(name) {
             Some(slot) => *slot,
@@ -48,7 +48,7 @@
 }
 
 impl<V> NameMap<V> {
-    /// Removes a name, and gives back its value.
+    /// Removes a name and returns its value.
     pub fn remove(&mut self, name: &str) -> Option<V> {
         let slot = self.slot_of.remove(name)?;
         self.slots_by_name.remove(name);
@@ -56,10 +56,10 @@
         self.slots[slot].take()
     }
 
-    /// Removes the values that are not to be kept.
+    /// Removes the values for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&V) -> bool) {
-        let listed = self.slots_by_name.iter();
-        let dropped: Vec<Rc<str>> = listed
+        let names = self.slots_by_name.iter();
+        let dropped: Vec<Rc<str>> = names
             .filter(|(_, slot)| !self.slots[**slot].as_ref().is_some_and(&keep))
             .map(|(name, _)| name.clone())
             .collect();
@@ -68,17 +68,14 @@
         }
     }
 
-    /// The value of a name.
     pub fn get(&self, name: &str) -> Option<&V> {
         self.at(*self.slot_of.get(name)?)
     }
 
-    /// The value of a name, to be changed.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut V> {
         self.slots[*self.slot_of.get(name)?].as_mut()
     }
 
-    /// The slot of a name.
     pub fn slot(&self, name: &str) -> Option<usize> {
         self.slot_of.get(name).copied()
     }
@@ -99,7 +96,7 @@
         self.iter().map(|(_, value)| value)
     }
 
-    /// All values, in no particular order, to be changed.
+    /// All values, in no particular order.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut V> {
         self.slots.iter_mut().flatten()
     }
--- a/crates/stats/src/name_map/tests.rs
+++ b/crates/stats/src/name_map/tests.rs
@@ -4,44 +4,44 @@
 use std::rc::Rc;
 
 proptest! {
-    /// Against a plain sorted map, through additions, removals and changes in any order.
+    /// Compares with a `BTreeMap` over random insertions, removals and changes.
     #[test]
     fn agrees_with_a_sorted_map(steps in prop::collection::vec((0u8..40, 0u8..5, any::<u16>()), 0..200)) {
-        let (mut map, mut plain): (NameMap<u16>, BTreeMap<Rc<str>, u16>) = Default::default();
+        let (mut map, mut reference): (NameMap<u16>, BTreeMap<Rc<str>, u16>) = Default::default();
         for (name, step, value) in steps {
             let name: Rc<str> = format!("server-{name}").into();
             match step {
                 0 | 1 => {
                     *map.get_or_default(&name) = value;
-                    plain.insert(name, value);
+                    reference.insert(name, value);
                 }
                 2 => {
                     if let Some(found) = map.get_mut(&name) {
                         *found ^= 1;
                     }
-                    plain.entry(name).and_modify(|found| *found ^= 1);
+                    reference.entry(name).and_modify(|found| *found ^= 1);
                 }
-                3 => prop_assert_eq!(map.remove(&name), plain.remove(&name)),
+                3 => prop_assert_eq!(map.remove(&name), reference.remove(&name)),
                 _ => {
                     let keep = |kept: &u16| kept % 5 != value % 5;
                     map.retain(keep);
-                    plain.retain(|_, kept| keep(kept));
-                    let ordered = plain.values().copied().collect::<Vec<_>>();
+                    reference.retain(|_, kept| keep(kept));
+                    let ordered = reference.values().copied().collect::<Vec<_>>();
                     prop_assert_eq!(map.values().copied().collect::<Vec<_>>(), ordered);
                 }
             }
-            for (name, value) in &plain {
+            for (name, value) in &reference {
                 prop_assert_eq!(map.get(name), Some(value));
                 prop_assert_eq!(map.slot(name).and_then(|slot| map.at(slot)), Some(value));
             }
-            let ordered = plain.values().copied().collect::<Vec<_>>();
+            let ordered = reference.values().copied().collect::<Vec<_>>();
             prop_assert_eq!(map.values().copied().collect::<Vec<_>>(), ordered);
         }
     }
 }
 
 #[test]
-fn a_value_keeps_its_slot_while_others_come_and_go() {
+fn a_value_keeps_its_slot_while_others_are_added_and_removed() {
     let name = |n: usize| -> Rc<str> { format!("server-{n:02}").into() };
     let mut map: NameMap<usize> = NameMap::default();
     for n in (0..10).rev() {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_slots_of_removed_names_are_used_again() {
+fn the_slots_of_removed_names_are_reused() {
     let mut map: NameMap<usize> = NameMap::default();
     for n in 0..1000 {
         map.get_or_default(&format!("server-{n}").as_str().into());
--- a/crates/stats/src/recent.rs
+++ b/crates/stats/src/recent.rs
@@ -1,37 +1,37 @@
-//! The latest values of a series, in order of size.
+//! Quantiles of the most recent values of a series.
 
 use std::collections::VecDeque;
 
-/// The last `most` values. Noting one takes as long as moving them in memory does; a quantile takes
-/// no time.
+/// The last `capacity` values. Adding one is linear in the capacity (it shifts a sorted vector); a
+/// quantile takes constant time.
 #[derive(Clone, Debug)]
 pub struct Recent {
-    most: usize,
-    arrived: VecDeque<f64>,
+    capacity: usize,
+    by_arrival: VecDeque<f64>,
     sorted: Vec<f64>,
 }
 
 impl Recent {
-    /// Holds so many values; at least one.
-    pub fn new(most: usize) -> Recent {
+    /// Keeps the last `capacity` values, at least one.
+    pub fn new(capacity: usize) -> Recent {
         Recent {
-            most: most.max(1),
-            arrived: VecDeque::new(),
+            capacity: capacity.max(1),
+            by_arrival: VecDeque::new(),
             sorted: Vec::new(),
         }
     }
 
-    /// Takes a value in, and the oldest out where there are too many. Not a number is no value.
+    /// Adds a value and drops the oldest one beyond the capacity. NaN is ignored.
     pub fn note(&mut self, value: f64) {
         if value.is_nan() {
             return;
         }
-        if self.arrived.len() == self.most {
-            let oldest = self.arrived.pop_front().unwrap_or(value);
+        if self.by_arrival.len() == self.capacity {
+            let oldest = self.by_arrival.pop_front().unwrap_or(value);
             self.sorted
                 .remove(self.sorted.partition_point(|v| *v < oldest));
         }
-        self.arrived.push_back(value);
+        self.by_arrival.push_back(value);
         self.sorted
             .insert(self.sorted.partition_point(|v| *v < value), value);
     }
@@ -44,7 +44,7 @@
         self.sorted.is_empty()
     }
 
-    /// The value below which a share of them lies, from 0 to under 1; 0 where there is none.
+    /// The quantile at `share`, from 0 to below 1; 0 if there are no values.
     pub fn quantile(&self, share: f64) -> f64 {
         self.sorted
             .get((self.sorted.len() as f64 * share) as usize)
--- a/crates/stats/src/window.rs
+++ b/crates/stats/src/window.rs
@@ -1,49 +1,49 @@
-//! What was noted within a span of time, and its sum.
+//! The sum of the weights recorded within a sliding time window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Weights by when they were noted, in order of time. Each is looked at once when it comes and once
-/// when it goes, so that neither noting nor the sum grows with what lies within the span.
+/// Weights in the order of their times. Each is visited once when it is added and once when it
+/// expires, so the cost of adding does not grow with the number of entries in the window.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    noted: VecDeque<(Duration, f64)>,
+    entries: VecDeque<(Duration, f64)>,
     sum: f64,
 }
 
 impl Window {
-    /// Forgets what is a span old or older, and takes a weight in. Times must not fall.
+    /// Drops entries that are `span` old or older, and adds a weight. Times must not decrease.
     pub fn note(&mut self, now: Duration, span: Duration, weight: f64) {
-        while let Some((_, gone)) = self
-            .noted
+        while let Some((_, expired)) = self
+            .entries
             .front()
             .filter(|(at, _)| *at + span <= now)
             .copied()
         {
-            self.noted.pop_front();
-            self.sum -= gone;
+            self.entries.pop_front();
+            self.sum -= expired;
         }
-        // What is left of rounding goes with the last one.
-        self.sum = if self.noted.is_empty() {
+        // Resets accumulated rounding errors when the window is empty.
+        self.sum = if self.entries.is_empty() {
             weight
         } else {
             self.sum + weight
         };
-        self.noted.push_back((now, weight));
+        self.entries.push_back((now, weight));
     }
 
-    /// The sum of what was noted less than a span ago.
+    /// The sum of the weights added less than `span` ago.
     pub fn sum(&self, now: Duration, span: Duration) -> f64 {
-        let old = self.noted.iter().take_while(|(at, _)| *at + span <= now);
-        (self.sum - old.map(|(_, weight)| weight).sum::<f64>()).max(0.0)
+        let expired = self.entries.iter().take_while(|(at, _)| *at + span <= now);
+        (self.sum - expired.map(|(_, weight)| weight).sum::<f64>()).max(0.0)
     }
 
     pub fn len(&self) -> usize {
-        self.noted.len()
+        self.entries.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.noted.is_empty()
+        self.entries.is_empty()
     }
 }
 
--- a/crates/stats/src/window/tests.rs
+++ b/crates/stats/src/window/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn it_agrees_with_adding_up_all_that_ever_came(
+    fn the_sum_agrees_with_adding_up_all_entries(
         steps in prop::collection::vec((0u64..400, 0.0f64..10.0), 1..200), later in 0u64..1500,
     ) {
         let (span, mut now) = (Duration::from_millis(1000), Duration::ZERO);
