--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,17 +1,16 @@
-//! Reads the settings of a deployment, as JSON, into what a router is told at its start. Unknown keys are
-//! skipped.
+//! Parses the JSON settings of a deployment into a router's startup parameters. Unknown keys are ignored.
 //!
 //! ```
 //! let settings = serde_json::json!({
 //!     "Classes": [{"Name": "page", "Effect": "pure", "HardLimit": 2500}],
 //!     "Obligations": {"DrainGrace": 500}
 //! });
-//! let told = chalkhall_settings::deployment(7, settings.as_object().unwrap()).unwrap();
-//! assert_eq!(told.drain_grace.as_millis(), 500);
+//! let deployment = chalkhall_settings::deployment(7, settings.as_object().unwrap()).unwrap();
+//! assert_eq!(deployment.drain_grace.as_millis(), 500);
 //!
-//! let faulty = serde_json::json!({"Classes": [{"Name": "page", "Effect": "odd"}]});
-//! let what = chalkhall_settings::deployment(7, faulty.as_object().unwrap()).unwrap_err();
-//! assert!(what.contains("Effect"));
+//! let invalid = serde_json::json!({"Classes": [{"Name": "page", "Effect": "odd"}]});
+//! let error = chalkhall_settings::deployment(7, invalid.as_object().unwrap()).unwrap_err();
+//! assert!(error.contains("Effect"));
 //! ```
 
 use chalkhall::interface::{
@@ -22,7 +21,7 @@
 
 pub type Fields = Map<String, Value>;
 
-/// Milliseconds on the wire, spans inside.
+/// Converts milliseconds, as in the settings, to a duration. Negative values become zero.
 pub fn span(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms.max(0.0) / 1000.0).unwrap_or(Duration::MAX)
 }
@@ -31,18 +30,20 @@
     span.as_nanos() as f64 / 1e6
 }
 
-/// Any figure of a deployment is far below this; spans made of greater ones could not be added up.
-const GREATEST: f64 = 1e12;
+/// Upper bound of any number in the settings; durations made of larger ones could overflow when added.
+const MAX_NUMBER: f64 = 1e12;
 
+/// Reads a number; a missing or null field is 0.
 pub fn number(fields: &Fields, name: &str) -> Result<f64, String> {
     match fields.get(name).map(Value::as_f64) {
         _ if fields.get(name).is_none_or(Value::is_null) => Ok(0.0),
-        Some(Some(v)) if v.abs() <= GREATEST => Ok(v),
+        Some(Some(v)) if v.abs() <= MAX_NUMBER => Ok(v),
         Some(Some(v)) => Err(format!("{name} is out of range: {v}")),
         _ => Err(format!("{name} is not a number")),
     }
 }
 
+/// Reads a non-negative integer; a missing or null field is 0.
 pub fn whole(fields: &Fields, name: &str) -> Result<u64, String> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(0),
@@ -53,10 +54,11 @@
                     .filter(|f| *f >= 0.0 && f.fract() == 0.0)
                     .map(|f| f as u64)
             })
-            .ok_or_else(|| format!("{name} is not a whole number")),
+            .ok_or_else(|| format!("{name} is not a non-negative integer")),
     }
 }
 
+/// Reads a boolean; a missing or null field is false.
 pub fn flag(fields: &Fields, name: &str) -> Result<bool, String> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(false),
@@ -66,14 +68,15 @@
     }
 }
 
+/// Reads a string; a missing or null field is empty.
 pub fn text<'a>(fields: &'a Fields, name: &str) -> Result<&'a str, String> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(""),
-        Some(v) => v.as_str().ok_or_else(|| format!("{name} is not a text")),
+        Some(v) => v.as_str().ok_or_else(|| format!("{name} is not a string")),
     }
 }
 
-fn part(options: &Fields, name: &str) -> Result<Fields, String> {
+fn object(options: &Fields, name: &str) -> Result<Fields, String> {
     match options.get(name) {
         None | Some(Value::Null) => Ok(Fields::new()),
         Some(Value::Object(found)) => Ok(found.clone()),
@@ -81,7 +84,7 @@
     }
 }
 
-fn list<'a>(options: &'a Fields, name: &str) -> Result<&'a [Value], String> {
+fn array<'a>(options: &'a Fields, name: &str) -> Result<&'a [Value], String> {
     match options.get(name) {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(found)) => Ok(found),
@@ -90,28 +93,29 @@
 }
 
 fn numbers(options: &Fields, name: &str) -> Result<Vec<f64>, String> {
-    let wrong = || format!("{name} holds something that is not a number");
-    list(options, name)?
+    let error = || format!("an element of {name} is not a number");
+    array(options, name)?
         .iter()
-        .map(|v| v.as_f64().ok_or_else(wrong))
+        .map(|v| v.as_f64().ok_or_else(error))
         .collect::<Result<_, String>>()
 }
 
 fn objects(options: &Fields, name: &str) -> Result<Vec<Fields>, String> {
-    let wrong = || format!("{name} holds something that is not an object");
-    list(options, name)?
+    let error = || format!("an element of {name} is not an object");
+    array(options, name)?
         .iter()
-        .map(|v| v.as_object().cloned().ok_or_else(wrong))
+        .map(|v| v.as_object().cloned().ok_or_else(error))
         .collect::<Result<_, String>>()
 }
 
-/// The kinds that are parents and origin, where there are such.
+/// The indices of the server kinds of the parents and of the origin, where configured.
 pub fn parent_and_origin(options: &Fields) -> [Option<u64>; 2] {
     let family = options.get("FamilyInfo");
     ["ShieldKind", "SourceKind"]
         .map(|name| family.and_then(|f| f.get(name)).and_then(Value::as_u64))
 }
 
+/// The names of the values in the servers' load reports, in order.
 pub fn report_fields(options: &Fields) -> Vec<String> {
     let names = options
         .get("Feedback")
@@ -125,10 +129,11 @@
 }
 
 fn class_of(i: usize, class: &Fields, family: &Fields) -> Result<Class, String> {
-    let by_class = |name| Ok::<_, String>(numbers(family, name)?.get(i).copied().unwrap_or(0.0));
-    let marked =
-        |name| list(family, name).map(|l| l.get(i).and_then(Value::as_bool).unwrap_or(false));
-    let fresh = by_class("ClassFresh")?;
+    let class_number =
+        |name| Ok::<_, String>(numbers(family, name)?.get(i).copied().unwrap_or(0.0));
+    let class_flag =
+        |name| array(family, name).map(|l| l.get(i).and_then(Value::as_bool).unwrap_or(false));
+    let fresh = class_number("ClassFresh")?;
     Ok(Class {
         effect: match text(class, "Effect")? {
             "pure" => Effect::Idempotent,
@@ -149,21 +154,25 @@
         value: number(class, "Worth")?,
         late_value: number(class, "LateWorth")?,
         fresh: (fresh > 0.0).then(|| span(fresh)),
-        stale_for: span(by_class("StaleFor")?),
-        stale_value: by_class("StaleEarns")?,
-        cacheable: !marked("ClassWrite")?,
-        in_parts: marked("Segmented")?,
+        stale_for: span(class_number("StaleFor")?),
+        stale_value: class_number("StaleEarns")?,
+        cacheable: !class_flag("ClassWrite")?,
+        in_parts: class_flag("Segmented")?,
         streamed: flag(class, "Stream")?,
     })
 }
 
+/// Parses the settings of a deployment.
+///
+/// # Errors
+/// The first field with an invalid type or value.
 pub fn deployment(seed: u64, options: &Fields) -> Result<Deployment, String> {
-    let family = part(options, "FamilyInfo")?;
-    let limits = part(options, "Limits")?;
-    let rules = part(options, "Obligations")?;
+    let family = object(options, "FamilyInfo")?;
+    let limits = object(options, "Limits")?;
+    let rules = object(options, "Obligations")?;
     let classes = objects(options, "Classes")?;
-    let span_of = |from: &Fields, name: &str| number(from, name).map(span);
-    let count_all = |name| {
+    let duration_of = |from: &Fields, name: &str| number(from, name).map(span);
+    let counts = |name| {
         Ok::<_, String>(
             numbers(&family, name)?
                 .iter()
@@ -171,14 +180,14 @@
                 .collect(),
         )
     };
-    let fall = span_of(&rules, "Fall")?;
+    let fall = duration_of(&rules, "Fall")?;
     Ok(Deployment {
         number: whole(options, "MyNumber")?,
         seed,
         routers: whole(options, "PeersTotal")? as usize,
         zone: whole(options, "Locality")? as usize,
-        routers_at: count_all("CrewByZone")?,
-        hub_of: count_all("HomeHub")?,
+        routers_at: counts("CrewByZone")?,
+        hub_of: counts("HomeHub")?,
         link_kb_per_s: numbers(&family, "PipeKbPerS")?,
         classes: classes
             .iter()
@@ -194,30 +203,30 @@
                 })
             })
             .collect::<Result<_, String>>()?,
-        tick: span_of(options, "Granularity")?,
+        tick: duration_of(options, "Granularity")?,
 
         client_kb_per_s: number(&family, "ClientKbPerS")?,
         max_attempts: whole(&limits, "MaxAttempts")? as usize,
         second_copies: flag(&limits, "SecondCopies")?,
         may_cancel: flag(&limits, "MayCancel")?,
         longest_advice: flag(&limits, "RetryAfter")?
-            .then(|| span_of(&limits, "MaxRetryAfter"))
+            .then(|| duration_of(&limits, "MaxRetryAfter"))
             .transpose()?,
         cold_cache: ColdStart {
             from: number(&rules, "ColdFrom")?,
-            warm_within: span_of(&rules, "WarmWithin")?,
+            warm_within: duration_of(&rules, "WarmWithin")?,
             multiple: number(&rules, "TipMultiple")?,
             span: fall,
         },
         cold_parent: ColdStart {
             from: number(&family, "ParentFloor")?,
-            warm_within: span_of(&family, "ParentRamp")?,
+            warm_within: duration_of(&family, "ParentRamp")?,
             multiple: number(&family, "ParentFallMultiple")?,
             span: fall,
         },
-        drain_grace: span_of(&rules, "DrainGrace")?,
-        purge_grace: span_of(&family, "ObeyAfter")?,
-        purge_done: span_of(&family, "PurgeDone")?,
+        drain_grace: duration_of(&rules, "DrainGrace")?,
+        purge_grace: duration_of(&family, "ObeyAfter")?,
+        purge_done: duration_of(&family, "PurgeDone")?,
 
         pass_through: flag(&family, "PassThroughOk")?,
         joins: flag(&family, "SharesFills")?,
@@ -238,12 +247,11 @@
             _ => Hints::None,
         },
         list_on_request: text(options, "RegistryMode")? == "ask",
-        ask_within: span_of(&rules, "AskWithin")?,
+        ask_within: duration_of(&rules, "AskWithin")?,
     })
 }
 
-/// The names by which a deployment calls its zones, kinds of machine, classes and customers, in their
-/// order.
+/// The deployment's names of zones, server kinds, classes and customers, in order of their indices.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub zones: Vec<String>,
@@ -254,13 +262,13 @@
 
 pub fn names(options: &Fields) -> Result<Names, String> {
     let texts = |name: &str| {
-        let wrong = || format!("{name} holds something that is not a text");
-        list(options, name)?
+        let error = || format!("an element of {name} is not a string");
+        array(options, name)?
             .iter()
-            .map(|v| v.as_str().map(str::to_owned).ok_or_else(wrong))
+            .map(|v| v.as_str().map(str::to_owned).ok_or_else(error))
             .collect::<Result<_, String>>()
     };
-    let called = |name: &str| {
+    let names_of = |name: &str| {
         let all = objects(options, name)?;
         all.iter()
             .map(|one| text(one, "Name").map(str::to_owned))
@@ -269,7 +277,7 @@
     Ok(Names {
         zones: texts("Zones")?,
         kinds: texts("Kinds")?,
-        classes: called("Classes")?,
-        customers: called("Tenants")?,
+        classes: names_of("Classes")?,
+        customers: names_of("Tenants")?,
     })
 }
