--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -146,7 +146,7 @@
         "a.conf:4:3: segmnt is not a directive of store; segment is",
         "a.conf:6:1: memory is not a directive; it belongs in store",
         "b.conf:2:1: log-format was given before",
-        "files within one another",
+        "includes are nested more than",
     ] {
         assert!(told.contains(part), "{part} in {told}");
     }
--- a/crates/config/src/words.rs
+++ b/crates/config/src/directives.rs
@@ -1,15 +1,15 @@
-//! Every directive there is: its name, what it takes, and where that goes. Its defaults are those of `Told`.
+//! The directives of the operator's file and what they set. The defaults are those of [`Told`].
 
 use crate::values::{self, Amount};
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// All that an operator's file says.
+/// The contents of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
     pub log: Log,
-    /// Where the control socket is; none: there is none.
+    /// The path of the control socket; `None`: no control socket.
     pub control: Option<PathBuf>,
     pub store: Store,
     pub cells: Cells,
@@ -17,31 +17,31 @@
     pub regions: Regions,
 }
 
-/// What the routers of all zones decide in common. All is off unless given.
+/// Failover between zones, which the routers of all zones decide in common. Off by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Regions {
-    /// Tells all routers how this zone is, and heeds what they tell.
+    /// Exchanges the state of the zones with all routers and follows the common plan.
     pub in_common: bool,
-    /// Measures the ways to other zones' caches.
+    /// Measures the latency to other zones' caches.
     pub measure: bool,
-    /// Requests may go to other zones' caches when their own are down.
+    /// Allows requests to go to other zones' caches when those of their own zone are down.
     pub abroad: bool,
-    /// Names of regions, and the zones of each.
+    /// The names of the regions, and the zones of each.
     pub regions: Vec<(String, Vec<String>)>,
-    /// Zones that are emptied, and take nothing.
+    /// Zones that are drained and receive no requests.
     pub drained: Vec<String>,
 }
 
-/// Talk among the routers of a zone. Without it each decides by its own traffic alone.
+/// Gossip among the routers of a zone. Without it, each router decides by its own traffic alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// Tells the other routers of the zone what it sights and has under way, and heeds what they tell.
+    /// Exchanges observations and in-flight load with the other routers of the zone.
     pub tell: bool,
-    /// Evens out the load of the zone's caches with the peers.
+    /// Balances the load of the zone's caches together with the peers.
     pub even_load: bool,
 }
 
-/// Which cache servers a cell has.
+/// The cache servers of a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellMembers {
     List(Vec<String>),
@@ -49,7 +49,7 @@
     Shuffle(usize),
 }
 
-/// What belongs to a cell.
+/// The scope of a binding: the requests that belong to a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Bound {
     Prefix(String),
@@ -58,17 +58,17 @@
     Class(String),
 }
 
-/// Parts of the fleet, and what is confined to them. Without a cell, nothing is.
+/// Cells: parts of the fleet, and the requests that are confined to them. Without cells, none are.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Cells {
     pub epoch: u64,
     pub cells: Vec<(String, CellMembers)>,
     pub bindings: Vec<(Bound, String)>,
-    /// What is on its way from the cell that it is bound to, and where to.
+    /// Moves of bound scopes, each with its target cell.
     pub moves: Vec<(Bound, String)>,
     pub otherwise: Option<String>,
     pub overlap: Option<usize>,
-    /// Requests a second of one tenant, and how many at once.
+    /// Requests per second of one tenant, and its burst.
     pub tenant: Option<(f64, f64)>,
 }
 
@@ -82,42 +82,43 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Log {
     pub format: LogFormat,
-    /// As `RUST_LOG` takes it; none: `info`.
+    /// A filter in the syntax of `RUST_LOG`; `None`: `info`.
     pub level: Option<String>,
 }
 
-/// A router's own copies. All is off until memory or disk is given.
+/// A router's local cache. Off unless memory or disk is given.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
-    /// Of `limits.memory_mb`.
+    /// Size of the memory tier; a share is of `limits.memory_mb`.
     pub memory: Option<Amount>,
-    /// The directory, and how many bytes its segments may take.
+    /// The directory of the disk tier, and the maximum size of its segments in bytes.
     pub disk: Option<(PathBuf, u64)>,
+    /// Size of a segment file in bytes.
     pub segment: u64,
-    /// What the table of the parts on disk may take of memory.
+    /// Memory for the index of the parts on disk.
     pub index: Amount,
-    /// Bytes admitted to the disk in a second, and in a day; none: no bound.
+    /// Bytes admitted to the disk per second, and per day; `None`: unlimited.
     pub write_rate: Option<u64>,
     pub write_day: Option<u64>,
-    /// What is fresh for less is not written.
+    /// Copies that stay fresh for less than this are not written to disk.
     pub least_fresh: Duration,
-    /// What is carried over from reclaimed segments, as a share of what is admitted.
+    /// Bytes carried over from reclaimed segments, as a share of the bytes admitted.
     pub carry: f64,
-    /// Threads that read.
+    /// Number of threads that read from the disk.
     pub readers: usize,
-    /// Written bytes are synced after so long, or so many.
+    /// Written bytes are synced after this time, or once there are this many.
     pub sync_after: Duration,
     pub sync_bytes: u64,
-    /// Discovery's first list names every purge of this long before a start. 0: nothing is known of
-    /// them.
+    /// Discovery's first list names all purges of this period before a start. 0: past purges are
+    /// unknown.
     pub known_purges: Duration,
-    /// Copies from before a start that are asked for again in a second; 0: they are dropped.
+    /// Copies from before a start that are revalidated per second; 0: they are dropped.
     pub revalidate: f64,
-    /// Parts read ahead of one that is asked for in turn.
+    /// Number of parts read ahead on sequential access.
     pub read_ahead: usize,
-    /// Bytes a second that are read to find damage.
+    /// Bytes per second that are read to detect damage.
     pub scrub: u64,
-    /// Background work pauses while the router's own turns come later than this.
+    /// Background work pauses while the event loop's delay exceeds this.
     pub yield_over: Duration,
 }
 
@@ -144,22 +145,25 @@
     }
 }
 
-/// Takes the words of one directive; a fault says at which of them, from 0.
+/// Applies the arguments of a directive. A fault has the index of the argument, from 0.
 pub type Set<T> = fn(&mut T, &[&str]) -> Result<(), (usize, String)>;
 
-/// One directive: in which section, how many words it takes and how they are written, what it says.
+/// A directive: its section, name, arguments and help text.
 pub struct Entry<T: 'static> {
     pub section: &'static str,
     pub name: &'static str,
+    /// The usage of the arguments.
     pub takes: &'static str,
+    /// The number of arguments.
     pub count: RangeInclusive<usize>,
-    /// It may be given more than once.
+    /// The directive may be given more than once.
     pub many: bool,
+    /// The help text.
     pub says: &'static str,
     pub set: Set<T>,
 }
 
-/// All directives of one kind of file, by section; `T` is what they fill.
+/// The sections and directives of one kind of file; `T` is the type that they fill.
 pub struct Table<T: 'static> {
     sections: &'static [&'static str],
     entries: &'static [Entry<T>],
@@ -192,20 +196,24 @@
     }
 }
 
-/// Puts the fault of a value at its place among the words.
-fn at<T>(place: usize, found: Result<T, String>) -> Result<T, (usize, String)> {
-    found.map_err(|what| (place, what))
+/// Adds the index of the argument to a fault of its value.
+fn at<T>(index: usize, value: Result<T, String>) -> Result<T, (usize, String)> {
+    value.map_err(|what| (index, what))
 }
 
-fn bytes_within(word: &str, least: u64, most: u64) -> Result<u64, (usize, String)> {
+fn bytes_within(word: &str, lower: u64, upper: u64) -> Result<u64, (usize, String)> {
     let found = at(0, values::bytes(word))?;
-    if (least..=most).contains(&found) {
+    if (lower..=upper).contains(&found) {
         return Ok(found);
     }
-    let say = |n| bytesize::ByteSize(n).to_string();
+    let display = |n| bytesize::ByteSize(n).to_string();
     Err((
         0,
-        format!("{word} is not from {} to {}", say(least), say(most)),
+        format!(
+            "{word} is not from {} to {}",
+            display(lower),
+            display(upper)
+        ),
     ))
 }
 
@@ -217,19 +225,19 @@
     }
 }
 
-/// `prefix ID`, `group FROM-TO`, `customer NUMBER` or `class NAME`.
-fn bound(words: &[&str]) -> Result<Bound, (usize, String)> {
-    match words[0] {
-        "prefix" => Ok(Bound::Prefix(words[1].to_owned())),
+/// Parses a scope: `prefix ID`, `group FROM-TO`, `customer NUMBER` or `category NAME`.
+fn scope(args: &[&str]) -> Result<Bound, (usize, String)> {
+    match args[0] {
+        "prefix" => Ok(Bound::Prefix(args[1].to_owned())),
         "group" => {
-            let (from, to) = words[1].split_once('-').unwrap_or((words[1], words[1]));
+            let (from, to) = args[1].split_once('-').unwrap_or((args[1], args[1]));
             let [from, to] = [from, to].map(|word| at(1, values::whole(word, 0, u64::MAX)));
             Ok(Bound::Groups(from?..=to?))
         }
         "customer" => Ok(Bound::Customer(
-            at(1, values::whole(words[1], 0, 1 << 32))? as usize
+            at(1, values::whole(args[1], 0, 1 << 32))? as usize
         )),
-        "category" => Ok(Bound::Class(words[1].to_owned())),
+        "category" => Ok(Bound::Class(args[1].to_owned())),
         other => Err((
             0,
             format!("{other:?} is not prefix, group, customer or category"),
@@ -237,7 +245,7 @@
     }
 }
 
-const fn one(
+const fn directive(
     section: &'static str,
     name: &'static str,
     takes: &'static str,
@@ -255,17 +263,17 @@
     }
 }
 
-/// Every directive there is.
+/// The directives of the operator's file.
 pub const WORDS: Table<Told> = Table::new(
     &["store", "cells", "peers", "regions"],
     &[
-        one(
+        directive(
             "",
             "log-format",
             "text|json",
-            "how a log line looks",
-            |told, words| {
-                told.log.format = match words[0] {
+            "format of log lines",
+            |file, args| {
+                file.log.format = match args[0] {
                     "text" => LogFormat::Text,
                     "json" => LogFormat::Json,
                     other => return Err((0, format!("{other:?} is neither text nor json"))),
@@ -273,33 +281,33 @@
                 Ok(())
             },
         ),
-        one(
+        directive(
             "",
             "log-level",
             "LEVEL",
-            "what is logged, as RUST_LOG says it",
-            |told, words| {
-                told.log.level = Some(words[0].to_owned());
+            "log filter, in the syntax of RUST_LOG",
+            |file, args| {
+                file.log.level = Some(args[0].to_owned());
                 Ok(())
             },
         ),
-        one(
+        directive(
             "",
             "control",
             "PATH",
             "a Unix socket for chalkhall's commands, mode 0600",
-            |told, words| {
-                told.control = Some(PathBuf::from(words[0]));
+            |file, args| {
+                file.control = Some(PathBuf::from(args[0]));
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "memory",
             "SIZE|SHARE",
-            "own copies in memory, within limits.memory_mb",
-            |told, words| {
-                told.store.memory = Some(at(0, values::amount(words[0]))?);
+            "local cache in memory, within limits.memory_mb",
+            |file, args| {
+                file.store.memory = Some(at(0, values::amount(args[0]))?);
                 Ok(())
             },
         ),
@@ -309,161 +317,161 @@
             takes: "DIRECTORY SIZE",
             count: 2..=2,
             many: false,
-            says: "own copies on disk: where, and how many bytes",
-            set: |told, words| {
+            says: "local cache on disk: directory and maximum size",
+            set: |file, args| {
                 let size =
-                    bytes_within(words[1], 16 << 20, 1 << 50).map_err(|(_, what)| (1, what))?;
-                told.store.disk = Some((PathBuf::from(words[0]), size));
+                    bytes_within(args[1], 16 << 20, 1 << 50).map_err(|(_, what)| (1, what))?;
+                file.store.disk = Some((PathBuf::from(args[0]), size));
                 Ok(())
             },
         },
-        one(
+        directive(
             "store",
             "segment",
             "SIZE",
-            "how long a segment file gets",
-            |told, words| {
-                told.store.segment = bytes_within(words[0], 1_000_000, 1 << 30)?;
+            "size of a segment file",
+            |file, args| {
+                file.store.segment = bytes_within(args[0], 1_000_000, 1 << 30)?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "index-memory",
             "SIZE|SHARE",
-            "memory for the table of the parts on disk",
-            |told, words| {
-                told.store.index = at(0, values::amount(words[0]))?;
+            "memory for the index of the parts on disk",
+            |file, args| {
+                file.store.index = at(0, values::amount(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "write-rate",
             "SIZE",
-            "bytes admitted to the disk in a second",
-            |told, words| {
-                told.store.write_rate = Some(bytes_within(words[0], 1 << 10, 1 << 40)?);
+            "bytes admitted to the disk per second",
+            |file, args| {
+                file.store.write_rate = Some(bytes_within(args[0], 1 << 10, 1 << 40)?);
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "write-day",
             "SIZE",
-            "bytes admitted to the disk in a day",
-            |told, words| {
-                told.store.write_day = Some(bytes_within(words[0], 1 << 20, 1 << 50)?);
+            "bytes admitted to the disk per day",
+            |file, args| {
+                file.store.write_day = Some(bytes_within(args[0], 1 << 20, 1 << 50)?);
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "least-fresh",
             "SPAN",
-            "what is fresh for less is not written",
-            |told, words| {
-                told.store.least_fresh = at(0, values::span(words[0]))?;
+            "copies fresh for less than this are not written",
+            |file, args| {
+                file.store.least_fresh = at(0, values::span(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "carry",
             "SHARE",
-            "carried over from reclaimed segments, of what is admitted",
-            |told, words| {
-                told.store.carry = at(0, values::share(words[0]))?;
+            "share of admitted bytes carried over from reclaimed segments",
+            |file, args| {
+                file.store.carry = at(0, values::share(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "readers",
             "COUNT",
             "threads that read from the disk",
-            |told, words| {
-                told.store.readers = at(0, values::whole(words[0], 1, 64))? as usize;
+            |file, args| {
+                file.store.readers = at(0, values::whole(args[0], 1, 64))? as usize;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "sync-after",
             "SPAN",
-            "how long a written part may wait to be synced",
-            |told, words| {
-                told.store.sync_after = at(0, values::span(words[0]))?;
+            "maximum time until a written part is synced",
+            |file, args| {
+                file.store.sync_after = at(0, values::span(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "sync-bytes",
             "SIZE",
-            "how many written bytes may wait to be synced",
-            |told, words| {
-                told.store.sync_bytes = bytes_within(words[0], 1, 1 << 40)?;
+            "maximum number of written bytes not yet synced",
+            |file, args| {
+                file.store.sync_bytes = bytes_within(args[0], 1, 1 << 40)?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "known-purges",
             "SPAN",
-            "discovery's first list names all purges of so long",
-            |told, words| {
-                told.store.known_purges = at(0, values::span(words[0]))?;
+            "period of purges in discovery's first list",
+            |file, args| {
+                file.store.known_purges = at(0, values::span(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "revalidate",
             "COUNT",
-            "unproven copies asked for again in a second",
-            |told, words| {
-                told.store.revalidate = at(0, values::whole(words[0], 0, 100_000))? as f64;
+            "copies from before a start revalidated per second",
+            |file, args| {
+                file.store.revalidate = at(0, values::whole(args[0], 0, 100_000))? as f64;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "read-ahead",
             "COUNT",
-            "parts read ahead of one asked for in turn",
-            |told, words| {
-                told.store.read_ahead = at(0, values::whole(words[0], 0, 64))? as usize;
+            "parts read ahead on sequential access",
+            |file, args| {
+                file.store.read_ahead = at(0, values::whole(args[0], 0, 64))? as usize;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "scrub",
             "SIZE",
-            "bytes a second read to find damage",
-            |told, words| {
-                told.store.scrub = at(0, values::bytes(words[0]))?;
+            "bytes read per second to detect damage",
+            |file, args| {
+                file.store.scrub = at(0, values::bytes(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "store",
             "yield-over",
             "SPAN",
-            "background work pauses while turns come later",
-            |told, words| {
-                told.store.yield_over = at(0, values::span(words[0]))?;
+            "background work pauses above this event-loop delay",
+            |file, args| {
+                file.store.yield_over = at(0, values::span(args[0]))?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "cells",
             "epoch",
             "NUMBER",
-            "of this map: a router never goes back to an older one",
-            |told, words| {
-                told.cells.epoch = at(0, values::whole(words[0], 0, u64::MAX))?;
+            "version of the map: a router never returns to an older one",
+            |file, args| {
+                file.cells.epoch = at(0, values::whole(args[0], 0, u64::MAX))?;
                 Ok(())
             },
         ),
@@ -473,9 +481,9 @@
             takes: "NAME list SERVER.. | share SHARE | shuffle COUNT",
             count: 3..=1024,
             many: true,
-            says: "a part of the fleet, and which cache servers it has",
-            set: |told, words| {
-                let members = match (words[1], &words[2..]) {
+            says: "a part of the fleet, and its cache servers",
+            set: |file, args| {
+                let members = match (args[1], &args[2..]) {
                     ("list", servers) => {
                         CellMembers::List(servers.iter().map(|s| (*s).to_owned()).collect())
                     }
@@ -483,12 +491,12 @@
                     ("shuffle", [count]) => {
                         CellMembers::Shuffle(at(2, values::whole(count, 1, 10_000))? as usize)
                     }
-                    ("share" | "shuffle", _) => return Err((3, "one word too many".into())),
+                    ("share" | "shuffle", _) => return Err((3, "too many arguments".into())),
                     (other, _) => {
                         return Err((1, format!("{other:?} is not list, share or shuffle")));
                     }
                 };
-                told.cells.cells.push((words[0].to_owned(), members));
+                file.cells.cells.push((args[0].to_owned(), members));
                 Ok(())
             },
         },
@@ -498,73 +506,71 @@
             takes: "prefix ID | group FROM[-TO] | customer NUMBER | category NAME, then CELL",
             count: 3..=3,
             many: true,
-            says: "what belongs to a cell",
-            set: |told, words| {
-                told.cells
-                    .bindings
-                    .push((bound(words)?, words[2].to_owned()));
+            says: "binds requests to a cell",
+            set: |file, args| {
+                file.cells.bindings.push((scope(args)?, args[2].to_owned()));
                 Ok(())
             },
         },
         Entry {
             section: "cells",
             name: "move",
-            takes: "what is bound, as in bind, then the CELL it goes to",
+            takes: "a scope as in bind, then the target CELL",
             count: 3..=3,
             many: true,
-            says: "moves what is bound elsewhere to a cell, as fast as that warms up",
-            set: |told, words| {
-                told.cells.moves.push((bound(words)?, words[2].to_owned()));
+            says: "moves bound requests to another cell, as fast as it warms up",
+            set: |file, args| {
+                file.cells.moves.push((scope(args)?, args[2].to_owned()));
                 Ok(())
             },
         },
-        one(
+        directive(
             "cells",
             "otherwise",
             "CELL",
-            "where all else belongs; unless given, to all servers",
-            |told, words| {
-                told.cells.otherwise = Some(words[0].to_owned());
+            "cell of all other requests; by default they may go to any server",
+            |file, args| {
+                file.cells.otherwise = Some(args[0].to_owned());
                 Ok(())
             },
         ),
-        one(
+        directive(
             "cells",
             "overlap",
             "COUNT",
-            "servers that two drawn cells may share",
-            |told, words| {
-                told.cells.overlap = Some(at(0, values::whole(words[0], 0, 10_000))? as usize);
+            "maximum number of servers that two shuffle cells share",
+            |file, args| {
+                file.cells.overlap = Some(at(0, values::whole(args[0], 0, 10_000))? as usize);
                 Ok(())
             },
         ),
-        one(
+        directive(
             "regions",
             "in-common",
             "on|off",
-            "decides with all routers where requests go when a place is down",
-            |told, words| {
-                told.regions.in_common = on_or_off(words[0])?;
+            "failover between zones by a plan common to all routers",
+            |file, args| {
+                file.regions.in_common = on_or_off(args[0])?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "regions",
             "measure",
             "on|off",
-            "with in-common: measures the ways to other zones",
-            |told, words| {
-                told.regions.measure = on_or_off(words[0])?;
+            "with in-common: measures the latency to other zones",
+            |file, args| {
+                file.regions.measure = on_or_off(args[0])?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "regions",
             "abroad",
             "on|off",
             "with in-common: requests may go to other zones' caches",
-            |told, words| {
-                told.regions.abroad = on_or_off(words[0])?;
+            |file, args| {
+                file.regions.abroad = on_or_off(args[0])?;
                 Ok(())
             },
         ),
@@ -574,26 +580,21 @@
             takes: "NAME ZONE..",
             count: 2..=64,
             many: true,
-            says: "zones that are near one another",
-            set: |told, words| {
-                if told
-                    .regions
-                    .regions
-                    .iter()
-                    .any(|(name, _)| name == words[0])
-                {
-                    return Err((0, format!("region {} is told twice", words[0])));
+            says: "zones that are close to one another",
+            set: |file, args| {
+                if file.regions.regions.iter().any(|(name, _)| name == args[0]) {
+                    return Err((0, format!("region {} is defined twice", args[0])));
                 }
-                let zones: Vec<String> = words[1..].iter().map(|w| (*w).to_owned()).collect();
-                let taken =
-                    |at: &String| told.regions.regions.iter().any(|(_, all)| all.contains(at));
-                if let Some(place) = zones.iter().position(taken) {
+                let zones: Vec<String> = args[1..].iter().map(|w| (*w).to_owned()).collect();
+                let is_taken =
+                    |at: &String| file.regions.regions.iter().any(|(_, all)| all.contains(at));
+                if let Some(index) = zones.iter().position(is_taken) {
                     return Err((
-                        place + 1,
-                        format!("{} is in a region already", words[place + 1]),
+                        index + 1,
+                        format!("{} is already in a region", args[index + 1]),
                     ));
                 }
-                told.regions.regions.push((words[0].to_owned(), zones));
+                file.regions.regions.push((args[0].to_owned(), zones));
                 Ok(())
             },
         },
@@ -603,29 +604,29 @@
             takes: "LOCATION",
             count: 1..=1,
             many: true,
-            says: "empties a zone, as fast as others can take it",
-            set: |told, words| {
-                told.regions.drained.push(words[0].to_owned());
+            says: "drains a zone, as fast as others can take its load",
+            set: |file, args| {
+                file.regions.drained.push(args[0].to_owned());
                 Ok(())
             },
         },
-        one(
+        directive(
             "peers",
             "tell",
             "on|off",
-            "tells the routers of the zone what it sights",
-            |told, words| {
-                told.peers.tell = on_or_off(words[0])?;
+            "gossip with the other routers of the zone",
+            |file, args| {
+                file.peers.tell = on_or_off(args[0])?;
                 Ok(())
             },
         ),
-        one(
+        directive(
             "peers",
             "even-load",
             "on|off",
-            "with tell: evens out the load of the caches",
-            |told, words| {
-                told.peers.even_load = on_or_off(words[0])?;
+            "with tell: balances the load of the caches",
+            |file, args| {
+                file.peers.even_load = on_or_off(args[0])?;
                 Ok(())
             },
         ),
@@ -635,11 +636,11 @@
             takes: "RATE BURST",
             count: 2..=2,
             many: false,
-            says: "requests a second of one tenant, and how many at once",
-            set: |told, words| {
-                let rate = at(0, values::whole(words[0], 1, 1_000_000))? as f64;
-                told.cells.tenant =
-                    Some((rate, at(1, values::whole(words[1], 1, 1_000_000))? as f64));
+            says: "requests per second of one tenant, and its burst",
+            set: |file, args| {
+                let rate = at(0, values::whole(args[0], 1, 1_000_000))? as f64;
+                file.cells.tenant =
+                    Some((rate, at(1, values::whole(args[1], 1, 1_000_000))? as f64));
                 Ok(())
             },
         },
--- a/crates/config/src/lines/tests.rs
+++ b/crates/config/src/lexer/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn words_stand_where_they_are_said_to() {
+fn tokens_have_their_positions() {
     let (lines, faults) = lines("a  b# c\n\n  store{ \"x \\\" # y\" }\n\"open");
     let texts = |at: usize| -> Vec<(&str, usize, usize)> {
         lines[at]
@@ -20,15 +20,12 @@
             ("}", 3, 21)
         ]
     );
-    assert_eq!(
-        faults,
-        [(4, 1, "a quote that does not end on its line".to_owned())]
-    );
+    assert_eq!(faults, [(4, 1, "unterminated quote".to_owned())]);
 }
 
 proptest! {
     #[test]
-    fn any_text_is_cut_without_fail(text in any::<String>()) {
+    fn any_text_is_tokenized(text in any::<String>()) {
         let (lines, _) = lines(&text);
         prop_assert!(lines.iter().flatten().all(|w| w.line >= 1 && w.column >= 1));
     }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,8 +1,8 @@
-//! Values as operators write them.
+//! Parsers of the values in directives.
 
 use std::time::Duration;
 
-/// An amount of memory or disk: bytes, or a share of what there is.
+/// An amount of memory or disk, in bytes or as a share of the total.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
     Bytes(u64),
@@ -11,7 +11,7 @@
 }
 
 impl Amount {
-    /// In bytes, of so many.
+    /// The amount in bytes, of a total of `whole` bytes.
     pub fn of(self, whole: u64) -> u64 {
         match self {
             Amount::Bytes(bytes) => bytes,
@@ -20,12 +20,12 @@
     }
 }
 
-/// `64MB`, `1.5GiB`, `4096`.
+/// Parses a size such as `64MB`, `1.5GiB` or `4096`.
 pub fn bytes(word: &str) -> Result<u64, String> {
     let found = word
         .parse::<bytesize::ByteSize>()
         .map_err(|_| format!("{word:?} is not a size, such as 64MB"))?;
-    // The crate takes what it cannot hold for the most it can.
+    // The crate saturates on overflow.
     if found.0 == u64::MAX {
         Err(format!("{word:?} is too large"))
     } else {
@@ -33,7 +33,7 @@
     }
 }
 
-/// `25%`, or bytes.
+/// Parses a share such as `25%`, or a size.
 pub fn amount(word: &str) -> Result<Amount, String> {
     match word.strip_suffix('%') {
         Some(_) => share(word).map(Amount::Share),
@@ -41,7 +41,7 @@
     }
 }
 
-/// `25%`.
+/// Parses a share such as `25%`.
 pub fn share(word: &str) -> Result<f64, String> {
     let percent = word.strip_suffix('%').and_then(|p| p.parse::<f64>().ok());
     let percent = percent.filter(|p| (0.0..=100.0).contains(p));
@@ -50,24 +50,24 @@
         .ok_or_else(|| format!("{word:?} is not a share from 0% to 100%"))
 }
 
-/// `250ms`, `1m 30s` as one word: `1m30s`.
+/// Parses a duration such as `250ms` or `1m30s`, without spaces.
 pub fn span(word: &str) -> Result<Duration, String> {
     if word == "0" {
         return Ok(Duration::ZERO);
     }
     let found = humantime::parse_duration(word)
-        .map_err(|_| format!("{word:?} is not a span, such as 250ms or 10m"))?;
-    // Spans are added up: none may come near the end of what they hold.
+        .map_err(|_| format!("{word:?} is not a duration, such as 250ms or 10m"))?;
+    // Durations are added, so none may come near the maximum of the type.
     if found > Duration::from_secs(100 * 366 * 24 * 3600) {
         return Err(format!("{word:?} is too long"));
     }
     Ok(found)
 }
 
-/// A whole number from `least` to `most`.
-pub fn whole(word: &str, least: u64, most: u64) -> Result<u64, String> {
-    let found = word.parse().ok().filter(|n| (least..=most).contains(n));
-    found.ok_or_else(|| format!("{word:?} is not a whole number from {least} to {most}"))
+/// Parses an integer from `lower` to `upper`.
+pub fn whole(word: &str, lower: u64, upper: u64) -> Result<u64, String> {
+    let found = word.parse().ok().filter(|n| (lower..=upper).contains(n));
+    found.ok_or_else(|| format!("{word:?} is not an integer from {lower} to {upper}"))
 }
 
 #[cfg(test)]
