--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,8 +1,8 @@
-//! Cells: parts of the fleet, and what is bound to them, so that harm stays where it began. No I/O.
+//! Cells: parts of the fleet and the requests bound to them, which confine the effects of a fault. No I/O.
 //!
-//! `map` says which cache servers a cell has and to which cell a request belongs; `limits` what a tenant may
-//! ask for in a while, in bounded memory however many names there are; `moves` how a tenant goes from one
-//! cell to another while it is served.
+//! `map` assigns cache servers and requests to cells; `limits` bounds the request rate of each tenant, in
+//! bounded memory for any number of names; `moves` moves a tenant from one cell to another while it is served;
+//! `plan` chooses which tenants to move.
 
 pub mod limits;
 pub mod map;
--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -1,11 +1,11 @@
-//! What a tenant may ask for: a rate with bursts, and a budget of retries that grows with what it has
-//! served. State is bounded however many names come: tenants that were served keep theirs, the rest share
-//! what a sketch remembers.
+//! Rate limits of tenants: a token bucket each, and a retry budget that grows with the requests served. Memory
+//! is bounded for any number of names: tenants that have been served have buckets of their own, all others
+//! share a sketch.
 //!
-//! A flood of new names cannot evict an honest tenant's state: a name gets a row of its own only once it has
-//! been served so often, and rows leave by when they were last served. Before that it is counted in a
-//! count-min sketch (Cormode and Muthukrishnan, "An improved data stream summary", 2005), where names that
-//! meet are taken for one: a new tenant among a flood of new ones is rejected with them, an old one is not.
+//! A flood of new names cannot evict an honest tenant's state: a name gets a bucket only once it has been
+//! served often enough, and buckets are evicted by when they were last served. Before that it is counted in a
+//! count-min sketch (Cormode and Muthukrishnan, "An improved data stream summary", 2005), where colliding
+//! names are counted as one: a new tenant amid a flood of new names is rejected with them, a known one is not.
 
 use chalkhall::interface::Arrival;
 use lru::LruCache;
@@ -13,48 +13,48 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows of tenants known by name, and how often one must have been served to get one.
-const ROWS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
-const SERVED_FOR_ROW: f64 = 8.0;
-/// The sketch: rows and columns.
-const DEEP: usize = 4;
-const WIDE: usize = 2048;
-/// What the sketch remembers halves in this time.
-const FADES: Duration = Duration::from_secs(10);
+/// Maximum number of tenants with a bucket, and how often a tenant must have been served to get one.
+const MAX_BUCKETS: NonZeroUsize = NonZeroUsize::new(4096).unwrap();
+const MIN_SERVED: f64 = 8.0;
+/// Dimensions of the count-min sketch.
+const SKETCH_ROWS: usize = 4;
+const SKETCH_COLUMNS: usize = 2048;
+/// Half-life of the sketch's counters.
+const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Retries for each request of a tenant that was served, and how many may be saved up: a fifth more work at
-/// the most once all fails, and enough for a short break.
-const RETRIES: f64 = 0.2;
-const RETRIES_MOST: f64 = 20.0;
+/// Retries earned by each served request, and how many can be saved up: retries add at most a fifth to the
+/// load when every request fails, and the saved ones cover a short outage.
+const RETRIES_PER_REQUEST: f64 = 0.2;
+const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// One, as far as sums of parts of it go.
-const WHOLE: f64 = 1.0 - 1e-9;
+/// One token, less a tolerance for the rounding of summed fractions.
+const ONE_TOKEN: f64 = 1.0 - 1e-9;
 
-/// What a tenant may do.
+/// The limits of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowed {
-    /// Requests a second, and how many at once after a pause.
+    /// Requests per second, and the burst allowed after a pause.
     pub rate: f64,
     pub burst: f64,
-    /// Retries for each request served, and how many may be saved up.
-    pub retries: f64,
-    pub retries_most: f64,
+    /// Retries earned by each served request, and how many can be saved up.
+    pub retries_per_request: f64,
+    pub max_retries: f64,
 }
 
 impl Allowed {
-    /// A rate with a burst, as the operator gives them, and the usual retries.
+    /// The operator's rate and burst, with the default retry budget.
     pub fn at(rate: f64, burst: f64) -> Allowed {
         Allowed {
             rate,
             burst,
-            retries: RETRIES,
-            retries_most: RETRIES_MOST,
+            retries_per_request: RETRIES_PER_REQUEST,
+            max_retries: MAX_SAVED_RETRIES,
         }
     }
 }
 
-/// Whose request it is: the customer's where the settings name customers, else all who ask for its group of
-/// objects, who are then limited together.
+/// The key of a request's tenant: its customer where the settings name customers, else its group of objects,
+/// whose clients are then limited together.
 pub fn tenant(arrival: &Arrival, by_customer: bool) -> [u8; 8] {
     if by_customer {
         (arrival.customer as u64).to_le_bytes()
@@ -63,50 +63,56 @@
     }
 }
 
-/// What becomes of a request at the door.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    Taken,
-    /// Rejected; a further one is taken after so long at the earliest.
+    Accepted,
+    /// Rejected; the earliest time after which a retry can be accepted.
     Late(Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    at: Duration,
+struct Bucket {
+    updated_at: Duration,
     tokens: f64,
     retries: f64,
 }
 
-impl Row {
-    fn fill(&mut self, now: Duration, allowed: &Allowed) {
-        let since = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + allowed.rate * since).min(allowed.burst);
+impl Bucket {
+    fn refill(&mut self, now: Duration, allowed: &Allowed) {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        self.tokens = (self.tokens + allowed.rate * elapsed).min(allowed.burst);
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Column {
-    at: Duration,
-    /// Requests lately, and how many of them were served.
-    asked: f64,
+struct Counter {
+    updated_at: Duration,
+    /// Recent requests, and how many of them were served, with exponential decay.
+    requests: f64,
     served: f64,
 }
 
-impl Column {
-    fn fade(&mut self, now: Duration) {
-        let fades = (-now.saturating_sub(self.at).div_duration_f64(FADES)).exp2();
-        (self.at, self.asked, self.served) =
-            (self.at.max(now), self.asked * fades, self.served * fades);
+impl Counter {
+    fn decay(&mut self, now: Duration) {
+        let factor = (-now
+            .saturating_sub(self.updated_at)
+            .div_duration_f64(HALF_LIFE))
+        .exp2();
+        (self.updated_at, self.requests, self.served) = (
+            self.updated_at.max(now),
+            self.requests * factor,
+            self.served * factor,
+        );
     }
 }
 
 /// The limits of all tenants of a cell.
 pub struct Tenants {
     allowed: Allowed,
-    rows: LruCache<u64, Row>,
-    sketch: Vec<Column>,
+    buckets: LruCache<u64, Bucket>,
+    sketch: Vec<Counter>,
     seed: u64,
 }
 
@@ -114,101 +120,107 @@
     pub fn new(allowed: Allowed, seed: u64) -> Tenants {
         Tenants {
             allowed,
-            rows: LruCache::new(ROWS),
-            sketch: vec![Column::default(); DEEP * WIDE],
+            buckets: LruCache::new(MAX_BUCKETS),
+            sketch: vec![Counter::default(); SKETCH_ROWS * SKETCH_COLUMNS],
             seed,
         }
     }
 
     fn key(&self, tenant: &[u8]) -> u64 {
-        // A seed of its own: nobody outside can make names meet on purpose.
+        // Seeded per router, so that no client can provoke hash collisions.
         xxh3_64_with_seed(tenant, self.seed)
     }
 
-    fn columns(&self, key: u64) -> [usize; DEEP] {
+    fn slots(&self, key: u64) -> [usize; SKETCH_ROWS] {
         std::array::from_fn(|n| {
-            n * WIDE + (xxh3_64_with_seed(&key.to_le_bytes(), n as u64) % WIDE as u64) as usize
+            n * SKETCH_COLUMNS
+                + (xxh3_64_with_seed(&key.to_le_bytes(), n as u64) % SKETCH_COLUMNS as u64) as usize
         })
     }
 
-    /// A request of a tenant comes; `again`: it is known to be a retry.
-    pub fn request(&mut self, now: Duration, tenant: &[u8], again: bool) -> Verdict {
+    /// Decides on a request of a tenant. `is_retry`: the request is known to be a retry.
+    pub fn request(&mut self, now: Duration, tenant: &[u8], is_retry: bool) -> Verdict {
         let (key, allowed) = (self.key(tenant), self.allowed);
-        if let Some(row) = self.rows.peek_mut(&key) {
-            row.fill(now, &allowed);
-            if again && row.retries < WHOLE {
+        if let Some(bucket) = self.buckets.peek_mut(&key) {
+            bucket.refill(now, &allowed);
+            if is_retry && bucket.retries < ONE_TOKEN {
                 return Verdict::Late(Duration::from_secs_f64(1.0 / allowed.rate.max(1e-3)));
             }
-            if row.tokens < WHOLE {
+            if bucket.tokens < ONE_TOKEN {
                 return Verdict::Late(Duration::from_secs_f64(
-                    (1.0 - row.tokens) / allowed.rate.max(1e-3),
+                    (1.0 - bucket.tokens) / allowed.rate.max(1e-3),
                 ));
             }
-            row.tokens -= 1.0;
-            row.retries -= f64::from(again);
-            return Verdict::Taken;
+            bucket.tokens -= 1.0;
+            bucket.retries -= f64::from(is_retry);
+            return Verdict::Accepted;
         }
-        // Known to nobody: what the least filled of its columns has asked for lately is at least its own.
-        let columns = self.columns(key);
-        for at in columns {
-            self.sketch[at].fade(now);
+        // An unknown tenant: the smallest of its counters is an upper bound of its own recent requests.
+        let slots = self.slots(key);
+        for slot in slots {
+            self.sketch[slot].decay(now);
         }
-        let asked = columns
+        let requests = slots
             .iter()
-            .map(|at| self.sketch[*at].asked)
+            .map(|slot| self.sketch[*slot].requests)
             .fold(f64::INFINITY, f64::min);
-        // What fades by half in a span adds up to the rate times the span over ln 2.
-        let steady = allowed.rate * FADES.as_secs_f64() / std::f64::consts::LN_2;
-        if asked + 1.0 > steady + allowed.burst {
-            let over = (asked + 1.0) / (steady + allowed.burst);
-            return Verdict::Late(FADES.mul_f64(over.log2().clamp(0.01, 1.0)));
+        // A counter that halves every half-life converges to rate * half-life / ln 2.
+        let steady_state = allowed.rate * HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
+        if requests + 1.0 > steady_state + allowed.burst {
+            let excess = (requests + 1.0) / (steady_state + allowed.burst);
+            return Verdict::Late(HALF_LIFE.mul_f64(excess.log2().clamp(0.01, 1.0)));
         }
-        columns.iter().for_each(|at| self.sketch[*at].asked += 1.0);
-        Verdict::Taken
+        slots
+            .iter()
+            .for_each(|slot| self.sketch[*slot].requests += 1.0);
+        Verdict::Accepted
     }
 
-    /// A request of a tenant was served.
+    /// Records that a request of a tenant was served.
     pub fn served(&mut self, now: Duration, tenant: &[u8]) {
         let (key, allowed) = (self.key(tenant), self.allowed);
-        if let Some(row) = self.rows.get_mut(&key) {
-            row.retries = (row.retries + allowed.retries).min(allowed.retries_most);
+        if let Some(bucket) = self.buckets.get_mut(&key) {
+            bucket.retries =
+                (bucket.retries + allowed.retries_per_request).min(allowed.max_retries);
             return;
         }
-        let columns = self.columns(key);
-        for at in columns {
-            self.sketch[at].fade(now);
-            self.sketch[at].served += 1.0;
+        let slots = self.slots(key);
+        for slot in slots {
+            self.sketch[slot].decay(now);
+            self.sketch[slot].served += 1.0;
         }
-        let served = columns
+        let served = slots
             .iter()
-            .map(|at| self.sketch[*at].served)
+            .map(|slot| self.sketch[*slot].served)
             .fold(f64::INFINITY, f64::min);
-        if served >= SERVED_FOR_ROW && self.may_evict(now) {
+        if served >= MIN_SERVED && self.may_evict(now) {
             let (tokens, retries) = (allowed.burst / 2.0, 0.0);
-            self.rows.put(
+            self.buckets.put(
                 key,
-                Row {
-                    at: now,
+                Bucket {
+                    updated_at: now,
                     tokens,
                     retries,
                 },
             );
-            columns.iter().for_each(|at| self.sketch[*at].served = 0.0);
+            slots
+                .iter()
+                .for_each(|slot| self.sketch[*slot].served = 0.0);
         }
     }
 
-    /// A row that was of use lately is not given up for a new name.
+    /// Whether a bucket can be added: one that was used within the last half-life is not evicted.
     fn may_evict(&self, now: Duration) -> bool {
         let oldest = self
-            .rows
+            .buckets
             .peek_lru()
-            .filter(|_| self.rows.len() == ROWS.get());
-        oldest.is_none_or(|(_, row)| now >= row.at + FADES)
+            .filter(|_| self.buckets.len() == MAX_BUCKETS.get());
+        oldest.is_none_or(|(_, bucket)| now >= bucket.updated_at + HALF_LIFE)
     }
 
-    /// Tenants known by name.
+    /// Number of tenants that have a bucket.
     pub fn known(&self) -> usize {
-        self.rows.len()
+        self.buckets.len()
     }
 }
 
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -1,10 +1,9 @@
-//! The cell map: which cache servers are in which cells, and which cell a request belongs to.
+//! The cell map: assigns cache servers and requests to cells.
 //!
-//! Every router draws the same map from the same directives and the same list of servers, whatever the order
-//! in which it heard of them; a server that comes or goes moves as few others as can be (rendezvous hashing:
-//! Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998). Shuffle sharding: each
-//! cell draws K of N, and no two share more than a bound (AWS Builders' Library, "Workload isolation using
-//! shuffle-sharding").
+//! Every router computes the same map from the same directives and list of servers, in any order; adding or
+//! removing a server reassigns as few others as possible (rendezvous hashing: Thaler and Ravishankar, "Using
+//! name-based mappings to increase hit rates", 1998). Shuffle sharding: each cell draws K of N servers, and the
+//! overlap of any two cells is bounded (AWS Builders' Library, "Workload isolation using shuffle-sharding").
 
 use chalkhall::interface::{Arrival, Id};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,36 +11,36 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A cell, by its place in the map.
+/// The index of a cell in the map.
 pub type Cell = u32;
-/// No map has more cells or bindings.
-pub const CELLS_MOST: usize = 4096;
-pub const BINDINGS_MOST: usize = 65_536;
+/// Maximum numbers of cells and of bindings of a map.
+pub const MAX_CELLS: usize = 4096;
+pub const MAX_BINDINGS: usize = 65_536;
 
-/// Which cache servers a cell has.
+/// The cache servers of a cell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Members {
-    /// Those of these names.
+    /// The servers with these names.
     List(Vec<String>),
-    /// A share of those that no list names, from 0 to 1; no two such cells share a server.
+    /// A share, from 0 to 1, of the servers that no list names; such cells are disjoint.
     Share(f64),
-    /// So many of those that no list names, drawn for this cell.
+    /// This number of the servers that no list names, drawn by hash; cells may overlap.
     Shuffle(usize),
 }
 
-/// What belongs to a cell.
+/// The scope of a binding: the requests that belong to a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum What {
-    /// Objects whose id begins so.
+    /// Objects whose id starts with this prefix.
     Prefix(String),
     Groups(RangeInclusive<u64>),
     Customer(usize),
-    /// A class by its place in the settings.
+    /// A class, by its index in the settings.
     Class(usize),
 }
 
 impl What {
-    /// A request is of this.
+    /// Whether a request is in this scope.
     pub fn covers(&self, arrival: &Arrival) -> bool {
         match self {
             What::Prefix(prefix) => arrival.object.starts_with(prefix.as_str()),
@@ -52,50 +51,50 @@
     }
 }
 
-/// What an operator says of cells.
+/// The operator's definition of the cells.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
-    /// A router never goes back to an older one.
+    /// The epoch of the map: a router never returns to an older one.
     pub epoch: u64,
     pub cells: Vec<(String, Members)>,
     pub bindings: Vec<(What, String)>,
-    /// Cells to which something is on its way: they belong to somebody too.
+    /// Target cells of moves: they are in use even if nothing is bound to them.
     pub arriving: Vec<String>,
-    /// Where all else belongs; none: to no cell, and to all servers.
+    /// The cell of requests without a binding; `None`: they belong to no cell and may go to any server.
     pub otherwise: Option<String>,
-    /// Servers that two drawn cells may share at the most; none: no bound.
+    /// Maximum number of servers that two shuffle-sharded cells share; `None`: unlimited.
     pub overlap: Option<usize>,
 }
 
-/// A map that makes sense.
+/// A valid cell map.
 #[derive(Clone, Debug)]
 pub struct Map {
-    told: Told,
+    definition: Told,
     prefixes: Vec<(String, Cell)>,
     groups: Vec<(RangeInclusive<u64>, Cell)>,
     customers: BTreeMap<usize, Cell>,
     classes: BTreeMap<usize, Cell>,
     otherwise: Option<Cell>,
-    /// By server; those in no cell take nothing that belongs to one.
-    placed: BTreeMap<Id, Rc<[Cell]>>,
+    /// The cells of each server. A server in no cell takes no requests that belong to a cell.
+    cells_by_server: BTreeMap<Id, Rc<[Cell]>>,
 }
 
 impl Map {
-    /// Checks what was told, whole.
+    /// Validates a definition.
     ///
     /// # Errors
-    /// Every fault of it.
-    pub fn new(told: Told) -> Result<Map, Vec<String>> {
+    /// All faults of the definition.
+    pub fn new(definition: Told) -> Result<Map, Vec<String>> {
         let mut faults = Vec::new();
-        if told.cells.len() > CELLS_MOST || told.bindings.len() > BINDINGS_MOST {
+        if definition.cells.len() > MAX_CELLS || definition.bindings.len() > MAX_BINDINGS {
             faults.push(format!(
-                "more than {CELLS_MOST} cells or {BINDINGS_MOST} bindings"
+                "more than {MAX_CELLS} cells or {MAX_BINDINGS} bindings"
             ));
         }
-        let mut numbers: BTreeMap<&str, Cell> = BTreeMap::new();
-        for (n, (name, members)) in told.cells.iter().enumerate() {
-            if numbers.insert(name, n as Cell).is_some() {
-                faults.push(format!("cell {name} is told twice"));
+        let mut cell_numbers: BTreeMap<&str, Cell> = BTreeMap::new();
+        for (n, (name, members)) in definition.cells.iter().enumerate() {
+            if cell_numbers.insert(name, n as Cell).is_some() {
+                faults.push(format!("cell {name} is defined twice"));
             }
             match members {
                 Members::List(servers) if servers.is_empty() => {
@@ -103,12 +102,12 @@
                 }
                 Members::Shuffle(0) => faults.push(format!("cell {name} draws no server")),
                 Members::Share(share) if !(*share > 0.0 && *share <= 1.0) => {
-                    faults.push(format!("cell {name}: a share of {share} is none"));
+                    faults.push(format!("cell {name}: share {share} is not in (0, 1]"));
                 }
                 _ => {}
             }
         }
-        let shares: f64 = told
+        let shares: f64 = definition
             .cells
             .iter()
             .map(|(_, m)| if let Members::Share(s) = m { *s } else { 0.0 })
@@ -119,12 +118,12 @@
                 shares * 100.0
             ));
         }
-        let mut bound = BTreeSet::new();
+        let mut used = BTreeSet::new();
         let mut cell = |name: &str, faults: &mut Vec<String>| {
-            let found = numbers.get(name).copied();
+            let found = cell_numbers.get(name).copied();
             match found {
                 Some(found) => {
-                    bound.insert(found);
+                    used.insert(found);
                 }
                 None => faults.push(format!("{name} is not a cell")),
             }
@@ -132,78 +131,77 @@
         };
         let (mut prefixes, mut groups) = (Vec::new(), Vec::new());
         let (mut customers, mut classes) = (BTreeMap::new(), BTreeMap::new());
-        for (what, name) in &told.bindings {
+        for (what, name) in &definition.bindings {
             let cell = cell(name, &mut faults);
-            let twice = match what {
+            let is_invalid = match what {
                 What::Prefix(prefix) => {
-                    let twice = prefixes.iter().any(|(p, _)| p == prefix);
+                    let is_invalid = prefixes.iter().any(|(p, _)| p == prefix);
                     prefixes.push((prefix.clone(), cell));
-                    twice
+                    is_invalid
                 }
                 What::Groups(range) => {
-                    let meets = |(r, _): &(RangeInclusive<u64>, Cell)| {
+                    let overlaps = |(r, _): &(RangeInclusive<u64>, Cell)| {
                         r.start() <= range.end() && range.start() <= r.end()
                     };
-                    let twice = groups.iter().any(meets) || range.is_empty();
+                    let is_invalid = groups.iter().any(overlaps) || range.is_empty();
                     groups.push((range.clone(), cell));
-                    twice
+                    is_invalid
                 }
                 What::Customer(n) => customers.insert(*n, cell).is_some(),
                 What::Class(n) => classes.insert(*n, cell).is_some(),
             };
-            if twice {
-                faults.push(format!("{what:?} is bound twice, or to nothing"));
+            if is_invalid {
+                faults.push(format!("{what:?} is bound twice, or is an empty range"));
             }
         }
-        for name in &told.arriving {
+        for name in &definition.arriving {
             cell(name, &mut faults);
         }
-        let otherwise = told
+        let otherwise = definition
             .otherwise
             .as_deref()
             .map(|name| cell(name, &mut faults));
-        for (n, (name, _)) in told.cells.iter().enumerate() {
-            if !bound.contains(&(n as Cell)) {
+        for (n, (name, _)) in definition.cells.iter().enumerate() {
+            if !used.contains(&(n as Cell)) {
                 faults.push(format!("nothing belongs to cell {name}"));
             }
         }
         if !faults.is_empty() {
             return Err(faults);
         }
-        // The longest prefix says most.
+        // The longest matching prefix takes precedence.
         prefixes.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
         Ok(Map {
-            told,
+            definition,
             prefixes,
             groups,
             customers,
             classes,
             otherwise,
-            placed: BTreeMap::new(),
+            cells_by_server: BTreeMap::new(),
         })
     }
 
     pub fn epoch(&self) -> u64 {
-        self.told.epoch
+        self.definition.epoch
     }
 
     pub fn name(&self, cell: Cell) -> &str {
-        self.told
+        self.definition
             .cells
             .get(cell as usize)
             .map_or("", |(name, _)| name)
     }
 
     pub fn len(&self) -> usize {
-        self.told.cells.len()
+        self.definition.cells.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.told.cells.is_empty()
+        self.definition.cells.is_empty()
     }
 
-    /// The cell that a request belongs to: by its object, its group, its customer, its class, in this
-    /// order.
+    /// The cell of a request: by the binding of its object, group, customer or class, in this order.
     pub fn cell_of(&self, arrival: &Arrival) -> Option<Cell> {
         let by_object = self
             .prefixes
@@ -223,43 +221,48 @@
             .or(self.otherwise)
     }
 
-    /// The cell of this name, and the one to which just this is bound.
+    /// The cell with this name.
     pub fn named(&self, name: &str) -> Option<Cell> {
-        self.told
+        self.definition
             .cells
             .iter()
             .position(|(n, _)| n == name)
             .map(|n| n as Cell)
     }
 
+    /// The cell to which exactly this scope is bound.
     pub fn bound(&self, what: &What) -> Option<Cell> {
-        let found = self.told.bindings.iter().find(|(bound, _)| bound == what);
+        let found = self
+            .definition
+            .bindings
+            .iter()
+            .find(|(bound, _)| bound == what);
         found.and_then(|(_, name)| self.named(name))
     }
 
-    /// The cells of a server, in order; none that it is in, and it takes nothing that belongs to a cell.
+    /// The cells of a server, in order. A server in no cell takes no requests that belong to a cell.
     pub fn cells_of(&self, server: &Id) -> Rc<[Cell]> {
-        self.placed
+        self.cells_by_server
             .get(server)
             .cloned()
             .unwrap_or_else(|| Rc::from([]))
     }
 
-    /// Draws the map over these cache servers. Their order tells nothing.
+    /// Assigns these cache servers to the cells.
     pub fn place(&mut self, servers: &BTreeSet<Id>) {
         let mut cells: BTreeMap<Id, BTreeSet<Cell>> = servers
             .iter()
             .map(|s| (s.clone(), BTreeSet::new()))
             .collect();
-        let numbered = || {
-            self.told
+        let numbered_cells = || {
+            self.definition
                 .cells
                 .iter()
                 .enumerate()
                 .map(|(n, (name, members))| (n as Cell, name, members))
         };
         let mut listed = BTreeSet::new();
-        for (cell, _, members) in numbered() {
+        for (cell, _, members) in numbered_cells() {
             let Members::List(names) = members else {
                 continue;
             };
@@ -272,7 +275,7 @@
             }
         }
         let free: Vec<&Id> = servers.iter().filter(|s| !listed.contains(*s)).collect();
-        let shares: Vec<(Cell, &String, f64)> = numbered()
+        let shares: Vec<(Cell, &String, f64)> = numbered_cells()
             .filter_map(|(cell, name, members)| {
                 if let Members::Share(s) = members {
                     Some((cell, name, *s))
@@ -283,13 +286,13 @@
             .collect();
         let unshared = 1.0 - shares.iter().map(|(_, _, share)| share).sum::<f64>();
         for server in &free {
-            // Each cell draws a number for the server in proportion to its share; what no cell has draws too.
-            let none = ("", unshared);
-            let draws = shares
+            // Each cell has a score weighted by its share; the share that no cell has takes part as well.
+            let unassigned = ("", unshared);
+            let scores = shares
                 .iter()
-                .map(|(cell, name, share)| (Some(*cell), draw(name, server, *share)));
-            let draws = draws.chain([(None, draw(none.0, server, none.1))]);
-            let best = draws
+                .map(|(cell, name, share)| (Some(*cell), score(name, server, *share)));
+            let scores = scores.chain([(None, score(unassigned.0, server, unassigned.1))]);
+            let best = scores
                 .min_by(|a, b| a.1.total_cmp(&b.1))
                 .and_then(|(cell, _)| cell);
             if let Some(cell) = best {
@@ -297,48 +300,49 @@
             }
         }
         let mut drawn: Vec<BTreeSet<&Id>> = Vec::new();
-        for (cell, name, members) in numbered() {
+        for (cell, name, members) in numbered_cells() {
             let Members::Shuffle(count) = members else {
                 continue;
             };
-            let mut row: Vec<(f64, &Id)> = free
+            let mut ranking: Vec<(f64, &Id)> = free
                 .iter()
-                .map(|server| (draw(name, server, 1.0), *server))
+                .map(|server| (score(name, server, 1.0), *server))
                 .collect();
-            row.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
-            let mut picked = BTreeSet::new();
-            for (_, server) in &row {
-                let bound = self.told.overlap.unwrap_or(usize::MAX);
-                // One server more must not bring it past the bound with any cell drawn before.
+            ranking.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
+            let mut selected = BTreeSet::new();
+            for (_, server) in &ranking {
+                let max_overlap = self.definition.overlap.unwrap_or(usize::MAX);
+                // The server must not push the overlap with an earlier cell past the limit.
                 let shared = |other: &BTreeSet<&Id>| {
-                    other.intersection(&picked).count() + usize::from(other.contains(server))
+                    other.intersection(&selected).count() + usize::from(other.contains(server))
                 };
-                if picked.len() < *count && drawn.iter().all(|other| shared(other) <= bound) {
-                    picked.insert(*server);
+                if selected.len() < *count && drawn.iter().all(|other| shared(other) <= max_overlap)
+                {
+                    selected.insert(*server);
                 }
             }
-            for server in &picked {
+            for server in &selected {
                 cells.entry((**server).clone()).or_default().insert(cell);
             }
-            drawn.push(picked);
+            drawn.push(selected);
         }
-        self.placed = cells
+        self.cells_by_server = cells
             .into_iter()
             .map(|(server, cells)| (server, cells.into_iter().collect()))
             .collect();
     }
 
-    /// What an operator should know of the map as it is drawn: cells with too few servers, and servers in
-    /// none.
+    /// Faults of the current assignment: cells with too few servers, and servers that receive no requests because
+    /// they are in no cell.
     pub fn faults(&self) -> Vec<String> {
-        let mut counts = vec![0usize; self.told.cells.len()];
-        let mut nowhere = 0;
-        for cells in self.placed.values() {
+        let mut counts = vec![0usize; self.definition.cells.len()];
+        let mut unassigned = 0;
+        for cells in self.cells_by_server.values() {
             cells.iter().for_each(|cell| counts[*cell as usize] += 1);
-            nowhere += usize::from(cells.is_empty());
+            unassigned += usize::from(cells.is_empty());
         }
         let mut faults = Vec::new();
-        for ((name, members), count) in self.told.cells.iter().zip(&counts) {
+        for ((name, members), count) in self.definition.cells.iter().zip(&counts) {
             let wanted = match members {
                 Members::List(names) => names.len(),
                 Members::Share(_) => 1,
@@ -348,24 +352,24 @@
                 faults.push(format!("cell {name} has {count} of {wanted} servers"));
             }
         }
-        if nowhere > 0 && self.otherwise.is_some() {
+        if unassigned > 0 && self.otherwise.is_some() {
             faults.push(format!(
-                "{nowhere} servers are in no cell, and every request belongs to one"
+                "{unassigned} servers are in no cell and receive no requests: every request belongs to a cell"
             ));
         }
         faults
     }
 
-    /// Of each cell: its name and servers.
+    /// The name and servers of each cell.
     pub fn report(&self) -> Vec<(&str, Vec<Id>)> {
         let servers = |cell: Cell| {
             let of_it = self
-                .placed
+                .cells_by_server
                 .iter()
                 .filter(|(_, cells)| cells.contains(&cell));
             of_it.map(|(server, _)| server.clone()).collect()
         };
-        self.told
+        self.definition
             .cells
             .iter()
             .enumerate()
@@ -374,8 +378,8 @@
     }
 }
 
-/// A number for a cell and a server, smaller the greater the weight: the least of all has it.
-fn draw(cell: &str, server: &Id, weight: f64) -> f64 {
+/// The score of a cell for a server: the cell with the lowest score takes it, in proportion to its weight.
+fn score(cell: &str, server: &Id, weight: f64) -> f64 {
     let hash = xxh3_64_with_seed(server.as_bytes(), xxh3_64(cell.as_bytes()));
     if weight <= 1e-12 {
         return f64::INFINITY;
--- a/crates/cells/src/map/tests.rs
+++ b/crates/cells/src/map/tests.rs
@@ -5,7 +5,7 @@
     range.map(|n| Id::from(format!("s-{n:04}"))).collect()
 }
 
-fn told(cells: Vec<(&str, Members)>) -> Told {
+fn definition(cells: Vec<(&str, Members)>) -> Told {
     let bindings = cells
         .iter()
         .enumerate()
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_request_belongs_by_what_says_most_of_it() {
+fn the_most_specific_binding_decides_the_cell() {
     let cells = ["a", "b", "c", "d", "e"].map(|name| (name.to_owned(), Members::Shuffle(1)));
     let bind = |what, name: &str| (what, name.to_owned());
     let bindings = vec![
@@ -60,20 +60,20 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
-    let mut told = told(vec![
+fn all_faults_are_reported_at_once() {
+    let mut definition = definition(vec![
         ("a", Members::List(vec![])),
         ("a", Members::Share(0.7)),
         ("b", Members::Share(0.7)),
         ("c", Members::Shuffle(0)),
     ]);
-    told.bindings = vec![
+    definition.bindings = vec![
         (What::Groups(1..=9), "a".into()),
         (What::Groups(9..=9), "nowhere".into()),
     ];
-    let faults = Map::new(told).unwrap_err().join("\n");
+    let faults = Map::new(definition).unwrap_err().join("\n");
     for part in [
-        "cell a is told twice",
+        "cell a is defined twice",
         "cell a lists no server",
         "cell c draws no server",
         "add up to 140 %",
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn shares_are_kept_and_a_server_that_goes_moves_no_other() {
-    let mut map = Map::new(told(vec![
+fn shares_are_kept_and_removing_a_server_reassigns_no_other() {
+    let mut map = Map::new(definition(vec![
         ("a", Members::Share(0.25)),
         ("b", Members::Share(0.5)),
     ]))
@@ -100,19 +100,19 @@
         (420..580).contains(&a) && (900..1100).contains(&b),
         "{a} {b}"
     );
-    let placed = map.placed.clone();
+    let before_removal = map.cells_by_server.clone();
     map.place(&servers(1..2000));
     assert!(
-        map.placed
+        map.cells_by_server
             .iter()
-            .all(|(server, cells)| placed[server] == *cells)
+            .all(|(server, cells)| before_removal[server] == *cells)
     );
 }
 
 #[test]
-fn a_cell_that_is_left_with_too_few_is_told() {
+fn a_cell_with_too_few_servers_is_reported() {
     let list = Members::List(vec!["s-0001".into(), "gone".into()]);
-    let mut map = Map::new(told(vec![("a", list), ("b", Members::Shuffle(30))])).unwrap();
+    let mut map = Map::new(definition(vec![("a", list), ("b", Members::Shuffle(30))])).unwrap();
     map.place(&servers(0..10));
     assert_eq!(
         map.faults(),
@@ -121,15 +121,14 @@
     assert_eq!(
         *map.cells_of(&"s-0001".into()),
         [0],
-        "a listed server is drawn by no other cell"
+        "a listed server is in no other cell"
     );
 }
 
 proptest! {
-    /// All routers draw the same, whatever they heard first; no two drawn cells share more than the
-    /// bound.
+    /// Assignments are deterministic, and the overlap of two shuffle-sharded cells is within the limit.
     #[test]
-    fn drawn_cells_overlap_within_the_bound(
+    fn shuffle_sharded_cells_overlap_within_the_limit(
         count in 8u32..60,
         cells in 1usize..12,
         k in 1usize..5,
@@ -137,8 +136,8 @@
     ) {
         let names: Vec<String> = (0..cells).map(|n| format!("cell-{n}")).collect();
         let drawn = names.iter().map(|n| (n.as_str(), Members::Shuffle(k))).collect();
-        let told = Told { overlap: Some(overlap), ..told(drawn) };
-        let mut map = Map::new(told).unwrap();
+        let definition = Told { overlap: Some(overlap), ..definition(drawn) };
+        let mut map = Map::new(definition).unwrap();
         map.place(&servers(0..count));
         let report = map.report().into_iter();
         let report: Vec<BTreeSet<Id>> = report.map(|(_, s)| s.into_iter().collect()).collect();
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -1,42 +1,42 @@
 //! Moving a tenant from one cell to another while it is served: a state machine without I/O.
 //!
-//! Each router moves by what it sees itself, with no word to the others: a growing share of the tenant's
-//! objects, chosen by hash, goes to the new cell. The share doubles when what was sent there is answered from
-//! copies about as often as in the old cell, so it follows the warmth of the new cell and not the clock. Two
-//! routers at different shares break nothing: either cell may serve any of its objects, and rule 4 is kept
-//! where every send passes. A request keeps the cell that it was given when it came, for all its attempts.
+//! Each router advances by its own observations, without coordination: a growing share of the tenant's objects,
+//! chosen by hash, goes to the new cell. The share doubles once the hit rate in the new cell is close to that
+//! in the old one, so it follows the warm-up of the new cell and not the clock. Routers may be at different
+//! shares: either cell can serve any of the tenant's objects, and slow start (rule 4) is enforced where every
+//! attempt is sent. A request keeps the cell that it was assigned on arrival for all its attempts.
 
 use crate::map::Cell;
 use chalkhall::control::Judged;
 use chalkhall::interface::{Outcome, Remark};
 use std::time::Duration;
 
-/// The share that goes first.
-const FIRST: f64 = 1.0 / 16.0;
-/// Outcomes at one share before it may grow.
-const ENOUGH: f64 = 32.0;
-/// Hits at the new cell, over those at the old one, from which on it is warm enough for more.
-const WARM: f64 = 0.7;
-/// What the old cell's share of hits is averaged over.
-const MOVES: f64 = 1.0 / 256.0;
+/// The share of objects that is moved first.
+const INITIAL_SHARE: f64 = 1.0 / 16.0;
+/// Minimum number of outcomes at a share before it may grow.
+const MIN_SAMPLES: f64 = 32.0;
+/// The new cell counts as warm at this fraction of the old cell's hit rate.
+const WARM_HIT_RATIO: f64 = 0.7;
+/// Weight of a new sample in the moving average of the old cell's hit rate.
+const HIT_RATE_SMOOTHING: f64 = 1.0 / 256.0;
 
-/// Where a move stands. It goes on in this order, or back.
+/// The state of a move. It advances in this order or rolls back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum State {
-    /// Told; nothing goes to the new cell yet.
+    /// Configured; nothing goes to the new cell yet.
     Prepared,
-    /// The first share goes there.
+    /// The first share goes to the new cell.
     Warming,
-    /// More and more does.
+    /// A growing share goes to the new cell.
     Shifting,
-    /// All does; the old cell could still take it back.
+    /// Everything goes to the new cell; the move can still be rolled back.
     Settling,
     Done,
-    /// All goes to the old cell again.
+    /// Everything goes to the old cell again.
     RolledBack,
 }
 
-/// One move, as one router makes it.
+/// A move as one router performs it.
 #[derive(Debug)]
 pub struct Move {
     pub from: Cell,
@@ -44,34 +44,34 @@
     state: State,
     share: f64,
     paused: bool,
-    /// At the present share: outcomes at the new cell, and how many were hits.
-    seen: f64,
+    /// Served requests at the new cell at the current share, and how many of them were hits.
+    samples: f64,
     hits: f64,
-    /// Share of hits at the old cell, as far as it was seen.
-    old: Option<f64>,
-    record: Judged,
-    settles_at: Duration,
-    /// What is in flight at the old cell has ended after this long.
-    settle: Duration,
+    /// Hit rate at the old cell; `None` before its first served request.
+    old_hit_rate: Option<f64>,
+    detector: Judged,
+    settled_at: Duration,
+    /// Time after which all requests in flight at the old cell have ended.
+    settling_time: Duration,
 }
 
 impl Move {
-    /// `settle`: the longest that a request, or what remembers its repeats, lasts.
-    pub fn new(from: Cell, to: Cell, settle: Duration) -> Move {
+    /// `settling_time`: the longest lifetime of a request or of its deduplication state.
+    pub fn new(from: Cell, to: Cell, settling_time: Duration) -> Move {
         let (state, share, paused) = (State::Prepared, 0.0, false);
-        let (seen, hits, old, record) = (0.0, 0.0, None, Judged::default());
+        let (samples, hits, old_hit_rate, detector) = (0.0, 0.0, None, Judged::default());
         Move {
             from,
             to,
             state,
             share,
             paused,
-            seen,
+            samples,
             hits,
-            old,
-            record,
-            settles_at: Duration::ZERO,
-            settle,
+            old_hit_rate,
+            detector,
+            settled_at: Duration::ZERO,
+            settling_time,
         }
     }
 
@@ -79,7 +79,7 @@
         self.state
     }
 
-    /// From 0 to 1: how much goes to the new cell.
+    /// The share of objects that goes to the new cell, from 0 to 1.
     pub fn share(&self) -> f64 {
         self.share
     }
@@ -88,20 +88,19 @@
         self.paused
     }
 
-    /// The cell of a request that comes now. For one share always the same by object; more of it goes over as
-    /// the share grows and none comes back but by a roll-back.
+    /// The cell of a new request. It depends only on the object and the share: objects move over as the share
+    /// grows, and go back only in a rollback.
     pub fn cell(&self, object: u64) -> Cell {
-        // As many bits as a number of this kind holds: rounded up, the last objects would stay behind for
-        // ever.
-        let drawn = (object >> 11) as f64 / (1u64 << 53) as f64;
-        if drawn < self.share {
+        // Only the 53 bits that an f64 holds exactly: rounded up to 1.0, the last objects would never move.
+        let fraction = (object >> 11) as f64 / (1u64 << 53) as f64;
+        if fraction < self.share {
             self.to
         } else {
             self.from
         }
     }
 
-    /// Stays where it is until `resume`.
+    /// Holds the move at its state until [`Move::resume`].
     pub fn pause(&mut self) {
         self.paused = true;
     }
@@ -110,92 +109,92 @@
         self.paused = false;
     }
 
-    /// Turns it round: under way it goes back at once, where the old cell's copies still are; one that went
-    /// back begins anew, from the first share on: whatever the new cell had may have gone. One that is done
-    /// is another move.
+    /// Reverses the move. A move in progress rolls back at once, as the old cell still has its copies. One that
+    /// was rolled back restarts from the first share, as the new cell may have lost its copies. A completed move
+    /// is not reversed: moving back is a new move.
     pub fn reverse(&mut self) {
         match self.state {
             State::Done => {}
-            State::RolledBack => self.stand(State::Prepared, 0.0),
-            _ => self.stand(State::RolledBack, 0.0),
+            State::RolledBack => self.enter(State::Prepared, 0.0),
+            _ => self.enter(State::RolledBack, 0.0),
         }
         self.paused = false;
     }
 
-    fn stand(&mut self, state: State, share: f64) {
-        (self.state, self.share, self.seen, self.hits) = (state, share, 0.0, 0.0);
+    fn enter(&mut self, state: State, share: f64) {
+        (self.state, self.share, self.samples, self.hits) = (state, share, 0.0, 0.0);
         if matches!(state, State::Prepared | State::RolledBack) {
-            self.record = Judged::default();
+            self.detector = Judged::default();
         }
     }
 
-    /// Which cells have anybody to serve. A new cell that lost all takes nothing; an old one that did keeps
-    /// nothing.
+    /// Reports which of the two cells have live servers. A new cell without any takes no requests; an old cell
+    /// without any keeps none.
     pub fn alive(&mut self, now: Duration, from: bool, to: bool) {
         use State::*;
         match (self.state, from, to) {
-            (Warming | Shifting | Settling, true, false) => self.stand(RolledBack, 0.0),
-            // Nobody is left to go back to: the new cell's cold budgets alone bound what it is sent.
-            (Prepared | Warming | Shifting | RolledBack, false, true) => self.settling(now),
-            (Prepared, true, true) if !self.paused => self.stand(Warming, FIRST),
+            (Warming | Shifting | Settling, true, false) => self.enter(RolledBack, 0.0),
+            // There is no old cell to fall back to: only slow start limits what the new cell is sent.
+            (Prepared | Warming | Shifting | RolledBack, false, true) => self.enter_settling(now),
+            (Prepared, true, true) if !self.paused => self.enter(Warming, INITIAL_SHARE),
             _ => {}
         }
     }
 
-    fn settling(&mut self, now: Duration) {
-        self.stand(State::Settling, 1.0);
-        self.settles_at = now + self.settle;
+    fn enter_settling(&mut self, now: Duration) {
+        self.enter(State::Settling, 1.0);
+        self.settled_at = now + self.settling_time;
     }
 
-    /// An attempt for the tenant has ended: at which cell, and how. What was refused, called off, never
-    /// sent or not there says nothing of a cell.
+    /// Records the outcome of one of the tenant's attempts at a cell. Attempts that were rejected, cancelled or
+    /// never sent, and missing objects, are no evidence about the cell.
     pub fn ended(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
         use Outcome::{Broken, Error, Served, TimedOut, Unreachable};
         if matches!(outcome, Served | Error | TimedOut | Broken | Unreachable) {
             let hit = matches!(remark, Remark::Hit | Remark::Stale);
-            self.told(now, cell, outcome == Served, hit);
+            self.record(now, cell, outcome == Served, hit);
         }
     }
 
-    /// Whether a request was served, and from a copy there.
-    fn told(&mut self, now: Duration, cell: Cell, served: bool, hit: bool) {
+    /// Records whether a request was served, and whether it was a hit.
+    fn record(&mut self, now: Duration, cell: Cell, served: bool, hit: bool) {
         use State::*;
         if cell == self.from {
             if served {
-                let old = self.old.get_or_insert(f64::from(hit));
-                *old += (f64::from(hit) - *old) * MOVES;
+                let hit_rate = self.old_hit_rate.get_or_insert(f64::from(hit));
+                *hit_rate += (f64::from(hit) - *hit_rate) * HIT_RATE_SMOOTHING;
             }
             return;
         }
         if cell != self.to || !matches!(self.state, Warming | Shifting | Settling) {
             return;
         }
-        // A new cell that fails its requests is no place to move to, by the same test as any server.
-        self.record.judge(now, !served, 1.0);
-        if self.record.is_aside() {
-            return self.stand(RolledBack, 0.0);
+        // A failing new cell rolls the move back, by the same outlier detection as for a server.
+        self.detector.judge(now, !served, 1.0);
+        if self.detector.is_aside() {
+            return self.enter(RolledBack, 0.0);
         }
         if !served || self.paused || self.state == Settling {
             return;
         }
-        self.seen += 1.0;
+        self.samples += 1.0;
         self.hits += f64::from(hit);
-        let warm = self.hits >= WARM * self.old.unwrap_or(0.0) * self.seen;
-        if self.seen >= ENOUGH && warm {
+        let warm = self.hits >= WARM_HIT_RATIO * self.old_hit_rate.unwrap_or(0.0) * self.samples;
+        if self.samples >= MIN_SAMPLES && warm {
             match self.share * 2.0 {
-                share if share >= 1.0 => self.settling(now),
-                share => self.stand(Shifting, share),
+                share if share >= 1.0 => self.enter_settling(now),
+                share => self.enter(Shifting, share),
             }
-        } else if self.seen >= ENOUGH * 4.0 {
-            // Not warm yet: what was seen first, when it was coldest, is forgotten by and by.
-            (self.seen, self.hits) = (self.seen / 2.0, self.hits / 2.0);
+        } else if self.samples >= MIN_SAMPLES * 4.0 {
+            // Not warm yet: decays the early samples, which date from when the cell was coldest.
+            (self.samples, self.hits) = (self.samples / 2.0, self.hits / 2.0);
         }
     }
 
-    /// Time passes.
+    /// Completes a move whose settling time has passed.
     pub fn tick(&mut self, now: Duration) {
-        if self.state == State::Settling && now >= self.settles_at && !self.paused {
-            self.stand(State::Done, 1.0);
+        if self.state == State::Settling && now >= self.settled_at && !self.paused {
+            self.enter(State::Done, 1.0);
         }
     }
 }
--- a/crates/cells/src/plan.rs
+++ b/crates/cells/src/plan.rs
@@ -1,17 +1,18 @@
-//! Placement: which tenants go to which cells, so that no cell is asked for more than it bears and as little
-//! as can be has to be filled anew.
+//! Placement: which tenants move to which cells, so that no cell exceeds its utilization limit and the cost of
+//! refilling caches is small.
 //!
-//! A cell over its bound sheds tenants: those that cost least to fill for the load they take along, then
-//! fewer where fewer do (covering knapsack by density, with the last one exchanged and the needless left
-//! out). What is shed goes to the cell with most room, largest first; no cell takes more at once than its
-//! cold servers bear, and none that sheds takes any: who finds no place after all stays there, in room that
-//! would be gone. The lower bound is of a plan that may cut tenants in pieces: what each cell over its bound
-//! must shed, at the best density it has.
+//! An overloaded cell sheds the tenants with the lowest fill cost per load (a covering knapsack solved greedily
+//! by density; the last pick is exchanged for the cheapest sufficient tenant, and redundant picks are dropped).
+//! Shed tenants go, largest first, to the cell with the most headroom. No cell receives more at once than its
+//! cold servers can take, and a shedding cell receives nothing: a tenant that cannot be placed stays in its
+//! cell and needs its capacity there. The lower bound is the cost of a plan that may split tenants: what each
+//! overloaded cell must shed, at the best densities.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A tenant: what it asks for (in the unit of capacity), what it would cost to fill anew, where it is.
+/// A tenant: its load (in the unit of capacity), the cost of refilling its objects in another cell, and the
+/// index of its cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     pub name: String,
@@ -20,210 +21,210 @@
     pub cell: usize,
 }
 
-/// A cell: what it bears, and which share of that may arrive at once on servers that are cold for it.
+/// A cell: its capacity, and the share of it that may be moved there at once, while its servers are cold.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct CellCapacity {
     pub name: String,
     pub capacity: f64,
-    pub cold: f64,
+    pub cold_share: f64,
 }
 
-/// Why a tenant moves.
+/// The reason for a move.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Why {
-    /// Its cell is asked for so much of what it bears.
-    Crowded(f64),
-    /// Its cell bears nothing any more.
+pub enum Reason {
+    /// The utilization of its cell exceeds the limit.
+    Overloaded(f64),
+    /// Its cell has no capacity.
     Closed,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct TenantMove {
     pub tenant: usize,
     pub from: usize,
     pub to: usize,
-    pub why: Why,
+    pub reason: Reason,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    pub steps: Vec<Step>,
-    /// Tenants that should move and find no place now.
-    pub stuck: Vec<usize>,
-    /// What has to be filled anew, and what any plan at least has to.
+    pub moves: Vec<TenantMove>,
+    /// Tenants that should move but fit in no cell now.
+    pub unplaced: Vec<usize>,
+    /// The fill cost of the plan, and a lower bound of that of any plan.
     pub fill_kb: f64,
-    pub bound_kb: f64,
-    /// The fullest cell before and after, as a share of what it bears.
-    pub fullest: [f64; 2],
+    pub lower_bound_kb: f64,
+    /// The highest utilization of a cell, before and after the plan.
+    pub peak_utilization: [f64; 2],
 }
 
-struct Room(f64, usize);
+struct Headroom(f64, usize);
 
-impl PartialEq for Room {
-    fn eq(&self, other: &Room) -> bool {
+impl PartialEq for Headroom {
+    fn eq(&self, other: &Headroom) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Room {}
-impl PartialOrd for Room {
-    fn partial_cmp(&self, other: &Room) -> Option<Ordering> {
+impl Eq for Headroom {}
+impl PartialOrd for Headroom {
+    fn partial_cmp(&self, other: &Headroom) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Room {
-    fn cmp(&self, other: &Room) -> Ordering {
+impl Ord for Headroom {
+    fn cmp(&self, other: &Headroom) -> Ordering {
         self.0.total_cmp(&other.0).then(other.1.cmp(&self.1))
     }
 }
 
-/// A plan after which no cell is asked for more than the share `most` of what it bears, as far as there is
-/// room.
+/// Plans moves after which no cell exceeds `max_utilization`, as far as the capacity allows.
 ///
 /// # Errors
-/// A figure that is none: a negative or infinite load, cost or capacity, or a tenant in a cell that is not
-/// there.
-pub fn plan(tenants: &[Tenant], places: &[Place], most: f64) -> Result<Plan, String> {
-    let sound = |n: f64| n.is_finite() && n >= 0.0;
+/// An invalid input: a negative or non-finite load, cost or capacity, or a tenant in an unknown cell.
+pub fn plan(
+    tenants: &[Tenant],
+    cells: &[CellCapacity],
+    max_utilization: f64,
+) -> Result<Plan, String> {
+    let is_valid = |n: f64| n.is_finite() && n >= 0.0;
     if let Some(t) = tenants
         .iter()
-        .find(|t| !sound(t.load) || !sound(t.fill_kb) || t.cell >= places.len())
+        .find(|t| !is_valid(t.load) || !is_valid(t.fill_kb) || t.cell >= cells.len())
     {
         return Err(format!(
-            "tenant {}: its load, its fill or its cell makes no sense",
+            "tenant {}: invalid load, fill cost or cell",
             t.name
         ));
     }
-    if let Some(p) = places
+    if let Some(p) = cells
         .iter()
-        .find(|p| !sound(p.capacity) || !(0.0..=1.0).contains(&p.cold))
+        .find(|p| !is_valid(p.capacity) || !(0.0..=1.0).contains(&p.cold_share))
     {
+        return Err(format!("cell {}: invalid capacity or cold share", p.name));
+    }
+    if !(0.0..=1.0).contains(&max_utilization) {
         return Err(format!(
-            "cell {}: its capacity or its cold share makes no sense",
-            p.name
+            "{max_utilization} is not a utilization from 0 to 1"
         ));
     }
-    if !(0.0..=1.0).contains(&most) {
-        return Err(format!("{most} is not a share"));
-    }
-    let mut loads = vec![0.0; places.len()];
-    let mut of_cell: Vec<Vec<usize>> = vec![Vec::new(); places.len()];
+    let mut loads = vec![0.0; cells.len()];
+    let mut tenants_of_cell: Vec<Vec<usize>> = vec![Vec::new(); cells.len()];
     for (n, tenant) in tenants.iter().enumerate() {
         loads[tenant.cell] += tenant.load;
-        of_cell[tenant.cell].push(n);
+        tenants_of_cell[tenant.cell].push(n);
     }
-    let fullest = |loads: &[f64]| {
-        let used = loads.iter().zip(places).filter(|(load, _)| **load > 0.0);
-        used.map(|(load, place)| load / place.capacity.max(1e-12))
+    let peak_utilization = |loads: &[f64]| {
+        let used = loads.iter().zip(cells).filter(|(load, _)| **load > 0.0);
+        used.map(|(load, cell)| load / cell.capacity.max(1e-12))
             .fold(0.0, f64::max)
     };
-    let before = fullest(&loads);
-    let (mut leaving, mut bound_kb) = (Vec::new(), 0.0);
-    for (cell, place) in places.iter().enumerate() {
-        let over = loads[cell] - most * place.capacity;
-        if over > 1e-9 * loads[cell] {
-            let (shed, least) = shed(tenants, &of_cell[cell], over);
-            bound_kb += least;
-            let share = loads[cell] / place.capacity.max(1e-12);
-            let why = if place.capacity > 0.0 {
-                Why::Crowded(share)
+    let before = peak_utilization(&loads);
+    let (mut leaving, mut lower_bound_kb) = (Vec::new(), 0.0);
+    for (index, cell) in cells.iter().enumerate() {
+        let excess = loads[index] - max_utilization * cell.capacity;
+        if excess > 1e-9 * loads[index] {
+            let (shed, lower_bound) = shed(tenants, &tenants_of_cell[index], excess);
+            lower_bound_kb += lower_bound;
+            let utilization = loads[index] / cell.capacity.max(1e-12);
+            let reason = if cell.capacity > 0.0 {
+                Reason::Overloaded(utilization)
             } else {
-                Why::Closed
+                Reason::Closed
             };
-            leaving.extend(shed.into_iter().map(|tenant| (tenant, why)));
+            leaving.extend(shed.into_iter().map(|tenant| (tenant, reason)));
         }
     }
-    // Largest first: small ones find room between them.
+    // Largest first: small tenants fit into the remaining gaps.
     leaving.sort_by(|a, b| {
         tenants[b.0]
             .load
             .total_cmp(&tenants[a.0].load)
             .then(a.0.cmp(&b.0))
     });
-    let mut sheds = vec![false; places.len()];
+    let mut is_shedding = vec![false; cells.len()];
     for (tenant, _) in &leaving {
         loads[tenants[*tenant].cell] -= tenants[*tenant].load;
-        sheds[tenants[*tenant].cell] = true;
+        is_shedding[tenants[*tenant].cell] = true;
     }
-    let room = |cell: usize, load: f64, arrived: f64| {
-        let place: &Place = &places[cell];
-        (most * place.capacity - load).min(place.cold * place.capacity - arrived)
+    let headroom = |index: usize, load: f64, arrived: f64| {
+        let cell: &CellCapacity = &cells[index];
+        (max_utilization * cell.capacity - load).min(cell.cold_share * cell.capacity - arrived)
     };
-    let mut rooms: BinaryHeap<Room> = (0..places.len())
-        .filter(|c| !sheds[*c])
-        .map(|c| Room(room(c, loads[c], 0.0), c))
+    let mut headrooms: BinaryHeap<Headroom> = (0..cells.len())
+        .filter(|c| !is_shedding[*c])
+        .map(|c| Headroom(headroom(c, loads[c], 0.0), c))
         .collect();
-    let (mut arrived, mut steps, mut stuck, mut fill_kb) =
-        (vec![0.0; places.len()], Vec::new(), Vec::new(), 0.0);
-    for (tenant, why) in leaving {
-        let told = &tenants[tenant];
-        let best = rooms
+    let (mut arrived, mut moves, mut unplaced, mut fill_kb) =
+        (vec![0.0; cells.len()], Vec::new(), Vec::new(), 0.0);
+    for (tenant, reason) in leaving {
+        let moving = &tenants[tenant];
+        let best = headrooms
             .peek()
-            .filter(|best| best.0 >= told.load)
+            .filter(|best| best.0 >= moving.load)
             .map(|best| best.1);
         let Some(to) = best else {
-            loads[told.cell] += told.load;
-            stuck.push(tenant);
+            loads[moving.cell] += moving.load;
+            unplaced.push(tenant);
             continue;
         };
-        rooms.pop();
-        (loads[to], arrived[to]) = (loads[to] + told.load, arrived[to] + told.load);
-        rooms.push(Room(room(to, loads[to], arrived[to]), to));
-        fill_kb += told.fill_kb;
-        steps.push(Step {
+        headrooms.pop();
+        (loads[to], arrived[to]) = (loads[to] + moving.load, arrived[to] + moving.load);
+        headrooms.push(Headroom(headroom(to, loads[to], arrived[to]), to));
+        fill_kb += moving.fill_kb;
+        moves.push(TenantMove {
             tenant,
-            from: told.cell,
+            from: moving.cell,
             to,
-            why,
+            reason,
         });
     }
     Ok(Plan {
-        steps,
-        stuck,
+        moves,
+        unplaced,
         fill_kb,
-        bound_kb,
-        fullest: [before, fullest(&loads)],
+        lower_bound_kb,
+        peak_utilization: [before, peak_utilization(&loads)],
     })
 }
 
-/// Which of a cell's tenants leave, so that at least so much load does; and what that costs at least.
-fn shed(tenants: &[Tenant], cell: &[usize], over: f64) -> (Vec<usize>, f64) {
+/// Selects tenants of a cell whose total load is at least `excess`. Also returns a lower bound of the fill cost.
+fn shed(tenants: &[Tenant], members: &[usize], excess: f64) -> (Vec<usize>, f64) {
     let density = |n: &usize| tenants[*n].fill_kb / tenants[*n].load.max(1e-12);
-    let mut row: Vec<usize> = cell
+    let mut candidates: Vec<usize> = members
         .iter()
         .copied()
         .filter(|n| tenants[*n].load > 0.0)
         .collect();
-    row.sort_by(|a, b| density(a).total_cmp(&density(b)).then(a.cmp(b)));
-    let (mut picked, mut load, mut bound) = (Vec::new(), 0.0, 0.0);
-    for n in &row {
+    candidates.sort_by(|a, b| density(a).total_cmp(&density(b)).then(a.cmp(b)));
+    let (mut selected, mut load, mut lower_bound) = (Vec::new(), 0.0, 0.0);
+    for n in &candidates {
         let tenant = &tenants[*n];
-        bound += tenant.fill_kb * ((over - load) / tenant.load).clamp(0.0, 1.0);
-        picked.push(*n);
+        lower_bound += tenant.fill_kb * ((excess - load) / tenant.load).clamp(0.0, 1.0);
+        selected.push(*n);
         load += tenant.load;
-        if load >= over {
+        if load >= excess {
             break;
         }
     }
-    // In place of the last one, which may be far larger than what is still needed: the cheapest that is
-    // enough.
-    if let Some(last) = picked.pop() {
-        let need = over - (load - tenants[last].load);
-        let rest = row
+    // Replaces the last pick, which may be far larger than needed, by the cheapest sufficient tenant.
+    if let Some(last) = selected.pop() {
+        let need = excess - (load - tenants[last].load);
+        let rest = candidates
             .iter()
-            .filter(|n| !picked.contains(n) && tenants[**n].load >= need);
+            .filter(|n| !selected.contains(n) && tenants[**n].load >= need);
         let cheapest = rest.min_by(|a, b| tenants[**a].fill_kb.total_cmp(&tenants[**b].fill_kb));
-        let taken = cheapest.copied().unwrap_or(last);
-        load += tenants[taken].load - tenants[last].load;
-        picked.push(taken);
+        let replacement = cheapest.copied().unwrap_or(last);
+        load += tenants[replacement].load - tenants[last].load;
+        selected.push(replacement);
     }
-    // Whoever need not go stays, the dearest first.
-    picked.sort_by(|a, b| tenants[*b].fill_kb.total_cmp(&tenants[*a].fill_kb));
-    picked.retain(|n| {
-        let needless = load - tenants[*n].load >= over;
-        load -= if needless { tenants[*n].load } else { 0.0 };
-        !needless
+    // Drops redundant picks, the most expensive first.
+    selected.sort_by(|a, b| tenants[*b].fill_kb.total_cmp(&tenants[*a].fill_kb));
+    selected.retain(|n| {
+        let redundant = load - tenants[*n].load >= excess;
+        load -= if redundant { tenants[*n].load } else { 0.0 };
+        !redundant
     });
-    (picked, bound)
+    (selected, lower_bound)
 }
 
 #[cfg(test)]
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -1,16 +1,16 @@
-//! `cells`: what a map of cells makes of a list of servers, before a router takes it over.
+//! `cells`: checks a cell map against a list of servers before a router uses it, and plans moves of tenants.
 
 use crate::Failure;
 use chalkhall::interface::Id;
-use chalkhall_cells::plan::{Place, Tenant, Why, plan as plan_of};
+use chalkhall_cells::plan::{CellCapacity, Reason, Tenant, plan as plan_of};
 use chalkhall_router::cell_routing::plan;
 use chalkhall_settings as deployment;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The caches of the router's zone that its configuration knows, and the names of its classes.
-fn known(config: &Path) -> Result<(BTreeSet<Id>, Vec<String>), Failure> {
+/// The active cache servers of the router's zone in its configuration, and the names of its classes.
+fn servers_and_classes(config: &Path) -> Result<(BTreeSet<Id>, Vec<String>), Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", config.display()));
     let text = std::fs::read_to_string(config).map_err(|e| fail(&e))?;
     let file: Value = serde_json::from_str(&text).map_err(|e| fail(&e))?;
@@ -60,16 +60,19 @@
     config: Option<&Path>,
     as_json: bool,
 ) -> Result<(), Failure> {
-    let (told, faults) = chalkhall_config::read(file);
+    let (directives, faults) = chalkhall_config::read(file);
     if !faults.is_empty() {
         faults.iter().for_each(|fault| eprintln!("{fault}"));
         return Err(Failure::new(format!("{} faults", faults.len())));
     }
-    let (mut caches, mut classes) = config.map(known).transpose()?.unwrap_or_default();
+    let (mut caches, mut classes) = config
+        .map(servers_and_classes)
+        .transpose()?
+        .unwrap_or_default();
     caches.extend(servers.iter().map(|name| Id::from(name.as_str())));
     if config.is_none() {
-        // Without the settings every class's name may be right.
-        classes = told
+        // Without the settings, class names cannot be checked: all are accepted.
+        classes = directives
             .cells
             .bindings
             .iter()
@@ -80,7 +83,7 @@
             .collect();
         classes.dedup();
     }
-    let mut map = plan(&told.cells, &classes)
+    let mut map = plan(&directives.cells, &classes)
         .map_err(|error| Failure::new(error.to_string()))?
         .map;
     map.place(&caches);
@@ -116,12 +119,12 @@
     }
 }
 
-/// The fleet in a file: cells and tenants.
-fn fleet(file: &Path) -> Result<(Vec<Tenant>, Vec<Place>), String> {
+/// Reads the cells and tenants in a fleet file.
+fn read_fleet(file: &Path) -> Result<(Vec<Tenant>, Vec<CellCapacity>), String> {
     let text = std::fs::read_to_string(file).map_err(|e| e.to_string())?;
-    let told: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
+    let fleet: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
     let rows = |name: &str| {
-        told[name]
+        fleet[name]
             .as_array()
             .cloned()
             .ok_or(format!("{name} is not an array"))
@@ -130,27 +133,27 @@
         row[name]
             .as_str()
             .map(str::to_owned)
-            .ok_or(format!("{name} of {row} is no text"))
+            .ok_or(format!("{name} of {row} is not a string"))
     };
     let number = |row: &Value, name: &str| {
         row[name]
             .as_f64()
-            .ok_or(format!("{name} of {row} is no number"))
+            .ok_or(format!("{name} of {row} is not a number"))
     };
-    let place = |row: &Value| {
-        Ok(Place {
+    let cell_capacity = |row: &Value| {
+        Ok(CellCapacity {
             name: text(row, "name")?,
             capacity: number(row, "capacity")?,
-            cold: number(row, "cold")?,
+            cold_share: number(row, "cold")?,
         })
     };
-    let places = rows("cells")?
+    let cells = rows("cells")?
         .iter()
-        .map(place)
-        .collect::<Result<Vec<Place>, String>>()?;
+        .map(cell_capacity)
+        .collect::<Result<Vec<CellCapacity>, String>>()?;
     let tenant = |row: &Value| {
         let cell = text(row, "cell")?;
-        let cell = places
+        let cell = cells
             .iter()
             .position(|p| p.name == cell)
             .ok_or(format!("{cell} is not a cell"))?;
@@ -165,10 +168,10 @@
         .iter()
         .map(tenant)
         .collect::<Result<Vec<Tenant>, String>>()?;
-    Ok((tenants, places))
+    Ok((tenants, cells))
 }
 
-/// Prints what moves, and with `why` the reason and the cost.
+/// Plans and prints moves, with `why` also the reason and the cost of each.
 pub fn plan_moves(file: &Path, most: &str, why: bool, as_json: bool) -> Result<(), Failure> {
     let fail = |what: String| Failure::new(format!("{}: {what}", file.display()));
     let share = most
@@ -177,67 +180,70 @@
         .map(|p| p / 100.0);
     let share = share.ok_or_else(|| Failure {
         code: 2,
-        what: format!("{most:?} is not a share, such as 80%"),
+        what: format!("{most:?} is not a percentage such as 80%"),
     })?;
-    let (tenants, places) = fleet(file).map_err(fail)?;
-    let plan = plan_of(&tenants, &places, share).map_err(fail)?;
-    let reason = |why: Why| match why {
-        Why::Crowded(share) => format!(
-            "its cell is asked for {:.0} % of what it bears",
-            share * 100.0
+    let (tenants, cells) = read_fleet(file).map_err(fail)?;
+    let plan = plan_of(&tenants, &cells, share).map_err(fail)?;
+    let explain = |reason: Reason| match reason {
+        Reason::Overloaded(utilization) => format!(
+            "its cell is at {:.0} % of its capacity",
+            utilization * 100.0
         ),
-        Why::Closed => "its cell bears nothing any more".to_owned(),
+        Reason::Closed => "its cell has no capacity".to_owned(),
     };
-    let name = |cell: usize| places[cell].name.as_str();
+    let name = |cell: usize| cells[cell].name.as_str();
     if as_json {
-        let steps: Vec<Value> = plan
-            .steps
+        let moves: Vec<Value> = plan.moves
             .iter()
             .map(|s| {
                 let tenant = &tenants[s.tenant];
-                json!({"tenant": tenant.name, "from": name(s.from), "to": name(s.to), "why": reason(s.why),
+                json!({"tenant": tenant.name, "from": name(s.from), "to": name(s.to), "why": explain(s.reason),
                     "fill_kb": tenant.fill_kb})
             })
             .collect();
-        let stuck: Vec<&str> = plan
-            .stuck
+        let unplaced: Vec<&str> = plan
+            .unplaced
             .iter()
             .map(|n| tenants[*n].name.as_str())
             .collect();
         println!(
             "{}",
-            json!({"moves": steps, "stuck": stuck, "fill_kb": plan.fill_kb, "bound_kb": plan.bound_kb,
-            "fullest_before": plan.fullest[0], "fullest_after": plan.fullest[1]})
+            json!({"moves": moves, "stuck": unplaced, "fill_kb": plan.fill_kb, "bound_kb": plan.lower_bound_kb,
+            "fullest_before": plan.peak_utilization[0], "fullest_after": plan.peak_utilization[1]})
         );
     } else {
-        for step in &plan.steps {
-            let tenant = &tenants[step.tenant];
+        for planned in &plan.moves {
+            let tenant = &tenants[planned.tenant];
             let more = if why {
-                format!(": {}; {:.0} KB to fill", reason(step.why), tenant.fill_kb)
+                format!(
+                    ": {}; {:.0} KB to fill",
+                    explain(planned.reason),
+                    tenant.fill_kb
+                )
             } else {
                 String::new()
             };
             println!(
                 "move {} from {} to {}{more}",
                 tenant.name,
-                name(step.from),
-                name(step.to)
+                name(planned.from),
+                name(planned.to)
             );
         }
-        plan.stuck
+        plan.unplaced
             .iter()
-            .for_each(|n| println!("no room now for {}", tenants[*n].name));
+            .for_each(|n| println!("no cell has room for {}", tenants[*n].name));
         println!(
-            "{} moves, {:.0} KB to fill (no plan less than {:.0}); the fullest cell: {:.0} %, then {:.0} %",
-            plan.steps.len(),
+            "{} moves, {:.0} KB to fill (lower bound {:.0}); peak utilization {:.0} % before, {:.0} % after",
+            plan.moves.len(),
             plan.fill_kb,
-            plan.bound_kb,
-            plan.fullest[0] * 100.0,
-            plan.fullest[1] * 100.0
+            plan.lower_bound_kb,
+            plan.peak_utilization[0] * 100.0,
+            plan.peak_utilization[1] * 100.0
         );
     }
-    match plan.stuck.len() {
+    match plan.unplaced.len() {
         0 => Ok(()),
-        n => Err(Failure::new(format!("{n} find no room now"))),
+        n => Err(Failure::new(format!("{n} tenants cannot be placed"))),
     }
 }
