--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! `chalkhall-simulator-adapter`: hosts routers on the simulator's wire, standard input to standard output.
-//! Framing and JSON; no decision.
+//! `chalkhall-simulator-adapter`: hosts routers behind the simulator's protocol on standard input and output. Only
+//! framing and JSON; the routers make all decisions.
 
 mod wire;
 
@@ -9,12 +9,12 @@
 fn main() -> ExitCode {
     let input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
-    let ran = wire::run(input, &mut output);
+    let result = wire::run(input, &mut output);
     let flushed = output.flush().map_err(|e| format!("standard output: {e}"));
-    match ran.and(flushed) {
+    match result.and(flushed) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("chalkhall-simulator-adapter: {what}");
+        Err(error) => {
+            eprintln!("chalkhall-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! Batches in, replies out: every event becomes a call on its router, every answer of a router a line.
+//! The simulator's protocol: each event of a batch becomes a call of a router, each output of a router a line of the
+//! reply.
 
 use chalkhall::control::Router;
 use chalkhall::interface::{
@@ -17,15 +18,15 @@
     }
 }
 
-/// Writes a router's answers as lines of the reply.
-struct Lines<'a, W: Write> {
+/// Writes the outputs of a router as lines of the reply.
+struct ReplyWriter<'a, W: Write> {
     router: u64,
     output: &'a mut W,
     failed: Option<String>,
 }
 
-impl<W: Write> Lines<'_, W> {
-    fn put(&mut self, name: &str, mut fields: Value) {
+impl<W: Write> ReplyWriter<'_, W> {
+    fn write(&mut self, name: &str, mut fields: Value) {
         fields["Router"] = self.router.into();
         if let Err(e) = writeln!(self.output, "{}", json!({ name: fields })) {
             self.failed = Some(format!("standard output: {e}"));
@@ -33,7 +34,7 @@
     }
 }
 
-impl<W: Write> Outlet for Lines<'_, W> {
+impl<W: Write> Outlet for ReplyWriter<'_, W> {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let manner = u8::from(fill.join)
             | u8::from(fill.only_held) << 1
@@ -46,34 +47,35 @@
         if let Some(oldest) = fill.oldest {
             fields["HowOld"] = ms(oldest).into();
         }
-        self.put("ServeOrFill", fields);
+        self.write("ServeOrFill", fields);
     }
 
     fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.put(
+        self.write(
             "Refuse",
             json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}),
         );
     }
 
     fn fail(&mut self, request: &Id) {
-        self.put("FinishError", json!({"OpId": &**request}));
+        self.write("FinishError", json!({"OpId": &**request}));
     }
 
     fn cancel(&mut self, request: &Id, attempt: usize) {
-        self.put("CallOff", json!({"OpId": &**request, "N": attempt}));
+        self.write("CallOff", json!({"OpId": &**request, "N": attempt}));
     }
 
     fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.put("NotifyMe", json!({"When": ms(at), "Mark": mark}));
+        self.write("NotifyMe", json!({"When": ms(at), "Mark": mark}));
     }
 
     fn watch_list(&mut self) {
-        self.put("Listen", json!({"Enable": true}));
+        self.write("Listen", json!({"Enable": true}));
     }
 }
 
-/// An entry of a list with its kind: which of them are parents or the origin each router is told.
+/// Parses an entry of a server list, with its server kind. Each router has its own settings of which kinds are
+/// parents or the origin.
 fn member(entry: &Value) -> Result<(Member, u64), String> {
     let f = entry
         .as_object()
@@ -128,9 +130,10 @@
     }
 }
 
-/// One router, and the names of the values in the load reports it gets.
+/// A hosted router, with the settings needed to decode its events.
 struct Hosted {
     router: Router,
+    /// The names of the values in load reports.
     report: Vec<String>,
     classes: usize,
     parent_and_origin: [Option<u64>; 2],
@@ -157,24 +160,26 @@
     }
 
     fn ended(&self, f: &Fields) -> Result<Ended, String> {
-        let waited = f.get("Ttfb").filter(|v| !v.is_null());
+        let first_byte = f.get("Ttfb").filter(|v| !v.is_null());
         Ok(Ended {
             outcome: outcome(text(f, "StateCode")?)?,
             remark: remark(whole(f, "Remark")?),
             took: span(number(f, "Took")?),
-            first_byte: waited.map(|_| number(f, "Ttfb").map(span)).transpose()?,
+            first_byte: first_byte
+                .map(|_| number(f, "Ttfb").map(span))
+                .transpose()?,
             over: flag(f, "Last")?,
             load: self.load(f)?,
         })
     }
 }
 
-/// What one process hosts: its routers, and the numbered lists that `Discovery` refers to.
+/// The routers of this process, and the numbered server lists that `Discovery` refers to.
 #[derive(Default)]
 struct Host {
     now: Duration,
     routers: HashMap<u64, Hosted>,
-    sheets: HashMap<u64, Vec<(Member, u64)>>,
+    server_lists: HashMap<u64, Vec<(Member, u64)>>,
 }
 
 impl Host {
@@ -185,15 +190,15 @@
                 .and_then(Value::as_array)
                 .ok_or("Members is not an array")?;
             let entries = entries.iter().map(member).collect::<Result<_, _>>()?;
-            self.sheets.insert(whole(f, "Sheet")?, entries);
+            self.server_lists.insert(whole(f, "Sheet")?, entries);
             return Ok(());
         }
         if !f.contains_key("Router") {
             return Err("Router is missing".into());
         }
-        let number_of = whole(f, "Router")?;
-        let out = &mut Lines {
-            router: number_of,
+        let router_number = whole(f, "Router")?;
+        let out = &mut ReplyWriter {
+            router: router_number,
             output,
             failed: None,
         };
@@ -203,12 +208,12 @@
                 .get("Options")
                 .and_then(Value::as_object)
                 .ok_or("Options is not an object")?;
-            let told = deployment::deployment(whole(f, "Salt")?, options)?;
-            let router = Router::start(now, &told, out);
-            let (report, classes) = (deployment::report_fields(options), told.classes.len());
+            let settings = deployment::deployment(whole(f, "Salt")?, options)?;
+            let router = Router::start(now, &settings, out);
+            let (report, classes) = (deployment::report_fields(options), settings.classes.len());
             let parent_and_origin = deployment::parent_and_origin(options);
             self.routers.insert(
-                number_of,
+                router_number,
                 Hosted {
                     router,
                     report,
@@ -220,10 +225,10 @@
         }
         let hosted = self
             .routers
-            .get_mut(&number_of)
-            .ok_or_else(|| format!("router {number_of} was not started"))?;
+            .get_mut(&router_number)
+            .ok_or_else(|| format!("router {router_number} was not started"))?;
         match name {
-            "Killed" => drop(self.routers.remove(&number_of)),
+            "Killed" => drop(self.routers.remove(&router_number)),
             "Discovery" => {
                 let kind = match text(f, "How")? {
                     "incr" => ListKind::Changes,
@@ -233,13 +238,13 @@
                     other => return Err(format!("unknown How {other:?}")),
                 };
                 let sheet = whole(f, "Sheet")?;
-                let entries = match self.sheets.get(&sheet) {
+                let entries = match self.server_lists.get(&sheet) {
                     _ if kind == ListKind::Failed => &[],
                     Some(entries) => entries.as_slice(),
-                    None => return Err(format!("Sheet {sheet} was never given")),
+                    None => return Err(format!("unknown Sheet {sheet}")),
                 };
                 let [parent, origin] = hosted.parent_and_origin;
-                let placed = |(member, kind): &(Member, u64)| Member {
+                let with_tier = |(member, kind): &(Member, u64)| Member {
                     tier: match Some(*kind) {
                         kind if kind == parent => Tier::Parent,
                         kind if kind == origin => Tier::Origin,
@@ -247,7 +252,7 @@
                     },
                     ..member.clone()
                 };
-                let entries: Vec<Member> = entries.iter().map(placed).collect();
+                let entries: Vec<Member> = entries.iter().map(with_tier).collect();
                 hosted.router.list(now, kind, &entries, out);
             }
             "Accept" => {
@@ -289,7 +294,7 @@
                     span(number(f, "HowOld")?),
                 );
             }
-            // Routers neither probe nor tell one another anything.
+            // These routers neither send probes nor messages to one another.
             "ProbeDone" | "Message" => {}
             other => eprintln!("chalkhall-simulator-adapter: unknown event {other:?} skipped"),
         }
@@ -297,17 +302,20 @@
     }
 }
 
-/// Plays batches until input ends. An error says what was wrong, and in which line.
+/// Processes batches until the input ends.
+///
+/// # Errors
+/// An invalid message, with its line number, or an I/O error.
 pub fn run(mut input: impl BufRead, output: &mut impl Write) -> Result<(), String> {
     let mut host = Host::default();
     let mut turn: Option<Value> = None;
     let mut line = String::new();
     for at in 1u64.. {
         line.clear();
-        let wrong = |what: String| format!("line {at}: {what}");
+        let at_line = |what: String| format!("line {at}: {what}");
         if input
             .read_line(&mut line)
-            .map_err(|e| wrong(format!("cannot be read: {e}")))?
+            .map_err(|e| at_line(format!("cannot be read: {e}")))?
             == 0
         {
             break;
@@ -316,39 +324,39 @@
             continue;
         }
         let message: Value =
-            serde_json::from_str(&line).map_err(|e| wrong(format!("not a JSON message: {e}")))?;
+            serde_json::from_str(&line).map_err(|e| at_line(format!("not a JSON message: {e}")))?;
         let Some((name, fields)) = message
             .as_object()
             .filter(|m| m.len() == 1)
             .and_then(|m| m.iter().next())
         else {
-            return Err(wrong(
+            return Err(at_line(
                 "a message must be an object with a single key".into(),
             ));
         };
         let fields = fields
             .as_object()
-            .ok_or_else(|| wrong(format!("{name} does not hold an object")))?;
-        let within = |what: String| wrong(format!("{name}: {what}"));
+            .ok_or_else(|| at_line(format!("{name} does not hold an object")))?;
+        let in_message = |what: String| at_line(format!("{name}: {what}"));
         match (name.as_str(), &turn) {
             ("Turn", None) => {
-                host.now = span(number(fields, "Ts").map_err(within)?);
+                host.now = span(number(fields, "Ts").map_err(in_message)?);
                 turn = Some(
                     fields
                         .get("turn")
                         .cloned()
-                        .ok_or_else(|| within("turn is missing".into()))?,
+                        .ok_or_else(|| in_message("turn is missing".into()))?,
                 );
             }
-            ("Turn", Some(_)) => return Err(within("the batch before it has not ended".into())),
-            (_, None) => return Err(within("no batch has begun".into())),
+            ("Turn", Some(_)) => return Err(in_message("the previous batch has not ended".into())),
+            (_, None) => return Err(in_message("no batch has begun".into())),
             ("End", Some(number)) => {
                 writeln!(output, "{}", json!({"Eor": {"turn": number}}))
                     .and_then(|()| output.flush())
                     .map_err(|e| format!("standard output: {e}"))?;
                 turn = None;
             }
-            (_, Some(_)) => host.event(name, fields, output).map_err(within)?,
+            (_, Some(_)) => host.event(name, fields, output).map_err(in_message)?,
         }
     }
     turn.map_or(Ok(()), |number| {
