--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line, as `--help` tells it.
+//! The definition of the command line. The doc comments are the texts of `--help`.
 
 use clap::{Args, Parser, Subcommand};
 use clap_complete::Shell;
@@ -8,8 +8,7 @@
 #[derive(Parser)]
 #[command(name = "chalkhall", version, about, max_term_width = 110)]
 #[command(
-    after_help = "Exit codes: 0 done; 1 it could not be done, or faults were found; 2 arguments that make no
-sense.
+    after_help = "Exit codes: 0 success; 1 failure, or faults were found; 2 invalid arguments.
 
 Examples:
   chalkhall check deploy/chalkhall.conf
@@ -26,70 +25,70 @@
 pub enum Command {
     /// Runs one router, as chalkhall-router does
     #[command(
-        after_help = "Told by the environment: ROUTER_CONFIG is the path of a JSON file; ROUTER_NAME and
-ROUTER_LISTEN go before its name and listen. SIGTERM drains and ends it, SIGHUP reads the file anew."
+        after_help = "Environment: ROUTER_CONFIG is the path of a JSON file; ROUTER_NAME and ROUTER_LISTEN override
+its name and listen. SIGTERM drains the router and ends it, SIGHUP reloads the file."
     )]
     Serve {
         /// The operator's file
         #[arg(value_name = "FILE")]
         directives: Option<PathBuf>,
     },
-    /// Finds every fault of an operator's file at once
+    /// Checks an operator's file and reports all faults
     #[command(
-        after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
+        after_help = "Exit codes: 0 no fault; 1 faults, one per line as FILE:LINE:COLUMN: MESSAGE.
 
 Example: chalkhall check --json deploy/chalkhall.conf"
     )]
     Check {
         #[arg(value_name = "FILE")]
         file: PathBuf,
-        /// One JSON object with all faults
+        /// Print one JSON object with all faults
         #[arg(long)]
         json: bool,
     },
-    /// Lists every directive of an operator's file
+    /// Lists all directives of an operator's file
     Directives {
-        /// One JSON array
+        /// Print one JSON array
         #[arg(long)]
         json: bool,
     },
-    /// Own copies on disk: what is there, whether it is whole, and what to do about it
+    /// Local cache on disk: inspects, verifies, repairs and purges it
     #[command(subcommand)]
     Store(Store),
-    /// Peers: what a live router tells its peers, and hears
+    /// Gossip with peers: queries a running router
     #[command(subcommand)]
     Peers(Peers),
-    /// Regions: how a live router's zone and the others are, and where its requests go
+    /// Regions: the state of the zones as a running router knows it, and where its requests go
     #[command(subcommand)]
     Regions(Regions),
-    /// Cells: what a map makes of a list of servers, before a router takes it over
+    /// Cells: checks a cell map, plans moves of tenants, and queries a running router
     #[command(subcommand)]
     Cells(Cells),
-    /// Plays hundreds of real routers on loopback, with faults between them
+    /// Runs scenarios with hundreds of real routers on loopback and injected faults
     #[command(subcommand)]
     Fleet(Fleet),
-    /// A router that dies with who started it
+    /// Runs a router that is killed when its parent process ends
     #[command(hide = true)]
     FleetChild {
         parent: u32,
         #[arg(trailing_var_arg = true, allow_hyphen_values = true, required = true)]
         command: Vec<std::ffi::OsString>,
     },
-    /// Prints what completes commands in a shell
+    /// Prints the completion script of a shell
     #[command(
         after_help = "Example: chalkhall completions bash > /etc/bash_completion.d/chalkhall"
     )]
     Completions { shell: Shell },
-    /// Writes the manual pages into a folder
+    /// Writes the manual pages to a directory
     #[command(after_help = "Example: chalkhall man /usr/local/share/man/man1")]
     Man { folder: PathBuf },
 }
 
 #[derive(Subcommand)]
 pub enum Peers {
-    /// Tells how many peers are heard, and what was dropped
+    /// Prints the number of live peers and of dropped messages
     #[command(
-        after_help = "Exit codes: 0 done; 1 the router does not answer, or talks to nobody.
+        after_help = "Exit codes: 0 success; 1 the router does not answer, or gossip is off.
 
 Example: chalkhall peers stat --socket /run/chalkhall/control.sock"
     )]
@@ -104,9 +103,9 @@
 
 #[derive(Subcommand)]
 pub enum Regions {
-    /// Tells what is held of each zone, and the plan in force
+    /// Prints the state of each zone and the current region plan
     #[command(
-        after_help = "Exit codes: 0 done; 1 the router does not answer, or regions in common are off.
+        after_help = "Exit codes: 0 success; 1 the router does not answer, or failover is off.
 
 Example: chalkhall regions stat --socket /run/chalkhall/control.sock"
     )]
@@ -117,7 +116,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Tells, best first, which edges are to take this region's clients: for a front
+    /// Prints the edges that should take this region's clients, best first, for a load balancer in front
     Steer {
         /// The router's control socket
         #[arg(long)]
@@ -125,17 +124,17 @@
         #[arg(long)]
         json: bool,
     },
-    /// Tells a router what a front has measured of its clients' way to an edge
+    /// Reports to a router a latency that a load balancer in front measured between clients and an edge
     #[command(
         after_help = "Example: chalkhall regions observe north oslo 41.5 20 --socket control.sock"
     )]
     Observe {
         /// The router's own region or zone
         region: String,
-        /// The zone to which it was measured
+        /// The zone to which the latency was measured
         edge: String,
         ms: f64,
-        /// How many measurements it stands for
+        /// Number of measurements that the value represents
         #[arg(default_value_t = 1)]
         count: u32,
         #[arg(long)]
@@ -147,55 +146,56 @@
 
 #[derive(Subcommand)]
 pub enum Cells {
-    /// Tells a live router's cells, and where its moves stand
+    /// Prints a running router's cells and the state of its moves
     Stat {
-        /// The control socket of a live router
+        /// The control socket of a running router
         #[arg(long)]
         socket: PathBuf,
-        /// JSON in place of text
+        /// Print JSON instead of text
         #[arg(long)]
         json: bool,
     },
-    /// Tells which tenants to move so that no cell is asked for more than it bears
+    /// Plans which tenants to move so that no cell exceeds its utilization limit
     #[command(
         after_help = "FILE holds {\"cells\":[{\"name\":..,\"capacity\":..,\"cold\":0.3}],
-\"tenants\":[{\"name\":..,\"load\":..,\"fill_kb\":..,\"cell\":..}]}: capacity and load in one unit, cold
-the share of its capacity that a cell takes anew at once, fill_kb what a tenant costs to be filled anew.
+\"tenants\":[{\"name\":..,\"load\":..,\"fill_kb\":..,\"cell\":..}]}: capacity and load in the same unit,
+cold the share of its capacity that may be moved to a cell at once, fill_kb the cost of refilling a tenant's
+objects in another cell.
 
-Exit codes: 0 a plan; 1 some that should move find no room now.
+Exit codes: 0 a plan; 1 some tenants that should move cannot be placed now.
 
 Example: chalkhall cells plan fleet.json --most 80% --why"
     )]
     Plan {
         #[arg(value_name = "FILE")]
         file: PathBuf,
-        /// How full a cell may be
+        /// Maximum utilization of a cell
         #[arg(long, default_value = "80%")]
         most: String,
-        /// Says of each move why, and what it costs
+        /// Print the reason and the cost of each move
         #[arg(long)]
         why: bool,
-        /// JSON in place of text
+        /// Print JSON instead of text
         #[arg(long)]
         json: bool,
     },
-    /// Draws the map of an operator's file and tells every fault of it
+    /// Computes the cell map of an operator's file and reports all faults
     #[command(
-        after_help = "Exit codes: 0 no fault; 1 faults: of the file, or cells with too few servers, or
-servers in none.
+        after_help = "Exit codes: 0 no fault; 1 faults in the file, cells with too few servers, or servers in
+no cell.
 
 Example: chalkhall cells check deploy/chalkhall.conf --config docs/example.json"
     )]
     Check {
         #[arg(value_name = "FILE")]
         file: PathBuf,
-        /// A cache server to draw over; may be given more than once
+        /// A cache server of the map; may be given more than once
         #[arg(long = "server", value_name = "NAME")]
         servers: Vec<String>,
-        /// A router's configuration: its caches and the names of its classes
+        /// A router's configuration, with its cache servers and the names of its classes
         #[arg(long, value_name = "FILE")]
         config: Option<PathBuf>,
-        /// JSON in place of text
+        /// Print JSON instead of text
         #[arg(long)]
         json: bool,
     },
@@ -203,10 +203,10 @@
 
 #[derive(Subcommand)]
 pub enum Fleet {
-    /// Plays a file: starts its routers, plays its work and faults, watches the rules, tells the figures
+    /// Runs a scenario: starts its routers, injects its load and faults, checks the rules, prints the figures
     #[command(
-        after_help = "Exit codes: 0 all that must hold holds; 1 it falls short, or could not be played;
-3 the play is void: this machine was too busy to tell.
+        after_help = "Exit codes: 0 all requirements are met; 1 a requirement is missed, or the run failed;
+3 the run is inconclusive: this machine was too busy.
 
 Examples:
   chalkhall fleet play crates/harness/plays/calm.play
@@ -216,17 +216,17 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         #[command(flatten)]
-        how: How,
-        /// One page of plots
+        options: RunOptions,
+        /// Write a page of plots to this file
         #[arg(long, value_name = "FILE")]
         html: Option<PathBuf>,
-        /// JSON in place of the line of figures
+        /// Print JSON instead of the line of figures
         #[arg(long)]
         json: bool,
     },
-    /// Finds every fault of a play's file at once
+    /// Checks scenario files and reports all faults
     #[command(
-        after_help = "Exit codes: 0 no fault; 1 faults, one a line as FILE:LINE:COLUMN: WHAT.
+        after_help = "Exit codes: 0 no fault; 1 faults, one per line as FILE:LINE:COLUMN: MESSAGE.
 
 Example: chalkhall fleet check crates/harness/plays/calm.play"
     )]
@@ -234,7 +234,7 @@
         #[arg(value_name = "FILE", required = true)]
         files: Vec<PathBuf>,
     },
-    /// Plays a file once as it is and once for each other directive or program, on the same seed
+    /// Runs a scenario unchanged and once for each alternative directive or program, on the same seed
     #[command(
         after_help = "Example: chalkhall fleet compare zone.play --with 'peers tell off' --plays 3"
     )]
@@ -242,87 +242,87 @@
         #[arg(value_name = "FILE")]
         file: PathBuf,
         #[command(flatten)]
-        how: How,
-        /// A line of the routers' operator's file, with its section before it, in place of the play's own
+        options: RunOptions,
+        /// SECTION and directive of the routers' operator's file, to replace the scenario's own
         #[arg(long, value_name = "DIRECTIVE")]
         with: Vec<String>,
-        /// Another router program, as an earlier version
+        /// Another router program, such as an earlier version
         #[arg(long, value_name = "PROGRAM")]
         and: Vec<PathBuf>,
-        /// So many seeds, from the first on
+        /// Number of consecutive seeds
         #[arg(long, default_value_t = 1)]
         plays: u64,
     },
-    /// Lists every word of a play's file
+    /// Lists all directives of scenario files
     Words {
-        /// One JSON array
+        /// Print one JSON array
         #[arg(long)]
         json: bool,
     },
 }
 
-/// How a fleet is played
+/// Options of a scenario run
 #[derive(Args)]
-pub struct How {
+pub struct RunOptions {
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The router's program; this program unless given
+    /// The router program [default: this program]
     #[arg(long, value_name = "PROGRAM")]
     pub router: Option<PathBuf>,
-    /// A folder for the routers' logs
+    /// A directory for the routers' logs
     #[arg(long, value_name = "FOLDER")]
     pub logs: Option<PathBuf>,
 }
 
-/// A directory of own copies that no router holds
+/// A store directory that no router uses
 #[derive(Args)]
 pub struct Directory {
     #[arg(value_name = "DIRECTORY")]
     pub path: PathBuf,
-    /// JSON in place of text
+    /// Print JSON instead of text
     #[arg(long)]
     pub json: bool,
 }
 
 #[derive(Subcommand)]
 pub enum Store {
-    /// Tells what a store holds: a directory, or a live router's
+    /// Prints what a store holds, in a directory or in a running router
     #[command(after_help = "Examples:
   chalkhall store stat /var/cache/chalkhall
   chalkhall store stat --socket /run/chalkhall/control.sock")]
     Stat {
         #[arg(value_name = "DIRECTORY", required_unless_present = "socket")]
         path: Option<PathBuf>,
-        /// The control socket of a live router
+        /// The control socket of a running router
         #[arg(long, conflicts_with = "path")]
         socket: Option<PathBuf>,
-        /// JSON in place of text
+        /// Print JSON instead of text
         #[arg(long)]
         json: bool,
     },
-    /// Lists every part on disk
+    /// Lists all parts on disk
     #[command(
-        after_help = "One part a line: object, part, group, rank, bytes, when it was made (Unix ms), tag,
-where, and `purged` or `older` where it would not be served."
+        after_help = "One part per line: object, part, group, rank, bytes, creation time (Unix ms), tag,
+SEGMENT:OFFSET, and `purged` or `older` if it would not be served."
     )]
     List {
         #[command(flatten)]
         directory: Directory,
-        /// Only parts of this object
+        /// List only parts of this object
         #[arg(long)]
         object: Option<String>,
     },
-    /// Reads everything and tells what is damaged
-    #[command(after_help = "Exit codes: 0 all is whole; 1 something is damaged or torn.")]
+    /// Reads all records and reports damage
+    #[command(after_help = "Exit codes: 0 no damage; 1 damaged or torn records.")]
     Verify {
         #[command(flatten)]
         directory: Directory,
     },
-    /// Cuts off what is torn and takes damaged parts out of the lists; nothing whole is lost
+    /// Removes damaged and torn records from the segments; intact records are kept
     Repair {
         #[command(flatten)]
         directory: Directory,
-        /// Only tells what would be done
+        /// Only print what would be done
         #[arg(long)]
         dry_run: bool,
     },
@@ -335,11 +335,11 @@
         path: PathBuf,
         object: String,
         part: u64,
-        /// Standard output unless given
+        /// The output file [default: standard output]
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Purges an object or a group in a directory, or empties it
+    /// Purges an object or a group in a directory, or removes all parts
     #[command(group(clap::ArgGroup::new("what").required(true).args(["object", "group", "all"])))]
     Drop {
         #[command(flatten)]
@@ -348,15 +348,14 @@
         object: Option<String>,
         #[arg(long)]
         group: Option<u64>,
-        /// Every segment; what was purged stays purged
+        /// Remove all segments; the recorded purges are kept
         #[arg(long)]
         all: bool,
     },
-    /// Kills a writing process again and again and looks for anything torn, stale or lost
+    /// Crash test: kills a writing process repeatedly and looks for torn, stale or lost copies
     #[command(
-        after_help = "The directory must be empty or left by an earlier torture: never name one that is in
-use.
-Exit codes: 0 nothing was found; 1 something was. The seed that is printed plays the same writes again.
+        after_help = "The directory must be empty or left by an earlier run: never name one that is in use.
+Exit codes: 0 no fault; 1 faults were found. The printed seed repeats the same writes.
 
 Example: chalkhall store torture /tmp/torture --kills 100 --seed 7"
     )]
@@ -368,7 +367,7 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// The process that is killed
+    /// The writing process of the crash test
     #[command(hide = true)]
     TortureWriter {
         path: PathBuf,
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -9,11 +9,11 @@
 pub fn check(file: &Path, as_json: bool) -> Result<(), Failure> {
     let (_, faults) = read(file);
     if as_json {
-        let told = faults.iter().map(|f| {
+        let list = faults.iter().map(|f| {
             let file = f.file.as_ref().map(|f| f.display().to_string());
             json!({"file": file, "line": f.line, "column": f.column, "what": f.what})
         });
-        println!("{}", json!({"faults": told.collect::<Vec<_>>()}));
+        println!("{}", json!({"faults": list.collect::<Vec<_>>()}));
     } else {
         faults.iter().for_each(|fault| println!("{fault}"));
     }
@@ -24,14 +24,14 @@
     }
 }
 
-/// Prints every directive there is.
+/// Prints all directives.
 pub fn directives(as_json: bool) {
     let entries = WORDS.entries();
     if as_json {
-        let told = entries.iter().map(
+        let list = entries.iter().map(
             |e| json!({"section": e.section, "name": e.name, "takes": e.takes, "says": e.says}),
         );
-        println!("{}", json!(told.collect::<Vec<_>>()));
+        println!("{}", json!(list.collect::<Vec<_>>()));
         return;
     }
     let mut section = "";
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of real routers on loopback: `chalkhall fleet play|check|compare|words`.
 
 use crate::Failure;
-use crate::arguments::How;
+use crate::arguments::RunOptions;
 use chalkhall_harness::children::{Program, become_child};
 use chalkhall_harness::play::{PLAY, Play};
 use chalkhall_harness::run::{Setup, Shown};
@@ -11,10 +11,11 @@
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 
-/// Of a play that is void.
-const VOID: u8 = 3;
+/// Exit code of an inconclusive run: the machine was too busy for its results to count.
+const VOID_EXIT_CODE: u8 = 3;
 
-/// The router as `chalkhall` is it, or another program that takes the operator's file as its one argument.
+/// The command that runs a router: `chalkhall serve`, or another program whose only argument is the operator's
+/// file.
 pub fn program(chalkhall: &Path, router: Option<&Path>) -> Program {
     let own = chalkhall.as_os_str().to_owned();
     let command = match router {
@@ -27,10 +28,10 @@
     }
 }
 
-/// Plays it on a runtime of its own.
+/// Runs a scenario on its own runtime.
 ///
 /// # Errors
-/// Where it could not be played.
+/// The scenario could not be run.
 pub fn played(play: &Play, setup: Setup) -> Result<Shown, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -41,32 +42,33 @@
         .map_err(Failure::new)
 }
 
-fn setup(how: &How) -> Result<Setup, Failure> {
-    how.logs
+fn setup(options: &RunOptions) -> Result<Setup, Failure> {
+    options
+        .logs
         .as_deref()
         .map(run::logs)
         .transpose()
         .map_err(Failure::new)?;
     let own = std::env::current_exe().map_err(Failure::new)?;
-    let program = program(&own, how.router.as_deref());
+    let program = program(&own, options.router.as_deref());
     Ok(Setup {
         program,
-        seed: how.seed,
-        logs: how.logs.clone(),
+        seed: options.seed,
+        logs: options.logs.clone(),
         progress: std::io::stderr().is_terminal(),
     })
 }
 
 fn read(file: &Path) -> Result<Play, Failure> {
     let (play, faults) = plays::read(file);
-    let senseless = play
+    let semantic_faults = play
         .faults_of_sense()
         .into_iter()
         .map(|what| format!("{}: {what}", file.display()));
     let all: Vec<String> = faults
         .iter()
         .map(ToString::to_string)
-        .chain(senseless)
+        .chain(semantic_faults)
         .collect();
     if all.is_empty() {
         Ok(play)
@@ -75,18 +77,25 @@
     }
 }
 
+/// Runs a scenario and prints its figures.
+///
 /// # Errors
-/// What fell short, or that the play is void.
-pub fn play(file: &Path, how: &How, html: Option<&Path>, json: bool) -> Result<(), Failure> {
+/// The requirements that were missed, or why the run is inconclusive.
+pub fn play(
+    file: &Path,
+    options: &RunOptions,
+    html: Option<&Path>,
+    json: bool,
+) -> Result<(), Failure> {
     let play = read(file)?;
-    let shown = played(&play, setup(how)?)?;
-    let short = report::short(&shown, &play.must);
+    let result = played(&play, setup(options)?)?;
+    let missed = report::short(&result, &play.must);
     if json {
-        println!("{}", report::json(&shown, &short));
+        println!("{}", report::json(&result, &missed));
     } else {
-        println!("{}", report::line(&shown));
+        println!("{}", report::line(&result));
     }
-    shown
+    result
         .words
         .iter()
         .for_each(|what| eprintln!("rule: {what}"));
@@ -94,85 +103,93 @@
         let name = file
             .file_stem()
             .map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-        let page = report::html(&name, &play, &shown, &short).map_err(Failure::new)?;
+        let page = report::html(&name, &play, &result, &missed).map_err(Failure::new)?;
         std::fs::write(html, page).map_err(|e| Failure::new(format!("{}: {e}", html.display())))?;
     }
-    match (shown.void, short.is_empty()) {
+    match (result.void, missed.is_empty()) {
         (Some(what), _) => Err(Failure {
-            code: VOID,
-            what: format!("the play is void: {what}"),
+            code: VOID_EXIT_CODE,
+            what: format!("the run is inconclusive: {what}"),
         }),
-        (None, false) => Err(Failure::new(format!("falls short: {}", short.join("; ")))),
+        (None, false) => Err(Failure::new(format!("falls short: {}", missed.join("; ")))),
         (None, true) => Ok(()),
     }
 }
 
+/// Checks scenario files.
+///
 /// # Errors
-/// Every fault of every file.
+/// All faults of all files.
 pub fn check(files: &[PathBuf]) -> Result<(), Failure> {
-    let wrong: Vec<String> = files
+    let faults: Vec<String> = files
         .iter()
         .filter_map(|file| read(file).err())
         .map(|failure| failure.what)
         .collect();
-    if wrong.is_empty() {
+    if faults.is_empty() {
         Ok(())
     } else {
-        Err(Failure::new(wrong.join("\nchalkhall: ")))
+        Err(Failure::new(faults.join("\nchalkhall: ")))
     }
 }
 
+/// Runs a scenario unchanged and with each alternative directive or program, on the same seeds.
+///
 /// # Errors
-/// Where one could not be played.
+/// A run failed.
 pub fn compare(
     file: &Path,
-    how: &How,
+    options: &RunOptions,
     with: &[String],
     and: &[PathBuf],
     seeds: u64,
 ) -> Result<(), Failure> {
     let play = read(file)?;
-    let mut ways: Vec<(String, Play, Option<PathBuf>)> =
-        vec![("as it is".into(), play.clone(), how.router.clone())];
+    let mut variants: Vec<(String, Play, Option<PathBuf>)> =
+        vec![("unchanged".into(), play.clone(), options.router.clone())];
     for line in with {
         let Some((section, rest)) = line.split_once(' ') else {
             return Err(Failure {
                 code: 2,
-                what: format!("{line:?} has no section before it"),
+                what: format!("{line:?} does not start with a section"),
             });
         };
         let mut other = play.clone();
         let name = rest.split(' ').next().unwrap_or_default();
-        let same = |(s, l): &(String, String)| s == section && l.split(' ').next() == Some(name);
-        other.fleet.directives.retain(|directive| !same(directive));
+        let is_same = |(s, l): &(String, String)| s == section && l.split(' ').next() == Some(name);
+        other
+            .fleet
+            .directives
+            .retain(|directive| !is_same(directive));
         other
             .fleet
             .directives
             .push((section.to_owned(), rest.to_owned()));
-        ways.push((line.clone(), other, how.router.clone()));
+        variants.push((line.clone(), other, options.router.clone()));
     }
-    ways.extend(
+    variants.extend(
         and.iter()
             .map(|path| (path.display().to_string(), play.clone(), Some(path.clone()))),
     );
-    for seed in how.seed..how.seed + seeds {
-        for (name, play, router) in &ways {
-            let how = How {
+    for seed in options.seed..options.seed + seeds {
+        for (name, play, router) in &variants {
+            let options = RunOptions {
                 seed,
                 router: router.clone(),
-                logs: how.logs.clone(),
+                logs: options.logs.clone(),
             };
-            let shown = played(play, setup(&how)?)?;
-            let void = shown
+            let result = played(play, setup(&options)?)?;
+            let void = result
                 .void
                 .as_ref()
                 .map_or(String::new(), |what| format!(" void: {what}"));
-            println!("{name}: {}{void}", report::line(&shown));
+            println!("{name}: {}{void}", report::line(&result));
         }
     }
     Ok(())
 }
 
+/// Prints all directives of scenario files.
 pub fn words(json: bool) {
     let entries = PLAY.entries().iter();
     if json {
@@ -192,8 +209,10 @@
     }
 }
 
+/// Replaces this process by a router that is killed when its parent ends.
+///
 /// # Errors
-/// Where it could not become the router.
+/// The program could not be executed.
 pub fn child(parent: u32, command: &[OsString]) -> Result<(), Failure> {
     become_child(parent, command)
         .map(|never| match never {})
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! `chalkhall`'s commands: thin over the packages that do the work.
+//! The commands of `chalkhall`: thin wrappers of the packages that do the work.
 
 pub mod arguments;
 pub mod cells;
@@ -8,7 +8,7 @@
 pub mod store;
 pub mod torture;
 
-/// Why a command ended without doing what it was asked, and with which exit code.
+/// The error message and exit code of a failed command.
 #[derive(Debug)]
 pub struct Failure {
     pub code: u8,
@@ -16,7 +16,7 @@
 }
 
 impl Failure {
-    /// It could not be done: exit code 1.
+    /// A failure with exit code 1.
     pub fn new(what: impl std::fmt::Display) -> Failure {
         Failure {
             code: 1,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkhall`: every command of an operator.
+//! `chalkhall`: the command-line program for operators.
 
 use chalkhall_cli::arguments::{Cells, Chalkhall, Command, Fleet, Peers, Regions, Store};
 use chalkhall_cli::{Failure, cells, check, fleet, store, torture};
@@ -14,15 +14,15 @@
             check::directives(json);
             Ok(())
         }
-        Command::Store(command) => of_store(command),
+        Command::Store(command) => run_store(command),
         Command::Peers(Peers::Stat { socket, json }) => {
-            store::ask_live(&socket, "peers stat", json)
+            store::query_router(&socket, "peers stat", json)
         }
         Command::Regions(Regions::Stat { socket, json }) => {
-            store::ask_live(&socket, "regions stat", json)
+            store::query_router(&socket, "regions stat", json)
         }
         Command::Regions(Regions::Steer { socket, json }) => {
-            store::ask_live(&socket, "steer show", json)
+            store::query_router(&socket, "steer show", json)
         }
         Command::Regions(Regions::Observe {
             region,
@@ -31,13 +31,13 @@
             count,
             socket,
             json,
-        }) => store::ask_live(
+        }) => store::query_router(
             &socket,
             &format!("latency observe {region} {edge} {ms} {count}"),
             json,
         ),
         Command::Cells(Cells::Stat { socket, json }) => {
-            store::ask_live(&socket, "cells stat", json)
+            store::query_router(&socket, "cells stat", json)
         }
         Command::Cells(Cells::Plan {
             file,
@@ -53,18 +53,18 @@
         }) => cells::check(&file, &servers, config.as_deref(), json),
         Command::Fleet(Fleet::Play {
             file,
-            how,
+            options,
             html,
             json,
-        }) => fleet::play(&file, &how, html.as_deref(), json),
+        }) => fleet::play(&file, &options, html.as_deref(), json),
         Command::Fleet(Fleet::Check { files }) => fleet::check(&files),
         Command::Fleet(Fleet::Compare {
             file,
-            how,
+            options,
             with,
             and,
             plays,
-        }) => fleet::compare(&file, &how, &with, &and, plays),
+        }) => fleet::compare(&file, &options, &with, &and, plays),
         Command::Fleet(Fleet::Words { json }) => {
             fleet::words(json);
             Ok(())
@@ -90,14 +90,14 @@
     }
 }
 
-fn of_store(command: Store) -> Result<(), Failure> {
+fn run_store(command: Store) -> Result<(), Failure> {
     match command {
         Store::Stat { path, socket, json } => match (path, socket) {
-            (_, Some(socket)) => store::ask_live(&socket, "store stat", json),
+            (_, Some(socket)) => store::query_router(&socket, "store stat", json),
             (Some(path), None) => store::stat(&path, json),
             (None, None) => Err(Failure {
                 code: 2,
-                what: "neither a directory nor a socket was named".into(),
+                what: "neither a directory nor a socket was given".into(),
             }),
         },
         Store::List { directory, object } => {
@@ -118,7 +118,7 @@
             object,
             group,
             all,
-        } => store::drop_what(
+        } => store::drop_parts(
             &directory.path,
             object.as_deref(),
             group,
@@ -135,7 +135,7 @@
 }
 
 fn serve(file: Option<PathBuf>) -> Result<(), Failure> {
-    let (told, faults) = file
+    let (directives, faults) = file
         .as_deref()
         .map(chalkhall_config::read)
         .unwrap_or_default();
@@ -143,8 +143,8 @@
         let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
         return Err(Failure::new(all.join("\nchalkhall: ")));
     }
-    chalkhall_router::logging::init(&told.log);
-    chalkhall_router::serve(told, file).map_err(|error| Failure::new(error.to_string()))
+    chalkhall_router::logging::init(&directives.log);
+    chalkhall_router::serve(directives, file).map_err(|error| Failure::new(error.to_string()))
 }
 
 fn man(folder: &Path) -> Result<(), Failure> {
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -1,4 +1,4 @@
-//! A live store on a directory, driven by whoever holds it: for torture and measurements.
+//! Drives a store without a router, for crash tests and measurements.
 
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase, Wanted};
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::mpsc::Receiver;
 
-/// A store, its threads, and a clock.
+/// A store, its I/O threads and a clock.
 pub struct Rig {
     pub store: Store,
     pub shelf: Shelf,
     ends: Receiver<End>,
-    zero: Instant,
+    started: Instant,
 }
 
 pub fn unix_ms() -> u64 {
@@ -28,7 +28,7 @@
 }
 
 impl Rig {
-    /// On a directory that nobody else holds.
+    /// Opens a store on a directory that no other process holds.
     pub fn open(path: &Path, memory: u64, wanted: Wanted, readers: usize) -> Result<Rig, String> {
         let path = path.to_path_buf();
         let take = move || {
@@ -38,7 +38,7 @@
         Rig::on(take, memory, wanted, readers)
     }
 
-    /// On any files.
+    /// Opens a store on any implementation of files.
     pub fn on(
         take: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
         memory: u64,
@@ -52,46 +52,46 @@
             said: Some(Vec::new()),
             ..Shelf::default()
         };
-        // Spans count from well before the start, as a router's do.
-        let disk = Disk::new(wanted, ZERO, unix_ms());
+        // The clock starts well above zero, as a router's does.
+        let disk = Disk::new(wanted, CLOCK_START, unix_ms());
         Ok(Rig {
             store: Store::new(memory, Some(disk)),
             shelf,
             ends,
-            zero: Instant::now(),
+            started: Instant::now(),
         })
     }
 
-    /// Memory alone.
+    /// A store without a disk tier.
     pub fn alone(memory: u64) -> Rig {
         let (_, ends) = tokio::sync::mpsc::channel(1);
         Rig {
             store: Store::new(memory, None),
             shelf: Shelf::default(),
             ends,
-            zero: Instant::now(),
+            started: Instant::now(),
         }
     }
 
     pub fn now(&self) -> Duration {
-        ZERO + self.zero.elapsed()
+        CLOCK_START + self.started.elapsed()
     }
 
-    /// Hears what ended and does what is due. True: something ended.
+    /// Processes finished operations and due work. Returns true if an operation finished.
     pub fn turn(&mut self) -> bool {
-        let (now, mut heard) = (self.now(), false);
+        let (now, mut completed) = (self.now(), false);
         while let Ok(end) = self.ends.try_recv() {
             self.shelf.ended(&mut self.store, now, end);
-            heard = true;
+            completed = true;
         }
         self.store.tick(now, &mut self.shelf);
-        heard
+        completed
     }
 
-    /// Turns until it comes true. False: it did not in time.
-    pub fn until(&mut self, within: Duration, mut come: impl FnMut(&mut Rig) -> bool) -> bool {
+    /// Calls [`Rig::turn`] until the condition holds. Returns false on a timeout.
+    pub fn until(&mut self, within: Duration, mut condition: impl FnMut(&mut Rig) -> bool) -> bool {
         let end = Instant::now() + within;
-        while !come(self) {
+        while !condition(self) {
             if Instant::now() >= end {
                 return false;
             }
@@ -102,13 +102,14 @@
         true
     }
 
-    /// All that an earlier life left is known.
+    /// Whether recovery is complete.
     pub fn is_ready(&self) -> bool {
         self.store
             .disk()
             .is_some_and(|disk| *disk.phase() == Phase::Ready)
     }
 
+    /// Why the disk tier cannot be used, if so.
     pub fn refusal(&self) -> Option<String> {
         match self.store.disk()?.phase() {
             Phase::Refused(why) => Some(why.clone()),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// What a request for a part is answered with.
+    /// The copy with which a request for a part is answered.
     pub fn get(&mut self, part: Part) -> Option<Rc<Copy>> {
         match self.store.find(part, None)?.place {
             Place::Memory => self.store.take(self.now(), part),
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Ends in good order.
+    /// Shuts down cleanly.
     pub fn close(mut self, within: Duration) {
         let now = self.now();
         if let Some(disk) = self.store.disk_mut() {
@@ -144,11 +145,11 @@
         self.end(within);
     }
 
-    /// Ends as it stands, nothing sealed; waits until its threads have let go of the directory.
+    /// Stops without sealing anything, and waits until the threads have released the directory.
     pub fn end(mut self, within: Duration) {
         self.shelf.threads = None;
         let end = Instant::now() + within;
-        // The receiver ends when the last thread has.
+        // The channel is disconnected when the last thread has ended.
         while Instant::now() < end {
             match self.ends.try_recv() {
                 Err(tokio::sync::mpsc::error::TryRecvError::Disconnected) => return,
@@ -159,4 +160,4 @@
     }
 }
 
-const ZERO: Duration = Duration::from_secs(1000);
+const CLOCK_START: Duration = Duration::from_secs(1000);
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -1,4 +1,4 @@
-//! `store`: a directory of own copies, offline, or a live router's by its control socket.
+//! `store`: works on the local cache in a directory, or queries that of a running router by its control socket.
 
 use crate::Failure;
 use bytesize::ByteSize;
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A directory that is ours while this is held.
-struct Held {
+/// An opened store; its directory is locked while this value lives.
+struct OpenedStore {
     files: Arc<dyn Files>,
     hands: Hands,
     catalogue: Catalogue,
@@ -29,17 +29,17 @@
     segments: Vec<u32>,
 }
 
-fn take(path: &Path) -> Result<Held, Failure> {
+fn open_store(path: &Path) -> Result<OpenedStore, Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", path.display()));
     if !path.join(NAME).is_file() {
-        return Err(fail(&"there is no store here"));
+        return Err(fail(&"not a store directory"));
     }
     let files: Arc<dyn Files> = Arc::new(Directory::take(path).map_err(|e| fail(&e))?);
     let (catalogue, known, mut segments) = open(&files, 0, None).map_err(|e| fail(&e))?;
     segments.sort_unstable();
     let mut purges = Purges::default();
     known.marks.iter().for_each(|mark| purges.restore(*mark));
-    Ok(Held {
+    Ok(OpenedStore {
         hands: Hands::new(files.clone(), known.store),
         files,
         catalogue,
@@ -49,24 +49,24 @@
     })
 }
 
-/// One record as it was found.
+/// A record on disk.
 struct Found {
     segment: u32,
     entry: Entry,
     read: Result<(Copy, u8), Fault>,
     purged: bool,
-    /// A later one of the same part is there.
+    /// A newer copy of the same part exists.
     older: bool,
 }
 
-/// Reads every record. Bodies are read too: only then is it known that they are whole.
+/// Visits every record. The bodies are read too, to verify their checksums. Returns the unreadable segments.
 fn walk(
-    held: &mut Held,
-    mut see: impl FnMut(&mut Held, Found),
+    opened: &mut OpenedStore,
+    mut visit: impl FnMut(&mut OpenedStore, Found),
 ) -> Result<Vec<(u32, Fault)>, Failure> {
     let (mut listed, mut faults) = (Vec::new(), Vec::new());
-    for segment in held.segments.clone() {
-        match held.hands.list(segment) {
+    for segment in opened.segments.clone() {
+        match opened.hands.list(segment) {
             Ok(entries) => listed.extend(entries.into_iter().map(|entry| (segment, entry))),
             Err(fault) => faults.push((segment, fault)),
         }
@@ -85,16 +85,16 @@
             .map(|(_, entry)| u64::from(entry.length))
             .sum(),
     );
-    let look = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {eta}");
-    bar.set_style(look.unwrap_or_else(|_| ProgressStyle::default_bar()));
+    let style = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {eta}");
+    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     for (segment, entry) in listed {
-        let read = held.hands.read(segment, entry.at, entry.length);
-        let purged = !held
+        let read = opened.hands.read(segment, entry.at, entry.length);
+        let purged = !opened
             .purges
             .survives(entry.object, entry.group as usize, entry.made);
         let older = newest.get(&entry.key) != Some(&(entry.made, segment, entry.at));
-        see(
-            held,
+        visit(
+            opened,
             Found {
                 segment,
                 entry,
@@ -109,43 +109,44 @@
     Ok(faults)
 }
 
-fn print(as_json: bool, told: &Value) {
+fn print(as_json: bool, report: &Value) {
     if as_json {
-        println!("{told}");
+        println!("{report}");
     } else {
-        lines("", told);
+        print_fields("", report);
     }
 }
 
-/// One `name: value` a line, names of what holds others before theirs.
-fn lines(before: &str, told: &Value) {
-    match told {
+/// Prints one `name: value` per line, with dots in the names of nested fields.
+fn print_fields(prefix: &str, value: &Value) {
+    match value {
         Value::Object(fields) => {
             for (name, value) in fields {
-                let name = if before.is_empty() {
+                let name = if prefix.is_empty() {
                     name.clone()
                 } else {
-                    format!("{before}.{name}")
+                    format!("{prefix}.{name}")
                 };
-                lines(&name, value);
+                print_fields(&name, value);
             }
         }
-        Value::String(text) => println!("{before}: {text}"),
-        Value::Number(n) if before.ends_with("bytes") || before.ends_with("most") => {
-            println!("{before}: {n} ({})", ByteSize(n.as_u64().unwrap_or(0)));
+        Value::String(text) => println!("{prefix}: {text}"),
+        Value::Number(n) if prefix.ends_with("bytes") || prefix.ends_with("most") => {
+            println!("{prefix}: {n} ({})", ByteSize(n.as_u64().unwrap_or(0)));
         }
-        other => println!("{before}: {other}"),
+        other => println!("{prefix}: {other}"),
     }
 }
 
+/// Prints what the store in a directory holds.
 pub fn stat(path: &Path, as_json: bool) -> Result<(), Failure> {
-    let mut held = take(path)?;
+    let mut opened = open_store(path)?;
     let (mut parts, mut bytes, mut damaged, mut older, mut purged, mut ranks) =
         (0u64, 0u64, 0u64, 0u64, 0u64, [0u64; 4]);
     let mut faults = 0;
     let mut listed: Vec<(u32, Entry)> = Vec::new();
-    for segment in held.segments.clone() {
-        match held.hands.list(segment) {
+    for segment in opened.segments.clone() {
+        match opened.hands.list(segment) {
             Ok(entries) => listed.extend(entries.into_iter().map(|entry| (segment, entry))),
             Err(_) => faults += 1,
         }
@@ -159,7 +160,7 @@
     for (segment, entry) in &listed {
         if newest.get(&entry.key) != Some(&(entry.made, *segment, entry.at)) {
             older += 1;
-        } else if !held
+        } else if !opened
             .purges
             .survives(entry.object, entry.group as usize, entry.made)
         {
@@ -171,18 +172,18 @@
         }
     }
     damaged += faults;
-    let told = json!({
-        "store": format!("{:016x}", held.known.store), "segments": held.segments.len(), "parts": parts,
+    let report = json!({
+        "store": format!("{:016x}", opened.known.store), "segments": opened.segments.len(), "parts": parts,
         "record_bytes": bytes, "older": older, "purged": purged, "segments_unreadable": damaged,
-        "rank_1": ranks[1], "rank_2": ranks[2], "rank_3": ranks[3], "purges_known": held.known.marks.len(),
-        "board_heard_until_ms": held.known.heard,
+        "rank_1": ranks[1], "rank_2": ranks[2], "rank_3": ranks[3], "purges_known": opened.known.marks.len(),
+        "board_heard_until_ms": opened.known.heard,
     });
-    print(as_json, &told);
+    print(as_json, &report);
     Ok(())
 }
 
-/// Asks a live router, and prints what it says.
-pub fn ask_live(socket: &Path, words: &str, as_json: bool) -> Result<(), Failure> {
+/// Sends a command to a running router's control socket and prints the answer.
+pub fn query_router(socket: &Path, words: &str, as_json: bool) -> Result<(), Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", socket.display()));
     let mut stream = UnixStream::connect(socket).map_err(|e| fail(&e))?;
     stream
@@ -195,19 +196,20 @@
     BufReader::new(stream)
         .read_line(&mut line)
         .map_err(|e| fail(&e))?;
-    let told: Value = serde_json::from_str(&line).map_err(|e| fail(&e))?;
-    if let Some(what) = told.get("error").and_then(Value::as_str) {
+    let answer: Value = serde_json::from_str(&line).map_err(|e| fail(&e))?;
+    if let Some(what) = answer.get("error").and_then(Value::as_str) {
         return Err(fail(&what));
     }
-    print(as_json, &told);
+    print(as_json, &answer);
     Ok(())
 }
 
+/// Lists the parts on disk.
 pub fn list(path: &Path, object: Option<&str>, as_json: bool) -> Result<(), Failure> {
-    let mut held = take(path)?;
+    let mut opened = open_store(path)?;
     let mut out = std::io::stdout().lock();
     let mut broken = false;
-    walk(&mut held, |_, found| {
+    walk(&mut opened, |_, found| {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let Ok((copy, rank)) = &found.read else {
             return;
@@ -230,16 +232,17 @@
                 copy.part, copy.group, copy.made
             )
         };
-        // Who reads may have gone, as `head` does.
+        // The reader may have closed the pipe, as `head` does.
         broken = writeln!(out, "{line}").is_err();
     })?;
     Ok(())
 }
 
+/// Reads every record and reports the damaged ones.
 pub fn verify(path: &Path, as_json: bool) -> Result<(), Failure> {
-    let mut held = take(path)?;
+    let mut opened = open_store(path)?;
     let (mut whole, mut bytes, mut damaged, mut purged) = (0u64, 0u64, Vec::new(), 0u64);
-    let faults = walk(&mut held, |_, found| match &found.read {
+    let faults = walk(&mut opened, |_, found| match &found.read {
         Ok((copy, _)) => {
             whole += 1;
             bytes += copy.body.len() as u64;
@@ -271,62 +274,65 @@
         Ok(())
     } else {
         Err(Failure::new(format!(
-            "{count} damaged; `chalkhall store repair` takes them out"
+            "{count} damaged; `chalkhall store repair` removes them"
         )))
     }
 }
 
+/// Rewrites segments without their damaged records.
 pub fn repair(path: &Path, dry_run: bool, as_json: bool) -> Result<(), Failure> {
-    let mut held = take(path)?;
-    let mut good: HashMap<u32, Vec<Entry>> =
-        held.segments.iter().map(|s| (*s, Vec::new())).collect();
-    let mut bad: HashMap<u32, u64> = HashMap::new();
-    let faults = walk(&mut held, |_, found| match found.read {
-        Ok(_) => good.entry(found.segment).or_default().push(found.entry),
-        Err(_) => *bad.entry(found.segment).or_default() += 1,
+    let mut opened = open_store(path)?;
+    let mut intact: HashMap<u32, Vec<Entry>> =
+        opened.segments.iter().map(|s| (*s, Vec::new())).collect();
+    let mut damaged: HashMap<u32, u64> = HashMap::new();
+    let faults = walk(&mut opened, |_, found| match found.read {
+        Ok(_) => intact.entry(found.segment).or_default().push(found.entry),
+        Err(_) => *damaged.entry(found.segment).or_default() += 1,
     })?;
-    let mut mended: Vec<(u32, u64)> = bad.into_iter().collect();
-    mended.sort_unstable();
+    let mut repaired: Vec<(u32, u64)> = damaged.into_iter().collect();
+    repaired.sort_unstable();
     if !dry_run {
-        for (segment, _) in &mended {
-            let entries = good.remove(segment).unwrap_or_default();
-            held.hands
+        for (segment, _) in &repaired {
+            let entries = intact.remove(segment).unwrap_or_default();
+            opened
+                .hands
                 .rewrite(*segment, entries)
                 .map_err(|f| Failure::new(format!("segment {segment}: {f:?}")))?;
         }
     }
-    let left: Vec<u32> = faults.iter().map(|(segment, _)| *segment).collect();
+    let unreadable: Vec<u32> = faults.iter().map(|(segment, _)| *segment).collect();
     if as_json {
-        let told: Vec<Value> = mended
+        let report: Vec<Value> = repaired
             .iter()
             .map(|(s, n)| json!({"segment": s, "taken_out": n}))
             .collect();
         println!(
             "{}",
-            json!({"dry_run": dry_run, "mended": told, "unreadable": left})
+            json!({"dry_run": dry_run, "mended": report, "unreadable": unreadable})
         );
     } else {
-        let word = if dry_run {
-            "would take out"
-        } else {
-            "took out"
-        };
-        mended
+        let verb = if dry_run { "would remove" } else { "removed" };
+        repaired
+            .iter()
+            .for_each(|(segment, n)| println!("segment {segment}: {verb} {n} damaged"));
+        unreadable
             .iter()
-            .for_each(|(segment, n)| println!("segment {segment}: {word} {n} damaged"));
-        left.iter()
-            .for_each(|segment| println!("segment {segment}: cannot be read, left as it is"));
-        println!("{} segments mended", if dry_run { 0 } else { mended.len() });
+            .for_each(|segment| println!("segment {segment}: unreadable, left unchanged"));
+        println!(
+            "{} segments repaired",
+            if dry_run { 0 } else { repaired.len() }
+        );
     }
     Ok(())
 }
 
+/// Writes the body of one part to a file or to standard output.
 pub fn export(path: &Path, object: &str, part: u64, out: Option<&Path>) -> Result<(), Failure> {
-    let mut held = take(path)?;
+    let mut opened = open_store(path)?;
     let wanted = key::part(key::object(object.as_bytes()), part);
     let mut newest: Option<(u64, u32, Entry)> = None;
-    for segment in held.segments.clone() {
-        for entry in held
+    for segment in opened.segments.clone() {
+        for entry in opened
             .hands
             .list(segment)
             .unwrap_or_default()
@@ -340,13 +346,13 @@
     }
     let (_, segment, entry) =
         newest.ok_or_else(|| Failure::new(format!("{object} part {part} is not here")))?;
-    if !held
+    if !opened
         .purges
         .survives(entry.object, entry.group as usize, entry.made)
     {
         return Err(Failure::new(format!("{object} part {part} was purged")));
     }
-    let (copy, _) = held
+    let (copy, _) = opened
         .hands
         .read(segment, entry.at, entry.length)
         .map_err(|f| Failure::new(format!("{f:?}")))?;
@@ -362,37 +368,39 @@
     }
 }
 
-pub fn drop_what(
+/// Purges an object or a group, or removes all segments.
+pub fn drop_parts(
     path: &Path,
     object: Option<&str>,
     group: Option<u64>,
     all: bool,
     as_json: bool,
 ) -> Result<(), Failure> {
-    let mut held = take(path)?;
+    let mut opened = open_store(path)?;
     let now = crate::rig::unix_ms();
     let marks = match (object, group) {
-        (Some(object), _) => held
+        (Some(object), _) => opened
             .purges
             .object(key::object(object.as_bytes()), now)
             .into_iter()
             .flatten()
             .collect(),
-        (_, Some(group)) => vec![held.purges.group(group, now)],
+        (_, Some(group)) => vec![opened.purges.group(group, now)],
         _ => Vec::<Mark>::new(),
     };
     debug_assert!(group.is_none_or(|group| group_slot(group) < GROUPS));
     let written: Vec<Line> = marks.into_iter().map(Line::Purge).collect();
-    mark(&mut held.catalogue, &written).map_err(|f| Failure::new(format!("{f:?}")))?;
+    mark(&mut opened.catalogue, &written).map_err(|f| Failure::new(format!("{f:?}")))?;
     let mut removed = 0;
     if all {
-        for segment in held.segments.clone() {
-            held.hands
+        for segment in opened.segments.clone() {
+            opened
+                .hands
                 .remove(segment)
                 .map_err(|f| Failure::new(format!("segment {segment}: {f:?}")))?;
             removed += 1;
         }
-        held.files.sync_names().map_err(Failure::new)?;
+        opened.files.sync_names().map_err(Failure::new)?;
     }
     print(
         as_json,
--- a/crates/cli/src/torture.rs
+++ b/crates/cli/src/torture.rs
@@ -1,5 +1,5 @@
-//! `store torture`: real processes, killed at random instants while they write; after each kill everything is
-//! read and held against what the killed one had said.
+//! `store torture`: crash test with real processes that are killed at random moments while they write. After each
+//! kill the whole store is read and compared with what the writer had reported.
 
 use crate::Failure;
 use crate::rig::{Rig, unix_ms};
@@ -17,10 +17,10 @@
 
 const OBJECTS: u64 = 300;
 const PARTS: u64 = 4;
-const LARGEST: usize = 60_000;
-const MEMORY: u64 = 1 << 20;
-/// Discovery names every purge of this long before a start: here all.
-const KNOWN: Duration = Duration::from_secs(100_000);
+const MAX_BODY_BYTES: usize = 60_000;
+const MEMORY_BYTES: u64 = 1 << 20;
+/// Discovery lists the purges of this period before a start: longer than any run, so all are known.
+const KNOWN_PURGES: Duration = Duration::from_secs(100_000);
 
 fn wanted() -> Wanted {
     Wanted {
@@ -30,13 +30,13 @@
         least_fresh: Duration::ZERO,
         sync_after: Duration::from_millis(5),
         sync_bytes: 400_000,
-        known_purges: KNOWN,
+        known_purges: KNOWN_PURGES,
         scrub: 0,
         ..Wanted::default()
     }
 }
 
-/// What a torture has found.
+/// The results of a crash test.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Found {
     pub kills: u32,
@@ -46,32 +46,31 @@
     pub torn: u64,
     pub stale: u64,
     pub lost_synced: u64,
-    /// Served at a start that could not know of purges: none may be.
+    /// Copies served after a start without knowledge of purges; there must be none.
     pub unproven_served: u64,
 }
 
-/// Writes until it is killed, and says on standard output what it told the store and what the store told it:
-/// `P` a purge, before it is told; `D` what outlives a crash, after; `G` what was let go of, before it goes.
+/// Writes until it is killed, and logs on standard output: `P` a purge, before it is applied; `D` a copy that is
+/// durable, after it was synced; `G` a copy that is dropped, before it is removed.
 pub fn writer(path: &Path, seed: u64) -> Result<(), Failure> {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let mut rig = Rig::open(path, MEMORY, wanted(), 2).map_err(Failure::new)?;
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut rig = Rig::open(path, MEMORY_BYTES, wanted(), 2).map_err(Failure::new)?;
     let mut out = std::io::stdout().lock();
-    let mut said = String::new();
+    let mut log = String::new();
     let end = Instant::now() + Duration::from_secs(30);
     while Instant::now() < end {
         for _ in 0..4 {
             let piece = Piece {
-                object: chance.u64(..OBJECTS),
-                part: chance.u64(..PARTS),
+                object: rng.u64(..OBJECTS),
+                part: rng.u64(..PARTS),
             };
             let now = rig.now();
-            let copy = piece.version(1, unix_ms(), size_of(piece, LARGEST));
-            rig.store
-                .keep(now, copy, 1 + chance.u8(..3), &mut rig.shelf);
+            let copy = piece.version(1, unix_ms(), size_of(piece, MAX_BODY_BYTES));
+            rig.store.keep(now, copy, 1 + rng.u8(..3), &mut rig.shelf);
         }
-        if chance.u8(..10) == 0 {
+        if rng.u8(..10) == 0 {
             let piece = Piece {
-                object: chance.u64(..OBJECTS),
+                object: rng.u64(..OBJECTS),
                 part: 0,
             };
             let ms = unix_ms();
@@ -81,32 +80,32 @@
             rig.store.purge(Some(&piece.name()), 0, ms, &mut rig.shelf);
         }
         rig.turn();
-        said.clear();
+        log.clear();
         for (key, made) in rig.shelf.said.iter_mut().flat_map(|said| said.drain(..)) {
             let _ = match made {
-                Some(made) => writeln!(said, "D {key} {made}"),
-                None => writeln!(said, "G {key}"),
+                Some(made) => writeln!(log, "D {key} {made}"),
+                None => writeln!(log, "G {key}"),
             };
         }
-        out.write_all(said.as_bytes())
+        out.write_all(log.as_bytes())
             .and_then(|()| out.flush())
             .map_err(Failure::new)?;
         if let Some(why) = rig.refusal() {
             return Err(Failure::new(why));
         }
-        std::thread::sleep(Duration::from_micros(chance.u64(..800)));
+        std::thread::sleep(Duration::from_micros(rng.u64(..800)));
     }
     Ok(())
 }
 
 #[derive(Default)]
-struct Heard {
+struct WriterLog {
     purged: HashMap<u64, u64>,
     durable: HashMap<u64, u64>,
 }
 
-impl Heard {
-    fn line(&mut self, line: &str) {
+impl WriterLog {
+    fn read_line(&mut self, line: &str) {
         let words: Vec<&str> = line.split(' ').collect();
         let numbers: Vec<u64> = words
             .iter()
@@ -117,12 +116,12 @@
             ("P", [object, ms]) => drop(self.purged.insert(*object, *ms)),
             ("D", [key, made]) => drop(self.durable.insert(*key, *made)),
             ("G", [key]) => drop(self.durable.remove(key)),
-            // The last line may be cut off by the kill.
+            // The kill may truncate the last line.
             _ => {}
         }
     }
 
-    fn said(&mut self, rig: &mut Rig) {
+    fn read_reports(&mut self, rig: &mut Rig) {
         for (key, made) in rig.shelf.said.iter_mut().flat_map(|said| said.drain(..)) {
             match made {
                 Some(made) => drop(self.durable.insert(key, made)),
@@ -132,24 +131,28 @@
     }
 }
 
-fn kill(mut child: Child, after: Duration, heard: &mut Heard) -> Result<(), Failure> {
+fn kill_and_read_log(
+    mut child: Child,
+    after: Duration,
+    log: &mut WriterLog,
+) -> Result<(), Failure> {
     let out = child
         .stdout
         .take()
-        .ok_or_else(|| Failure::new("the writer has no output"))?;
+        .ok_or_else(|| Failure::new("the writer's standard output is not captured"))?;
     std::thread::sleep(after);
-    // SIGKILL: nothing of it runs any more. What it had said before is still in the pipe.
+    // The writer has ended by SIGKILL; what it had written before is still in the pipe.
     child.kill().map_err(Failure::new)?;
     for line in BufReader::new(out).lines() {
-        heard.line(&line.map_err(Failure::new)?);
+        log.read_line(&line.map_err(Failure::new)?);
     }
     child.wait().map(|_| ()).map_err(Failure::new)
 }
 
-/// Kills a writer so many times and looks at what is left after each.
+/// Kills a writer `kills` times and verifies the store after each kill.
 pub fn torture(program: &Path, path: &Path, kills: u32, seed: u64) -> Result<Found, Failure> {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let (mut heard, mut found) = (Heard::default(), Found::default());
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let (mut log, mut found) = (WriterLog::default(), Found::default());
     let bar = ProgressBar::new(u64::from(kills));
     for _ in 0..kills {
         let child = Command::new(program)
@@ -157,28 +160,28 @@
                 "store",
                 "torture-writer",
                 "--seed",
-                &chance.u64(..).to_string(),
+                &rng.u64(..).to_string(),
             ])
             .arg(path)
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|e| Failure::new(format!("{}: {e}", program.display())))?;
-        kill(
+        kill_and_read_log(
             child,
-            Duration::from_micros(chance.u64(5_000..120_000)),
-            &mut heard,
+            Duration::from_micros(rng.u64(5_000..120_000)),
+            &mut log,
         )?;
         found.kills += 1;
-        look(path, &mut heard, &mut found)?;
+        verify(path, &mut log, &mut found)?;
         bar.inc(1);
     }
     bar.finish_and_clear();
-    // A start that knows of no purges serves nothing, whatever is there.
-    let blind = Wanted {
+    // After a start without knowledge of purges, nothing on disk may be served.
+    let without_purges = Wanted {
         known_purges: Duration::ZERO,
         ..wanted()
     };
-    let mut rig = Rig::open(path, MEMORY, blind, 2).map_err(Failure::new)?;
+    let mut rig = Rig::open(path, MEMORY_BYTES, without_purges, 2).map_err(Failure::new)?;
     rig.until(Duration::from_secs(30), |rig| {
         rig.is_ready() || rig.refusal().is_some()
     });
@@ -202,9 +205,9 @@
     })
 }
 
-fn look(path: &Path, heard: &mut Heard, found: &mut Found) -> Result<(), Failure> {
-    let mut rig = Rig::open(path, MEMORY, wanted(), 2).map_err(Failure::new)?;
-    for (object, ms) in &heard.purged {
+fn verify(path: &Path, log: &mut WriterLog, found: &mut Found) -> Result<(), Failure> {
+    let mut rig = Rig::open(path, MEMORY_BYTES, wanted(), 2).map_err(Failure::new)?;
+    for (object, ms) in &log.purged {
         let name = Piece {
             object: *object,
             part: 0,
@@ -219,24 +222,27 @@
         return Err(Failure::new(why));
     }
     if !ready {
-        return Err(Failure::new("the store was not ready in 30 s"));
+        return Err(Failure::new(
+            "recovery of the store did not end within 30 s",
+        ));
     }
-    heard.said(&mut rig);
-    let durable = heard.durable.clone();
+    log.read_reports(&mut rig);
+    let durable = log.durable.clone();
     for piece in pieces() {
-        let purged = heard.purged.get(&piece.object).copied().unwrap_or(0);
+        let purged = log.purged.get(&piece.object).copied().unwrap_or(0);
         let copy = get(&mut rig, piece);
         if let Some(copy) = &copy {
             found.answers += 1;
-            let right = piece.version(1, copy.made, size_of(piece, LARGEST));
-            found.torn += u64::from(right != **copy);
+            let expected = piece.version(1, copy.made, size_of(piece, MAX_BODY_BYTES));
+            found.torn += u64::from(expected != **copy);
             found.stale += u64::from(copy.made <= purged);
         }
-        heard.said(&mut rig);
+        log.read_reports(&mut rig);
         if let Some(made) = durable.get(&piece.key()).filter(|made| **made > purged) {
-            let still = heard.durable.contains_key(&piece.key());
+            let still_durable = log.durable.contains_key(&piece.key());
             found.durable += 1;
-            found.lost_synced += u64::from(still && copy.is_none_or(|copy| copy.made < *made));
+            found.lost_synced +=
+                u64::from(still_durable && copy.is_none_or(|copy| copy.made < *made));
         }
     }
     found.reclaimed += rig.store.disk().map_or(0, |disk| disk.counts().reclaimed);
@@ -244,6 +250,7 @@
     Ok(())
 }
 
+/// Runs the crash test and prints its results.
 pub fn command(path: &Path, kills: u32, seed: u64, as_json: bool) -> Result<(), Failure> {
     let program = std::env::current_exe().map_err(Failure::new)?;
     let found = torture(&program, path, kills, seed)?;
@@ -258,9 +265,9 @@
         ..
     } = found;
     if as_json {
-        let told = json!({"seed": seed, "kills": kills, "answers": answers, "durable": durable, "torn": torn,
+        let report = json!({"seed": seed, "kills": kills, "answers": answers, "durable": durable, "torn": torn,
             "stale": stale, "lost_synced": lost_synced, "unproven_served": unproven_served});
-        println!("{told}");
+        println!("{report}");
     } else {
         println!(
             "seed {seed}: {kills} kills, {answers} answers and {durable} synced copies checked; \
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The commands as an operator calls them.
+//! End-to-end tests of the commands.
 
 use chalkhall_cli::rig::{Rig, unix_ms};
 use chalkhall_store::decide::disk::Wanted;
@@ -26,23 +26,22 @@
     }
 }
 
-/// Held while a test starts a process. A child that has been forked but has not replaced its program yet
-/// holds every descriptor of this process, the locks of other tests' stores among them; whoever has taken
-/// this once knows that no such child is left from before.
-fn starting() -> MutexGuard<'static, ()> {
-    static STARTING: Mutex<()> = Mutex::new(());
-    STARTING.lock().unwrap_or_else(PoisonError::into_inner)
+/// A lock to hold while starting a process. Between fork and exec, a child holds all descriptors of this process,
+/// including the locks of other tests' stores; after acquiring this lock, no such child is left.
+fn lock_process_start() -> MutexGuard<'static, ()> {
+    static PROCESS_START: Mutex<()> = Mutex::new(());
+    PROCESS_START.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn chalkhall(words: &[&str]) -> Output {
+fn chalkhall(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_chalkhall"));
     command
-        .args(words)
+        .args(arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
     let child = {
-        let _starting = starting();
+        let _guard = lock_process_start();
         command.spawn().unwrap()
     };
     child.wait_with_output().unwrap()
@@ -52,10 +51,10 @@
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-fn json(words: &[&str]) -> Value {
-    let output = chalkhall(words);
+fn json(arguments: &[&str]) -> Value {
+    let output = chalkhall(arguments);
     serde_json::from_slice(&output.stdout)
-        .unwrap_or_else(|_| panic!("{words:?}: {}", text(&output)))
+        .unwrap_or_else(|_| panic!("{arguments:?}: {}", text(&output)))
 }
 
 const PARTS: u64 = 12;
@@ -64,8 +63,8 @@
     Piece { object, part: 2 }
 }
 
-/// A directory with a part of each of twelve objects, ended in good order.
-fn filled(path: &Path) -> Vec<u8> {
+/// Fills a store with one part of each of twelve objects and closes it cleanly. Returns the body of object 3.
+fn fill_store(path: &Path) -> Vec<u8> {
     let wanted = Wanted {
         bytes: 16 << 20,
         segment: 1 << 20,
@@ -89,12 +88,12 @@
     };
     assert!(rig.until(Duration::from_secs(10), written));
     rig.close(Duration::from_secs(10));
-    drop(starting());
+    drop(lock_process_start());
     piece(3).version(1, 0, 9000).body.to_vec()
 }
 
 #[test]
-fn help_version_and_bad_words_answer_as_people_expect() {
+fn help_version_completions_and_unknown_commands() {
     let help = chalkhall(&["--help"]);
     assert!(
         help.status.success()
@@ -102,12 +101,12 @@
             && text(&help).contains("Exit codes")
     );
     assert!(text(&chalkhall(&["--version"])).contains(env!("CARGO_PKG_VERSION")));
-    let bad = chalkhall(&["stoer"]);
-    assert_eq!(bad.status.code(), Some(2));
+    let unknown_command = chalkhall(&["stoer"]);
+    assert_eq!(unknown_command.status.code(), Some(2));
     assert!(
-        text(&bad).contains("store"),
-        "the nearest word: {}",
-        text(&bad)
+        text(&unknown_command).contains("store"),
+        "no suggestion: {}",
+        text(&unknown_command)
     );
     for shell in ["bash", "zsh", "fish"] {
         assert!(text(&chalkhall(&["completions", shell])).contains("chalkhall"));
@@ -125,7 +124,7 @@
 }
 
 #[test]
-fn check_finds_every_fault_at_once() {
+fn check_reports_all_faults_at_once() {
     let folder = Folder::new("check");
     let file = folder.0.join("a.conf");
     std::fs::write(
@@ -140,7 +139,7 @@
     .unwrap();
     let output = chalkhall(&["check", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
-    let told = text(&output);
+    let report = text(&output);
     for part in [
         "a.conf:3:10: \"lots\" is not a size",
         "a.conf:4:3: segmnt is not a directive of store; segment is",
@@ -148,7 +147,7 @@
         "b.conf:2:1: log-format was given before",
         "includes are nested more than",
     ] {
-        assert!(told.contains(part), "{part} in {told}");
+        assert!(report.contains(part), "{part} in {report}");
     }
     std::fs::write(&file, "store {\n  memory 25%\n}\n").unwrap();
     assert_eq!(
@@ -160,7 +159,7 @@
 }
 
 #[test]
-fn every_directive_stands_in_the_example_and_the_example_is_sound() {
+fn the_example_file_is_valid_and_has_every_directive() {
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/chalkhall.conf");
     assert_eq!(
         chalkhall(&["check", example.to_str().unwrap()])
@@ -170,12 +169,12 @@
     );
     let written = std::fs::read_to_string(example).unwrap();
     for entry in chalkhall_config::WORDS.entries() {
-        let stands = written
+        let is_listed = written
             .lines()
             .any(|l| l.trim().trim_start_matches('#').split(' ').next() == Some(entry.name));
-        assert!(stands, "{}", entry.name);
+        assert!(is_listed, "{}", entry.name);
     }
-    // All that stands there as a comment is sound too.
+    // The commented-out directives must be valid too.
     let uncommented: String = written
         .lines()
         .filter(|line| !line.starts_with("# ") && !line.starts_with("#  "))
@@ -194,13 +193,13 @@
 }
 
 #[test]
-fn a_directory_is_told_listed_verified_exported_and_dropped_from() {
+fn a_store_is_inspected_listed_verified_exported_and_purged() {
     let folder = Folder::new("store");
     let path = folder.0.to_str().unwrap();
-    let body = filled(&folder.0);
-    let told = json(&["store", "stat", path, "--json"]);
+    let body = fill_store(&folder.0);
+    let report = json(&["store", "stat", path, "--json"]);
     assert_eq!(
-        (told["parts"].as_u64(), told["rank_2"].as_u64()),
+        (report["parts"].as_u64(), report["rank_2"].as_u64()),
         (Some(PARTS), Some(PARTS))
     );
     let name = String::from_utf8(piece(3).name().to_vec()).unwrap();
@@ -246,10 +245,10 @@
 }
 
 #[test]
-fn damage_is_found_and_taken_out_and_the_rest_stays() {
+fn damage_is_reported_and_removed_and_the_rest_is_kept() {
     let folder = Folder::new("damage");
     let path = folder.0.to_str().unwrap();
-    filled(&folder.0);
+    fill_store(&folder.0);
     let names = std::fs::read_dir(&folder.0)
         .unwrap()
         .map(|e| e.unwrap().path());
@@ -267,9 +266,9 @@
         "{}",
         text(&verified)
     );
-    assert!(text(&chalkhall(&["store", "repair", path, "--dry-run"])).contains("would take out 1"));
+    assert!(text(&chalkhall(&["store", "repair", path, "--dry-run"])).contains("would remove 1"));
     assert_eq!(chalkhall(&["store", "verify", path]).status.code(), Some(1));
-    assert!(text(&chalkhall(&["store", "repair", path])).contains("took out 1 damaged"));
+    assert!(text(&chalkhall(&["store", "repair", path])).contains("removed 1 damaged"));
     let verified = json(&["store", "verify", path, "--json"]);
     assert_eq!(
         (
@@ -281,13 +280,13 @@
 }
 
 #[test]
-fn what_is_no_store_is_not_made_one_and_what_is_held_is_not_touched() {
+fn other_directories_and_locked_stores_are_not_modified() {
     let folder = Folder::new("held");
     let path = folder.0.to_str().unwrap();
     let none = chalkhall(&["store", "stat", path]);
-    assert!(none.status.code() == Some(1) && text(&none).contains("there is no store here"));
+    assert!(none.status.code() == Some(1) && text(&none).contains("not a store directory"));
     assert_eq!(std::fs::read_dir(&folder.0).unwrap().count(), 0);
-    filled(&folder.0);
+    fill_store(&folder.0);
     let held = chalkhall_store::files::Directory::take(&folder.0).unwrap();
     let refused = chalkhall(&["store", "drop", path, "--all"]);
     assert!(
@@ -303,7 +302,7 @@
 }
 
 #[test]
-fn a_few_kills_leave_nothing_torn_stale_or_lost() {
+fn no_copy_is_torn_stale_or_lost_after_kills() {
     let folder = Folder::new("torture");
     let path = folder.0.join("copies");
     let found = json(&[
@@ -327,12 +326,12 @@
 }
 
 #[test]
-fn a_map_of_cells_is_drawn_and_its_faults_are_told() {
+fn a_cell_map_is_computed_and_its_faults_are_reported() {
     let folder = Folder::new("cells");
     let file = folder.0.join("cells.conf");
     let path = file.to_str().unwrap();
-    let told = "cells {\n epoch 3\n cell a list s1 s2\n cell b shuffle 2\n bind group 0-9 a\n otherwise b\n}\n";
-    std::fs::write(&file, told).unwrap();
+    let directives = "cells {\n epoch 3\n cell a list s1 s2\n cell b shuffle 2\n bind group 0-9 a\n otherwise b\n}\n";
+    std::fs::write(&file, directives).unwrap();
     let servers = [
         "--server", "s1", "--server", "s2", "--server", "s3", "--server", "s4",
     ];
@@ -351,7 +350,7 @@
         text(&few).contains("cell a has 1 of 2 servers")
             && text(&few).contains("cell b has 0 of 2")
     );
-    // Over a router's configuration: its own caches, and only classes that it has.
+    // With a router's configuration: only its own caches and classes are known.
     let config = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/example.json");
     let config = config.to_str().unwrap();
     std::fs::write(
@@ -379,7 +378,7 @@
 }
 
 #[test]
-fn a_plan_says_what_moves_why_and_what_it_costs() {
+fn a_plan_reports_moves_reasons_and_costs() {
     let folder = Folder::new("plan");
     let file = folder.0.join("fleet.json");
     let path = file.to_str().unwrap();
@@ -393,14 +392,14 @@
             tenant("big", 4.5, 800.0, "a")],
     });
     std::fs::write(&file, fleet.to_string()).unwrap();
-    let told = text(&chalkhall(&["cells", "plan", path, "--why"]));
+    let report = text(&chalkhall(&["cells", "plan", path, "--why"]));
     let expected = "move cheap from a to b: its cell is at 100 % of its capacity; 100 KB to fill";
-    assert!(told.starts_with(expected), "{told}");
+    assert!(report.starts_with(expected), "{report}");
     assert_eq!(
         json(&["cells", "plan", path, "--json"])["fullest_after"].as_f64(),
         Some(0.75)
     );
-    // Cold, a cell takes no more than so much at once.
+    // At a limit of 20 % no tenant fits into the other cell.
     let output = chalkhall(&["cells", "plan", path, "--most", "20%"]);
     assert!(
         output.status.code() == Some(1) && text(&output).contains("no cell has room for"),
--- a/crates/cli/tests/demo.rs
+++ b/crates/cli/tests/demo.rs
@@ -1,18 +1,18 @@
-//! The demo plays to its end, and every step of it ends as a newcomer is told.
+//! The demo runs to its end, and each step has the outcome that it announces.
 
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// What the README promises.
+/// The time limit stated in the README.
 const TIME_LIMIT: Duration = Duration::from_secs(10);
 
 #[test]
 fn the_demo_serves_rejects_drains_and_ends_as_expected() {
-    let begun = Instant::now();
+    let started = Instant::now();
     let output = Command::new(env!("CARGO_BIN_EXE_demo"))
         .output()
         .expect("the demo was built with this test");
-    let elapsed = begun.elapsed();
+    let elapsed = started.elapsed();
     let shown = String::from_utf8_lossy(&output.stdout);
     let errors = String::from_utf8_lossy(&output.stderr);
 
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,4 @@
-//! Fleets of real routers, as an operator plays them: short forms of what `make proof-even` plays at full
-//! size.
+//! Scenarios with fleets of real routers: short versions of what `make proof-even` runs at full size.
 
 use serde_json::Value;
 use std::path::PathBuf;
@@ -10,7 +9,7 @@
     Command::new(env!("CARGO_BIN_EXE_chalkhall"))
 }
 
-/// A play in a file that goes with it.
+/// A temporary scenario file.
 struct File(PathBuf);
 
 impl File {
@@ -32,12 +31,12 @@
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// Plays do not stand in one another's way: each wants the machine for itself.
-static ONE_AT_A_TIME: std::sync::Mutex<()> = std::sync::Mutex::new(());
+/// Serializes the scenario runs: each needs the whole machine.
+static RUN_LOCK: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
-/// Plays it; where this machine was too busy to tell, again, which a run of the same seed may.
-fn play(file: &File, words: &[&str]) -> Output {
-    let _alone = ONE_AT_A_TIME
+/// Runs a scenario, up to three times while the run is inconclusive because the machine was too busy.
+fn play(file: &File, arguments: &[&str]) -> Output {
+    let _guard = RUN_LOCK
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner());
     let mut output = None;
@@ -45,7 +44,7 @@
         let played = chalkhall()
             .args(["fleet", "play"])
             .arg(&file.0)
-            .args(words)
+            .args(arguments)
             .output()
             .unwrap();
         let void = played.status.code() == Some(3);
@@ -76,7 +75,7 @@
 ";
 
 #[test]
-fn forty_routers_keep_the_rules_while_all_between_them_breaks() {
+fn forty_routers_keep_the_rules_under_injected_faults() {
     let file = File::new(
         "all-breaks",
         &format!(
@@ -103,13 +102,13 @@
         ),
     );
     let output = play(&file, &["--json"]);
-    let told: Value =
+    let report: Value =
         serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", text(&output)));
     assert!(output.status.success(), "{}", text(&output));
     let figure = |name: &str| {
-        told["figures"][name]
+        report["figures"][name]
             .as_f64()
-            .unwrap_or_else(|| panic!("no {name}: {told}"))
+            .unwrap_or_else(|| panic!("no {name}: {report}"))
     };
     for rule in [
         "double_runs",
@@ -125,17 +124,18 @@
     assert_eq!(figure("routers"), 40.0);
     assert!(
         figure("datagrams") > 1000.0 && figure("hits") > 0.1 && figure("retries") > 10.0,
-        "{told}"
+        "{report}"
     );
     assert!(
-        told["events"]
+        report["events"]
             .as_array()
             .is_some_and(|events| events.len() > 15),
-        "{told}"
+        "{report}"
     );
 }
 
-/// Two regions of two zones, of which one is lost for 3 s while ways between the regions lose a fifth.
+/// Two regions of two zones each; one zone is lost for 3 s while the paths between the regions lose 20 % of the
+/// datagrams.
 fn zone_lost(in_common: &str) -> Value {
     let play_text = format!(
         "fleet {{
@@ -169,29 +169,29 @@
     );
     let file = File::new(&format!("location-lost-{in_common}"), &play_text);
     let output = play(&file, &["--json", "--seed", "2"]);
-    let told: Value =
+    let report: Value =
         serde_json::from_slice(&output.stdout).unwrap_or_else(|_| panic!("{}", text(&output)));
     assert!(output.status.success(), "{}", text(&output));
-    told["figures"].clone()
+    report["figures"].clone()
 }
 
 #[test]
-fn a_lost_zone_is_served_elsewhere_by_common_decision_and_nobody_else_leaves_home() {
+fn a_lost_zone_fails_over_by_the_common_plan_and_other_zones_stay_local() {
     let (with, without) = (zone_lost("on"), zone_lost("off"));
     let figure = |of: &Value, name: &str| {
         of[name]
             .as_f64()
             .unwrap_or_else(|| panic!("no {name}: {of}"))
     };
-    let (served, today) = (
+    let (served, independent) = (
         figure(&with, "lost_service"),
         figure(&without, "lost_service"),
     );
     let limit = figure(&with, "lost_limit");
-    // Half of the way from a router that decides alone to one that sees all; two thirds at full size.
+    // At least half of the gap between independent decisions and the optimum; two thirds at full size.
     assert!(
-        served >= today + (limit - today) / 2.0,
-        "{served}: alone {today}, at most {limit}"
+        served >= independent + (limit - independent) / 2.0,
+        "{served}: independent {independent}, optimum {limit}"
     );
     assert!(figure(&with, "plan_s") <= 2.0, "{with}");
     assert!(
@@ -199,13 +199,13 @@
         "{with}"
     );
     assert!(
-        figure(&without, "abroad") == 0.0 && today < 0.7,
+        figure(&without, "abroad") == 0.0 && independent < 0.7,
         "{without}"
     );
 }
 
 #[test]
-fn even_work_lies_even_and_a_page_tells_it() {
+fn uniform_load_is_balanced_and_an_html_report_is_written() {
     let file = File::new(
         "even",
         &format!("{FLEET}must {{\n    peak 1.25\n    idle 1%\n    service 90%\n}}\n"),
@@ -225,7 +225,7 @@
     );
 }
 
-/// The processes that a process has started.
+/// The child processes of a process.
 fn children(process: u32) -> Vec<u32> {
     let mut all = Vec::new();
     for task in std::fs::read_dir(format!("/proc/{process}/task"))
@@ -233,34 +233,34 @@
         .flatten()
         .flatten()
     {
-        let told = std::fs::read_to_string(task.path().join("children")).unwrap_or_default();
+        let pids = std::fs::read_to_string(task.path().join("children")).unwrap_or_default();
         all.extend(
-            told.split_whitespace()
+            pids.split_whitespace()
                 .filter_map(|word| word.parse::<u32>().ok()),
         );
     }
     all
 }
 
-fn lives(process: u32) -> bool {
+fn is_alive(process: u32) -> bool {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     status
         .lines()
         .any(|line| line.starts_with("State:") && !line.contains('Z'))
 }
 
-fn until(what: &str, mut come: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(20);
-    while !come() {
-        assert!(Instant::now() < end, "{what}: did not come");
+    while !condition() {
+        assert!(Instant::now() < end, "{what}: timed out");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn no_router_outlives_a_play_that_is_killed() {
+fn no_router_outlives_a_killed_run() {
     let file = File::new("killed", FLEET);
-    let mut rig: Child = chalkhall()
+    let mut runner: Child = chalkhall()
         .args(["fleet", "play"])
         .arg(&file.0)
         .stdout(Stdio::null())
@@ -268,17 +268,19 @@
         .spawn()
         .unwrap();
     let mut routers = Vec::new();
-    until("forty routers", || {
-        routers = children(rig.id());
+    wait_until("forty routers", || {
+        routers = children(runner.id());
         routers.len() == 40
     });
-    rig.kill().unwrap();
-    rig.wait().unwrap();
-    until("their end", || !routers.iter().any(|router| lives(*router)));
+    runner.kill().unwrap();
+    runner.wait().unwrap();
+    wait_until("their end", || {
+        !routers.iter().any(|router| is_alive(*router))
+    });
 }
 
 #[test]
-fn what_cannot_be_played_is_told_with_its_place_or_figure() {
+fn invalid_scenarios_are_reported_with_their_place_or_limit() {
     let file = File::new(
         "faulty",
         "fleet {\n routrs 3\n}\nfaults {\n at 1s slow caches 1/8\n}\n",
@@ -296,7 +298,7 @@
     );
     assert!(
         text(&output).contains(":5:"),
-        "all faults at once: {}",
+        "not all faults were reported: {}",
         text(&output)
     );
     let many = File::new("many", "fleet {\n routers 300\n}\n");
--- a/crates/cli/tests/fleet_size.rs
+++ b/crates/cli/tests/fleet_size.rs
@@ -1,10 +1,10 @@
-//! What a router needs stays within its bounds as the number of cache servers grows: the short form of `make
-//! proof-fleet-size`, only on what is counted.
+//! The resources of a router stay bounded as the number of cache servers grows: the short version of `make
+//! proof-fleet-size`, limited to counted figures.
 
 use std::process::Command;
 
 #[test]
-fn what_a_router_needs_does_not_grow_with_the_number_of_cache_servers() {
+fn the_resources_of_a_router_do_not_grow_with_the_number_of_cache_servers() {
     let mut proof = Command::new(env!("CARGO_BIN_EXE_proof-fleet-size"));
     proof.args(["--cache-servers", "40", "--times", "16", "--routers", "2"]);
     proof.args([
--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -1,4 +1,4 @@
-//! A disk that hangs at full load, beside the store that waits for nothing of it, and comes back.
+//! A disk hangs under full load: the store does not block on it, and uses it again once it recovers.
 
 use chalkhall_cli::rig::{Rig, unix_ms};
 use chalkhall_store::decide::disk::{Fetched, Wanted};
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
-fn a_disk_that_hangs_holds_nobody_up_and_is_used_again() {
+fn a_hanging_disk_blocks_nothing_and_is_used_again() {
     let disk = Disk::new();
     let files = disk.clone();
     let wanted = Wanted {
@@ -27,7 +27,7 @@
         2,
     )
     .unwrap();
-    assert!(rig.until(LONG, |rig| rig.is_ready()));
+    assert!(rig.until(TIMEOUT, |rig| rig.is_ready()));
     let piece = |object| Piece { object, part: 0 };
     let keep = |rig: &mut Rig, object| {
         let now = rig.now();
@@ -51,16 +51,16 @@
             )
             .map(|found| found.place)
     };
-    // More than memory holds: the first are on disk alone.
+    // More than the memory tier holds: the first objects are only on disk.
     (0..600).for_each(|n| {
         keep(&mut rig, n);
         rig.turn();
     });
-    assert!(rig.until(LONG, |rig| place(rig, 0) == Some(Place::Disk)
+    assert!(rig.until(TIMEOUT, |rig| place(rig, 0) == Some(Place::Disk)
         && place(rig, 1) == Some(Place::Disk)));
     disk.hang(true);
-    // Everything that can be asked of it at once: its mailboxes fill, and take nothing more.
-    let (mut taken, mut refused) = (Vec::new(), 0);
+    // Fetches until the queues of the I/O threads are full and refuse more.
+    let (mut accepted, mut refused) = (Vec::new(), 0);
     for n in 0..2000 {
         let name = piece(n % 2).name();
         let now = rig.now();
@@ -70,29 +70,32 @@
             group: piece(n % 2).group(),
         };
         match rig.store.fetch(now, part, &mut rig.shelf) {
-            Some(ticket) => taken.push(ticket),
+            Some(ticket) => accepted.push(ticket),
             None => refused += 1,
         }
         keep(&mut rig, 10_000 + n);
         rig.turn();
     }
     assert!(
-        taken.len() < 100 && refused > 1900,
-        "{} taken, {refused} refused",
-        taken.len()
+        accepted.len() < 100 && refused > 1900,
+        "{} accepted, {refused} refused",
+        accepted.len()
     );
     assert!(rig.shelf.fetched.is_empty());
     assert_eq!(
         place(&mut rig, 11_999),
         Some(Place::Memory),
-        "memory goes on"
+        "the memory tier still accepts copies"
     );
     let waiting = rig.store.bytes()
         - rig.store.memory().bytes()
         - rig.store.disk().map_or(0, |d| d.index().bytes());
-    assert!(waiting <= 12 << 20, "{waiting} bytes wait for it");
+    assert!(
+        waiting <= 12 << 20,
+        "{waiting} bytes are waiting for the disk"
+    );
     disk.hang(false);
-    assert!(rig.until(LONG, |rig| rig.shelf.fetched.len() == taken.len()));
+    assert!(rig.until(TIMEOUT, |rig| rig.shelf.fetched.len() == accepted.len()));
     assert!(
         rig.shelf
             .fetched
@@ -105,7 +108,7 @@
         rig.turn();
     });
     assert!(
-        rig.until(LONG, |rig| place(rig, 50_000) == Some(Place::Disk)),
-        "written to again"
+        rig.until(TIMEOUT, |rig| place(rig, 50_000) == Some(Place::Disk)),
+        "the disk tier is not written to again"
     );
 }
