--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,14 +1,14 @@
 //! Plays every file of `tests/scenarios` against the router, without a test bench.
 //!
 //! A scenario is a list of lines; `#` begins a comment. Configuration and events:
-//!   configure KEY=VALUE..         changes the deployment (first lines only)
+//!   given KEY=VALUE..             changes the deployment (first lines only)
 //!   at MS                         advances the time, and fires the timers that are due
 //!   list SERVER[=STATE]..         changes the list; STATE: draining, gone, or the time of a start in ms
 //!   whole SERVER..                replaces the list
 //!   request ID [class=0 object=ID part=0 group=0 kb=100 left=4000 repeated=0]
 //!   requests COUNT ID [..]        several at once: ID0, ID1.., each for its own object unless one is named
-//!   result ID N OUTCOME [REMARK] [over] [first-byte=MS] [took=MS]      results COUNT ID N ..  for ID0, ID1..
-//!   left ID      begun ID      purge [object=X group=0 ago=0]      gossip SERVER object=X [part=0]
+//!   result ID N OUTCOME [REMARK] [over] [waited=MS] [took=MS]      results COUNT ID N ..  for ID0, ID1..
+//!   left ID      begun ID      purge [object=X group=0 ago=0]      told SERVER object=X [part=0]
 //! Assertions on the actions since the start or the last `clear`:
 //!   expect PATTERN                an action matches, after those expected before; `*` is any word or the
 //!                                 rest, $X is bound to a word at first and stands for it afterwards
@@ -16,7 +16,18 @@
 //! A server's cohort follows ~, as in c1~2, and its cells follow @, as in c1@0,2; the cell of a request is
 //! cell=2. Servers are named by a letter and a number: c caches, p parents, o the origin, m local caches
 //! (m1 in memory, m2 on a disk), on a link that transfers two answers. Their copies are set by:
-//!   local m1 object=X [part=0] [age=0] [not-modified=0]      local gone object=X
+//!   own m1 object=X [part=0] [age=0] [same=0]      own gone object=X
+//! `told` is gossip from another router of the zone that the server holds the part or was asked to keep
+//! it. `waited` is the time to the source's first byte. `same=1`: the client holds the same copy, so that a
+//! not-modified answer suffices. The keys of `given`:
+//!   attempts      the maximum number of attempts per request
+//!   joins         whether a request can wait for a fill of the same part that is in progress
+//!   pass          whether attempts can be sent to parents and origins directly
+//!   ask           whether the list is sent on request only
+//!   stale         how long a stale copy of class 1 may still be served, in ms
+//!   here          the number of routers in the router's zone
+//!   cancel        whether attempts can be cancelled
+//!   span          the period over which the load of a warming cache is limited, in ms
 
 use chalkhall::control::{Router, part_key};
 use chalkhall::interface::*;
@@ -164,27 +175,8 @@
 /// The keys that a line may set. An unknown key would be ignored, and the line would mean something
 /// else.
 const KEYS: [&str; 21] = [
-    "attempts",
-    "joins",
-    "pass-through",
-    "list-on-request",
-    "stale-for",
-    "routers-in-zone",
-    "may-cancel",
-    "span",
-    "class",
-    "object",
-    "part",
-    "group",
-    "kb",
-    "left",
-    "repeated",
-    "cell",
-    "first-byte",
-    "took",
-    "ago",
-    "age",
-    "not-modified",
+    "attempts", "joins", "pass", "ask", "stale", "here", "cancel", "span", "class", "object",
+    "part", "group", "kb", "left", "repeated", "cell", "waited", "took", "ago", "age", "same",
 ];
 
 /// The first words of recorded lines. A pattern that begins with another word would never match, so
@@ -324,7 +316,7 @@
 
     /// Executes a line. Configuration lines come first: any other line starts the router.
     fn play(&mut self, line: &Line) {
-        if line.verb == "configure" {
+        if line.verb == "given" {
             return self.configure(line);
         }
         if self.router.is_none() {
@@ -337,7 +329,7 @@
             "expect" => self.expect(line),
             "never" => self.never(line),
             "count" => self.count(line),
-            "local" => self.local_copies(line),
+            "own" => self.local_copies(line),
             _ => self.apply_event(line),
         }
     }
@@ -346,11 +338,11 @@
         let deployment = &mut self.deployment;
         deployment.max_attempts = line.number("attempts", 6) as usize;
         deployment.joins = line.flag("joins", 0);
-        deployment.pass_through = line.flag("pass-through", 1);
-        deployment.list_on_request = line.flag("list-on-request", 0);
-        deployment.classes[1].stale_for = line.time("stale-for", 0);
-        deployment.routers_at[1] = line.number("routers-in-zone", 1) as usize;
-        deployment.may_cancel = line.flag("may-cancel", 1);
+        deployment.pass_through = line.flag("pass", 1);
+        deployment.list_on_request = line.flag("ask", 0);
+        deployment.classes[1].stale_for = line.time("stale", 0);
+        deployment.routers_at[1] = line.number("here", 1) as usize;
+        deployment.may_cancel = line.flag("cancel", 1);
         deployment.cold_cache.span = line.time("span", 1000);
     }
 
@@ -366,7 +358,7 @@
             "list-failed" => router.list(now, ListKind::Failed, &[], recorder),
             "request" | "requests" => self.request(line),
             "result" | "results" => self.result(line),
-            "gossip" => {
+            "told" => {
                 let arrival = Arrival {
                     object: line.object().into(),
                     part: line.number("part", 0),
@@ -431,7 +423,7 @@
             "unreached" => Remark::SourceUnreached,
             _ => Remark::None,
         };
-        let first_byte_delay = line.time("first-byte", 0);
+        let first_byte_delay = line.time("waited", 0);
         let ended = Ended {
             outcome: outcome(words[1]),
             remark,
@@ -459,7 +451,7 @@
         let held = |place: &str| Held {
             place: place.into(),
             made: self.now.saturating_sub(line.time("age", 0)),
-            same: line.flag("not-modified", 0),
+            same: line.flag("same", 0),
         };
         match line.words[0] {
             "gone" => self.recorder.local_copies.remove(&part),
