--- a/crates/harness/src/children.rs
+++ b/crates/harness/src/children.rs
@@ -15,8 +15,8 @@
 
 /// What a router takes at most, by measure, and the descriptors that this process needs for it.
 const ROUTER_MB: u64 = 14;
-const DESCRIPTORS_EACH: u64 = 40;
-const DESCRIPTORS_BESIDE: u64 = 1000;
+const DESCRIPTORS_PER_ROUTER: u64 = 40;
+const DESCRIPTORS_OTHER: u64 = 1000;
 
 /// Turns this process into PROGRAM, which dies with its parent.
 ///
@@ -39,10 +39,10 @@
 ///
 /// # Errors
 /// In words.
-pub fn reckon(routers: usize) -> Result<(), String> {
+pub fn check_machine_limits(routers: usize) -> Result<(), String> {
     let routers = routers as u64;
     let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    let wanted = routers * DESCRIPTORS_EACH + DESCRIPTORS_BESIDE;
+    let wanted = routers * DESCRIPTORS_PER_ROUTER + DESCRIPTORS_OTHER;
     if descriptors < wanted {
         return Err(format!(
             "{routers} routers need {wanted} descriptors here, the limit is {descriptors} (ulimit -n)"
@@ -154,18 +154,18 @@
 }
 
 /// A router that is wanted: its files, which are written before it starts.
-pub struct Wanted {
+pub struct StartRequest {
     pub router: usize,
     /// Which of its lives this is: a late start of an earlier one is dropped.
-    pub life: u32,
+    pub incarnation: u32,
     pub config: PathBuf,
-    pub text: String,
+    pub config_text: String,
     pub directives: PathBuf,
     pub log: Option<PathBuf>,
 }
 
-enum Order {
-    Start(Box<Wanted>),
+enum Task {
+    Start(Box<StartRequest>),
     Reap(Router),
 }
 
@@ -173,7 +173,7 @@
 /// long when there are a hundred at once. Children die with the thread that started them, so it lives as long
 /// as they do.
 pub struct Starter {
-    orders: mpsc::Sender<Order>,
+    tasks: mpsc::Sender<Task>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -183,45 +183,46 @@
         program: Program,
         started: impl Fn(usize, u32, Result<Router, String>) + Send + 'static,
     ) -> Starter {
-        let (orders, taken) = mpsc::channel();
+        let (tasks, taken) = mpsc::channel();
         let thread = thread::spawn(move || {
             for order in taken {
                 match order {
-                    Order::Start(wanted) => {
-                        started(wanted.router, wanted.life, start(&program, &wanted))
+                    Task::Start(wanted) => {
+                        started(wanted.router, wanted.incarnation, start(&program, &wanted))
                     }
-                    Order::Reap(router) => drop(router),
+                    Task::Reap(router) => drop(router),
                 }
             }
         });
         Starter {
-            orders,
+            tasks,
             thread: Some(thread),
         }
     }
 
-    pub fn start(&self, wanted: Wanted) {
+    pub fn start(&self, wanted: StartRequest) {
         // The thread is there until this is dropped.
-        let _ = self.orders.send(Order::Start(Box::new(wanted)));
+        let _ = self.tasks.send(Task::Start(Box::new(wanted)));
     }
 
     /// Kills it now, and waits for it elsewhere.
     pub fn kill(&self, router: Router) {
         router.signal(Signal::KILL);
-        let _ = self.orders.send(Order::Reap(router));
+        let _ = self.tasks.send(Task::Reap(router));
     }
 }
 
 impl Drop for Starter {
     fn drop(&mut self) {
-        self.orders = mpsc::channel().0;
+        self.tasks = mpsc::channel().0;
         let _ = self.thread.take().map(thread::JoinHandle::join);
     }
 }
 
-fn start(program: &Program, wanted: &Wanted) -> Result<Router, String> {
+fn start(program: &Program, wanted: &StartRequest) -> Result<Router, String> {
     let config = &wanted.config;
-    std::fs::write(config, &wanted.text).map_err(|e| format!("{}: {e}", config.display()))?;
+    std::fs::write(config, &wanted.config_text)
+        .map_err(|e| format!("{}: {e}", config.display()))?;
     let log = wanted
         .log
         .as_ref()
--- a/crates/harness/src/net.rs
+++ b/crates/harness/src/datagram_relay.rs
@@ -3,7 +3,7 @@
 //! router i sends to j's socket is known by where it comes from, and goes on from i's socket to j. So each
 //! sees its peers where it was told.
 
-use crate::ways::Ways;
+use crate::zone_network::ZoneNetwork;
 use chalkhall_gossip::codec::{Datagram, Finding, KEY_BITS, MOST_BYTES};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,41 +15,41 @@
 
 /// What befalls datagrams now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Weather {
-    pub lost: f64,
-    pub doubled: f64,
-    pub turned: f64,
-    pub late: Duration,
+pub struct DatagramFaults {
+    pub loss_share: f64,
+    pub duplicate_share: f64,
+    pub reorder_share: f64,
+    pub max_delay: Duration,
     /// By router: it hears nothing.
-    pub deaf: Vec<bool>,
+    pub is_deaf: Vec<bool>,
     /// Where its chance starts from.
     pub seed: u64,
     /// What it takes between zones, and by router at which it stands.
-    pub ways: Option<Rc<Ways>>,
+    pub network: Option<Rc<ZoneNetwork>>,
     pub zones: usize,
 }
 
 /// A datagram held back so long comes after the next one of its sender.
-const TURNED: Duration = Duration::from_millis(650);
+const REORDER_DELAY: Duration = Duration::from_millis(650);
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Carried {
+pub struct DatagramCounters {
     pub datagrams: u64,
     pub bytes: u64,
     pub too_long: u64,
 }
 
-pub struct Net {
+pub struct DatagramRelay {
     sockets: Rc<Vec<UdpSocket>>,
-    all: Rc<UdpSocket>,
+    broadcast: Rc<UdpSocket>,
     /// Where routers listen.
     routers: Rc<Vec<SocketAddr>>,
 }
 
-impl Net {
+impl DatagramRelay {
     /// # Errors
     /// Of the system, in words.
-    pub async fn open(routers: Vec<SocketAddr>, at: &str) -> Result<Net, String> {
+    pub async fn open(routers: Vec<SocketAddr>, at: &str) -> Result<DatagramRelay, String> {
         let mut sockets = Vec::with_capacity(routers.len());
         let bind = || async {
             UdpSocket::bind(format!("{at}:0"))
@@ -59,32 +59,39 @@
         for _ in &routers {
             sockets.push(bind().await?);
         }
-        Ok(Net {
+        Ok(DatagramRelay {
             sockets: Rc::new(sockets),
-            all: Rc::new(bind().await?),
+            broadcast: Rc::new(bind().await?),
             routers: Rc::new(routers),
         })
     }
 
     /// As routers are told: one address each, and one for all.
-    pub fn told(&self) -> (Vec<String>, String) {
+    pub fn addresses(&self) -> (Vec<String>, String) {
         let at = |socket: &UdpSocket| {
             socket
                 .local_addr()
                 .map(|a| a.to_string())
                 .unwrap_or_default()
         };
-        (self.sockets.iter().map(at).collect(), at(&self.all))
+        (self.sockets.iter().map(at).collect(), at(&self.broadcast))
     }
 
     /// Carries until the weather ends.
-    pub fn run(&self, weather: &watch::Receiver<Weather>, carried: &watch::Sender<Carried>) {
+    pub fn start(
+        &self,
+        faults: &watch::Receiver<DatagramFaults>,
+        carried: &watch::Sender<DatagramCounters>,
+    ) {
         for to in 0..=self.routers.len() {
-            let (sockets, all, routers) =
-                (self.sockets.clone(), self.all.clone(), self.routers.clone());
-            let (weather, carried) = (weather.clone(), carried.clone());
+            let (sockets, all, routers) = (
+                self.sockets.clone(),
+                self.broadcast.clone(),
+                self.routers.clone(),
+            );
+            let (faults, carried) = (faults.clone(), carried.clone());
             spawn_local(async move {
-                let mut chance = fastrand::Rng::with_seed(weather.borrow().seed ^ to as u64);
+                let mut rng = fastrand::Rng::with_seed(faults.borrow().seed ^ to as u64);
                 let socket = sockets.get(to).unwrap_or(&all);
                 let mut buffer = [0; 2 * MOST_BYTES];
                 while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
@@ -102,10 +109,10 @@
                         0..routers.len()
                     };
                     for receiver in receivers.filter(|r| *r != sender) {
-                        let now = weather.borrow().clone();
-                        carry(
+                        let now = faults.borrow().clone();
+                        forward(
                             &now,
-                            &mut chance,
+                            &mut rng,
                             &sockets,
                             &routers,
                             (sender, receiver),
@@ -118,14 +125,14 @@
     }
 
     /// A word within the format, in the name of a router, that nobody has found out: parts that are nowhere.
-    pub fn lie(&self, liar: usize, zone: usize, peers: &[usize], chance: &mut fastrand::Rng) {
+    pub fn send_forged(&self, liar: usize, zone: usize, peers: &[usize], rng: &mut fastrand::Rng) {
         let finding = |_| Finding {
-            part: chance.u32(..1 << KEY_BITS),
-            cache: chance.u8(1..),
+            part: rng.u32(..1 << KEY_BITS),
+            cache: rng.u8(1..),
         };
         let findings = (0..50).map(finding).collect();
         let bytes = Datagram {
-            looking: chance.bool(),
+            looking: rng.bool(),
             zone: zone as u16,
             findings,
         }
@@ -136,29 +143,29 @@
     }
 }
 
-fn carry(
-    weather: &Weather,
-    chance: &mut fastrand::Rng,
+fn forward(
+    faults: &DatagramFaults,
+    rng: &mut fastrand::Rng,
     sockets: &Rc<Vec<UdpSocket>>,
     routers: &Rc<Vec<SocketAddr>>,
     (sender, receiver): (usize, usize),
     bytes: &[u8],
 ) {
-    if chance.f64() < weather.lost || weather.deaf.get(receiver) == Some(&true) {
+    if rng.f64() < faults.loss_share || faults.is_deaf.get(receiver) == Some(&true) {
         return;
     }
-    let copies = 1 + usize::from(chance.f64() < weather.doubled);
+    let copies = 1 + usize::from(rng.f64() < faults.duplicate_share);
     for _ in 0..copies {
-        let way = weather.ways.as_ref().map(|ways| {
-            let place = |router: usize| router % weather.zones.max(1);
-            ways.datagram(place(sender), place(receiver), chance)
+        let network_delay = faults.network.as_ref().map(|network| {
+            let place = |router: usize| router % faults.zones.max(1);
+            network.datagram_delay(place(sender), place(receiver), rng)
         });
-        let Some(way) = way.unwrap_or(Some(Duration::ZERO)) else {
+        let Some(network_delay) = network_delay.unwrap_or(Some(Duration::ZERO)) else {
             continue;
         };
-        let mut wait = weather.late.mul_f64(chance.f64()) + way;
-        if chance.f64() < weather.turned {
-            wait += TURNED;
+        let mut wait = faults.max_delay.mul_f64(rng.f64()) + network_delay;
+        if rng.f64() < faults.reorder_share {
+            wait += REORDER_DELAY;
         }
         if wait.is_zero() {
             // A full buffer loses it, as any datagram may be.
--- a/crates/harness/src/net/tests.rs
+++ b/crates/harness/src/datagram_relay/tests.rs
@@ -4,7 +4,7 @@
 
 /// Sends from router 0 to router 1's place in some weather; how many arrive, and from whom they seem to
 /// be.
-fn arrive(weather: Weather, count: u8) -> (Vec<u8>, bool) {
+fn arrive(weather: DatagramFaults, count: u8) -> (Vec<u8>, bool) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -15,10 +15,10 @@
             UdpSocket::bind("127.0.0.1:0").await.unwrap(),
         ];
         let at = routers.iter().map(|r| r.local_addr().unwrap()).collect();
-        let net = Net::open(at, "127.0.0.1").await.unwrap();
-        let (told, _) = net.told();
+        let net = DatagramRelay::open(at, "127.0.0.1").await.unwrap();
+        let (told, _) = net.addresses();
         let (_weather, watched) = watch::channel(weather);
-        net.run(&watched, &watch::channel(Carried::default()).0);
+        net.start(&watched, &watch::channel(DatagramCounters::default()).0);
         for n in 0..count {
             routers[0].send_to(&[n], &told[1]).await.unwrap();
             tokio::task::yield_now().await;
@@ -39,20 +39,23 @@
 
 #[test]
 fn datagrams_pass_under_their_senders_address_and_meet_the_weather() {
-    assert_eq!(arrive(Weather::default(), 20), ((0..20).collect(), true));
+    assert_eq!(
+        arrive(DatagramFaults::default(), 20),
+        ((0..20).collect(), true)
+    );
     let (came, known) = arrive(
-        Weather {
-            lost: 0.5,
-            ..Weather::default()
+        DatagramFaults {
+            loss_share: 0.5,
+            ..DatagramFaults::default()
         },
         100,
     );
     assert!(known && (25..75).contains(&came.len()), "{came:?}");
     assert_eq!(
         arrive(
-            Weather {
-                doubled: 1.0,
-                ..Weather::default()
+            DatagramFaults {
+                duplicate_share: 1.0,
+                ..DatagramFaults::default()
             },
             10
         )
@@ -62,9 +65,9 @@
     );
     assert!(
         arrive(
-            Weather {
-                deaf: vec![false, true],
-                ..Weather::default()
+            DatagramFaults {
+                is_deaf: vec![false, true],
+                ..DatagramFaults::default()
             },
             10
         )
@@ -72,10 +75,10 @@
         .is_empty()
     );
     let (came, _) = arrive(
-        Weather {
-            turned: 0.3,
+        DatagramFaults {
+            reorder_share: 0.3,
             seed: 4,
-            ..Weather::default()
+            ..DatagramFaults::default()
         },
         40,
     );
--- a/crates/harness/src/watch.rs
+++ b/crates/harness/src/invariants.rs
@@ -2,44 +2,50 @@
 //! around them knows. It decides nothing and stops nothing: it counts, and keeps the first breaks in words.
 //!
 //! Clocks: a break counts from when a message was read here, which on a busy machine may be a while after it
-//! was written. [`SLACK`] is granted for that; a run whose own turns came late is void anyway.
+//! was written. [`TIMING_TOLERANCE`] is granted for that; a run whose own turns came late is void anyway.
 
-use crate::copies::Key;
+use crate::object_cache::Key;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// Granted to every limit of time.
-pub const SLACK: Duration = Duration::from_millis(250);
+pub const TIMING_TOLERANCE: Duration = Duration::from_millis(250);
 /// The graces that routers are told.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 pub const PURGE_GRACE: Duration = Duration::from_millis(500);
 /// So many breaks are told in words.
-const WORDS_MOST: usize = 12;
+const MAX_DESCRIPTIONS: usize = 12;
 
 /// A request as the clients' side knows it.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
+pub struct TrackedRequest {
     pub router: usize,
     /// It must not run twice.
     pub write: bool,
     pub key: Key,
-    pub begun: Duration,
-    pub due: Duration,
-    runs: u32,
+    pub started_at: Duration,
+    pub deadline: Duration,
+    executions: u32,
     answered: bool,
     /// Its router was killed or stopped: it owes nothing.
     excused: bool,
 }
 
-impl Life {
-    pub fn new(router: usize, write: bool, key: Key, begun: Duration, due: Duration) -> Life {
-        Life {
+impl TrackedRequest {
+    pub fn new(
+        router: usize,
+        write: bool,
+        key: Key,
+        started_at: Duration,
+        deadline: Duration,
+    ) -> TrackedRequest {
+        TrackedRequest {
             router,
             write,
             key,
-            begun,
-            due,
-            runs: 0,
+            started_at,
+            deadline,
+            executions: 0,
             answered: false,
             excused: false,
         }
@@ -48,7 +54,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Final {
+pub enum Outcome {
     /// With a copy of that key which the origin gave out at that Unix millisecond.
     Served(Key, u64),
     Rejected,
@@ -90,33 +96,33 @@
 }
 
 #[derive(Default)]
-pub struct Watch {
-    lives: HashMap<u64, Life>,
+pub struct InvariantChecker {
+    requests: HashMap<u64, TrackedRequest>,
     /// By router and server: when it was told that the server takes nothing new.
     drains: HashMap<(usize, usize), Duration>,
     /// By object: of the last purge, its Unix millisecond, and when each router was told.
     purges: HashMap<u64, (u64, HashMap<usize, Duration>)>,
     pub breaks: Breaks,
-    pub words: Vec<String>,
+    pub descriptions: Vec<String>,
 }
 
-impl Watch {
-    fn say(&mut self, what: impl FnOnce() -> String) {
-        if self.words.len() < WORDS_MOST {
-            self.words.push(what());
+impl InvariantChecker {
+    fn describe(&mut self, what: impl FnOnce() -> String) {
+        if self.descriptions.len() < MAX_DESCRIPTIONS {
+            self.descriptions.push(what());
         }
     }
 
-    pub fn told_drain(&mut self, now: Duration, router: usize, server: usize) {
+    pub fn record_drain(&mut self, now: Duration, router: usize, server: usize) {
         self.drains.entry((router, server)).or_insert(now);
     }
 
     /// The server is back in the list of that router.
-    pub fn told_active(&mut self, router: usize, server: usize) {
+    pub fn record_active(&mut self, router: usize, server: usize) {
         self.drains.remove(&(router, server));
     }
 
-    pub fn told_purge(&mut self, now: Duration, router: usize, object: u64, unix_ms: u64) {
+    pub fn record_purge(&mut self, now: Duration, router: usize, object: u64, unix_ms: u64) {
         let purge = self
             .purges
             .entry(object)
@@ -129,34 +135,38 @@
         }
     }
 
-    pub fn begins(&mut self, id: u64, life: Life) {
-        self.lives.insert(id, life);
+    pub fn request_started(&mut self, id: u64, request: TrackedRequest) {
+        self.requests.insert(id, request);
     }
 
-    pub fn life(&self, id: u64) -> Option<&Life> {
-        self.lives.get(&id)
+    pub fn request(&self, id: u64) -> Option<&TrackedRequest> {
+        self.requests.get(&id)
     }
 
     /// An attempt has come to a server, with that source for its fill. Returns of which router it is.
-    pub fn comes(
+    pub fn attempt_arrived(
         &mut self,
         now: Duration,
         id: u64,
         server: usize,
         source: Option<usize>,
     ) -> Option<usize> {
-        let Some(life) = self.lives.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             self.breaks.strange += 1;
-            self.say(|| format!("{now:?}: an attempt of {id:016x}, which nobody asked for"));
+            self.describe(|| format!("{now:?}: an attempt of {id:016x}, which nobody asked for"));
             return None;
         };
-        let router = life.router;
+        let router = request.router;
         for end in [Some(server), source].into_iter().flatten() {
-            let told = self.drains.get(&(router, end)).copied();
-            if let Some(told) = told.filter(|told| now > *told + DRAIN_GRACE + SLACK) {
+            let told_at = self.drains.get(&(router, end)).copied();
+            if let Some(told_at) =
+                told_at.filter(|told_at| now > *told_at + DRAIN_GRACE + TIMING_TOLERANCE)
+            {
                 self.breaks.drain += 1;
-                self.say(|| {
-                    format!("{now:?}: router {router} names server {end}, drained since {told:?}")
+                self.describe(|| {
+                    format!(
+                        "{now:?}: router {router} names server {end}, drained since {told_at:?}"
+                    )
                 });
             }
         }
@@ -164,116 +174,116 @@
     }
 
     /// The effect of a request has taken place.
-    pub fn runs(&mut self, now: Duration, id: u64) {
-        let Some(life) = self.lives.get_mut(&id) else {
+    pub fn request_executed(&mut self, now: Duration, id: u64) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        life.runs += 1;
-        if life.write && life.runs > 1 {
-            let router = life.router;
+        request.executions += 1;
+        if request.write && request.executions > 1 {
+            let router = request.router;
             self.breaks.double_runs += 1;
-            self.say(|| format!("{now:?}: {id:016x} of router {router} ran twice"));
+            self.describe(|| format!("{now:?}: {id:016x} of router {router} ran twice"));
         }
     }
 
     /// What `router` asked for at `asked` was answered from a copy of that age.
-    pub fn answered_from(&mut self, asked: Duration, router: usize, object: u64, made: u64) {
-        let Some((unix_ms, told)) = self.purges.get(&object) else {
+    pub fn copy_served(&mut self, asked_at: Duration, router: usize, object: u64, created_ms: u64) {
+        let Some((unix_ms, told_at)) = self.purges.get(&object) else {
             return;
         };
-        let bound = told
+        let bound = told_at
             .get(&router)
-            .is_some_and(|told| asked > *told + PURGE_GRACE + SLACK);
-        if bound && made < *unix_ms {
+            .is_some_and(|told_at| asked_at > *told_at + PURGE_GRACE + TIMING_TOLERANCE);
+        if bound && created_ms < *unix_ms {
             self.breaks.stale += 1;
-            self.say(|| {
+            self.describe(|| {
                 format!(
-                    "{asked:?}: router {router} took a copy of {object:016x} from before its purge"
+                    "{asked_at:?}: router {router} took a copy of {object:016x} from before its purge"
                 )
             });
         }
     }
 
     /// A cold server was sent more than it bears.
-    pub fn pushed_over(&mut self, now: Duration, server: usize, sent: f64, bears: f64) {
+    pub fn server_overloaded(&mut self, now: Duration, server: usize, sent: f64, limit: f64) {
         self.breaks.cold += 1;
-        self.say(|| {
+        self.describe(|| {
             format!(
-                "{now:?}: cold server {server} was sent {sent:.2} s of work where {bears:.2} push it over"
+                "{now:?}: cold server {server} was sent {sent:.2} s of work where {limit:.2} push it over"
             )
         });
     }
 
     /// A client has its final answer, or will have none.
-    pub fn ends(&mut self, now: Duration, id: u64, end: Final) {
-        let Some(life) = self.lives.get_mut(&id) else {
+    pub fn request_ended(&mut self, now: Duration, id: u64, end: Outcome) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let before = *life;
+        let before = *request;
         if before.excused {
             return;
         }
-        life.answered = true;
+        request.answered = true;
         let router = before.router;
         if before.answered {
             self.breaks.twice += 1;
-            return self.say(|| format!("{now:?}: router {router} answered {id:016x} twice"));
+            return self.describe(|| format!("{now:?}: router {router} answered {id:016x} twice"));
         }
-        let wrong = matches!(end, Final::Wrong | Final::Nothing)
-            || matches!(end, Final::Served(key, _) if key != before.key);
-        if wrong || now > before.due + SLACK {
+        let wrong = matches!(end, Outcome::Wrong | Outcome::Nothing)
+            || matches!(end, Outcome::Served(key, _) if key != before.key);
+        if wrong || now > before.deadline + TIMING_TOLERANCE {
             self.breaks.lost += 1;
-            let (begun, due) = (before.begun, before.due);
-            self.say(|| {
+            let (started_at, deadline) = (before.started_at, before.deadline);
+            self.describe(|| {
                 format!(
-                    "{now:?}: {id:016x} of router {router}, {begun:?} to {due:?}, ended by {end:?}"
+                    "{now:?}: {id:016x} of router {router}, {started_at:?} to {deadline:?}, ended by {end:?}"
                 )
             });
         }
-        if end == Final::Rejected && before.write && before.runs > 0 {
+        if end == Outcome::Rejected && before.write && before.executions > 0 {
             self.breaks.double_runs += 1;
-            self.say(|| format!("{now:?}: router {router} rejected {id:016x}, which ran"));
+            self.describe(|| format!("{now:?}: router {router} rejected {id:016x}, which ran"));
         }
-        if let Final::Served((object, _), made) = end {
-            self.answered_from(before.begun, router, object, made);
+        if let Outcome::Served((object, _), created_ms) = end {
+            self.copy_served(before.started_at, router, object, created_ms);
         }
     }
 
     /// The router was killed or stopped: what it had open ends with it, and is not its fault.
-    pub fn killed(&mut self, router: usize) {
+    pub fn router_stopped(&mut self, router: usize) {
         let open = self
-            .lives
+            .requests
             .values_mut()
-            .filter(|life| life.router == router && !life.answered);
-        open.for_each(|life| life.excused = true);
+            .filter(|request| request.router == router && !request.answered);
+        open.for_each(|request| request.excused = true);
     }
 
     /// What was sent to a router that is no more.
     pub fn excuse(&mut self, id: u64) {
-        self.lives
+        self.requests
             .get_mut(&id)
             .into_iter()
-            .for_each(|life| life.excused = true);
+            .for_each(|request| request.excused = true);
     }
 
     /// At the end: what was never answered is lost.
-    pub fn close(&mut self, now: Duration) {
+    pub fn close_all(&mut self, now: Duration) {
         let mut open: Vec<u64> = self
-            .lives
+            .requests
             .iter()
-            .filter(|(_, l)| !l.answered && !l.excused && now > l.due + SLACK)
+            .filter(|(_, l)| !l.answered && !l.excused && now > l.deadline + TIMING_TOLERANCE)
             .map(|(id, _)| *id)
             .collect();
         open.sort_unstable();
         for id in open {
-            self.ends(now, id, Final::Nothing);
+            self.request_ended(now, id, Outcome::Nothing);
         }
     }
 
-    pub fn open(&self) -> usize {
-        self.lives
+    pub fn open_requests(&self) -> usize {
+        self.requests
             .values()
-            .filter(|life| !life.answered && !life.excused)
+            .filter(|request| !request.answered && !request.excused)
             .count()
     }
 }
--- /dev/null
+++ b/crates/harness/src/invariants/tests.rs
@@ -0,0 +1,151 @@
+use super::*;
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+const KEY: Key = (7, 0);
+
+/// One request through a router that does all that it owes, but for what a test takes away.
+fn sound() -> InvariantChecker {
+    let mut checker = InvariantChecker::default();
+    checker.request_started(1, TrackedRequest::new(3, true, KEY, ms(1000), ms(2000)));
+    checker.attempt_arrived(ms(1010), 1, 5, None);
+    checker.request_executed(ms(1020), 1);
+    checker.request_ended(ms(1030), 1, Outcome::Served(KEY, 900));
+    checker
+}
+
+#[test]
+fn who_keeps_the_rules_is_not_blamed() {
+    let mut checker = sound();
+    checker.close_all(ms(9000));
+    assert_eq!(
+        (checker.breaks, checker.open_requests()),
+        (Breaks::default(), 0)
+    );
+}
+
+#[test]
+fn a_router_that_answers_late_twice_wrongly_or_never_is_caught() {
+    let mut checker = InvariantChecker::default();
+    let ends = [
+        (
+            1,
+            ms(2000) + TIMING_TOLERANCE + ms(1),
+            Outcome::Served(KEY, 1),
+        ),
+        (2, ms(1500), Outcome::Wrong),
+        (3, ms(1500), Outcome::Served((8, 0), 1)),
+        (4, ms(1500), Outcome::Nothing),
+    ];
+    for id in 1..=5 {
+        checker.request_started(id, TrackedRequest::new(0, false, KEY, ms(1000), ms(2000)));
+    }
+    ends.into_iter()
+        .for_each(|(id, at, end)| checker.request_ended(at, id, end));
+    checker.close_all(ms(9000));
+    assert_eq!(
+        checker.breaks,
+        Breaks {
+            lost: 5,
+            ..Breaks::default()
+        }
+    );
+    let mut checker = sound();
+    checker.request_ended(ms(1040), 1, Outcome::Failed);
+    assert_eq!(
+        checker.breaks,
+        Breaks {
+            twice: 1,
+            ..Breaks::default()
+        }
+    );
+}
+
+#[test]
+fn a_router_that_runs_twice_or_rejects_what_ran_is_caught() {
+    let mut checker = sound();
+    checker.request_executed(ms(1050), 1);
+    assert_eq!(
+        checker.breaks,
+        Breaks {
+            double_runs: 1,
+            ..Breaks::default()
+        }
+    );
+    let mut checker = InvariantChecker::default();
+    checker.request_started(1, TrackedRequest::new(0, true, KEY, ms(0), ms(500)));
+    checker.request_executed(ms(10), 1);
+    checker.request_ended(ms(20), 1, Outcome::Rejected);
+    assert_eq!(
+        checker.breaks,
+        Breaks {
+            double_runs: 1,
+            ..Breaks::default()
+        }
+    );
+}
+
+#[test]
+fn a_router_that_sends_to_who_drains_is_caught_fill_sources_included() {
+    for (server, source) in [(5, None), (4, Some(5))] {
+        let mut checker = InvariantChecker::default();
+        checker.request_started(1, TrackedRequest::new(3, false, KEY, ms(0), ms(9000)));
+        checker.record_drain(ms(100), 3, 5);
+        checker.attempt_arrived(ms(100) + DRAIN_GRACE, 1, server, source);
+        assert_eq!(checker.breaks.all(), 0, "within its grace");
+        checker.attempt_arrived(ms(101) + DRAIN_GRACE + TIMING_TOLERANCE, 1, server, source);
+        assert_eq!(
+            checker.breaks,
+            Breaks {
+                drain: 1,
+                ..Breaks::default()
+            }
+        );
+        checker.record_active(3, 5);
+        checker.attempt_arrived(ms(5000), 1, server, source);
+        assert_eq!(checker.breaks.all(), 1);
+    }
+}
+
+#[test]
+fn a_router_that_takes_what_was_purged_is_caught_own_copies_included() {
+    let mut checker = InvariantChecker::default();
+    checker.record_purge(ms(100), 3, 7, 5000);
+    checker.copy_served(ms(100) + PURGE_GRACE, 3, 7, 4999);
+    checker.copy_served(ms(9000), 3, 7, 5000);
+    checker.copy_served(ms(9000), 4, 7, 4999);
+    assert_eq!(
+        checker.breaks.all(),
+        0,
+        "in time, made after, or never told"
+    );
+    checker.copy_served(ms(9000), 3, 7, 4999);
+    checker.request_started(1, TrackedRequest::new(3, false, KEY, ms(8000), ms(9000)));
+    checker.request_ended(ms(8100), 1, Outcome::Served(KEY, 4999));
+    assert_eq!(
+        checker.breaks,
+        Breaks {
+            stale: 2,
+            ..Breaks::default()
+        }
+    );
+}
+
+#[test]
+fn what_nobody_asked_for_is_caught_and_the_dead_owe_nothing() {
+    let mut checker = InvariantChecker::default();
+    assert_eq!(checker.attempt_arrived(ms(1), 99, 0, None), None);
+    assert_eq!(
+        checker.breaks,
+        Breaks {
+            strange: 1,
+            ..Breaks::default()
+        }
+    );
+    checker.request_started(1, TrackedRequest::new(3, false, KEY, ms(0), ms(100)));
+    checker.router_stopped(3);
+    checker.close_all(ms(9000));
+    assert_eq!(checker.breaks.lost, 0);
+}
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -5,27 +5,27 @@
 //! | module | what |
 //! | --- | --- |
 //! | [`play`] | a play as a file says it |
-//! | [`work`] | who asks for what and when, drawn from the seed |
-//! | [`truth`], [`station`], [`copies`] | the servers as they are; no I/O |
-//! | [`watch`] | the five rules and conservation, over all routers together; no I/O |
-//! | [`ways`] | the network between zones; no I/O |
-//! | [`places`] | what became of each zone's requests; no I/O |
-//! | [`even`] | how even load lies, and how it would under other rules; no I/O |
-//! | [`children`], [`net`], [`wire`] | processes, datagrams, connections |
+//! | [`workload`] | who asks for what and when, drawn from the seed |
+//! | [`server_model`], [`processor_sharing`], [`object_cache`] | the servers as they are; no I/O |
+//! | [`invariants`] | the five rules and conservation, over all routers together; no I/O |
+//! | [`zone_network`] | the network between zones; no I/O |
+//! | [`zone_metrics`] | what became of each zone's requests; no I/O |
+//! | [`load_balance`] | how even load lies, and how it would under other rules; no I/O |
+//! | [`children`], [`datagram_relay`], [`wire`] | processes, datagrams, connections |
 //! | [`run`] | plays it |
 //! | [`report`] | figures, JSON, plots |
 
 pub mod children;
-pub mod copies;
-pub mod even;
-pub mod net;
-pub mod places;
+pub mod datagram_relay;
+pub mod invariants;
+pub mod load_balance;
+pub mod object_cache;
 pub mod play;
+pub mod processor_sharing;
 pub mod report;
 pub mod run;
-pub mod station;
-pub mod truth;
-pub mod watch;
-pub mod ways;
+pub mod server_model;
 pub mod wire;
-pub mod work;
+pub mod workload;
+pub mod zone_metrics;
+pub mod zone_network;
--- a/crates/harness/src/even.rs
+++ b/crates/harness/src/load_balance.rs
@@ -16,67 +16,70 @@
 //! Windows in which a zone was sent less than `LEAST` requests a server say nothing and are left out:
 //! of a handful, chance alone makes one the busiest by far.
 
-use crate::copies::Key;
-use crate::truth::Sent;
+use crate::object_cache::Key;
+use crate::server_model::SentAttempt;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Requests a server, on average, from which a window counts.
-const LEAST: f64 = 8.0;
+const MIN_REQUESTS_PER_SERVER: f64 = 8.0;
 
 /// A cache as the list and the truth have it: its zone, when it is there, and what it can do by time.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct ServerRecord {
     pub name: String,
     pub zone: usize,
     pub capacity: f64,
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// From when and until when it is in the list and runs; more than one stretch where it was away.
-    pub there: Vec<(Duration, Duration)>,
-    pub cold_from: f64,
-    pub warm_within: Duration,
+    pub listed_during: Vec<(Duration, Duration)>,
+    pub initial_capacity_share: f64,
+    pub slow_start: Duration,
 }
 
-impl Place {
-    pub fn present(&self, now: Duration) -> f64 {
-        let Some(started) = self.started.filter(|started| *started <= now) else {
+impl ServerRecord {
+    pub fn capacity_at(&self, now: Duration) -> f64 {
+        let Some(started) = self.started_at.filter(|started| *started <= now) else {
             return self.capacity;
         };
-        let age = (now - started).as_secs_f64() / self.warm_within.as_secs_f64();
-        self.capacity * (self.cold_from + (1.0 - self.cold_from) * age.min(1.0))
+        let age = (now - started).as_secs_f64() / self.slow_start.as_secs_f64();
+        self.capacity
+            * (self.initial_capacity_share + (1.0 - self.initial_capacity_share) * age.min(1.0))
     }
 
-    pub fn is_there(&self, now: Duration) -> bool {
-        self.there
+    pub fn is_listed(&self, now: Duration) -> bool {
+        self.listed_during
             .iter()
             .any(|(from, to)| (*from..*to).contains(&now))
     }
 
-    fn all_of(&self, from: Duration, to: Duration) -> bool {
-        self.there.iter().any(|(a, b)| *a <= from && to <= *b)
+    fn is_listed_throughout(&self, from: Duration, to: Duration) -> bool {
+        self.listed_during
+            .iter()
+            .any(|(a, b)| *a <= from && to <= *b)
     }
 
-    fn warm(&self, now: Duration) -> bool {
-        self.started
-            .is_none_or(|started| started + self.warm_within <= now)
+    fn is_warm(&self, now: Duration) -> bool {
+        self.started_at
+            .is_none_or(|started| started + self.slow_start <= now)
     }
 }
 
 /// The design's hash: what each server draws for an object, in proportion to its capacity; the least takes
 /// it.
-pub fn draw(server: &str, object: &str, capacity: f64) -> f64 {
+pub fn hash_weight(server: &str, object: &str, capacity: f64) -> f64 {
     let hash = xxh3_64_with_seed(object.as_bytes(), xxh3_64(server.as_bytes()));
     -((hash as f64 + 1.0) / 2f64.powi(64)).ln() / capacity.max(1e-9)
 }
 
 /// How an object is called.
-pub fn object(key: Key) -> String {
+pub fn object_name(key: Key) -> String {
     format!("{:016x}", key.0)
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Even {
+pub struct LoadBalance {
     pub peak: f64,
     pub worst: f64,
     pub idle: f64,
@@ -90,17 +93,17 @@
 type Windows = BTreeMap<(usize, u64), Vec<(usize, f64, usize)>>;
 
 fn windows(
-    sent: &[Sent],
-    places: &[Place],
+    sent: &[SentAttempt],
+    records: &[ServerRecord],
     from: Duration,
     to: Duration,
     width: Duration,
 ) -> Windows {
     let mut sums: HashMap<(usize, u64), (f64, usize)> = HashMap::new();
-    for one in sent.iter().filter(|s| (from..to).contains(&s.at)) {
-        let window = ((one.at - from).as_nanos() / width.as_nanos()) as u64;
-        let sum = sums.entry((one.server, window)).or_default();
-        *sum = (sum.0 + one.work, sum.1 + 1);
+    for attempt in sent.iter().filter(|s| (from..to).contains(&s.at)) {
+        let window = ((attempt.at - from).as_nanos() / width.as_nanos()) as u64;
+        let sum = sums.entry((attempt.server, window)).or_default();
+        *sum = (sum.0 + attempt.work, sum.1 + 1);
     }
     let mut found = Windows::new();
     for window in 0..((to.saturating_sub(from)).as_nanos() / width.as_nanos()) as u64 {
@@ -108,23 +111,23 @@
             from + width * window as u32,
             from + width * (window as u32 + 1),
         );
-        for (server, place) in places
+        for (server, record) in records
             .iter()
             .enumerate()
-            .filter(|(_, p)| p.all_of(begin, end))
+            .filter(|(_, p)| p.is_listed_throughout(begin, end))
         {
             let (work, count) = sums.get(&(server, window)).copied().unwrap_or_default();
-            let could = place.present(begin + width / 2) * width.as_secs_f64();
-            found.entry((place.zone, window)).or_default().push((
+            let capacity = record.capacity_at(begin + width / 2) * width.as_secs_f64();
+            found.entry((record.zone, window)).or_default().push((
                 server,
-                work / could.max(1e-9),
+                work / capacity.max(1e-9),
                 count,
             ));
         }
     }
     found.retain(|_, loads| {
         let count: usize = loads.iter().map(|(_, _, count)| count).sum();
-        loads.len() > 1 && count as f64 >= LEAST * loads.len() as f64
+        loads.len() > 1 && count as f64 >= MIN_REQUESTS_PER_SERVER * loads.len() as f64
     });
     found
 }
@@ -136,13 +139,13 @@
 
 /// From `from` to `to`, by windows of that width.
 pub fn measure(
-    sent: &[Sent],
-    places: &[Place],
+    sent: &[SentAttempt],
+    records: &[ServerRecord],
     from: Duration,
     to: Duration,
     width: Duration,
-) -> Even {
-    let windows = windows(sent, places, from, to, width);
+) -> LoadBalance {
+    let windows = windows(sent, records, from, to, width);
     let (mut peaks, mut jains, mut idle, mut warm) = (Vec::new(), Vec::new(), 0usize, 0usize);
     for ((_, window), loads) in &windows {
         let average = mean(loads.iter().map(|(_, load, _)| *load));
@@ -153,27 +156,32 @@
         let begin = from + width * *window as u32;
         for (server, load, _) in loads
             .iter()
-            .filter(|(server, _, _)| places[*server].warm(begin))
+            .filter(|(server, _, _)| records[*server].is_warm(begin))
         {
             let _ = server;
             warm += 1;
             idle += usize::from(*load < average / 4.0);
         }
     }
-    Even {
+    LoadBalance {
         peak: mean(peaks.iter().copied()),
         worst: peaks.iter().copied().fold(0.0, f64::max),
         idle: idle as f64 / warm.max(1) as f64,
         jain: mean(jains.into_iter()),
-        swing: swings(sent, places, from, to) as f64,
+        swing: count_swings(sent, records, from, to) as f64,
         windows: windows.len(),
     }
 }
 
 /// Servers that go from crowded to idle and back within five seconds: routers that move together. Both turns
 /// must stand out of the noise of their counts by three deviations.
-fn swings(sent: &[Sent], places: &[Place], from: Duration, to: Duration) -> usize {
-    let windows = windows(sent, places, from, to, Duration::from_secs(1));
+fn count_swings(
+    sent: &[SentAttempt],
+    records: &[ServerRecord],
+    from: Duration,
+    to: Duration,
+) -> usize {
+    let windows = windows(sent, records, from, to, Duration::from_secs(1));
     let mut by_server: BTreeMap<usize, Vec<(u64, i8)>> = BTreeMap::new();
     for ((_, window), loads) in windows {
         let average = mean(loads.iter().map(|(_, load, _)| *load));
@@ -205,41 +213,46 @@
 /// Over the routers of the zone, the largest share whose first request after `at`, within a second, went
 /// to the same server; over the same for where the hash would have sent those requests. None: hardly anybody
 /// sent.
-pub fn herd(sent: &[Sent], places: &[Place], zone: usize, at: Duration) -> Option<f64> {
+pub fn herd(
+    sent: &[SentAttempt],
+    records: &[ServerRecord],
+    zone: usize,
+    at: Duration,
+) -> Option<f64> {
     let until = at + Duration::from_secs(1);
-    let mut first: BTreeMap<usize, &Sent> = BTreeMap::new();
-    for one in sent
+    let mut first_attempts: BTreeMap<usize, &SentAttempt> = BTreeMap::new();
+    for attempt in sent
         .iter()
         .filter(|s| s.zone == zone && (at..until).contains(&s.at))
     {
-        first.entry(one.router).or_insert(one);
+        first_attempts.entry(attempt.router).or_insert(attempt);
     }
-    if first.len() < 6 {
+    if first_attempts.len() < 6 {
         return None;
     }
     let share = |chosen: &mut dyn Iterator<Item = usize>| {
         let mut counts: BTreeMap<usize, usize> = BTreeMap::new();
         chosen.for_each(|server| *counts.entry(server).or_default() += 1);
-        counts.values().copied().max().unwrap_or(0) as f64 / first.len() as f64
+        counts.values().copied().max().unwrap_or(0) as f64 / first_attempts.len() as f64
     };
-    let real = share(&mut first.values().map(|s| s.server));
-    let hashed = share(
-        &mut first
-            .values()
-            .filter_map(|s| prefers(places, s.zone, s.key, s.at).first().copied()),
-    );
-    (hashed > 0.0).then(|| real / hashed)
+    let observed = share(&mut first_attempts.values().map(|s| s.server));
+    let hashed = share(&mut first_attempts.values().filter_map(|s| {
+        ranked_servers(records, s.zone, s.key, s.at)
+            .first()
+            .copied()
+    }));
+    (hashed > 0.0).then(|| observed / hashed)
 }
 
 /// Servers of a zone that are there, in the order in which the hash prefers them for a part.
-pub fn prefers(places: &[Place], zone: usize, key: Key, at: Duration) -> Vec<usize> {
-    let name = object(key);
-    let here = places
+pub fn ranked_servers(records: &[ServerRecord], zone: usize, key: Key, at: Duration) -> Vec<usize> {
+    let name = object_name(key);
+    let here = records
         .iter()
         .enumerate()
-        .filter(|(_, p)| p.zone == zone && p.is_there(at));
+        .filter(|(_, p)| p.zone == zone && p.is_listed(at));
     let mut drawn: Vec<(f64, usize)> = here
-        .map(|(n, p)| (draw(&p.name, &name, p.capacity), n))
+        .map(|(n, p)| (hash_weight(&p.name, &name, p.capacity), n))
         .collect();
     drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
     drawn.into_iter().map(|(_, server)| server).collect()
@@ -253,41 +266,43 @@
     /// Of the hash's first two, the one of which this router has less out.
     LeastOfTwo,
     /// With the truth in sight: the hash's first that has room in this window, else the one with most room.
-    SeesAll,
+    Omniscient,
 }
 
 /// The same requests, sent where a rule sends them. A request counts as under way for its work's time.
-pub fn deal(
-    sent: &[Sent],
-    places: &[Place],
+pub fn assign(
+    sent: &[SentAttempt],
+    records: &[ServerRecord],
     rule: Rule,
     from: Duration,
     width: Duration,
-) -> Vec<Sent> {
-    let mut out: HashMap<(usize, usize), VecDeque<Duration>> = HashMap::new();
+) -> Vec<SentAttempt> {
+    let mut running: HashMap<(usize, usize), VecDeque<Duration>> = HashMap::new();
     // What each server of a zone was given in this window, and what the zone is asked for in all of
     // it. What came before the first window is dealt out like the rest, and measured by nobody.
-    let mut given: HashMap<(usize, Option<u64>), f64> = HashMap::new();
-    let mut asked: HashMap<(usize, Option<u64>), f64> = HashMap::new();
+    let mut assigned: HashMap<(usize, Option<u64>), f64> = HashMap::new();
+    let mut requested: HashMap<(usize, Option<u64>), f64> = HashMap::new();
     let window =
         |at: Duration| (at >= from).then(|| ((at - from).as_nanos() / width.as_nanos()) as u64);
-    let could = |server: usize, window: Option<u64>| {
+    let capacity = |server: usize, window: Option<u64>| {
         let middle = from + width * window.unwrap_or(0) as u32 + width / 2;
-        (places[server].present(middle) * width.as_secs_f64()).max(1e-9)
+        (records[server].capacity_at(middle) * width.as_secs_f64()).max(1e-9)
     };
-    for one in sent {
-        *asked.entry((one.zone, window(one.at))).or_default() += one.work;
+    for attempt in sent {
+        *requested
+            .entry((attempt.zone, window(attempt.at)))
+            .or_default() += attempt.work;
     }
-    let mut dealt = Vec::with_capacity(sent.len());
-    for one in sent {
-        let order = prefers(places, one.zone, one.key, one.at);
-        let number = window(one.at);
+    let mut assigned_attempts = Vec::with_capacity(sent.len());
+    for attempt in sent {
+        let order = ranked_servers(records, attempt.zone, attempt.key, attempt.at);
+        let number = window(attempt.at);
         let chosen = match rule {
             Rule::Hash => order.first().copied(),
             Rule::LeastOfTwo => {
-                let mut held = |server: usize| {
-                    let under_way = out.entry((one.router, server)).or_default();
-                    while under_way.front().is_some_and(|end| *end <= one.at) {
+                let mut running_on = |server: usize| {
+                    let under_way = running.entry((attempt.router, server)).or_default();
+                    while under_way.front().is_some_and(|end| *end <= attempt.at) {
                         under_way.pop_front();
                     }
                     under_way.len()
@@ -296,14 +311,14 @@
                     .iter()
                     .take(2)
                     .copied()
-                    .min_by_key(|server| held(*server))
+                    .min_by_key(|server| running_on(*server))
             }
-            Rule::SeesAll => {
-                let all: f64 = order.iter().map(|s| could(*s, number)).sum();
-                let mean = asked[&(one.zone, number)] / all.max(1e-9);
+            Rule::Omniscient => {
+                let all: f64 = order.iter().map(|s| capacity(*s, number)).sum();
+                let mean = requested[&(attempt.zone, number)] / all.max(1e-9);
                 let load = |s: &usize| {
-                    let given = given.get(&(*s, number)).copied().unwrap_or(0.0);
-                    (given + one.work) / could(*s, number)
+                    let assigned = assigned.get(&(*s, number)).copied().unwrap_or(0.0);
+                    (assigned + attempt.work) / capacity(*s, number)
                 };
                 let roomy = order.iter().find(|s| load(s) <= mean).copied();
                 roomy.or_else(|| {
@@ -314,16 +329,17 @@
                 })
             }
         };
-        let server = chosen.unwrap_or(one.server);
-        *given.entry((server, number)).or_default() += one.work;
+        let server = chosen.unwrap_or(attempt.server);
+        *assigned.entry((server, number)).or_default() += attempt.work;
         if rule == Rule::LeastOfTwo {
-            out.entry((one.router, server))
+            running
+                .entry((attempt.router, server))
                 .or_default()
-                .push_back(one.at + Duration::from_secs_f64(one.work));
+                .push_back(attempt.at + Duration::from_secs_f64(attempt.work));
         }
-        dealt.push(Sent { server, ..*one });
+        assigned_attempts.push(SentAttempt { server, ..*attempt });
     }
-    dealt
+    assigned_attempts
 }
 
 #[cfg(test)]
--- a/crates/harness/src/even/tests.rs
+++ b/crates/harness/src/load_balance/tests.rs
@@ -2,22 +2,22 @@
 
 const WIDTH: Duration = Duration::from_secs(5);
 
-fn places(count: usize) -> Vec<Place> {
-    let place = |n: usize| Place {
+fn records(count: usize) -> Vec<ServerRecord> {
+    let record = |n: usize| ServerRecord {
         name: format!("c{n}"),
         zone: 0,
         capacity: 4.0,
-        started: None,
-        there: vec![(Duration::ZERO, Duration::from_secs(100))],
-        cold_from: 0.3,
-        warm_within: Duration::from_secs(10),
+        started_at: None,
+        listed_during: vec![(Duration::ZERO, Duration::from_secs(100))],
+        initial_capacity_share: 0.3,
+        slow_start: Duration::from_secs(10),
     };
-    (0..count).map(place).collect()
+    (0..count).map(record).collect()
 }
 
 /// So many requests a second for ten seconds, each to the server that a rule names.
-fn sent(rate: usize, to: impl Fn(usize) -> usize) -> Vec<Sent> {
-    let one = |n: usize| Sent {
+fn sent(rate: usize, to: impl Fn(usize) -> usize) -> Vec<SentAttempt> {
+    let one = |n: usize| SentAttempt {
         at: Duration::from_secs_f64(n as f64 / rate as f64),
         server: to(n),
         zone: 0,
@@ -29,20 +29,26 @@
     (0..rate * 10).map(one).collect()
 }
 
-fn at(sent: &[Sent], places: &[Place]) -> Even {
-    measure(sent, places, Duration::ZERO, Duration::from_secs(10), WIDTH)
+fn balance_of(sent: &[SentAttempt], records: &[ServerRecord]) -> LoadBalance {
+    measure(
+        sent,
+        records,
+        Duration::ZERO,
+        Duration::from_secs(10),
+        WIDTH,
+    )
 }
 
 #[test]
 fn even_load_is_called_even_and_a_crowd_a_crowd() {
-    let places = places(4);
-    let even = at(&sent(100, |n| n % 4), &places);
+    let records = records(4);
+    let even = balance_of(&sent(100, |n| n % 4), &records);
     assert!(
         (even.peak - 1.0).abs() < 0.01 && even.idle == 0.0 && even.jain > 0.999,
         "{even:?}"
     );
     assert_eq!((even.windows, even.swing), (2, 0.0));
-    let crowd = at(&sent(100, |_| 2), &places);
+    let crowd = balance_of(&sent(100, |_| 2), &records);
     assert!(
         (crowd.peak - 4.0).abs() < 0.01 && (crowd.idle - 0.75).abs() < 0.01,
         "{crowd:?}"
@@ -52,50 +58,55 @@
 
 #[test]
 fn a_cold_server_is_measured_by_what_it_can_do_and_never_called_idle() {
-    let mut places = places(2);
-    places[1].started = Some(Duration::ZERO);
+    let mut records = records(2);
+    records[1].started_at = Some(Duration::ZERO);
     // Half of its capacity on average over ten seconds: a third of the work is its even part.
-    let even = at(&sent(120, |n| usize::from(n % 3 == 0)), &places);
+    let even = balance_of(&sent(120, |n| usize::from(n % 3 == 0)), &records);
     assert!(even.peak < 1.35 && even.idle == 0.0, "{even:?}");
-    let none = at(&sent(120, |_| 0), &places);
+    let none = balance_of(&sent(120, |_| 0), &records);
     assert_eq!(none.idle, 0.0, "it is cold: not idle, but spared");
 }
 
 #[test]
 fn what_goes_to_and_fro_is_seen_as_a_swing() {
-    let places = places(3);
+    let records = records(3);
     // All but a few on one server in one second, on another in the next.
     let swinging = sent(300, |n| if n % 20 == 0 { 2 } else { (n / 300) % 2 });
-    assert!(at(&swinging, &places).swing >= 2.0);
-    assert_eq!(at(&sent(300, |n| n % 3), &places).swing, 0.0);
+    assert!(balance_of(&swinging, &records).swing >= 2.0);
+    assert_eq!(balance_of(&sent(300, |n| n % 3), &records).swing, 0.0);
 }
 
 #[test]
 fn a_herd_is_told_from_what_the_hash_would_do() {
-    let places = places(4);
-    let herd_of = |to: fn(usize) -> usize| herd(&sent(100, to), &places, 0, Duration::from_secs(2));
+    let records = records(4);
+    let herd_of =
+        |to: fn(usize) -> usize| herd(&sent(100, to), &records, 0, Duration::from_secs(2));
     let (all, spread) = (
         herd_of(|_| 1).expect("ten routers"),
         herd_of(|n| n % 4).expect("ten routers"),
     );
     assert!(all > 1.5 * spread && all > 2.0, "{all} {spread}");
     assert_eq!(
-        herd(&sent(1, |_| 1), &places, 0, Duration::from_secs(2)),
+        herd(&sent(1, |_| 1), &records, 0, Duration::from_secs(2)),
         None
     );
 }
 
 #[test]
 fn who_sees_all_is_more_even_than_the_hash_and_keeps_it_where_there_is_room() {
-    let places = places(4);
+    let records = records(4);
     // A few objects want most: the plain hash is uneven.
     let mut work = sent(200, |_| 0);
     work.iter_mut()
         .enumerate()
         .for_each(|(n, s)| s.key = (if n % 3 == 0 { 1 } else { n as u64 % 40 }, 0));
-    let by = |rule| deal(&work, &places, rule, Duration::ZERO, WIDTH);
-    let (hash, two, all) = (by(Rule::Hash), by(Rule::LeastOfTwo), by(Rule::SeesAll));
-    let peak = |dealt: &[Sent]| at(dealt, &places).peak;
+    let assign_by = |rule| assign(&work, &records, rule, Duration::ZERO, WIDTH);
+    let (hash, two, all) = (
+        assign_by(Rule::Hash),
+        assign_by(Rule::LeastOfTwo),
+        assign_by(Rule::Omniscient),
+    );
+    let peak = |dealt: &[SentAttempt]| balance_of(dealt, &records).peak;
     assert!(
         peak(&all) < 1.05 && peak(&hash) > 1.3,
         "{} {}",
@@ -109,5 +120,9 @@
         .filter(|(a, b)| a.server != b.server)
         .count();
     assert!(moved < work.len() / 2, "{moved} of {}", work.len());
-    assert_eq!(by(Rule::Hash), hash, "the same work is dealt the same");
+    assert_eq!(
+        assign_by(Rule::Hash),
+        hash,
+        "the same work is dealt the same"
+    );
 }
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -18,17 +18,17 @@
 
 /// So many of something: a count, or a share of all there are.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Part {
+pub enum Amount {
     Share(f64),
     Count(usize),
 }
 
-impl Part {
+impl Amount {
     /// Of so many; at least one of them.
     pub fn of(self, whole: usize) -> usize {
         let found = match self {
-            Part::Share(share) => (share * whole as f64).round() as usize,
-            Part::Count(count) => count,
+            Amount::Share(share) => (share * whole as f64).round() as usize,
+            Amount::Count(count) => count,
         };
         found.clamp(whole.min(1), whole)
     }
@@ -36,41 +36,41 @@
 
 /// Whom a fault meets; which of them is drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
-    Caches(Part),
-    Parents(Part),
-    Routers(Part),
+pub enum Target {
+    Caches(Amount),
+    Parents(Amount),
+    Routers(Amount),
     /// All caches of a zone.
     Zone(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     /// Servers take so many times as long, and say nothing of it.
-    Slow(Whom, f64),
+    Slow(Target, f64),
     /// Servers answer at once with an error: a sink that looks empty.
-    Errors(Whom),
+    Errors(Target),
     /// Servers take what comes and never answer.
-    Silent(Whom),
+    Silent(Target),
     /// As `Silent`, towards some of the routers only.
-    Apart(Whom, Part),
+    Apart(Target, Amount),
     /// Connections are reset under their requests: of those that come, this share.
-    Resets(Whom, f64),
+    Resets(Target, f64),
     /// Servers are gone, and come back empty and cold.
-    Lose(Whom),
-    Drain(Whom),
+    Lose(Target),
+    Drain(Target),
     /// Servers leave the list, others with other names and empty come, in steps over the span.
-    Replace(Whom),
+    Replace(Target),
     /// So many caches join, empty, in one instant.
     Join(usize),
     /// Routers are killed (SIGKILL), and start anew after the span.
-    Kill(Whom),
+    Kill(Target),
     /// Routers are stopped (SIGSTOP) for the span.
-    Freeze(Whom),
+    Freeze(Target),
     /// Routers end by SIGTERM and start anew, in steps over the span.
-    Restart(Whom),
+    Restart(Target),
     /// Routers read their files anew (SIGHUP).
-    Reload(Whom),
+    Reload(Target),
     /// The most wanted objects are purged, so many of them.
     Purge(usize),
     /// Discovery tells so much later; tells everything twice; breaks its connections.
@@ -84,9 +84,9 @@
     /// They come so much later, up to.
     Late(Duration),
     /// Some routers hear nothing, but are heard.
-    Deaf(Whom),
+    Deaf(Target),
     /// Forged datagrams, within the format, in the name of a peer.
-    Lie(Whom),
+    Lie(Target),
     /// This share of the work is for one object; another one each second.
     Hot(f64),
     /// All work of one zone comes to another one.
@@ -102,13 +102,13 @@
 /// From when, for or over how long, what.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    pub at: Duration,
-    pub lasts: Duration,
-    pub what: What,
+    pub start: Duration,
+    pub duration: Duration,
+    pub kind: FaultKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetOf {
+pub struct FleetSettings {
     pub routers: usize,
     pub zones: usize,
     pub caches: usize,
@@ -118,13 +118,13 @@
     pub parent_capacity: f64,
     pub origin_capacity: f64,
     /// What fills of one zone share, in transfers.
-    pub link: f64,
+    pub link_capacity: f64,
     /// KB that a cache holds.
     pub memory_kb: f64,
     /// KB a second of one transfer to a client.
-    pub pace: f64,
-    pub cold_from: f64,
-    pub warm_within: Duration,
+    pub client_kb_per_s: f64,
+    pub initial_capacity_share: f64,
+    pub slow_start: Duration,
     /// Lines of the operators' file that every router is started with.
     pub directives: Vec<(String, String)>,
     /// Addresses by which a server is reached differ by so many groups of routers; by zone, where ways
@@ -133,26 +133,29 @@
     /// Among which the zones lie, in blocks.
     pub regions: usize,
     /// What a word takes one way between zones of a region, and of two; nothing: no time at all.
-    pub near: Duration,
-    pub far: Duration,
+    pub intra_region_delay: Duration,
+    pub inter_region_delay: Duration,
     /// It takes up to this share more.
     pub jitter: f64,
     /// Parents and origin take attempts too.
     pub pass_through: bool,
 }
 
-impl FleetOf {
+impl FleetSettings {
     /// Groups of routers by address.
-    pub fn doors(&self) -> usize {
-        if self.near.is_zero() && self.far.is_zero() {
+    pub fn address_groups(&self) -> usize {
+        if self.intra_region_delay.is_zero() && self.inter_region_delay.is_zero() {
             self.groups
         } else {
             self.zones
         }
     }
 
-    pub fn group(&self, router: usize) -> usize {
-        if self.doors() == self.groups && self.near.is_zero() && self.far.is_zero() {
+    pub fn address_group(&self, router: usize) -> usize {
+        if self.address_groups() == self.groups
+            && self.intra_region_delay.is_zero()
+            && self.inter_region_delay.is_zero()
+        {
             (router / self.zones) % self.groups
         } else {
             router % self.zones
@@ -161,32 +164,32 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
-    pub lasts: Duration,
+pub struct Workload {
+    pub duration: Duration,
     /// What is measured begins after this.
-    pub lead: Duration,
+    pub warmup: Duration,
     /// Requests a second, over all.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// The busiest router's rate over the mean.
-    pub uneven: f64,
+    pub peak_to_mean: f64,
     pub objects: usize,
     /// Zipf's exponent of their popularity.
-    pub popularity: f64,
+    pub zipf_exponent: f64,
     /// Mean KB of an object; sizes are drawn from an exponential, bounded at six times.
-    pub kb: f64,
+    pub mean_object_kb: f64,
     /// Share of requests that must not run twice.
-    pub writes: f64,
-    pub patience: Duration,
-    pub soft: Duration,
+    pub write_share: f64,
+    pub client_timeout: Duration,
+    pub soft_deadline: Duration,
     /// How often a client asks again, and whether it heeds what it is told of when.
-    pub retries: usize,
-    pub heed: f64,
-    pub fresh: Duration,
+    pub max_retries: usize,
+    pub retry_after_share: f64,
+    pub max_age: Duration,
 }
 
 /// What must hold beside the rules; none: it is only told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Must {
+pub struct Requirements {
     pub service: Option<f64>,
     /// `peak` over that of who sees all.
     pub peak: Option<f64>,
@@ -205,17 +208,17 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Play {
-    pub fleet: FleetOf,
-    pub work: Work,
+    pub fleet: FleetSettings,
+    pub work: Workload,
     pub faults: Vec<Fault>,
-    pub must: Must,
+    pub must: Requirements,
 }
 
 impl Default for Play {
     fn default() -> Play {
         let seconds = Duration::from_secs;
         Play {
-            fleet: FleetOf {
+            fleet: FleetSettings {
                 routers: 40,
                 zones: 4,
                 caches: 16,
@@ -223,36 +226,36 @@
                 cache_capacity: 4.0,
                 parent_capacity: 12.0,
                 origin_capacity: 24.0,
-                link: 8.0,
+                link_capacity: 8.0,
                 memory_kb: 12_000.0,
-                pace: 500.0,
-                cold_from: 0.3,
-                warm_within: seconds(10),
+                client_kb_per_s: 500.0,
+                initial_capacity_share: 0.3,
+                slow_start: seconds(10),
                 directives: Vec::new(),
                 groups: 4,
                 regions: 1,
-                near: Duration::ZERO,
-                far: Duration::ZERO,
+                intra_region_delay: Duration::ZERO,
+                inter_region_delay: Duration::ZERO,
                 jitter: 0.2,
                 pass_through: true,
             },
-            work: Work {
-                lasts: seconds(10),
-                lead: seconds(2),
-                rate: 300.0,
-                uneven: 6.0,
+            work: Workload {
+                duration: seconds(10),
+                warmup: seconds(2),
+                requests_per_s: 300.0,
+                peak_to_mean: 6.0,
                 objects: 4000,
-                popularity: 0.8,
-                kb: 40.0,
-                writes: 0.03,
-                patience: Duration::from_millis(2500),
-                soft: Duration::from_millis(700),
-                retries: 2,
-                heed: 0.7,
-                fresh: seconds(60),
+                zipf_exponent: 0.8,
+                mean_object_kb: 40.0,
+                write_share: 0.03,
+                client_timeout: Duration::from_millis(2500),
+                soft_deadline: Duration::from_millis(700),
+                max_retries: 2,
+                retry_after_share: 0.7,
+                max_age: seconds(60),
             },
             faults: Vec::new(),
-            must: Must::default(),
+            must: Requirements::default(),
         }
     }
 }
@@ -260,18 +263,18 @@
 impl Play {
     /// When it is measured again: so long after the last fault is over, or after one began that lasts to the
     /// end.
-    pub fn measured_again(&self) -> Duration {
-        let (lead, lasts) = (self.work.lead, self.work.lasts);
+    pub fn second_measurement_start(&self) -> Duration {
+        let (warmup, duration) = (self.work.warmup, self.work.duration);
         let after = self.must.after.unwrap_or(Duration::from_secs(3));
         let over = self
             .faults
             .iter()
-            .map(|fault| match fault.at + fault.lasts {
-                end if end >= lasts => fault.at,
+            .map(|fault| match fault.start + fault.duration {
+                end if end >= duration => fault.start,
                 end => end,
             });
-        let again = over.max().map_or(lead, |over| (over + after).max(lead));
-        again.min(lasts.saturating_sub(Duration::from_secs(1)))
+        let again = over.max().map_or(warmup, |over| (over + after).max(warmup));
+        again.min(duration.saturating_sub(Duration::from_secs(1)))
     }
 
     /// What cannot be played as it is said, in words.
@@ -287,22 +290,27 @@
             format!("{} zones need as many caches", fleet.zones),
         );
         wrong(
-            self.work.lead >= self.work.lasts,
+            self.work.warmup >= self.work.duration,
             "lead: nothing is left to be measured".into(),
         );
         for fault in &self.faults {
             wrong(
-                fault.at > self.work.lasts,
-                format!("a fault at {:?} comes after the end", fault.at),
+                fault.start > self.work.duration,
+                format!("a fault at {:?} comes after the end", fault.start),
             );
-            let zones: Vec<usize> = match fault.what {
-                What::Shift(from, to) => vec![from, to],
-                What::WaysSlow(a, b, _) | What::WaysCut(a, b) | What::WaysLose(a, b, _) => {
-                    let no_time = fleet.near.is_zero() && fleet.far.is_zero();
+            let zones: Vec<usize> = match fault.kind {
+                FaultKind::Shift(from, to) => vec![from, to],
+                FaultKind::WaysSlow(a, b, _)
+                | FaultKind::WaysCut(a, b)
+                | FaultKind::WaysLose(a, b, _) => {
+                    let no_time =
+                        fleet.intra_region_delay.is_zero() && fleet.inter_region_delay.is_zero();
                     wrong(no_time, "ways break only where near or far is told".into());
                     a.into_iter().chain(b).collect()
                 }
-                What::Slow(Whom::Zone(at), _) | What::Lose(Whom::Zone(at)) => vec![at],
+                FaultKind::Slow(Target::Zone(at), _) | FaultKind::Lose(Target::Zone(at)) => {
+                    vec![at]
+                }
                 _ => Vec::new(),
             };
             let beyond = zones.into_iter().filter(|at| *at >= fleet.zones);
@@ -325,46 +333,46 @@
     chalkhall_config::read_text_with(&PLAY, text)
 }
 
-type Fails = (usize, String);
+type ParseError = (usize, String);
 
-fn at<T>(place: usize, found: Result<T, String>) -> Result<T, Fails> {
+fn at_word<T>(place: usize, found: Result<T, String>) -> Result<T, ParseError> {
     found.map_err(|what| (place, what))
 }
 
 /// `1/8`, `30%` or a count.
-fn part(word: &str) -> Result<Part, String> {
+fn parse_amount(word: &str) -> Result<Amount, String> {
     if let Some((a, b)) = word.split_once('/') {
         let (a, b) = (values::whole(a, 1, 1 << 20)?, values::whole(b, 1, 1 << 20)?);
         return if a <= b {
-            Ok(Part::Share(a as f64 / b as f64))
+            Ok(Amount::Share(a as f64 / b as f64))
         } else {
             Err(format!("{word} is over all"))
         };
     }
     if word.ends_with('%') {
-        return values::share(word).map(Part::Share);
+        return values::share(word).map(Amount::Share);
     }
     let count = values::whole(word, 1, 1 << 20);
     count
-        .map(|n| Part::Count(n as usize))
+        .map(|n| Amount::Count(n as usize))
         .map_err(|_| format!("{word:?} is not a part, such as 1/8, 30% or 3"))
 }
 
 /// `caches 1/8`, `parents 1`, `routers 70%`, `zone 2`.
-fn whom(place: usize, words: &[&str]) -> Result<Whom, Fails> {
+fn parse_target(place: usize, words: &[&str]) -> Result<Target, ParseError> {
     let [kind, of] = words else {
         return Err((
             place,
             "whom? caches, parents or routers PART, or location N".into(),
         ));
     };
-    let of_all = at(place + 1, part(of));
+    let of_all = at_word(place + 1, parse_amount(of));
     match *kind {
-        "caches" => Ok(Whom::Caches(of_all?)),
-        "parents" => Ok(Whom::Parents(of_all?)),
-        "routers" => Ok(Whom::Routers(of_all?)),
-        "location" => Ok(Whom::Zone(
-            at(place + 1, values::whole(of, 0, 10_000))? as usize
+        "caches" => Ok(Target::Caches(of_all?)),
+        "parents" => Ok(Target::Parents(of_all?)),
+        "routers" => Ok(Target::Routers(of_all?)),
+        "location" => Ok(Target::Zone(
+            at_word(place + 1, values::whole(of, 0, 10_000))? as usize,
         )),
         other => Err((
             place,
@@ -373,7 +381,7 @@
     }
 }
 
-fn times(place: usize, word: &str) -> Result<f64, Fails> {
+fn parse_factor(place: usize, word: &str) -> Result<f64, ParseError> {
     let found = word
         .parse::<f64>()
         .ok()
@@ -382,88 +390,100 @@
 }
 
 /// `at SPAN [for|over SPAN] WHAT ...`, without the first word.
-fn fault(words: &[&str]) -> Result<Fault, Fails> {
-    let begins = at(0, values::span(words[0]))?;
-    let (lasts, from) = match words.get(1) {
+fn parse_fault(words: &[&str]) -> Result<Fault, ParseError> {
+    let starts_at = at_word(0, values::span(words[0]))?;
+    let (duration, next_word) = match words.get(1) {
         Some(&"for" | &"over") => {
             let span = words.get(2).ok_or((1, "for how long?".to_owned()))?;
-            (at(2, values::span(span))?, 3)
+            (at_word(2, values::span(span))?, 3)
         }
         _ => (Duration::ZERO, 1),
     };
-    let rest = words.get(from..).unwrap_or_default();
+    let rest = words.get(next_word..).unwrap_or_default();
     let Some((verb, rest)) = rest.split_first() else {
         return Err((0, "what breaks?".into()));
     };
-    let place = from + 1;
-    let share = |place: usize, word: &str| at(place, values::share(word));
-    let what = match (*verb, rest) {
-        ("slow", [w @ .., "by", by]) => What::Slow(whom(place, w)?, times(place + 3, by)?),
-        ("errors", w) => What::Errors(whom(place, w)?),
-        ("silent", [w @ .., "to", "routers", of]) => {
-            What::Apart(whom(place, w)?, at(place + 4, part(of))?)
+    let place = next_word + 1;
+    let share = |place: usize, word: &str| at_word(place, values::share(word));
+    let kind = match (*verb, rest) {
+        ("slow", [w @ .., "by", by]) => {
+            FaultKind::Slow(parse_target(place, w)?, parse_factor(place + 3, by)?)
+        }
+        ("errors", w) => FaultKind::Errors(parse_target(place, w)?),
+        ("silent", [w @ .., "to", "routers", of]) => FaultKind::Apart(
+            parse_target(place, w)?,
+            at_word(place + 4, parse_amount(of))?,
+        ),
+        ("silent", w) => FaultKind::Silent(parse_target(place, w)?),
+        ("resets", [w @ .., of]) => {
+            FaultKind::Resets(parse_target(place, w)?, share(place + 2, of)?)
         }
-        ("silent", w) => What::Silent(whom(place, w)?),
-        ("resets", [w @ .., of]) => What::Resets(whom(place, w)?, share(place + 2, of)?),
         ("lose", ["region", of]) => {
-            What::LoseRegion(at(place + 1, values::whole(of, 0, 100))? as usize)
+            FaultKind::LoseRegion(at_word(place + 1, values::whole(of, 0, 100))? as usize)
         }
-        ("lose", w) => What::Lose(whom(place, w)?),
-        ("ways", [from, to, what @ ..]) => {
-            let one = |place: usize, word: &str| match word {
+        ("lose", w) => FaultKind::Lose(parse_target(place, w)?),
+        ("ways", [from, to, effect @ ..]) => {
+            let zone_or_all = |place: usize, word: &str| match word {
                 "all" => Ok(None),
-                word => at(place, values::whole(word, 0, 10_000)).map(|n| Some(n as usize)),
+                word => at_word(place, values::whole(word, 0, 10_000)).map(|n| Some(n as usize)),
             };
-            let (from, to) = (one(place, from)?, one(place + 1, to)?);
-            match what {
-                ["slow", "by", by] => What::WaysSlow(from, to, times(place + 4, by)?),
-                ["cut"] => What::WaysCut(from, to),
-                ["lose", of] => What::WaysLose(from, to, share(place + 3, of)?),
+            let (from, to) = (zone_or_all(place, from)?, zone_or_all(place + 1, to)?);
+            match effect {
+                ["slow", "by", by] => FaultKind::WaysSlow(from, to, parse_factor(place + 4, by)?),
+                ["cut"] => FaultKind::WaysCut(from, to),
+                ["lose", of] => FaultKind::WaysLose(from, to, share(place + 3, of)?),
                 _ => return Err((place + 2, "slow by NUMBER, cut, or lose SHARE?".into())),
             }
         }
-        ("drain", w) => What::Drain(whom(place, w)?),
-        ("replace", w) => What::Replace(whom(place, w)?),
-        ("join", [count]) => What::Join(at(place, values::whole(count, 1, 1000))? as usize),
-        ("kill", w) => What::Kill(whom(place, w)?),
-        ("freeze", w) => What::Freeze(whom(place, w)?),
-        ("restart", w) => What::Restart(whom(place, w)?),
-        ("reload", w) => What::Reload(whom(place, w)?),
-        ("purge", [count]) => What::Purge(at(place, values::whole(count, 1, 10_000))? as usize),
-        ("lists", ["late", span]) => What::ListsLate(at(place + 1, values::span(span))?),
-        ("lists", ["doubled"]) => What::ListsDoubled,
-        ("lists", ["cut"]) => What::ListsCut,
-        ("datagrams", ["lost", of]) => What::Lost(share(place + 1, of)?),
-        ("datagrams", ["doubled", of]) => What::Doubled(share(place + 1, of)?),
-        ("datagrams", ["turned", of]) => What::Turned(share(place + 1, of)?),
-        ("datagrams", ["late", span]) => What::Late(at(place + 1, values::span(span))?),
-        ("deaf", w) => What::Deaf(whom(place, w)?),
-        ("lie", w) => What::Lie(whom(place, w)?),
-        ("hot", [of]) => What::Hot(share(place, of)?),
+        ("drain", w) => FaultKind::Drain(parse_target(place, w)?),
+        ("replace", w) => FaultKind::Replace(parse_target(place, w)?),
+        ("join", [count]) => {
+            FaultKind::Join(at_word(place, values::whole(count, 1, 1000))? as usize)
+        }
+        ("kill", w) => FaultKind::Kill(parse_target(place, w)?),
+        ("freeze", w) => FaultKind::Freeze(parse_target(place, w)?),
+        ("restart", w) => FaultKind::Restart(parse_target(place, w)?),
+        ("reload", w) => FaultKind::Reload(parse_target(place, w)?),
+        ("purge", [count]) => {
+            FaultKind::Purge(at_word(place, values::whole(count, 1, 10_000))? as usize)
+        }
+        ("lists", ["late", span]) => FaultKind::ListsLate(at_word(place + 1, values::span(span))?),
+        ("lists", ["doubled"]) => FaultKind::ListsDoubled,
+        ("lists", ["cut"]) => FaultKind::ListsCut,
+        ("datagrams", ["lost", of]) => FaultKind::Lost(share(place + 1, of)?),
+        ("datagrams", ["doubled", of]) => FaultKind::Doubled(share(place + 1, of)?),
+        ("datagrams", ["turned", of]) => FaultKind::Turned(share(place + 1, of)?),
+        ("datagrams", ["late", span]) => FaultKind::Late(at_word(place + 1, values::span(span))?),
+        ("deaf", w) => FaultKind::Deaf(parse_target(place, w)?),
+        ("lie", w) => FaultKind::Lie(parse_target(place, w)?),
+        ("hot", [of]) => FaultKind::Hot(share(place, of)?),
         ("shift", ["location", from, "to", to]) => {
-            let of = |place, word| at(place, values::whole(word, 0, 10_000));
-            What::Shift(of(place + 1, from)? as usize, of(place + 3, to)? as usize)
+            let zone = |place, word| at_word(place, values::whole(word, 0, 10_000));
+            FaultKind::Shift(
+                zone(place + 1, from)? as usize,
+                zone(place + 3, to)? as usize,
+            )
         }
         (other, _) => {
             return Err((
-                from,
+                next_word,
                 format!("{other:?} with these words is nothing that breaks"),
             ));
         }
     };
     Ok(Fault {
-        at: begins,
-        lasts,
-        what,
+        start: starts_at,
+        duration,
+        kind,
     })
 }
 
-const fn one(
+const fn entry(
     section: &'static str,
     name: &'static str,
     takes: &'static str,
     says: &'static str,
-    set: fn(&mut Play, &[&str]) -> Result<(), Fails>,
+    set: fn(&mut Play, &[&str]) -> Result<(), ParseError>,
 ) -> Entry<Play> {
     Entry {
         section,
@@ -476,11 +496,11 @@
     }
 }
 
-fn whole(word: &str, least: u64, most: u64) -> Result<usize, Fails> {
-    at(0, values::whole(word, least, most)).map(|n| n as usize)
+fn parse_count(word: &str, least: u64, most: u64) -> Result<usize, ParseError> {
+    at_word(0, values::whole(word, least, most)).map(|n| n as usize)
 }
 
-fn number(word: &str, least: f64, most: f64) -> Result<f64, Fails> {
+fn parse_number(word: &str, least: f64, most: f64) -> Result<f64, ParseError> {
     let found = word
         .parse::<f64>()
         .ok()
@@ -497,119 +517,119 @@
 pub const PLAY: Table<Play> = Table::new(
     &["fleet", "work", "faults", "must"],
     &[
-        one("fleet", "routers", "COUNT", "router processes", |p, w| {
-            p.fleet.routers = whole(w[0], 2, 500)?;
+        entry("fleet", "routers", "COUNT", "router processes", |p, w| {
+            p.fleet.routers = parse_count(w[0], 2, 500)?;
             Ok(())
         }),
-        one(
+        entry(
             "fleet",
             "locations",
             "COUNT",
             "among which routers and caches are dealt out",
             |p, w| {
-                p.fleet.zones = whole(w[0], 1, 100)?;
+                p.fleet.zones = parse_count(w[0], 1, 100)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "caches",
             "COUNT",
             "cache servers of all zones",
             |p, w| {
-                p.fleet.caches = whole(w[0], 1, 500)?;
+                p.fleet.caches = parse_count(w[0], 1, 500)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "parents",
             "COUNT",
             "parents of all zones",
             |p, w| {
-                p.fleet.parents = whole(w[0], 1, 100)?;
+                p.fleet.parents = parse_count(w[0], 1, 100)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "cache-capacity",
             "NUMBER",
             "transfers at a client's pace at once",
             |p, w| {
-                p.fleet.cache_capacity = number(w[0], 0.1, 1e6)?;
+                p.fleet.cache_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "parent-capacity",
             "NUMBER",
             "the same of a parent",
             |p, w| {
-                p.fleet.parent_capacity = number(w[0], 0.1, 1e6)?;
+                p.fleet.parent_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "origin-capacity",
             "NUMBER",
             "the same of the origin",
             |p, w| {
-                p.fleet.origin_capacity = number(w[0], 0.1, 1e6)?;
+                p.fleet.origin_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "link",
             "NUMBER",
             "transfers that fills of one zone share",
             |p, w| {
-                p.fleet.link = number(w[0], 0.1, 1e6)?;
+                p.fleet.link_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one("fleet", "memory", "KB", "what a cache holds", |p, w| {
-            p.fleet.memory_kb = number(w[0], 1.0, 1e9)?;
+        entry("fleet", "memory", "KB", "what a cache holds", |p, w| {
+            p.fleet.memory_kb = parse_number(w[0], 1.0, 1e9)?;
             Ok(())
         }),
-        one(
+        entry(
             "fleet",
             "pace",
             "KB",
             "a second of one transfer to a client",
             |p, w| {
-                p.fleet.pace = number(w[0], 1.0, 1e6)?;
+                p.fleet.client_kb_per_s = parse_number(w[0], 1.0, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "cold-from",
             "SHARE",
             "of its capacity at a start",
             |p, w| {
-                p.fleet.cold_from = at(0, values::share(w[0]))?.max(0.01);
+                p.fleet.initial_capacity_share = at_word(0, values::share(w[0]))?.max(0.01);
                 Ok(())
             },
         ),
-        one("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
-            p.fleet.warm_within = at(0, values::span(w[0]))?.max(Duration::from_millis(100));
+        entry("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
+            p.fleet.slow_start = at_word(0, values::span(w[0]))?.max(Duration::from_millis(100));
             Ok(())
         }),
-        one(
+        entry(
             "fleet",
             "groups",
             "COUNT",
             "groups of routers that reach servers by addresses of their own",
             |p, w| {
-                p.fleet.groups = whole(w[0], 1, 16)?;
+                p.fleet.groups = parse_count(w[0], 1, 16)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "pass-through",
             "on|off",
@@ -623,43 +643,43 @@
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "regions",
             "COUNT",
             "among which the zones lie, in blocks",
             |p, w| {
-                p.fleet.regions = whole(w[0], 1, 100)?;
+                p.fleet.regions = parse_count(w[0], 1, 100)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "near",
             "SPAN",
             "what a word takes one way between zones of a region",
             |p, w| {
-                p.fleet.near = at(0, values::span(w[0]))?;
+                p.fleet.intra_region_delay = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "far",
             "SPAN",
             "the same between regions",
             |p, w| {
-                p.fleet.far = at(0, values::span(w[0]))?;
+                p.fleet.inter_region_delay = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "jitter",
             "SHARE",
             "up to how much more it takes",
             |p, w| {
-                p.fleet.jitter = at(0, values::share(w[0]))?;
+                p.fleet.jitter = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
@@ -675,104 +695,104 @@
                 Ok(())
             },
         },
-        one("work", "seconds", "COUNT", "how long it comes", |p, w| {
-            p.work.lasts = Duration::from_secs(whole(w[0], 2, 3600)? as u64);
+        entry("work", "seconds", "COUNT", "how long it comes", |p, w| {
+            p.work.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
             Ok(())
         }),
-        one(
+        entry(
             "work",
             "lead",
             "SPAN",
             "before anything is measured",
             |p, w| {
-                p.work.lead = at(0, values::span(w[0]))?;
+                p.work.warmup = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "rate",
             "NUMBER",
             "requests a second over all",
             |p, w| {
-                p.work.rate = number(w[0], 1.0, 50_000.0)?;
+                p.work.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "uneven",
             "NUMBER",
             "the busiest router's rate over the mean",
             |p, w| {
-                p.work.uneven = number(w[0], 1.0, 100.0)?;
+                p.work.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
                 Ok(())
             },
         ),
-        one("work", "objects", "COUNT", "objects there are", |p, w| {
-            p.work.objects = whole(w[0], 1, 10_000_000)?;
+        entry("work", "objects", "COUNT", "objects there are", |p, w| {
+            p.work.objects = parse_count(w[0], 1, 10_000_000)?;
             Ok(())
         }),
-        one("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
-            p.work.popularity = number(w[0], 0.0, 3.0)?;
+        entry("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
+            p.work.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
             Ok(())
         }),
-        one("work", "size", "KB", "mean of an object", |p, w| {
-            p.work.kb = number(w[0], 0.1, 1e6)?;
+        entry("work", "size", "KB", "mean of an object", |p, w| {
+            p.work.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
-        one(
+        entry(
             "work",
             "writes",
             "SHARE",
             "of requests that must not run twice",
             |p, w| {
-                p.work.writes = at(0, values::share(w[0]))?;
+                p.work.write_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "patience",
             "SPAN",
             "how long a client waits, all tries together",
             |p, w| {
-                p.work.patience = at(0, values::span(w[0]))?;
+                p.work.client_timeout = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "soft",
             "SPAN",
             "within which an answer earns all of its value",
             |p, w| {
-                p.work.soft = at(0, values::span(w[0]))?;
+                p.work.soft_deadline = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "retries",
             "COUNT",
             "how often a client asks again",
             |p, w| {
-                p.work.retries = whole(w[0], 0, 20)?;
+                p.work.max_retries = parse_count(w[0], 0, 20)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "heed",
             "SHARE",
             "of clients that come back when they are told",
             |p, w| {
-                p.work.heed = at(0, values::share(w[0]))?;
+                p.work.retry_after_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
-        one("work", "fresh", "SPAN", "how long a copy is", |p, w| {
-            p.work.fresh = at(0, values::span(w[0]))?;
+        entry("work", "fresh", "SPAN", "how long a copy is", |p, w| {
+            p.work.max_age = at_word(0, values::span(w[0]))?;
             Ok(())
         }),
         Entry {
@@ -783,98 +803,98 @@
             many: true,
             says: "what breaks, from when and for how long",
             set: |p, w| {
-                let found = fault(w)?;
+                let found = parse_fault(w)?;
                 p.faults.push(found);
                 Ok(())
             },
         },
-        one(
+        entry(
             "must",
             "service",
             "SHARE",
             "of the value asked for, at least",
             |p, w| {
-                p.must.service = Some(at(0, values::share(w[0]))?);
+                p.must.service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "peak",
             "NUMBER",
             "busiest over mean, over that of who sees all, at most",
             |p, w| {
-                p.must.peak = Some(number(w[0], 0.1, 100.0)?);
+                p.must.peak = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "idle",
             "SHARE",
             "of warm server-seconds under a quarter of the mean, at most",
             |p, w| {
-                p.must.idle = Some(at(0, values::share(w[0]))?);
+                p.must.idle = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "herd",
             "NUMBER",
             "same next server over independence, at most",
             |p, w| {
-                p.must.herd = Some(number(w[0], 0.1, 100.0)?);
+                p.must.herd = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "swing",
             "NUMBER",
             "servers from crowded to idle and back, at most",
             |p, w| {
-                p.must.swing = Some(number(w[0], 0.0, 1000.0)?);
+                p.must.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "lost-service",
             "SHARE",
             "of what lost zones asked for, at least",
             |p, w| {
-                p.must.lost_service = Some(at(0, values::share(w[0]))?);
+                p.must.lost_service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "plan",
             "SPAN",
             "from a loss until requests go elsewhere, at most",
             |p, w| {
-                p.must.plan = Some(at(0, values::span(w[0]))?);
+                p.must.plan = Some(at_word(0, values::span(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "needless",
             "SHARE",
             "of requests that left without need, at most",
             |p, w| {
-                p.must.needless = Some(at(0, values::share(w[0]))?);
+                p.must.needless = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "after",
             "SPAN",
             "what is measured begins so long after the last fault",
             |p, w| {
-                p.must.after = Some(at(0, values::span(w[0]))?);
+                p.must.after = Some(at_word(0, values::span(w[0]))?);
                 Ok(())
             },
         ),
--- a/crates/harness/src/play/tests.rs
+++ b/crates/harness/src/play/tests.rs
@@ -24,15 +24,18 @@
                 replace caches 3/10\n at 1s shift location 0 to 3\n}\n";
     let (play, faults) = read_text(text);
     assert_eq!(faults, []);
-    let whats: Vec<What> = play.faults.iter().map(|f| f.what).collect();
+    let whats: Vec<FaultKind> = play.faults.iter().map(|f| f.kind).collect();
     assert_eq!(
         whats[0],
-        What::Apart(Whom::Caches(Part::Count(3)), Part::Share(0.25))
+        FaultKind::Apart(Target::Caches(Amount::Count(3)), Amount::Share(0.25))
     );
-    assert_eq!(whats[1], What::Kill(Whom::Routers(Part::Share(0.7))));
-    assert_eq!(whats[3], What::Shift(0, 3));
     assert_eq!(
-        play.measured_again(),
+        whats[1],
+        FaultKind::Kill(Target::Routers(Amount::Share(0.7)))
+    );
+    assert_eq!(whats[3], FaultKind::Shift(0, 3));
+    assert_eq!(
+        play.second_measurement_start(),
         Duration::from_secs(9),
         "the one that lasts to the end began at 5 s"
     );
@@ -50,7 +53,7 @@
     fn a_part_is_some_and_not_more_than_all(
         share in 0.0f64..1.0, count in 1usize..1000, whole in 1usize..1000,
     ) {
-        for part in [Part::Share(share), Part::Count(count)] {
+        for part in [Amount::Share(share), Amount::Count(count)] {
             prop_assert!((1..=whole).contains(&part.of(whole)));
         }
     }
--- a/crates/harness/src/station.rs
+++ b/crates/harness/src/processor_sharing.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Debug)]
 struct Job<K> {
     /// The service that each transfer will have had when this one ends.
-    end: f64,
-    order: u64,
+    ends_at_service: f64,
+    sequence: u64,
     key: K,
 }
 
@@ -32,32 +32,32 @@
     /// The one that ends first is the greatest.
     fn cmp(&self, other: &Job<K>) -> Ordering {
         other
-            .end
-            .total_cmp(&self.end)
-            .then(other.order.cmp(&self.order))
+            .ends_at_service
+            .total_cmp(&self.ends_at_service)
+            .then(other.sequence.cmp(&self.sequence))
     }
 }
 
 /// `K`: what tells one transfer from another.
 #[derive(Debug)]
-pub struct Station<K> {
+pub struct ProcessorSharing<K> {
     /// Transfers at full pace at once.
     capacity: f64,
-    at: Duration,
+    updated_at: Duration,
     /// Seconds of service that a transfer which was always there would have had.
-    served: f64,
+    service_per_job: f64,
     jobs: BinaryHeap<Job<K>>,
-    count: u64,
+    added: u64,
 }
 
-impl<K: Clone> Station<K> {
-    pub fn new(capacity: f64) -> Station<K> {
-        Station {
+impl<K: Clone> ProcessorSharing<K> {
+    pub fn new(capacity: f64) -> ProcessorSharing<K> {
+        ProcessorSharing {
             capacity,
-            at: Duration::ZERO,
-            served: 0.0,
+            updated_at: Duration::ZERO,
+            service_per_job: 0.0,
             jobs: BinaryHeap::new(),
-            count: 0,
+            added: 0,
         }
     }
 
@@ -69,52 +69,52 @@
         self.jobs.is_empty()
     }
 
-    fn pace(&self) -> f64 {
+    fn rate(&self) -> f64 {
         (self.capacity / self.jobs.len().max(1) as f64).clamp(1e-6, 1.0)
     }
 
     /// Goes on to `now`, before which nothing ends.
-    fn go(&mut self, now: Duration) {
-        self.served += now.saturating_sub(self.at).as_secs_f64() * self.pace();
-        self.at = self.at.max(now);
+    fn advance_to(&mut self, now: Duration) {
+        self.service_per_job += now.saturating_sub(self.updated_at).as_secs_f64() * self.rate();
+        self.updated_at = self.updated_at.max(now);
     }
 
     /// When the next transfer ends, as things stand.
-    pub fn next(&self) -> Option<Duration> {
+    pub fn next_end(&self) -> Option<Duration> {
         let first = self.jobs.peek()?;
-        let left = ((first.end - self.served) / self.pace()).clamp(0.0, 1e6);
-        Some(self.at + Duration::from_secs_f64(left))
+        let left = ((first.ends_at_service - self.service_per_job) / self.rate()).clamp(0.0, 1e6);
+        Some(self.updated_at + Duration::from_secs_f64(left))
     }
 
     /// The next that has ended by `now`, and when.
-    pub fn ended(&mut self, now: Duration) -> Option<(K, Duration)> {
-        let when = self.next().filter(|when| *when <= now)?;
-        self.go(when);
+    pub fn take_finished(&mut self, now: Duration) -> Option<(K, Duration)> {
+        let when = self.next_end().filter(|when| *when <= now)?;
+        self.advance_to(when);
         let job = self.jobs.pop()?;
-        self.served = self.served.max(job.end);
+        self.service_per_job = self.service_per_job.max(job.ends_at_service);
         Some((job.key, when))
     }
 
     /// A transfer of so many seconds at full pace. What has ended by `now` is to be taken out before.
     pub fn add(&mut self, now: Duration, key: K, work: f64) {
-        self.go(now);
-        self.count += 1;
+        self.advance_to(now);
+        self.added += 1;
         self.jobs.push(Job {
-            end: self.served + work.max(0.0),
-            order: self.count,
+            ends_at_service: self.service_per_job + work.max(0.0),
+            sequence: self.added,
             key,
         });
     }
 
     /// The capacity is another from now on.
-    pub fn set(&mut self, now: Duration, capacity: f64) {
-        self.go(now);
+    pub fn set_capacity(&mut self, now: Duration, capacity: f64) {
+        self.advance_to(now);
         self.capacity = capacity;
     }
 
     /// Drops what does not pass, and returns it.
-    pub fn drop_but(&mut self, now: Duration, keep: impl Fn(&K) -> bool) -> Vec<K> {
-        self.go(now);
+    pub fn remove_unless(&mut self, now: Duration, keep: impl Fn(&K) -> bool) -> Vec<K> {
+        self.advance_to(now);
         let (kept, dropped): (Vec<_>, Vec<_>) = self.jobs.drain().partition(|job| keep(&job.key));
         self.jobs = kept.into();
         dropped.into_iter().map(|job| job.key).collect()
--- a/crates/harness/src/report.rs
+++ b/crates/harness/src/report.rs
@@ -1,6 +1,6 @@
 //! What a play showed: one line of figures, JSON, and one self-contained page of plots.
 
-use crate::play::{Must, Play};
+use crate::play::{Play, Requirements};
 use crate::run::Shown;
 use plotters::prelude::*;
 use serde_json::{Value, json};
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 /// What fell short of what must hold, in words; the rules always must.
-pub fn short(shown: &Shown, must: &Must) -> Vec<String> {
+pub fn short(shown: &Shown, must: &Requirements) -> Vec<String> {
     let mut found = Vec::new();
     let breaks = shown.breaks;
     if breaks.all() > 0 {
@@ -109,11 +109,11 @@
         ("bytes_s", three(shown.bytes_s())),
         (
             "p50_ms",
-            shown.answers_ms.value_at_quantile(0.5).to_string(),
+            shown.response_ms.value_at_quantile(0.5).to_string(),
         ),
         (
             "p99_ms",
-            shown.answers_ms.value_at_quantile(0.99).to_string(),
+            shown.response_ms.value_at_quantile(0.99).to_string(),
         ),
         ("retries", shown.retries.to_string()),
         ("datagrams", shown.datagrams.datagrams.to_string()),
@@ -126,7 +126,7 @@
         ("crashed", shown.crashed.to_string()),
         (
             "late_p99_ms",
-            shown.late_ms.value_at_quantile(0.99).to_string(),
+            shown.timer_delay_ms.value_at_quantile(0.99).to_string(),
         ),
     ]
 }
@@ -149,8 +149,8 @@
         .seconds
         .iter()
         .map(|s| {
-            json!({"asked": s.asked, "earned": s.earned, "declined": s.rejected, "failed": s.failed,
-                "opened": s.opened, "executions": s.attempts, "fills": s.fills})
+            json!({"asked": s.requested, "earned": s.earned, "declined": s.rejected, "failed": s.failed,
+                "opened": s.connections_opened, "executions": s.attempts, "fills": s.fills})
         })
         .collect();
     let events: Vec<Value> = shown
@@ -162,7 +162,7 @@
         "words": shown.words})
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
 const SIZE: (u32, u32) = (960, 300);
 
@@ -172,10 +172,10 @@
     title: &str,
     lines: &[(&str, Vec<f64>, RGBColor)],
     text: &mut String,
-) -> Drawn {
+) -> DrawResult {
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let seconds = shown.loads.first().map_or(1, Vec::len).max(1);
+    let seconds = shown.server_loads.first().map_or(1, Vec::len).max(1);
     let most = lines
         .iter()
         .flat_map(|(_, values, _)| values.iter().take(seconds).copied())
@@ -220,12 +220,12 @@
 }
 
 /// Load of every cache by second: white is idle, red more than it can do.
-fn heat(shown: &Shown, text: &mut String) -> Drawn {
-    let mut rows: Vec<usize> = (0..shown.places.len())
-        .filter(|n| shown.places[*n].zone != usize::MAX)
+fn heat(shown: &Shown, text: &mut String) -> DrawResult {
+    let mut rows: Vec<usize> = (0..shown.server_records.len())
+        .filter(|n| shown.server_records[*n].zone != usize::MAX)
         .collect();
-    rows.sort_by_key(|n| (shown.places[*n].zone, *n));
-    let seconds = shown.loads.first().map_or(1, Vec::len).max(1);
+    rows.sort_by_key(|n| (shown.server_records[*n].zone, *n));
+    let seconds = shown.server_loads.first().map_or(1, Vec::len).max(1);
     let area =
         SVGBackend::with_string(text, (SIZE.0, 60 + 9 * rows.len() as u32)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -245,7 +245,7 @@
         .x_desc("seconds")
         .draw()?;
     for (row, server) in rows.iter().enumerate() {
-        for (second, load) in shown.loads[*server].iter().enumerate() {
+        for (second, load) in shown.server_loads[*server].iter().enumerate() {
             let over = load.min(1.5) / 1.5;
             let color = HSLColor(0.6 - 0.6 * over, 0.8, 1.0 - 0.5 * over.sqrt());
             let (x, y) = (second as f64, row as f64);
@@ -277,18 +277,18 @@
 /// # Errors
 /// Of the drawing, in words.
 pub fn html(name: &str, play: &Play, shown: &Shown, short: &[String]) -> Result<String, String> {
-    let of = |get: &dyn Fn(&crate::run::Second) -> f64| {
+    let of = |get: &dyn Fn(&crate::run::SecondTotals) -> f64| {
         shown.seconds.iter().map(get).collect::<Vec<f64>>()
     };
     let service = of(&|s| {
-        if s.asked > 0.0 {
-            s.earned / s.asked
+        if s.requested > 0.0 {
+            s.earned / s.requested
         } else {
             0.0
         }
     });
     let mut plots = vec![String::new(); 4];
-    let draw = |plots: &mut [String]| -> Drawn {
+    let draw = |plots: &mut [String]| -> DrawResult {
         series(
             shown,
             "service (value earned over asked for)",
@@ -305,7 +305,11 @@
         )?;
         let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
         let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
-        let opened = ("connections opened", of(&|s| s.opened as f64), RED);
+        let opened = (
+            "connections opened",
+            of(&|s| s.connections_opened as f64),
+            RED,
+        );
         series(
             shown,
             "attempts and connections opened, a second",
@@ -336,7 +340,7 @@
     let _ = write!(
         page,
         "<p>{} routers, {} servers, {} requests a second for {:?}, seed {}.</p><table>",
-        shown.routers, shown.servers, play.work.rate, play.work.lasts, shown.seed
+        shown.routers, shown.servers, play.work.requests_per_s, play.work.duration, shown.seed
     );
     for (name, value) in figures(shown) {
         let _ = write!(page, "<tr><td>{name}<td>{value}");
--- a/crates/harness/src/run.rs
+++ b/crates/harness/src/run.rs
@@ -2,26 +2,26 @@
 //! processes. One thread does all of it, so the run says how late its own turns came, and is void where they
 //! came too late.
 
-mod asking;
+mod clients;
+mod discovery;
 mod faults;
-mod opening;
-mod shown;
-mod telling;
+mod results;
+mod startup;
 
 use crate::children::{self, Program, Router, Starter};
-use crate::even::{self, Place};
-use crate::net::{Carried, Net, Weather};
-use crate::places::{Kept, Places};
+use crate::datagram_relay::{DatagramCounters, DatagramFaults, DatagramRelay};
+use crate::invariants::Breaks;
+use crate::load_balance::{self, ServerRecord};
 use crate::play::{Fault, Play};
-use crate::truth::{Ask, Said, Standing, Tier, Truth, Word};
-use crate::watch::Breaks;
-use crate::ways::{self, Ways};
-use crate::wire::{self, Asked, Door, Event, Events, Request};
-use crate::work::{self, Arrival};
+use crate::server_model::{Attempt, ListStatus, Reply, ReplyCode, ServerModel, Tier};
+use crate::wire::{self, AttemptMessage, Event, Events, Request, ServerListener};
+use crate::workload::{self, Arrival};
+use crate::zone_metrics::{ZoneMetrics, ZoneValue};
+use crate::zone_network::{self, ZoneNetwork};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use opening::Dir;
 use serde_json::Value;
+use startup::TempDir;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
@@ -31,19 +31,19 @@
 use tokio::time::sleep_until;
 
 /// A run whose own turns came later than this, at the 99th percentile, is void.
-const LATE_MOST: Duration = Duration::from_millis(60);
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
 /// Routers are started so many at a time.
-const WAVE: usize = 25;
-const READY_WITHIN: Duration = Duration::from_secs(30);
+const START_BATCH: usize = 25;
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// The front notices after this that a router is gone, and looks so often whether it is back.
-const FRONT_LOOKS: Duration = Duration::from_millis(300);
+const FRONT_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// A client that is not told when, or does not heed it, comes back after up to this.
-const BACK_WITHIN: Duration = Duration::from_millis(300);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// The value of an answer after the soft deadline.
 const LATE_VALUE: f64 = 0.2;
-const DISCOVERY_BEAT: Duration = Duration::from_secs(1);
+const DISCOVERY_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// What a client asks of the widest router it may ask.
-const OPEN_MOST: usize = 30;
+const MAX_OPEN_PER_CONNECTION: usize = 30;
 
 /// How a play is to be played.
 #[derive(Clone, Debug)]
@@ -58,13 +58,13 @@
 
 /// What came of a request, second by second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Second {
-    pub asked: f64,
+pub struct SecondTotals {
+    pub requested: f64,
     /// Value earned by what began in this second.
     pub earned: f64,
     pub rejected: u64,
     pub failed: u64,
-    pub opened: u64,
+    pub connections_opened: u64,
     pub attempts: u64,
     pub fills: u64,
 }
@@ -75,32 +75,32 @@
     pub seed: u64,
     pub routers: usize,
     pub servers: usize,
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondTotals>,
     /// Value earned over value asked for, from the lead on.
     pub service: f64,
     /// The same from when it is measured again after the last fault.
     pub service_after: f64,
-    pub even: BTreeMap<&'static str, even::Even>,
+    pub even: BTreeMap<&'static str, load_balance::LoadBalance>,
     pub herd: f64,
     pub breaks: Breaks,
     pub words: Vec<String>,
-    pub places: Vec<Place>,
-    pub loads: Vec<Vec<f64>>,
+    pub server_records: Vec<ServerRecord>,
+    pub server_loads: Vec<Vec<f64>>,
     /// The highest share of what pushes it over that any cold server was sent.
     pub strain: f64,
     pub hit_share: f64,
-    pub answers_ms: Histogram<u64>,
-    pub late_ms: Histogram<u64>,
+    pub response_ms: Histogram<u64>,
+    pub timer_delay_ms: Histogram<u64>,
     pub void: Option<String>,
     pub crashed: usize,
-    pub datagrams: Carried,
+    pub datagrams: DatagramCounters,
     pub events: Vec<(Duration, String)>,
     pub retries: u64,
     pub measured_from: Duration,
     /// What became of the zones' requests.
-    pub of_places: Places,
+    pub of_places: ZoneMetrics,
     /// From the first router's start to the end.
-    pub lasted: Duration,
+    pub elapsed: Duration,
 }
 
 impl Shown {
@@ -108,122 +108,122 @@
     pub fn bytes_s(&self) -> f64 {
         self.datagrams.bytes as f64
             / self.routers.max(1) as f64
-            / self.lasted.as_secs_f64().max(1.0)
+            / self.elapsed.as_secs_f64().max(1.0)
     }
 }
 
-struct Process {
+struct RouterState {
     zone: usize,
     group: usize,
     listen: SocketAddr,
     child: Option<Router>,
     /// The front sends clients here.
-    up: bool,
-    links: Vec<mpsc::Sender<Request>>,
-    open: usize,
-    turn: usize,
+    receives_clients: bool,
+    connections: Vec<mpsc::Sender<Request>>,
+    open_requests: usize,
+    next_connection: usize,
     discovery: Option<mpsc::Sender<Bytes>>,
     /// Events told, and when the next is due.
-    told: usize,
-    life: u32,
-    since: Duration,
+    events_sent: usize,
+    incarnation: u32,
+    started_at: Duration,
     /// When it was killed (true) or asked to end.
-    gone: Option<(Duration, bool)>,
+    stopped: Option<(Duration, bool)>,
     config: PathBuf,
 }
 
-impl Process {
+impl RouterState {
     /// It owes an answer to what began then.
-    fn owes(&self, begun: Duration) -> bool {
-        match self.gone {
-            None => begun >= self.since,
-            Some((at, killed)) => !killed && begun < at,
+    fn must_answer(&self, request_started: Duration) -> bool {
+        match self.stopped {
+            None => request_started >= self.started_at,
+            Some((at, killed)) => !killed && request_started < at,
         }
     }
 }
 
 /// An event of discovery: what changed.
-enum Notice {
+enum DiscoveryChange {
     Servers(Vec<usize>),
     Purge(u64, u64),
 }
 
-struct Noted {
-    notice: Notice,
+struct DiscoveryEvent {
+    change: DiscoveryChange,
     at: Duration,
     /// As it was when told: standing by server.
-    standings: Vec<(usize, Standing, Option<Duration>)>,
+    statuses: Vec<(usize, ListStatus, Option<Duration>)>,
 }
 
 /// What a client wants, over all its tries.
-struct Want {
+struct ClientRequest {
     arrival: Arrival,
-    due: Duration,
-    tries: usize,
+    deadline: Duration,
+    attempts: usize,
     done: bool,
 }
 
 enum Timer {
     Arrive(usize),
-    Again(usize),
-    Begin(usize),
-    End(usize),
-    Step(usize, Vec<usize>),
-    Beat,
-    Look(usize),
-    Start(usize),
-    Tell(usize),
-    Lie(usize),
+    Retry(usize),
+    FaultStart(usize),
+    FaultEnd(usize),
+    FaultStep(usize, Vec<usize>),
+    DiscoveryHeartbeat,
+    CheckRouter(usize),
+    StartRouter(usize),
+    SendDiscovery(usize),
+    SendForged(usize),
     /// Something has come over the ways, to a server; and from one to a connection.
-    Come(Box<Event>),
-    Say(u64, Bytes),
+    DeliverEvent(Box<Event>),
+    DeliverReply(u64, Bytes),
 }
 
-struct World {
+struct Runner {
     play: Play,
-    began: Instant,
-    chance: fastrand::Rng,
-    truth: Truth,
-    doors: Vec<Vec<Door>>,
-    places: Vec<Place>,
-    at: String,
-    numbers: watch::Sender<u64>,
+    started_at: Instant,
+    rng: fastrand::Rng,
+    model: ServerModel,
+    listeners: Vec<Vec<ServerListener>>,
+    server_records: Vec<ServerRecord>,
+    server_address: String,
+    connection_ids: watch::Sender<u64>,
     events: Events,
     connections: HashMap<u64, (usize, usize, mpsc::Sender<Bytes>)>,
-    names: HashMap<String, usize>,
-    routers: Vec<Process>,
-    net: Net,
-    ways: Option<Ways>,
+    server_numbers: HashMap<String, usize>,
+    routers: Vec<RouterState>,
+    relay: DatagramRelay,
+    network: Option<ZoneNetwork>,
     /// By connection: when the last bytes each way came, since none overtake others.
-    lately: HashMap<u64, [Duration; 2]>,
-    kept: Kept,
-    weather: watch::Sender<Weather>,
-    noted: Vec<Noted>,
-    lists_late: Duration,
-    lists_doubled: bool,
-    lists_cut: bool,
+    last_delivery: HashMap<u64, [Duration; 2]>,
+    zone_value: ZoneValue,
+    datagram_faults: watch::Sender<DatagramFaults>,
+    discovery_events: Vec<DiscoveryEvent>,
+    discovery_delay: Duration,
+    discovery_duplicated: bool,
+    discovery_interrupted: bool,
     settings: Value,
-    dir: PathBuf,
+    temp_dir: PathBuf,
     setup: Setup,
     starter: Starter,
     arrivals: Vec<Arrival>,
-    wants: Vec<Want>,
+    requests: Vec<ClientRequest>,
     /// By the id of a try: which want, and which router.
-    tries: HashMap<u64, (usize, usize)>,
+    attempts: HashMap<u64, (usize, usize)>,
     last_id: u64,
-    timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    due: HashMap<u64, Timer>,
+    timer_queue: BinaryHeap<Reverse<(Duration, u64)>>,
+    pending_timers: HashMap<u64, Timer>,
     last_timer: u64,
-    struck: HashMap<usize, Vec<usize>>,
-    seconds: Vec<Second>,
-    answers: Histogram<u64>,
-    late: Histogram<u64>,
-    told: Vec<(Duration, String)>,
-    joined: Vec<(Duration, usize)>,
+    fault_targets: HashMap<usize, Vec<usize>>,
+    seconds: Vec<SecondTotals>,
+    response_times: Histogram<u64>,
+    timer_delays: Histogram<u64>,
+    event_log: Vec<(Duration, String)>,
+    joins: Vec<(Duration, usize)>,
     retries: u64,
-    strain: f64,
+    overload_ratio: f64,
     crashed: usize,
-    spare: usize,
+    added_servers: usize,
 }
 
 /// Plays it.
@@ -235,114 +235,117 @@
     if !senseless.is_empty() {
         return Err(senseless.join("; "));
     }
-    children::reckon(play.fleet.routers)?;
-    let dir = Dir::new()?;
-    let (events, mailbox) = mpsc::channel(wire::EVENTS_MOST);
-    let mut world = World::open(play.clone(), setup, dir.0.clone(), events).await?;
-    let (carried, carry) = watch::channel(Carried::default());
-    world.net.run(&world.weather.subscribe(), &carried);
+    children::check_machine_limits(play.fleet.routers)?;
+    let dir = TempDir::new()?;
+    let (events, mailbox) = mpsc::channel(wire::EVENT_QUEUE_LIMIT);
+    let mut runner = Runner::open(play.clone(), setup, dir.0.clone(), events).await?;
+    let (carried, carry) = watch::channel(DatagramCounters::default());
+    runner
+        .relay
+        .start(&runner.datagram_faults.subscribe(), &carried);
     let mut mailbox = mailbox;
-    world.start_all(&mut mailbox).await?;
-    world.run(&mut mailbox).await;
-    world.end(&mut mailbox).await;
+    runner.start_all(&mut mailbox).await?;
+    runner.run_timeline(&mut mailbox).await;
+    runner.stop_routers(&mut mailbox).await;
     let carried = *carry.borrow();
-    Ok(world.shown(carried))
+    Ok(runner.into_results(carried))
 }
 
-impl World {
+impl Runner {
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn after(&mut self, at: Duration, timer: Timer) {
+    fn schedule(&mut self, at: Duration, timer: Timer) {
         self.last_timer += 1;
-        self.due.insert(self.last_timer, timer);
-        self.timers.push(Reverse((at, self.last_timer)));
+        self.pending_timers.insert(self.last_timer, timer);
+        self.timer_queue.push(Reverse((at, self.last_timer)));
     }
 
-    fn tell(&mut self, what: String) {
+    fn log_event(&mut self, what: String) {
         let now = self.now();
-        self.told.push((now, what));
+        self.event_log.push((now, what));
     }
 
     // Routers.
 
     // What happens.
 
-    async fn run(&mut self, mailbox: &mut mpsc::Receiver<Event>) {
+    async fn run_timeline(&mut self, mailbox: &mut mpsc::Receiver<Event>) {
         // The play's time begins now; servers that have run for long have run for longer.
-        let shift = self.now();
-        self.began = Instant::now();
-        self.truth.restart(shift);
-        self.noted
+        let startup_time = self.now();
+        self.started_at = Instant::now();
+        self.model.reset_clock(startup_time);
+        self.discovery_events
             .iter_mut()
             .for_each(|noted| noted.at = Duration::ZERO);
         let faults = self.play.faults.clone();
         faults
             .iter()
             .enumerate()
-            .for_each(|(n, fault)| self.after(fault.at, Timer::Begin(n)));
+            .for_each(|(n, fault)| self.schedule(fault.start, Timer::FaultStart(n)));
         if !self.arrivals.is_empty() {
-            self.after(self.arrivals[0].at, Timer::Arrive(0));
+            self.schedule(self.arrivals[0].at, Timer::Arrive(0));
         }
-        self.after(DISCOVERY_BEAT, Timer::Beat);
-        let end = self.play.work.lasts + self.play.work.patience + Duration::from_millis(500);
-        let bar = self.bar("playing", end.as_secs() as usize);
+        self.schedule(DISCOVERY_HEARTBEAT_INTERVAL, Timer::DiscoveryHeartbeat);
+        let end =
+            self.play.work.duration + self.play.work.client_timeout + Duration::from_millis(500);
+        let progress = self.progress_bar("playing", end.as_secs() as usize);
         loop {
             let now = self.now();
             if now >= end {
                 break;
             }
-            bar.set_position(now.as_secs());
+            progress.set_position(now.as_secs());
             while let Some(Reverse((at, number))) = self
-                .timers
+                .timer_queue
                 .peek()
                 .copied()
                 .filter(|Reverse((at, _))| *at <= now)
             {
-                self.timers.pop();
-                let late = self.now().saturating_sub(at);
-                let _ = self.late.record(late.as_millis() as u64);
-                if let Some(timer) = self.due.remove(&number) {
-                    self.timer(timer);
+                self.timer_queue.pop();
+                let delay = self.now().saturating_sub(at);
+                let _ = self.timer_delays.record(delay.as_millis() as u64);
+                if let Some(timer) = self.pending_timers.remove(&number) {
+                    self.handle_timer(timer);
                 }
             }
-            self.answer();
-            let timer = self.timers.peek().map(|Reverse((at, _))| *at);
+            self.send_replies();
+            let timer = self.timer_queue.peek().map(|Reverse((at, _))| *at);
             let next = timer
                 .into_iter()
-                .chain(self.truth.next())
+                .chain(self.model.next_event())
                 .chain([end])
                 .min()
                 .unwrap_or(end);
-            let next = tokio::time::Instant::from_std(self.began + next);
-            let mut come = tokio::select! {
+            let next = tokio::time::Instant::from_std(self.started_at + next);
+            let mut received = tokio::select! {
                 biased;
                 event = mailbox.recv() => event,
                 () = sleep_until(next) => None,
             };
-            while let Some(event) = come.take() {
-                self.take(event);
-                come = mailbox.try_recv().ok();
+            while let Some(event) = received.take() {
+                self.deliver_event(event);
+                received = mailbox.try_recv().ok();
             }
         }
-        bar.finish_and_clear();
+        progress.finish_and_clear();
     }
 
     /// What servers say by now.
-    fn answer(&mut self) {
+    fn send_replies(&mut self) {
         let now = self.now();
-        for said in self.truth.said(now) {
-            let Some((server, group, out)) = self.connections.get(&said.connection) else {
+        for reply in self.model.replies_until(now) {
+            let Some((server, group, out)) = self.connections.get(&reply.connection) else {
                 continue;
             };
-            let at = &self.truth.servers[*server];
-            if at.down || at.silent {
+            let state = &self.model.servers[*server];
+            if state.is_down || state.is_silent {
                 continue;
             }
-            let (server, group, bytes) = (*server, *group, self.worded(&said));
-            if self.ways.is_some() {
-                self.over(now, said.connection, server, group, bytes);
+            let (server, group, bytes) = (*server, *group, self.encode_reply(&reply));
+            if self.network.is_some() {
+                self.send_over_network(now, reply.connection, server, group, bytes);
             } else {
                 let _ = out.try_send(bytes);
             }
@@ -350,8 +353,8 @@
     }
 
     /// Where a server stands, among the ways.
-    fn place(&self, server: usize) -> usize {
-        if let Tier::Cache(at) = self.truth.servers[server].tier {
+    fn network_node(&self, server: usize) -> usize {
+        if let Tier::Cache(at) = self.model.servers[server].tier {
             at
         } else {
             self.play.fleet.zones
@@ -359,72 +362,83 @@
     }
 
     /// When bytes that leave now come: not before those that left before. A cut holds them.
-    fn comes(
+    fn delivery_time(
         &mut self,
         now: Duration,
         connection: u64,
-        back: bool,
+        is_reply: bool,
         from: usize,
         to: usize,
     ) -> Option<Duration> {
-        let takes = self.ways.as_ref()?.takes(from, to, &mut self.chance);
-        let last = self.lately.entry(connection).or_default();
-        let at = (now + takes.unwrap_or(ways::AGAIN)).max(last[usize::from(back)]);
-        last[usize::from(back)] = at;
-        Some(at)
+        let delay = self.network.as_ref()?.delay(from, to, &mut self.rng);
+        let last = self.last_delivery.entry(connection).or_default();
+        let arrives_at = (now + delay.unwrap_or(zone_network::RETRANSMIT_DELAY))
+            .max(last[usize::from(is_reply)]);
+        last[usize::from(is_reply)] = arrives_at;
+        Some(arrives_at)
     }
 
     /// Bytes from a server go over the way to its router's zone.
-    fn over(&mut self, now: Duration, connection: u64, server: usize, group: usize, bytes: Bytes) {
-        let from = self.place(server);
-        if let Some(at) = self.comes(now, connection, true, from, group) {
-            self.after(at, Timer::Say(connection, bytes));
+    fn send_over_network(
+        &mut self,
+        now: Duration,
+        connection: u64,
+        server: usize,
+        group: usize,
+        bytes: Bytes,
+    ) {
+        let from = self.network_node(server);
+        if let Some(arrives_at) = self.delivery_time(now, connection, true, from, group) {
+            self.schedule(arrives_at, Timer::DeliverReply(connection, bytes));
         }
     }
 
-    fn worded(&self, said: &Said) -> Bytes {
+    fn encode_reply(&self, reply: &Reply) -> Bytes {
         let mut fields = Vec::new();
-        if !said.tell.is_empty() {
-            fields.push(format!("tell={}", said.tell));
+        if !reply.note.is_empty() {
+            fields.push(format!("tell={}", reply.note));
         }
-        let ok = said.word == Word::Ok;
+        let ok = reply.code == ReplyCode::Ok;
         if ok {
-            let made = said.made;
-            fields.push(format!("etag={:016x},made={made}", made ^ said.key.0));
+            let created_ms = reply.created_ms;
+            fields.push(format!(
+                "etag={:016x},made={created_ms}",
+                created_ms ^ reply.key.0
+            ));
         }
-        if let Some(waited) = said.waited {
-            fields.push(format!("ttfb={}", waited.as_millis()));
+        if let Some(ttfb) = reply.source_ttfb {
+            fields.push(format!("ttfb={}", ttfb.as_millis()));
         }
         let fields = if fields.is_empty() {
             "-".to_owned()
         } else {
             fields.join(",")
         };
-        let kb = work::size(said.key.0, self.play.work.kb);
+        let kb = workload::object_kb(reply.key.0, self.play.work.mean_object_kb);
         let body = if ok {
-            wire::body(said.key, said.made, kb)
+            wire::encode_body(reply.key, reply.created_ms, kb)
         } else {
             Vec::new()
         };
         let head = format!(
             "{:016x} {} {fields} {}\r\n",
-            said.id,
-            said.word.text(),
+            reply.id,
+            reply.code.text(),
             body.len()
         );
         Bytes::from([head.as_bytes(), &body, b"\r\n"].concat())
     }
 
-    fn second(&mut self, at: Duration) -> &mut Second {
+    fn second_at(&mut self, at: Duration) -> &mut SecondTotals {
         let last = self.seconds.len() - 1;
         &mut self.seconds[(at.as_secs() as usize).min(last)]
     }
 
     /// What comes to a server from another zone takes the time of its way.
-    fn take(&mut self, event: Event) {
+    fn deliver_event(&mut self, event: Event) {
         let now = self.now();
         let (connection, server, group) = match &event {
-            Event::Asked {
+            Event::AttemptMessage {
                 connection,
                 server,
                 group,
@@ -442,16 +456,16 @@
                 };
                 (*connection, *server, *group)
             }
-            _ => return self.come(event),
+            _ => return self.handle_event(event),
         };
-        let to = self.place(server);
-        match self.comes(now, connection, false, group, to) {
-            Some(at) => self.after(at, Timer::Come(Box::new(event))),
-            None => self.come(event),
+        let to = self.network_node(server);
+        match self.delivery_time(now, connection, false, group, to) {
+            Some(at) => self.schedule(at, Timer::DeliverEvent(Box::new(event))),
+            None => self.handle_event(event),
         }
     }
 
-    fn come(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::Noop {
@@ -460,13 +474,14 @@
                 group,
                 tag,
             } => {
-                let at = &self.truth.servers[server];
-                if at.down || at.silent || at.apart.get(group) == Some(&true) {
+                let at = &self.model.servers[server];
+                if at.is_down || at.is_silent || at.unreachable_from_group.get(group) == Some(&true)
+                {
                     return;
                 }
                 let bytes = Bytes::from(format!("{tag} UP - 0\r\n\r\n"));
-                if self.ways.is_some() {
-                    self.over(now, connection, server, group, bytes);
+                if self.network.is_some() {
+                    self.send_over_network(now, connection, server, group, bytes);
                 } else if let Some((_, _, out)) = self.connections.get(&connection) {
                     let _ = out.try_send(bytes);
                 }
@@ -477,135 +492,154 @@
                 group,
                 out,
             } => {
-                self.second(now).opened += 1;
-                if !self.truth.servers[server].down {
+                self.second_at(now).connections_opened += 1;
+                if !self.model.servers[server].is_down {
                     self.connections.insert(connection, (server, group, out));
                 }
             }
-            Event::Asked {
+            Event::AttemptMessage {
                 connection,
                 server,
                 group,
-                asked,
-            } => self.asked(now, connection, server, group, *asked),
-            Event::Quit { connection, id } => self.truth.quit(connection, Some(id)),
+                message,
+            } => self.handle_attempt(now, connection, server, group, *message),
+            Event::Quit { connection, id } => self.model.cancel(connection, Some(id)),
             Event::Closed { connection } => {
                 self.connections.remove(&connection);
-                self.lately.remove(&connection);
-                self.truth.quit(connection, None);
+                self.last_delivery.remove(&connection);
+                self.model.cancel(connection, None);
             }
-            Event::Nonsense { what } => {
-                self.truth.watch.breaks.strange += 1;
-                self.truth.watch.words.push(what);
+            Event::Malformed { description } => {
+                self.model.invariants.breaks.strange += 1;
+                self.model.invariants.descriptions.push(description);
             }
-            Event::Watching { router, after, out } => {
+            Event::DiscoverySubscribed { router, after, out } => {
                 // Told events stay told; what was lost with the last connection is told again.
                 self.routers[router].discovery = Some(out);
-                self.routers[router].told = self.routers[router].told.min(after as usize);
-                if self.lists_late.is_zero() {
-                    self.tell_router(router);
+                self.routers[router].events_sent =
+                    self.routers[router].events_sent.min(after as usize);
+                if self.discovery_delay.is_zero() {
+                    self.send_discovery_events(router);
                 }
             }
-            Event::Started {
+            Event::RouterStarted {
                 router,
-                life,
+                incarnation,
                 child,
             } => match child {
-                Ok(child) if life == self.routers[router].life => {
+                Ok(child) if incarnation == self.routers[router].incarnation => {
                     self.routers[router].child = Some(child)
                 }
                 Ok(child) => self.starter.kill(child),
                 Err(what) => {
-                    self.tell(what);
+                    self.log_event(what);
                     self.crashed += 1;
                 }
             },
-            Event::Answered { id, answer } => self.answered(now, id, answer),
-            Event::Broke {
+            Event::Responded { id, answer } => self.handle_response(now, id, answer),
+            Event::ConnectionLost {
                 router,
                 ids,
                 refused,
-            } => self.broke(now, router, ids, refused),
+            } => self.handle_connection_lost(now, router, ids, refused),
         }
     }
 
-    fn asked(&mut self, now: Duration, connection: u64, server: usize, group: usize, asked: Asked) {
-        let source = asked
+    fn handle_attempt(
+        &mut self,
+        now: Duration,
+        connection: u64,
+        server: usize,
+        group: usize,
+        message: AttemptMessage,
+    ) {
+        let source = message
             .source
             .as_ref()
-            .map(|name| self.names.get(name).copied());
+            .map(|name| self.server_numbers.get(name).copied());
         if source == Some(None) {
-            self.truth.watch.breaks.strange += 1;
+            self.model.invariants.breaks.strange += 1;
             return;
         }
         let source = source.flatten();
-        let Some(router) = self.truth.watch.comes(now, asked.id, server, source) else {
+        let Some(router) = self
+            .model
+            .invariants
+            .attempt_arrived(now, message.id, server, source)
+        else {
             return;
         };
-        self.second(now).attempts += 1;
-        self.second(now).fills += u64::from(source.is_some());
-        let at = &self.truth.servers[server];
-        if at.down || at.silent || at.apart.get(group) == Some(&true) {
+        self.second_at(now).attempts += 1;
+        self.second_at(now).fills += u64::from(source.is_some());
+        let state = &self.model.servers[server];
+        if state.is_down
+            || state.is_silent
+            || state.unreachable_from_group.get(group) == Some(&true)
+        {
             return;
         }
-        if at.resets > 0.0 && self.chance.f64() < at.resets {
+        if state.reset_share > 0.0 && self.rng.f64() < state.reset_share {
             self.connections.remove(&connection);
             return;
         }
-        let fresh = self.play.work.fresh.as_millis() as u64;
-        self.truth.ask(
+        let default_max_age = self.play.work.max_age.as_millis() as u64;
+        self.model.receive(
             now,
             server,
-            Ask {
+            Attempt {
                 connection,
                 router,
-                id: asked.id,
-                key: asked.key,
-                kb: work::size(asked.key.0, self.play.work.kb),
-                write: asked.class == "confirm",
+                id: message.id,
+                key: message.key,
+                kb: workload::object_kb(message.key.0, self.play.work.mean_object_kb),
+                write: message.class == "confirm",
                 source,
-                keep: asked.keep,
-                oldest: Duration::from_millis(asked.oldest_ms.unwrap_or(fresh)),
-                only_held: asked.only_held,
-                parent_keeps: asked.parent_keeps,
+                priority: message.priority,
+                max_age: Duration::from_millis(message.max_age_ms.unwrap_or(default_max_age)),
+                only_if_cached: message.only_if_cached,
+                store_at_parent: message.store_at_parent,
             },
         );
         for end in [Some(server), source].into_iter().flatten() {
-            let at = &self.truth.servers[end];
-            if at.cold(now, self.truth.warmth) {
-                self.strain = self.strain.max(self.truth.strain(now, end));
+            let state = &self.model.servers[end];
+            if state.is_cold(now, self.model.slow_start) {
+                self.overload_ratio = self.overload_ratio.max(self.model.overload_ratio(now, end));
             }
         }
     }
 
-    fn timer(&mut self, timer: Timer) {
+    fn handle_timer(&mut self, timer: Timer) {
         let now = self.now();
         match timer {
             Timer::Arrive(n) => {
                 let arrival = self.arrivals[n];
                 if let Some(next) = self.arrivals.get(n + 1) {
-                    self.after(next.at, Timer::Arrive(n + 1));
+                    self.schedule(next.at, Timer::Arrive(n + 1));
                 }
-                self.second(arrival.at).asked += 1.0;
-                self.kept
-                    .asked(arrival.router % self.play.fleet.zones, arrival.at);
-                let due = arrival.at + self.play.work.patience;
-                self.wants.push(Want {
+                self.second_at(arrival.at).requested += 1.0;
+                self.zone_value
+                    .record_requested(arrival.router % self.play.fleet.zones, arrival.at);
+                let deadline = arrival.at + self.play.work.client_timeout;
+                self.requests.push(ClientRequest {
                     arrival,
-                    due,
-                    tries: 0,
+                    deadline,
+                    attempts: 0,
                     done: false,
                 });
-                self.try_it(self.wants.len() - 1);
+                self.send_attempt(self.requests.len() - 1);
             }
-            Timer::Again(want) => self.try_it(want),
-            Timer::Begin(n) => self.begin(n),
-            Timer::End(n) => self.ends(n),
-            Timer::Step(n, whom) => self.step(n, whom),
-            Timer::Beat => {
-                let line = Bytes::from(format!("{}\n", self.noted.len()));
-                for process in self.routers.iter().filter(|p| p.told == self.noted.len()) {
-                    process
+            Timer::Retry(request) => self.send_attempt(request),
+            Timer::FaultStart(n) => self.start_fault(n),
+            Timer::FaultEnd(n) => self.end_fault(n),
+            Timer::FaultStep(n, targets) => self.step_fault(n, targets),
+            Timer::DiscoveryHeartbeat => {
+                let line = Bytes::from(format!("{}\n", self.discovery_events.len()));
+                for router in self
+                    .routers
+                    .iter()
+                    .filter(|p| p.events_sent == self.discovery_events.len())
+                {
+                    router
                         .discovery
                         .iter()
                         .for_each(|discovery| drop(discovery.try_send(line.clone())));
@@ -621,76 +655,90 @@
                         self.crashed += 1;
                     }
                 }
-                self.after(now + DISCOVERY_BEAT, Timer::Beat);
+                self.schedule(
+                    now + DISCOVERY_HEARTBEAT_INTERVAL,
+                    Timer::DiscoveryHeartbeat,
+                );
             }
-            Timer::Look(router) => {
+            Timer::CheckRouter(router) => {
                 let listen = self.routers[router].listen;
                 if std::net::TcpStream::connect_timeout(&listen, Duration::from_millis(20)).is_ok()
                 {
-                    self.routers[router].up = true;
+                    self.routers[router].receives_clients = true;
                 } else {
-                    self.after(now + FRONT_LOOKS, Timer::Look(router));
+                    self.schedule(now + FRONT_CHECK_INTERVAL, Timer::CheckRouter(router));
                 }
             }
-            Timer::Start(router) => {
+            Timer::StartRouter(router) => {
                 if self.routers[router].child.is_none()
-                    && let Err(what) = self.start(router)
+                    && let Err(what) = self.start_router(router)
                 {
-                    self.tell(what);
+                    self.log_event(what);
                     self.crashed += 1;
                 }
             }
-            Timer::Tell(router) => self.tell_router(router),
-            Timer::Come(event) => {
+            Timer::SendDiscovery(router) => self.send_discovery_events(router),
+            Timer::DeliverEvent(event) => {
                 let held = match &*event {
-                    Event::Asked { server, group, .. } | Event::Noop { server, group, .. } => {
-                        let to = self.place(*server);
-                        self.ways.as_ref().is_some_and(|ways| ways.cut[*group][to])
+                    Event::AttemptMessage { server, group, .. }
+                    | Event::Noop { server, group, .. } => {
+                        let to = self.network_node(*server);
+                        self.network
+                            .as_ref()
+                            .is_some_and(|ways| ways.is_cut[*group][to])
                     }
                     _ => false,
                 };
                 if held {
-                    self.after(now + ways::AGAIN, Timer::Come(event))
+                    self.schedule(
+                        now + zone_network::RETRANSMIT_DELAY,
+                        Timer::DeliverEvent(event),
+                    )
                 } else {
-                    self.come(*event)
+                    self.handle_event(*event)
                 }
             }
-            Timer::Say(connection, bytes) => {
+            Timer::DeliverReply(connection, bytes) => {
                 let Some((server, group, out)) = self.connections.get(&connection) else {
                     return;
                 };
-                let from = self.place(*server);
+                let from = self.network_node(*server);
                 if self
-                    .ways
+                    .network
                     .as_ref()
-                    .is_some_and(|ways| ways.cut[from][*group])
+                    .is_some_and(|ways| ways.is_cut[from][*group])
                 {
-                    return self.after(now + ways::AGAIN, Timer::Say(connection, bytes));
+                    return self.schedule(
+                        now + zone_network::RETRANSMIT_DELAY,
+                        Timer::DeliverReply(connection, bytes),
+                    );
                 }
-                let at = &self.truth.servers[*server];
-                if !at.down && !at.silent {
+                let at = &self.model.servers[*server];
+                if !at.is_down && !at.is_silent {
                     let _ = out.try_send(bytes);
                 }
             }
-            Timer::Lie(n) => {
-                let Fault { at, lasts, .. } = self.play.faults[n];
-                for liar in self.struck.get(&n).cloned().unwrap_or_default() {
-                    let zone = self.routers[liar].zone;
+            Timer::SendForged(n) => {
+                let Fault {
+                    start, duration, ..
+                } = self.play.faults[n];
+                for sender in self.fault_targets.get(&n).cloned().unwrap_or_default() {
+                    let zone = self.routers[sender].zone;
                     let peers: Vec<usize> = (0..self.routers.len())
                         .filter(|r| self.routers[*r].zone == zone)
                         .collect();
-                    self.net.lie(liar, zone, &peers, &mut self.chance);
+                    self.relay.send_forged(sender, zone, &peers, &mut self.rng);
                 }
-                if now < at + lasts {
-                    self.after(now + Duration::from_millis(250), Timer::Lie(n));
+                if now < start + duration {
+                    self.schedule(now + Duration::from_millis(250), Timer::SendForged(n));
                 }
             }
         }
     }
 
-    async fn end(&mut self, mailbox: &mut mpsc::Receiver<Event>) {
+    async fn stop_routers(&mut self, mailbox: &mut mpsc::Receiver<Event>) {
         let now = self.now();
-        self.truth.watch.close(now);
+        self.model.invariants.close_all(now);
         let ended = self
             .routers
             .iter_mut()
@@ -703,12 +751,12 @@
         }
         let end = Instant::now() + Duration::from_millis(1500);
         loop {
-            let all = self
+            let all_ended = self
                 .routers
                 .iter_mut()
                 .filter_map(|r| r.child.as_mut())
                 .all(|child| child.ended().is_some());
-            if all || Instant::now() > end {
+            if all_ended || Instant::now() > end {
                 break;
             }
             while mailbox.try_recv().is_ok() {}
--- a/crates/harness/src/run/faults.rs
+++ b/crates/harness/src/run/faults.rs
@@ -1,47 +1,47 @@
 //! Troubles of the play: whom they meet, how they begin, go on and end.
 
-use super::{FRONT_LOOKS, Notice, Timer, World};
+use super::{DiscoveryChange, FRONT_CHECK_INTERVAL, Runner, Timer};
 use crate::children::Router;
-use crate::play::{Fault, Part, What, Whom};
-use crate::truth::{Standing, Tier};
-use crate::ways::{self, Ways};
-use crate::work;
+use crate::play::{Amount, Fault, FaultKind, Target};
+use crate::server_model::{ListStatus, Tier};
+use crate::workload;
+use crate::zone_network::{self, ZoneNetwork};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-impl World {
+impl Runner {
     /// Who is struck, drawn from the seed.
-    pub(super) fn whom(&mut self, whom: Whom) -> Vec<usize> {
+    pub(super) fn pick_targets(&mut self, target: Target) -> Vec<usize> {
         let servers = self
-            .truth
+            .model
             .servers
             .iter()
             .enumerate()
-            .filter(|(_, s)| s.standing == Standing::Active && !s.down);
-        let (all, part): (Vec<usize>, Part) = match whom {
-            Whom::Caches(part) => (
+            .filter(|(_, s)| s.list_status == ListStatus::Active && !s.is_down);
+        let (all, part): (Vec<usize>, Amount) = match target {
+            Target::Caches(part) => (
                 servers
                     .filter(|(_, s)| matches!(s.tier, Tier::Cache(_)))
                     .map(|(n, _)| n)
                     .collect(),
                 part,
             ),
-            Whom::Parents(part) => (
+            Target::Parents(part) => (
                 servers
                     .filter(|(_, s)| s.tier == Tier::Parent)
                     .map(|(n, _)| n)
                     .collect(),
                 part,
             ),
-            Whom::Zone(at) => (
+            Target::Zone(at) => (
                 servers
                     .filter(|(_, s)| s.tier == Tier::Cache(at))
                     .map(|(n, _)| n)
                     .collect(),
-                Part::Share(1.0),
+                Amount::Share(1.0),
             ),
-            Whom::Routers(part) => (
+            Target::Routers(part) => (
                 (0..self.routers.len())
                     .filter(|r| self.routers[*r].child.is_some())
                     .collect(),
@@ -49,284 +49,316 @@
             ),
         };
         let mut all = all;
-        self.chance.shuffle(&mut all);
+        self.rng.shuffle(&mut all);
         all.truncate(part.of(all.len()));
         all
     }
 
-    pub(super) fn begin(&mut self, n: usize) {
+    pub(super) fn start_fault(&mut self, n: usize) {
         let now = self.now();
-        let Fault { lasts, what, .. } = self.play.faults[n];
-        let struck = match what {
-            What::Slow(whom, _)
-            | What::Errors(whom)
-            | What::Silent(whom)
-            | What::Apart(whom, _)
-            | What::Resets(whom, _)
-            | What::Lose(whom)
-            | What::Drain(whom)
-            | What::Replace(whom)
-            | What::Kill(whom)
-            | What::Freeze(whom)
-            | What::Restart(whom)
-            | What::Reload(whom)
-            | What::Deaf(whom)
-            | What::Lie(whom) => self.whom(whom),
-            What::LoseRegion(region) => {
+        let Fault { duration, kind, .. } = self.play.faults[n];
+        let targets = match kind {
+            FaultKind::Slow(whom, _)
+            | FaultKind::Errors(whom)
+            | FaultKind::Silent(whom)
+            | FaultKind::Apart(whom, _)
+            | FaultKind::Resets(whom, _)
+            | FaultKind::Lose(whom)
+            | FaultKind::Drain(whom)
+            | FaultKind::Replace(whom)
+            | FaultKind::Kill(whom)
+            | FaultKind::Freeze(whom)
+            | FaultKind::Restart(whom)
+            | FaultKind::Reload(whom)
+            | FaultKind::Deaf(whom)
+            | FaultKind::Lie(whom) => self.pick_targets(whom),
+            FaultKind::LoseRegion(region) => {
                 let all = 0..self.play.fleet.zones;
                 let of: Vec<usize> = all
-                    .filter(|at| ways::region(*at, &self.play.fleet) == region)
+                    .filter(|at| zone_network::region(*at, &self.play.fleet) == region)
                     .collect();
                 of.into_iter()
-                    .flat_map(|at| self.whom(Whom::Zone(at)))
+                    .flat_map(|at| self.pick_targets(Target::Zone(at)))
                     .collect()
             }
             _ => Vec::new(),
         };
-        self.tell(format!("{what:?}: {} struck", struck.len()));
-        self.struck.insert(n, struck.clone());
-        match what {
-            What::Slow(_, by) => struck.iter().for_each(|s| self.truth.servers[*s].slow = by),
-            What::Errors(_) => struck
+        self.log_event(format!("{kind:?}: {} struck", targets.len()));
+        self.fault_targets.insert(n, targets.clone());
+        match kind {
+            FaultKind::Slow(_, by) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].errors = true),
-            What::Silent(_) => struck
+                .for_each(|s| self.model.servers[*s].slow_factor = by),
+            FaultKind::Errors(_) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].silent = true),
-            What::Apart(_, of) => {
-                let groups = of.of(self.play.fleet.doors());
-                for server in struck {
-                    self.truth.servers[server].apart[..groups].fill(true);
+                .for_each(|s| self.model.servers[*s].returns_errors = true),
+            FaultKind::Silent(_) => targets
+                .iter()
+                .for_each(|s| self.model.servers[*s].is_silent = true),
+            FaultKind::Apart(_, of) => {
+                let groups = of.of(self.play.fleet.address_groups());
+                for server in targets {
+                    self.model.servers[server].unreachable_from_group[..groups].fill(true);
                 }
             }
-            What::Resets(_, share) => struck
+            FaultKind::Resets(_, share) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].resets = share),
-            What::Lose(_) | What::LoseRegion(_) => {
-                for server in &struck {
-                    self.truth.lose(now, *server);
-                    self.there(*server, false);
-                    self.doors[*server].iter().for_each(|door| door.shut());
+                .for_each(|s| self.model.servers[*s].reset_share = share),
+            FaultKind::Lose(_) | FaultKind::LoseRegion(_) => {
+                for server in &targets {
+                    self.model.stop_server(now, *server);
+                    self.set_listed(*server, false);
+                    self.listeners[*server].iter().for_each(|door| door.close());
                 }
-                let lost: HashSet<usize> = struck.into_iter().collect();
+                let lost: HashSet<usize> = targets.into_iter().collect();
                 self.connections
                     .retain(|_, (server, _, _)| !lost.contains(server));
             }
-            What::Drain(_) => {
-                struck
+            FaultKind::Drain(_) => {
+                targets
                     .iter()
-                    .for_each(|s| self.truth.servers[*s].standing = Standing::Draining);
-                struck.iter().for_each(|s| self.there(*s, false));
-                self.note(Notice::Servers(struck));
+                    .for_each(|s| self.model.servers[*s].list_status = ListStatus::Draining);
+                targets.iter().for_each(|s| self.set_listed(*s, false));
+                self.announce(DiscoveryChange::Servers(targets));
             }
-            What::Replace(_) | What::Restart(_) => return self.step(n, struck),
-            What::Join(count) => {
-                let first = self.spare;
+            FaultKind::Replace(_) | FaultKind::Restart(_) => return self.step_fault(n, targets),
+            FaultKind::Join(count) => {
+                let first = self.added_servers;
                 let joined: Vec<usize> = (0..count)
-                    .filter_map(|k| self.fresh((first + k) % self.play.fleet.zones))
+                    .filter_map(|k| self.add_cache((first + k) % self.play.fleet.zones))
                     .collect();
-                self.note(Notice::Servers(joined));
+                self.announce(DiscoveryChange::Servers(joined));
             }
-            What::Kill(_) => {
-                for router in struck {
+            FaultKind::Kill(_) => {
+                for router in targets {
                     if let Some(child) = self.routers[router].child.take() {
                         self.starter.kill(child);
-                        self.truth.watch.killed(router);
-                        self.routers[router].gone = Some((now, true));
+                        self.model.invariants.router_stopped(router);
+                        self.routers[router].stopped = Some((now, true));
                         self.routers[router].discovery = None;
-                        self.after(now + lasts, Timer::Start(router));
+                        self.schedule(now + duration, Timer::StartRouter(router));
                     }
                 }
                 return;
             }
-            What::Freeze(_) => {
-                for router in &struck {
+            FaultKind::Freeze(_) => {
+                for router in &targets {
                     self.routers[*router]
                         .child
                         .iter_mut()
                         .for_each(Router::freeze);
                     // What it is sent while it is frozen is not its fault.
-                    self.routers[*router].up = false;
-                    self.truth.watch.killed(*router);
+                    self.routers[*router].receives_clients = false;
+                    self.model.invariants.router_stopped(*router);
                 }
             }
-            What::Reload(_) => {
-                struck
+            FaultKind::Reload(_) => {
+                targets
                     .iter()
                     .for_each(|r| self.routers[*r].child.iter().for_each(Router::reload));
             }
-            What::Purge(count) => {
-                for place in 0..count {
-                    let object = work::object(self.setup.seed, place);
-                    let ms = self.truth.purge(now, object);
-                    self.note(Notice::Purge(object, ms));
+            FaultKind::Purge(count) => {
+                for popularity_rank in 0..count {
+                    let object = workload::object_id(self.setup.seed, popularity_rank);
+                    let ms = self.model.purge(now, object);
+                    self.announce(DiscoveryChange::Purge(object, ms));
                 }
             }
-            What::ListsLate(by) => self.lists_late = by,
-            What::ListsDoubled => self.lists_doubled = true,
-            What::ListsCut => self.lists_cut = true,
-            What::Lost(share) => self.weather.send_modify(|w| w.lost = share),
-            What::Doubled(share) => self.weather.send_modify(|w| w.doubled = share),
-            What::Turned(share) => self.weather.send_modify(|w| w.turned = share),
-            What::Late(by) => self.weather.send_modify(|w| w.late = by),
-            What::Deaf(_) => self
-                .weather
-                .send_modify(|w| struck.iter().for_each(|r| w.deaf[*r] = true)),
-            What::Lie(_) => self.after(now, Timer::Lie(n)),
-            What::Hot(_) | What::Shift(..) => {}
-            What::WaysSlow(from, to, by) => self.ways(from, to, |ways, a, b| ways.slow[a][b] = by),
-            What::WaysCut(from, to) => self.ways(from, to, |ways, a, b| ways.cut[a][b] = true),
-            What::WaysLose(from, to, share) => {
-                self.ways(from, to, |ways, a, b| ways.lost[a][b] = share)
+            FaultKind::ListsLate(by) => self.discovery_delay = by,
+            FaultKind::ListsDoubled => self.discovery_duplicated = true,
+            FaultKind::ListsCut => self.discovery_interrupted = true,
+            FaultKind::Lost(share) => self.datagram_faults.send_modify(|w| w.loss_share = share),
+            FaultKind::Doubled(share) => self
+                .datagram_faults
+                .send_modify(|w| w.duplicate_share = share),
+            FaultKind::Turned(share) => self
+                .datagram_faults
+                .send_modify(|w| w.reorder_share = share),
+            FaultKind::Late(by) => self.datagram_faults.send_modify(|w| w.max_delay = by),
+            FaultKind::Deaf(_) => self
+                .datagram_faults
+                .send_modify(|w| targets.iter().for_each(|r| w.is_deaf[*r] = true)),
+            FaultKind::Lie(_) => self.schedule(now, Timer::SendForged(n)),
+            FaultKind::Hot(_) | FaultKind::Shift(..) => {}
+            FaultKind::WaysSlow(from, to, by) => {
+                self.change_network(from, to, |network, a, b| network.slow_factor[a][b] = by)
+            }
+            FaultKind::WaysCut(from, to) => {
+                self.change_network(from, to, |network, a, b| network.is_cut[a][b] = true)
+            }
+            FaultKind::WaysLose(from, to, share) => {
+                self.change_network(from, to, |network, a, b| network.loss_share[a][b] = share)
             }
         }
-        if !lasts.is_zero() {
-            self.after(now + lasts, Timer::End(n));
+        if !duration.is_zero() {
+            self.schedule(now + duration, Timer::FaultEnd(n));
         }
     }
 
     /// Changes ways, for bytes and datagrams.
-    pub(super) fn ways(
+    pub(super) fn change_network(
         &mut self,
         from: Option<usize>,
         to: Option<usize>,
-        of: impl FnMut(&mut Ways, usize, usize),
+        of: impl FnMut(&mut ZoneNetwork, usize, usize),
     ) {
-        let Some(ways) = &mut self.ways else { return };
-        ways.each(from, to, of);
-        let changed = Rc::new(ways.clone());
-        self.weather
-            .send_modify(|weather| weather.ways = Some(changed));
+        let Some(network) = &mut self.network else {
+            return;
+        };
+        network.for_each_pair(from, to, of);
+        let changed = Rc::new(network.clone());
+        self.datagram_faults
+            .send_modify(|faults| faults.network = Some(changed));
     }
 
     /// What broke is whole again.
-    pub(super) fn ends(&mut self, n: usize) {
+    pub(super) fn end_fault(&mut self, n: usize) {
         let now = self.now();
-        let struck = self.struck.get(&n).cloned().unwrap_or_default();
-        let what = self.play.faults[n].what;
-        self.tell(format!("over: {what:?}"));
-        match what {
-            What::Slow(..) => struck
+        let targets = self.fault_targets.get(&n).cloned().unwrap_or_default();
+        let kind = self.play.faults[n].kind;
+        self.log_event(format!("over: {kind:?}"));
+        match kind {
+            FaultKind::Slow(..) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].slow = 1.0),
-            What::Errors(_) => struck
+                .for_each(|s| self.model.servers[*s].slow_factor = 1.0),
+            FaultKind::Errors(_) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].errors = false),
-            What::Silent(_) => struck
+                .for_each(|s| self.model.servers[*s].returns_errors = false),
+            FaultKind::Silent(_) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].silent = false),
-            What::Apart(..) => struck
+                .for_each(|s| self.model.servers[*s].is_silent = false),
+            FaultKind::Apart(..) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].apart.fill(false)),
-            What::Resets(..) => struck
+                .for_each(|s| self.model.servers[*s].unreachable_from_group.fill(false)),
+            FaultKind::Resets(..) => targets
                 .iter()
-                .for_each(|s| self.truth.servers[*s].resets = 0.0),
-            What::Lose(_) | What::LoseRegion(_) => {
-                for server in &struck {
-                    self.truth.back(now, *server);
-                    self.there(*server, true);
-                    self.doors[*server]
+                .for_each(|s| self.model.servers[*s].reset_share = 0.0),
+            FaultKind::Lose(_) | FaultKind::LoseRegion(_) => {
+                for server in &targets {
+                    self.model.start_server(now, *server);
+                    self.set_listed(*server, true);
+                    self.listeners[*server]
                         .iter()
-                        .for_each(|door| door.open_again());
-                    self.joined.push((now, *server));
+                        .for_each(|door| door.reopen());
+                    self.joins.push((now, *server));
                 }
-                self.note(Notice::Servers(struck));
+                self.announce(DiscoveryChange::Servers(targets));
             }
-            What::Drain(_) => {
-                struck
+            FaultKind::Drain(_) => {
+                targets
                     .iter()
-                    .for_each(|s| self.truth.servers[*s].standing = Standing::Active);
-                struck.iter().for_each(|s| self.there(*s, true));
-                self.note(Notice::Servers(struck));
+                    .for_each(|s| self.model.servers[*s].list_status = ListStatus::Active);
+                targets.iter().for_each(|s| self.set_listed(*s, true));
+                self.announce(DiscoveryChange::Servers(targets));
             }
-            What::Freeze(_) => {
-                for router in struck {
+            FaultKind::Freeze(_) => {
+                for router in targets {
                     self.routers[router].child.iter_mut().for_each(Router::thaw);
-                    self.after(now + FRONT_LOOKS, Timer::Look(router));
+                    self.schedule(now + FRONT_CHECK_INTERVAL, Timer::CheckRouter(router));
                 }
             }
-            What::ListsLate(_) => {
-                self.lists_late = Duration::ZERO;
-                (0..self.routers.len()).for_each(|router| self.tell_router(router));
+            FaultKind::ListsLate(_) => {
+                self.discovery_delay = Duration::ZERO;
+                (0..self.routers.len()).for_each(|router| self.send_discovery_events(router));
+            }
+            FaultKind::ListsDoubled => self.discovery_duplicated = false,
+            FaultKind::ListsCut => self.discovery_interrupted = false,
+            FaultKind::Lost(_) => self.datagram_faults.send_modify(|w| w.loss_share = 0.0),
+            FaultKind::Doubled(_) => self
+                .datagram_faults
+                .send_modify(|w| w.duplicate_share = 0.0),
+            FaultKind::Turned(_) => self.datagram_faults.send_modify(|w| w.reorder_share = 0.0),
+            FaultKind::Late(_) => self
+                .datagram_faults
+                .send_modify(|w| w.max_delay = Duration::ZERO),
+            FaultKind::Deaf(_) => self.datagram_faults.send_modify(|w| w.is_deaf.fill(false)),
+            FaultKind::WaysSlow(from, to, _) => {
+                self.change_network(from, to, |network, a, b| network.slow_factor[a][b] = 1.0)
+            }
+            FaultKind::WaysCut(from, to) => {
+                self.change_network(from, to, |network, a, b| network.is_cut[a][b] = false)
+            }
+            FaultKind::WaysLose(from, to, _) => {
+                self.change_network(from, to, |network, a, b| network.loss_share[a][b] = 0.0)
             }
-            What::ListsDoubled => self.lists_doubled = false,
-            What::ListsCut => self.lists_cut = false,
-            What::Lost(_) => self.weather.send_modify(|w| w.lost = 0.0),
-            What::Doubled(_) => self.weather.send_modify(|w| w.doubled = 0.0),
-            What::Turned(_) => self.weather.send_modify(|w| w.turned = 0.0),
-            What::Late(_) => self.weather.send_modify(|w| w.late = Duration::ZERO),
-            What::Deaf(_) => self.weather.send_modify(|w| w.deaf.fill(false)),
-            What::WaysSlow(from, to, _) => self.ways(from, to, |ways, a, b| ways.slow[a][b] = 1.0),
-            What::WaysCut(from, to) => self.ways(from, to, |ways, a, b| ways.cut[a][b] = false),
-            What::WaysLose(from, to, _) => self.ways(from, to, |ways, a, b| ways.lost[a][b] = 0.0),
             _ => {}
         }
     }
 
-    pub(super) fn there(&mut self, server: usize, is: bool) {
+    pub(super) fn set_listed(&mut self, server: usize, is_listed: bool) {
         let now = self.now();
-        let place = &mut self.places[server];
-        if is {
-            place.there.push((now, Duration::MAX));
-            place.started = self.truth.servers[server].started;
-        } else if let Some(last) = place.there.last_mut() {
+        let record = &mut self.server_records[server];
+        if is_listed {
+            record.listed_during.push((now, Duration::MAX));
+            record.started_at = self.model.servers[server].started_at;
+        } else if let Some(last) = record.listed_during.last_mut() {
             last.1 = last.1.min(now);
         }
     }
 
     /// A new cache of a zone, empty and cold.
-    pub(super) fn fresh(&mut self, zone: usize) -> Option<usize> {
+    pub(super) fn add_cache(&mut self, zone: usize) -> Option<usize> {
         let now = self.now();
-        self.spare += 1;
+        self.added_servers += 1;
         let number = self
-            .server(format!("s{}", self.spare), Tier::Cache(zone))
+            .open_server(format!("s{}", self.added_servers), Tier::Cache(zone))
             .ok()?;
-        self.truth.back(now, number);
-        let place = &mut self.places[number];
-        (place.started, place.there) = (Some(now), vec![(now, Duration::MAX)]);
-        self.joined.push((now, number));
+        self.model.start_server(now, number);
+        let record = &mut self.server_records[number];
+        (record.started_at, record.listed_during) = (Some(now), vec![(now, Duration::MAX)]);
+        self.joins.push((now, number));
         Some(number)
     }
 
     /// What goes step by step: the next of those that are left, and when the one after.
-    pub(super) fn step(&mut self, n: usize, mut left: Vec<usize>) {
+    pub(super) fn step_fault(&mut self, n: usize, mut remaining: Vec<usize>) {
         let now = self.now();
-        let Fault { at, lasts, what } = self.play.faults[n];
-        let Some(next) = left.pop() else { return };
-        match what {
-            What::Replace(_) => {
-                let Tier::Cache(zone) = self.truth.servers[next].tier else {
+        let Fault {
+            start,
+            duration,
+            kind,
+        } = self.play.faults[n];
+        let Some(next) = remaining.pop() else { return };
+        match kind {
+            FaultKind::Replace(_) => {
+                let Tier::Cache(zone) = self.model.servers[next].tier else {
                     return;
                 };
-                self.truth.servers[next].standing = Standing::Draining;
-                self.there(next, false);
-                let changed = std::iter::once(next).chain(self.fresh(zone)).collect();
-                self.note(Notice::Servers(changed));
+                self.model.servers[next].list_status = ListStatus::Draining;
+                self.set_listed(next, false);
+                let changed = std::iter::once(next).chain(self.add_cache(zone)).collect();
+                self.announce(DiscoveryChange::Servers(changed));
             }
-            What::Restart(_) => {
+            FaultKind::Restart(_) => {
                 // It answers what it has taken and ends; the front asks it no more once its door is closed.
                 if let Some(mut child) = self.routers[next].child.take() {
                     child.terminate();
-                    self.routers[next].up = false;
-                    self.routers[next].gone = Some((now, false));
+                    self.routers[next].receives_clients = false;
+                    self.routers[next].stopped = Some((now, false));
                     self.routers[next].discovery = None;
-                    let waits = Duration::from_millis(900);
+                    let restart_delay = Duration::from_millis(900);
                     // Its process is waited for by being dropped when the next one starts.
-                    self.ending(child);
-                    self.after(now + waits, Timer::Start(next));
-                    self.after(now + waits + FRONT_LOOKS, Timer::Look(next));
+                    self.kill_after_grace(child);
+                    self.schedule(now + restart_delay, Timer::StartRouter(next));
+                    self.schedule(
+                        now + restart_delay + FRONT_CHECK_INTERVAL,
+                        Timer::CheckRouter(next),
+                    );
                 }
             }
             _ => {}
         }
-        if !left.is_empty() {
-            let over = (at + lasts).saturating_sub(now);
-            self.after(now + over / (left.len() as u32 + 1), Timer::Step(n, left));
+        if !remaining.is_empty() {
+            let time_left = (start + duration).saturating_sub(now);
+            self.schedule(
+                now + time_left / (remaining.len() as u32 + 1),
+                Timer::FaultStep(n, remaining),
+            );
         }
     }
 
     /// Killed if it has not ended by itself when its successor starts.
-    pub(super) fn ending(&mut self, child: Router) {
+    pub(super) fn kill_after_grace(&mut self, child: Router) {
         let mut child = child;
         tokio::task::spawn_local(async move {
             let end = Instant::now() + Duration::from_millis(850);
--- /dev/null
+++ b/crates/harness/src/run/results.rs
@@ -0,0 +1,114 @@
+//! What a play has shown, when it is over.
+
+use super::{MAX_TIMER_DELAY, Runner, Shown};
+use crate::datagram_relay::DatagramCounters;
+use crate::load_balance::{self, Rule};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+impl Runner {
+    pub(super) fn into_results(self, datagrams: DatagramCounters) -> Shown {
+        let (warmup, duration) = (self.play.work.warmup, self.play.work.duration);
+        let second_start = self.play.second_measurement_start();
+        let service = |from: Duration, to: Duration| {
+            let seconds = &self.seconds[from.as_secs() as usize..to.as_secs() as usize];
+            let (asked, earned) = seconds
+                .iter()
+                .fold((0.0, 0.0), |(a, e), s| (a + s.requested, e + s.earned));
+            if asked > 0.0 { earned / asked } else { 0.0 }
+        };
+        let window = Duration::from_secs(5).min(
+            duration
+                .saturating_sub(second_start)
+                .max(Duration::from_secs(1)),
+        );
+        let sent = &self.model.sent;
+        let mut even = BTreeMap::new();
+        even.insert(
+            "real",
+            load_balance::measure(sent, &self.server_records, second_start, duration, window),
+        );
+        even.insert(
+            "real_1s",
+            load_balance::measure(
+                sent,
+                &self.server_records,
+                second_start,
+                duration,
+                Duration::from_secs(1),
+            ),
+        );
+        for (name, rule) in [
+            ("hash", Rule::Hash),
+            ("two", Rule::LeastOfTwo),
+            ("sees_all", Rule::Omniscient),
+        ] {
+            let assigned =
+                load_balance::assign(sent, &self.server_records, rule, second_start, window);
+            even.insert(
+                name,
+                load_balance::measure(
+                    &assigned,
+                    &self.server_records,
+                    second_start,
+                    duration,
+                    window,
+                ),
+            );
+        }
+        let herds = self.joins.iter().filter_map(|(at, server)| {
+            load_balance::herd(
+                sent,
+                &self.server_records,
+                self.server_records[*server].zone,
+                *at,
+            )
+        });
+        let herds: Vec<f64> = herds.collect();
+        let herd = if herds.is_empty() {
+            1.0
+        } else {
+            herds.iter().sum::<f64>() / herds.len() as f64
+        };
+        let mut server_loads =
+            vec![vec![0.0; duration.as_secs() as usize]; self.server_records.len()];
+        for attempt in sent.iter().filter(|s| s.at < duration) {
+            let capacity = self.server_records[attempt.server].capacity_at(attempt.at);
+            server_loads[attempt.server][attempt.at.as_secs() as usize] +=
+                attempt.work / capacity.max(1e-9);
+        }
+        let timer_delay = Duration::from_millis(self.timer_delays.value_at_quantile(0.99));
+        let void = (timer_delay > MAX_TIMER_DELAY)
+            .then(|| format!("its own turns came {timer_delay:?} late"));
+        let reads = (self.model.hits + self.model.fills).max(1);
+        let of_places = self
+            .zone_value
+            .measure(&self.play, sent, &self.server_records);
+        Shown {
+            of_places,
+            elapsed: duration,
+            seed: self.setup.seed,
+            routers: self.routers.len(),
+            servers: self.model.servers.len(),
+            service: service(warmup, duration),
+            service_after: service(second_start, duration),
+            even,
+            herd,
+            breaks: self.model.invariants.breaks,
+            words: self.model.invariants.descriptions.clone(),
+            server_loads,
+            strain: self.overload_ratio,
+            hit_share: self.model.hits as f64 / reads as f64,
+            response_ms: self.response_times,
+            timer_delay_ms: self.timer_delays,
+            void,
+            crashed: self.crashed,
+            datagrams,
+            events: self.event_log,
+            retries: self.retries,
+            measured_from: second_start,
+            server_records: self.server_records,
+            seconds: self.seconds,
+        }
+    }
+}
--- a/crates/harness/src/run/opening.rs
+++ b/crates/harness/src/run/startup.rs
@@ -1,16 +1,19 @@
 //! Opens a fleet: addresses, servers, processes, until all are ready.
 
-use super::{LATE_VALUE, Notice, Process, READY_WITHIN, Second, Setup, WAVE, World};
-use crate::children::{Program, Router, Starter, Wanted};
-use crate::copies::Copy;
-use crate::even::{self, Place};
-use crate::net::{Net, Weather};
-use crate::places::Kept;
+use super::{
+    DiscoveryChange, LATE_VALUE, READY_TIMEOUT, RouterState, Runner, START_BATCH, SecondTotals,
+    Setup,
+};
+use crate::children::{Program, Router, StartRequest, Starter};
+use crate::datagram_relay::{DatagramFaults, DatagramRelay};
+use crate::load_balance::{self, ServerRecord};
+use crate::object_cache::CachedObject;
 use crate::play::Play;
-use crate::truth::{Server, Tier, Truth, Warmth};
-use crate::ways::Ways;
-use crate::wire::{self, Door, Event, Events};
-use crate::work;
+use crate::server_model::{Server, ServerModel, SlowStart, Tier};
+use crate::wire::{self, Event, Events, ServerListener};
+use crate::workload;
+use crate::zone_metrics::ZoneValue;
+use crate::zone_network::ZoneNetwork;
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -21,27 +24,27 @@
 use tokio::sync::{mpsc, watch};
 
 /// A folder of this run alone, gone with it.
-pub(super) struct Dir(pub(super) PathBuf);
+pub(super) struct TempDir(pub(super) PathBuf);
 
-impl Dir {
-    pub(super) fn new() -> Result<Dir, String> {
+impl TempDir {
+    pub(super) fn new() -> Result<TempDir, String> {
         static LAST: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let n = LAST.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("chalkhall-harness-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Ok(Dir(path))
+        Ok(TempDir(path))
     }
 }
 
-impl Drop for Dir {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// Addresses that no other run on this machine uses: a block of the loopback range, held by a listener.
-pub(super) fn block() -> Result<(u8, std::net::TcpListener), String> {
+pub(super) fn reserve_address_block() -> Result<(u8, std::net::TcpListener), String> {
     let first = std::process::id() % 50;
     for n in 0..50 {
         let block = 201 + ((first + n) % 50) as u8;
@@ -54,26 +57,26 @@
     Err("50 fleets run on this machine already".into())
 }
 
-pub(super) fn starter(program: &Program, events: &Events) -> Starter {
+pub(super) fn spawn_starter(program: &Program, events: &Events) -> Starter {
     let events = events.clone();
-    Starter::new(program.clone(), move |router, life, child| {
+    Starter::new(program.clone(), move |router, incarnation, child| {
         // Where nobody hears of it any more it is dropped, which kills it.
-        let _ = events.try_send(Event::Started {
+        let _ = events.try_send(Event::RouterStarted {
             router,
-            life,
+            incarnation,
             child,
         });
     })
 }
 
 /// The settings that all routers of the play are told.
-pub(super) fn settings(play: &Play) -> Value {
+pub(super) fn router_settings(play: &Play) -> Value {
     let (fleet, work) = (&play.fleet, &play.work);
     let ms = |span: Duration| span.as_millis() as u64;
     let class = |name: &str, effect: &str, worth: f64| {
-        json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": ms(work.soft),
+        json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": ms(work.soft_deadline),
             "AimStretch": 0,
-            "HardLimit": ms(work.patience), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
+            "HardLimit": ms(work.client_timeout), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
     };
     let zones = (0..fleet.zones)
         .map(|n| format!("z{n}"))
@@ -83,11 +86,11 @@
     let crews: Vec<usize> = (0..fleet.zones).map(here).chain([0]).collect();
     json!({
         "Classes": [class("page", "pure", 1.0), class("confirm", "side_effect", 1.0)],
-        "FamilyInfo": {"ClassFresh": [ms(work.fresh), 0], "ClassWrite": [false, true],
-            "ClientKbPerS": fleet.pace,
+        "FamilyInfo": {"ClassFresh": [ms(work.max_age), 0], "ClassWrite": [false, true],
+            "ClientKbPerS": fleet.client_kb_per_s,
             "CrewByZone": crews, "HomeHub": vec![0; fleet.zones + 1], "ObeyAfter": 500,
             "PassThroughOk": fleet.pass_through,
-            "ParentFloor": fleet.cold_from, "ParentRamp": ms(fleet.warm_within), "ParentFallMultiple": 2,
+            "ParentFloor": fleet.initial_capacity_share, "ParentRamp": ms(fleet.slow_start), "ParentFallMultiple": 2,
             "PurgeDone": 6000, "Says": "all", "ShieldKind": 1, "SourceKind": 2},
         "Granularity": 2, "Kinds": ["cache", "parent", "origin"],
         "Limits": {"ConnectTimeout": 400, "IdleClose": 30000, "MaxAttempts": 8, "MaxOpen": 20000,
@@ -95,228 +98,236 @@
             "MayCancel": true, "PeerMessages": true, "RetryAfter": true, "StreamsPerConn": 100},
         "Locality": 0, "MyNumber": 0, "PeersTotal": fleet.routers, "RegistryMode": "push", "Zones": zones,
         "Weights": "nominal",
-        "Obligations": {"AnswerSlack": 8, "ColdFrom": fleet.cold_from, "DrainGrace": 500, "Fall": 1000,
-            "TipMultiple": 2, "WarmWithin": ms(fleet.warm_within)}})
+        "Obligations": {"AnswerSlack": 8, "ColdFrom": fleet.initial_capacity_share, "DrainGrace": 500, "Fall": 1000,
+            "TipMultiple": 2, "WarmWithin": ms(fleet.slow_start)}})
 }
 
-impl World {
+impl Runner {
     pub(super) async fn open(
         play: Play,
         setup: Setup,
-        dir: PathBuf,
+        temp_dir: PathBuf,
         events: Events,
-    ) -> Result<World, String> {
-        let (block, held) = block()?;
+    ) -> Result<Runner, String> {
+        let (address_block, block_guard) = reserve_address_block()?;
         // Held until the process ends: the block is this run's.
-        std::mem::forget(held);
+        std::mem::forget(block_guard);
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
         let fleet = play.fleet.clone();
-        let warmth = Warmth {
-            from: fleet.cold_from,
-            within: fleet.warm_within,
+        let slow_start = SlowStart {
+            initial_share: fleet.initial_capacity_share,
+            duration: fleet.slow_start,
         };
-        let truth = Truth::new(
+        let model = ServerModel::new(
             Vec::new(),
             fleet.zones,
-            fleet.link,
-            fleet.pace,
-            warmth,
+            fleet.link_capacity,
+            fleet.client_kb_per_s,
+            slow_start,
             unix_ms,
         );
         let listen = |i: usize, port| {
-            SocketAddr::from(([127, block, 1 + (i / 250) as u8, 1 + (i % 250) as u8], port))
+            SocketAddr::from((
+                [127, address_block, 1 + (i / 250) as u8, 1 + (i % 250) as u8],
+                port,
+            ))
         };
         let peers: Vec<SocketAddr> = (0..fleet.routers).map(|i| listen(i, 7946)).collect();
-        let at = format!("127.{block}.200.1");
-        let net = Net::open(peers, &at).await?;
-        let ways = Ways::new(&fleet);
-        let weather = Weather {
-            deaf: vec![false; fleet.routers],
+        let server_address = format!("127.{address_block}.200.1");
+        let relay = DatagramRelay::open(peers, &server_address).await?;
+        let network = ZoneNetwork::new(&fleet);
+        let faults = DatagramFaults {
+            is_deaf: vec![false; fleet.routers],
             seed: setup.seed,
-            ways: ways.clone().map(Rc::new),
+            network: network.clone().map(Rc::new),
             zones: fleet.zones,
-            ..Weather::default()
+            ..DatagramFaults::default()
         };
-        let arrivals = work::arrivals(&play, setup.seed);
-        let shares = work::shares(fleet.routers, play.work.uneven, setup.seed);
+        let arrivals = workload::arrivals(&play, setup.seed);
+        let router_shares =
+            workload::router_shares(fleet.routers, play.work.peak_to_mean, setup.seed);
         let routers = (0..fleet.routers).map(|i| {
-            let links = 1 + (shares[i] * fleet.routers as f64).round() as usize;
-            Process {
-                zone: work::zone(i, &play),
-                group: fleet.group(i),
+            let connections = 1 + (router_shares[i] * fleet.routers as f64).round() as usize;
+            RouterState {
+                zone: workload::zone_of(i, &play),
+                group: fleet.address_group(i),
                 listen: listen(i, 5050),
                 child: None,
-                up: false,
-                links: (0..links.min(8))
-                    .map(|_| wire::client(listen(i, 5050), i, events.clone()))
+                receives_clients: false,
+                connections: (0..connections.min(8))
+                    .map(|_| wire::client_connection(listen(i, 5050), i, events.clone()))
                     .collect(),
-                open: 0,
-                turn: 0,
+                open_requests: 0,
+                next_connection: 0,
                 discovery: None,
-                told: 0,
-                life: 0,
-                since: Duration::ZERO,
-                gone: None,
-                config: dir.join(format!("n{i}.json")),
+                events_sent: 0,
+                incarnation: 0,
+                started_at: Duration::ZERO,
+                stopped: None,
+                config: temp_dir.join(format!("n{i}.json")),
             }
         });
         let seconds =
-            play.work.lasts.as_secs() as usize + play.work.patience.as_secs() as usize + 3;
+            play.work.duration.as_secs() as usize + play.work.client_timeout.as_secs() as usize + 3;
         let histogram = || Histogram::new_with_bounds(1, 600_000, 3).map_err(|e| e.to_string());
-        let mut world = World {
-            began: Instant::now(),
-            chance: fastrand::Rng::with_seed(setup.seed ^ 0xfa17),
-            truth,
-            doors: Vec::new(),
-            places: Vec::new(),
-            at,
-            numbers: watch::channel(0).0,
+        let mut runner = Runner {
+            started_at: Instant::now(),
+            rng: fastrand::Rng::with_seed(setup.seed ^ 0xfa17),
+            model,
+            listeners: Vec::new(),
+            server_records: Vec::new(),
+            server_address,
+            connection_ids: watch::channel(0).0,
             connections: HashMap::new(),
-            names: HashMap::new(),
+            server_numbers: HashMap::new(),
             routers: routers.collect(),
-            net,
-            ways,
-            lately: HashMap::new(),
-            kept: Kept::new(fleet.zones, seconds),
-            weather: watch::channel(weather).0,
-            noted: Vec::new(),
-            lists_late: Duration::ZERO,
-            lists_doubled: false,
-            lists_cut: false,
-            settings: settings(&play),
-            dir,
-            starter: starter(&setup.program, &events),
+            relay,
+            network,
+            last_delivery: HashMap::new(),
+            zone_value: ZoneValue::new(fleet.zones, seconds),
+            datagram_faults: watch::channel(faults).0,
+            discovery_events: Vec::new(),
+            discovery_delay: Duration::ZERO,
+            discovery_duplicated: false,
+            discovery_interrupted: false,
+            settings: router_settings(&play),
+            temp_dir,
+            starter: spawn_starter(&setup.program, &events),
             setup,
             arrivals,
-            wants: Vec::new(),
-            tries: HashMap::new(),
+            requests: Vec::new(),
+            attempts: HashMap::new(),
             last_id: 0,
-            timers: BinaryHeap::new(),
-            due: HashMap::new(),
+            timer_queue: BinaryHeap::new(),
+            pending_timers: HashMap::new(),
             last_timer: 0,
-            struck: HashMap::new(),
-            seconds: vec![Second::default(); seconds],
-            answers: histogram()?,
-            late: histogram()?,
-            told: Vec::new(),
-            joined: Vec::new(),
+            fault_targets: HashMap::new(),
+            seconds: vec![SecondTotals::default(); seconds],
+            response_times: histogram()?,
+            timer_delays: histogram()?,
+            event_log: Vec::new(),
+            joins: Vec::new(),
             retries: 0,
-            strain: 0.0,
+            overload_ratio: 0.0,
             crashed: 0,
-            spare: 0,
+            added_servers: 0,
             events,
             play,
         };
         for n in 0..fleet.caches {
-            world.server(format!("c{n}"), Tier::Cache(n % fleet.zones))?;
+            runner.open_server(format!("c{n}"), Tier::Cache(n % fleet.zones))?;
         }
         (0..fleet.parents)
-            .try_for_each(|n| world.server(format!("p{n}"), Tier::Parent).map(drop))?;
-        world.server("o0".into(), Tier::Origin)?;
-        world.warm();
-        let all = (0..world.truth.servers.len()).collect();
-        world.note(Notice::Servers(all));
-        Ok(world)
+            .try_for_each(|n| runner.open_server(format!("p{n}"), Tier::Parent).map(drop))?;
+        runner.open_server("o0".into(), Tier::Origin)?;
+        runner.preload_caches();
+        let all = (0..runner.model.servers.len()).collect();
+        runner.announce(DiscoveryChange::Servers(all));
+        Ok(runner)
     }
 
     /// A server that listens for every group of routers.
-    pub(super) fn server(&mut self, name: String, tier: Tier) -> Result<usize, String> {
+    pub(super) fn open_server(&mut self, name: String, tier: Tier) -> Result<usize, String> {
         let fleet = &self.play.fleet;
         let (capacity, memory) = match tier {
             Tier::Cache(_) => (fleet.cache_capacity, fleet.memory_kb),
             Tier::Parent => (fleet.parent_capacity, fleet.memory_kb * 20.0),
             Tier::Origin => (fleet.origin_capacity, 0.0),
         };
-        let number = self.truth.join(Server::new(
+        let number = self.model.add_server(Server::new(
             name.clone(),
             tier,
             capacity,
             memory,
-            fleet.doors(),
+            fleet.address_groups(),
         ));
-        let doors = (0..fleet.doors())
+        let doors = (0..fleet.address_groups())
             .map(|group| {
-                wire::door(
-                    &self.at,
+                wire::start_listener(
+                    &self.server_address,
                     number,
                     group,
-                    self.numbers.clone(),
+                    self.connection_ids.clone(),
                     self.events.clone(),
                 )
             })
-            .collect::<Result<Vec<Door>, String>>()?;
-        self.doors.push(doors);
-        self.names.insert(name.clone(), number);
+            .collect::<Result<Vec<ServerListener>, String>>()?;
+        self.listeners.push(doors);
+        self.server_numbers.insert(name.clone(), number);
         let zone = if let Tier::Cache(at) = tier {
             at
         } else {
             usize::MAX
         };
-        self.places.push(Place {
+        self.server_records.push(ServerRecord {
             name,
             zone,
             capacity,
-            started: None,
-            there: vec![(Duration::ZERO, Duration::MAX)],
-            cold_from: fleet.cold_from,
-            warm_within: fleet.warm_within,
+            started_at: None,
+            listed_during: vec![(Duration::ZERO, Duration::MAX)],
+            initial_capacity_share: fleet.initial_capacity_share,
+            slow_start: fleet.slow_start,
         });
         Ok(number)
     }
 
     /// What servers hold that have run for long: the most wanted, where the hash puts it, as far as there is
     /// room.
-    pub(super) fn warm(&mut self) {
-        let unix = self.truth.unix(Duration::ZERO);
-        let mut room: Vec<f64> = vec![self.play.fleet.memory_kb * 0.9; self.truth.servers.len()];
-        for place in 0..self.play.work.objects {
-            let object = work::object(self.setup.seed, place);
-            let (key, kb) = ((object, 0), work::size(object, self.play.work.kb));
-            let copy = Copy {
+    pub(super) fn preload_caches(&mut self) {
+        let now_ms = self.model.unix_ms_at(Duration::ZERO);
+        let mut free_kb: Vec<f64> = vec![self.play.fleet.memory_kb * 0.9; self.model.servers.len()];
+        for popularity_rank in 0..self.play.work.objects {
+            let object = workload::object_id(self.setup.seed, popularity_rank);
+            let (key, kb) = (
+                (object, 0),
+                workload::object_kb(object, self.play.work.mean_object_kb),
+            );
+            let copy = CachedObject {
                 kb,
-                made: unix.saturating_sub(1000),
+                created_ms: now_ms.saturating_sub(1000),
             };
             for zone in 0..self.play.fleet.zones {
-                let Some(server) = even::prefers(&self.places, zone, key, Duration::ZERO)
-                    .first()
-                    .copied()
+                let Some(server) =
+                    load_balance::ranked_servers(&self.server_records, zone, key, Duration::ZERO)
+                        .first()
+                        .copied()
                 else {
                     continue;
                 };
-                if room[server] >= kb {
-                    room[server] -= kb;
-                    self.truth.servers[server].holds(key, copy);
+                if free_kb[server] >= kb {
+                    free_kb[server] -= kb;
+                    self.model.servers[server].preload(key, copy);
                 }
             }
-            if place > 20_000 {
+            if popularity_rank > 20_000 {
                 break;
             }
             for server in self
-                .truth
+                .model
                 .servers
                 .iter_mut()
                 .filter(|s| s.tier == Tier::Parent)
             {
-                server.holds(key, copy);
+                server.preload(key, copy);
             }
         }
     }
 
     /// Starts a router's process with all that discovery has told up to now.
-    pub(super) fn start(&mut self, router: usize) -> Result<(), String> {
+    pub(super) fn start_router(&mut self, router: usize) -> Result<(), String> {
         let (now, group) = (self.now(), self.routers[router].group);
-        let notices: Vec<Value> = (0..self.noted.len())
-            .map(|n| self.event(n, group))
+        let notices: Vec<Value> = (0..self.discovery_events.len())
+            .map(|n| self.event_json(n, group))
             .collect();
-        let (peers, all) = self.net.told();
-        let discovery = wire::discovery(&self.at, router, self.events.clone())?;
+        let (peers, all) = self.relay.addresses();
+        let discovery = wire::serve_discovery(&self.server_address, router, self.events.clone())?;
         let process = &mut self.routers[router];
-        process.life += 1;
-        (process.discovery, process.told) = (None, notices.len());
-        (process.since, process.gone) = (
-            if process.life > 1 {
+        process.incarnation += 1;
+        (process.discovery, process.events_sent) = (None, notices.len());
+        (process.started_at, process.stopped) = (
+            if process.incarnation > 1 {
                 now
             } else {
                 Duration::ZERO
@@ -326,8 +337,8 @@
         let mut settings = self.settings.clone();
         settings["Locality"] = json!(process.zone);
         settings["MyNumber"] = json!(router);
-        let life = u64::from(process.life);
-        let seed = self.setup.seed.wrapping_mul(7919) ^ (router as u64) << 8 ^ life;
+        let incarnation = u64::from(process.incarnation);
+        let seed = self.setup.seed.wrapping_mul(7919) ^ (router as u64) << 8 ^ incarnation;
         let listen = process.listen;
         let own = SocketAddr::new(listen.ip(), 7946);
         let file = json!({"name": format!("n{router}"), "listen": listen.to_string(),
@@ -336,12 +347,12 @@
             "peer_listen": own.to_string(), "peers": peers, "peers_all": all,
             "flow_bytes_per_s": 1_000_000, "link_bytes_per_s": 8_000_000,
             "known": {"rev": notices.len(), "notices": notices}, "settings": settings});
-        let wanted = Wanted {
+        let wanted = StartRequest {
             router,
-            life: process.life,
+            incarnation: process.incarnation,
             config: process.config.clone(),
-            text: file.to_string(),
-            directives: self.dir.join("chalkhall.conf"),
+            config_text: file.to_string(),
+            directives: self.temp_dir.join("chalkhall.conf"),
             log: self
                 .setup
                 .logs
@@ -349,7 +360,8 @@
                 .map(|folder| folder.join(format!("n{router}.log"))),
         };
         self.starter.start(wanted);
-        (0..self.noted.len()).for_each(|number| self.heard(now, router, number));
+        (0..self.discovery_events.len())
+            .for_each(|number| self.record_announcement(now, router, number));
         Ok(())
     }
 
@@ -365,23 +377,23 @@
             .iter()
             .map(|(name, lines)| format!("{name} {{\n    {}\n}}\n", lines.join("\n    ")))
             .collect();
-        let path = self.dir.join("chalkhall.conf");
+        let path = self.temp_dir.join("chalkhall.conf");
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         let (_, faults) = chalkhall_config::read(&path);
         if let Some(fault) = faults.first() {
             return Err(format!("directive: {fault}"));
         }
-        let bar = self.bar("starting", self.routers.len());
-        let end = Instant::now() + READY_WITHIN;
-        for first in (0..self.routers.len()).step_by(WAVE) {
-            let wave = first..(first + WAVE).min(self.routers.len());
+        let bar = self.progress_bar("starting", self.routers.len());
+        let end = Instant::now() + READY_TIMEOUT;
+        for first in (0..self.routers.len()).step_by(START_BATCH) {
+            let wave = first..(first + START_BATCH).min(self.routers.len());
             for router in wave.clone() {
-                self.start(router)?;
+                self.start_router(router)?;
             }
             for router in wave {
                 while !wire::green(self.routers[router].listen).await {
                     while let Ok(event) = mailbox.try_recv() {
-                        self.take(event);
+                        self.deliver_event(event);
                     }
                     let ended = self.routers[router].child.as_mut().and_then(Router::ended);
                     if let Some(ended) = ended {
@@ -391,23 +403,23 @@
                     }
                     if Instant::now() > end {
                         return Err(format!(
-                            "router n{router} does not say that it serves after {READY_WITHIN:?}"
+                            "router n{router} does not say that it serves after {READY_TIMEOUT:?}"
                         ));
                     }
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
-                self.routers[router].up = true;
+                self.routers[router].receives_clients = true;
                 bar.inc(1);
             }
             while let Ok(event) = mailbox.try_recv() {
-                self.take(event);
+                self.deliver_event(event);
             }
         }
         bar.finish_and_clear();
         Ok(())
     }
 
-    pub(super) fn bar(&self, what: &'static str, length: usize) -> indicatif::ProgressBar {
+    pub(super) fn progress_bar(&self, what: &'static str, length: usize) -> indicatif::ProgressBar {
         let bar = if self.setup.progress {
             indicatif::ProgressBar::new(length as u64)
         } else {
