--- a/crates/harness/src/wire/tests.rs
+++ b/crates/harness/src/wire/tests.rs
@@ -6,20 +6,24 @@
     let line = "ASK 00000000000000a1 cls=page,item=7f3a9c21e0b4d655,chunk=3,limit=900,src=p1,keep=2,\
                 maxage=500,\
                 flags=collapse+only-if-cached 12";
-    let Some(Order::Ask(asked, 12)) = order(line) else {
+    let Some(Command::Attempt(message, 12)) = parse_command(line) else {
         panic!("not read")
     };
-    assert_eq!((asked.id, asked.key), (0xa1, (0x7f3a9c21e0b4d655, 3)));
+    assert_eq!((message.id, message.key), (0xa1, (0x7f3a9c21e0b4d655, 3)));
     assert_eq!(
-        (asked.source.as_deref(), asked.keep, asked.oldest_ms),
+        (
+            message.source.as_deref(),
+            message.priority,
+            message.max_age_ms
+        ),
         (Some("p1"), 2, Some(500))
     );
-    assert!(asked.only_held && asked.parent_keeps);
+    assert!(message.only_if_cached && message.store_at_parent);
     assert!(matches!(
-        order("QUIT 00000000000000a1"),
-        Some(Order::Quit(0xa1))
+        parse_command("QUIT 00000000000000a1"),
+        Some(Command::Quit(0xa1))
     ));
-    assert!(matches!(order("NOOP 7"), Some(Order::Noop(tag)) if tag == "7"));
+    assert!(matches!(parse_command("NOOP 7"), Some(Command::Noop(tag)) if tag == "7"));
     for wrong in [
         "ASK x - 0",
         "ASK a1 keep=9 0",
@@ -27,27 +31,27 @@
         "NOOP",
         "",
     ] {
-        assert!(order(wrong).is_none(), "{wrong}");
+        assert!(parse_command(wrong).is_none(), "{wrong}");
     }
 }
 
 #[test]
 fn answers_are_read_whole_however_they_come() {
-    let made = body((0xabc, 2), 77, 3.0);
-    let mut bytes = array(&[b"7", b"ACK", b"ver=1", &made]);
-    bytes.extend(array(&[b"8", b"NAK", b"w=250", b""]));
+    let made = encode_body((0xabc, 2), 77, 3.0);
+    let mut bytes = encode_array(&[b"7", b"ACK", b"ver=1", &made]);
+    bytes.extend(encode_array(&[b"8", b"NAK", b"w=250", b""]));
     for cut in 0..bytes.len() {
         let (mut buffer, mut all) = (BytesMut::new(), Vec::new());
         for part in [&bytes[..cut], &bytes[cut..]] {
             buffer.extend_from_slice(part);
-            while let Some(parts) = answer(&mut buffer).unwrap() {
-                all.push(read(&parts).unwrap());
+            while let Some(parts) = decode_array(&mut buffer).unwrap() {
+                all.push(parse_response(&parts).unwrap());
             }
         }
-        assert_eq!(all[0], (7, Answer::Served(Some(((0xabc, 2), 77)))));
+        assert_eq!(all[0], (7, Response::Served(Some(((0xabc, 2), 77)))));
         assert_eq!(
             all[1],
-            (8, Answer::Rejected(Some(Duration::from_millis(250))))
+            (8, Response::Rejected(Some(Duration::from_millis(250))))
         );
     }
 }
@@ -56,10 +60,10 @@
     #[test]
     fn no_bytes_break_a_reader(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut buffer = BytesMut::from(&bytes[..]);
-        while let Ok(Some(parts)) = answer(&mut buffer) {
-            let _ = read(&parts);
+        while let Ok(Some(parts)) = decode_array(&mut buffer) {
+            let _ = parse_response(&parts);
             if buffer.is_empty() { break }
         }
-        let _ = (order(&String::from_utf8_lossy(&bytes)), says(&bytes));
+        let _ = (parse_command(&String::from_utf8_lossy(&bytes)), parse_body(&bytes));
     }
 }
--- a/crates/harness/src/places/tests.rs
+++ b/crates/harness/src/zone_metrics/tests.rs
@@ -5,39 +5,39 @@
 fn a_loss_is_measured_by_what_went_where() {
     let s = Duration::from_secs;
     let mut play = Play::default();
-    play.work.lasts = s(10);
-    play.work.lead = s(0);
-    play.work.rate = 60.0;
+    play.work.duration = s(10);
+    play.work.warmup = s(0);
+    play.work.requests_per_s = 60.0;
     play.faults.push(Fault {
-        at: s(2),
-        lasts: s(2),
-        what: What::Lose(Whom::Zone(1)),
+        start: s(2),
+        duration: s(2),
+        kind: FaultKind::Lose(Target::Zone(1)),
     });
-    let place = |zone: usize| Place {
+    let record = |zone: usize| ServerRecord {
         name: format!("c{zone}"),
         zone,
         capacity: 4.0,
-        started: None,
-        there: if zone == 1 {
+        started_at: None,
+        listed_during: if zone == 1 {
             vec![(s(0), s(2)), (s(4), s(99))]
         } else {
             vec![(s(0), s(99))]
         },
-        cold_from: 0.3,
-        warm_within: s(2),
+        initial_capacity_share: 0.3,
+        slow_start: s(2),
     };
-    let places: Vec<Place> = (0..4).map(place).collect();
-    let mut kept = Kept::new(4, 12);
+    let records: Vec<ServerRecord> = (0..4).map(record).collect();
+    let mut zone_value = ZoneValue::new(4, 12);
     let mut sent = Vec::new();
     for n in 0..1000u64 {
         let at = Duration::from_millis(n * 10);
-        kept.asked(1, at);
+        zone_value.record_requested(1, at);
         let away = (s(3)..s(4)).contains(&at);
         if away || !(s(2)..s(4)).contains(&at) {
-            kept.earned(1, at, 1.0);
+            zone_value.record_earned(1, at, 1.0);
         }
         let zone = if away || n == 900 { 2 } else { 1 };
-        sent.push(Sent {
+        sent.push(SentAttempt {
             at,
             server: 0,
             zone,
@@ -47,7 +47,7 @@
             hit: true,
         });
     }
-    let found = kept.measure(&play, &sent, &places);
+    let found = zone_value.measure(&play, &sent, &records);
     assert!((found.lost_service - 6.0 / 7.0).abs() < 1e-9, "{found:?}");
     assert!(
         found
--- /dev/null
+++ b/crates/harness/src/zone_network/tests.rs
@@ -0,0 +1,62 @@
+use super::*;
+use crate::play::Play;
+
+fn fleet() -> FleetSettings {
+    let (intra_region_delay, inter_region_delay) =
+        (Duration::from_millis(3), Duration::from_millis(30));
+    FleetSettings {
+        zones: 6,
+        regions: 2,
+        intra_region_delay,
+        inter_region_delay,
+        jitter: 0.2,
+        ..Play::default().fleet
+    }
+}
+
+#[test]
+fn near_is_near_far_is_far_and_each_direction_is_its_own() {
+    let (fleet, mut rng) = (fleet(), fastrand::Rng::with_seed(1));
+    let mut network = ZoneNetwork::new(&fleet).expect("told");
+    assert_eq!(
+        (0..6).map(|at| region(at, &fleet)).collect::<Vec<_>>(),
+        [0, 0, 0, 1, 1, 1]
+    );
+    assert!(
+        network.median_round_trip(0, 1) < Duration::from_millis(8)
+            && network.median_round_trip(0, 4) > Duration::from_millis(40)
+    );
+    assert_eq!(
+        network.median_round_trip(0, 6),
+        network.median_round_trip(0, 1),
+        "the hub"
+    );
+    network.for_each_pair(Some(0), Some(4), |network, a, b| {
+        network.is_cut[a][b] = true
+    });
+    assert_eq!(network.delay(0, 4, &mut rng), None);
+    assert!(network.delay(4, 0, &mut rng).is_some() && network.delay(0, 3, &mut rng).is_some());
+    network.for_each_pair(None, Some(2), |network, a, b| {
+        network.slow_factor[a][b] = 5.0
+    });
+    assert!(network.delay(1, 2, &mut rng).expect("comes") >= Duration::from_millis(15));
+    assert!(network.delay(2, 1, &mut rng).expect("comes") < Duration::from_millis(4));
+    assert_eq!(ZoneNetwork::new(&Play::default().fleet), None);
+}
+
+#[test]
+fn bytes_come_late_where_datagrams_are_lost() {
+    let (fleet, mut rng) = (fleet(), fastrand::Rng::with_seed(2));
+    let mut network = ZoneNetwork::new(&fleet).expect("told");
+    network.for_each_pair(None, None, |network, a, b| network.loss_share[a][b] = 0.3);
+    let late = (0..1000)
+        .filter(|_| network.delay(0, 1, &mut rng).expect("comes") >= RETRANSMIT_DELAY)
+        .count();
+    let loss_share = (0..1000)
+        .filter(|_| network.datagram_delay(0, 1, &mut rng).is_none())
+        .count();
+    assert!(
+        (240..360).contains(&late) && (240..360).contains(&loss_share),
+        "{late} {loss_share}"
+    );
+}
