--- a/crates/harness/src/object_cache.rs
+++ b/crates/harness/src/object_cache.rs
@@ -1,18 +1,19 @@
-//! Copies that a server holds, by rank and bytes: a new one pushes out only its own rank or lower, the lowest
-//! first, in a rank what was used longest ago; else it is not kept.
+//! The objects that a server caches, by retention priority and size. A new object evicts only objects
+//! of its own or a lower priority, lowest priority first and least recently used first within one; if
+//! that does not free enough space, it is not stored.
 
 use lru::LruCache;
 
 /// An object and its part.
 pub type Key = (u64, u64);
 
-/// Ranks are 0 to 3.
+/// Retention priorities are 0 to 3.
 pub const PRIORITIES: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedObject {
     pub kb: f64,
-    /// When the origin gave it out, in Unix milliseconds.
+    /// When the origin created it, in Unix milliseconds.
     pub created_ms: u64,
 }
 
@@ -39,7 +40,7 @@
         (0..PRIORITIES).find(|priority| self.priorities[*priority].contains(key))
     }
 
-    /// The copy, used now; `rank` over 0 sets its rank anew.
+    /// Returns the copy and marks it as used; `priority` over 0 replaces its priority.
     pub fn hit(&mut self, key: &Key, priority: usize) -> Option<CachedObject> {
         let at = self.priority_of(key)?;
         if priority == 0 || priority == at {
@@ -57,7 +58,7 @@
             .copied()
     }
 
-    /// Keeps a copy, if it may push out enough.
+    /// Stores a copy if enough can be evicted for it.
     pub fn store(&mut self, key: Key, priority: usize, copy: CachedObject) -> bool {
         self.remove(&key);
         let priority = priority.min(PRIORITIES - 1);
--- a/crates/harness/src/processor_sharing.rs
+++ b/crates/harness/src/processor_sharing.rs
@@ -1,6 +1,6 @@
-//! What transfers share: each runs at a client's pace at most, and where more are under way than there is
-//! room for, all get the same part of it (processor sharing). Time is handed in; ends come out in their
-//! order, each with its own instant, however late they are asked for.
+//! Processor sharing: each transfer runs at the client rate at most, and when there are more transfers
+//! than the capacity allows, all get an equal share of it. The time is passed in. Transfers finish in
+//! order, each with its exact finish time, however late they are collected.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug)]
 struct Job<K> {
-    /// The service that each transfer will have had when this one ends.
+    /// Value of `service_per_job` at which this transfer ends.
     ends_at_service: f64,
     sequence: u64,
     key: K,
@@ -29,7 +29,7 @@
 }
 
 impl<K> Ord for Job<K> {
-    /// The one that ends first is the greatest.
+    /// Reversed, so that the heap's top is the transfer that ends first.
     fn cmp(&self, other: &Job<K>) -> Ordering {
         other
             .ends_at_service
@@ -38,13 +38,13 @@
     }
 }
 
-/// `K`: what tells one transfer from another.
+/// `K` identifies a transfer.
 #[derive(Debug)]
 pub struct ProcessorSharing<K> {
-    /// Transfers at full pace at once.
+    /// Number of concurrent transfers at the full rate.
     capacity: f64,
     updated_at: Duration,
-    /// Seconds of service that a transfer which was always there would have had.
+    /// Seconds of service that a transfer present from the start would have received.
     service_per_job: f64,
     jobs: BinaryHeap<Job<K>>,
     added: u64,
@@ -73,20 +73,20 @@
         (self.capacity / self.jobs.len().max(1) as f64).clamp(1e-6, 1.0)
     }
 
-    /// Goes on to `now`, before which nothing ends.
+    /// Advances to `now`; no transfer may end before it.
     fn advance_to(&mut self, now: Duration) {
         self.service_per_job += now.saturating_sub(self.updated_at).as_secs_f64() * self.rate();
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// When the next transfer ends, as things stand.
+    /// When the next transfer ends if none is added.
     pub fn next_end(&self) -> Option<Duration> {
         let first = self.jobs.peek()?;
         let left = ((first.ends_at_service - self.service_per_job) / self.rate()).clamp(0.0, 1e6);
         Some(self.updated_at + Duration::from_secs_f64(left))
     }
 
-    /// The next that has ended by `now`, and when.
+    /// Removes the next transfer that has ended by `now` and returns it with its end time.
     pub fn take_finished(&mut self, now: Duration) -> Option<(K, Duration)> {
         let when = self.next_end().filter(|when| *when <= now)?;
         self.advance_to(when);
@@ -95,7 +95,8 @@
         Some((job.key, when))
     }
 
-    /// A transfer of so many seconds at full pace. What has ended by `now` is to be taken out before.
+    /// Adds a transfer that takes `work` seconds at the full rate. Transfers that ended by `now` must
+    /// have been collected before.
     pub fn add(&mut self, now: Duration, key: K, work: f64) {
         self.advance_to(now);
         self.added += 1;
@@ -106,13 +107,13 @@
         });
     }
 
-    /// The capacity is another from now on.
+    /// Changes the capacity from `now` on.
     pub fn set_capacity(&mut self, now: Duration, capacity: f64) {
         self.advance_to(now);
         self.capacity = capacity;
     }
 
-    /// Drops what does not pass, and returns it.
+    /// Removes and returns the transfers for which `keep` is false.
     pub fn remove_unless(&mut self, now: Duration, keep: impl Fn(&K) -> bool) -> Vec<K> {
         self.advance_to(now);
         let (kept, dropped): (Vec<_>, Vec<_>) = self.jobs.drain().partition(|job| keep(&job.key));
