--- a/crates/harness/src/datagram_relay.rs
+++ b/crates/harness/src/datagram_relay.rs
@@ -1,7 +1,7 @@
-//! What routers say to one another passes here, and may be lost, doubled, late or turned round. Needs no
-//! privilege: each router is told, as its peers' addresses, one socket of this net for each router; what
-//! router i sends to j's socket is known by where it comes from, and goes on from i's socket to j. So each
-//! sees its peers where it was told.
+//! Relays the datagrams between routers and can lose, duplicate, delay or reorder them. It needs no
+//! privileges: as its peers' addresses each router is given sockets of this relay, one per router. A
+//! datagram from router i to router j's socket is recognized by its source address and forwarded from
+//! i's socket to j, so each router sees its peers at the addresses it was given.
 
 use crate::zone_network::ZoneNetwork;
 use chalkhall_gossip::codec::{Datagram, Finding, KEY_BITS, MOST_BYTES};
@@ -13,23 +13,23 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What befalls datagrams now.
+/// Faults that currently apply to datagrams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DatagramFaults {
     pub loss_share: f64,
     pub duplicate_share: f64,
     pub reorder_share: f64,
     pub max_delay: Duration,
-    /// By router: it hears nothing.
+    /// By router: drops every datagram addressed to it.
     pub is_deaf: Vec<bool>,
-    /// Where its chance starts from.
+    /// Seed of the random decisions.
     pub seed: u64,
-    /// What it takes between zones, and by router at which it stands.
+    /// Delays and losses between zones; a router's zone is its number modulo `zones`.
     pub network: Option<Rc<ZoneNetwork>>,
     pub zones: usize,
 }
 
-/// A datagram held back so long comes after the next one of its sender.
+/// Longer than the interval at which a router sends, so that the next datagram overtakes this one.
 const REORDER_DELAY: Duration = Duration::from_millis(650);
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,17 +42,17 @@
 pub struct DatagramRelay {
     sockets: Rc<Vec<UdpSocket>>,
     broadcast: Rc<UdpSocket>,
-    /// Where routers listen.
+    /// Addresses on which routers listen.
     routers: Rc<Vec<SocketAddr>>,
 }
 
 impl DatagramRelay {
     /// # Errors
-    /// Of the system, in words.
-    pub async fn open(routers: Vec<SocketAddr>, at: &str) -> Result<DatagramRelay, String> {
+    /// A socket could not be bound.
+    pub async fn open(routers: Vec<SocketAddr>, address: &str) -> Result<DatagramRelay, String> {
         let mut sockets = Vec::with_capacity(routers.len());
         let bind = || async {
-            UdpSocket::bind(format!("{at}:0"))
+            UdpSocket::bind(format!("{address}:0"))
                 .await
                 .map_err(|e| format!("datagrams: {e}"))
         };
@@ -66,7 +66,7 @@
         })
     }
 
-    /// As routers are told: one address each, and one for all.
+    /// Addresses to configure in the routers: one per peer, and one that reaches all peers.
     pub fn addresses(&self) -> (Vec<String>, String) {
         let at = |socket: &UdpSocket| {
             socket
@@ -77,11 +77,11 @@
         (self.sockets.iter().map(at).collect(), at(&self.broadcast))
     }
 
-    /// Carries until the weather ends.
+    /// Relays until the sender of the faults is dropped.
     pub fn start(
         &self,
         faults: &watch::Receiver<DatagramFaults>,
-        carried: &watch::Sender<DatagramCounters>,
+        counters: &watch::Sender<DatagramCounters>,
     ) {
         for to in 0..=self.routers.len() {
             let (sockets, all, routers) = (
@@ -89,7 +89,7 @@
                 self.broadcast.clone(),
                 self.routers.clone(),
             );
-            let (faults, carried) = (faults.clone(), carried.clone());
+            let (faults, counters) = (faults.clone(), counters.clone());
             spawn_local(async move {
                 let mut rng = fastrand::Rng::with_seed(faults.borrow().seed ^ to as u64);
                 let socket = sockets.get(to).unwrap_or(&all);
@@ -98,7 +98,7 @@
                     let Some(sender) = routers.iter().position(|at| *at == from) else {
                         continue;
                     };
-                    carried.send_modify(|c| {
+                    counters.send_modify(|c| {
                         c.datagrams += 1;
                         c.bytes += length as u64;
                         c.too_long += u64::from(length > MOST_BYTES);
@@ -124,7 +124,8 @@
         }
     }
 
-    /// A word within the format, in the name of a router, that nobody has found out: parts that are nowhere.
+    /// Sends well-formed datagrams in the name of a router with findings that no router made: random
+    /// parts and caches.
     pub fn send_forged(&self, liar: usize, zone: usize, peers: &[usize], rng: &mut fastrand::Rng) {
         let finding = |_| Finding {
             part: rng.u32(..1 << KEY_BITS),
@@ -157,8 +158,8 @@
     let copies = 1 + usize::from(rng.f64() < faults.duplicate_share);
     for _ in 0..copies {
         let network_delay = faults.network.as_ref().map(|network| {
-            let place = |router: usize| router % faults.zones.max(1);
-            network.datagram_delay(place(sender), place(receiver), rng)
+            let zone = |router: usize| router % faults.zones.max(1);
+            network.datagram_delay(zone(sender), zone(receiver), rng)
         });
         let Some(network_delay) = network_delay.unwrap_or(Some(Duration::ZERO)) else {
             continue;
@@ -168,7 +169,7 @@
             wait += REORDER_DELAY;
         }
         if wait.is_zero() {
-            // A full buffer loses it, as any datagram may be.
+            // A full buffer loses the datagram, as on any network.
             let _ = sockets[sender].try_send_to(bytes, routers[receiver]);
             continue;
         }
--- a/crates/harness/src/datagram_relay/tests.rs
+++ b/crates/harness/src/datagram_relay/tests.rs
@@ -2,9 +2,9 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// Sends from router 0 to router 1's place in some weather; how many arrive, and from whom they seem to
-/// be.
-fn arrive(weather: DatagramFaults, count: u8) -> (Vec<u8>, bool) {
+/// Sends datagrams from router 0 to router 1 under the given faults. Returns those that arrive, and
+/// whether all came from router 0's relay address.
+fn arrive(faults: DatagramFaults, count: u8) -> (Vec<u8>, bool) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -14,43 +14,51 @@
             UdpSocket::bind("127.0.0.1:0").await.unwrap(),
             UdpSocket::bind("127.0.0.1:0").await.unwrap(),
         ];
-        let at = routers.iter().map(|r| r.local_addr().unwrap()).collect();
-        let net = DatagramRelay::open(at, "127.0.0.1").await.unwrap();
-        let (told, _) = net.addresses();
-        let (_weather, watched) = watch::channel(weather);
-        net.start(&watched, &watch::channel(DatagramCounters::default()).0);
+        let router_addresses = routers.iter().map(|r| r.local_addr().unwrap()).collect();
+        let relay = DatagramRelay::open(router_addresses, "127.0.0.1")
+            .await
+            .unwrap();
+        let (addresses, _) = relay.addresses();
+        let (_faults, current_faults) = watch::channel(faults);
+        relay.start(
+            &current_faults,
+            &watch::channel(DatagramCounters::default()).0,
+        );
         for n in 0..count {
-            routers[0].send_to(&[n], &told[1]).await.unwrap();
+            routers[0].send_to(&[n], &addresses[1]).await.unwrap();
             tokio::task::yield_now().await;
         }
-        let (mut came, mut known, mut buffer) = (Vec::new(), true, [0; 8]);
+        let (mut arrived, mut from_relay, mut buffer) = (Vec::new(), true, [0; 8]);
         while let Ok(Ok((_, from))) = timeout(
             Duration::from_millis(900),
             routers[1].recv_from(&mut buffer),
         )
         .await
         {
-            known &= from.to_string() == told[0];
-            came.push(buffer[0]);
+            from_relay &= from.to_string() == addresses[0];
+            arrived.push(buffer[0]);
         }
-        (came, known)
+        (arrived, from_relay)
     })
 }
 
 #[test]
-fn datagrams_pass_under_their_senders_address_and_meet_the_weather() {
+fn datagrams_arrive_from_their_senders_address_and_are_subject_to_the_faults() {
     assert_eq!(
         arrive(DatagramFaults::default(), 20),
         ((0..20).collect(), true)
     );
-    let (came, known) = arrive(
+    let (arrived, from_relay) = arrive(
         DatagramFaults {
             loss_share: 0.5,
             ..DatagramFaults::default()
         },
         100,
     );
-    assert!(known && (25..75).contains(&came.len()), "{came:?}");
+    assert!(
+        from_relay && (25..75).contains(&arrived.len()),
+        "{arrived:?}"
+    );
     assert_eq!(
         arrive(
             DatagramFaults {
@@ -74,7 +82,7 @@
         .0
         .is_empty()
     );
-    let (came, _) = arrive(
+    let (arrived, _) = arrive(
         DatagramFaults {
             reorder_share: 0.3,
             seed: 4,
@@ -82,5 +90,5 @@
         },
         40,
     );
-    assert!(came.len() == 40 && !came.is_sorted(), "{came:?}");
+    assert!(arrived.len() == 40 && !arrived.is_sorted(), "{arrived:?}");
 }
--- a/crates/harness/src/load_balance.rs
+++ b/crates/harness/src/load_balance.rs
@@ -1,20 +1,20 @@
-//! How even load lies on the caches, measured from outside on what was truly sent; and the same work dealt
-//! out by other rules, from the plain hash to one that sees all.
+//! Measures how evenly load is spread over the caches, from the attempts that were sent, and the same work
+//! under other assignment rules, from the plain hash to one with full knowledge.
 //!
-//! All by zone and window: a server's load is the work sent to it (seconds at a client's pace) over what
-//! it could do (capacity x warmth at that instant).
+//! Everything is by zone and window: a server's load is the work sent to it (in seconds at the client rate)
+//! over what it could do (capacity x warmth at that instant).
 //!
-//! | figure | what |
+//! | figure | meaning |
 //! | --- | --- |
-//! | `peak` | busiest over mean, averaged over zones and windows |
-//! | `worst` | the worst of those |
-//! | `idle` | share of server-windows, warm and in the list, under a quarter of the mean |
-//! | `jain` | Jain's index of fairness (1984), averaged: 1 is even, 1/n all on one |
+//! | `peak` | busiest server over the mean, averaged over zones and windows |
+//! | `worst` | the maximum of those |
+//! | `idle` | share of server-windows, warm and listed, under a quarter of the mean |
+//! | `jain` | Jain's fairness index (1984), averaged: 1 is even, 1/n all on one server |
 //! | `swing` | servers that went from over 1.5 x the mean to under 0.5 x and back within 5 s |
-//! | `herd` | after an event: the most routers that send next to one server, over that of the hash |
+//! | `herd` | after an event: most routers that next send to one server, over that of the hash |
 //!
-//! Windows in which a zone was sent less than `LEAST` requests a server say nothing and are left out:
-//! of a handful, chance alone makes one the busiest by far.
+//! Windows with fewer than `MIN_REQUESTS_PER_SERVER` requests per server are left out: with a handful of
+//! requests, chance alone makes one server the busiest by far.
 
 use crate::object_cache::Key;
 use crate::server_model::SentAttempt;
@@ -22,17 +22,17 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Requests a server, on average, from which a window counts.
+/// Mean requests per server from which a window counts.
 const MIN_REQUESTS_PER_SERVER: f64 = 8.0;
 
-/// A cache as the list and the truth have it: its zone, when it is there, and what it can do by time.
+/// A server's history: its zone, when it was listed, and its capacity over time.
 #[derive(Clone, Debug)]
 pub struct ServerRecord {
     pub name: String,
     pub zone: usize,
     pub capacity: f64,
     pub started_at: Option<Duration>,
-    /// From when and until when it is in the list and runs; more than one stretch where it was away.
+    /// Periods in which it was listed and running; several if it was away in between.
     pub listed_during: Vec<(Duration, Duration)>,
     pub initial_capacity_share: f64,
     pub slow_start: Duration,
@@ -66,14 +66,14 @@
     }
 }
 
-/// The design's hash: what each server draws for an object, in proportion to its capacity; the least takes
-/// it.
+/// The hash of the design: each server draws a value per object in proportion to its capacity, and the
+/// lowest value takes the object.
 pub fn hash_weight(server: &str, object: &str, capacity: f64) -> f64 {
     let hash = xxh3_64_with_seed(object.as_bytes(), xxh3_64(server.as_bytes()));
     -((hash as f64 + 1.0) / 2f64.powi(64)).ln() / capacity.max(1e-9)
 }
 
-/// How an object is called.
+/// Name of the object in the hash.
 pub fn object_name(key: Key) -> String {
     format!("{:016x}", key.0)
 }
@@ -85,11 +85,11 @@
     pub idle: f64,
     pub jain: f64,
     pub swing: f64,
-    /// Windows that counted.
+    /// Windows that were counted.
     pub windows: usize,
 }
 
-/// Loads by zone and window: server, work over capacity, and how many requests.
+/// Loads by zone and window: server, work over capacity, number of requests.
 type Windows = BTreeMap<(usize, u64), Vec<(usize, f64, usize)>>;
 
 fn windows(
@@ -137,7 +137,7 @@
     if count > 0.0 { sum / count } else { 0.0 }
 }
 
-/// From `from` to `to`, by windows of that width.
+/// Measures from `from` to `to` in windows of `width`.
 pub fn measure(
     sent: &[SentAttempt],
     records: &[ServerRecord],
@@ -149,9 +149,9 @@
     let (mut peaks, mut jains, mut idle, mut warm) = (Vec::new(), Vec::new(), 0usize, 0usize);
     for ((_, window), loads) in &windows {
         let average = mean(loads.iter().map(|(_, load, _)| *load));
-        let most = loads.iter().map(|(_, load, _)| *load).fold(0.0, f64::max);
+        let maximum = loads.iter().map(|(_, load, _)| *load).fold(0.0, f64::max);
         let squares = mean(loads.iter().map(|(_, load, _)| load * load));
-        peaks.push(most / average);
+        peaks.push(maximum / average);
         jains.push(average * average / squares);
         let begin = from + width * *window as u32;
         for (server, load, _) in loads
@@ -173,8 +173,9 @@
     }
 }
 
-/// Servers that go from crowded to idle and back within five seconds: routers that move together. Both turns
-/// must stand out of the noise of their counts by three deviations.
+/// Counts servers that go from over 1.5 times the mean load to under 0.5 times and back within five
+/// seconds, a sign of routers that move together. Each move must exceed the noise of the counts by
+/// three standard deviations.
 fn count_swings(
     sent: &[SentAttempt],
     records: &[ServerRecord],
@@ -185,8 +186,8 @@
     let mut by_server: BTreeMap<usize, Vec<(u64, i8)>> = BTreeMap::new();
     for ((_, window), loads) in windows {
         let average = mean(loads.iter().map(|(_, load, _)| *load));
-        let usual = mean(loads.iter().map(|(_, _, count)| *count as f64));
-        let noise = 3.0 * average / usual.sqrt();
+        let mean_count = mean(loads.iter().map(|(_, _, count)| *count as f64));
+        let noise = 3.0 * average / mean_count.sqrt();
         for (server, load, _) in loads {
             let side = i8::from(load > (1.5 * average).max(average + noise))
                 - i8::from(load < (0.5 * average).min(average - noise));
@@ -195,7 +196,7 @@
             }
         }
     }
-    let back = |turns: &[(u64, i8)]| {
+    let swings_back = |turns: &[(u64, i8)]| {
         let high = |side: i8| move |(_, s): &&(u64, i8)| *s == side;
         turns
             .iter()
@@ -207,12 +208,15 @@
                 again.is_some_and(|again| again.0 - first.0 <= 5)
             })
     };
-    by_server.values().filter(|turns| back(turns)).count()
+    by_server
+        .values()
+        .filter(|turns| swings_back(turns))
+        .count()
 }
 
-/// Over the routers of the zone, the largest share whose first request after `at`, within a second, went
-/// to the same server; over the same for where the hash would have sent those requests. None: hardly anybody
-/// sent.
+/// Over the routers of the zone, the largest share whose first request within a second after `at` went
+/// to the same server, over the same share under the hash. None if fewer than six routers sent
+/// anything.
 pub fn herd(
     sent: &[SentAttempt],
     records: &[ServerRecord],
@@ -244,32 +248,33 @@
     (hashed > 0.0).then(|| observed / hashed)
 }
 
-/// Servers of a zone that are there, in the order in which the hash prefers them for a part.
+/// Servers of a zone that are listed at `at`, in the hash's order of preference for a part.
 pub fn ranked_servers(records: &[ServerRecord], zone: usize, key: Key, at: Duration) -> Vec<usize> {
     let name = object_name(key);
-    let here = records
+    let listed = records
         .iter()
         .enumerate()
         .filter(|(_, p)| p.zone == zone && p.is_listed(at));
-    let mut drawn: Vec<(f64, usize)> = here
+    let mut drawn: Vec<(f64, usize)> = listed
         .map(|(n, p)| (hash_weight(&p.name, &name, p.capacity), n))
         .collect();
     drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
     drawn.into_iter().map(|(_, server)| server).collect()
 }
 
-/// Rules by which the same work can be dealt out.
+/// Rules by which the same work can be assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// The hash alone.
+    /// The hash's first server.
     Hash,
-    /// Of the hash's first two, the one of which this router has less out.
+    /// Of the hash's first two servers, the one with fewer of this router's requests in flight.
     LeastOfTwo,
-    /// With the truth in sight: the hash's first that has room in this window, else the one with most room.
+    /// With full knowledge: the hash's first server with spare capacity in this window, otherwise the
+    /// one with the lowest load.
     Omniscient,
 }
 
-/// The same requests, sent where a rule sends them. A request counts as under way for its work's time.
+/// The same requests, assigned by a rule. A request counts as in flight for the duration of its work.
 pub fn assign(
     sent: &[SentAttempt],
     records: &[ServerRecord],
@@ -278,8 +283,8 @@
     width: Duration,
 ) -> Vec<SentAttempt> {
     let mut running: HashMap<(usize, usize), VecDeque<Duration>> = HashMap::new();
-    // What each server of a zone was given in this window, and what the zone is asked for in all of
-    // it. What came before the first window is dealt out like the rest, and measured by nobody.
+    // Work assigned to each server of a zone in a window, and all work requested in the zone in it.
+    // Requests before the first window are assigned too, but not measured.
     let mut assigned: HashMap<(usize, Option<u64>), f64> = HashMap::new();
     let mut requested: HashMap<(usize, Option<u64>), f64> = HashMap::new();
     let window =
@@ -301,11 +306,11 @@
             Rule::Hash => order.first().copied(),
             Rule::LeastOfTwo => {
                 let mut running_on = |server: usize| {
-                    let under_way = running.entry((attempt.router, server)).or_default();
-                    while under_way.front().is_some_and(|end| *end <= attempt.at) {
-                        under_way.pop_front();
+                    let in_flight = running.entry((attempt.router, server)).or_default();
+                    while in_flight.front().is_some_and(|end| *end <= attempt.at) {
+                        in_flight.pop_front();
                     }
-                    under_way.len()
+                    in_flight.len()
                 };
                 order
                     .iter()
@@ -320,8 +325,8 @@
                     let assigned = assigned.get(&(*s, number)).copied().unwrap_or(0.0);
                     (assigned + attempt.work) / capacity(*s, number)
                 };
-                let roomy = order.iter().find(|s| load(s) <= mean).copied();
-                roomy.or_else(|| {
+                let with_capacity = order.iter().find(|s| load(s) <= mean).copied();
+                with_capacity.or_else(|| {
                     order
                         .iter()
                         .copied()
--- a/crates/harness/src/load_balance/tests.rs
+++ b/crates/harness/src/load_balance/tests.rs
@@ -15,9 +15,9 @@
     (0..count).map(record).collect()
 }
 
-/// So many requests a second for ten seconds, each to the server that a rule names.
+/// `rate` requests a second for ten seconds, each to the server that `to` names.
 fn sent(rate: usize, to: impl Fn(usize) -> usize) -> Vec<SentAttempt> {
-    let one = |n: usize| SentAttempt {
+    let attempt = |n: usize| SentAttempt {
         at: Duration::from_secs_f64(n as f64 / rate as f64),
         server: to(n),
         zone: 0,
@@ -26,7 +26,7 @@
         work: 0.05,
         hit: true,
     };
-    (0..rate * 10).map(one).collect()
+    (0..rate * 10).map(attempt).collect()
 }
 
 fn balance_of(sent: &[SentAttempt], records: &[ServerRecord]) -> LoadBalance {
@@ -40,44 +40,44 @@
 }
 
 #[test]
-fn even_load_is_called_even_and_a_crowd_a_crowd() {
+fn balanced_and_concentrated_load_are_told_apart() {
     let records = records(4);
-    let even = balance_of(&sent(100, |n| n % 4), &records);
+    let balanced = balance_of(&sent(100, |n| n % 4), &records);
     assert!(
-        (even.peak - 1.0).abs() < 0.01 && even.idle == 0.0 && even.jain > 0.999,
-        "{even:?}"
+        (balanced.peak - 1.0).abs() < 0.01 && balanced.idle == 0.0 && balanced.jain > 0.999,
+        "{balanced:?}"
     );
-    assert_eq!((even.windows, even.swing), (2, 0.0));
-    let crowd = balance_of(&sent(100, |_| 2), &records);
+    assert_eq!((balanced.windows, balanced.swing), (2, 0.0));
+    let concentrated = balance_of(&sent(100, |_| 2), &records);
     assert!(
-        (crowd.peak - 4.0).abs() < 0.01 && (crowd.idle - 0.75).abs() < 0.01,
-        "{crowd:?}"
+        (concentrated.peak - 4.0).abs() < 0.01 && (concentrated.idle - 0.75).abs() < 0.01,
+        "{concentrated:?}"
     );
-    assert!((crowd.jain - 0.25).abs() < 0.01);
+    assert!((concentrated.jain - 0.25).abs() < 0.01);
 }
 
 #[test]
-fn a_cold_server_is_measured_by_what_it_can_do_and_never_called_idle() {
+fn a_cold_server_is_measured_by_its_current_capacity_and_never_counts_as_idle() {
     let mut records = records(2);
     records[1].started_at = Some(Duration::ZERO);
-    // Half of its capacity on average over ten seconds: a third of the work is its even part.
-    let even = balance_of(&sent(120, |n| usize::from(n % 3 == 0)), &records);
-    assert!(even.peak < 1.35 && even.idle == 0.0, "{even:?}");
+    // Half of its capacity on average over ten seconds: a third of the work is its fair share.
+    let balanced = balance_of(&sent(120, |n| usize::from(n % 3 == 0)), &records);
+    assert!(balanced.peak < 1.35 && balanced.idle == 0.0, "{balanced:?}");
     let none = balance_of(&sent(120, |_| 0), &records);
-    assert_eq!(none.idle, 0.0, "it is cold: not idle, but spared");
+    assert_eq!(none.idle, 0.0, "a cold server does not count as idle");
 }
 
 #[test]
-fn what_goes_to_and_fro_is_seen_as_a_swing() {
+fn load_that_oscillates_between_servers_counts_as_a_swing() {
     let records = records(3);
-    // All but a few on one server in one second, on another in the next.
-    let swinging = sent(300, |n| if n % 20 == 0 { 2 } else { (n / 300) % 2 });
-    assert!(balance_of(&swinging, &records).swing >= 2.0);
+    // All but a few requests go to one server in one second and to another in the next.
+    let oscillating = sent(300, |n| if n % 20 == 0 { 2 } else { (n / 300) % 2 });
+    assert!(balance_of(&oscillating, &records).swing >= 2.0);
     assert_eq!(balance_of(&sent(300, |n| n % 3), &records).swing, 0.0);
 }
 
 #[test]
-fn a_herd_is_told_from_what_the_hash_would_do() {
+fn a_herd_is_measured_relative_to_the_hash() {
     let records = records(4);
     let herd_of =
         |to: fn(usize) -> usize| herd(&sent(100, to), &records, 0, Duration::from_secs(2));
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn who_sees_all_is_more_even_than_the_hash_and_keeps_it_where_there_is_room() {
+fn full_knowledge_balances_better_than_the_hash_and_keeps_its_choice_where_capacity_allows() {
     let records = records(4);
-    // A few objects want most: the plain hash is uneven.
+    // A few objects get most of the requests, so the plain hash is uneven.
     let mut work = sent(200, |_| 0);
     work.iter_mut()
         .enumerate()
@@ -106,7 +106,7 @@
         assign_by(Rule::LeastOfTwo),
         assign_by(Rule::Omniscient),
     );
-    let peak = |dealt: &[SentAttempt]| balance_of(dealt, &records).peak;
+    let peak = |assigned: &[SentAttempt]| balance_of(assigned, &records).peak;
     assert!(
         peak(&all) < 1.05 && peak(&hash) > 1.3,
         "{} {}",
@@ -123,6 +123,6 @@
     assert_eq!(
         assign_by(Rule::Hash),
         hash,
-        "the same work is dealt the same"
+        "the same work is assigned the same way"
     );
 }
--- a/crates/harness/src/workload.rs
+++ b/crates/harness/src/workload.rs
@@ -1,5 +1,6 @@
-//! The work of a play, drawn from its seed before it begins: who asks which router for what, and when.
-//! Open-loop: nothing that routers do delays what comes next (coordinated omission).
+//! The workload of a run, drawn from its seed in advance: when, at which router and for which object
+//! each request arrives. It is open-loop: nothing that routers do delays later requests, which avoids
+//! coordinated omission.
 
 use crate::object_cache::Key;
 use crate::play::{FaultKind, Play};
@@ -9,30 +10,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     pub at: Duration,
-    /// The router that the front has for this client.
+    /// The router that serves this client unless it is down.
     pub router: usize,
     pub key: Key,
     pub kb: f64,
     pub write: bool,
-    /// The client heeds what it is told of when to come back.
+    /// The client waits for the retry-after time that it is given.
     pub honors_retry_after: bool,
 }
 
-/// Sizes are bounded at this multiple of their mean.
+/// Upper bound of an object's size over the mean size.
 const MAX_SIZE_MULTIPLE: f64 = 6.0;
 
-/// The id of an object by its place in popularity.
+/// The id of an object by its popularity rank.
 pub fn object_id(seed: u64, popularity_rank: usize) -> u64 {
     xxh3_64_with_seed(&(popularity_rank as u64).to_be_bytes(), seed)
 }
 
-/// The size of an object, the same at every request.
+/// The size of an object, which depends on its id only.
 pub fn object_kb(object_id: u64, mean: f64) -> f64 {
     let drawn = (xxh3_64_with_seed(&object_id.to_be_bytes(), 5) as f64 + 1.0) / 2f64.powi(64);
     (-drawn.ln()).clamp(0.02, MAX_SIZE_MULTIPLE) * mean
 }
 
-/// What each router gets of the work; they sum up to 1. Most get less than the mean, a few several times it.
+/// Shares of the requests by router; they add up to 1. Most routers get less than the mean, a few
+/// several times it.
 pub fn router_shares(routers: usize, peak_to_mean: f64, seed: u64) -> Vec<f64> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let mut weights: Vec<f64> = (0..routers)
@@ -45,7 +47,7 @@
     weights.iter().map(|weight| weight / sum).collect()
 }
 
-/// Sums of a distribution, for draws from it.
+/// Cumulative weights of a distribution, to draw from it.
 pub struct CumulativeWeights(Vec<f64>);
 
 impl CumulativeWeights {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Popularity by place: Zipf.
+/// Zipf distribution over popularity ranks.
 pub fn popularity_weights(play: &Play) -> CumulativeWeights {
     CumulativeWeights::new(
         (1..=play.work.objects)
@@ -73,12 +75,12 @@
     )
 }
 
-/// Where a router stands: they are dealt out in turn.
+/// The zone of a router; routers are assigned round-robin.
 pub fn zone_of(router: usize, play: &Play) -> usize {
     router % play.fleet.zones
 }
 
-/// All that comes, in order.
+/// All requests, ordered by time.
 pub fn arrivals(play: &Play, seed: u64) -> Vec<Arrival> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (work, fleet) = (&play.work, &play.fleet);
--- a/crates/harness/src/workload/tests.rs
+++ b/crates/harness/src/workload/tests.rs
@@ -2,7 +2,7 @@
 use crate::play::Fault;
 
 #[test]
-fn the_same_seed_brings_the_same_work_and_another_another() {
+fn the_same_seed_gives_the_same_workload_and_another_seed_another() {
     let play = Play::default();
     let (one, again, other) = (arrivals(&play, 7), arrivals(&play, 7), arrivals(&play, 8));
     assert_eq!(one, again);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn work_is_thin_uneven_and_popular_as_said() {
+fn shares_popularity_and_sizes_follow_the_settings() {
     let play = Play::default();
     let router_shares = router_shares(200, 6.0, 3);
     let most = router_shares.iter().copied().fold(0.0, f64::max) * 200.0;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_hot_object_and_a_shift_change_who_asks_for_what() {
+fn a_hot_object_and_a_shift_change_the_arrivals() {
     let start = Duration::from_secs(3);
     let fault = |kind| Fault {
         start,
--- a/crates/harness/src/zone_metrics.rs
+++ b/crates/harness/src/zone_metrics.rs
@@ -1,12 +1,12 @@
-//! What became of each zone's requests: served, and where; measured from outside on what was truly sent.
+//! Service of the requests of each zone, measured from the attempts that were sent.
 //!
-//! | figure | what |
+//! | figure | meaning |
 //! | --- | --- |
-//! | `lost_service` | of what lost zones asked for, earned: from the loss until 5 s after the return |
-//! | `lost_limit` | the same for one that sees all: what home and others' true room could serve |
-//! | `plan_s` | from a loss until four in five of its requests at caches go to other zones, the worst |
-//! | `needless` | share of requests that left a zone whose caches were all there and warm |
-//! | `toppled` | seconds in which a zone not lost earned under half of what it asked for |
+//! | `lost_service` | value earned over requested by lost zones, from the loss until 5 s after the return |
+//! | `lost_limit` | the same for full knowledge: home caches and the spare capacity of others |
+//! | `plan_s` | from a loss until four in five of its attempts at caches go to other zones, the maximum |
+//! | `needless` | share of attempts that left a zone whose caches were all present and warm |
+//! | `toppled` | seconds in which a zone that was not lost earned under half of what it requested |
 
 use crate::load_balance::ServerRecord;
 use crate::play::{FaultKind, Play, Target};
@@ -14,26 +14,26 @@
 use crate::zone_network;
 use std::time::Duration;
 
-/// After a return, this long is counted in.
+/// Time after a return that still counts towards the loss.
 const RECOVERY_PERIOD: Duration = Duration::from_secs(5);
-/// From here on requests count as going elsewhere, and over this span.
+/// A zone counts as redirected when this share of its attempts within the window goes to other zones.
 const REDIRECTED_SHARE: f64 = 0.8;
 const REDIRECTION_WINDOW: Duration = Duration::from_millis(300);
-/// Requests in a window that say something.
+/// Attempts from which a window counts.
 const MIN_REQUESTS: usize = 5;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneMetrics {
     pub lost_service: f64,
     pub lost_limit: f64,
-    /// None: no zone was lost, or its requests never went elsewhere.
+    /// None if no zone was lost or its attempts were never redirected.
     pub plan: Option<Duration>,
     pub abroad: f64,
     pub needless: f64,
     pub toppled: u64,
 }
 
-/// By zone and second: asked for and earned.
+/// By zone and second: value requested and value earned.
 pub struct ZoneValue(Vec<Vec<(f64, f64)>>);
 
 impl ZoneValue {
@@ -46,20 +46,22 @@
     }
 
     pub fn record_requested(&mut self, zone: usize, at: Duration) {
-        self.entry(zone, at).into_iter().for_each(|of| of.0 += 1.0);
+        self.entry(zone, at)
+            .into_iter()
+            .for_each(|entry| entry.0 += 1.0);
     }
 
     pub fn record_earned(&mut self, zone: usize, at: Duration, value: f64) {
         self.entry(zone, at)
             .into_iter()
-            .for_each(|of| of.1 += value);
+            .for_each(|entry| entry.1 += value);
     }
 
     fn sum(&self, zone: usize, from: Duration, to: Duration) -> (f64, f64) {
         let seconds = self.0[zone].iter().enumerate();
         let within = seconds.filter(|(n, _)| (from..to).contains(&Duration::from_secs(*n as u64)));
-        within.fold((0.0, 0.0), |(a, e), (_, (asked, earned))| {
-            (a + asked, e + earned)
+        within.fold((0.0, 0.0), |(a, e), (_, (requested, earned))| {
+            (a + requested, e + earned)
         })
     }
 
@@ -86,13 +88,13 @@
             );
         }
         let home = |attempt: &SentAttempt| attempt.router % zones;
-        let (mut asked, mut earned, mut limit, mut plan) = (0.0, 0.0, 0.0, Duration::ZERO);
+        let (mut requested, mut earned, mut limit, mut plan) = (0.0, 0.0, 0.0, Duration::ZERO);
         let (mut was_redirected, duration) = (true, play.work.duration);
         for (at, from, to) in &losses {
-            let (zone_asked, zone_earned) =
+            let (zone_requested, zone_earned) =
                 self.sum(*at, *from, (*to + RECOVERY_PERIOD).min(duration));
-            (asked, earned) = (asked + zone_asked, earned + zone_earned);
-            limit += zone_asked
+            (requested, earned) = (requested + zone_requested, earned + zone_earned);
+            limit += zone_requested
                 * omniscient_limit(
                     play,
                     records,
@@ -152,13 +154,21 @@
                     |n: u64| self.sum(at, Duration::from_secs(n), Duration::from_secs(n + 1));
                 seconds
                     .map(second)
-                    .filter(|(asked, earned)| *asked >= 20.0 && earned * 2.0 < *asked)
+                    .filter(|(requested, earned)| *requested >= 20.0 && earned * 2.0 < *requested)
                     .count() as u64
             });
         let all = counted().count().max(1) as f64;
         ZoneMetrics {
-            lost_service: if asked > 0.0 { earned / asked } else { 1.0 },
-            lost_limit: if asked > 0.0 { limit / asked } else { 1.0 },
+            lost_service: if requested > 0.0 {
+                earned / requested
+            } else {
+                1.0
+            },
+            lost_limit: if requested > 0.0 {
+                limit / requested
+            } else {
+                1.0
+            },
             plan: (was_redirected && !losses.is_empty()).then_some(plan),
             abroad: abroad as f64 / all,
             needless: needless as f64 / all,
@@ -167,8 +177,8 @@
     }
 }
 
-/// Share of a zone's requests that what is there could serve: its own caches, and of others' what they
-/// have over their own clients' work, divided among all that are lost.
+/// Share of a zone's requests that could be served with full knowledge: by its own caches, and by the
+/// capacity that other zones have beyond their own clients' work, divided among all lost zones.
 fn omniscient_limit(
     play: &Play,
     records: &[ServerRecord],
--- a/crates/harness/src/zone_metrics/tests.rs
+++ b/crates/harness/src/zone_metrics/tests.rs
@@ -2,7 +2,7 @@
 use crate::play::Fault;
 
 #[test]
-fn a_loss_is_measured_by_what_went_where() {
+fn a_zone_loss_is_measured_from_the_attempts() {
     let s = Duration::from_secs;
     let mut play = Play::default();
     play.work.duration = s(10);
--- a/crates/harness/src/zone_network.rs
+++ b/crates/harness/src/zone_network.rs
@@ -1,20 +1,20 @@
-//! The network between zones as it truly is: what a word takes from one to another, whether it comes at
-//! all, changing as a play says. Each way by itself, both directions apart. No I/O.
+//! Model of the network between zones: delay, loss and cuts, per direction, as changed by the scenario.
+//! No I/O.
 //!
-//! Bytes on a connection are never lost: a loss costs them [`RETRANSMIT_DELAY`], as a segment that is sent again, and a
-//! cut holds them until it is over. Datagrams are lost. The parents and the origin stand at a place of their
-//! own, as near to each zone as zones of one region are.
+//! Bytes on a connection are never lost: a loss costs [`RETRANSMIT_DELAY`], like a retransmitted
+//! segment, and a cut holds them until it is over. Datagrams are lost. The parents and the origin form
+//! a node of their own (the hub), as close to each zone as zones of one region are to each other.
 
 use crate::play::FleetSettings;
 use std::time::Duration;
 
-/// What a lost segment costs, and how often a cut is looked at.
+/// Delay of a retransmission, and the interval at which bytes held by a cut are retried.
 pub const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneNetwork {
     nodes: usize,
-    /// By from and to: one direction's usual time, what it is multiplied by, share lost, cut.
+    /// By from and to: base one-way delay, its multiplier, share lost, and whether the path is cut.
     base_delay: Vec<Vec<Duration>>,
     pub slow_factor: Vec<Vec<f64>>,
     pub loss_share: Vec<Vec<f64>>,
@@ -22,18 +22,18 @@
     jitter: f64,
 }
 
-/// The region of a zone: they lie in blocks.
+/// The region of a zone; each region consists of consecutive zones.
 pub fn region(zone: usize, fleet: &FleetSettings) -> usize {
     zone * fleet.regions / fleet.zones
 }
 
 impl ZoneNetwork {
-    /// None where a play says nothing of ways: then words take no time.
+    /// None if the scenario sets no delays; messages are then not delayed at all.
     pub fn new(fleet: &FleetSettings) -> Option<ZoneNetwork> {
         if fleet.intra_region_delay.is_zero() && fleet.inter_region_delay.is_zero() {
             return None;
         }
-        // One more than there are zones: the hub.
+        // One node per zone, and the hub.
         let nodes = fleet.zones + 1;
         let base_delay = |from: usize, to: usize| {
             if from == to {
@@ -43,7 +43,7 @@
             if hub || region(from, fleet) == region(to, fleet) {
                 return fleet.intra_region_delay;
             }
-            // No two far ways are just alike.
+            // Delays differ between pairs and directions of distant zones.
             fleet
                 .inter_region_delay
                 .mul_f64(0.7 + 0.6 * ((from * 7 + to * 13) % 11) as f64 / 10.0)
@@ -59,21 +59,21 @@
         })
     }
 
-    /// What bytes take now; none: they are held.
+    /// Delay of bytes on a connection; none while the path is cut.
     pub fn delay(&self, from: usize, to: usize, rng: &mut fastrand::Rng) -> Option<Duration> {
         if self.is_cut[from][to] {
             return None;
         }
         let jitter = 1.0 + self.jitter * rng.f64();
         let mut delay = self.base_delay[from][to].mul_f64(self.slow_factor[from][to] * jitter);
-        // Sent again until it comes.
+        // Retransmitted until it arrives.
         while rng.f64() < self.loss_share[from][to].min(0.9) {
             delay += RETRANSMIT_DELAY;
         }
         Some(delay)
     }
 
-    /// The same of a datagram; none: it is lost.
+    /// Delay of a datagram; none if it is lost.
     pub fn datagram_delay(
         &self,
         from: usize,
@@ -89,7 +89,7 @@
         )
     }
 
-    /// The median of there and back.
+    /// The median round-trip time.
     pub fn median_round_trip(&self, from: usize, to: usize) -> Duration {
         let one_way = |a: usize, b: usize| {
             self.base_delay[a][b].mul_f64(self.slow_factor[a][b] * (1.0 + self.jitter / 2.0))
@@ -97,7 +97,7 @@
         one_way(from, to) + one_way(to, from)
     }
 
-    /// All ways that a play means by `from` and `to`; none: all of them, the hub's too.
+    /// Calls `apply` for each path from `from` to `to`; none stands for all nodes, including the hub.
     pub fn for_each_pair(
         &mut self,
         from: Option<usize>,
--- a/crates/harness/src/zone_network/tests.rs
+++ b/crates/harness/src/zone_network/tests.rs
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn near_is_near_far_is_far_and_each_direction_is_its_own() {
+fn delays_depend_on_the_regions_and_each_direction_changes_separately() {
     let (fleet, mut rng) = (fleet(), fastrand::Rng::with_seed(1));
-    let mut network = ZoneNetwork::new(&fleet).expect("told");
+    let mut network = ZoneNetwork::new(&fleet).expect("delays are set");
     assert_eq!(
         (0..6).map(|at| region(at, &fleet)).collect::<Vec<_>>(),
         [0, 0, 0, 1, 1, 1]
@@ -39,24 +39,24 @@
     network.for_each_pair(None, Some(2), |network, a, b| {
         network.slow_factor[a][b] = 5.0
     });
-    assert!(network.delay(1, 2, &mut rng).expect("comes") >= Duration::from_millis(15));
-    assert!(network.delay(2, 1, &mut rng).expect("comes") < Duration::from_millis(4));
+    assert!(network.delay(1, 2, &mut rng).expect("not cut") >= Duration::from_millis(15));
+    assert!(network.delay(2, 1, &mut rng).expect("not cut") < Duration::from_millis(4));
     assert_eq!(ZoneNetwork::new(&Play::default().fleet), None);
 }
 
 #[test]
-fn bytes_come_late_where_datagrams_are_lost() {
+fn loss_delays_bytes_and_drops_datagrams() {
     let (fleet, mut rng) = (fleet(), fastrand::Rng::with_seed(2));
-    let mut network = ZoneNetwork::new(&fleet).expect("told");
+    let mut network = ZoneNetwork::new(&fleet).expect("delays are set");
     network.for_each_pair(None, None, |network, a, b| network.loss_share[a][b] = 0.3);
-    let late = (0..1000)
-        .filter(|_| network.delay(0, 1, &mut rng).expect("comes") >= RETRANSMIT_DELAY)
+    let retransmitted = (0..1000)
+        .filter(|_| network.delay(0, 1, &mut rng).expect("not cut") >= RETRANSMIT_DELAY)
         .count();
     let loss_share = (0..1000)
         .filter(|_| network.datagram_delay(0, 1, &mut rng).is_none())
         .count();
     assert!(
-        (240..360).contains(&late) && (240..360).contains(&loss_share),
-        "{late} {loss_share}"
+        (240..360).contains(&retransmitted) && (240..360).contains(&loss_share),
+        "{retransmitted} {loss_share}"
     );
 }
