--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -1,6 +1,6 @@
-//! A play as a file says it: the fleet, its work, what breaks when, and what must hold. Line-based as the
-//! operator's file and read by the same reader: every fault is told at once, with its place and the nearest
-//! word.
+//! A scenario file (a play): the fleet, its workload, faults and requirements. It is line-based like the
+//! operator's file and read by the same reader, which reports all errors at once, each with its position and
+//! the closest known word.
 //!
 //! ```
 //! let text = "faults {\n at 2s for 3s slow caches 1/8 by 4\n}\n";
@@ -16,7 +16,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// So many of something: a count, or a share of all there are.
+/// A share or a number of the members of a set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
     Share(f64),
@@ -24,7 +24,7 @@
 }
 
 impl Amount {
-    /// Of so many; at least one of them.
+    /// How many of `whole` members; at least one.
     pub fn of(self, whole: usize) -> usize {
         let found = match self {
             Amount::Share(share) => (share * whole as f64).round() as usize,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whom a fault meets; which of them is drawn from the seed.
+/// The kind and number of members that a fault affects; which ones is drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Target {
     Caches(Amount),
@@ -46,60 +46,63 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Servers take so many times as long, and say nothing of it.
+    /// Servers take this many times as long, without reporting it.
     Slow(Target, f64),
-    /// Servers answer at once with an error: a sink that looks empty.
+    /// Servers answer every attempt with an error at once, so they look idle.
     Errors(Target),
-    /// Servers take what comes and never answer.
+    /// Servers accept attempts and never answer.
     Silent(Target),
-    /// As `Silent`, towards some of the routers only.
+    /// Like `Silent`, but towards some of the routers only.
     Apart(Target, Amount),
-    /// Connections are reset under their requests: of those that come, this share.
+    /// This share of the attempts has its connection reset.
     Resets(Target, f64),
-    /// Servers are gone, and come back empty and cold.
+    /// Servers stop, and come back empty and cold.
     Lose(Target),
     Drain(Target),
-    /// Servers leave the list, others with other names and empty come, in steps over the span.
+    /// Servers leave the list and are replaced by empty ones with other names, in steps over the
+    /// duration.
     Replace(Target),
-    /// So many caches join, empty, in one instant.
+    /// This many empty caches join at once.
     Join(usize),
-    /// Routers are killed (SIGKILL), and start anew after the span.
+    /// Routers are killed (SIGKILL) and started again after the duration.
     Kill(Target),
-    /// Routers are stopped (SIGSTOP) for the span.
+    /// Routers are stopped (SIGSTOP) for the duration.
     Freeze(Target),
-    /// Routers end by SIGTERM and start anew, in steps over the span.
+    /// Routers are ended by SIGTERM and started again, in steps over the duration.
     Restart(Target),
-    /// Routers read their files anew (SIGHUP).
+    /// Routers reload their files (SIGHUP).
     Reload(Target),
-    /// The most wanted objects are purged, so many of them.
+    /// This many of the most popular objects are purged.
     Purge(usize),
-    /// Discovery tells so much later; tells everything twice; breaks its connections.
+    /// Discovery sends events this much later, sends every event twice, or closes its connections.
     ListsLate(Duration),
     ListsDoubled,
     ListsCut,
-    /// Datagrams among routers: this share is lost, doubled, held back until after the next.
+    /// This share of the datagrams among routers is lost, duplicated, or held back until after the next
+    /// one.
     Lost(f64),
     Doubled(f64),
     Turned(f64),
-    /// They come so much later, up to.
+    /// Datagrams are delayed by up to this.
     Late(Duration),
-    /// Some routers hear nothing, but are heard.
+    /// Some routers receive no datagrams, but still send them.
     Deaf(Target),
-    /// Forged datagrams, within the format, in the name of a peer.
+    /// Forged, well-formed datagrams in the name of a peer.
     Lie(Target),
-    /// This share of the work is for one object; another one each second.
+    /// This share of the requests is for one object, another one each second.
     Hot(f64),
-    /// All work of one zone comes to another one.
+    /// All requests of one zone go to another one.
     Shift(usize, usize),
-    /// All caches of a region's zones are gone, as `Lose`.
+    /// All caches of a region's zones stop, as with `Lose`.
     LoseRegion(usize),
-    /// Ways between zones, from and to (none: all): so many times as slow, cut, or losing a share.
+    /// The network from one zone to another (none: all zones) is this many times as slow, cut, or loses
+    /// this share.
     WaysSlow(Option<usize>, Option<usize>, f64),
     WaysCut(Option<usize>, Option<usize>),
     WaysLose(Option<usize>, Option<usize>, f64),
 }
 
-/// From when, for or over how long, what.
+/// A fault, its start and its duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
     pub start: Duration,
@@ -113,36 +116,37 @@
     pub zones: usize,
     pub caches: usize,
     pub parents: usize,
-    /// In transfers at a client's pace.
+    /// In concurrent transfers at the client rate.
     pub cache_capacity: f64,
     pub parent_capacity: f64,
     pub origin_capacity: f64,
-    /// What fills of one zone share, in transfers.
+    /// Concurrent transfers that the fills of one zone share.
     pub link_capacity: f64,
-    /// KB that a cache holds.
+    /// Memory of a cache.
     pub memory_kb: f64,
-    /// KB a second of one transfer to a client.
+    /// Rate of one transfer to a client.
     pub client_kb_per_s: f64,
     pub initial_capacity_share: f64,
     pub slow_start: Duration,
-    /// Lines of the operators' file that every router is started with.
+    /// Lines of the operator's file with which every router is started.
     pub directives: Vec<(String, String)>,
-    /// Addresses by which a server is reached differ by so many groups of routers; by zone, where ways
-    /// between zones take time.
+    /// Number of router groups that reach servers by different addresses. With a network between zones,
+    /// each zone is such a group.
     pub groups: usize,
-    /// Among which the zones lie, in blocks.
+    /// Number of regions; each consists of consecutive zones.
     pub regions: usize,
-    /// What a word takes one way between zones of a region, and of two; nothing: no time at all.
+    /// One-way delay between zones of the same region and of different regions; if both are zero,
+    /// messages are not delayed at all.
     pub intra_region_delay: Duration,
     pub inter_region_delay: Duration,
-    /// It takes up to this share more.
+    /// A delay is longer by up to this share.
     pub jitter: f64,
-    /// Parents and origin take attempts too.
+    /// Parents and the origin accept attempts too.
     pub pass_through: bool,
 }
 
 impl FleetSettings {
-    /// Groups of routers by address.
+    /// Number of router groups that reach servers by different addresses.
     pub fn address_groups(&self) -> usize {
         if self.intra_region_delay.is_zero() && self.inter_region_delay.is_zero() {
             self.groups
@@ -166,43 +170,43 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
     pub duration: Duration,
-    /// What is measured begins after this.
+    /// Measurements begin after this.
     pub warmup: Duration,
-    /// Requests a second, over all.
+    /// Over all routers.
     pub requests_per_s: f64,
-    /// The busiest router's rate over the mean.
+    /// Rate of the busiest router over the mean rate.
     pub peak_to_mean: f64,
     pub objects: usize,
-    /// Zipf's exponent of their popularity.
+    /// Zipf exponent of object popularity.
     pub zipf_exponent: f64,
-    /// Mean KB of an object; sizes are drawn from an exponential, bounded at six times.
+    /// Mean object size; sizes are exponentially distributed, bounded at six times the mean.
     pub mean_object_kb: f64,
-    /// Share of requests that must not run twice.
+    /// Share of requests that must not be executed twice.
     pub write_share: f64,
     pub client_timeout: Duration,
     pub soft_deadline: Duration,
-    /// How often a client asks again, and whether it heeds what it is told of when.
+    /// How often a client retries, and the share of clients that honor the retry-after time.
     pub max_retries: usize,
     pub retry_after_share: f64,
     pub max_age: Duration,
 }
 
-/// What must hold beside the rules; none: it is only told.
+/// Requirements beside the rules; a figure without one is only reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Requirements {
     pub service: Option<f64>,
-    /// `peak` over that of who sees all.
+    /// `peak` over that of the assignment with full knowledge.
     pub peak: Option<f64>,
     pub idle: Option<f64>,
     pub herd: Option<f64>,
     pub swing: Option<f64>,
-    /// Of what the zones that were lost asked for, from then until five seconds after their return.
+    /// Share served of what lost zones requested, from the loss until five seconds after their return.
     pub lost_service: Option<f64>,
-    /// From a zone's loss until four in five of its requests go elsewhere.
+    /// From a zone's loss until four in five of its requests go to other zones.
     pub plan: Option<Duration>,
     /// Share of requests that left their zone without need.
     pub needless: Option<f64>,
-    /// When the last fault is over, what is measured again begins after this.
+    /// The second measurement begins this long after the end of the last fault.
     pub after: Option<Duration>,
 }
 
@@ -261,8 +265,8 @@
 }
 
 impl Play {
-    /// When it is measured again: so long after the last fault is over, or after one began that lasts to the
-    /// end.
+    /// Start of the second measurement: this long after the end of the last fault, or after the start
+    /// of a fault that lasts to the end of the run.
     pub fn second_measurement_start(&self) -> Duration {
         let (warmup, duration) = (self.work.warmup, self.work.duration);
         let after = self.must.after.unwrap_or(Duration::from_secs(3));
@@ -277,26 +281,29 @@
         again.min(duration.saturating_sub(Duration::from_secs(1)))
     }
 
-    /// What cannot be played as it is said, in words.
+    /// Describes what cannot be played although it was parsed.
     pub fn faults_of_sense(&self) -> Vec<String> {
         let (fleet, mut found) = (&self.fleet, Vec::new());
         let mut wrong = |is: bool, what: String| found.extend(is.then_some(what));
         wrong(
             fleet.routers < fleet.zones,
-            format!("{} zones need as many routers", fleet.zones),
+            format!("{} zones need at least as many routers", fleet.zones),
         );
         wrong(
             fleet.caches < fleet.zones,
-            format!("{} zones need as many caches", fleet.zones),
+            format!("{} zones need at least as many caches", fleet.zones),
         );
         wrong(
             self.work.warmup >= self.work.duration,
-            "lead: nothing is left to be measured".into(),
+            "lead is not shorter than seconds: nothing would be measured".into(),
         );
         for fault in &self.faults {
             wrong(
                 fault.start > self.work.duration,
-                format!("a fault at {:?} comes after the end", fault.start),
+                format!(
+                    "a fault at {:?} starts after the end of the run",
+                    fault.start
+                ),
             );
             let zones: Vec<usize> = match fault.kind {
                 FaultKind::Shift(from, to) => vec![from, to],
@@ -305,7 +312,7 @@
                 | FaultKind::WaysLose(a, b, _) => {
                     let no_time =
                         fleet.intra_region_delay.is_zero() && fleet.inter_region_delay.is_zero();
-                    wrong(no_time, "ways break only where near or far is told".into());
+                    wrong(no_time, "faults of ways need near or far to be set".into());
                     a.into_iter().chain(b).collect()
                 }
                 FaultKind::Slow(Target::Zone(at), _) | FaultKind::Lose(Target::Zone(at)) => {
@@ -317,7 +324,10 @@
             beyond.for_each(|at| {
                 wrong(
                     true,
-                    format!("zone {at}: they count from 0 to {}", fleet.zones - 1),
+                    format!(
+                        "zone {at} does not exist: zones are numbered from 0 to {}",
+                        fleet.zones - 1
+                    ),
                 )
             });
         }
@@ -339,14 +349,14 @@
     found.map_err(|what| (place, what))
 }
 
-/// `1/8`, `30%` or a count.
+/// Parses `1/8`, `30%` or a count.
 fn parse_amount(word: &str) -> Result<Amount, String> {
     if let Some((a, b)) = word.split_once('/') {
         let (a, b) = (values::whole(a, 1, 1 << 20)?, values::whole(b, 1, 1 << 20)?);
         return if a <= b {
             Ok(Amount::Share(a as f64 / b as f64))
         } else {
-            Err(format!("{word} is over all"))
+            Err(format!("{word} is more than the whole"))
         };
     }
     if word.ends_with('%') {
@@ -355,15 +365,15 @@
     let count = values::whole(word, 1, 1 << 20);
     count
         .map(|n| Amount::Count(n as usize))
-        .map_err(|_| format!("{word:?} is not a part, such as 1/8, 30% or 3"))
+        .map_err(|_| format!("{word:?} is not a share or a count, such as 1/8, 30% or 3"))
 }
 
-/// `caches 1/8`, `parents 1`, `routers 70%`, `zone 2`.
+/// Parses `caches 1/8`, `parents 1`, `routers 70%` or `location 2`.
 fn parse_target(place: usize, words: &[&str]) -> Result<Target, ParseError> {
     let [kind, of] = words else {
         return Err((
             place,
-            "whom? caches, parents or routers PART, or location N".into(),
+            "expected a target: caches, parents or routers PART, or location N".into(),
         ));
     };
     let of_all = at_word(place + 1, parse_amount(of));
@@ -389,19 +399,19 @@
     found.ok_or_else(|| (place, format!("{word:?} is not a number from 0 to 1000")))
 }
 
-/// `at SPAN [for|over SPAN] WHAT ...`, without the first word.
+/// Parses `at SPAN [for|over SPAN] WHAT ...` without its first word.
 fn parse_fault(words: &[&str]) -> Result<Fault, ParseError> {
     let starts_at = at_word(0, values::span(words[0]))?;
     let (duration, next_word) = match words.get(1) {
         Some(&"for" | &"over") => {
-            let span = words.get(2).ok_or((1, "for how long?".to_owned()))?;
+            let span = words.get(2).ok_or((1, "expected a duration".to_owned()))?;
             (at_word(2, values::span(span))?, 3)
         }
         _ => (Duration::ZERO, 1),
     };
     let rest = words.get(next_word..).unwrap_or_default();
     let Some((verb, rest)) = rest.split_first() else {
-        return Err((0, "what breaks?".into()));
+        return Err((0, "expected a fault".into()));
     };
     let place = next_word + 1;
     let share = |place: usize, word: &str| at_word(place, values::share(word));
@@ -432,7 +442,12 @@
                 ["slow", "by", by] => FaultKind::WaysSlow(from, to, parse_factor(place + 4, by)?),
                 ["cut"] => FaultKind::WaysCut(from, to),
                 ["lose", of] => FaultKind::WaysLose(from, to, share(place + 3, of)?),
-                _ => return Err((place + 2, "slow by NUMBER, cut, or lose SHARE?".into())),
+                _ => {
+                    return Err((
+                        place + 2,
+                        "expected slow by NUMBER, cut, or lose SHARE".into(),
+                    ));
+                }
             }
         }
         ("drain", w) => FaultKind::Drain(parse_target(place, w)?),
@@ -467,7 +482,7 @@
         (other, _) => {
             return Err((
                 next_word,
-                format!("{other:?} with these words is nothing that breaks"),
+                format!("unknown fault or wrong arguments: {other:?}"),
             ));
         }
     };
@@ -513,7 +528,7 @@
     })
 }
 
-/// Every word of a play.
+/// All directives of a scenario file.
 pub const PLAY: Table<Play> = Table::new(
     &["fleet", "work", "faults", "must"],
     &[
--- a/crates/harness/src/play/tests.rs
+++ b/crates/harness/src/play/tests.rs
@@ -2,55 +2,58 @@
 use proptest::prelude::*;
 
 #[test]
-fn every_fault_of_a_play_is_told_with_its_place() {
+fn every_error_of_a_scenario_is_reported_with_its_position() {
     let text = "fleet {\n routers 1\n caches x\n}\nfaults {\n at 1s for 2s slow caches 1/8\n \
                 at 1s silent all 3\n \
                 at 2s for 1s datagrams lost 130%\n}\nmust {\n peek 1.25\n}\n";
     let (_, faults) = read_text(text);
-    let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    assert_eq!(told.len(), 6, "{told:#?}");
+    let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    assert_eq!(messages.len(), 6, "{messages:#?}");
     assert!(
-        told[0].starts_with("2:10:") && told[1].starts_with("3:9:"),
-        "{told:#?}"
+        messages[0].starts_with("2:10:") && messages[1].starts_with("3:9:"),
+        "{messages:#?}"
     );
-    assert!(told[3].contains("\"all\" is not caches"), "{told:#?}");
-    assert!(told[5].contains("; peak is"), "{told:#?}");
+    assert!(
+        messages[3].contains("\"all\" is not caches"),
+        "{messages:#?}"
+    );
+    assert!(messages[5].contains("; peak is"), "{messages:#?}");
 }
 
 #[test]
-fn what_breaks_is_read_as_it_is_said() {
+fn faults_are_parsed() {
     let text = "faults {\n at 5s for 4s silent caches 3 to routers 1/4\n at 1s kill routers 70%\n \
                 at 2s over 7s \
                 replace caches 3/10\n at 1s shift location 0 to 3\n}\n";
     let (play, faults) = read_text(text);
     assert_eq!(faults, []);
-    let whats: Vec<FaultKind> = play.faults.iter().map(|f| f.kind).collect();
+    let kinds: Vec<FaultKind> = play.faults.iter().map(|f| f.kind).collect();
     assert_eq!(
-        whats[0],
+        kinds[0],
         FaultKind::Apart(Target::Caches(Amount::Count(3)), Amount::Share(0.25))
     );
     assert_eq!(
-        whats[1],
+        kinds[1],
         FaultKind::Kill(Target::Routers(Amount::Share(0.7)))
     );
-    assert_eq!(whats[3], FaultKind::Shift(0, 3));
+    assert_eq!(kinds[3], FaultKind::Shift(0, 3));
     assert_eq!(
         play.second_measurement_start(),
         Duration::from_secs(9),
-        "the one that lasts to the end began at 5 s"
+        "the fault that lasts to the end starts at 5 s"
     );
     assert!(play.faults_of_sense().is_empty());
 }
 
 proptest! {
     #[test]
-    fn any_text_is_read_without_fail(text in any::<String>()) {
+    fn any_text_is_parsed_without_panic(text in any::<String>()) {
         let _ = read_text(&format!("faults {{\nat {text}\n}}\n"));
         let _ = read_text(&text);
     }
 
     #[test]
-    fn a_part_is_some_and_not_more_than_all(
+    fn an_amount_selects_at_least_one_and_at_most_all(
         share in 0.0f64..1.0, count in 1usize..1000, whole in 1usize..1000,
     ) {
         for part in [Amount::Share(share), Amount::Count(count)] {
