--- a/crates/harness/src/children.rs
+++ b/crates/harness/src/children.rs
@@ -1,6 +1,6 @@
-//! Router processes as children of this one: started, signalled by their own process ids alone, and never
-//! left behind: each is begun by a starter of this program that asks the kernel to kill it when its parent
-//! dies, and becomes the router then.
+//! Router processes as children of this process. They are started and signalled by process id, and none
+//! outlives this process: each is started through a small starter mode of this program, which asks the
+//! kernel to kill it when its parent dies and then executes the router.
 
 use rustix::process::{
     Pid, Resource, Signal, getrlimit, kill_process, set_parent_process_death_signal,
@@ -13,39 +13,40 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// What a router takes at most, by measure, and the descriptors that this process needs for it.
+/// Upper bound of one router's resident memory, and the descriptors that this process needs per router
+/// and beside them.
 const ROUTER_MB: u64 = 14;
 const DESCRIPTORS_PER_ROUTER: u64 = 40;
 const DESCRIPTORS_OTHER: u64 = 1000;
 
-/// Turns this process into PROGRAM, which dies with its parent.
+/// Replaces this process with PROGRAM, which the kernel kills when its parent dies.
 ///
 /// # Errors
-/// Only returns where that failed.
+/// Returns only if that failed.
 pub fn become_child(parent: u32, command: &[OsString]) -> Result<std::convert::Infallible, String> {
     let [program, arguments @ ..] = command else {
-        return Err("no program was named".into());
+        return Err("no program given".into());
     };
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| e.to_string())?;
-    // A parent that died before that call sends no signal any more.
+    // A parent that died before the call above no longer triggers the signal.
     if std::os::unix::process::parent_id() != parent {
-        return Err("who started this is gone".into());
+        return Err("the parent process has already ended".into());
     }
-    let what = Command::new(program).args(arguments).exec();
-    Err(format!("{}: {what}", program.display()))
+    let error = Command::new(program).args(arguments).exec();
+    Err(format!("{}: {error}", program.display()))
 }
 
-/// Refuses what the machine cannot hold, naming the figure that falls short.
+/// Refuses a fleet that exceeds the machine's descriptor limit or available memory.
 ///
 /// # Errors
-/// In words.
+/// The message names the limit and the amount needed.
 pub fn check_machine_limits(routers: usize) -> Result<(), String> {
     let routers = routers as u64;
     let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    let wanted = routers * DESCRIPTORS_PER_ROUTER + DESCRIPTORS_OTHER;
-    if descriptors < wanted {
+    let needed = routers * DESCRIPTORS_PER_ROUTER + DESCRIPTORS_OTHER;
+    if descriptors < needed {
         return Err(format!(
-            "{routers} routers need {wanted} descriptors here, the limit is {descriptors} (ulimit -n)"
+            "{routers} routers need {needed} descriptors here, the limit is {descriptors} (ulimit -n)"
         ));
     }
     let memory = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
@@ -55,17 +56,17 @@
     let available = available.and_then(|kb| kb.split_whitespace().next()?.parse::<u64>().ok());
     match available.map(|kb| kb / 1024) {
         Some(mb) if mb < routers * ROUTER_MB => Err(format!(
-            "{routers} routers take up to {} MB, {mb} MB are there",
+            "{routers} routers need up to {} MB of memory, {mb} MB are available",
             routers * ROUTER_MB
         )),
         _ => Ok(()),
     }
 }
 
-/// How a router is started: the starter with the router's own command behind it.
+/// How a router is started: the starter command, followed by the router's own command.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// This program, by which [`become_child`] is reached, and the words that lead there.
+    /// This program with the arguments that lead to [`become_child`].
     pub starter: Vec<OsString>,
     pub router: Vec<OsString>,
 }
@@ -78,7 +79,7 @@
 
 impl Router {
     /// # Errors
-    /// Of the system.
+    /// The operating system's error.
     pub fn start(
         program: &Program,
         config: &Path,
@@ -107,7 +108,7 @@
         })
     }
 
-    /// The id of its process, for as long as it has not been waited for.
+    /// The process id, valid until the process has been waited for.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -116,7 +117,7 @@
         if self.ended.is_none()
             && let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw)
         {
-            // It may have ended meanwhile; its id is not given to another before it was waited for.
+            // The process may have ended, but its id is not reused until it has been waited for.
             let _ = kill_process(pid, signal);
         }
     }
@@ -146,17 +147,17 @@
         }
     }
 
-    /// How it ended, if it has.
+    /// The exit status, if the process has ended.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.ended = self.ended.or_else(|| self.child.try_wait().ok().flatten());
         self.ended
     }
 }
 
-/// A router that is wanted: its files, which are written before it starts.
+/// A request to start a router; its configuration file is written before the start.
 pub struct StartRequest {
     pub router: usize,
-    /// Which of its lives this is: a late start of an earlier one is dropped.
+    /// Number of this start of the router; the result of an outdated start is dropped.
     pub incarnation: u32,
     pub config: PathBuf,
     pub config_text: String,
@@ -169,27 +170,29 @@
     Reap(Router),
 }
 
-/// Starts and buries on a thread of its own: writing files, starting and waiting for what was killed take
-/// long when there are a hundred at once. Children die with the thread that started them, so it lives as long
-/// as they do.
+/// Starts and reaps processes on its own thread: writing files, starting processes and waiting for
+/// killed ones blocks for long when there are a hundred at once. Children die with the thread that
+/// started them, so the thread lives as long as they do.
 pub struct Starter {
     tasks: mpsc::Sender<Task>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Starter {
-    /// `started` hears of each.
+    /// `started` is called with the result of each start.
     pub fn new(
         program: Program,
         started: impl Fn(usize, u32, Result<Router, String>) + Send + 'static,
     ) -> Starter {
-        let (tasks, taken) = mpsc::channel();
+        let (tasks, received) = mpsc::channel();
         let thread = thread::spawn(move || {
-            for order in taken {
-                match order {
-                    Task::Start(wanted) => {
-                        started(wanted.router, wanted.incarnation, start(&program, &wanted))
-                    }
+            for task in received {
+                match task {
+                    Task::Start(request) => started(
+                        request.router,
+                        request.incarnation,
+                        start(&program, &request),
+                    ),
                     Task::Reap(router) => drop(router),
                 }
             }
@@ -201,11 +204,11 @@
     }
 
     pub fn start(&self, wanted: StartRequest) {
-        // The thread is there until this is dropped.
+        // The thread runs until this value is dropped, so the channel is open.
         let _ = self.tasks.send(Task::Start(Box::new(wanted)));
     }
 
-    /// Kills it now, and waits for it elsewhere.
+    /// Kills the router now; the starter thread waits for its end.
     pub fn kill(&self, router: Router) {
         router.signal(Signal::KILL);
         let _ = self.tasks.send(Task::Reap(router));
@@ -230,7 +233,7 @@
         .transpose();
     let log = log.map_err(|e| format!("logs: {e}"))?;
     let child = Router::start(program, config, Some(&wanted.directives), log);
-    child.map_err(|e| format!("a router could not be started: {e}"))
+    child.map_err(|e| format!("cannot start a router: {e}"))
 }
 
 impl Drop for Router {
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,18 +1,18 @@
-//! Hundreds of real router processes on loopback, with all they talk to in one process beside them, and
-//! faults between any two: what tests, proofs and operators play and measure. Nothing here decides anything
-//! of a router's; it knows what is true and watches.
+//! Runs hundreds of real router processes on loopback against simulated servers, clients and discovery in
+//! one process, with faults between any two, for tests, proofs and operators. The harness makes no routing
+//! decisions: it knows the true state and checks the routers against it.
 //!
-//! | module | what |
+//! | module | content |
 //! | --- | --- |
-//! | [`play`] | a play as a file says it |
-//! | [`workload`] | who asks for what and when, drawn from the seed |
-//! | [`server_model`], [`processor_sharing`], [`object_cache`] | the servers as they are; no I/O |
-//! | [`invariants`] | the five rules and conservation, over all routers together; no I/O |
-//! | [`zone_network`] | the network between zones; no I/O |
-//! | [`zone_metrics`] | what became of each zone's requests; no I/O |
-//! | [`load_balance`] | how even load lies, and how it would under other rules; no I/O |
+//! | [`play`] | the scenario file |
+//! | [`workload`] | requests drawn from the seed: when, at which router, for which object |
+//! | [`server_model`], [`processor_sharing`], [`object_cache`] | model of the servers; no I/O |
+//! | [`invariants`] | the five rules and request accounting over all routers; no I/O |
+//! | [`zone_network`] | network between zones; no I/O |
+//! | [`zone_metrics`] | service per zone during losses; no I/O |
+//! | [`load_balance`] | load balance as measured, and under other assignment rules; no I/O |
 //! | [`children`], [`datagram_relay`], [`wire`] | processes, datagrams, connections |
-//! | [`run`] | plays it |
+//! | [`run`] | runs a scenario |
 //! | [`report`] | figures, JSON, plots |
 
 pub mod children;
--- a/crates/harness/src/report.rs
+++ b/crates/harness/src/report.rs
@@ -1,4 +1,4 @@
-//! What a play showed: one line of figures, JSON, and one self-contained page of plots.
+//! Results of a run: one line of figures, JSON, and one self-contained page of plots.
 
 use crate::play::{Play, Requirements};
 use crate::run::Shown;
@@ -7,64 +7,65 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What fell short of what must hold, in words; the rules always must.
+/// Describes every requirement that was not met; the rules are always required.
 pub fn short(shown: &Shown, must: &Requirements) -> Vec<String> {
-    let mut found = Vec::new();
+    let mut unmet = Vec::new();
     let breaks = shown.breaks;
     if breaks.all() > 0 {
-        found.push(format!("rules: {breaks:?}"));
+        unmet.push(format!("rules: {breaks:?}"));
     }
     if shown.crashed > 0 {
-        found.push(format!(
-            "{} routers ended or could not start",
+        unmet.push(format!(
+            "{} routers crashed or could not be started",
             shown.crashed
         ));
     }
     if shown.datagrams.too_long > 0 {
-        found.push(format!(
+        unmet.push(format!(
             "{} datagrams longer than 256 bytes",
             shown.datagrams.too_long
         ));
     }
-    let mut most = |name: &str, is: f64, may: Option<f64>| {
-        found.extend(
-            may.filter(|may| is > *may)
-                .map(|may| format!("{name} {is:.3}, at most {may:.3}")),
+    let mut check_at_most = |name: &str, value: f64, limit: Option<f64>| {
+        unmet.extend(
+            limit
+                .filter(|limit| value > *limit)
+                .map(|limit| format!("{name} {value:.3}, at most {limit:.3}")),
         );
     };
-    most(
-        "peak over that of who sees all",
+    check_at_most(
+        "peak over peak with full knowledge",
         peak_ratio(shown),
         must.peak,
     );
-    most("idle", shown.even["real"].idle, must.idle);
-    most("herd", shown.herd, must.herd);
-    most("swing", shown.even["real"].swing, must.swing);
-    most("needless", shown.of_places.needless, must.needless);
+    check_at_most("idle", shown.even["real"].idle, must.idle);
+    check_at_most("herd", shown.herd, must.herd);
+    check_at_most("swing", shown.even["real"].swing, must.swing);
+    check_at_most("needless", shown.of_places.needless, must.needless);
     let plan = shown
         .of_places
         .plan
         .map_or(f64::INFINITY, |plan| plan.as_secs_f64());
-    most("plan", plan, must.plan.map(|may| may.as_secs_f64()));
+    check_at_most("plan", plan, must.plan.map(|limit| limit.as_secs_f64()));
     if let Some(least) = must
         .lost_service
         .filter(|least| shown.of_places.lost_service < *least)
     {
-        found.push(format!(
+        unmet.push(format!(
             "lost service {:.3}, at least {least:.3}",
             shown.of_places.lost_service
         ));
     }
     if let Some(least) = must.service.filter(|least| shown.service_after < *least) {
-        found.push(format!(
+        unmet.push(format!(
             "service {:.3}, at least {least:.3}",
             shown.service_after
         ));
     }
-    found
+    unmet
 }
 
-/// `peak` over that of who sees all the same work.
+/// `peak` over that of the assignment with full knowledge.
 pub fn peak_ratio(shown: &Shown) -> f64 {
     let limit = shown.even["sees_all"].peak;
     if limit > 0.0 {
@@ -75,38 +76,38 @@
 }
 
 fn figures(shown: &Shown) -> Vec<(&'static str, String)> {
-    let three = |value: f64| format!("{value:.3}");
+    let three_decimals = |value: f64| format!("{value:.3}");
     let real = shown.even["real"];
     let breaks = shown.breaks;
     vec![
         ("routers", shown.routers.to_string()),
         ("servers", shown.servers.to_string()),
         ("seed", shown.seed.to_string()),
-        ("service", three(shown.service)),
-        ("service_after", three(shown.service_after)),
-        ("hits", three(shown.hit_share)),
-        ("peak", three(real.peak)),
-        ("peak_limit", three(shown.even["sees_all"].peak)),
-        ("peak_hash", three(shown.even["hash"].peak)),
-        ("peak_two", three(shown.even["two"].peak)),
-        ("idle", three(real.idle)),
-        ("jain", three(real.jain)),
+        ("service", three_decimals(shown.service)),
+        ("service_after", three_decimals(shown.service_after)),
+        ("hits", three_decimals(shown.hit_share)),
+        ("peak", three_decimals(real.peak)),
+        ("peak_limit", three_decimals(shown.even["sees_all"].peak)),
+        ("peak_hash", three_decimals(shown.even["hash"].peak)),
+        ("peak_two", three_decimals(shown.even["two"].peak)),
+        ("idle", three_decimals(real.idle)),
+        ("jain", three_decimals(real.jain)),
         ("swing", format!("{}", real.swing)),
-        ("herd", three(shown.herd)),
-        ("strain", three(shown.strain)),
-        ("lost_service", three(shown.of_places.lost_service)),
-        ("lost_limit", three(shown.of_places.lost_limit)),
+        ("herd", three_decimals(shown.herd)),
+        ("strain", three_decimals(shown.strain)),
+        ("lost_service", three_decimals(shown.of_places.lost_service)),
+        ("lost_limit", three_decimals(shown.of_places.lost_limit)),
         (
             "plan_s",
             shown
                 .of_places
                 .plan
-                .map_or_else(|| "-".into(), |plan| three(plan.as_secs_f64())),
+                .map_or_else(|| "-".into(), |plan| three_decimals(plan.as_secs_f64())),
         ),
-        ("abroad", three(shown.of_places.abroad)),
-        ("needless", three(shown.of_places.needless)),
+        ("abroad", three_decimals(shown.of_places.abroad)),
+        ("needless", three_decimals(shown.of_places.needless)),
         ("toppled", shown.of_places.toppled.to_string()),
-        ("bytes_s", three(shown.bytes_s())),
+        ("bytes_s", three_decimals(shown.bytes_s())),
         (
             "p50_ms",
             shown.response_ms.value_at_quantile(0.5).to_string(),
@@ -131,7 +132,7 @@
     ]
 }
 
-/// `name=value` by blanks.
+/// `name=value` pairs separated by spaces.
 pub fn line(shown: &Shown) -> String {
     let all: Vec<String> = figures(shown)
         .into_iter()
@@ -166,8 +167,8 @@
 
 const SIZE: (u32, u32) = (960, 300);
 
-/// One series over the seconds of the play, with its events as upright lines.
-fn series(
+/// Plots series over the seconds of the run, with its events as vertical lines.
+fn plot_series(
     shown: &Shown,
     title: &str,
     lines: &[(&str, Vec<f64>, RGBColor)],
@@ -176,7 +177,7 @@
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let seconds = shown.server_loads.first().map_or(1, Vec::len).max(1);
-    let most = lines
+    let maximum = lines
         .iter()
         .flat_map(|(_, values, _)| values.iter().take(seconds).copied())
         .fold(1e-9, f64::max);
@@ -185,7 +186,7 @@
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..seconds as f64, 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..seconds as f64, 0.0..maximum * 1.1)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
@@ -194,7 +195,7 @@
     for (at, _) in &shown.events {
         let x = at.as_secs_f64();
         chart.draw_series([PathElement::new(
-            vec![(x, 0.0), (x, most * 1.1)],
+            vec![(x, 0.0), (x, maximum * 1.1)],
             BLACK.mix(0.3),
         )])?;
     }
@@ -219,8 +220,8 @@
     Ok(())
 }
 
-/// Load of every cache by second: white is idle, red more than it can do.
-fn heat(shown: &Shown, text: &mut String) -> DrawResult {
+/// Load of every cache by second: white is idle, red is over capacity.
+fn plot_heat_map(shown: &Shown, text: &mut String) -> DrawResult {
     let mut rows: Vec<usize> = (0..shown.server_records.len())
         .filter(|n| shown.server_records[*n].zone != usize::MAX)
         .collect();
@@ -231,7 +232,7 @@
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "load of each cache, by zone (over what it can do)",
+            "load of each cache by zone (over its capacity)",
             ("sans-serif", 16),
         )
         .margin(8)
@@ -246,8 +247,8 @@
         .draw()?;
     for (row, server) in rows.iter().enumerate() {
         for (second, load) in shown.server_loads[*server].iter().enumerate() {
-            let over = load.min(1.5) / 1.5;
-            let color = HSLColor(0.6 - 0.6 * over, 0.8, 1.0 - 0.5 * over.sqrt());
+            let load_share = load.min(1.5) / 1.5;
+            let color = HSLColor(0.6 - 0.6 * load_share, 0.8, 1.0 - 0.5 * load_share.sqrt());
             let (x, y) = (second as f64, row as f64);
             chart.draw_series([Rectangle::new(
                 [(x, y), (x + 1.0, y + 0.92)],
@@ -272,15 +273,15 @@
         .replace('>', "&gt;")
 }
 
-/// The page of one play.
+/// The HTML page of one run.
 ///
 /// # Errors
-/// Of the drawing, in words.
+/// A plot could not be drawn.
 pub fn html(name: &str, play: &Play, shown: &Shown, short: &[String]) -> Result<String, String> {
-    let of = |get: &dyn Fn(&crate::run::SecondTotals) -> f64| {
+    let per_second = |get: &dyn Fn(&crate::run::SecondTotals) -> f64| {
         shown.seconds.iter().map(get).collect::<Vec<f64>>()
     };
-    let service = of(&|s| {
+    let service = per_second(&|s| {
         if s.requested > 0.0 {
             s.earned / s.requested
         } else {
@@ -289,36 +290,36 @@
     });
     let mut plots = vec![String::new(); 4];
     let draw = |plots: &mut [String]| -> DrawResult {
-        series(
+        plot_series(
             shown,
-            "service (value earned over asked for)",
+            "service (value earned over value requested)",
             &[("service", service, BLUE)],
             &mut plots[0],
         )?;
-        let rejected = ("rejected", of(&|s| s.rejected as f64), RED);
-        let failed = ("failed", of(&|s| s.failed as f64), MAGENTA);
-        series(
+        let rejected = ("rejected", per_second(&|s| s.rejected as f64), RED);
+        let failed = ("failed", per_second(&|s| s.failed as f64), MAGENTA);
+        plot_series(
             shown,
-            "final answers that served nothing, a second",
+            "rejected and failed responses per second",
             &[rejected, failed],
             &mut plots[1],
         )?;
-        let sent = ("attempts", of(&|s| s.attempts as f64), BLUE);
-        let fills = ("with a source", of(&|s| s.fills as f64), CYAN);
+        let sent = ("attempts", per_second(&|s| s.attempts as f64), BLUE);
+        let fills = ("with a source", per_second(&|s| s.fills as f64), CYAN);
         let opened = (
             "connections opened",
-            of(&|s| s.connections_opened as f64),
+            per_second(&|s| s.connections_opened as f64),
             RED,
         );
-        series(
+        plot_series(
             shown,
-            "attempts and connections opened, a second",
+            "attempts, fills and opened connections per second",
             &[sent, fills, opened],
             &mut plots[2],
         )?;
-        heat(shown, &mut plots[3])
+        plot_heat_map(shown, &mut plots[3])
     };
-    draw(&mut plots).map_err(|what| format!("the plots: {what}"))?;
+    draw(&mut plots).map_err(|error| format!("cannot draw the plots: {error}"))?;
     let mut page = format!(
         "<!doctype html><meta charset=\"utf-8\"><title>{}</title>",
         escaped(name)
@@ -327,7 +328,7 @@
         "<style>body{font:14px sans-serif;max-width:62em;margin:2em auto}td{padding:0 1em 0 0}</style>",
     );
     let verdict = match (&shown.void, short) {
-        (Some(what), _) => format!("void: {what}"),
+        (Some(reason), _) => format!("void: {reason}"),
         (None, []) => "all that must hold holds".to_owned(),
         (None, short) => format!("falls short: {}", short.join("; ")),
     };
@@ -347,20 +348,20 @@
     }
     page.push_str("</table>");
     plots.iter().for_each(|plot| page.push_str(plot));
-    page.push_str("<h2>What happened</h2><table>");
-    for (at, what) in &shown.events {
+    page.push_str("<h2>Events</h2><table>");
+    for (at, description) in &shown.events {
         let _ = write!(
             page,
             "<tr><td>{:.1} s<td>{}",
             at.as_secs_f64(),
-            escaped(what)
+            escaped(description)
         );
     }
     page.push_str("</table>");
     if !shown.words.is_empty() {
         page.push_str("<h2>Rules broken</h2><ul>");
-        for what in &shown.words {
-            let _ = write!(page, "<li>{}", escaped(what));
+        for description in &shown.words {
+            let _ = write!(page, "<li>{}", escaped(description));
         }
         page.push_str("</ul>");
     }
--- a/crates/harness/src/run.rs
+++ b/crates/harness/src/run.rs
@@ -1,6 +1,6 @@
-//! A play, played: one task, the world, owns what is true and hears from every connection; the routers are
-//! processes. One thread does all of it, so the run says how late its own turns came, and is void where they
-//! came too late.
+//! Runs a scenario. One task, the runner, owns the true state and handles the events of all
+//! connections; the routers are separate processes. Everything here runs on one thread, so the runner
+//! measures how late its timers fire, and a run in which they fired too late is void.
 
 mod clients;
 mod discovery;
@@ -30,37 +30,38 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep_until;
 
-/// A run whose own turns came later than this, at the 99th percentile, is void.
+/// A run whose timers fired later than this, at the 99th percentile, is void.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(60);
-/// Routers are started so many at a time.
+/// Routers that are started at once.
 const START_BATCH: usize = 25;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The front notices after this that a router is gone, and looks so often whether it is back.
+/// How soon the load balancer in front of the routers notices that one is down, and how often it then
+/// checks whether it is back.
 const FRONT_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// A client that is not told when, or does not heed it, comes back after up to this.
+/// Upper bound of a client's retry delay when it has no retry-after time or does not honor it.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// The value of an answer after the soft deadline.
+/// Value of an answer after the soft deadline.
 const LATE_VALUE: f64 = 0.2;
 const DISCOVERY_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// What a client asks of the widest router it may ask.
+/// Open requests that clients allow per connection to a router.
 const MAX_OPEN_PER_CONNECTION: usize = 30;
 
-/// How a play is to be played.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub program: Program,
     pub seed: u64,
-    /// Where routers' logs go; none: nowhere.
+    /// Folder of the routers' logs; without one they are discarded.
     pub logs: Option<PathBuf>,
-    /// A bar on the terminal.
+    /// Show a progress bar on the terminal.
     pub progress: bool,
 }
 
-/// What came of a request, second by second.
+/// Requests and their results in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTotals {
     pub requested: f64,
-    /// Value earned by what began in this second.
+    /// Value earned by requests that began in this second.
     pub earned: f64,
     pub rejected: u64,
     pub failed: u64,
@@ -69,16 +70,16 @@
     pub fills: u64,
 }
 
-/// What a play showed.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Shown {
     pub seed: u64,
     pub routers: usize,
     pub servers: usize,
     pub seconds: Vec<SecondTotals>,
-    /// Value earned over value asked for, from the lead on.
+    /// Value earned over value requested, from the end of the warm-up.
     pub service: f64,
-    /// The same from when it is measured again after the last fault.
+    /// The same, from the start of the second measurement.
     pub service_after: f64,
     pub even: BTreeMap<&'static str, load_balance::LoadBalance>,
     pub herd: f64,
@@ -86,7 +87,7 @@
     pub words: Vec<String>,
     pub server_records: Vec<ServerRecord>,
     pub server_loads: Vec<Vec<f64>>,
-    /// The highest share of what pushes it over that any cold server was sent.
+    /// The highest share of its overload threshold that any cold server was sent.
     pub strain: f64,
     pub hit_share: f64,
     pub response_ms: Histogram<u64>,
@@ -97,14 +98,14 @@
     pub events: Vec<(Duration, String)>,
     pub retries: u64,
     pub measured_from: Duration,
-    /// What became of the zones' requests.
+    /// Service per zone during losses.
     pub of_places: ZoneMetrics,
-    /// From the first router's start to the end.
+    /// Duration of the workload.
     pub elapsed: Duration,
 }
 
 impl Shown {
-    /// Bytes of datagrams that a router sent in a second, on average.
+    /// Mean bytes of datagrams that a router sent per second.
     pub fn bytes_s(&self) -> f64 {
         self.datagrams.bytes as f64
             / self.routers.max(1) as f64
@@ -117,23 +118,23 @@
     group: usize,
     listen: SocketAddr,
     child: Option<Router>,
-    /// The front sends clients here.
+    /// The load balancer in front sends clients to this router.
     receives_clients: bool,
     connections: Vec<mpsc::Sender<Request>>,
     open_requests: usize,
     next_connection: usize,
     discovery: Option<mpsc::Sender<Bytes>>,
-    /// Events told, and when the next is due.
+    /// Discovery events that were sent to it.
     events_sent: usize,
     incarnation: u32,
     started_at: Duration,
-    /// When it was killed (true) or asked to end.
+    /// When it was stopped, and whether by SIGKILL (true) or SIGTERM.
     stopped: Option<(Duration, bool)>,
     config: PathBuf,
 }
 
 impl RouterState {
-    /// It owes an answer to what began then.
+    /// Whether a request that began at this time must be answered.
     fn must_answer(&self, request_started: Duration) -> bool {
         match self.stopped {
             None => request_started >= self.started_at,
@@ -142,7 +143,7 @@
     }
 }
 
-/// An event of discovery: what changed.
+/// What a discovery event changes.
 enum DiscoveryChange {
     Servers(Vec<usize>),
     Purge(u64, u64),
@@ -151,11 +152,11 @@
 struct DiscoveryEvent {
     change: DiscoveryChange,
     at: Duration,
-    /// As it was when told: standing by server.
+    /// By server: list status and start time when the event was created.
     statuses: Vec<(usize, ListStatus, Option<Duration>)>,
 }
 
-/// What a client wants, over all its tries.
+/// A client's request over all its attempts.
 struct ClientRequest {
     arrival: Arrival,
     deadline: Duration,
@@ -174,7 +175,7 @@
     StartRouter(usize),
     SendDiscovery(usize),
     SendForged(usize),
-    /// Something has come over the ways, to a server; and from one to a connection.
+    /// A message over the zone network arrives at a server, or at a router's connection.
     DeliverEvent(Box<Event>),
     DeliverReply(u64, Bytes),
 }
@@ -194,7 +195,7 @@
     routers: Vec<RouterState>,
     relay: DatagramRelay,
     network: Option<ZoneNetwork>,
-    /// By connection: when the last bytes each way came, since none overtake others.
+    /// By connection: last arrival time in each direction, as bytes never overtake each other.
     last_delivery: HashMap<u64, [Duration; 2]>,
     zone_value: ZoneValue,
     datagram_faults: watch::Sender<DatagramFaults>,
@@ -208,7 +209,7 @@
     starter: Starter,
     arrivals: Vec<Arrival>,
     requests: Vec<ClientRequest>,
-    /// By the id of a try: which want, and which router.
+    /// By attempt id: the client request and the router.
     attempts: HashMap<u64, (usize, usize)>,
     last_id: u64,
     timer_queue: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -226,29 +227,29 @@
     added_servers: usize,
 }
 
-/// Plays it.
+/// Runs a scenario.
 ///
 /// # Errors
-/// Where it could not be played at all: in words that say what to do about it.
+/// The scenario could not be run; the message says what to change.
 pub async fn play(play: &Play, setup: Setup) -> Result<Shown, String> {
-    let senseless = play.faults_of_sense();
-    if !senseless.is_empty() {
-        return Err(senseless.join("; "));
+    let problems = play.faults_of_sense();
+    if !problems.is_empty() {
+        return Err(problems.join("; "));
     }
     children::check_machine_limits(play.fleet.routers)?;
-    let dir = TempDir::new()?;
+    let temp_dir = TempDir::new()?;
     let (events, mailbox) = mpsc::channel(wire::EVENT_QUEUE_LIMIT);
-    let mut runner = Runner::open(play.clone(), setup, dir.0.clone(), events).await?;
-    let (carried, carry) = watch::channel(DatagramCounters::default());
+    let mut runner = Runner::open(play.clone(), setup, temp_dir.0.clone(), events).await?;
+    let (counters, latest_counters) = watch::channel(DatagramCounters::default());
     runner
         .relay
-        .start(&runner.datagram_faults.subscribe(), &carried);
+        .start(&runner.datagram_faults.subscribe(), &counters);
     let mut mailbox = mailbox;
     runner.start_all(&mut mailbox).await?;
     runner.run_timeline(&mut mailbox).await;
     runner.stop_routers(&mut mailbox).await;
-    let carried = *carry.borrow();
-    Ok(runner.into_results(carried))
+    let counters = *latest_counters.borrow();
+    Ok(runner.into_results(counters))
 }
 
 impl Runner {
@@ -262,23 +263,19 @@
         self.timer_queue.push(Reverse((at, self.last_timer)));
     }
 
-    fn log_event(&mut self, what: String) {
+    fn log_event(&mut self, description: String) {
         let now = self.now();
-        self.event_log.push((now, what));
+        self.event_log.push((now, description));
     }
 
-    // Routers.
-
-    // What happens.
-
     async fn run_timeline(&mut self, mailbox: &mut mpsc::Receiver<Event>) {
-        // The play's time begins now; servers that have run for long have run for longer.
+        // Time 0 of the run is now; servers that started long ago keep that status.
         let startup_time = self.now();
         self.started_at = Instant::now();
         self.model.reset_clock(startup_time);
         self.discovery_events
             .iter_mut()
-            .for_each(|noted| noted.at = Duration::ZERO);
+            .for_each(|event| event.at = Duration::ZERO);
         let faults = self.play.faults.clone();
         faults
             .iter()
@@ -332,11 +329,11 @@
         progress.finish_and_clear();
     }
 
-    /// What servers say by now.
+    /// Sends the replies that are due.
     fn send_replies(&mut self) {
         let now = self.now();
         for reply in self.model.replies_until(now) {
-            let Some((server, group, out)) = self.connections.get(&reply.connection) else {
+            let Some((server, group, sender)) = self.connections.get(&reply.connection) else {
                 continue;
             };
             let state = &self.model.servers[*server];
@@ -347,12 +344,12 @@
             if self.network.is_some() {
                 self.send_over_network(now, reply.connection, server, group, bytes);
             } else {
-                let _ = out.try_send(bytes);
+                let _ = sender.try_send(bytes);
             }
         }
     }
 
-    /// Where a server stands, among the ways.
+    /// The server's node in the zone network.
     fn network_node(&self, server: usize) -> usize {
         if let Tier::Cache(at) = self.model.servers[server].tier {
             at
@@ -361,7 +358,8 @@
         }
     }
 
-    /// When bytes that leave now come: not before those that left before. A cut holds them.
+    /// When bytes sent now arrive: never before bytes sent earlier on the connection. While the path is
+    /// cut, delivery is retried later.
     fn delivery_time(
         &mut self,
         now: Duration,
@@ -378,7 +376,7 @@
         Some(arrives_at)
     }
 
-    /// Bytes from a server go over the way to its router's zone.
+    /// Sends a server's reply over the network to the router's zone.
     fn send_over_network(
         &mut self,
         now: Duration,
@@ -434,7 +432,7 @@
         &mut self.seconds[(at.as_secs() as usize).min(last)]
     }
 
-    /// What comes to a server from another zone takes the time of its way.
+    /// Delays an event from a router to a server by the network between their zones.
     fn deliver_event(&mut self, event: Event) {
         let now = self.now();
         let (connection, server, group) = match &event {
@@ -474,27 +472,29 @@
                 group,
                 tag,
             } => {
-                let at = &self.model.servers[server];
-                if at.is_down || at.is_silent || at.unreachable_from_group.get(group) == Some(&true)
+                let state = &self.model.servers[server];
+                if state.is_down
+                    || state.is_silent
+                    || state.unreachable_from_group.get(group) == Some(&true)
                 {
                     return;
                 }
                 let bytes = Bytes::from(format!("{tag} UP - 0\r\n\r\n"));
                 if self.network.is_some() {
                     self.send_over_network(now, connection, server, group, bytes);
-                } else if let Some((_, _, out)) = self.connections.get(&connection) {
-                    let _ = out.try_send(bytes);
+                } else if let Some((_, _, sender)) = self.connections.get(&connection) {
+                    let _ = sender.try_send(bytes);
                 }
             }
             Event::Opened {
                 connection,
                 server,
                 group,
-                out,
+                sender,
             } => {
                 self.second_at(now).connections_opened += 1;
                 if !self.model.servers[server].is_down {
-                    self.connections.insert(connection, (server, group, out));
+                    self.connections.insert(connection, (server, group, sender));
                 }
             }
             Event::AttemptMessage {
@@ -513,9 +513,13 @@
                 self.model.invariants.breaks.strange += 1;
                 self.model.invariants.descriptions.push(description);
             }
-            Event::DiscoverySubscribed { router, after, out } => {
-                // Told events stay told; what was lost with the last connection is told again.
-                self.routers[router].discovery = Some(out);
+            Event::DiscoverySubscribed {
+                router,
+                after,
+                sender,
+            } => {
+                // Events sent before stay sent; those lost with the last connection are sent again.
+                self.routers[router].discovery = Some(sender);
                 self.routers[router].events_sent =
                     self.routers[router].events_sent.min(after as usize);
                 if self.discovery_delay.is_zero() {
@@ -531,12 +535,12 @@
                     self.routers[router].child = Some(child)
                 }
                 Ok(child) => self.starter.kill(child),
-                Err(what) => {
-                    self.log_event(what);
+                Err(error) => {
+                    self.log_event(error);
                     self.crashed += 1;
                 }
             },
-            Event::Responded { id, answer } => self.handle_response(now, id, answer),
+            Event::Responded { id, response } => self.handle_response(now, id, response),
             Event::ConnectionLost {
                 router,
                 ids,
@@ -650,7 +654,8 @@
                         .as_mut()
                         .is_some_and(|child| child.ended().is_some())
                     {
-                        // Nobody asked it to: those that are killed or end by order are taken out before.
+                        // Routers that are killed or stopped on purpose are taken out beforehand, so
+                        // this one crashed.
                         router.child = None;
                         self.crashed += 1;
                     }
@@ -671,25 +676,25 @@
             }
             Timer::StartRouter(router) => {
                 if self.routers[router].child.is_none()
-                    && let Err(what) = self.start_router(router)
+                    && let Err(error) = self.start_router(router)
                 {
-                    self.log_event(what);
+                    self.log_event(error);
                     self.crashed += 1;
                 }
             }
             Timer::SendDiscovery(router) => self.send_discovery_events(router),
             Timer::DeliverEvent(event) => {
-                let held = match &*event {
+                let is_cut = match &*event {
                     Event::AttemptMessage { server, group, .. }
                     | Event::Noop { server, group, .. } => {
                         let to = self.network_node(*server);
                         self.network
                             .as_ref()
-                            .is_some_and(|ways| ways.is_cut[*group][to])
+                            .is_some_and(|network| network.is_cut[*group][to])
                     }
                     _ => false,
                 };
-                if held {
+                if is_cut {
                     self.schedule(
                         now + zone_network::RETRANSMIT_DELAY,
                         Timer::DeliverEvent(event),
@@ -699,23 +704,23 @@
                 }
             }
             Timer::DeliverReply(connection, bytes) => {
-                let Some((server, group, out)) = self.connections.get(&connection) else {
+                let Some((server, group, sender)) = self.connections.get(&connection) else {
                     return;
                 };
                 let from = self.network_node(*server);
                 if self
                     .network
                     .as_ref()
-                    .is_some_and(|ways| ways.is_cut[from][*group])
+                    .is_some_and(|network| network.is_cut[from][*group])
                 {
                     return self.schedule(
                         now + zone_network::RETRANSMIT_DELAY,
                         Timer::DeliverReply(connection, bytes),
                     );
                 }
-                let at = &self.model.servers[*server];
-                if !at.is_down && !at.is_silent {
-                    let _ = out.try_send(bytes);
+                let state = &self.model.servers[*server];
+                if !state.is_down && !state.is_silent {
+                    let _ = sender.try_send(bytes);
                 }
             }
             Timer::SendForged(n) => {
@@ -768,10 +773,10 @@
     }
 }
 
-/// Whether a folder for logs is there.
+/// Creates the folder for the routers' logs.
 ///
 /// # Errors
-/// Of the system, in words.
+/// The folder could not be created.
 pub fn logs(folder: &Path) -> Result<(), String> {
     std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
--- a/crates/harness/src/run/clients.rs
+++ b/crates/harness/src/run/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they ask, what they are answered, when they ask again.
+//! Clients: their requests, the responses, and retries.
 
 use super::{
     FRONT_CHECK_INTERVAL, LATE_VALUE, MAX_OPEN_PER_CONNECTION, MAX_RETRY_DELAY, Runner, Timer,
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Runner {
-    /// Sends a try of what a client wants to the router that the front has for it.
+    /// Sends an attempt to the client's router, or to another one of its zone if that is down.
     pub(super) fn send_attempt(&mut self, request: usize) {
         let now = self.now();
         let (arrival, deadline) = (
@@ -23,13 +23,13 @@
         let home = arrival.router;
         let zone = self.routers[home].zone;
         let zones = self.play.fleet.zones;
-        let here = (0..self.routers.len())
+        let available = (0..self.routers.len())
             .filter(|r| r % zones == zone && self.routers[*r].receives_clients);
         let chosen = if self.routers[home].receives_clients {
             Some(home)
         } else {
-            let here: Vec<usize> = here.collect();
-            (!here.is_empty()).then(|| here[self.rng.usize(..here.len())])
+            let available: Vec<usize> = available.collect();
+            (!available.is_empty()).then(|| available[self.rng.usize(..available.len())])
         };
         let Some(router) = chosen.filter(|r| {
             self.routers[*r].open_requests
@@ -54,9 +54,9 @@
         } else {
             Bytes::new()
         };
-        let process = &mut self.routers[router];
-        process.next_connection = (process.next_connection + 1) % process.connections.len();
-        if process.connections[process.next_connection]
+        let state = &mut self.routers[router];
+        state.next_connection = (state.next_connection + 1) % state.connections.len();
+        if state.connections[state.next_connection]
             .try_send(Request {
                 id,
                 class,
@@ -67,7 +67,7 @@
         {
             return self.retry_later(request, now, Duration::ZERO);
         }
-        process.open_requests += 1;
+        state.open_requests += 1;
         self.attempts.insert(id, (request, router));
         self.requests[request].attempts += 1;
         self.model
@@ -75,23 +75,23 @@
             .request_started(id, TrackedRequest::new(router, write, key, now, deadline));
     }
 
-    pub(super) fn handle_response(&mut self, now: Duration, id: u64, answer: Response) {
+    pub(super) fn handle_response(&mut self, now: Duration, id: u64, response: Response) {
         let Some((request, router)) = self.attempts.remove(&id) else {
             return self.model.invariants.request_ended(now, id, Outcome::Wrong);
         };
         self.routers[router].open_requests = self.routers[router].open_requests.saturating_sub(1);
         let write = self.requests[request].arrival.write;
         let key = self.requests[request].arrival.key;
-        let end = match &answer {
-            // What a write is answered with says nothing of copies.
+        let outcome = match &response {
+            // The response to a write carries no copy.
             Response::Served(_) if write => Outcome::Served(key, u64::MAX),
-            Response::Served(Some((key, made))) => Outcome::Served(*key, *made),
+            Response::Served(Some((key, created_ms))) => Outcome::Served(*key, *created_ms),
             Response::Served(None) | Response::Wrong => Outcome::Wrong,
             Response::Rejected(_) => Outcome::Rejected,
             Response::Failed => Outcome::Failed,
         };
-        self.model.invariants.request_ended(now, id, end);
-        match answer {
+        self.model.invariants.request_ended(now, id, outcome);
+        match response {
             Response::Served(_) => self.request_served(request, now),
             Response::Rejected(wait) => {
                 self.second_at(now).rejected += 1;
@@ -131,12 +131,12 @@
             .record_earned(self.requests[request].arrival.router % zone, at, earned);
     }
 
-    /// The client has what it will get: nothing.
+    /// The request ends without a served response.
     pub(super) fn abandon(&mut self, request: usize) {
         self.requests[request].done = true;
     }
 
-    /// The client asks again, if it has the patience.
+    /// Retries unless the retries or the time are used up.
     pub(super) fn retry_later(&mut self, request: usize, now: Duration, retry_after: Duration) {
         let (attempts, deadline) = (
             self.requests[request].attempts,
@@ -172,13 +172,14 @@
                 continue;
             };
             self.routers[at].open_requests = self.routers[at].open_requests.saturating_sub(1);
-            // Refused: the router has never taken it. Broken: it has, and owed an answer, if it lives.
-            let begun = self
+            // If the connection was refused, the router never received the request. Otherwise it did,
+            // and must answer if it is alive.
+            let request_started = self
                 .model
                 .invariants
                 .request(id)
-                .map_or(now, |life| life.started_at);
-            if refused || !self.routers[at].must_answer(begun) {
+                .map_or(now, |request| request.started_at);
+            if refused || !self.routers[at].must_answer(request_started) {
                 self.model.invariants.excuse(id);
             }
             self.model
--- a/crates/harness/src/run/discovery.rs
+++ b/crates/harness/src/run/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery tells the routers: events, when each hears of them.
+//! Discovery: its events, and when each router is sent them.
 
 use super::{DiscoveryChange, DiscoveryEvent, Runner, Timer};
 use crate::server_model::{ListStatus, Tier};
@@ -10,45 +10,46 @@
     pub(super) fn server_entry(
         &self,
         server: usize,
-        standing: ListStatus,
+        status: ListStatus,
         started: Option<Duration>,
         group: usize,
     ) -> Value {
-        let at = &self.model.servers[server];
-        let (site, class) = match at.tier {
+        let state = &self.model.servers[server];
+        let (site, class) = match state.tier {
             Tier::Cache(zone) => (format!("z{zone}"), "cache"),
             Tier::Parent => ("hub".to_owned(), "parent"),
             Tier::Origin => ("hub".to_owned(), "origin"),
         };
-        let health = match standing {
+        let health = match status {
             ListStatus::Active => "active",
             ListStatus::Draining => "leaving",
             ListStatus::Gone => "left",
         };
-        json!({"host": at.name, "dial": self.listeners[server][group].address.to_string(),
+        json!({"host": state.name, "dial": self.listeners[server][group].address.to_string(),
             "site": site, "class": class,
-            "block": server, "health": health, "share": at.capacity,
-            "born_ms": started.map_or(0, |at| self.model.unix_ms_at(at))})
+            "block": server, "health": health, "share": state.capacity,
+            "born_ms": started.map_or(0, |state| self.model.unix_ms_at(state))})
     }
 
     pub(super) fn event_json(&self, number: usize, group: usize) -> Value {
-        let noted = &self.discovery_events[number];
+        let event = &self.discovery_events[number];
         let rev = number + 1;
-        match &noted.change {
+        match &event.change {
             DiscoveryChange::Purge(object, ms) => {
                 json!({"rev": rev, "flush": {"asset": format!("{object:016x}"), "ms": ms}})
             }
             DiscoveryChange::Servers(_) => {
-                let hosts = noted.statuses.iter().map(|(server, standing, at)| {
-                    self.server_entry(*server, *standing, *at, group)
-                });
+                let hosts = event
+                    .statuses
+                    .iter()
+                    .map(|(server, status, at)| self.server_entry(*server, *status, *at, group));
                 let hosts: Vec<Value> = hosts.collect();
                 json!({"rev": rev, "pool": {"seq": rev, "whole": number == 0, "hosts": hosts}})
             }
         }
     }
 
-    /// Discovery has something new.
+    /// Adds a discovery event and sends it to the routers.
     pub(super) fn announce(&mut self, change: DiscoveryChange) {
         let servers = if let DiscoveryChange::Servers(servers) = &change {
             servers.clone()
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Tells a router's discovery connection what it has not told yet, as far as it is due.
+    /// Sends a router the events that it has not been sent yet.
     pub(super) fn send_discovery_events(&mut self, router: usize) {
         let (now, group) = (self.now(), self.routers[router].group);
         while self.routers[router].events_sent < self.discovery_events.len() {
@@ -98,17 +99,17 @@
         }
     }
 
-    /// From now on the router is held to it.
+    /// From now on the checker expects the router to act on the event.
     pub(super) fn record_announcement(&mut self, now: Duration, router: usize, number: usize) {
-        let noted = &self.discovery_events[number];
-        match &noted.change {
+        let event = &self.discovery_events[number];
+        match &event.change {
             DiscoveryChange::Purge(object, ms) => self
                 .model
                 .invariants
                 .record_purge(now, router, *object, *ms),
             DiscoveryChange::Servers(_) => {
-                for (server, standing, _) in &noted.statuses {
-                    match standing {
+                for (server, status, _) in &event.statuses {
+                    match status {
                         ListStatus::Active => self.model.invariants.record_active(router, *server),
                         _ => self.model.invariants.record_drain(now, router, *server),
                     }
--- a/crates/harness/src/run/faults.rs
+++ b/crates/harness/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles of the play: whom they meet, how they begin, go on and end.
+//! Faults of the scenario: their targets, start, steps and end.
 
 use super::{DiscoveryChange, FRONT_CHECK_INTERVAL, Runner, Timer};
 use crate::children::Router;
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 impl Runner {
-    /// Who is struck, drawn from the seed.
+    /// Draws the targets from the seed.
     pub(super) fn pick_targets(&mut self, target: Target) -> Vec<usize> {
         let servers = self
             .model
@@ -19,20 +19,20 @@
             .iter()
             .enumerate()
             .filter(|(_, s)| s.list_status == ListStatus::Active && !s.is_down);
-        let (all, part): (Vec<usize>, Amount) = match target {
-            Target::Caches(part) => (
+        let (all, amount): (Vec<usize>, Amount) = match target {
+            Target::Caches(amount) => (
                 servers
                     .filter(|(_, s)| matches!(s.tier, Tier::Cache(_)))
                     .map(|(n, _)| n)
                     .collect(),
-                part,
+                amount,
             ),
-            Target::Parents(part) => (
+            Target::Parents(amount) => (
                 servers
                     .filter(|(_, s)| s.tier == Tier::Parent)
                     .map(|(n, _)| n)
                     .collect(),
-                part,
+                amount,
             ),
             Target::Zone(at) => (
                 servers
@@ -41,16 +41,16 @@
                     .collect(),
                 Amount::Share(1.0),
             ),
-            Target::Routers(part) => (
+            Target::Routers(amount) => (
                 (0..self.routers.len())
                     .filter(|r| self.routers[*r].child.is_some())
                     .collect(),
-                part,
+                amount,
             ),
         };
         let mut all = all;
         self.rng.shuffle(&mut all);
-        all.truncate(part.of(all.len()));
+        all.truncate(amount.of(all.len()));
         all
     }
 
@@ -83,7 +83,7 @@
             }
             _ => Vec::new(),
         };
-        self.log_event(format!("{kind:?}: {} struck", targets.len()));
+        self.log_event(format!("{kind:?}: {} targets", targets.len()));
         self.fault_targets.insert(n, targets.clone());
         match kind {
             FaultKind::Slow(_, by) => targets
@@ -147,7 +147,7 @@
                         .child
                         .iter_mut()
                         .for_each(Router::freeze);
-                    // What it is sent while it is frozen is not its fault.
+                    // Requests sent to it while it is frozen are excused.
                     self.routers[*router].receives_clients = false;
                     self.model.invariants.router_stopped(*router);
                 }
@@ -195,28 +195,28 @@
         }
     }
 
-    /// Changes ways, for bytes and datagrams.
+    /// Changes the network between zones, for connections and datagrams.
     pub(super) fn change_network(
         &mut self,
         from: Option<usize>,
         to: Option<usize>,
-        of: impl FnMut(&mut ZoneNetwork, usize, usize),
+        change: impl FnMut(&mut ZoneNetwork, usize, usize),
     ) {
         let Some(network) = &mut self.network else {
             return;
         };
-        network.for_each_pair(from, to, of);
+        network.for_each_pair(from, to, change);
         let changed = Rc::new(network.clone());
         self.datagram_faults
             .send_modify(|faults| faults.network = Some(changed));
     }
 
-    /// What broke is whole again.
+    /// Ends a fault and restores what it changed.
     pub(super) fn end_fault(&mut self, n: usize) {
         let now = self.now();
         let targets = self.fault_targets.get(&n).cloned().unwrap_or_default();
         let kind = self.play.faults[n].kind;
-        self.log_event(format!("over: {kind:?}"));
+        self.log_event(format!("ended: {kind:?}"));
         match kind {
             FaultKind::Slow(..) => targets
                 .iter()
@@ -296,7 +296,7 @@
         }
     }
 
-    /// A new cache of a zone, empty and cold.
+    /// Adds a cache to a zone, empty and cold.
     pub(super) fn add_cache(&mut self, zone: usize) -> Option<usize> {
         let now = self.now();
         self.added_servers += 1;
@@ -310,7 +310,7 @@
         Some(number)
     }
 
-    /// What goes step by step: the next of those that are left, and when the one after.
+    /// Handles the next target of a fault that goes step by step, and schedules the step after.
     pub(super) fn step_fault(&mut self, n: usize, mut remaining: Vec<usize>) {
         let now = self.now();
         let Fault {
@@ -330,14 +330,15 @@
                 self.announce(DiscoveryChange::Servers(changed));
             }
             FaultKind::Restart(_) => {
-                // It answers what it has taken and ends; the front asks it no more once its door is closed.
+                // It answers the requests it has received and ends; once its listener is closed it gets
+                // no new ones.
                 if let Some(mut child) = self.routers[next].child.take() {
                     child.terminate();
                     self.routers[next].receives_clients = false;
                     self.routers[next].stopped = Some((now, false));
                     self.routers[next].discovery = None;
                     let restart_delay = Duration::from_millis(900);
-                    // Its process is waited for by being dropped when the next one starts.
+                    // It has ended or is killed before its successor starts.
                     self.kill_after_grace(child);
                     self.schedule(now + restart_delay, Timer::StartRouter(next));
                     self.schedule(
@@ -357,7 +358,7 @@
         }
     }
 
-    /// Killed if it has not ended by itself when its successor starts.
+    /// Kills the router if it has not ended before its successor starts.
     pub(super) fn kill_after_grace(&mut self, child: Router) {
         let mut child = child;
         tokio::task::spawn_local(async move {
--- a/crates/harness/src/run/results.rs
+++ b/crates/harness/src/run/results.rs
@@ -1,4 +1,4 @@
-//! What a play has shown, when it is over.
+//! Results of a finished run.
 
 use super::{MAX_TIMER_DELAY, Runner, Shown};
 use crate::datagram_relay::DatagramCounters;
@@ -79,7 +79,7 @@
         }
         let timer_delay = Duration::from_millis(self.timer_delays.value_at_quantile(0.99));
         let void = (timer_delay > MAX_TIMER_DELAY)
-            .then(|| format!("its own turns came {timer_delay:?} late"));
+            .then(|| format!("timers of the harness fired {timer_delay:?} late"));
         let reads = (self.model.hits + self.model.fills).max(1);
         let of_places = self
             .zone_value
--- a/crates/harness/src/run/startup.rs
+++ b/crates/harness/src/run/startup.rs
@@ -1,4 +1,4 @@
-//! Opens a fleet: addresses, servers, processes, until all are ready.
+//! Starts a fleet: addresses, servers and processes, until all routers are ready.
 
 use super::{
     DiscoveryChange, LATE_VALUE, READY_TIMEOUT, RouterState, Runner, START_BATCH, SecondTotals,
@@ -23,7 +23,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, watch};
 
-/// A folder of this run alone, gone with it.
+/// Temporary folder of this run, removed when dropped.
 pub(super) struct TempDir(pub(super) PathBuf);
 
 impl TempDir {
@@ -43,24 +43,25 @@
     }
 }
 
-/// Addresses that no other run on this machine uses: a block of the loopback range, held by a listener.
+/// Reserves a block of the loopback range that no other run on this machine uses; the listener holds
+/// it.
 pub(super) fn reserve_address_block() -> Result<(u8, std::net::TcpListener), String> {
     let first = std::process::id() % 50;
     for n in 0..50 {
         let block = 201 + ((first + n) % 50) as u8;
-        if let Ok(held) =
+        if let Ok(listener) =
             std::net::TcpListener::bind((std::net::Ipv4Addr::new(127, block, 255, 254), 5050))
         {
-            return Ok((block, held));
+            return Ok((block, listener));
         }
     }
-    Err("50 fleets run on this machine already".into())
+    Err("no free loopback address block: 50 fleets already run on this machine".into())
 }
 
 pub(super) fn spawn_starter(program: &Program, events: &Events) -> Starter {
     let events = events.clone();
     Starter::new(program.clone(), move |router, incarnation, child| {
-        // Where nobody hears of it any more it is dropped, which kills it.
+        // If the runner is gone the event is dropped, which kills the child.
         let _ = events.try_send(Event::RouterStarted {
             router,
             incarnation,
@@ -69,10 +70,10 @@
     })
 }
 
-/// The settings that all routers of the play are told.
+/// The settings of all routers.
 pub(super) fn router_settings(play: &Play) -> Value {
     let (fleet, work) = (&play.fleet, &play.work);
-    let ms = |span: Duration| span.as_millis() as u64;
+    let ms = |duration: Duration| duration.as_millis() as u64;
     let class = |name: &str, effect: &str, worth: f64| {
         json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": ms(work.soft_deadline),
             "AimStretch": 0,
@@ -82,13 +83,13 @@
         .map(|n| format!("z{n}"))
         .chain(["hub".to_owned()])
         .collect::<Vec<String>>();
-    let here = |at: usize| (0..fleet.routers).filter(|r| r % fleet.zones == at).count();
-    let crews: Vec<usize> = (0..fleet.zones).map(here).chain([0]).collect();
+    let routers_in = |at: usize| (0..fleet.routers).filter(|r| r % fleet.zones == at).count();
+    let routers_by_zone: Vec<usize> = (0..fleet.zones).map(routers_in).chain([0]).collect();
     json!({
         "Classes": [class("page", "pure", 1.0), class("confirm", "side_effect", 1.0)],
         "FamilyInfo": {"ClassFresh": [ms(work.max_age), 0], "ClassWrite": [false, true],
             "ClientKbPerS": fleet.client_kb_per_s,
-            "CrewByZone": crews, "HomeHub": vec![0; fleet.zones + 1], "ObeyAfter": 500,
+            "CrewByZone": routers_by_zone, "HomeHub": vec![0; fleet.zones + 1], "ObeyAfter": 500,
             "PassThroughOk": fleet.pass_through,
             "ParentFloor": fleet.initial_capacity_share, "ParentRamp": ms(fleet.slow_start), "ParentFallMultiple": 2,
             "PurgeDone": 6000, "Says": "all", "ShieldKind": 1, "SourceKind": 2},
@@ -110,7 +111,7 @@
         events: Events,
     ) -> Result<Runner, String> {
         let (address_block, block_guard) = reserve_address_block()?;
-        // Held until the process ends: the block is this run's.
+        // Keeps the address block reserved until the process ends.
         std::mem::forget(block_guard);
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -228,7 +229,7 @@
         Ok(runner)
     }
 
-    /// A server that listens for every group of routers.
+    /// Adds a server with one listener per group of routers.
     pub(super) fn open_server(&mut self, name: String, tier: Tier) -> Result<usize, String> {
         let fleet = &self.play.fleet;
         let (capacity, memory) = match tier {
@@ -243,7 +244,7 @@
             memory,
             fleet.address_groups(),
         ));
-        let doors = (0..fleet.address_groups())
+        let listeners = (0..fleet.address_groups())
             .map(|group| {
                 wire::start_listener(
                     &self.server_address,
@@ -254,7 +255,7 @@
                 )
             })
             .collect::<Result<Vec<ServerListener>, String>>()?;
-        self.listeners.push(doors);
+        self.listeners.push(listeners);
         self.server_numbers.insert(name.clone(), number);
         let zone = if let Tier::Cache(at) = tier {
             at
@@ -273,8 +274,8 @@
         Ok(number)
     }
 
-    /// What servers hold that have run for long: the most wanted, where the hash puts it, as far as there is
-    /// room.
+    /// Preloads servers that started long ago with the most popular objects, each where the hash places
+    /// it, as far as there is space.
     pub(super) fn preload_caches(&mut self) {
         let now_ms = self.model.unix_ms_at(Duration::ZERO);
         let mut free_kb: Vec<f64> = vec![self.play.fleet.memory_kb * 0.9; self.model.servers.len()];
@@ -315,19 +316,19 @@
         }
     }
 
-    /// Starts a router's process with all that discovery has told up to now.
+    /// Starts a router's process with all discovery events up to now.
     pub(super) fn start_router(&mut self, router: usize) -> Result<(), String> {
         let (now, group) = (self.now(), self.routers[router].group);
-        let notices: Vec<Value> = (0..self.discovery_events.len())
+        let events: Vec<Value> = (0..self.discovery_events.len())
             .map(|n| self.event_json(n, group))
             .collect();
         let (peers, all) = self.relay.addresses();
         let discovery = wire::serve_discovery(&self.server_address, router, self.events.clone())?;
-        let process = &mut self.routers[router];
-        process.incarnation += 1;
-        (process.discovery, process.events_sent) = (None, notices.len());
-        (process.started_at, process.stopped) = (
-            if process.incarnation > 1 {
+        let state = &mut self.routers[router];
+        state.incarnation += 1;
+        (state.discovery, state.events_sent) = (None, events.len());
+        (state.started_at, state.stopped) = (
+            if state.incarnation > 1 {
                 now
             } else {
                 Duration::ZERO
@@ -335,22 +336,22 @@
             None,
         );
         let mut settings = self.settings.clone();
-        settings["Locality"] = json!(process.zone);
+        settings["Locality"] = json!(state.zone);
         settings["MyNumber"] = json!(router);
-        let incarnation = u64::from(process.incarnation);
+        let incarnation = u64::from(state.incarnation);
         let seed = self.setup.seed.wrapping_mul(7919) ^ (router as u64) << 8 ^ incarnation;
-        let listen = process.listen;
-        let own = SocketAddr::new(listen.ip(), 7946);
+        let listen = state.listen;
+        let peer_address = SocketAddr::new(listen.ip(), 7946);
         let file = json!({"name": format!("n{router}"), "listen": listen.to_string(),
             "seed": format!("{seed:016x}"),
             "limits": {"cores": 1, "memory_mb": 64, "sockets": 1024}, "board": discovery.to_string(),
-            "peer_listen": own.to_string(), "peers": peers, "peers_all": all,
+            "peer_listen": peer_address.to_string(), "peers": peers, "peers_all": all,
             "flow_bytes_per_s": 1_000_000, "link_bytes_per_s": 8_000_000,
-            "known": {"rev": notices.len(), "notices": notices}, "settings": settings});
+            "known": {"rev": events.len(), "notices": events}, "settings": settings});
         let wanted = StartRequest {
             router,
-            incarnation: process.incarnation,
-            config: process.config.clone(),
+            incarnation: state.incarnation,
+            config: state.config.clone(),
             config_text: file.to_string(),
             directives: self.temp_dir.join("chalkhall.conf"),
             log: self
@@ -398,12 +399,12 @@
                     let ended = self.routers[router].child.as_mut().and_then(Router::ended);
                     if let Some(ended) = ended {
                         return Err(format!(
-                            "router n{router} ended at its start ({ended}); --logs FOLDER keeps its log"
+                            "router n{router} ended during its start ({ended}); use --logs FOLDER to keep its log"
                         ));
                     }
                     if Instant::now() > end {
                         return Err(format!(
-                            "router n{router} does not say that it serves after {READY_TIMEOUT:?}"
+                            "router n{router} was not ready within {READY_TIMEOUT:?}"
                         ));
                     }
                     tokio::time::sleep(Duration::from_millis(5)).await;
--- a/crates/harness/src/wire.rs
+++ b/crates/harness/src/wire.rs
@@ -1,6 +1,6 @@
-//! The stand-ins' ends of the routers' connections: cache servers, parents and origin, discovery services,
-//! clients. Each connection is a task that reads whole messages, hands them to the world, and writes what the
-//! world says. Nothing is known here of what is true.
+//! The harness's ends of the routers' connections: cache servers, parents and origin, discovery
+//! services, clients. Each connection is a task that reads whole messages, passes them to the runner as
+//! events, and writes what the runner sends. The tasks hold no state of the model.
 
 use crate::object_cache::Key;
 use bytes::{Buf, Bytes, BytesMut};
@@ -13,14 +13,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// Messages to the world, which reads them all the time; and to a connection, past which they are lost.
+/// Capacity of the queue of events to the runner, and of each connection's send queue; the runner drops
+/// messages when the latter is full.
 pub const EVENT_QUEUE_LIMIT: usize = 8192;
 const SEND_QUEUE_LIMIT: usize = 2048;
-/// A request that crosses the close of its connection within this is sent again, once.
+/// A request that crosses an orderly close of its connection within this time is sent again, once.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a router asks a server for.
+/// What a router asks of a server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AttemptMessage {
     pub id: u64,
@@ -33,14 +34,14 @@
     pub store_at_parent: bool,
 }
 
-/// A final answer as a client reads it.
+/// A final response as a client reads it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// What the body says of itself: the part, and when it was made.
+    /// Key and creation time from the body.
     Served(Option<(Key, u64)>),
     Rejected(Option<Duration>),
     Failed,
-    /// Of no word that there is.
+    /// The status word is empty.
     Wrong,
 }
 
@@ -49,7 +50,7 @@
         connection: u64,
         server: usize,
         group: usize,
-        out: mpsc::Sender<Bytes>,
+        sender: mpsc::Sender<Bytes>,
     },
     AttemptMessage {
         connection: u64,
@@ -61,7 +62,7 @@
         connection: u64,
         id: u64,
     },
-    /// A word that is to come back at once.
+    /// A message to be echoed at once.
     Noop {
         connection: u64,
         server: usize,
@@ -71,16 +72,16 @@
     Closed {
         connection: u64,
     },
-    /// What a router sent could not be read.
+    /// A message from a router that cannot be parsed.
     Malformed {
         description: String,
     },
     DiscoverySubscribed {
         router: usize,
         after: u64,
-        out: mpsc::Sender<Bytes>,
+        sender: mpsc::Sender<Bytes>,
     },
-    /// A router's process was started, in its so-manieth life.
+    /// Result of starting a router's process.
     RouterStarted {
         router: usize,
         incarnation: u32,
@@ -88,9 +89,9 @@
     },
     Responded {
         id: u64,
-        answer: Response,
+        response: Response,
     },
-    /// The connection ended with these open; or none came up.
+    /// A connection ended with these requests open, or could not be opened.
     ConnectionLost {
         router: usize,
         ids: Vec<u64>,
@@ -100,7 +101,7 @@
 
 pub type Events = mpsc::Sender<Event>;
 
-/// One line without its end, once it is there.
+/// Takes one line without its line end, once it is complete.
 fn take_line(buffer: &mut BytesMut) -> Option<Bytes> {
     let end = buffer.iter().position(|b| *b == b'\n')?;
     let mut line = buffer.split_to(end + 1).freeze();
@@ -157,7 +158,7 @@
     }
 }
 
-/// Where a server listens for one group of routers: it can close its door and open it again.
+/// A server's listener for one group of routers; it can be closed and reopened.
 pub struct ServerListener {
     pub address: SocketAddr,
     is_open: watch::Sender<bool>,
@@ -174,12 +175,12 @@
 }
 
 /// # Errors
-/// Of the system, in words.
+/// The address could not be bound.
 pub fn start_listener(
     address: &str,
     server: usize,
     group: usize,
-    numbers: watch::Sender<u64>,
+    connection_ids: watch::Sender<u64>,
     events: Events,
 ) -> Result<ServerListener, String> {
     let listener = bind(&format!("{address}:0"))?;
@@ -190,10 +191,10 @@
         loop {
             match &listener {
                 Some(bound) => tokio::select! {
-                    come = bound.accept() => {
-                        let Ok((stream, _)) = come else { continue };
+                    accepted = bound.accept() => {
+                        let Ok((stream, _)) = accepted else { continue };
                         let mut connection = 0;
-                        numbers.send_modify(|last| { *last += 1; connection = *last; });
+                        connection_ids.send_modify(|last| { *last += 1; connection = *last; });
                         spawn_local(serve_connection(stream, connection, server, group, events.clone()));
                     }
                     changed = open_state.changed() => {
@@ -216,9 +217,9 @@
 }
 
 /// # Errors
-/// Of the system, in words.
-pub fn bind(at: &str) -> Result<TcpListener, String> {
-    let listener = std::net::TcpListener::bind(at).map_err(|e| format!("{at}: {e}"))?;
+/// The address could not be bound.
+pub fn bind(address: &str) -> Result<TcpListener, String> {
+    let listener = std::net::TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
     listener.set_nonblocking(true).map_err(|e| e.to_string())?;
     TcpListener::from_std(listener).map_err(|e| e.to_string())
 }
@@ -230,14 +231,14 @@
     group: usize,
     events: Events,
 ) {
-    let (out, mut replies) = mpsc::channel(SEND_QUEUE_LIMIT);
+    let (sender, mut replies) = mpsc::channel(SEND_QUEUE_LIMIT);
     let _ = stream.set_nodelay(true);
     if events
         .send(Event::Opened {
             connection,
             server,
             group,
-            out,
+            sender,
         })
         .await
         .is_err()
@@ -250,7 +251,7 @@
     'open: loop {
         tokio::select! {
             reply = replies.recv() => {
-                // The world has let go of it: it is reset, as by a process that died.
+                // The runner dropped the connection: reset it, as a process that died would.
                 let Some(reply) = reply else {
                     let reunited = reader.reunite(writer);
                     if let Ok(stream) = reunited { let _ = stream.set_zero_linger(); }
@@ -282,7 +283,7 @@
                             if events.send(event).await.is_err() { break 'open }
                         }
                         None => {
-                            let description = format!("to server {server}: {}", String::from_utf8_lossy(&line));
+                            let description = format!("malformed message to server {server}: {}", String::from_utf8_lossy(&line));
                             let _ = events.send(Event::Malformed { description }).await;
                             break 'open;
                         }
@@ -294,19 +295,19 @@
     let _ = events.send(Event::Closed { connection }).await;
 }
 
-/// Discovery of one router.
+/// Serves discovery to one router.
 ///
 /// # Errors
-/// Of the system, in words.
-pub fn serve_discovery(at: &str, router: usize, events: Events) -> Result<SocketAddr, String> {
-    let listener = bind(&format!("{at}:0"))?;
-    let at = listener.local_addr().map_err(|e| e.to_string())?;
+/// The address could not be bound.
+pub fn serve_discovery(address: &str, router: usize, events: Events) -> Result<SocketAddr, String> {
+    let listener = bind(&format!("{address}:0"))?;
+    let address = listener.local_addr().map_err(|e| e.to_string())?;
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             spawn_local(send_discovery(stream, router, events.clone()));
         }
     });
-    Ok(at)
+    Ok(address)
 }
 
 async fn send_discovery(mut stream: TcpStream, router: usize, events: Events) {
@@ -325,14 +326,18 @@
     else {
         let _ = events
             .send(Event::Malformed {
-                description: format!("to discovery: {subscription}"),
+                description: format!("malformed message to discovery: {subscription}"),
             })
             .await;
         return;
     };
-    let (out, mut lines) = mpsc::channel::<Bytes>(SEND_QUEUE_LIMIT);
+    let (sender, mut lines) = mpsc::channel::<Bytes>(SEND_QUEUE_LIMIT);
     if events
-        .send(Event::DiscoverySubscribed { router, after, out })
+        .send(Event::DiscoverySubscribed {
+            router,
+            after,
+            sender,
+        })
         .await
         .is_err()
     {
@@ -340,8 +345,8 @@
     }
     loop {
         tokio::select! {
-            said = lines.recv() => match said {
-                Some(said) => if stream.write_all(&said).await.is_err() { return },
+            line = lines.recv() => match line {
+                Some(line) => if stream.write_all(&line).await.is_err() { return },
                 None => return,
             },
             read = stream.read_buf(&mut buffer) => {
@@ -352,7 +357,7 @@
     }
 }
 
-/// A request that a client sends: its id, and its fields and body as they go out.
+/// A client's request message: its id, and its fields and body as sent.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: u64,
@@ -371,20 +376,20 @@
     bytes
 }
 
-/// The length behind a sign at `at`, and where its line ends.
-fn parse_length(buffer: &[u8], at: usize, sign: u8) -> Option<Result<(usize, usize), ()>> {
-    let rest = &buffer[at..];
+/// Parses the length after the type byte at `at`; returns it and the position after its line.
+fn parse_length(buffer: &[u8], start: usize, type_byte: u8) -> Option<Result<(usize, usize), ()>> {
+    let rest = &buffer[start..];
     let end = rest.iter().position(|b| *b == b'\n')?;
     let digits = rest
         .get(1..end.saturating_sub(1))
         .and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
-    Some(match (rest[0] == sign, digits) {
-        (true, Some(n)) if n <= 1 << 20 => Ok((n, at + end + 1)),
+    Some(match (rest[0] == type_byte, digits) {
+        (true, Some(n)) if n <= 1 << 20 => Ok((n, start + end + 1)),
         _ => Err(()),
     })
 }
 
-/// A whole answer: its parts.
+/// Decodes one complete array into its parts.
 fn decode_array(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, ()> {
     let Some(head) = (!buffer.is_empty())
         .then(|| parse_length(buffer, 0, b'*'))
@@ -417,21 +422,21 @@
     ))
 }
 
-/// What a body says of itself, as [`body`] wrote it.
+/// Parses a body written by [`encode_body`].
 fn parse_body(body: &[u8]) -> Option<(Key, u64)> {
     let text = std::str::from_utf8(body.get(..body.iter().position(|b| *b == b'|')?)?).ok()?;
     let mut parts = text.split(':');
-    let (object, part, made) = (
+    let (object, part, created_ms) = (
         hex(parts.next()?)?,
         parts.next()?.parse().ok()?,
         parts.next()?.parse().ok()?,
     );
-    Some(((object, part), made))
+    Some(((object, part), created_ms))
 }
 
-/// A body of a part that was made then; some bytes for each KB that it counts as.
-pub fn encode_body(key: Key, made: u64, kb: f64) -> Vec<u8> {
-    let mut bytes = format!("{:016x}:{}:{made}|", key.0, key.1).into_bytes();
+/// Body of a part created at `made`; it holds four bytes for each KB that it represents.
+pub fn encode_body(key: Key, created_ms: u64, kb: f64) -> Vec<u8> {
+    let mut bytes = format!("{:016x}:{}:{created_ms}|", key.0, key.1).into_bytes();
     let pattern = (key.0 % 251) as u8;
     bytes.resize(bytes.len() + (kb * 4.0) as usize, pattern);
     bytes
@@ -450,7 +455,7 @@
             .find(|(n, _)| *n == name)
             .map(|(_, v)| v)
     };
-    let answer = match &word[..] {
+    let response = match &word[..] {
         b"ACK" => Response::Served(parse_body(body)),
         b"NAK" => Response::Rejected(
             field("w")
@@ -460,11 +465,15 @@
         b"" => Response::Wrong,
         _ => Response::Failed,
     };
-    Some((tag, answer))
+    Some((tag, response))
 }
 
-/// The clients of one router that share a connection; opened when there is something to ask.
-pub fn client_connection(at: SocketAddr, router: usize, events: Events) -> mpsc::Sender<Request> {
+/// A connection that clients share to one router; opened when there is a request to send.
+pub fn client_connection(
+    address: SocketAddr,
+    router: usize,
+    events: Events,
+) -> mpsc::Sender<Request> {
     let (sender, mut requests) = mpsc::channel::<Request>(SEND_QUEUE_LIMIT);
     spawn_local(async move {
         let mut pending: Vec<Request> = Vec::new();
@@ -476,7 +485,7 @@
                     None => return,
                 },
             };
-            let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await;
+            let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
             let Ok(Ok(stream)) = stream else {
                 let ids = std::iter::once(first.id)
                     .chain(pending.drain(..).map(|r| r.id))
@@ -529,7 +538,7 @@
 
 type OpenRequests = HashMap<u64, (Request, Instant, bool)>;
 
-/// Until the connection ends; true where it was closed in order.
+/// Exchanges messages until the connection ends; returns whether it was closed in order.
 async fn exchange(
     mut stream: TcpStream,
     pending: &mut Vec<Request>,
@@ -557,13 +566,13 @@
                         match decode_array(&mut buffer) {
                             Ok(None) => break,
                             Ok(Some(parts)) => {
-                                let Some((tag, answer)) = parse_response(&parts) else { return false };
-                                // A tag that is not open was answered before: told under its own number.
+                                let Some((tag, response)) = parse_response(&parts) else { return false };
+                                // No open request has this tag: it was answered before.
                                 let id = open_requests.remove(&tag).map(|(request, _, _)| request.id);
                                 if let Some(id) = id {
-                                    let _ = events.send(Event::Responded { id, answer }).await;
+                                    let _ = events.send(Event::Responded { id, response }).await;
                                 } else {
-                                    let description = format!("a second answer to tag {tag}");
+                                    let description = format!("second response to tag {tag}");
                                     let _ = events.send(Event::Malformed { description }).await;
                                 }
                             }
@@ -586,10 +595,10 @@
     }
 }
 
-/// The router says that it serves.
-pub async fn green(at: SocketAddr) -> bool {
-    let asked = async {
-        let mut stream = TcpStream::connect(at).await.ok()?;
+/// Whether the router reports that it serves (`GREEN`).
+pub async fn green(address: SocketAddr) -> bool {
+    let check = async {
+        let mut stream = TcpStream::connect(address).await.ok()?;
         stream
             .write_all(&encode_array(&[b"HEALTH", b"1", b""]))
             .await
@@ -604,7 +613,7 @@
             }
         }
     };
-    timeout(Duration::from_secs(1), asked)
+    timeout(Duration::from_secs(1), check)
         .await
         .ok()
         .flatten()
--- a/crates/harness/src/wire/tests.rs
+++ b/crates/harness/src/wire/tests.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 
 #[test]
-fn orders_are_read_as_the_protocol_writes_them() {
+fn commands_are_parsed_as_the_protocol_defines_them() {
     let line = "ASK 00000000000000a1 cls=page,item=7f3a9c21e0b4d655,chunk=3,limit=900,src=p1,keep=2,\
                 maxage=500,\
                 flags=collapse+only-if-cached 12";
     let Some(Command::Attempt(message, 12)) = parse_command(line) else {
-        panic!("not read")
+        panic!("not parsed")
     };
     assert_eq!((message.id, message.key), (0xa1, (0x7f3a9c21e0b4d655, 3)));
     assert_eq!(
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn answers_are_read_whole_however_they_come() {
+fn responses_are_decoded_however_they_are_split() {
     let made = encode_body((0xabc, 2), 77, 3.0);
     let mut bytes = encode_array(&[b"7", b"ACK", b"ver=1", &made]);
     bytes.extend(encode_array(&[b"8", b"NAK", b"w=250", b""]));
@@ -58,7 +58,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_break_a_reader(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_bytes_make_a_parser_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(parts)) = decode_array(&mut buffer) {
             let _ = parse_response(&parts);
