--- a/crates/harness/src/datagram_relay.rs
+++ b/crates/harness/src/datagram_relay.rs
@@ -126,7 +126,13 @@
 
     /// Sends well-formed datagrams in the name of a router with findings that no router made: random
     /// parts and caches.
-    pub fn send_forged(&self, liar: usize, zone: usize, peers: &[usize], rng: &mut fastrand::Rng) {
+    pub fn send_forged(
+        &self,
+        forged_sender: usize,
+        zone: usize,
+        peers: &[usize],
+        rng: &mut fastrand::Rng,
+    ) {
         let finding = |_| Finding {
             part: rng.u32(..1 << KEY_BITS),
             cache: rng.u8(1..),
@@ -138,8 +144,8 @@
             findings,
         }
         .encode();
-        for peer in peers.iter().filter(|peer| **peer != liar) {
-            let _ = self.sockets[liar].try_send_to(&bytes, self.routers[*peer]);
+        for peer in peers.iter().filter(|peer| **peer != forged_sender) {
+            let _ = self.sockets[forged_sender].try_send_to(&bytes, self.routers[*peer]);
         }
     }
 }
--- a/crates/harness/src/run/faults.rs
+++ b/crates/harness/src/run/faults.rs
@@ -58,20 +58,20 @@
         let now = self.now();
         let Fault { duration, kind, .. } = self.play.faults[n];
         let targets = match kind {
-            FaultKind::Slow(whom, _)
-            | FaultKind::Errors(whom)
-            | FaultKind::Silent(whom)
-            | FaultKind::Apart(whom, _)
-            | FaultKind::Resets(whom, _)
-            | FaultKind::Lose(whom)
-            | FaultKind::Drain(whom)
-            | FaultKind::Replace(whom)
-            | FaultKind::Kill(whom)
-            | FaultKind::Freeze(whom)
-            | FaultKind::Restart(whom)
-            | FaultKind::Reload(whom)
-            | FaultKind::Deaf(whom)
-            | FaultKind::Lie(whom) => self.pick_targets(whom),
+            FaultKind::Slow(target, _)
+            | FaultKind::Errors(target)
+            | FaultKind::Silent(target)
+            | FaultKind::Apart(target, _)
+            | FaultKind::Resets(target, _)
+            | FaultKind::Lose(target)
+            | FaultKind::Drain(target)
+            | FaultKind::Replace(target)
+            | FaultKind::Kill(target)
+            | FaultKind::Freeze(target)
+            | FaultKind::Restart(target)
+            | FaultKind::Reload(target)
+            | FaultKind::Deaf(target)
+            | FaultKind::Lie(target) => self.pick_targets(target),
             FaultKind::LoseRegion(region) => {
                 let all = 0..self.play.fleet.zones;
                 let of: Vec<usize> = all
@@ -108,7 +108,9 @@
                 for server in &targets {
                     self.model.stop_server(now, *server);
                     self.set_listed(*server, false);
-                    self.listeners[*server].iter().for_each(|door| door.close());
+                    self.listeners[*server]
+                        .iter()
+                        .for_each(|listener| listener.close());
                 }
                 let lost: HashSet<usize> = targets.into_iter().collect();
                 self.connections
@@ -239,7 +241,7 @@
                     self.set_listed(*server, true);
                     self.listeners[*server]
                         .iter()
-                        .for_each(|door| door.reopen());
+                        .for_each(|listener| listener.reopen());
                     self.joins.push((now, *server));
                 }
                 self.announce(DiscoveryChange::Servers(targets));
--- a/crates/harness/src/run/results.rs
+++ b/crates/harness/src/run/results.rs
@@ -12,10 +12,14 @@
         let second_start = self.play.second_measurement_start();
         let service = |from: Duration, to: Duration| {
             let seconds = &self.seconds[from.as_secs() as usize..to.as_secs() as usize];
-            let (asked, earned) = seconds
+            let (requested, earned) = seconds
                 .iter()
                 .fold((0.0, 0.0), |(a, e), s| (a + s.requested, e + s.earned));
-            if asked > 0.0 { earned / asked } else { 0.0 }
+            if requested > 0.0 {
+                earned / requested
+            } else {
+                0.0
+            }
         };
         let window = Duration::from_secs(5).min(
             duration
--- a/crates/harness/src/server_model.rs
+++ b/crates/harness/src/server_model.rs
@@ -586,11 +586,11 @@
                 }
                 continue;
             }
-            let of_server = self
+            let server_with_end = self
                 .servers
                 .iter()
                 .position(|s| s.transfers.next_end() == Some(next));
-            let ended = match of_server {
+            let ended = match server_with_end {
                 Some(server) => self.servers[server].transfers.take_finished(next),
                 None => self
                     .links
