--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -1,31 +1,31 @@
-//! Hundreds of real router processes on loopback, with all they talk to in one process beside them, and
-//! faults between any two: what tests, proofs and operators play and measure. Nothing here decides anything
-//! of a router's; it knows what is true and watches.
+//! Runs hundreds of real router processes on loopback against simulated servers, clients and discovery in
+//! one process, with faults between any two, for tests, proofs and operators. The harness makes no routing
+//! decisions: it knows the true state and checks the routers against it.
 //!
-//! | module | what |
+//! | module | content |
 //! | --- | --- |
-//! | [`play`] | a play as a file says it |
-//! | [`work`] | who asks for what and when, drawn from the seed |
-//! | [`truth`], [`station`], [`copies`] | the servers as they are; no I/O |
-//! | [`watch`] | the five rules and conservation, over all routers together; no I/O |
-//! | [`ways`] | the network between zones; no I/O |
-//! | [`places`] | what became of each zone's requests; no I/O |
-//! | [`even`] | how even load lies, and how it would under other rules; no I/O |
-//! | [`children`], [`net`], [`wire`] | processes, datagrams, connections |
-//! | [`run`] | plays it |
+//! | [`play`] | the scenario file |
+//! | [`workload`] | requests drawn from the seed: when, at which router, for which object |
+//! | [`server_model`], [`processor_sharing`], [`object_cache`] | model of the servers; no I/O |
+//! | [`invariants`] | the five rules and request accounting over all routers; no I/O |
+//! | [`zone_network`] | network between zones; no I/O |
+//! | [`zone_metrics`] | service per zone during losses; no I/O |
+//! | [`load_balance`] | load balance as measured, and under other assignment rules; no I/O |
+//! | [`children`], [`datagram_relay`], [`wire`] | processes, datagrams, connections |
+//! | [`run`] | runs a scenario |
 //! | [`report`] | figures, JSON, plots |
 
 pub mod children;
-pub mod copies;
-pub mod even;
-pub mod net;
-pub mod places;
+pub mod datagram_relay;
+pub mod invariants;
+pub mod load_balance;
+pub mod object_cache;
 pub mod play;
+pub mod processor_sharing;
 pub mod report;
 pub mod run;
-pub mod station;
-pub mod truth;
-pub mod watch;
-pub mod ways;
+pub mod server_model;
 pub mod wire;
-pub mod work;
+pub mod workload;
+pub mod zone_metrics;
+pub mod zone_network;
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -1,6 +1,6 @@
-//! A play as a file says it: the fleet, its work, what breaks when, and what must hold. Line-based as the
-//! operator's file and read by the same reader: every fault is told at once, with its place and the nearest
-//! word.
+//! A scenario file (a play): the fleet, its workload, faults and requirements. It is line-based like the
+//! operator's file and read by the same reader, which reports all errors at once, each with its position and
+//! the closest known word.
 //!
 //! ```
 //! let text = "faults {\n at 2s for 3s slow caches 1/8 by 4\n}\n";
@@ -16,143 +16,150 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// So many of something: a count, or a share of all there are.
+/// A share or a number of the members of a set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Part {
+pub enum Amount {
     Share(f64),
     Count(usize),
 }
 
-impl Part {
-    /// Of so many; at least one of them.
+impl Amount {
+    /// How many of `whole` members; at least one.
     pub fn of(self, whole: usize) -> usize {
         let found = match self {
-            Part::Share(share) => (share * whole as f64).round() as usize,
-            Part::Count(count) => count,
+            Amount::Share(share) => (share * whole as f64).round() as usize,
+            Amount::Count(count) => count,
         };
         found.clamp(whole.min(1), whole)
     }
 }
 
-/// Whom a fault meets; which of them is drawn from the seed.
+/// The kind and number of members that a fault affects; which ones is drawn from the seed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
-    Caches(Part),
-    Parents(Part),
-    Routers(Part),
+pub enum Target {
+    Caches(Amount),
+    Parents(Amount),
+    Routers(Amount),
     /// All caches of a zone.
     Zone(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
-    /// Servers take so many times as long, and say nothing of it.
-    Slow(Whom, f64),
-    /// Servers answer at once with an error: a sink that looks empty.
-    Errors(Whom),
-    /// Servers take what comes and never answer.
-    Silent(Whom),
-    /// As `Silent`, towards some of the routers only.
-    Apart(Whom, Part),
-    /// Connections are reset under their requests: of those that come, this share.
-    Resets(Whom, f64),
-    /// Servers are gone, and come back empty and cold.
-    Lose(Whom),
-    Drain(Whom),
-    /// Servers leave the list, others with other names and empty come, in steps over the span.
-    Replace(Whom),
-    /// So many caches join, empty, in one instant.
+pub enum FaultKind {
+    /// Servers take this many times as long, without reporting it.
+    Slow(Target, f64),
+    /// Servers answer every attempt with an error at once, so they look idle.
+    Errors(Target),
+    /// Servers accept attempts and never answer.
+    Silent(Target),
+    /// Like `Silent`, but towards some of the routers only.
+    Apart(Target, Amount),
+    /// This share of the attempts has its connection reset.
+    Resets(Target, f64),
+    /// Servers stop, and come back empty and cold.
+    Lose(Target),
+    Drain(Target),
+    /// Servers leave the list and are replaced by empty ones with other names, in steps over the
+    /// duration.
+    Replace(Target),
+    /// This many empty caches join at once.
     Join(usize),
-    /// Routers are killed (SIGKILL), and start anew after the span.
-    Kill(Whom),
-    /// Routers are stopped (SIGSTOP) for the span.
-    Freeze(Whom),
-    /// Routers end by SIGTERM and start anew, in steps over the span.
-    Restart(Whom),
-    /// Routers read their files anew (SIGHUP).
-    Reload(Whom),
-    /// The most wanted objects are purged, so many of them.
+    /// Routers are killed (SIGKILL) and started again after the duration.
+    Kill(Target),
+    /// Routers are stopped (SIGSTOP) for the duration.
+    Freeze(Target),
+    /// Routers are ended by SIGTERM and started again, in steps over the duration.
+    Restart(Target),
+    /// Routers reload their files (SIGHUP).
+    Reload(Target),
+    /// This many of the most popular objects are purged.
     Purge(usize),
-    /// Discovery tells so much later; tells everything twice; breaks its connections.
+    /// Discovery sends events this much later, sends every event twice, or closes its connections.
     ListsLate(Duration),
     ListsDoubled,
     ListsCut,
-    /// Datagrams among routers: this share is lost, doubled, held back until after the next.
+    /// This share of the datagrams among routers is lost, duplicated, or held back until after the next
+    /// one.
     Lost(f64),
     Doubled(f64),
     Turned(f64),
-    /// They come so much later, up to.
+    /// Datagrams are delayed by up to this.
     Late(Duration),
-    /// Some routers hear nothing, but are heard.
-    Deaf(Whom),
-    /// Forged datagrams, within the format, in the name of a peer.
-    Lie(Whom),
-    /// This share of the work is for one object; another one each second.
+    /// Some routers receive no datagrams, but still send them.
+    Deaf(Target),
+    /// Forged, well-formed datagrams in the name of a peer.
+    Lie(Target),
+    /// This share of the requests is for one object, another one each second.
     Hot(f64),
-    /// All work of one zone comes to another one.
+    /// All requests of one zone go to another one.
     Shift(usize, usize),
-    /// All caches of a region's zones are gone, as `Lose`.
+    /// All caches of a region's zones stop, as with `Lose`.
     LoseRegion(usize),
-    /// Ways between zones, from and to (none: all): so many times as slow, cut, or losing a share.
+    /// The network from one zone to another (none: all zones) is this many times as slow, cut, or loses
+    /// this share.
     WaysSlow(Option<usize>, Option<usize>, f64),
     WaysCut(Option<usize>, Option<usize>),
     WaysLose(Option<usize>, Option<usize>, f64),
 }
 
-/// From when, for or over how long, what.
+/// A fault, its start and its duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    pub at: Duration,
-    pub lasts: Duration,
-    pub what: What,
+    pub start: Duration,
+    pub duration: Duration,
+    pub kind: FaultKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetOf {
+pub struct FleetSettings {
     pub routers: usize,
     pub zones: usize,
     pub caches: usize,
     pub parents: usize,
-    /// In transfers at a client's pace.
+    /// In concurrent transfers at the client rate.
     pub cache_capacity: f64,
     pub parent_capacity: f64,
     pub origin_capacity: f64,
-    /// What fills of one zone share, in transfers.
-    pub link: f64,
-    /// KB that a cache holds.
+    /// Concurrent transfers that the fills of one zone share.
+    pub link_capacity: f64,
+    /// Memory of a cache.
     pub memory_kb: f64,
-    /// KB a second of one transfer to a client.
-    pub pace: f64,
-    pub cold_from: f64,
-    pub warm_within: Duration,
-    /// Lines of the operators' file that every router is started with.
+    /// Rate of one transfer to a client.
+    pub client_kb_per_s: f64,
+    pub initial_capacity_share: f64,
+    pub slow_start: Duration,
+    /// Lines of the operator's file with which every router is started.
     pub directives: Vec<(String, String)>,
-    /// Addresses by which a server is reached differ by so many groups of routers; by zone, where ways
-    /// between zones take time.
+    /// Number of router groups that reach servers by different addresses. With a network between zones,
+    /// each zone is such a group.
     pub groups: usize,
-    /// Among which the zones lie, in blocks.
+    /// Number of regions; each consists of consecutive zones.
     pub regions: usize,
-    /// What a word takes one way between zones of a region, and of two; nothing: no time at all.
-    pub near: Duration,
-    pub far: Duration,
-    /// It takes up to this share more.
+    /// One-way delay between zones of the same region and of different regions; if both are zero,
+    /// messages are not delayed at all.
+    pub intra_region_delay: Duration,
+    pub inter_region_delay: Duration,
+    /// A delay is longer by up to this share.
     pub jitter: f64,
-    /// Parents and origin take attempts too.
+    /// Parents and the origin accept attempts too.
     pub pass_through: bool,
 }
 
-impl FleetOf {
-    /// Groups of routers by address.
-    pub fn doors(&self) -> usize {
-        if self.near.is_zero() && self.far.is_zero() {
+impl FleetSettings {
+    /// Number of router groups that reach servers by different addresses.
+    pub fn address_groups(&self) -> usize {
+        if self.intra_region_delay.is_zero() && self.inter_region_delay.is_zero() {
             self.groups
         } else {
             self.zones
         }
     }
 
-    pub fn group(&self, router: usize) -> usize {
-        if self.doors() == self.groups && self.near.is_zero() && self.far.is_zero() {
+    pub fn address_group(&self, router: usize) -> usize {
+        if self.address_groups() == self.groups
+            && self.intra_region_delay.is_zero()
+            && self.inter_region_delay.is_zero()
+        {
             (router / self.zones) % self.groups
         } else {
             router % self.zones
@@ -161,61 +168,61 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
-    pub lasts: Duration,
-    /// What is measured begins after this.
-    pub lead: Duration,
-    /// Requests a second, over all.
-    pub rate: f64,
-    /// The busiest router's rate over the mean.
-    pub uneven: f64,
+pub struct Workload {
+    pub duration: Duration,
+    /// Measurements begin after this.
+    pub warmup: Duration,
+    /// Over all routers.
+    pub requests_per_s: f64,
+    /// Rate of the busiest router over the mean rate.
+    pub peak_to_mean: f64,
     pub objects: usize,
-    /// Zipf's exponent of their popularity.
-    pub popularity: f64,
-    /// Mean KB of an object; sizes are drawn from an exponential, bounded at six times.
-    pub kb: f64,
-    /// Share of requests that must not run twice.
-    pub writes: f64,
-    pub patience: Duration,
-    pub soft: Duration,
-    /// How often a client asks again, and whether it heeds what it is told of when.
-    pub retries: usize,
-    pub heed: f64,
-    pub fresh: Duration,
+    /// Zipf exponent of object popularity.
+    pub zipf_exponent: f64,
+    /// Mean object size; sizes are exponentially distributed, bounded at six times the mean.
+    pub mean_object_kb: f64,
+    /// Share of requests that must not be executed twice.
+    pub write_share: f64,
+    pub client_timeout: Duration,
+    pub soft_deadline: Duration,
+    /// How often a client retries, and the share of clients that honor the retry-after time.
+    pub max_retries: usize,
+    pub retry_after_share: f64,
+    pub max_age: Duration,
 }
 
-/// What must hold beside the rules; none: it is only told.
+/// Requirements beside the rules; a figure without one is only reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Must {
+pub struct Requirements {
     pub service: Option<f64>,
-    /// `peak` over that of who sees all.
+    /// `peak` over that of the assignment with full knowledge.
     pub peak: Option<f64>,
     pub idle: Option<f64>,
     pub herd: Option<f64>,
     pub swing: Option<f64>,
-    /// Of what the zones that were lost asked for, from then until five seconds after their return.
+    /// Share served of what lost zones requested, from the loss until five seconds after their return.
     pub lost_service: Option<f64>,
-    /// From a zone's loss until four in five of its requests go elsewhere.
+    /// From a zone's loss until four in five of its requests go to other zones.
     pub plan: Option<Duration>,
     /// Share of requests that left their zone without need.
     pub needless: Option<f64>,
-    /// When the last fault is over, what is measured again begins after this.
+    /// The second measurement begins this long after the end of the last fault.
     pub after: Option<Duration>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Play {
-    pub fleet: FleetOf,
-    pub work: Work,
+    pub fleet: FleetSettings,
+    pub work: Workload,
     pub faults: Vec<Fault>,
-    pub must: Must,
+    pub must: Requirements,
 }
 
 impl Default for Play {
     fn default() -> Play {
         let seconds = Duration::from_secs;
         Play {
-            fleet: FleetOf {
+            fleet: FleetSettings {
                 routers: 40,
                 zones: 4,
                 caches: 16,
@@ -223,93 +230,104 @@
                 cache_capacity: 4.0,
                 parent_capacity: 12.0,
                 origin_capacity: 24.0,
-                link: 8.0,
+                link_capacity: 8.0,
                 memory_kb: 12_000.0,
-                pace: 500.0,
-                cold_from: 0.3,
-                warm_within: seconds(10),
+                client_kb_per_s: 500.0,
+                initial_capacity_share: 0.3,
+                slow_start: seconds(10),
                 directives: Vec::new(),
                 groups: 4,
                 regions: 1,
-                near: Duration::ZERO,
-                far: Duration::ZERO,
+                intra_region_delay: Duration::ZERO,
+                inter_region_delay: Duration::ZERO,
                 jitter: 0.2,
                 pass_through: true,
             },
-            work: Work {
-                lasts: seconds(10),
-                lead: seconds(2),
-                rate: 300.0,
-                uneven: 6.0,
+            work: Workload {
+                duration: seconds(10),
+                warmup: seconds(2),
+                requests_per_s: 300.0,
+                peak_to_mean: 6.0,
                 objects: 4000,
-                popularity: 0.8,
-                kb: 40.0,
-                writes: 0.03,
-                patience: Duration::from_millis(2500),
-                soft: Duration::from_millis(700),
-                retries: 2,
-                heed: 0.7,
-                fresh: seconds(60),
+                zipf_exponent: 0.8,
+                mean_object_kb: 40.0,
+                write_share: 0.03,
+                client_timeout: Duration::from_millis(2500),
+                soft_deadline: Duration::from_millis(700),
+                max_retries: 2,
+                retry_after_share: 0.7,
+                max_age: seconds(60),
             },
             faults: Vec::new(),
-            must: Must::default(),
+            must: Requirements::default(),
         }
     }
 }
 
 impl Play {
-    /// When it is measured again: so long after the last fault is over, or after one began that lasts to the
-    /// end.
-    pub fn measured_again(&self) -> Duration {
-        let (lead, lasts) = (self.work.lead, self.work.lasts);
+    /// Start of the second measurement: this long after the end of the last fault, or after the start
+    /// of a fault that lasts to the end of the run.
+    pub fn second_measurement_start(&self) -> Duration {
+        let (warmup, duration) = (self.work.warmup, self.work.duration);
         let after = self.must.after.unwrap_or(Duration::from_secs(3));
         let over = self
             .faults
             .iter()
-            .map(|fault| match fault.at + fault.lasts {
-                end if end >= lasts => fault.at,
+            .map(|fault| match fault.start + fault.duration {
+                end if end >= duration => fault.start,
                 end => end,
             });
-        let again = over.max().map_or(lead, |over| (over + after).max(lead));
-        again.min(lasts.saturating_sub(Duration::from_secs(1)))
+        let again = over.max().map_or(warmup, |over| (over + after).max(warmup));
+        again.min(duration.saturating_sub(Duration::from_secs(1)))
     }
 
-    /// What cannot be played as it is said, in words.
+    /// Describes what cannot be played although it was parsed.
     pub fn faults_of_sense(&self) -> Vec<String> {
         let (fleet, mut found) = (&self.fleet, Vec::new());
         let mut wrong = |is: bool, what: String| found.extend(is.then_some(what));
         wrong(
             fleet.routers < fleet.zones,
-            format!("{} zones need as many routers", fleet.zones),
+            format!("{} zones need at least as many routers", fleet.zones),
         );
         wrong(
             fleet.caches < fleet.zones,
-            format!("{} zones need as many caches", fleet.zones),
+            format!("{} zones need at least as many caches", fleet.zones),
         );
         wrong(
-            self.work.lead >= self.work.lasts,
-            "lead: nothing is left to be measured".into(),
+            self.work.warmup >= self.work.duration,
+            "lead is not shorter than seconds: nothing would be measured".into(),
         );
         for fault in &self.faults {
             wrong(
-                fault.at > self.work.lasts,
-                format!("a fault at {:?} comes after the end", fault.at),
+                fault.start > self.work.duration,
+                format!(
+                    "a fault at {:?} starts after the end of the run",
+                    fault.start
+                ),
             );
-            let zones: Vec<usize> = match fault.what {
-                What::Shift(from, to) => vec![from, to],
-                What::WaysSlow(a, b, _) | What::WaysCut(a, b) | What::WaysLose(a, b, _) => {
-                    let no_time = fleet.near.is_zero() && fleet.far.is_zero();
-                    wrong(no_time, "ways break only where near or far is told".into());
+            let zones: Vec<usize> = match fault.kind {
+                FaultKind::Shift(from, to) => vec![from, to],
+                FaultKind::WaysSlow(a, b, _)
+                | FaultKind::WaysCut(a, b)
+                | FaultKind::WaysLose(a, b, _) => {
+                    let no_time =
+                        fleet.intra_region_delay.is_zero() && fleet.inter_region_delay.is_zero();
+                    wrong(no_time, "faults of ways need near or far to be set".into());
                     a.into_iter().chain(b).collect()
                 }
-                What::Slow(Whom::Zone(at), _) | What::Lose(Whom::Zone(at)) => vec![at],
+                FaultKind::Slow(Target::Zone(at), _) | FaultKind::Lose(Target::Zone(at)) => {
+                    vec![at]
+                }
                 _ => Vec::new(),
             };
             let beyond = zones.into_iter().filter(|at| *at >= fleet.zones);
             beyond.for_each(|at| {
                 wrong(
                     true,
-                    format!("zone {at}: they count from 0 to {}", fleet.zones - 1),
+                    format!(
+                        "zone {at} does not exist: zones are numbered from 0 to {}",
+                        fleet.zones - 1
+                    ),
                 )
             });
         }
@@ -325,46 +343,46 @@
     chalkhall_config::read_text_with(&PLAY, text)
 }
 
-type Fails = (usize, String);
+type ParseError = (usize, String);
 
-fn at<T>(place: usize, found: Result<T, String>) -> Result<T, Fails> {
+fn at_word<T>(place: usize, found: Result<T, String>) -> Result<T, ParseError> {
     found.map_err(|what| (place, what))
 }
 
-/// `1/8`, `30%` or a count.
-fn part(word: &str) -> Result<Part, String> {
+/// Parses `1/8`, `30%` or a count.
+fn parse_amount(word: &str) -> Result<Amount, String> {
     if let Some((a, b)) = word.split_once('/') {
         let (a, b) = (values::whole(a, 1, 1 << 20)?, values::whole(b, 1, 1 << 20)?);
         return if a <= b {
-            Ok(Part::Share(a as f64 / b as f64))
+            Ok(Amount::Share(a as f64 / b as f64))
         } else {
-            Err(format!("{word} is over all"))
+            Err(format!("{word} is more than the whole"))
         };
     }
     if word.ends_with('%') {
-        return values::share(word).map(Part::Share);
+        return values::share(word).map(Amount::Share);
     }
     let count = values::whole(word, 1, 1 << 20);
     count
-        .map(|n| Part::Count(n as usize))
-        .map_err(|_| format!("{word:?} is not a part, such as 1/8, 30% or 3"))
+        .map(|n| Amount::Count(n as usize))
+        .map_err(|_| format!("{word:?} is not a share or a count, such as 1/8, 30% or 3"))
 }
 
-/// `caches 1/8`, `parents 1`, `routers 70%`, `zone 2`.
-fn whom(place: usize, words: &[&str]) -> Result<Whom, Fails> {
+/// Parses `caches 1/8`, `parents 1`, `routers 70%` or `location 2`.
+fn parse_target(place: usize, words: &[&str]) -> Result<Target, ParseError> {
     let [kind, of] = words else {
         return Err((
             place,
-            "whom? caches, parents or routers PART, or location N".into(),
+            "expected a target: caches, parents or routers PART, or location N".into(),
         ));
     };
-    let of_all = at(place + 1, part(of));
+    let of_all = at_word(place + 1, parse_amount(of));
     match *kind {
-        "caches" => Ok(Whom::Caches(of_all?)),
-        "parents" => Ok(Whom::Parents(of_all?)),
-        "routers" => Ok(Whom::Routers(of_all?)),
-        "location" => Ok(Whom::Zone(
-            at(place + 1, values::whole(of, 0, 10_000))? as usize
+        "caches" => Ok(Target::Caches(of_all?)),
+        "parents" => Ok(Target::Parents(of_all?)),
+        "routers" => Ok(Target::Routers(of_all?)),
+        "location" => Ok(Target::Zone(
+            at_word(place + 1, values::whole(of, 0, 10_000))? as usize,
         )),
         other => Err((
             place,
@@ -373,7 +391,7 @@
     }
 }
 
-fn times(place: usize, word: &str) -> Result<f64, Fails> {
+fn parse_factor(place: usize, word: &str) -> Result<f64, ParseError> {
     let found = word
         .parse::<f64>()
         .ok()
@@ -381,89 +399,106 @@
     found.ok_or_else(|| (place, format!("{word:?} is not a number from 0 to 1000")))
 }
 
-/// `at SPAN [for|over SPAN] WHAT ...`, without the first word.
-fn fault(words: &[&str]) -> Result<Fault, Fails> {
-    let begins = at(0, values::span(words[0]))?;
-    let (lasts, from) = match words.get(1) {
+/// Parses `at SPAN [for|over SPAN] WHAT ...` without its first word.
+fn parse_fault(words: &[&str]) -> Result<Fault, ParseError> {
+    let starts_at = at_word(0, values::span(words[0]))?;
+    let (duration, next_word) = match words.get(1) {
         Some(&"for" | &"over") => {
-            let span = words.get(2).ok_or((1, "for how long?".to_owned()))?;
-            (at(2, values::span(span))?, 3)
+            let span = words.get(2).ok_or((1, "expected a duration".to_owned()))?;
+            (at_word(2, values::span(span))?, 3)
         }
         _ => (Duration::ZERO, 1),
     };
-    let rest = words.get(from..).unwrap_or_default();
+    let rest = words.get(next_word..).unwrap_or_default();
     let Some((verb, rest)) = rest.split_first() else {
-        return Err((0, "what breaks?".into()));
+        return Err((0, "expected a fault".into()));
     };
-    let place = from + 1;
-    let share = |place: usize, word: &str| at(place, values::share(word));
-    let what = match (*verb, rest) {
-        ("slow", [w @ .., "by", by]) => What::Slow(whom(place, w)?, times(place + 3, by)?),
-        ("errors", w) => What::Errors(whom(place, w)?),
-        ("silent", [w @ .., "to", "routers", of]) => {
-            What::Apart(whom(place, w)?, at(place + 4, part(of))?)
+    let place = next_word + 1;
+    let share = |place: usize, word: &str| at_word(place, values::share(word));
+    let kind = match (*verb, rest) {
+        ("slow", [w @ .., "by", by]) => {
+            FaultKind::Slow(parse_target(place, w)?, parse_factor(place + 3, by)?)
+        }
+        ("errors", w) => FaultKind::Errors(parse_target(place, w)?),
+        ("silent", [w @ .., "to", "routers", of]) => FaultKind::Apart(
+            parse_target(place, w)?,
+            at_word(place + 4, parse_amount(of))?,
+        ),
+        ("silent", w) => FaultKind::Silent(parse_target(place, w)?),
+        ("resets", [w @ .., of]) => {
+            FaultKind::Resets(parse_target(place, w)?, share(place + 2, of)?)
         }
-        ("silent", w) => What::Silent(whom(place, w)?),
-        ("resets", [w @ .., of]) => What::Resets(whom(place, w)?, share(place + 2, of)?),
         ("lose", ["region", of]) => {
-            What::LoseRegion(at(place + 1, values::whole(of, 0, 100))? as usize)
+            FaultKind::LoseRegion(at_word(place + 1, values::whole(of, 0, 100))? as usize)
         }
-        ("lose", w) => What::Lose(whom(place, w)?),
-        ("ways", [from, to, what @ ..]) => {
-            let one = |place: usize, word: &str| match word {
+        ("lose", w) => FaultKind::Lose(parse_target(place, w)?),
+        ("ways", [from, to, effect @ ..]) => {
+            let zone_or_all = |place: usize, word: &str| match word {
                 "all" => Ok(None),
-                word => at(place, values::whole(word, 0, 10_000)).map(|n| Some(n as usize)),
+                word => at_word(place, values::whole(word, 0, 10_000)).map(|n| Some(n as usize)),
             };
-            let (from, to) = (one(place, from)?, one(place + 1, to)?);
-            match what {
-                ["slow", "by", by] => What::WaysSlow(from, to, times(place + 4, by)?),
-                ["cut"] => What::WaysCut(from, to),
-                ["lose", of] => What::WaysLose(from, to, share(place + 3, of)?),
-                _ => return Err((place + 2, "slow by NUMBER, cut, or lose SHARE?".into())),
+            let (from, to) = (zone_or_all(place, from)?, zone_or_all(place + 1, to)?);
+            match effect {
+                ["slow", "by", by] => FaultKind::WaysSlow(from, to, parse_factor(place + 4, by)?),
+                ["cut"] => FaultKind::WaysCut(from, to),
+                ["lose", of] => FaultKind::WaysLose(from, to, share(place + 3, of)?),
+                _ => {
+                    return Err((
+                        place + 2,
+                        "expected slow by NUMBER, cut, or lose SHARE".into(),
+                    ));
+                }
             }
         }
-        ("drain", w) => What::Drain(whom(place, w)?),
-        ("replace", w) => What::Replace(whom(place, w)?),
-        ("join", [count]) => What::Join(at(place, values::whole(count, 1, 1000))? as usize),
-        ("kill", w) => What::Kill(whom(place, w)?),
-        ("freeze", w) => What::Freeze(whom(place, w)?),
-        ("restart", w) => What::Restart(whom(place, w)?),
-        ("reload", w) => What::Reload(whom(place, w)?),
-        ("purge", [count]) => What::Purge(at(place, values::whole(count, 1, 10_000))? as usize),
-        ("lists", ["late", span]) => What::ListsLate(at(place + 1, values::span(span))?),
-        ("lists", ["doubled"]) => What::ListsDoubled,
-        ("lists", ["cut"]) => What::ListsCut,
-        ("datagrams", ["lost", of]) => What::Lost(share(place + 1, of)?),
-        ("datagrams", ["doubled", of]) => What::Doubled(share(place + 1, of)?),
-        ("datagrams", ["turned", of]) => What::Turned(share(place + 1, of)?),
-        ("datagrams", ["late", span]) => What::Late(at(place + 1, values::span(span))?),
-        ("deaf", w) => What::Deaf(whom(place, w)?),
-        ("lie", w) => What::Lie(whom(place, w)?),
-        ("hot", [of]) => What::Hot(share(place, of)?),
+        ("drain", w) => FaultKind::Drain(parse_target(place, w)?),
+        ("replace", w) => FaultKind::Replace(parse_target(place, w)?),
+        ("join", [count]) => {
+            FaultKind::Join(at_word(place, values::whole(count, 1, 1000))? as usize)
+        }
+        ("kill", w) => FaultKind::Kill(parse_target(place, w)?),
+        ("freeze", w) => FaultKind::Freeze(parse_target(place, w)?),
+        ("restart", w) => FaultKind::Restart(parse_target(place, w)?),
+        ("reload", w) => FaultKind::Reload(parse_target(place, w)?),
+        ("purge", [count]) => {
+            FaultKind::Purge(at_word(place, values::whole(count, 1, 10_000))? as usize)
+        }
+        ("lists", ["late", span]) => FaultKind::ListsLate(at_word(place + 1, values::span(span))?),
+        ("lists", ["doubled"]) => FaultKind::ListsDoubled,
+        ("lists", ["cut"]) => FaultKind::ListsCut,
+        ("datagrams", ["lost", of]) => FaultKind::Lost(share(place + 1, of)?),
+        ("datagrams", ["doubled", of]) => FaultKind::Doubled(share(place + 1, of)?),
+        ("datagrams", ["turned", of]) => FaultKind::Turned(share(place + 1, of)?),
+        ("datagrams", ["late", span]) => FaultKind::Late(at_word(place + 1, values::span(span))?),
+        ("deaf", w) => FaultKind::Deaf(parse_target(place, w)?),
+        ("lie", w) => FaultKind::Lie(parse_target(place, w)?),
+        ("hot", [of]) => FaultKind::Hot(share(place, of)?),
         ("shift", ["location", from, "to", to]) => {
-            let of = |place, word| at(place, values::whole(word, 0, 10_000));
-            What::Shift(of(place + 1, from)? as usize, of(place + 3, to)? as usize)
+            let zone = |place, word| at_word(place, values::whole(word, 0, 10_000));
+            FaultKind::Shift(
+                zone(place + 1, from)? as usize,
+                zone(place + 3, to)? as usize,
+            )
         }
         (other, _) => {
             return Err((
-                from,
-                format!("{other:?} with these words is nothing that breaks"),
+                next_word,
+                format!("unknown fault or wrong arguments: {other:?}"),
             ));
         }
     };
     Ok(Fault {
-        at: begins,
-        lasts,
-        what,
+        start: starts_at,
+        duration,
+        kind,
     })
 }
 
-const fn one(
+const fn entry(
     section: &'static str,
     name: &'static str,
     takes: &'static str,
     says: &'static str,
-    set: fn(&mut Play, &[&str]) -> Result<(), Fails>,
+    set: fn(&mut Play, &[&str]) -> Result<(), ParseError>,
 ) -> Entry<Play> {
     Entry {
         section,
@@ -476,11 +511,11 @@
     }
 }
 
-fn whole(word: &str, least: u64, most: u64) -> Result<usize, Fails> {
-    at(0, values::whole(word, least, most)).map(|n| n as usize)
+fn parse_count(word: &str, least: u64, most: u64) -> Result<usize, ParseError> {
+    at_word(0, values::whole(word, least, most)).map(|n| n as usize)
 }
 
-fn number(word: &str, least: f64, most: f64) -> Result<f64, Fails> {
+fn parse_number(word: &str, least: f64, most: f64) -> Result<f64, ParseError> {
     let found = word
         .parse::<f64>()
         .ok()
@@ -493,123 +528,123 @@
     })
 }
 
-/// Every word of a play.
+/// All directives of a scenario file.
 pub const PLAY: Table<Play> = Table::new(
     &["fleet", "work", "faults", "must"],
     &[
-        one("fleet", "routers", "COUNT", "router processes", |p, w| {
-            p.fleet.routers = whole(w[0], 2, 500)?;
+        entry("fleet", "routers", "COUNT", "router processes", |p, w| {
+            p.fleet.routers = parse_count(w[0], 2, 500)?;
             Ok(())
         }),
-        one(
+        entry(
             "fleet",
             "locations",
             "COUNT",
             "among which routers and caches are dealt out",
             |p, w| {
-                p.fleet.zones = whole(w[0], 1, 100)?;
+                p.fleet.zones = parse_count(w[0], 1, 100)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "caches",
             "COUNT",
             "cache servers of all zones",
             |p, w| {
-                p.fleet.caches = whole(w[0], 1, 500)?;
+                p.fleet.caches = parse_count(w[0], 1, 500)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "parents",
             "COUNT",
             "parents of all zones",
             |p, w| {
-                p.fleet.parents = whole(w[0], 1, 100)?;
+                p.fleet.parents = parse_count(w[0], 1, 100)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "cache-capacity",
             "NUMBER",
             "transfers at a client's pace at once",
             |p, w| {
-                p.fleet.cache_capacity = number(w[0], 0.1, 1e6)?;
+                p.fleet.cache_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "parent-capacity",
             "NUMBER",
             "the same of a parent",
             |p, w| {
-                p.fleet.parent_capacity = number(w[0], 0.1, 1e6)?;
+                p.fleet.parent_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "origin-capacity",
             "NUMBER",
             "the same of the origin",
             |p, w| {
-                p.fleet.origin_capacity = number(w[0], 0.1, 1e6)?;
+                p.fleet.origin_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "link",
             "NUMBER",
             "transfers that fills of one zone share",
             |p, w| {
-                p.fleet.link = number(w[0], 0.1, 1e6)?;
+                p.fleet.link_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        one("fleet", "memory", "KB", "what a cache holds", |p, w| {
-            p.fleet.memory_kb = number(w[0], 1.0, 1e9)?;
+        entry("fleet", "memory", "KB", "what a cache holds", |p, w| {
+            p.fleet.memory_kb = parse_number(w[0], 1.0, 1e9)?;
             Ok(())
         }),
-        one(
+        entry(
             "fleet",
             "pace",
             "KB",
             "a second of one transfer to a client",
             |p, w| {
-                p.fleet.pace = number(w[0], 1.0, 1e6)?;
+                p.fleet.client_kb_per_s = parse_number(w[0], 1.0, 1e6)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "cold-from",
             "SHARE",
             "of its capacity at a start",
             |p, w| {
-                p.fleet.cold_from = at(0, values::share(w[0]))?.max(0.01);
+                p.fleet.initial_capacity_share = at_word(0, values::share(w[0]))?.max(0.01);
                 Ok(())
             },
         ),
-        one("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
-            p.fleet.warm_within = at(0, values::span(w[0]))?.max(Duration::from_millis(100));
+        entry("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
+            p.fleet.slow_start = at_word(0, values::span(w[0]))?.max(Duration::from_millis(100));
             Ok(())
         }),
-        one(
+        entry(
             "fleet",
             "groups",
             "COUNT",
             "groups of routers that reach servers by addresses of their own",
             |p, w| {
-                p.fleet.groups = whole(w[0], 1, 16)?;
+                p.fleet.groups = parse_count(w[0], 1, 16)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "pass-through",
             "on|off",
@@ -623,43 +658,43 @@
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "regions",
             "COUNT",
             "among which the zones lie, in blocks",
             |p, w| {
-                p.fleet.regions = whole(w[0], 1, 100)?;
+                p.fleet.regions = parse_count(w[0], 1, 100)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "near",
             "SPAN",
             "what a word takes one way between zones of a region",
             |p, w| {
-                p.fleet.near = at(0, values::span(w[0]))?;
+                p.fleet.intra_region_delay = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "far",
             "SPAN",
             "the same between regions",
             |p, w| {
-                p.fleet.far = at(0, values::span(w[0]))?;
+                p.fleet.inter_region_delay = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "fleet",
             "jitter",
             "SHARE",
             "up to how much more it takes",
             |p, w| {
-                p.fleet.jitter = at(0, values::share(w[0]))?;
+                p.fleet.jitter = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
@@ -675,104 +710,104 @@
                 Ok(())
             },
         },
-        one("work", "seconds", "COUNT", "how long it comes", |p, w| {
-            p.work.lasts = Duration::from_secs(whole(w[0], 2, 3600)? as u64);
+        entry("work", "seconds", "COUNT", "how long it comes", |p, w| {
+            p.work.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
             Ok(())
         }),
-        one(
+        entry(
             "work",
             "lead",
             "SPAN",
             "before anything is measured",
             |p, w| {
-                p.work.lead = at(0, values::span(w[0]))?;
+                p.work.warmup = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "rate",
             "NUMBER",
             "requests a second over all",
             |p, w| {
-                p.work.rate = number(w[0], 1.0, 50_000.0)?;
+                p.work.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "uneven",
             "NUMBER",
             "the busiest router's rate over the mean",
             |p, w| {
-                p.work.uneven = number(w[0], 1.0, 100.0)?;
+                p.work.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
                 Ok(())
             },
         ),
-        one("work", "objects", "COUNT", "objects there are", |p, w| {
-            p.work.objects = whole(w[0], 1, 10_000_000)?;
+        entry("work", "objects", "COUNT", "objects there are", |p, w| {
+            p.work.objects = parse_count(w[0], 1, 10_000_000)?;
             Ok(())
         }),
-        one("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
-            p.work.popularity = number(w[0], 0.0, 3.0)?;
+        entry("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
+            p.work.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
             Ok(())
         }),
-        one("work", "size", "KB", "mean of an object", |p, w| {
-            p.work.kb = number(w[0], 0.1, 1e6)?;
+        entry("work", "size", "KB", "mean of an object", |p, w| {
+            p.work.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
-        one(
+        entry(
             "work",
             "writes",
             "SHARE",
             "of requests that must not run twice",
             |p, w| {
-                p.work.writes = at(0, values::share(w[0]))?;
+                p.work.write_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "patience",
             "SPAN",
             "how long a client waits, all tries together",
             |p, w| {
-                p.work.patience = at(0, values::span(w[0]))?;
+                p.work.client_timeout = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "soft",
             "SPAN",
             "within which an answer earns all of its value",
             |p, w| {
-                p.work.soft = at(0, values::span(w[0]))?;
+                p.work.soft_deadline = at_word(0, values::span(w[0]))?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "retries",
             "COUNT",
             "how often a client asks again",
             |p, w| {
-                p.work.retries = whole(w[0], 0, 20)?;
+                p.work.max_retries = parse_count(w[0], 0, 20)?;
                 Ok(())
             },
         ),
-        one(
+        entry(
             "work",
             "heed",
             "SHARE",
             "of clients that come back when they are told",
             |p, w| {
-                p.work.heed = at(0, values::share(w[0]))?;
+                p.work.retry_after_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
-        one("work", "fresh", "SPAN", "how long a copy is", |p, w| {
-            p.work.fresh = at(0, values::span(w[0]))?;
+        entry("work", "fresh", "SPAN", "how long a copy is", |p, w| {
+            p.work.max_age = at_word(0, values::span(w[0]))?;
             Ok(())
         }),
         Entry {
@@ -783,98 +818,98 @@
             many: true,
             says: "what breaks, from when and for how long",
             set: |p, w| {
-                let found = fault(w)?;
+                let found = parse_fault(w)?;
                 p.faults.push(found);
                 Ok(())
             },
         },
-        one(
+        entry(
             "must",
             "service",
             "SHARE",
             "of the value asked for, at least",
             |p, w| {
-                p.must.service = Some(at(0, values::share(w[0]))?);
+                p.must.service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "peak",
             "NUMBER",
             "busiest over mean, over that of who sees all, at most",
             |p, w| {
-                p.must.peak = Some(number(w[0], 0.1, 100.0)?);
+                p.must.peak = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "idle",
             "SHARE",
             "of warm server-seconds under a quarter of the mean, at most",
             |p, w| {
-                p.must.idle = Some(at(0, values::share(w[0]))?);
+                p.must.idle = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "herd",
             "NUMBER",
             "same next server over independence, at most",
             |p, w| {
-                p.must.herd = Some(number(w[0], 0.1, 100.0)?);
+                p.must.herd = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "swing",
             "NUMBER",
             "servers from crowded to idle and back, at most",
             |p, w| {
-                p.must.swing = Some(number(w[0], 0.0, 1000.0)?);
+                p.must.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "lost-service",
             "SHARE",
             "of what lost zones asked for, at least",
             |p, w| {
-                p.must.lost_service = Some(at(0, values::share(w[0]))?);
+                p.must.lost_service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "plan",
             "SPAN",
             "from a loss until requests go elsewhere, at most",
             |p, w| {
-                p.must.plan = Some(at(0, values::span(w[0]))?);
+                p.must.plan = Some(at_word(0, values::span(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "needless",
             "SHARE",
             "of requests that left without need, at most",
             |p, w| {
-                p.must.needless = Some(at(0, values::share(w[0]))?);
+                p.must.needless = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
-        one(
+        entry(
             "must",
             "after",
             "SPAN",
             "what is measured begins so long after the last fault",
             |p, w| {
-                p.must.after = Some(at(0, values::span(w[0]))?);
+                p.must.after = Some(at_word(0, values::span(w[0]))?);
                 Ok(())
             },
         ),
