--- a/crates/router/src/client_connection.rs
+++ b/crates/router/src/client_connection.rs
@@ -1,5 +1,5 @@
-//! One client's connection, as a state machine: reads requests, writes their answers in the order
-//! in which they come.
+//! One client connection as a state machine: reads requests and writes responses in the order in
+//! which they become available.
 //!
 //! ```text
 //!            slot needed for another         idle
@@ -9,13 +9,13 @@
 //!                                                   all written, nothing unread
 //! ```
 //!
-//! In any state it is closed when the client closes it, breaks the protocol or takes no answers in
-//! time.
+//! In every state the connection is closed when the client closes it, violates the protocol or does
+//! not read its responses in time.
 
 mod admission;
 mod closing;
 mod read_buffer;
-mod read_watch;
+mod read_wait;
 mod requests;
 mod write_buffer;
 
@@ -36,53 +36,50 @@
 use tokio::net::{TcpStream, tcp::WriteHalf};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
-use write_buffer::{PIECES_PER_RESPONSE, WriteBuffer};
+use write_buffer::{CHUNKS_PER_RESPONSE, WriteBuffer};
 
-/// A connection carries up to 32 open requests.
+/// The protocol allows 32 open requests on a connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// More pieces than this wait to be written only for a client that sends more requests than a
-/// connection carries, or cancels many: further ones are rejected.
-const REJECT_AT_PIECES: usize = PIECES_PER_RESPONSE * MAX_OPEN_REQUESTS;
-/// From this many on nothing more is read from it, and none of its requests stays open: a
-/// cancellation or its close would lie unread while attempts begin.
-const STOP_READING_AT_PIECES: usize = 4 * REJECT_AT_PIECES;
-/// The mailbox holds an answer to each open request, and to those cancelled while it was not looked
-/// into.
+/// New requests are rejected while this many chunks wait to be written. Only a client that exceeds
+/// the limit of open requests, or cancels many, gets this far.
+const REJECT_THRESHOLD_CHUNKS: usize = CHUNKS_PER_RESPONSE * MAX_OPEN_REQUESTS;
+/// While this many chunks wait to be written, nothing is read from the connection. Its open
+/// requests fail first: a cancellation or a close would stay unread while attempts start.
+const READ_PAUSE_THRESHOLD_CHUNKS: usize = 4 * REJECT_THRESHOLD_CHUNKS;
+/// Capacity of the reply channel: a reply to each open request, and to those that were cancelled
+/// before the channel was drained.
 const MAX_REPLIES: usize = 4 * MAX_OPEN_REQUESTS;
-/// A connection that takes no byte of its answers for this long is closed, once no client waits for
-/// one any more.
+/// A connection that accepts no response bytes for this long is closed, but not before the
+/// deadlines of its requests have passed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Clients close their idle connections after 4 s; those who keep them for good hold descriptors
-/// for nothing.
+/// Idle connections are closed after this time. Clients close theirs after 4 s; connections that
+/// are kept for longer waste descriptors.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The first message, and each that has begun, must be complete within this time.
+/// Time limit for the first message of a connection, and for the rest of a message that has begun.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// As the router ends, unread requests are looked for in all for this long.
+/// After the router has ended, unread requests are read for this long in total.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// What all clients' connections share.
+/// State shared by all client connections.
 pub struct ClientFrontend {
-    /// The names of the classes, by index.
+    /// Class names by index.
     pub classes: Vec<String>,
-    /// The names of the tenants, by index; empty: they are known by their numbers.
+    /// Tenant names by index. Where this is empty, tenants are identified by number.
     pub tenants: Vec<String>,
-    /// The highest transfer rate of one answer, in KB a second; 0: not configured.
+    /// The highest transfer rate of one response in KB/s; 0 if not configured.
     pub max_kb_per_s: f64,
-    /// When a client may send a request again that came as the router ended.
+    /// The retry delay sent with rejections.
     pub retry_after: Option<Duration>,
-    /// The router's clock.
     pub clock: Clock,
 }
 
-/// A connection that has been accepted, and what it needs of the router.
+/// An accepted connection with its channels to the rest of the router.
 pub struct ClientConnection {
-    /// What all connections share.
     pub frontend: Rc<ClientFrontend>,
-    /// The mailbox of the decider.
+    /// Sends to the decider.
     pub decider: mpsc::Sender<Message>,
-    /// The router's phase.
     pub phase: watch::Receiver<Phase>,
-    /// Its slot at the listener.
+    /// The connection's slot at the listener.
     pub slot: ConnectionSlot,
 }
 
@@ -95,24 +92,24 @@
     }
 }
 
-/// Where a connection is in its life.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Serving,
-    /// Its slot is needed: it is closed as soon as it is idle.
+    /// Another connection needs the slot: this one is closed as soon as it is idle.
     Evicting,
-    /// What came before the router's end is still looked for until this time, and rejected.
+    /// Requests received before the router ended are still read until `read_until`, and rejected.
     RouterEnded {
         read_until: Instant,
     },
 }
 
-/// What a connection has waited for.
+/// An event that a connection waits for.
 enum Event {
     Written(io::Result<()>),
     Reply(ClientReply),
     RouterEnded,
-    /// Bytes were read, none at the stream's end; they may have lain unread for so long.
+    /// Bytes were read (0 at the end of the stream) after being unread for at most `unread_for`.
     Read {
         result: io::Result<usize>,
         unread_for: Duration,
@@ -132,14 +129,15 @@
     connection: ClientConnection,
     state: State,
     /// By tag.
-    open: HashMap<u64, OpenRequest>,
+    open_requests: HashMap<u64, OpenRequest>,
     write_buffer: WriteBuffer,
     reply_sender: mpsc::Sender<ClientReply>,
     replies: mpsc::Receiver<ClientReply>,
-    /// When a message was last received, bytes were written or an answer came to an empty buffer.
+    /// When a message was last received, bytes were written or a reply was added to an empty write
+    /// buffer.
     last_progress: Instant,
-    has_received: bool,
-    /// What the listener knows.
+    has_received_message: bool,
+    /// The status last sent to the listener.
     reported_status: SlotStatus,
 }
 
@@ -149,12 +147,12 @@
         Session {
             connection,
             state: State::Serving,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             write_buffer: WriteBuffer::default(),
             reply_sender,
             replies,
             last_progress: Instant::now(),
-            has_received: false,
+            has_received_message: false,
             reported_status: SlotStatus::Unused,
         }
     }
@@ -170,7 +168,7 @@
         }
     }
 
-    /// Does what its state asks for, waits for an event and handles it.
+    /// Acts on the current state, then waits for an event and handles it.
     async fn step(
         &mut self,
         read_buffer: &mut ReadBuffer<'_>,
@@ -188,7 +186,7 @@
         if is_evictable && !read_buffer.has_unread().await {
             return Err(CloseReason::Evicted);
         }
-        if self.write_buffer.len() >= STOP_READING_AT_PIECES {
+        if self.write_buffer.len() >= READ_PAUSE_THRESHOLD_CHUNKS {
             self.fail_open_requests().await;
         }
         let event = self.next_event(read_buffer, writer).await;
@@ -196,8 +194,8 @@
     }
 
     fn check_phase(&mut self) {
-        let is_noted = matches!(self.state, State::RouterEnded { .. });
-        if !is_noted && *self.connection.phase.borrow() == Phase::Ended {
+        let has_ended = matches!(self.state, State::RouterEnded { .. });
+        if !has_ended && *self.connection.phase.borrow() == Phase::Ended {
             self.state = State::RouterEnded {
                 read_until: Instant::now() + FINAL_READ_TIMEOUT,
             };
@@ -213,13 +211,13 @@
         let is_idle = self.is_idle(read_buffer);
         let has_ended = matches!(self.state, State::RouterEnded { .. });
         let may_write = !self.write_buffer.is_empty();
-        let may_read = !has_ended && self.write_buffer.len() < STOP_READING_AT_PIECES;
+        let may_read = !has_ended && self.write_buffer.len() < READ_PAUSE_THRESHOLD_CHUNKS;
         let ClientConnection { phase, slot, .. } = &mut self.connection;
         if may_read {
-            read_buffer.watch.begin();
+            read_buffer.wait.begin();
         }
-        // What was received is read before a time-out counts against the client: the program may be
-        // late itself.
+        // Received data is read before a timeout is charged to the client: this process may be the
+        // one that is late.
         let mut event = tokio::select! {
             biased;
             written = self.write_buffer.write(writer), if may_write => Event::Written(written),
@@ -228,15 +226,15 @@
             result = read_buffer.read(), if may_read => {
                 Event::Read { result, unread_for: Duration::ZERO }
             }
-            // A request that has just come is answered first.
+            // Below the read, so that a request that has just arrived is answered first.
             Some(()) = slot.eviction_requests.recv(), if is_idle => Event::EvictionRequested,
             () = at(deadline) => Event::TimedOut,
         };
         if let Event::Read { unread_for, .. } = &mut event {
-            *unread_for = read_buffer.watch.unread_for();
+            *unread_for = read_buffer.wait.unread_for();
         }
         if may_read {
-            read_buffer.watch.end();
+            read_buffer.wait.end();
         }
         event
     }
@@ -257,10 +255,10 @@
                     self.last_progress = Instant::now();
                 }
                 self.take_reply(reply);
-                // One for a request that its client has cancelled leaves nothing to write.
+                // The reply to a cancelled request leaves nothing to write.
                 self.report_written().await;
             }
-            // Noted at the begin of the next step.
+            // `check_phase` changes the state in the next step.
             Event::RouterEnded => {}
             Event::Read { result, unread_for } => {
                 if result? == 0 {
@@ -274,7 +272,7 @@
         Ok(())
     }
 
-    /// Handles all complete messages that were read.
+    /// Handles all complete messages in the read buffer.
     async fn handle_messages(
         &mut self,
         read_buffer: &mut ReadBuffer<'_>,
@@ -284,29 +282,30 @@
         let received_after = now.saturating_sub(unread_for);
         while let Some(frame) = read_buffer.next_frame()? {
             self.last_progress = Instant::now();
-            self.has_received = true;
+            self.has_received_message = true;
             if let Err(reason) = self.handle_message(frame.into(), received_after).await {
-                self.reject_rest(read_buffer);
+                self.reject_remaining(read_buffer);
                 return Err(reason);
             }
         }
-        read_buffer.note_rest();
+        read_buffer.update_incomplete_since();
         Ok(())
     }
 
-    /// Until when something has to happen; none: the open requests have deadlines of their own.
+    /// When the connection times out. None while requests are open: they have deadlines of their
+    /// own.
     fn deadline(&self, read_buffer: &ReadBuffer<'_>) -> Option<Instant> {
         if !self.write_buffer.is_empty() {
-            let stuck_at = self.last_progress + WRITE_TIMEOUT;
-            return Some(self.write_buffer.deadline(stuck_at));
+            let write_timeout_at = self.last_progress + WRITE_TIMEOUT;
+            return Some(self.write_buffer.deadline(write_timeout_at));
         }
         if let Some(since) = read_buffer.incomplete_since {
             return Some(since + MESSAGE_TIMEOUT);
         }
-        if !self.open.is_empty() {
+        if !self.open_requests.is_empty() {
             return None;
         }
-        let idle_timeout = if self.has_received {
+        let idle_timeout = if self.has_received_message {
             IDLE_TIMEOUT
         } else {
             MESSAGE_TIMEOUT
@@ -314,10 +313,11 @@
         Some(self.last_progress + idle_timeout)
     }
 
-    /// Closes the connection for what did not happen in time, unless something has come meanwhile.
+    /// Returns the reason to close the connection after a timeout, unless data has arrived
+    /// meanwhile.
     async fn handle_timeout(&self, read_buffer: &ReadBuffer<'_>) -> Result<(), CloseReason> {
         if !self.write_buffer.is_empty() {
-            return Err(CloseReason::AnswersNotTaken);
+            return Err(CloseReason::WriteTimeout);
         }
         if read_buffer.incomplete_since.is_some() {
             return Err(ProtocolViolation::IncompleteMessage.into());
@@ -328,16 +328,16 @@
         Err(CloseReason::IdleTimeout)
     }
 
-    /// Whether nothing would be lost by a close.
+    /// Whether the connection can be closed without losing a request or a response.
     fn is_idle(&self, read_buffer: &ReadBuffer<'_>) -> bool {
-        self.open.is_empty()
+        self.open_requests.is_empty()
             && self.write_buffer.is_empty()
             && read_buffer.incomplete_since.is_none()
     }
 
-    /// Tells the listener of a new status.
+    /// Reports a changed status to the listener.
     async fn report_status(&mut self, read_buffer: &ReadBuffer<'_>) {
-        let status = match (self.is_idle(read_buffer), self.has_received) {
+        let status = match (self.is_idle(read_buffer), self.has_received_message) {
             (false, _) => SlotStatus::Busy,
             (true, true) => SlotStatus::Idle,
             (true, false) => SlotStatus::Unused,
@@ -354,7 +354,7 @@
         let _ = slot.status_updates.send(update).await;
     }
 
-    /// Tells the decider of bodies that are in memory no more.
+    /// Reports body bytes that are no longer in memory to the decider.
     async fn report_written(&mut self) {
         if !self.write_buffer.is_empty() {
             return;
@@ -365,26 +365,30 @@
         }
     }
 
-    /// Where the decider has ended, nobody needs the message.
+    /// Sends a message, which is not needed any more if the decider has ended.
     async fn send_to_decider(&self, message: Message) {
         let _ = self.connection.decider.send(message).await;
     }
 
-    /// Takes the answers that have come.
+    /// Buffers all replies that have been received.
     fn take_replies(&mut self) {
         while let Ok(reply) = self.replies.try_recv() {
             self.take_reply(reply);
         }
     }
 
-    /// Buffers a request's final answer, unless the client has cancelled the request.
+    /// Buffers the final answer to a request, unless the client has cancelled the request.
     fn take_reply(&mut self, reply: ClientReply) {
         let ClientReply { tag, id, last } = reply;
-        if self.open.get(&tag).is_some_and(|open| open.id == id) {
-            self.open.remove(&tag);
+        if self
+            .open_requests
+            .get(&tag)
+            .is_some_and(|open| open.id == id)
+        {
+            self.open_requests.remove(&tag);
             self.write_buffer.push_answer(tag, last);
         } else {
-            self.write_buffer.drop_answer(&last);
+            self.write_buffer.discard_answer(&last);
         }
     }
 }
--- a/crates/router/src/client_connection/admission.rs
+++ b/crates/router/src/client_connection/admission.rs
@@ -1,10 +1,10 @@
-//! What a connection does with its client's messages: requests are admitted or rejected, cancelled
-//! requests are withdrawn, health checks are answered.
+//! Handling of a client's messages: requests are admitted or rejected, cancelled requests are
+//! withdrawn, health checks are answered.
 
 use super::closing::{CloseReason, ProtocolViolation};
-use super::read_buffer::{LAST_LOOK, ReadBuffer};
+use super::read_buffer::{READABILITY_CHECK_TIMEOUT, ReadBuffer};
 use super::requests::{ClientMessage, Command, ParsedRequest, RequestError};
-use super::{MAX_OPEN_REQUESTS, OpenRequest, REJECT_AT_PIECES, Session};
+use super::{MAX_OPEN_REQUESTS, OpenRequest, REJECT_THRESHOLD_CHUNKS, Session};
 use crate::client_protocol::ResponseStatus;
 use crate::messages::{CancellationFlag, ClientReply, Message, NewRequest};
 use std::collections::HashSet;
@@ -13,15 +13,16 @@
 use tokio::time::{Instant, timeout_at};
 
 impl Session {
-    /// Handles one message, which came after the given time of the router's clock.
+    /// Handles one message that arrived no earlier than `received_after` by the router's clock.
     pub(super) async fn handle_message(
         &mut self,
         message: ClientMessage,
         received_after: Duration,
     ) -> Result<(), CloseReason> {
         let tag = message.tag.ok_or(ProtocolViolation::MissingTag)?;
-        if message.command != Command::Abort && self.open.contains_key(&tag) {
-            // Two answers under one tag could not be told apart: it gets one, and no more is read.
+        if message.command != Command::Abort && self.open_requests.contains_key(&tag) {
+            // The client could not tell two responses with one tag apart: it gets one, and nothing
+            // more is read.
             return Err(ProtocolViolation::TagInUse.into());
         }
         match message.command {
@@ -33,7 +34,7 @@
         Ok(())
     }
 
-    /// Admits a request, or says why it is not.
+    /// Admits a request, rejects it because of unwritten responses, or fails it if it is invalid.
     async fn handle_request(
         &mut self,
         tag: u64,
@@ -41,7 +42,7 @@
         received_after: Duration,
     ) -> Result<(), CloseReason> {
         match self.validate_request(message) {
-            Ok(_) if self.write_buffer.len() >= REJECT_AT_PIECES => {
+            Ok(_) if self.write_buffer.len() >= REJECT_THRESHOLD_CHUNKS => {
                 self.reject(tag);
                 Ok(())
             }
@@ -56,13 +57,13 @@
 
     fn validate_request(&self, message: ClientMessage) -> Result<ParsedRequest, RequestError> {
         let request = ParsedRequest::parse(message, &self.connection.frontend)?;
-        if self.open.len() >= MAX_OPEN_REQUESTS {
+        if self.open_requests.len() >= MAX_OPEN_REQUESTS {
             return Err(RequestError::TooManyOpen);
         }
         Ok(request)
     }
 
-    /// Hands a request to the decider, with the space for its answer.
+    /// Sends a request to the decider, with reserved capacity for its reply.
     async fn admit_request(
         &mut self,
         tag: u64,
@@ -72,14 +73,14 @@
         let ParsedRequest { arrival, forwarded } = request;
         let deadline = received_after + arrival.left;
         let deadline = self.connection.frontend.clock.instant(deadline);
-        self.write_buffer.await_until(deadline);
+        self.write_buffer.extend_deadline(deadline);
         let client = self.reserve_reply().await?;
         let cancellation = CancellationFlag::default();
         let open = OpenRequest {
             id: arrival.id.clone(),
             cancellation: cancellation.clone(),
         };
-        self.open.insert(tag, open);
+        self.open_requests.insert(tag, open);
         let request = Message::Request(Box::new(NewRequest {
             arrival,
             passed: forwarded,
@@ -89,47 +90,51 @@
             wanted: cancellation,
         }));
         if self.connection.decider.send(request).await.is_err() {
-            // The router has ended meanwhile.
-            self.open.remove(&tag);
+            // The decider has ended.
+            self.open_requests.remove(&tag);
             self.reject(tag);
         }
         Ok(())
     }
 
-    /// Reserves space for an answer. There is more than may be open: that of cancelled requests
-    /// comes back as soon as the decider has heard of it.
+    /// Reserves capacity for a reply. The channel holds more replies than there may be open
+    /// requests; the decider frees the capacity of a cancelled request once it has handled the
+    /// cancellation.
     async fn reserve_reply(&mut self) -> Result<mpsc::OwnedPermit<ClientReply>, CloseReason> {
         loop {
             tokio::select! {
                 biased;
                 Some(reply) = self.replies.recv() => self.take_reply(reply),
                 permit = self.reply_sender.clone().reserve_owned() => {
-                    return permit.map_err(|_| CloseReason::ReplyMailboxClosed);
+                    return permit.map_err(|_| CloseReason::ReplyChannelClosed);
                 }
             }
         }
     }
 
-    /// Withdraws a request that its client has given up.
+    /// Withdraws a request that its client has cancelled.
     async fn cancel_request(&mut self, tag: u64) {
-        if let Some(open) = self.open.remove(&tag) {
+        if let Some(open) = self.open_requests.remove(&tag) {
             open.cancellation.end();
             self.withdraw(tag, open).await;
         }
     }
 
-    /// Withdraws all open requests, and answers each as failed.
+    /// Withdraws all open requests, and answers each with a failure.
     pub(super) async fn fail_open_requests(&mut self) {
-        let tags: Vec<u64> = self.open.keys().copied().collect();
+        let tags: Vec<u64> = self.open_requests.keys().copied().collect();
         tags.into_iter().for_each(|tag| self.fail(tag));
         self.cancel_open_requests().await;
     }
 
     /// Withdraws all open requests without an answer.
     pub(super) async fn cancel_open_requests(&mut self) {
-        // All flags before the first message: no attempt may begin while the decider is told.
-        self.open.values().for_each(|open| open.cancellation.end());
-        for (tag, open) in std::mem::take(&mut self.open) {
+        // All flags are set before the first message is sent: no attempt may start while the
+        // decider is being notified.
+        self.open_requests
+            .values()
+            .for_each(|open| open.cancellation.end());
+        for (tag, open) in std::mem::take(&mut self.open_requests) {
             self.withdraw(tag, open).await;
         }
     }
@@ -140,14 +145,14 @@
             .await;
     }
 
-    /// As the router has ended: rejects what lies unread, and closes the connection when nothing
-    /// does.
+    /// After the router has ended: rejects unread requests, and closes the connection when there
+    /// are none.
     pub(super) async fn reject_unread(
         &mut self,
         read_buffer: &mut ReadBuffer<'_>,
         read_until: Instant,
     ) -> Result<(), CloseReason> {
-        let until = read_until.min(Instant::now() + LAST_LOOK);
+        let until = read_until.min(Instant::now() + READABILITY_CHECK_TIMEOUT);
         match timeout_at(until, read_buffer.read()).await {
             Ok(Ok(bytes)) if bytes > 0 => {}
             _ => return Err(CloseReason::RouterEnded),
@@ -158,10 +163,10 @@
         Ok(())
     }
 
-    /// Complete messages behind one that ends the connection are answered too: they were read. Each
-    /// tag has one answer; open requests get theirs at the close.
-    pub(super) fn reject_rest(&mut self, read_buffer: &mut ReadBuffer<'_>) {
-        let mut answered: HashSet<u64> = self.open.keys().copied().collect();
+    /// Answers the complete messages that follow a protocol violation, since they have been read.
+    /// Each tag gets one response; open requests get theirs when the connection is closed.
+    pub(super) fn reject_remaining(&mut self, read_buffer: &mut ReadBuffer<'_>) {
+        let mut answered: HashSet<u64> = self.open_requests.keys().copied().collect();
         while let Ok(Some(frame)) = read_buffer.next_frame() {
             let message = ClientMessage::from(frame);
             if message.tag.is_some_and(|tag| answered.insert(tag)) {
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Answers a message that is handled no more: what it asks for never ran.
+    /// Answers a message that is not handled any more. A request is rejected: it never ran.
     fn answer_unhandled(&mut self, message: &ClientMessage) {
         let Some(tag) = message.tag else {
             return;
--- a/crates/router/src/client_connection/closing.rs
+++ b/crates/router/src/client_connection/closing.rs
@@ -1,4 +1,4 @@
-//! Why a client's connection is closed, and how that is done so that all that was written arrives.
+//! Reasons for closing a client connection, and how to close it so that all written data arrives.
 
 use super::Session;
 use super::read_buffer::READ_CHUNK_BYTES;
@@ -12,44 +12,44 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// The least time in which a client that broke the protocol can take its last answers.
+/// The minimum time for a client that violated the protocol to read its last responses.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
-/// What crosses a close within this time is sent again by its client: so long, and for so many
-/// bytes, what still comes is read and dropped. A close over bytes that nobody read would reset the
-/// connection, and lose answers that are still on their way.
-const LINGER: Duration = Duration::from_millis(50);
-const LINGER_BYTES: usize = 1 << 20;
+/// After the router has closed its side, incoming data is read and discarded for up to this time
+/// and this many bytes; the client sends such requests again. Closing a socket with unread data
+/// would reset the connection and lose responses in flight.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(50);
+const MAX_LINGER_BYTES: usize = 1 << 20;
 
-/// What a client did against the protocol. Nothing more is read from it; what is open is answered
-/// as failed.
+/// A protocol violation by a client. Nothing more is read from the connection, and its open
+/// requests are answered with a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ProtocolViolation {
-    #[error("a frame is invalid: {0}")]
+    #[error("invalid frame: {0}")]
     Frame(#[from] FrameError),
-    #[error("a message has no tag")]
+    #[error("message without a tag")]
     MissingTag,
-    #[error("a tag is used while a request is open under it")]
+    #[error("tag of an open request used again")]
     TagInUse,
-    #[error("no complete message came in time")]
+    #[error("message not completed in time")]
     IncompleteMessage,
 }
 
 /// Why a connection is closed.
 #[derive(Debug, Error)]
 pub(super) enum CloseReason {
-    #[error("its client closed it")]
+    #[error("closed by the client")]
     ClosedByClient,
-    #[error("it broke: {0}")]
+    #[error("connection broken: {0}")]
     Broken(#[from] io::Error),
-    #[error("its client takes no answers")]
-    AnswersNotTaken,
-    #[error("its mailbox for answers is closed")]
-    ReplyMailboxClosed,
-    #[error("the router has ended")]
+    #[error("timed out writing responses")]
+    WriteTimeout,
+    #[error("reply channel closed")]
+    ReplyChannelClosed,
+    #[error("router has ended")]
     RouterEnded,
-    #[error("it was idle for too long")]
+    #[error("idle timeout")]
     IdleTimeout,
-    #[error("it was idle, and its slot is needed")]
+    #[error("evicted while idle")]
     Evicted,
     #[error("protocol violation: {0}")]
     ProtocolViolation(#[from] ProtocolViolation),
@@ -64,24 +64,23 @@
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseMode {
-    /// At once: nobody reads its answers.
-    Abrupt,
-    /// All is written; what crosses the close is dropped.
-    Orderly,
-    /// What is open fails, and that and all before it is written first.
+    /// At once: nobody reads the responses.
+    Immediate,
+    /// Everything has been written; data that still arrives is discarded.
+    Graceful,
+    /// Open requests fail, and all responses are written before the close.
     AfterFinalAnswers,
 }
 
 impl CloseReason {
-    /// How a connection is closed for this reason.
     fn mode(&self) -> CloseMode {
         match self {
             CloseReason::ClosedByClient
             | CloseReason::Broken(_)
-            | CloseReason::AnswersNotTaken
-            | CloseReason::ReplyMailboxClosed => CloseMode::Abrupt,
+            | CloseReason::WriteTimeout
+            | CloseReason::ReplyChannelClosed => CloseMode::Immediate,
             CloseReason::RouterEnded | CloseReason::IdleTimeout | CloseReason::Evicted => {
-                CloseMode::Orderly
+                CloseMode::Graceful
             }
             CloseReason::ProtocolViolation(_) => CloseMode::AfterFinalAnswers,
         }
@@ -89,16 +88,16 @@
 }
 
 impl Session {
-    /// Closes the connection as its reason asks for, and gives back all that it holds.
+    /// Closes the connection as its reason requires, and releases all that it holds.
     pub(super) async fn close(mut self, stream: TcpStream, reason: &CloseReason) {
         log::debug!(slot = self.connection.slot.id, reason:% = reason; "client connection closed");
         match reason.mode() {
-            CloseMode::Abrupt => {
+            CloseMode::Immediate => {
                 self.cancel_open_requests().await;
             }
-            CloseMode::Orderly => {
+            CloseMode::Graceful => {
                 self.cancel_open_requests().await;
-                close_in_order(stream).await;
+                close_gracefully(stream).await;
             }
             CloseMode::AfterFinalAnswers => {
                 self.fail_open_requests().await;
@@ -113,11 +112,11 @@
             .write_buffer
             .deadline(Instant::now() + FINAL_WRITE_TIMEOUT);
         let _ = timeout_at(until, self.write_buffer.write_all(&mut stream)).await;
-        close_in_order(stream).await;
+        close_gracefully(stream).await;
     }
 
-    /// Waits for all answers that were on their way: the decider has heard that nobody wants them.
-    /// Then tells it of the bodies that are in memory no more.
+    /// Drains the replies to withdrawn requests, then reports their released body bytes to the
+    /// decider.
     async fn release_bodies(mut self) {
         self.replies.close();
         while let Some(reply) = self.replies.recv().await {
@@ -128,18 +127,18 @@
     }
 }
 
-/// Closes a connection so that all that was written arrives: nothing more is written, and what
-/// still comes is dropped for a while.
-async fn close_in_order(mut stream: TcpStream) {
+/// Closes a connection so that all written data arrives: shuts down the writing side, then reads
+/// and discards incoming data for a while.
+async fn close_gracefully(mut stream: TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
     }
-    let (until, mut bytes_left) = (Instant::now() + LINGER, LINGER_BYTES);
-    let mut dropped = Vec::with_capacity(READ_CHUNK_BYTES);
+    let (until, mut bytes_left) = (Instant::now() + LINGER_TIMEOUT, MAX_LINGER_BYTES);
+    let mut discarded = Vec::with_capacity(READ_CHUNK_BYTES);
     while bytes_left > 0 {
-        dropped.clear();
+        discarded.clear();
         let mut reader = Uninterrupted::new(&mut stream);
-        match timeout_at(until, reader.read_buf(&mut dropped)).await {
+        match timeout_at(until, reader.read_buf(&mut discarded)).await {
             Ok(Ok(bytes)) if bytes > 0 => bytes_left = bytes_left.saturating_sub(bytes),
             _ => return,
         }
--- a/crates/router/src/client_connection/read_buffer.rs
+++ b/crates/router/src/client_connection/read_buffer.rs
@@ -1,6 +1,6 @@
-//! The reading side of a client's connection: bytes in, frames out.
+//! The reading side of a client connection: decodes frames from the received bytes.
 
-use super::read_watch::ReadWatch;
+use super::read_wait::ReadWait;
 use crate::client_protocol::{FrameDecoder, FrameError};
 use crate::uninterrupted::Uninterrupted;
 use bytes::{Bytes, BytesMut};
@@ -10,21 +10,21 @@
 use tokio::net::tcp::ReadHalf;
 use tokio::time::{Instant, timeout};
 
-/// Memory kept for what a client sends.
+/// Size of the buffer reserved for reads.
 pub(super) const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// With less memory than this left, more is reserved before a read.
+/// If less than this is free in the buffer, more is reserved before a read.
 const MIN_FREE_BYTES: usize = 1024;
-/// Before an idle connection is closed it is looked once more whether something has come: for so
-/// long, which gives the system a turn.
-pub(super) const LAST_LOOK: Duration = Duration::from_millis(2);
+/// How long to wait for unread data before an idle connection is closed; long enough for the I/O
+/// driver to be polled once.
+pub(super) const READABILITY_CHECK_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// Reads frames from a connection.
 pub(super) struct ReadBuffer<'a> {
     reader: ReadHalf<'a>,
     bytes: BytesMut,
     decoder: FrameDecoder,
-    pub(super) watch: ReadWatch,
-    /// Since when a part of a message, but not all of it, has been here.
+    pub(super) wait: ReadWait,
+    /// Since when the buffer has held an incomplete message.
     pub(super) incomplete_since: Option<Instant>,
 }
 
@@ -34,18 +34,19 @@
             reader,
             bytes: BytesMut::new(),
             decoder: FrameDecoder::default(),
-            watch: ReadWatch::new(),
+            wait: ReadWait::new(),
             incomplete_since: None,
         }
     }
 
-    /// Reads what has come; 0 bytes: the client has closed its side.
+    /// Reads the available bytes, 0 if the client has closed its side.
     ///
-    /// Waits until something has come before it takes memory for it: most connections are silent
-    /// most of the time. Dropped before it is ready, it has read nothing.
+    /// Memory is reserved only once the connection is readable, since most connections are idle
+    /// most of the time. Cancel safe: if the future is dropped before it is ready, nothing has been
+    /// read.
     ///
     /// # Errors
-    /// Where the connection is gone.
+    /// If the connection is broken.
     pub(super) async fn read(&mut self) -> io::Result<usize> {
         self.reader.readable().await?;
         if self.bytes.capacity() - self.bytes.len() < MIN_FREE_BYTES {
@@ -56,10 +57,10 @@
             .await
     }
 
-    /// Takes the next complete frame of those read.
+    /// Takes the next complete frame from the buffer.
     ///
     /// # Errors
-    /// Where the stream breaks the protocol.
+    /// If the stream violates the protocol.
     pub(super) fn next_frame(&mut self) -> Result<Option<Vec<Bytes>>, FrameError> {
         let frame = self.decoder.next(&mut self.bytes)?;
         if frame.is_some() {
@@ -68,9 +69,9 @@
         Ok(frame)
     }
 
-    /// Notes, when all complete frames are taken, whether a part of one is left. Where nothing is,
-    /// nobody knows when more comes: the memory is given back.
-    pub(super) fn note_rest(&mut self) {
+    /// Updates `incomplete_since` after all complete frames have been taken. An empty buffer is
+    /// freed: it is unknown when more data will arrive.
+    pub(super) fn update_incomplete_since(&mut self) {
         if self.decoder.is_inside_frame() || !self.bytes.is_empty() {
             self.incomplete_since.get_or_insert_with(Instant::now);
         } else {
@@ -79,8 +80,10 @@
         }
     }
 
-    /// Whether something has come that is not read yet.
+    /// Whether unread data arrives within `READABILITY_CHECK_TIMEOUT`.
     pub(super) async fn has_unread(&self) -> bool {
-        timeout(LAST_LOOK, self.reader.readable()).await.is_ok()
+        timeout(READABILITY_CHECK_TIMEOUT, self.reader.readable())
+            .await
+            .is_ok()
     }
 }
--- a/crates/router/src/client_connection/requests.rs
+++ b/crates/router/src/client_connection/requests.rs
@@ -1,4 +1,4 @@
-//! Reads clients' messages: which command each one is, and the fields of a request.
+//! Parses client messages: the command, and the fields of a request.
 
 use super::ClientFrontend;
 use crate::client_protocol::{fields, number};
@@ -8,31 +8,31 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// No request waits for longer, whatever its client says: its timers would pile up.
+/// Longer deadlines of clients are reduced to this, so that timers do not accumulate.
 const MAX_DEADLINE: Duration = Duration::from_secs(60);
 const MAX_GROUP: u64 = 255;
-/// An idempotency key has 32 bytes usually.
+/// Idempotency keys are usually 32 bytes long.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
-/// The largest size that a request may announce where no client's transfer rate is configured.
-const MAX_KB: f64 = 1e9;
+/// The largest size that a request may announce if no client transfer rate is configured.
+const DEFAULT_MAX_KB: f64 = 1e9;
 const ID_DIGITS: usize = 16;
-/// Fields of a usual request.
-const USUAL_FIELDS: usize = 8;
+/// Initial capacity for the field names of a request.
+const TYPICAL_FIELD_COUNT: usize = 8;
 
-/// What a client's message asks for.
+/// The command of a client message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
     Request,
-    /// The client has given up a request.
+    /// Cancels a request.
     Abort,
     HealthCheck,
     Unknown,
 }
 
-/// One message of a client.
+/// A client message.
 pub(super) struct ClientMessage {
     pub(super) command: Command,
-    /// Which request of its connection it is about; none: what came is no number, or zero.
+    /// Identifies the request on its connection. None: the tag is not a number, or is 0.
     pub(super) tag: Option<u64>,
     class: Bytes,
     fields: Bytes,
@@ -62,25 +62,25 @@
 /// Why a request fails before any attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
-    #[error("its class is not configured")]
+    #[error("unknown class")]
     UnknownClass,
-    #[error("its tenant is not configured")]
+    #[error("unknown tenant")]
     UnknownTenant,
-    #[error("a field is given twice")]
+    #[error("duplicate field")]
     DuplicateField,
-    #[error("a field is not a number")]
+    #[error("field is not a number")]
     InvalidNumber,
-    #[error("its group is above {MAX_GROUP}")]
+    #[error("group is above {MAX_GROUP}")]
     InvalidGroup,
-    #[error("its size is no number within bounds")]
+    #[error("size is not a number or out of range")]
     InvalidSize,
-    #[error("an id is not {ID_DIGITS} hexadecimal digits")]
+    #[error("id is not {ID_DIGITS} hexadecimal digits")]
     InvalidId,
-    #[error("its idempotency key is empty, too long or not plain")]
+    #[error("idempotency key is empty, too long or has invalid characters")]
     InvalidIdempotencyKey,
-    #[error("it lacks its id, its object or its time")]
+    #[error("id, object or deadline is missing")]
     MissingField,
-    #[error("too many requests are open on its connection")]
+    #[error("too many open requests on the connection")]
     TooManyOpen,
 }
 
@@ -91,10 +91,10 @@
 }
 
 impl ParsedRequest {
-    /// Reads a request.
+    /// Parses a request.
     ///
     /// # Errors
-    /// Which of its fields is invalid.
+    /// The first invalid or missing field.
     pub(super) fn parse(
         message: ClientMessage,
         frontend: &ClientFrontend,
@@ -111,7 +111,7 @@
                 ..ForwardedFields::default()
             },
         };
-        let mut names = Vec::with_capacity(USUAL_FIELDS);
+        let mut names = Vec::with_capacity(TYPICAL_FIELD_COUNT);
         for (name, value) in fields(&message.fields) {
             if names.contains(&name) {
                 return Err(RequestError::DuplicateField);
@@ -158,7 +158,7 @@
             .ok_or(RequestError::UnknownClass)
     }
 
-    /// By its name in the settings; by its number where they name none.
+    /// Looks up a tenant by its name in the settings, or by its number if they name no tenants.
     fn tenant_index(&self, name: &[u8]) -> Result<usize, RequestError> {
         let index = if self.tenants.is_empty() {
             number(name).map(|number| number as usize)
@@ -170,13 +170,13 @@
         index.ok_or(RequestError::UnknownTenant)
     }
 
-    /// A size that could not be sent while any client waits would distort the statistics of its
-    /// class.
+    /// The largest plausible size in KB. A size that cannot be transferred within any deadline
+    /// would distort the statistics of its class.
     fn max_kb(&self) -> f64 {
         if self.max_kb_per_s > 0.0 {
             self.max_kb_per_s * MAX_DEADLINE.as_secs_f64()
         } else {
-            MAX_KB
+            DEFAULT_MAX_KB
         }
     }
 }
@@ -215,7 +215,7 @@
         .ok_or(RequestError::InvalidId)
 }
 
-/// Only bytes that cannot end the field or the line in which the key is forwarded.
+/// Accepts only bytes that cannot terminate the field or the line in which the key is forwarded.
 fn parse_idempotency_key(value: Bytes) -> Result<Bytes, RequestError> {
     let is_plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
     let is_valid =
--- a/crates/router/src/client_connection/test_support.rs
+++ b/crates/router/src/client_connection/test_support.rs
@@ -1,5 +1,5 @@
-//! Set-up shared by the tests of connections and of the listener: the test stands for the client,
-//! the listener and the decider.
+//! Set-up shared by the tests of connections and of the listener: the test plays the client, the
+//! listener and the decider.
 
 use super::{ClientConnection, ClientFrontend};
 use crate::clock::Clock;
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, yield_now};
 
-/// A frontend with the one class `page`, without tenants and without a transfer rate.
+/// A frontend with a single class, `page`, without tenants and without a transfer rate.
 pub fn frontend(retry_after: Option<Duration>) -> Rc<ClientFrontend> {
     Rc::new(ClientFrontend {
         classes: vec!["page".to_owned()],
@@ -25,10 +25,10 @@
     })
 }
 
-/// More bytes than the system keeps for a connection.
-pub const LARGE: usize = 32_000_000;
+/// More bytes than the socket buffers of a connection hold.
+pub const LARGE_BODY_BYTES: usize = 32_000_000;
 
-/// A connection that is served, and all that it talks to.
+/// A running connection, and the test's ends of its socket and channels.
 pub struct Harness {
     pub peer: TcpStream,
     pub messages: mpsc::Receiver<Message>,
@@ -37,21 +37,25 @@
     _status_updates: mpsc::Receiver<SlotUpdate>,
 }
 
-/// A connection that is accepted with these bytes already received, and a decider that answers when
-/// the test does.
+/// Accepts a connection on which these bytes have already been received. The test replies as the
+/// decider.
 pub async fn connect(phase: Phase, received: &[u8]) -> Harness {
-    connect_with_mailbox(4096, phase, received).await
+    connect_with_capacity(4096, phase, received).await
 }
 
-/// The same, with a decider whose mailbox takes so many messages.
-pub async fn connect_with_mailbox(max_messages: usize, phase: Phase, received: &[u8]) -> Harness {
+/// As `connect`, with this capacity of the decider's channel.
+pub async fn connect_with_capacity(
+    message_capacity: usize,
+    phase: Phase,
+    received: &[u8],
+) -> Harness {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     peer.write_all(received).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    let (decider, messages) = mpsc::channel(max_messages);
+    let (decider, messages) = mpsc::channel(message_capacity);
     let (phase, phase_receiver) = watch::channel(phase);
     let (eviction_sender, eviction_requests) = mpsc::channel(1);
     let (status_updates, status_receiver) = mpsc::channel(4096);
@@ -75,7 +79,7 @@
     }
 }
 
-/// A message of a client.
+/// Encodes a client message.
 pub fn message(parts: &[&str]) -> Vec<u8> {
     let parts = parts
         .iter()
@@ -83,19 +87,19 @@
     format!("*{}\r\n{}", parts.len(), parts.collect::<String>()).into_bytes()
 }
 
-/// A request of a client that waits for 4 s.
+/// A request with a deadline of 4 s.
 pub fn request(tag: u64) -> Vec<u8> {
     request_within(tag, 4000)
 }
 
-/// A request of a client that waits for so many milliseconds.
+/// A request with a deadline of this many milliseconds.
 pub fn request_within(tag: u64, ms: u64) -> Vec<u8> {
     let fields = format!("i={:016x},o={tag:016x},lot=1,m=1,d={ms}", 0xabc_0000 + tag);
     message(&["REQ", &tag.to_string(), "page", &fields, ""])
 }
 
 impl Harness {
-    /// The next message to the decider, which has to be a request.
+    /// The next message to the decider, which must be a request.
     pub async fn request(&mut self) -> Box<NewRequest> {
         match self.messages.recv().await {
             Some(Message::Request(new)) => new,
@@ -103,30 +107,30 @@
         }
     }
 
-    /// Lets the connection do all that it can do without its client.
+    /// Runs the connection until it waits for its client.
     pub async fn settle(&mut self) {
         for _ in 0..500 {
             yield_now().await;
         }
     }
 
-    /// Serves the requests of these tags, the first with more bytes than the sockets take.
+    /// Replies to the requests with these tags; the body for tag 1 does not fit the socket buffers.
     pub async fn serve(&mut self, tags: RangeInclusive<u64>) {
         for tag in tags {
             let new = self.request().await;
             assert_eq!(new.tag, tag);
-            let body = Bytes::from(vec![7; if tag == 1 { LARGE } else { 1 }]);
+            let body = Bytes::from(vec![7; if tag == 1 { LARGE_BODY_BYTES } else { 1 }]);
             let last = FinalAnswer::Served { etag: None, body };
             reply(new, last);
         }
         self.settle().await;
     }
 
-    /// The first complete response, unless the connection ends before it.
+    /// The first complete response, or none if the connection ends before it.
     pub async fn first_response(&mut self) -> Option<Response> {
-        let mut bytes = BytesMut::with_capacity(2 * LARGE);
+        let mut bytes = BytesMut::with_capacity(2 * LARGE_BODY_BYTES);
         while self.peer.read_buf(&mut bytes).await.ok()? > 0 {
-            if bytes.len() > LARGE
+            if bytes.len() > LARGE_BODY_BYTES
                 && let Some(response) = next_response(&mut bytes.clone())
             {
                 return Some(response);
@@ -135,7 +139,7 @@
         None
     }
 
-    /// All responses until the router closes its side in order; none: it reset the connection.
+    /// All responses until the router closes its side, or none if it resets the connection.
     pub async fn remaining_responses(&mut self) -> Option<Vec<Response>> {
         let mut bytes = BytesMut::new();
         while self.peer.read_buf(&mut bytes).await.ok()? > 0 {}
@@ -147,7 +151,7 @@
     }
 }
 
-/// The next complete response; its body may be of any length.
+/// Decodes the next complete response.
 fn next_response(bytes: &mut BytesMut) -> Option<Response> {
     let line = |bytes: &mut BytesMut| {
         let end = bytes.iter().position(|byte| *byte == b'\n')?;
@@ -170,7 +174,7 @@
     })
 }
 
-/// Gives a request its final answer, as the decider does.
+/// Sends the final answer to a request, as the decider does.
 pub fn reply(request: Box<NewRequest>, answer: FinalAnswer) {
     drop(request.client.send(ClientReply {
         tag: request.tag,
@@ -179,8 +183,8 @@
     }));
 }
 
-/// Keeps paused time from moving by itself.
-pub fn hold_time() {
+/// Keeps paused time from advancing by itself: one task is always ready.
+pub fn disable_auto_advance() {
     spawn_local(async {
         loop {
             yield_now().await;
@@ -188,15 +192,15 @@
     });
 }
 
-/// A response as its client reads it, but for its body.
+/// A response as its client reads it, without the body.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Response {
     pub tag: String,
-    /// The status and the fields.
+    /// Status and fields.
     pub head: String,
 }
 
-/// The response under this tag, with this status and these fields.
+/// The expected response: its tag, and its status and fields.
 pub fn response(tag: u64, head: &str) -> Response {
     Response {
         tag: tag.to_string(),
--- a/crates/router/src/client_connection/tests.rs
+++ b/crates/router/src/client_connection/tests.rs
@@ -1,16 +1,17 @@
-//! A client's connection by itself: the test stands for the client, the listener and the decider.
+//! Tests of a single client connection; the test plays the client, the listener and the decider.
 
 use super::test_support::{
-    connect, connect_with_mailbox, hold_time, message, reply, request, request_within, response,
+    connect, connect_with_capacity, disable_auto_advance, message, reply, request, request_within,
+    response,
 };
 use super::*;
 use crate::messages::FinalAnswer;
 use tokio::io::AsyncWriteExt;
 use tokio::task::{LocalSet, yield_now};
 
-/// The router ends while two requests and half of a third lie unread on the connection.
+/// The router ends while two requests and a part of a third are unread on the connection.
 #[tokio::test(flavor = "current_thread")]
-async fn unread_requests_are_rejected_and_the_connection_is_closed_in_order_as_the_router_ends() {
+async fn unread_requests_are_rejected_and_the_connection_is_closed_gracefully_as_the_router_ends() {
     let inside = async {
         let received = [request(1), request(2), b"*5\r\n$3\r\nREQ".to_vec()].concat();
         let mut harness = connect(Phase::Ended, &received).await;
@@ -20,13 +21,13 @@
         );
         assert!(
             harness.messages.try_recv().is_err_and(|_| true),
-            "nothing was sent on"
+            "nothing was sent to the decider"
         );
     };
     LocalSet::new().run_until(inside).await;
 }
 
-/// The decider has ended, and the connection has not heard of it yet: what is read then never ran.
+/// The decider has ended before the connection learns of it: a request read then has not run.
 #[tokio::test(flavor = "current_thread")]
 async fn a_request_is_rejected_when_the_decider_has_ended() {
     let inside = async {
@@ -44,7 +45,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// The eviction request comes in the moment in which a request of the client has been received.
+/// The eviction request is sent at the moment at which a request has been received.
 #[tokio::test(flavor = "current_thread")]
 async fn a_request_that_crosses_an_eviction_request_is_answered_before_the_close() {
     let inside = async {
@@ -55,7 +56,7 @@
             .await
             .unwrap();
         assert_eq!(harness.peer.peek(&mut [0]).await.unwrap(), 1);
-        // Both are there before the connection has its next turn.
+        // Both arrive before the connection is polled again.
         harness.eviction_requests.try_send(()).unwrap();
         assert!(harness.peer.try_write(&request(2)).unwrap() > 0);
         let new = harness.request().await;
@@ -66,10 +67,10 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// More requests are cancelled at once than there is space for answers; one that is not follows.
-/// The decider answers all of them late, before it has heard of the cancellations.
+/// More requests are cancelled at once than the reply channel holds, and one that is not cancelled
+/// follows. The decider replies to all of them late, before it has handled the cancellations.
 #[tokio::test(flavor = "current_thread")]
-async fn space_for_each_answer_is_reserved_before_its_request_reaches_the_decider() {
+async fn capacity_for_each_reply_is_reserved_before_its_request_reaches_the_decider() {
     let inside = async {
         let mut harness = connect(Phase::Serving, b"").await;
         let mut bytes = Vec::new();
@@ -78,13 +79,13 @@
         }
         bytes.extend(request(1000));
         harness.peer.write_all(&bytes).await.unwrap();
-        let (mut left, mut most, mut answered) = (0, 0, 0);
+        let (mut cancelled, mut max_queued, mut answered) = (0, 0, 0);
         while answered < 401 {
-            // All that the connection can hand on without an answer.
+            // The connection sends all that it can without a reply.
             for _ in 0..200 {
                 yield_now().await;
             }
-            most = most.max(harness.messages.len());
+            max_queued = max_queued.max(harness.messages.len());
             let mut first = Some(harness.messages.recv().await.unwrap());
             while let Some(message) = first.take().or_else(|| harness.messages.try_recv().ok()) {
                 match message {
@@ -92,33 +93,36 @@
                         answered += 1;
                         reply(new, FinalAnswer::Rejected(None));
                     }
-                    Message::Left(..) => left += 1,
+                    Message::Left(..) => cancelled += 1,
                     _ => {}
                 }
             }
         }
-        assert!(most <= 2 * MAX_REPLIES + 1, "{most} without an answer");
+        assert!(
+            max_queued <= 2 * MAX_REPLIES + 1,
+            "{max_queued} without a reply"
+        );
         harness.phase.send_replace(Phase::Ended);
         let responses = harness.remaining_responses().await.unwrap();
         assert!(
             responses.contains(&response(1000, "NAK")),
-            "{} answers, {left} left",
+            "{} responses, {cancelled} cancelled",
             responses.len()
         );
     };
     LocalSet::new().run_until(inside).await;
 }
 
-/// A connection to a server that waits for its socket reads the flag: it must not depend on
-/// mailboxes between the two.
+/// A connection to a server reads the flag while it waits for its socket. The cancellation must not
+/// depend on the channels between the two.
 #[tokio::test(flavor = "current_thread")]
 async fn a_cancellation_or_close_ends_the_cancellation_flag_at_once() {
     let inside = async {
-        for called_off in [true, false] {
+        for is_cancelled in [true, false] {
             let mut harness = connect(Phase::Serving, &request(1)).await;
             let new = harness.request().await;
             assert!(new.wanted.still());
-            if called_off {
+            if is_cancelled {
                 harness
                     .peer
                     .write_all(&message(&["ABORT", "1"]))
@@ -128,7 +132,7 @@
                 harness.peer.shutdown().await.unwrap();
             }
             let Some(Message::Left(..)) = harness.messages.recv().await else {
-                panic!("not heard")
+                panic!("the decider was not notified")
             };
             assert!(!new.wanted.still());
         }
@@ -136,9 +140,9 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// A close over bytes that nobody has read yet takes nothing along that was responses before.
+/// Closing a socket with unread data would reset the connection and lose the final responses.
 #[tokio::test(flavor = "current_thread")]
-async fn final_answers_arrive_when_many_bytes_follow_a_protocol_violation() {
+async fn final_responses_arrive_when_many_bytes_follow_a_protocol_violation() {
     let inside = async {
         let mut harness = connect(Phase::Serving, &request(1)).await;
         let _new = harness.request().await;
@@ -152,13 +156,14 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Afterwards, with nothing left to answer, the connection is closed in order.
+/// The connection is closed gracefully after the response.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_request_that_comes_as_the_idle_timeout_fires_is_answered() {
     let inside = async {
         let mut harness = connect(Phase::Serving, &message(&["HEALTH", "1", ""])).await;
         assert_eq!(harness.peer.peek(&mut [0]).await.unwrap(), 1);
-        // Its turn comes with the timer fired and nothing to read; then the request is there.
+        // The connection is polled with its timer expired and nothing to read; then the request
+        // arrives.
         tokio::time::advance(IDLE_TIMEOUT).await;
         assert!(harness.peer.try_write(&request(2)).unwrap() > 0);
         let new = harness.request().await;
@@ -169,17 +174,17 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// A client takes no answers: it is read on, for what it calls off or its close ends what is still
-/// open.
+/// The connection of a client that does not read its responses is still read, so that a
+/// cancellation or a close withdraws the open requests.
 #[tokio::test(flavor = "current_thread")]
-async fn a_cancellation_or_close_is_read_while_the_client_takes_no_answers() {
+async fn a_cancellation_or_close_is_read_while_the_client_reads_no_responses() {
     let inside = async {
-        for called_off in [true, false] {
+        for is_cancelled in [true, false] {
             let received: Vec<u8> = (1..=32).flat_map(request).collect();
             let mut harness = connect(Phase::Serving, &received).await;
             harness.serve(1..=31).await;
             let open = harness.request().await;
-            if called_off {
+            if is_cancelled {
                 harness
                     .peer
                     .write_all(&message(&["ABORT", "32"]))
@@ -189,21 +194,21 @@
                 harness.peer.shutdown().await.unwrap();
             }
             harness.settle().await;
-            assert!(!open.wanted.still(), "called off: {called_off}");
+            assert!(!open.wanted.still(), "cancelled: {is_cancelled}");
         }
     };
     LocalSet::new().run_until(inside).await;
 }
 
-/// More answers wait than a client that keeps to the protocol can have open: what it asks for then
-/// is rejected before it goes on.
+/// More responses wait than a client can cause within the protocol's limits: new requests are
+/// rejected without being sent to the decider.
 #[tokio::test(flavor = "current_thread")]
-async fn requests_are_rejected_behind_too_many_answers_that_the_client_does_not_take() {
+async fn requests_are_rejected_while_too_many_responses_wait_for_the_client() {
     let inside = async {
         let received: Vec<u8> = (1..=32).flat_map(request).collect();
         let mut harness = connect(Phase::Serving, &received).await;
         harness.serve(1..=32).await;
-        // The system has taken a part of the first: there is space for one more.
+        // A part of the first response is in the socket buffers, which leaves room for one more.
         harness.peer.write_all(&request(33)).await.unwrap();
         harness.serve(33..=33).await;
         harness.peer.write_all(&request(34)).await.unwrap();
@@ -211,28 +216,28 @@
         while let Ok(message) = harness.messages.try_recv() {
             assert!(
                 !matches!(message, Message::Request(new) if new.tag == 34),
-                "handed on"
+                "sent to the decider"
             );
         }
         harness.phase.send_replace(Phase::Ended);
         let responses = harness.remaining_responses().await.unwrap();
         assert!(
             responses.contains(&response(34, "NAK w=70")),
-            "{} answers",
+            "{} responses",
             responses.len()
         );
     };
     LocalSet::new().run_until(inside).await;
 }
 
-/// Otherwise a cancellation would lie unread while attempts begin.
+/// Otherwise a cancellation would stay unread while attempts start.
 #[tokio::test(flavor = "current_thread")]
-async fn open_requests_fail_once_their_client_is_read_no_more() {
+async fn open_requests_fail_when_reading_from_their_client_stops() {
     let inside = async {
         let mut harness = connect(Phase::Serving, &[request(1), request(2)].concat()).await;
         harness.serve(1..=1).await;
         let open = harness.request().await;
-        let health: Vec<u8> = (3..3 + STOP_READING_AT_PIECES as u64)
+        let health: Vec<u8> = (3..3 + READ_PAUSE_THRESHOLD_CHUNKS as u64)
             .flat_map(|tag| message(&["HEALTH", &tag.to_string(), ""]))
             .collect();
         harness.peer.write_all(&health).await.unwrap();
@@ -247,18 +252,18 @@
         let responses = harness.remaining_responses().await.unwrap();
         assert!(
             responses.contains(&response(2, "FAIL")),
-            "{} answers",
+            "{} responses",
             responses.len()
         );
     };
     LocalSet::new().run_until(inside).await;
 }
 
-/// Before that it gets its answers complete, however late it takes them.
+/// Before that, the client gets complete responses however late it reads them.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_client_that_takes_no_answers_is_closed_only_after_its_deadlines() {
+async fn a_client_that_reads_no_responses_is_closed_only_after_its_deadlines() {
     let inside = async {
-        hold_time();
+        disable_auto_advance();
         for (within_ms, is_answered) in [(20_000, true), (4000, false)] {
             let mut harness = connect(Phase::Serving, &request_within(1, within_ms)).await;
             harness.serve(1..=1).await;
@@ -271,12 +276,12 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// A protocol violation ends the connection of a slow reader: all that it is owed is written while
-/// its time lasts.
+/// After a protocol violation, a client that reads slowly still gets all responses until its
+/// deadlines pass.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn answers_before_a_protocol_violation_reach_a_slow_reader() {
+async fn responses_before_a_protocol_violation_reach_a_slow_reader() {
     let inside = async {
-        hold_time();
+        disable_auto_advance();
         let mut harness = connect(Phase::Serving, &[request(1), request(2)].concat()).await;
         harness.serve(1..=1).await;
         let _open = harness.request().await;
@@ -293,9 +298,9 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// They have been read, and their client waits for their answers.
+/// The messages have been read, and the client waits for the responses.
 #[tokio::test(flavor = "current_thread")]
-async fn complete_messages_behind_a_protocol_violation_are_answered_once() {
+async fn complete_messages_after_a_protocol_violation_are_answered_once() {
     let inside = async {
         let no_tag = message(&["REQ", "x", "page", "", ""]);
         for violation in [request(1), no_tag] {
@@ -323,14 +328,14 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// The connection waits to hand a request to the decider while more are received. Those that are
-/// received on an idle connection lose no time.
+/// The connection waits for capacity of the decider's channel while more requests arrive. No time
+/// is charged to requests that arrive on an idle connection.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn time_spent_unread_while_the_connection_waited_counts_against_a_request() {
     let inside = async {
-        hold_time();
+        disable_auto_advance();
         let mut harness =
-            connect_with_mailbox(1, Phase::Serving, &[request(1), request(2)].concat()).await;
+            connect_with_capacity(1, Phase::Serving, &[request(1), request(2)].concat()).await;
         let clock = Clock::start();
         harness.settle().await;
         harness.peer.write_all(&request(3)).await.unwrap();
--- a/crates/router/src/client_connection/write_buffer.rs
+++ b/crates/router/src/client_connection/write_buffer.rs
@@ -1,4 +1,4 @@
-//! Responses of one connection that wait to be written.
+//! Buffers the responses of one connection until they are written.
 
 use crate::client_protocol::{RESPONSE_END, ResponseStatus, response_head};
 use crate::messages::FinalAnswer;
@@ -10,18 +10,18 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-/// The pieces of a response: what comes before its body, the body, the end.
-pub(super) const PIECES_PER_RESPONSE: usize = 3;
-/// Pieces given to the system at once.
-const MAX_PIECES_PER_WRITE: usize = 16;
+/// The chunks of a response: the head, the body and the terminator.
+pub(super) const CHUNKS_PER_RESPONSE: usize = 3;
+/// Chunks passed to one vectored write.
+const MAX_CHUNKS_PER_WRITE: usize = 16;
 
-/// Bytes to be written, in order, and how many bytes of bodies they held.
+/// Chunks to be written, in order, and the number of body bytes to report as released.
 #[derive(Default)]
 pub(super) struct WriteBuffer {
-    pieces: VecDeque<Bytes>,
-    /// Bytes of bodies that the decider still counts as in memory.
+    chunks: VecDeque<Bytes>,
+    /// Body bytes that the decider still counts as in memory.
     body_bytes: usize,
-    awaited_until: Option<Instant>,
+    latest_deadline: Option<Instant>,
 }
 
 impl WriteBuffer {
@@ -51,85 +51,85 @@
         self.push(response_head(tag, status, fields, 0), Bytes::new());
     }
 
-    /// Adds a rejection, with the time after which the request may be sent again.
+    /// Adds a rejection with a retry delay.
     pub(super) fn push_rejection(&mut self, tag: u64, retry_after: Option<Duration>) {
         let fields = retry_after.map_or(String::new(), |wait| format!("w={}", wait.as_millis()));
         self.push_status(tag, ResponseStatus::Rejected, &fields);
     }
 
-    /// Adds a response: what comes before its body, and the body.
+    /// Adds a response with this head and body.
     pub(super) fn push(&mut self, head: Bytes, body: Bytes) {
         self.body_bytes += body.len();
-        let pieces = [head, body, Bytes::from_static(RESPONSE_END)];
-        self.pieces
-            .extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
+        let chunks = [head, body, Bytes::from_static(RESPONSE_END)];
+        self.chunks
+            .extend(chunks.into_iter().filter(|chunk| !chunk.is_empty()));
     }
 
-    /// Counts the body of an answer that nobody waits for: it is dropped unwritten.
-    pub(super) fn drop_answer(&mut self, answer: &FinalAnswer) {
+    /// Counts the body of an answer to a cancelled request, which is discarded unwritten.
+    pub(super) fn discard_answer(&mut self, answer: &FinalAnswer) {
         if let FinalAnswer::Served { body, .. } = answer {
             self.body_bytes += body.len();
         }
     }
 
-    /// Writes as much as the system takes now.
+    /// Writes as much as the socket accepts in one call.
     ///
     /// # Errors
-    /// Where the connection is gone.
+    /// If the connection is broken.
     pub(super) async fn write(
         &mut self,
         writer: &mut (impl AsyncWriteExt + Unpin),
     ) -> io::Result<()> {
         let slices: Vec<IoSlice> = self
-            .pieces
+            .chunks
             .iter()
-            .take(MAX_PIECES_PER_WRITE)
-            .map(|piece| IoSlice::new(piece))
+            .take(MAX_CHUNKS_PER_WRITE)
+            .map(|chunk| IoSlice::new(chunk))
             .collect();
         let written = Uninterrupted::new(writer).write_vectored(&slices).await?;
         self.advance(written);
         Ok(())
     }
 
-    /// Writes all that is left, or until the connection is gone.
+    /// Writes all chunks, or as many as it can until the connection breaks.
     pub(super) async fn write_all(&mut self, writer: &mut (impl AsyncWriteExt + Unpin)) {
         while !self.is_empty() && self.write(writer).await.is_ok() {}
     }
 
     fn advance(&mut self, mut written: usize) {
-        while let Some(piece) = self.pieces.front_mut().filter(|_| written > 0) {
-            let part = piece.len().min(written);
-            piece.advance(part);
-            written -= part;
-            if piece.is_empty() {
-                self.pieces.pop_front();
+        while let Some(chunk) = self.chunks.front_mut().filter(|_| written > 0) {
+            let length = chunk.len().min(written);
+            chunk.advance(length);
+            written -= length;
+            if chunk.is_empty() {
+                self.chunks.pop_front();
             }
         }
     }
 
-    /// Whether all is written.
+    /// Whether everything has been written.
     pub(super) fn is_empty(&self) -> bool {
-        self.pieces.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// How many pieces wait to be written.
+    /// The number of chunks that wait to be written.
     pub(super) fn len(&self) -> usize {
-        self.pieces.len()
+        self.chunks.len()
     }
 
-    /// Takes the count of bytes of bodies that are in memory no more, or will not be in a moment.
+    /// Takes the number of body bytes that have been released or are about to be.
     pub(super) fn take_body_bytes(&mut self) -> usize {
         std::mem::take(&mut self.body_bytes)
     }
 
-    /// Notes until when the client waits for the answer to one of its requests.
-    pub(super) fn await_until(&mut self, deadline: Instant) {
-        self.awaited_until = self.awaited_until.max(Some(deadline));
+    /// Records the deadline of a request.
+    pub(super) fn extend_deadline(&mut self, deadline: Instant) {
+        self.latest_deadline = self.latest_deadline.max(Some(deadline));
     }
 
-    /// Until when the client waits for an answer to any of its requests, and this time at least.
+    /// The latest deadline of the connection's requests, but no earlier than `at_least`.
     pub(super) fn deadline(&self, at_least: Instant) -> Instant {
-        self.awaited_until
+        self.latest_deadline
             .map_or(at_least, |until| until.max(at_least))
     }
 }
--- a/crates/router/src/client_connection/write_buffer/tests.rs
+++ b/crates/router/src/client_connection/write_buffer/tests.rs
@@ -3,14 +3,14 @@
 use std::task::{Context, Poll};
 use tokio::io::AsyncWrite;
 
-/// Takes one byte of each write, after it has been interrupted.
+/// A writer that fails every other write with `EINTR` and accepts one byte in the others.
 #[derive(Default)]
-struct Interrupted {
+struct InterruptedWriter {
     taken: Vec<u8>,
     interrupted: bool,
 }
 
-impl AsyncWrite for Interrupted {
+impl AsyncWrite for InterruptedWriter {
     fn poll_write(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -34,8 +34,8 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_answer_arrives_complete_through_interrupted_and_short_writes() {
-    let (mut write_buffer, mut writer) = (WriteBuffer::default(), Interrupted::default());
+async fn a_response_is_written_completely_through_interrupted_and_short_writes() {
+    let (mut write_buffer, mut writer) = (WriteBuffer::default(), InterruptedWriter::default());
     write_buffer.push(
         response_head(7, ResponseStatus::Served, "", 3),
         Bytes::from_static(b"abc"),
@@ -44,7 +44,7 @@
         write_buffer
             .write(&mut writer)
             .await
-            .expect("an interrupted write is no break");
+            .expect("an interrupted write does not break the connection");
     }
     assert_eq!(
         writer.taken,
