--- a/crates/router/src/client_protocol.rs
+++ b/crates/router/src/client_protocol.rs
@@ -1,69 +1,68 @@
-//! The clients' protocol: RESP arrays of bulk strings in, responses out. Does no I/O.
+//! The client protocol: decodes RESP arrays of bulk strings and encodes responses. Does no I/O.
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::fmt::Write;
 
-/// The most parts of an array, and the most bytes of each: verb, tag, class, fields, and a body, of
-/// which a write brings up to 48,000 bytes. What is longer is refused before it takes memory.
+/// Maximum length of each part of an array: command, tag, class, fields and body. The body of a
+/// write has up to 48,000 bytes. Longer parts are rejected before memory is allocated for them.
 const MAX_PART_BYTES: [usize; 5] = [16, 20, 64, 1_024, 64_000];
-/// The digits of a length, with room for leading zeros.
+/// Maximum digits of a length, which may have leading zeros.
 const MAX_LENGTH_DIGITS: usize = 12;
-/// The digits of a number that is sure to fit into 64 bits.
+/// Every number of this many digits fits into 64 bits.
 const MAX_NUMBER_DIGITS: usize = 18;
 const LINE_END: &[u8] = b"\r\n";
 
-/// What follows the body of a response.
+/// Terminates a response, after its body.
 pub const RESPONSE_END: &[u8] = LINE_END;
 
-/// Why a client's stream cannot be read any further.
+/// Why a client's stream cannot be decoded any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Nothing answers an empty array, so that a stream of them would go on for ever.
-    #[error("an array without parts")]
+    /// Empty arrays get no response, so a client could send an endless stream of them.
+    #[error("empty array")]
     EmptyArray,
     /// No message has this many parts.
-    #[error("an array of {0} parts")]
+    #[error("array of {0} parts")]
     TooManyParts(usize),
-    /// The part at this index is longer than it may be.
-    #[error("part {index} of an array is {length} bytes long")]
+    /// The part at this index exceeds its maximum length.
+    #[error("part {index} of an array is too long: {length} bytes")]
     PartTooLong {
-        /// The part's index in its array.
         index: usize,
-        /// The length that it announced.
+        /// The announced length.
         length: usize,
     },
-    /// A part is not followed by the end of a line.
-    #[error("a part does not end where its length says")]
+    /// A part is not followed by a line end.
+    #[error("part not terminated after its announced length")]
     UnterminatedPart,
-    /// Something else came where the length of an array or of a part was expected.
-    #[error("no length where one was expected")]
+    /// The header of an array or of a part is not a valid length.
+    #[error("invalid array or part length")]
     InvalidLength,
 }
 
-/// Takes frames from a stream that may be split anywhere.
+/// Decodes frames from a stream that may be split anywhere.
 ///
-/// What has been read of an incomplete frame is kept, so that a long one is not parsed again with
-/// every piece that comes.
+/// The decoded parts of an incomplete frame are kept, so that a long frame is not parsed again
+/// after every read.
 #[derive(Default)]
 pub struct FrameDecoder {
     parts: Vec<Bytes>,
-    /// How many parts the array has; none while its header has not come.
+    /// Number of parts of the current array, once its header has been decoded.
     expected_parts: Option<usize>,
-    /// The length of the part that is coming; none while its header has not come.
+    /// Length of the current part, once its header has been decoded.
     part_length: Option<usize>,
 }
 
 impl FrameDecoder {
-    /// Whether a part of a frame has come, but not all of it.
+    /// Whether the current frame is incomplete.
     pub fn is_inside_frame(&self) -> bool {
         self.expected_parts.is_some()
     }
 
-    /// Takes the next complete frame; its parts are the bytes that came. None: more has to come
-    /// first.
+    /// Takes the next complete frame, or none if more bytes are needed. The parts are the unchanged
+    /// bytes.
     ///
     /// # Errors
-    /// Where the stream breaks the protocol. Nothing behind that place can be read.
+    /// If the stream violates the protocol. Nothing after that can be decoded.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, FrameError> {
         let Some(expected_parts) = self.array_header(buffer)? else {
             return Ok(None);
@@ -109,7 +108,7 @@
     }
 }
 
-/// Takes a part of this length and the end of its line.
+/// Takes a part of this length and its line end.
 fn take_part(buffer: &mut BytesMut, length: usize) -> Result<Option<Bytes>, FrameError> {
     let complete = length + LINE_END.len();
     if buffer.len() < complete {
@@ -124,16 +123,16 @@
     Ok(Some(part))
 }
 
-/// Takes a length behind its sign: `*3` or `$12`.
-fn take_length(buffer: &mut BytesMut, sign: u8) -> Result<Option<usize>, FrameError> {
+/// Takes a length with its type byte: `*3` or `$12`.
+fn take_length(buffer: &mut BytesMut, type_byte: u8) -> Result<Option<usize>, FrameError> {
     let longest_line = 1 + MAX_LENGTH_DIGITS + LINE_END.len();
     let line_feed = buffer
         .iter()
         .take(longest_line)
         .position(|byte| *byte == b'\n');
     let Some(line_feed) = line_feed else {
-        let other_sign = buffer.first().is_some_and(|byte| *byte != sign);
-        return if other_sign || buffer.len() >= longest_line {
+        let is_other_type = buffer.first().is_some_and(|byte| *byte != type_byte);
+        return if is_other_type || buffer.len() >= longest_line {
             Err(FrameError::InvalidLength)
         } else {
             Ok(None)
@@ -141,26 +140,26 @@
     };
     let line = buffer.split_to(line_feed + 1);
     let length = line
-        .strip_prefix(&[sign])
+        .strip_prefix(&[type_byte])
         .and_then(|rest| rest.strip_suffix(LINE_END))
         .and_then(number)
         .ok_or(FrameError::InvalidLength)?;
     Ok(Some(length as usize))
 }
 
-/// Parses a plain decimal number of at most 18 digits.
+/// Parses an unsigned decimal number of at most 18 digits.
 pub fn number(digits: &[u8]) -> Option<u64> {
-    let plain = !digits.is_empty()
+    let is_valid = !digits.is_empty()
         && digits.len() <= MAX_NUMBER_DIGITS
         && digits.iter().all(u8::is_ascii_digit);
-    plain.then(|| {
+    is_valid.then(|| {
         digits
             .iter()
             .fold(0, |value, digit| value * 10 + u64::from(digit - b'0'))
     })
 }
 
-/// The fields of `name=value,name=value`, as the bytes that came.
+/// Splits `name=value,name=value` into fields, whose values are the unchanged bytes.
 pub fn fields(list: &Bytes) -> impl Iterator<Item = (&[u8], Bytes)> {
     list.split(|byte| *byte == b',').filter_map(|field| {
         let equals_sign = field.iter().position(|byte| *byte == b'=')?;
@@ -169,18 +168,18 @@
     })
 }
 
-/// What a response says of its request.
+/// The status of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
-    /// It was served.
+    /// The request was served.
     Served,
-    /// It did not run, and may be sent again.
+    /// The request did not run, and may be sent again.
     Rejected,
-    /// It failed, and may have run.
+    /// The request failed, and may have run.
     Failed,
-    /// To a health check: requests are welcome.
+    /// Health check: the router accepts requests.
     Ready,
-    /// To a health check: requests should go elsewhere.
+    /// Health check: requests should be sent to other routers.
     NotReady,
 }
 
@@ -196,8 +195,7 @@
     }
 }
 
-/// Encodes what comes before the body of a response; the body, unchanged, and `RESPONSE_END`
-/// follow.
+/// Encodes the head of a response, which the unchanged body and `RESPONSE_END` follow.
 pub fn response_head(tag: u64, status: ResponseStatus, fields: &str, body_length: usize) -> Bytes {
     let mut head = String::from("*4\r\n");
     for part in [&tag.to_string(), status.as_str(), fields] {
--- a/crates/router/src/client_protocol/tests.rs
+++ b/crates/router/src/client_protocol/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-fn all(frames: &mut FrameDecoder, buffer: &mut BytesMut) -> Result<Vec<Vec<Bytes>>, FrameError> {
+fn all(decoder: &mut FrameDecoder, buffer: &mut BytesMut) -> Result<Vec<Vec<Bytes>>, FrameError> {
     let mut found = Vec::new();
-    while let Some(frame) = frames.next(buffer)? {
+    while let Some(frame) = decoder.next(buffer)? {
         found.push(frame);
     }
     Ok(found)
 }
 
 #[test]
-fn frames_are_the_same_at_every_split() {
+fn frames_are_the_same_however_the_stream_is_split() {
     let stream = b"*5\r\n$3\r\nREQ\r\n$1\r\n7\r\n$7\r\nsegment\r\n$5\r\ni=a,d\r\n$6\r\n\r\n$1\r\n\r\n*2\r\n$5\r\nABORT\r\n$1\r\n7\r\n";
     let whole = all(
         &mut FrameDecoder::default(),
@@ -20,24 +20,24 @@
     assert_eq!(whole[1], [&b"ABORT"[..], b"7"]);
     assert_eq!(whole.len(), 2);
     for at in 0..=stream.len() {
-        let (mut frames, mut buffer) = (FrameDecoder::default(), BytesMut::from(&stream[..at]));
-        let mut found = all(&mut frames, &mut buffer).unwrap();
+        let (mut decoder, mut buffer) = (FrameDecoder::default(), BytesMut::from(&stream[..at]));
+        let mut found = all(&mut decoder, &mut buffer).unwrap();
         buffer.extend_from_slice(&stream[at..]);
-        found.extend(all(&mut frames, &mut buffer).unwrap());
+        found.extend(all(&mut decoder, &mut buffer).unwrap());
         assert_eq!(found, whole, "split at {at}");
     }
-    let (mut frames, mut buffer, mut found) =
+    let (mut decoder, mut buffer, mut found) =
         (FrameDecoder::default(), BytesMut::new(), Vec::new());
     for byte in stream {
         buffer.extend_from_slice(&[*byte]);
-        found.extend(all(&mut frames, &mut buffer).unwrap());
+        found.extend(all(&mut decoder, &mut buffer).unwrap());
     }
     assert_eq!(found, whole);
 }
 
 #[test]
-fn invalid_frames_are_refused_before_they_take_memory() {
-    let bad = [
+fn invalid_frames_are_rejected_before_memory_is_allocated() {
+    let invalid = [
         "PING\r\n",
         "*6\r\n",
         "*0\r\n",
@@ -53,14 +53,14 @@
         "*1\n",
         "*1\r\n$\r\n",
     ];
-    for text in bad {
-        let (mut frames, mut buffer) = (FrameDecoder::default(), BytesMut::from(text));
-        assert!(all(&mut frames, &mut buffer).is_err(), "{text:?}");
+    for text in invalid {
+        let (mut decoder, mut buffer) = (FrameDecoder::default(), BytesMut::from(text));
+        assert!(all(&mut decoder, &mut buffer).is_err(), "{text:?}");
     }
 }
 
 #[test]
-fn fields_are_the_bytes_that_came() {
+fn fields_are_the_received_bytes() {
     let list = Bytes::from_static(b"i=9b,d=1500,,x,ver=a=b");
     let found: Vec<_> = fields(&list).collect();
     assert_eq!(found[1], (&b"d"[..], Bytes::from_static(b"1500")));
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -1,4 +1,5 @@
-//! What the actors of a router say to one another: below all of them, so that none needs another's file.
+//! Messages between the actors of a router, in a module of their own so that the actors do not
+//! depend on one another.
 
 use crate::operator_query::Query;
 use crate::server_protocol::{Answer, ForwardedFields};
@@ -13,48 +14,50 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// To the decider.
+/// A message to the decider.
 pub enum Message {
     Request(Box<NewRequest>),
-    /// The client of this connection has given up what it asked under this tag, or is gone.
+    /// The client has cancelled the request with this id and tag, or its connection has closed.
     Left(Id, u64, mpsc::Sender<ClientReply>),
-    /// So many bytes of bodies have been written to a client, or dropped.
+    /// This many body bytes have been written to a client, or dropped.
     Written(usize),
     Ended(AttemptEnded),
-    /// The actor of this server has ended, with nothing out: another is started when it is needed.
+    /// The actor of this server has ended with no attempts in flight. A new one is started when one
+    /// is needed.
     ServerRests(Id),
-    /// An order to the disk of own copies has ended.
+    /// A disk operation of the local cache has ended.
     Disk(End),
-    /// A datagram from the router of this number.
+    /// A datagram from the router with this number.
     Peer(u64, Box<[u8]>),
-    /// A word to an edge came back after so long; none: it did not.
+    /// The result of a latency probe of the edge with this index: its round-trip time, or none if
+    /// it failed.
     Way(usize, Option<Duration>),
-    /// An operator asks.
     OperatorQuery(OperatorQuery),
     Stop,
 }
 
-/// A request as a client's connection read it.
+/// A request that was received on a client connection.
 pub struct NewRequest {
-    /// What the decisions need of it.
+    /// The fields that decisions are based on.
     pub arrival: Arrival,
-    /// What goes on to a server as it came.
+    /// The fields that are forwarded to a server unchanged.
     pub passed: ForwardedFields,
-    /// The earliest time at which it may have come: it may have lain unread since.
+    /// The earliest time at which it may have arrived; it may have been unread since then.
     pub received_after: Duration,
-    /// Its name on its connection.
+    /// Identifies it on its connection.
     pub tag: u64,
-    /// The reserved space for its final answer, which so cannot be lost for want of one.
+    /// Reserved capacity for the final answer, so that sending it cannot fail.
     pub client: mpsc::OwnedPermit<ClientReply>,
-    /// Ended by the client's connection and by the decider.
+    /// Ended by the client connection or by the decider.
     pub wanted: CancellationFlag,
 }
 
 /// Whether a request still waits for its final answer.
 ///
-/// Its client's connection and the decider end it; a connection to a server reads it where the first
-/// byte of an attempt is sent. It is the one thing that tasks share: a cancellation that went through
-/// the mailboxes between them could come behind that byte, or nowhere where one of them is full.
+/// The client connection and the decider end it; a server connection reads it immediately before it
+/// sends the first byte of an attempt. It is the only state that tasks share: a cancellation sent
+/// through the channels between them could arrive after that byte, or not at all if a channel is
+/// full.
 #[derive(Clone, Debug)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
@@ -65,7 +68,7 @@
 }
 
 impl CancellationFlag {
-    /// Says that the request has its final answer or was cancelled: no further attempt may begin.
+    /// Marks the request as answered or cancelled: no further attempt may start.
     pub fn end(&self) {
         self.0.set(false);
     }
@@ -76,25 +79,23 @@
     }
 }
 
-/// The final answer of a request, for its client.
+/// The final answer to a request, sent to its client connection.
 #[derive(Debug)]
 pub struct ClientReply {
-    /// The request's name on its connection.
+    /// Identifies the request on its connection.
     pub tag: u64,
-    /// The request's id: its client may have used the tag for another one meanwhile.
+    /// The request's id. Its client may have reused the tag since.
     pub id: Id,
-    /// The answer itself.
     pub last: FinalAnswer,
 }
 
-/// What a client is told of its request in the end.
+/// The result of a request for its client.
 #[derive(Debug)]
 pub enum FinalAnswer {
     /// The request was served, with this copy.
     Served {
         /// The copy's version.
         etag: Option<Bytes>,
-        /// The copy itself.
         body: Bytes,
     },
     /// The client's own copy is still valid.
@@ -102,130 +103,118 @@
         /// The version that both copies have.
         etag: Option<Bytes>,
     },
-    /// The request did not run; it may be sent again after this time.
+    /// The request did not run, and may be sent again after this time.
     Rejected(Option<Duration>),
     /// The request failed, and may have run.
     Failed,
 }
 
-/// A question from an operator, and where its answer goes.
+/// An operator's query, with the channel for its answer.
 pub struct OperatorQuery {
     pub query: Query,
     pub answer: oneshot::Sender<Value>,
 }
 
-/// A connection's end of its slot: through it the connection reports its status, and hears that its
-/// slot is needed for another one.
+/// A client connection's end of its slot, on which it reports its status and receives eviction
+/// requests.
 pub struct ConnectionSlot {
-    /// The slot's number, which no other slot ever has.
+    /// The slot's number, which is never reused.
     pub id: SlotId,
-    /// Requests to close the connection once nothing is open on it.
+    /// Requests to close the connection once it is idle.
     pub eviction_requests: mpsc::Receiver<()>,
-    /// To the listener.
+    /// Sends to the listener.
     pub status_updates: mpsc::Sender<SlotUpdate>,
 }
 
 /// The number of a connection slot.
 pub type SlotId = u64;
 
-/// How much a connection needs its slot.
+/// The status of a connection, by which the listener selects slots for eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotStatus {
-    /// Nothing has come on the connection yet.
+    /// No message has been received yet.
     Unused,
-    /// Its client has sent messages, and all are answered.
+    /// Messages have been received, and all are answered.
     Idle,
-    /// A message is on its way, a request is open, or an answer waits to be written.
+    /// A message is incomplete, a request is open, or a response waits to be written.
     Busy,
 }
 
-/// The new status of a connection.
+/// Reports a new status of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotUpdate {
-    /// The connection's slot.
     pub slot: SlotId,
-    /// Its status from now on.
     pub status: SlotStatus,
 }
 
 /// Identifies one attempt of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request.
     pub request: Id,
-    /// The number of the attempt within its request, from 0.
+    /// Counts the attempts of a request from 0.
     pub number: usize,
 }
 
-/// One attempt on its way to a server.
+/// An attempt to be sent to a server.
 #[derive(Debug)]
 pub struct AttemptRequest {
-    /// Which attempt it is.
     pub attempt: AttemptId,
-    /// What the server receives as the client sent it.
+    /// The fields that are sent to the server as the client sent them.
     pub forwarded: ForwardedFields,
-    /// The name of the server.
+    /// The server's name.
     pub server: Id,
-    /// What the server does on a miss. The request line is encoded from it when its first byte
-    /// leaves.
+    /// What the server does on a miss. The request line is encoded from it when its first byte is
+    /// sent.
     pub fill: Fill,
-    /// It must not run twice: if its connection breaks, the attempt has failed.
+    /// The request must not run twice: if its connection breaks, the attempt has failed.
     pub is_non_idempotent: bool,
-    /// Whether somebody still waits for the request.
+    /// Whether the request still waits for its final answer.
     pub cancellation: CancellationFlag,
     /// The attempt times out at this time.
     pub deadline: Instant,
-    /// The first byte leaves before this time, or the attempt is not sent.
+    /// The attempt is not sent unless its first byte is sent before this time.
     pub send_by: Instant,
 }
 
 /// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptEnded {
-    /// Which attempt has ended.
     pub attempt: AttemptId,
-    /// How it has ended.
     pub outcome: Outcome,
-    /// What the server answered, if it did.
+    /// The server's answer, if there was one.
     pub answer: Option<Box<Answer>>,
 }
 
-/// From the actor of a server to one of its connections.
+/// A command from the actor of a server to one of its connections.
 pub enum ConnectionCommand {
-    /// Send this attempt.
     Send(Box<AttemptRequest>),
-    /// Cancel this attempt.
     Cancel(AttemptId),
 }
 
-/// To the actor of a server.
+/// A command or an event for the actor of a server.
 pub enum ServerCommand {
-    /// Send this attempt.
     Send(Box<AttemptRequest>),
-    /// Cancel this attempt.
     Cancel(AttemptId),
-    /// The endpoint list has a new start or address of the server: connections from before it are
+    /// The endpoint list has a new start time or address of the server: older connections are
     /// retired.
     Reconnect {
-        /// Where the server is now.
         address: SocketAddr,
-        /// When it last started, if that is known.
+        /// When the server last started, if that is known.
         started_at: Option<Instant>,
     },
-    /// Something happened on a connection of this server.
+    /// An event on a connection of this server.
     Connection {
         /// The number of the connection.
         number: u64,
-        /// What happened.
         event: ConnectionEvent,
     },
 }
 
-/// From a connection to the actor of its server.
+/// An event reported by a connection to the actor of its server.
 pub enum ConnectionEvent {
-    /// The connection is established.
     Established,
-    /// This machine lacked a resource to connect. The ends of the queued attempts follow.
+    /// The connect failed because this machine lacked a resource. The results of the queued
+    /// attempts follow.
     LocalFailure,
     /// An attempt on this connection has ended.
     AttemptEnded(ConnectionAttemptEnded),
@@ -233,16 +222,14 @@
     Closed,
 }
 
-/// The result of an attempt, with what it says about its connection.
+/// The result of an attempt, with what it shows about the connection.
 #[derive(Debug)]
 pub struct ConnectionAttemptEnded {
-    /// The result.
     pub ended: AttemptEnded,
-    /// Nothing was received since the attempt was sent, for as long as a connect may take: the
-    /// server may have vanished.
+    /// Nothing has been received since the attempt was sent, for at least the connect timeout: the
+    /// server may have disappeared.
     pub is_silent: bool,
 }
 
-/// Builders of messages for tests.
 #[cfg(test)]
 pub mod fixtures;
--- a/crates/router/src/messages/fixtures.rs
+++ b/crates/router/src/messages/fixtures.rs
@@ -1,4 +1,4 @@
-//! Builders of attempts for tests.
+//! Builders of attempt messages for tests.
 
 use super::{AttemptId, AttemptRequest, CancellationFlag};
 use crate::server_protocol::ForwardedFields;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The attempt of this number of a request.
+/// The id of the attempt with this number.
 pub fn attempt_id(request: &str, number: usize) -> AttemptId {
     AttemptId {
         request: request.into(),
@@ -15,7 +15,7 @@
     }
 }
 
-/// The first attempt of a request, at a server `s` that makes no fill.
+/// The first attempt of a request, to a server `s` that must not fill.
 pub fn attempt_request(
     request: &str,
     timeout: Duration,
