--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -1,5 +1,5 @@
-//! Accepts clients' connections while there are slots for them, and waits for the last answers at
-//! the end.
+//! Accepts client connections while there are free slots, and waits for the last responses to be
+//! written at the end.
 
 mod binding;
 mod connection_slots;
@@ -25,26 +25,28 @@
 use tokio::task::{Id as TaskId, JoinError, JoinSet, yield_now};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The pause after an accept failed for want of descriptors or memory, or for a reason that will
-/// not pass by itself.
+/// The pause after an accept that failed for lack of descriptors or memory, or for a reason that
+/// may last.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// After so many connections in a row that failed as they were accepted there is a pause too, lest
-/// nothing else gets done.
+/// Accepting also pauses after this many consecutive connections that failed while being accepted,
+/// so that other tasks can run.
 const PAUSE_AFTER_FAILURES: usize = 32;
-/// Accepts that fail as the router ends are tried again for so long.
-const FINAL_ACCEPT_RETRIES: Duration = Duration::from_millis(40);
-/// Within this a connection that the system has accepted can be taken.
+/// Failed accepts are retried for this long after the router has ended.
+const FINAL_ACCEPT_RETRY_TIMEOUT: Duration = Duration::from_millis(40);
+/// A connection in the accept queue can be taken within this time.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
-/// For the last answers to be written.
+/// Time for connections to write the last responses and close.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
-/// For what is left to be done where the program itself was held up for as long.
-const FINAL_TURN_TIMEOUT: Duration = Duration::from_millis(20);
-/// Status updates of connections that wait for the listener.
+/// Additional time for connections to be polled if this process was delayed for all of
+/// `FINAL_WRITE_TIMEOUT`.
+const FINAL_POLL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Capacity of the channel for status updates of connections.
 const MAX_QUEUED_UPDATES: usize = 64;
 
-/// Where clients' connections come from: the listening socket, or a test double of it.
+/// The source of client connections: the listening socket, or a test double of it.
 pub trait Accept {
-    /// Waits for the next connection. Dropped before it is ready, it has taken none.
+    /// Waits for the next connection. Cancel safe: if the future is dropped before it is ready, no
+    /// connection has been taken.
     fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
 }
 
@@ -54,9 +56,8 @@
     }
 }
 
-/// What follows an accept that failed, the last of so many in a row: idle connections are evicted
-/// where no descriptor is left and a pause did not bring one, and nothing is accepted for the time
-/// that is returned.
+/// Handles a failed accept, the last of `failures_in_a_row`. Idle connections are evicted if no
+/// descriptor became free during an earlier pause. Returns how long to pause accepting.
 fn after_failed_accept(
     failure: AcceptFailure,
     failures_in_a_row: usize,
@@ -76,9 +77,9 @@
     }
 }
 
-/// The next connection that the system has accepted before the router's end. None: there is none,
-/// or it cannot be had in time.
-async fn next_waiting(listener: &impl Accept, give_up_at: Instant) -> Option<TcpStream> {
+/// Takes the next connection from the accept queue after the router has ended. None: the queue is
+/// empty, or accepts fail until `give_up_at`.
+async fn next_pending(listener: &impl Accept, give_up_at: Instant) -> Option<TcpStream> {
     loop {
         let error = match timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
             Ok(Ok(stream)) => return Some(stream),
@@ -91,16 +92,16 @@
         if AcceptFailure::from(&error).is_transient() {
             yield_now().await;
         } else {
-            // Clients that have their last answers close meanwhile.
+            // Clients that have received their last responses close meanwhile and free resources.
             sleep(FINAL_ACCEPT_TIMEOUT).await;
         }
     }
 }
 
-/// Runs until the router has ended and the last answers are written.
+/// Runs until the router has ended and the last responses have been written.
 ///
-/// Past `max_connections`, idle connections are evicted; where none is idle, new ones wait to be
-/// accepted until one closes.
+/// At `max_connections`, idle connections are evicted. If none is idle, new connections wait to be
+/// accepted until another one closes.
 pub async fn run(
     listener: impl Accept,
     max_connections: usize,
@@ -117,7 +118,7 @@
         phase,
         connections: JoinSet::new(),
         slots: ConnectionSlots::default(),
-        slot_of_task: HashMap::new(),
+        slots_by_task: HashMap::new(),
         status_sender,
         status_updates,
         failures_log: RateLimitedLog::default(),
@@ -128,7 +129,7 @@
     accept_loop.shut_down().await;
 }
 
-/// What the accept loop has waited for.
+/// An event that the accept loop waits for.
 enum Event {
     RouterEnded,
     StatusChanged(SlotUpdate),
@@ -145,13 +146,13 @@
     phase: watch::Receiver<Phase>,
     connections: JoinSet<()>,
     slots: ConnectionSlots,
-    slot_of_task: HashMap<TaskId, SlotId>,
+    slots_by_task: HashMap<TaskId, SlotId>,
     status_sender: mpsc::Sender<SlotUpdate>,
     status_updates: mpsc::Receiver<SlotUpdate>,
     failures_log: RateLimitedLog,
     failures_in_a_row: usize,
-    /// After a failed accept: none before then. Status updates are taken meanwhile, lest
-    /// connections wait.
+    /// Accepting is paused until this time. Status updates are still received, so that connections
+    /// are not blocked.
     paused_until: Option<Instant>,
 }
 
@@ -164,7 +165,7 @@
                 Event::ConnectionClosed(ended) => self.release_slot(ended),
                 Event::PauseElapsed => self.paused_until = None,
                 Event::Accepted(Ok(stream)) => self.start_connection(stream),
-                Event::Accepted(Err(error)) => self.note_failure(&error),
+                Event::Accepted(Err(error)) => self.handle_accept_failure(&error),
             }
             self.slots.keep_one_free(self.max_connections);
         }
@@ -194,11 +195,11 @@
         let task = match ended {
             Ok((task, ())) => task,
             Err(error) => {
-                log::error!(error:% = error; "a connection's task failed");
+                log::error!(error:% = error; "client connection task failed");
                 error.id()
             }
         };
-        if let Some(slot) = self.slot_of_task.remove(&task) {
+        if let Some(slot) = self.slots_by_task.remove(&task) {
             self.slots.release(slot);
         }
     }
@@ -214,31 +215,31 @@
             slot,
         };
         let task = self.connections.spawn_local(connection.run(stream));
-        self.slot_of_task.insert(task.id(), slot_id);
+        self.slots_by_task.insert(task.id(), slot_id);
     }
 
-    fn note_failure(&mut self, error: &io::Error) {
+    fn handle_accept_failure(&mut self, error: &io::Error) {
         self.failures_in_a_row += 1;
         let failure = AcceptFailure::from(error);
         let pause = after_failed_accept(failure, self.failures_in_a_row, &mut self.slots);
         if pause.is_some() {
             self.failures_log
-                .log_error("no connection could be accepted", error);
+                .log_error("accepting client connections failed", error);
         } else {
-            log::debug!(error:% = error; "a connection failed before it was accepted");
+            log::debug!(error:% = error; "client connection failed before it was accepted");
         }
         self.paused_until = pause.map(|pause| Instant::now() + pause);
     }
 
-    /// Serves the connections that the system has accepted already: what came on them is owed an
-    /// answer too. Then waits for the last answers to be written.
+    /// Serves the connections in the accept queue, since requests on them must be answered too.
+    /// Then waits for the last responses to be written.
     async fn shut_down(mut self) {
-        // Nobody reads them any more: no connection may wait for that.
+        // Updates are not read any more: no connection may block on sending one.
         self.status_updates.close();
         while self.status_updates.try_recv().is_ok() {}
-        let give_up_at = Instant::now() + FINAL_ACCEPT_RETRIES;
+        let give_up_at = Instant::now() + FINAL_ACCEPT_RETRY_TIMEOUT;
         for _ in 0..ACCEPT_BACKLOG {
-            let Some(stream) = next_waiting(&self.listener, give_up_at).await else {
+            let Some(stream) = next_pending(&self.listener, give_up_at).await else {
                 break;
             };
             self.start_connection(stream);
@@ -247,9 +248,9 @@
         let mut connections = self.connections;
         let mut all_closed = pin!(async { while connections.join_next().await.is_some() {} });
         if timeout(FINAL_WRITE_TIMEOUT, &mut all_closed).await.is_err() {
-            // The program itself may have been held up meanwhile: its connections have a turn after
-            // that, lest requests that lie unread on them are reset.
-            let _ = timeout(FINAL_TURN_TIMEOUT, all_closed).await;
+            // This process may have been delayed meanwhile. Its connections are polled once more,
+            // so that unread requests are answered and not reset.
+            let _ = timeout(FINAL_POLL_TIMEOUT, all_closed).await;
         }
     }
 }
--- a/crates/router/src/listener/binding.rs
+++ b/crates/router/src/listener/binding.rs
@@ -1,4 +1,4 @@
-//! Binds sockets at the start of the router, and waits for what is short for a moment.
+//! Binds sockets when the router starts, with retries while a resource is temporarily unavailable.
 
 use crate::io_errors::is_retryable;
 use std::io;
@@ -7,37 +7,36 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// The pause before a call is made again for the first time; it is doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// How often a call is made; with the pauses between this takes a second at most.
+/// The delay before the first retry. It doubles with each retry.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// With the delays between them, these attempts take at most a second.
 pub(super) const MAX_BIND_ATTEMPTS: u32 = 7;
-/// Connections that the system accepts by itself until the program takes them.
+/// Length of the system's accept queue.
 pub(super) const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Listens at an address.
+/// Listens on an address.
 ///
 /// # Errors
-/// At once where the address is taken or forbidden; after a second where something was short for
-/// that long.
+/// At once if the address is in use or not permitted; after a second if a resource is unavailable.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     bind_with(|| try_bind(address)).await
 }
 
-/// Makes a call that binds a socket, again where something is short for a moment.
+/// Calls `bind`, with retries while a resource is unavailable.
 ///
 /// # Errors
 /// The last failure.
 pub async fn bind_with<T>(mut bind: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut pause = FIRST_PAUSE;
+    let mut delay = INITIAL_RETRY_DELAY;
     for _ in 1..MAX_BIND_ATTEMPTS {
         match bind() {
             Err(error) if is_retryable(&error) => {
-                log::debug!(error:% = error; "a socket is bound again after a pause");
+                log::debug!(error:% = error; "binding a socket failed; retrying");
             }
-            done => return done,
+            result => return result,
         }
-        sleep(pause).await;
-        pause *= 2;
+        sleep(delay).await;
+        delay *= 2;
     }
     bind()
 }
--- a/crates/router/src/listener/connection_slots.rs
+++ b/crates/router/src/listener/connection_slots.rs
@@ -1,13 +1,13 @@
-//! Keeps count of clients' connections, and chooses which idle one has to close for a new one.
+//! Tracks client connections, and selects the idle ones to evict for new ones.
 
 use crate::messages::{ConnectionSlot, SlotId, SlotStatus, SlotUpdate};
 use std::collections::{BTreeMap, HashMap};
 use tokio::sync::mpsc;
 
-/// The newest of the unused connections are not evicted while another can be: their first message
-/// may be on its way.
-pub(super) const NEWEST_UNUSED_SPARED: usize = 16;
-/// How many connections may be evicted and not closed yet.
+/// This many of the newest unused connections are evicted only if no other can be: their first
+/// message may be in flight.
+pub(super) const PROTECTED_UNUSED: usize = 16;
+/// Maximum number of connections that have been asked to close and are still open.
 pub(super) const MAX_EVICTING: usize = 16;
 
 /// The listener's end of a slot.
@@ -17,13 +17,13 @@
     is_evicting: bool,
 }
 
-/// Where a slot stands among those that may be evicted.
+/// The position of a slot in the eviction queues.
 struct IdlePosition {
     status: SlotStatus,
     order: u64,
 }
 
-/// The slots that may be evicted, each queue in the order in which they got their status.
+/// The slots that may be evicted. Each queue is ordered by when the slots got their status.
 #[derive(Default)]
 struct IdleQueues {
     unused: BTreeMap<u64, SlotId>,
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Takes the unused slot that is the oldest, but for the newest ones; else the one that has
-    /// been idle for longest.
+    /// Takes the oldest unused slot if there are unprotected ones or no idle slots, or else the
+    /// slot that has been idle for longest.
     fn pop(&mut self) -> Option<SlotId> {
-        let queue = if self.unused.len() > NEWEST_UNUSED_SPARED || self.idle.is_empty() {
+        let queue = if self.unused.len() > PROTECTED_UNUSED || self.idle.is_empty() {
             &mut self.unused
         } else {
             &mut self.idle
@@ -63,18 +63,18 @@
     }
 }
 
-/// Who holds the slots. Connections that carry nothing must not keep out new ones.
+/// The slots of all client connections. Idle connections must not keep out new ones.
 #[derive(Default)]
 pub(super) struct ConnectionSlots {
     slots: HashMap<SlotId, Slot>,
     idle_queues: IdleQueues,
     evicting: usize,
-    /// The last number given to a slot or to a position in a queue.
+    /// The last number assigned to a slot or to a position in a queue.
     last_number: u64,
 }
 
 impl ConnectionSlots {
-    /// Gives a slot to a new connection.
+    /// Allocates a slot for a new connection.
     pub(super) fn take(&mut self, status_updates: mpsc::Sender<SlotUpdate>) -> ConnectionSlot {
         let (sender, eviction_requests) = mpsc::channel(1);
         let id = self.next_number();
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Notes the status of a connection.
+    /// Updates the status of a connection.
     pub(super) fn update(&mut self, update: SlotUpdate) {
         let order = self.next_number();
         let Some(slot) = self.slots.get_mut(&update.slot) else {
             return;
         };
         if slot.is_evicting {
-            // The update crossed the request: it closes once nothing is open, and no other has to
-            // for it.
+            // The update was sent before the eviction request was received. The connection closes
+            // once it is idle, so no other one has to be evicted in its place.
             return;
         }
         if let Some(position) = slot.idle_position.take() {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes back the slot of a connection that has closed.
+    /// Frees the slot of a connection that has closed.
     pub(super) fn release(&mut self, id: SlotId) {
         let Some(slot) = self.slots.remove(&id) else {
             return;
@@ -127,7 +127,7 @@
         self.evicting -= usize::from(slot.is_evicting);
     }
 
-    /// Asks one idle connection to close. One that has received a request meanwhile answers it
+    /// Asks one idle connection to close. If it has received a request meanwhile, it answers that
     /// first.
     pub(super) fn evict_one(&mut self) {
         let Some(id) = self.idle_queues.pop() else {
@@ -141,25 +141,26 @@
         self.evicting += usize::from(slot.is_evicting);
     }
 
-    /// Asks as many as may be evicted at once: those that are already still hold their descriptors.
+    /// Evicts until `MAX_EVICTING` connections are closing, which hold their descriptors until
+    /// then.
     pub(super) fn evict_many(&mut self) {
         (self.evicting..MAX_EVICTING).for_each(|_| self.evict_one());
     }
 
-    /// Keeps one slot free for the next connection.
+    /// Evicts one connection if no slot is free for the next one.
     pub(super) fn keep_one_free(&mut self, max_connections: usize) {
-        if self.staying() >= max_connections && self.evicting < MAX_EVICTING {
+        if self.not_evicting() >= max_connections && self.evicting < MAX_EVICTING {
             self.evict_one();
         }
     }
 
-    /// Whether no connection may be accepted now.
+    /// Whether no further connection may be accepted.
     pub(super) fn is_full(&self, max_connections: usize) -> bool {
-        self.staying() >= max_connections || self.slots.len() >= max_connections + MAX_EVICTING
+        self.not_evicting() >= max_connections || self.slots.len() >= max_connections + MAX_EVICTING
     }
 
-    /// Connections that were not asked to close.
-    pub(super) fn staying(&self) -> usize {
+    /// The number of connections that have not been asked to close.
+    pub(super) fn not_evicting(&self) -> usize {
         self.slots.len() - self.evicting
     }
 
--- a/crates/router/src/listener/connection_slots/tests.rs
+++ b/crates/router/src/listener/connection_slots/tests.rs
@@ -4,12 +4,12 @@
 fn evicts_the_oldest_unused_slots_then_the_longest_idle_and_the_newest_unused_last() {
     let (status_updates, _receiver) = mpsc::channel(8);
     let mut slots = ConnectionSlots::default();
-    let mut taken: Vec<ConnectionSlot> = (0..4 + NEWEST_UNUSED_SPARED)
+    let mut allocated: Vec<ConnectionSlot> = (0..4 + PROTECTED_UNUSED)
         .map(|_| slots.take(status_updates.clone()))
         .collect();
     let update = |slots: &mut ConnectionSlots, at: usize, idle| {
         slots.update(SlotUpdate {
-            slot: taken[at].id,
+            slot: allocated[at].id,
             status: if idle {
                 SlotStatus::Idle
             } else {
@@ -25,28 +25,33 @@
     let mut evicted = Vec::new();
     for _ in 0..4 {
         slots.evict_one();
-        evicted
-            .extend((0..taken.len()).filter(|at| taken[*at].eviction_requests.try_recv().is_ok()));
+        evicted.extend(
+            (0..allocated.len()).filter(|at| allocated[*at].eviction_requests.try_recv().is_ok()),
+        );
     }
     assert_eq!(
         evicted,
         [3, 1, 0, 4],
-        "the newest unused only when no other is idle"
+        "protected slots are evicted only when no other is idle"
     );
-    assert_eq!(slots.staying(), NEWEST_UNUSED_SPARED, "busy ones stay");
-    // Updates that crossed the request evict no other.
+    assert_eq!(
+        slots.not_evicting(),
+        PROTECTED_UNUSED,
+        "busy slots are not evicted"
+    );
+    // Updates sent before the eviction request was received evict no other slot.
     for idle in [false, true] {
         slots.update(SlotUpdate {
-            slot: taken[1].id,
+            slot: allocated[1].id,
             status: if idle {
                 SlotStatus::Idle
             } else {
                 SlotStatus::Busy
             },
         });
-        assert_eq!(slots.staying(), NEWEST_UNUSED_SPARED);
+        assert_eq!(slots.not_evicting(), PROTECTED_UNUSED);
     }
-    taken.iter().for_each(|slot| slots.release(slot.id));
+    allocated.iter().for_each(|slot| slots.release(slot.id));
     assert_eq!(
         (
             slots.slots.len(),
@@ -58,27 +63,27 @@
     assert_eq!(slots.evicting, 0);
 }
 
-/// Accepts go on failing until the evicted connections have closed: no others are evicted for that.
+/// Accepts fail until the evicted connections have closed: no further ones are evicted for that.
 #[test]
 fn repeated_failures_evict_no_more_slots_than_may_be_evicting_at_once() {
     let (status_updates, _receiver) = mpsc::channel(8);
     let mut slots = ConnectionSlots::default();
-    let taken: Vec<ConnectionSlot> = (0..60)
+    let allocated: Vec<ConnectionSlot> = (0..60)
         .map(|_| slots.take(status_updates.clone()))
         .collect();
     slots.update(SlotUpdate {
-        slot: taken[0].id,
+        slot: allocated[0].id,
         status: SlotStatus::Idle,
     });
     (0..3).for_each(|_| slots.evict_many());
     assert_eq!(
-        (slots.evicting, slots.staying()),
+        (slots.evicting, slots.not_evicting()),
         (MAX_EVICTING, 60 - MAX_EVICTING)
     );
-    slots.release(taken[1].id);
+    slots.release(allocated[1].id);
     slots.evict_many();
     assert_eq!(
-        (slots.evicting, slots.staying()),
+        (slots.evicting, slots.not_evicting()),
         (MAX_EVICTING, 60 - MAX_EVICTING - 1)
     );
 }
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -8,30 +8,30 @@
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The router ends while connections wait for it to accept them, with requests on them: each is
+/// The router ends while connections with requests are in the accept queue: each request is
 /// answered.
 #[tokio::test(flavor = "current_thread")]
-async fn connections_that_wait_to_be_accepted_as_the_router_ends_are_answered() {
+async fn connections_in_the_accept_queue_are_answered_as_the_router_ends() {
     let inside = async {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap();
         let at = listener.local_addr().unwrap();
-        let (_phase, phase_of) = watch::channel(Phase::Ended);
-        let (decider, _mailbox) = mpsc::channel(8);
+        let (_phase, phase_receiver) = watch::channel(Phase::Ended);
+        let (decider, _messages) = mpsc::channel(8);
         let request = "*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$4\r\npage\r\n$48\r\n\
             i=00000000000000a1,d=1500,o=00000000000000b1,m=9\r\n$0\r\n\r\n";
-        let mut waiting = Vec::new();
+        let mut clients = Vec::new();
         for _ in 0..3 {
             let mut client = tokio::net::TcpStream::connect(at).await.unwrap();
             client.write_all(request.as_bytes()).await.unwrap();
-            waiting.push(client);
+            clients.push(client);
         }
-        run(listener, 100, frontend(None), decider, phase_of).await;
-        for mut client in waiting {
+        run(listener, 100, frontend(None), decider, phase_receiver).await;
+        for mut client in clients {
             let mut received = String::new();
             client
                 .read_to_string(&mut received)
                 .await
-                .expect("no reset");
+                .expect("the connection is closed without a reset");
             assert_eq!(
                 received,
                 "*4\r\n$1\r\n1\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n"
@@ -41,20 +41,20 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// A listener that fails as a script says, one errno a call, before it accepts.
-struct Failing {
+/// A listener that fails with the errnos of a script, one for each call, before it accepts.
+struct FailingListener {
     listener: TcpListener,
     script: RefCell<VecDeque<i32>>,
     calls: Rc<Cell<usize>>,
 }
 
-impl Failing {
-    async fn new(script: &[i32]) -> (Failing, SocketAddr, Rc<Cell<usize>>) {
+impl FailingListener {
+    async fn new(script: &[i32]) -> (FailingListener, SocketAddr, Rc<Cell<usize>>) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (at, calls) = (listener.local_addr().unwrap(), Rc::new(Cell::new(0)));
         let script = RefCell::new(script.iter().copied().collect());
         (
-            Failing {
+            FailingListener {
                 listener,
                 script,
                 calls: calls.clone(),
@@ -65,7 +65,7 @@
     }
 }
 
-impl Accept for Failing {
+impl Accept for FailingListener {
     async fn accept(&self) -> io::Result<TcpStream> {
         self.calls.set(self.calls.get() + 1);
         if let Some(errno) = self.script.borrow_mut().pop_front() {
@@ -75,24 +75,24 @@
     }
 }
 
-/// What a running listener needs beside its socket.
+/// The test's ends of a running listener's channels.
 struct Harness {
     _phase: watch::Sender<Phase>,
-    _mailbox: mpsc::Receiver<Message>,
+    _messages: mpsc::Receiver<Message>,
 }
 
-fn start(listener: Failing, phase: Phase) -> (Harness, impl Future<Output = ()>) {
-    let (_phase, phase_of) = watch::channel(phase);
-    let (decider, _mailbox) = mpsc::channel(8);
+fn start(listener: FailingListener, phase: Phase) -> (Harness, impl Future<Output = ()>) {
+    let (_phase, phase_receiver) = watch::channel(phase);
+    let (decider, _messages) = mpsc::channel(8);
     (
-        Harness { _phase, _mailbox },
-        run(listener, 100, frontend(None), decider, phase_of),
+        Harness { _phase, _messages },
+        run(listener, 100, frontend(None), decider, phase_receiver),
     )
 }
 
-/// How long it took until a client that connected was answered.
+/// The time until a connecting client is answered.
 async fn answered_after(script: &[i32]) -> Duration {
-    let (listener, at, _) = Failing::new(script).await;
+    let (listener, at, _) = FailingListener::new(script).await;
     let (_harness, running) = start(listener, Phase::Serving);
     let running = tokio::task::spawn_local(running);
     let mut client = TcpStream::connect(at).await.unwrap();
@@ -107,12 +107,12 @@
     begin.elapsed()
 }
 
-/// Time is paused: it passes only where everything waits, and then to the end of a pause.
+/// Time is paused: it advances only when all tasks wait, to the end of a pause.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_connection_that_fails_as_it_is_accepted_delays_no_other() {
     let inside = async {
         use libc::*;
-        let one_connection = [
+        let per_connection = [
             ECONNABORTED,
             EPERM,
             EPROTO,
@@ -125,14 +125,14 @@
             ENETUNREACH,
             EINTR,
         ];
-        for errno in one_connection {
+        for errno in per_connection {
             assert_eq!(
                 answered_after(&[errno]).await,
                 Duration::ZERO,
                 "errno {errno}"
             );
         }
-        assert_eq!(answered_after(&one_connection).await, Duration::ZERO);
+        assert_eq!(answered_after(&per_connection).await, Duration::ZERO);
         for errno in [EMFILE, ENFILE, ENOBUFS, ENOMEM] {
             assert!(
                 answered_after(&[errno]).await >= ACCEPT_PAUSE,
@@ -143,13 +143,13 @@
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// The router ends while connections wait for it, and the first accept fails: they are answered all
-/// the same.
+/// The router ends while connections are in the accept queue, and the first accept fails: they are
+/// answered nevertheless.
 #[tokio::test(flavor = "current_thread")]
 async fn a_failed_accept_as_the_router_ends_loses_no_other_connection() {
     let inside = async {
         for errno in [libc::ECONNABORTED, libc::EINTR, libc::ENFILE, libc::ENOBUFS] {
-            let (listener, at, _) = Failing::new(&[errno]).await;
+            let (listener, at, _) = FailingListener::new(&[errno]).await;
             let mut client = TcpStream::connect(at).await.unwrap();
             client
                 .write_all(b"*2\r\n$6\r\nHEALTH\r\n$1\r\n1\r\n")
@@ -161,25 +161,25 @@
             client
                 .read_to_string(&mut received)
                 .await
-                .expect("no reset");
+                .expect("the connection is closed without a reset");
             assert!(received.contains("RED"), "errno {errno}: {received:?}");
         }
     };
     tokio::task::LocalSet::new().run_until(inside).await;
 }
 
-/// Only descriptors come back when an idle connection is closed: it helps against no other failure.
+/// Closing an idle connection frees a descriptor, which helps against no other failure.
 #[test]
 fn idle_connections_are_evicted_only_for_descriptors() {
     use AcceptFailure::*;
-    let evicted = |failure, in_a_row| {
+    let evicted = |failure, failures_in_a_row| {
         let (status_updates, _receiver) = mpsc::channel(8);
         let mut slots = ConnectionSlots::default();
-        let _taken: Vec<ConnectionSlot> = (0..60)
+        let _allocated: Vec<ConnectionSlot> = (0..60)
             .map(|_| slots.take(status_updates.clone()))
             .collect();
-        let pause = after_failed_accept(failure, in_a_row, &mut slots);
-        (pause, 60 - slots.staying())
+        let pause = after_failed_accept(failure, failures_in_a_row, &mut slots);
+        (pause, 60 - slots.not_evicting())
     };
     for failure in [Interrupted, PerConnection] {
         assert_eq!(evicted(failure, 1), (None, 0), "{failure:?}");
@@ -189,7 +189,7 @@
             "{failure:?}"
         );
     }
-    // Short for a moment only: a pause will do.
+    // The shortage may be temporary: the first failure only causes a pause.
     assert_eq!(evicted(DescriptorsExhausted, 1), (Some(ACCEPT_PAUSE), 0));
     assert_eq!(
         evicted(DescriptorsExhausted, 2),
@@ -199,9 +199,9 @@
     assert_eq!(evicted(Listener, 2), (Some(ACCEPT_PAUSE), 0));
 }
 
-/// Whatever goes on failing, accept is not called in a busy loop.
+/// Whatever error persists, accept is not called in a busy loop.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn accepts_that_go_on_failing_are_tried_at_a_bounded_rate() {
+async fn accepts_that_keep_failing_are_retried_at_a_bounded_rate() {
     let inside = async {
         for errno in [
             libc::ECONNABORTED,
@@ -210,12 +210,12 @@
             libc::ENOMEM,
             libc::EBADF,
         ] {
-            let (listener, _, calls) = Failing::new(&vec![errno; 100_000]).await;
+            let (listener, _, calls) = FailingListener::new(&vec![errno; 100_000]).await;
             let (_harness, running) = start(listener, Phase::Serving);
             assert!(timeout(Duration::from_secs(1), running).await.is_err());
-            let most = PAUSE_AFTER_FAILURES * 51;
+            let max_calls = PAUSE_AFTER_FAILURES * 51;
             assert!(
-                (50..=most).contains(&calls.get()),
+                (50..=max_calls).contains(&calls.get()),
                 "errno {errno}: {} calls in 1 s",
                 calls.get()
             );
@@ -225,7 +225,7 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn binding_is_retried_for_a_second_at_most_while_a_resource_is_short() {
+async fn binding_is_retried_for_a_second_at_most_while_a_resource_is_unavailable() {
     let tries = async |errno: i32, failures: usize| {
         let (begin, mut calls) = (Instant::now(), 0);
         let bound = bind_with(|| {
@@ -257,31 +257,31 @@
     assert_eq!(tries(libc::EADDRINUSE, 2).await, (false, 1, Duration::ZERO));
 }
 
-/// Has all other tasks run, without letting time pass.
+/// Lets all other tasks run without advancing time.
 async fn run_other_tasks() {
     for _ in 0..256 {
         yield_now().await;
     }
 }
 
-/// The program is held up while it ends, until the time for its connections is over: what arrived
-/// meanwhile on an idle connection is answered before that is closed. Time moves only where the test
-/// says so.
+/// The process is delayed during shutdown until the time for its connections is over: a request
+/// that arrived meanwhile on an idle connection is answered before the connection is closed. Time
+/// advances only where the test says so.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn connections_have_a_turn_after_the_program_was_held_up_as_it_ends() {
+async fn connections_are_polled_after_the_process_was_delayed_during_shutdown() {
     use std::io::{Read, Write};
     let inside = async {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut client = std::net::TcpStream::connect(address).unwrap();
-        let (phase, phase_of) = watch::channel(Phase::Serving);
-        let (decider, _mailbox) = mpsc::channel(8);
-        // As in the program, the listener is polled before its connections.
+        let (phase, phase_receiver) = watch::channel(Phase::Serving);
+        let (decider, _messages) = mpsc::channel(8);
+        // As in the real process, the listener is polled before its connections.
         let ends = async {
             run_other_tasks().await;
             phase.send_replace(Phase::Ended);
             run_other_tasks().await;
-            // It has found that no connection waits to be accepted, and waits for the open ones.
+            // The listener has found the accept queue empty, and waits for the open connections.
             tokio::time::advance(FINAL_ACCEPT_TIMEOUT).await;
             run_other_tasks().await;
             let request = "*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$4\r\npage\r\n$48\r\n\
@@ -290,13 +290,13 @@
             tokio::time::advance(FINAL_WRITE_TIMEOUT).await;
             client
         };
-        let running = run(listener, 100, frontend(None), decider, phase_of);
+        let running = run(listener, 100, frontend(None), decider, phase_receiver);
         let ((), mut client) = tokio::join!(running, ends);
         let timeout = Some(Duration::from_secs(5));
         client.set_read_timeout(timeout).unwrap();
         let mut received = String::new();
         let read = client.read_to_string(&mut received);
-        read.expect("no reset, and an end");
+        read.expect("the connection is closed without a reset");
         assert_eq!(
             received,
             "*4\r\n$1\r\n1\r\n$3\r\nNAK\r\n$0\r\n\r\n$0\r\n\r\n"
