--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -1,15 +1,15 @@
-//! The exponential backoff between the connects to a server that fail on this machine.
+//! Exponential backoff between connection attempts to a server that fail because of this machine.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The first pause. Each is twice as long as the one before, until a connection is made.
+/// The delay after the first failure. It doubles with each failure until a connect succeeds.
 pub const INITIAL_DELAY: Duration = Duration::from_millis(10);
-/// The longest pause.
 pub const MAX_DELAY: Duration = Duration::from_millis(320);
 
-/// When a new connection may be tried. Pauses have a jitter of half their length, lest all servers
-/// of a machine, and all routers on it, come back in one moment for the resource that is short.
+/// When the next connect may be attempted. Delays have a jitter of half their length, so that the
+/// connects to all servers, and those of all routers on the machine, do not compete for the scarce
+/// resource at the same moment.
 pub struct Backoff {
     not_before: Option<Instant>,
     next_delay: Duration,
@@ -27,12 +27,12 @@
 }
 
 impl Backoff {
-    /// Whether a connection may be tried now.
+    /// Whether a connect may be attempted now.
     pub fn allows(&self, now: Instant) -> bool {
         self.not_before.is_none_or(|not_before| now >= not_before)
     }
 
-    /// A connect has failed. Those that were tried together with it and fail after it count as one.
+    /// Records a failed connect. Failures of connects that were started together count as one.
     pub fn failed(&mut self, now: Instant) {
         if !self.allows(now) {
             return;
@@ -42,12 +42,12 @@
         self.next_delay = (self.next_delay * 2).min(MAX_DELAY);
     }
 
-    /// A connect has succeeded: the next failure begins with the first pause.
+    /// Records a successful connect: the next failure starts with the initial delay.
     pub fn succeeded(&mut self) {
         self.reset();
     }
 
-    /// Forgets all failures.
+    /// Discards the recorded failures.
     pub fn reset(&mut self) {
         self.not_before = None;
         self.next_delay = INITIAL_DELAY;
--- a/crates/router/src/backoff/tests.rs
+++ b/crates/router/src/backoff/tests.rs
@@ -1,35 +1,35 @@
 use super::*;
 
-/// The pauses of so many failures in a row, each tried as soon as it may be.
-fn pauses(backoff: &mut Backoff, failures: usize) -> Vec<Duration> {
+/// The delays after consecutive failures, each connect being attempted as soon as it is allowed.
+fn delays(backoff: &mut Backoff, failures: usize) -> Vec<Duration> {
     let mut now = backoff.not_before.unwrap_or_else(Instant::now);
-    let pause = |_| {
+    let delay = |_| {
         backoff.failed(now);
         let next = backoff.not_before.unwrap();
         assert!(!backoff.allows(next - Duration::from_nanos(1)) && backoff.allows(next));
         next - std::mem::replace(&mut now, next)
     };
-    (0..failures).map(pause).collect()
+    (0..failures).map(delay).collect()
 }
 
 #[test]
-fn pauses_grow_to_the_longest_and_begin_anew_after_a_success() {
+fn delays_grow_to_the_maximum_and_restart_after_a_success() {
     let mut backoff = Backoff::default();
-    let grown = pauses(&mut backoff, 8);
-    for (n, pause) in grown.iter().enumerate() {
+    let growing = delays(&mut backoff, 8);
+    for (n, delay) in growing.iter().enumerate() {
         let longest = (INITIAL_DELAY * (1 << n)).min(MAX_DELAY);
         assert!(
-            *pause > longest / 2 - Duration::from_nanos(1) && *pause <= longest,
-            "{n}: {pause:?}"
+            *delay > longest / 2 - Duration::from_nanos(1) && *delay <= longest,
+            "{n}: {delay:?}"
         );
     }
     backoff.succeeded();
     assert!(backoff.allows(Instant::now()));
-    assert!(pauses(&mut backoff, 1)[0] <= INITIAL_DELAY);
+    assert!(delays(&mut backoff, 1)[0] <= INITIAL_DELAY);
 }
 
 #[test]
-fn failures_of_one_moment_count_once() {
+fn simultaneous_failures_count_once() {
     let (mut backoff, now) = (Backoff::default(), Instant::now());
     backoff.failed(now);
     let first = backoff.not_before;
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn pauses_are_spread() {
+fn delays_are_spread_evenly() {
     let mut tenths = [0; 10];
     for seed in 0..300 {
         let mut backoff = Backoff {
             random: fastrand::Rng::with_seed(seed),
             ..Backoff::default()
         };
-        let pause = pauses(&mut backoff, 1)[0];
-        tenths[((pause - INITIAL_DELAY / 2).as_secs_f64() / (INITIAL_DELAY / 2).as_secs_f64()
+        let delay = delays(&mut backoff, 1)[0];
+        tenths[((delay - INITIAL_DELAY / 2).as_secs_f64() / (INITIAL_DELAY / 2).as_secs_f64()
             * 9.999) as usize] += 1;
     }
     assert!(tenths.iter().all(|n| (12..=60).contains(n)), "{tenths:?}");
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -1,9 +1,9 @@
-//! Classifies the errors of system calls on sockets: what each one says about this machine, about
-//! the peer and about the connection, and so what may be retried. All adapters use it.
+//! Classifies the errors of system calls on sockets by what they say about this machine, the peer
+//! and the connection, and thus by what may be retried. All adapters use it.
 //!
-//! Linux reports a shortage of this machine, a fault of one peer and a fault of the network by the
-//! same kind of return value. Treating the first as the second ejects healthy servers; treating the
-//! second as the first closes connections of clients for nothing.
+//! Linux reports resource shortages of this machine, failures of a peer and failures of the network
+//! alike, as error numbers. Mistaking a local shortage for a failure of a server ejects healthy
+//! servers; mistaking a peer's failure for a shortage closes client connections needlessly.
 
 use libc::{
     EACCES, EADDRINUSE, EADDRNOTAVAIL, EAGAIN, ECONNABORTED, ECONNREFUSED, ECONNRESET, EHOSTDOWN,
@@ -14,60 +14,61 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// An interrupted system call counts as failed after so many retries. A signal interrupts one call
-/// once; more than this is a fault of its own, which must not keep the program busy.
+/// An interrupted system call counts as failed after this many retries. A signal interrupts a call
+/// once; further interruptions have another cause, and must not lead to a busy loop.
 pub const MAX_INTERRUPTIONS: usize = 16;
 
-/// The wait before the retry of a call for which the system had no memory or buffer.
+/// The delay before retrying a call that failed for lack of memory or buffers.
 pub const MEMORY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Why no connection was made. In any case nothing has run at the server.
+/// Why a connect failed. In any case no request has reached the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
     /// A signal interrupted the call: it may be retried at once, on a new socket.
     Interrupted,
-    /// This machine had no descriptor, port, buffer or route, or forbids it. It is no fault of the
-    /// server.
+    /// This machine had no descriptor, port, buffer or route, or a local policy forbids the
+    /// connection. The server is not at fault.
     LocalResources,
-    /// The server refused, did not answer, or cannot be reached.
+    /// The server refused the connection, did not answer, or cannot be reached.
     Server,
 }
 
-/// Why no connection of a client could be accepted.
+/// Why accepting a client connection failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
     /// A signal interrupted the call: it may be retried at once.
     Interrupted,
-    /// The one connection that would have been accepted failed before it was. The next may be
-    /// accepted.
+    /// The connection failed before it was accepted. The next one may be accepted at once.
     PerConnection,
-    /// The process or the system has no descriptor left, until some are closed.
+    /// The process or the system has no free descriptors.
     DescriptorsExhausted,
-    /// The system has no memory or buffers left, for a while.
+    /// The system has no free memory or buffers.
     MemoryExhausted,
-    /// Anything else, as an invalid listener. It may last, and must not be retried in a busy loop.
+    /// Anything else, such as an invalid listener. It may persist, and must not be retried in a
+    /// busy loop.
     Listener,
 }
 
-/// Why nothing was read from or written to a connected stream.
+/// Why a read or write on a connected stream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFailure {
     /// A signal interrupted the call, or the stream was not ready: nothing was transferred, and the
     /// connection is usable.
     Retry,
-    /// The system had no memory or buffer: nothing was transferred, and the connection is usable.
+    /// The system had no free memory or buffer: nothing was transferred, and the connection is
+    /// usable.
     MemoryExhausted,
-    /// The connection has ended, whichever way that is reported.
+    /// The connection has ended.
     Broken,
 }
 
-/// Why a datagram was not sent or received. The socket stays usable after any of them.
+/// Why sending or receiving a datagram failed. The socket stays usable in each case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramFailure {
-    /// The report of what an earlier datagram met, or an interruption: the next call may be made at
+    /// A delivery error of an earlier datagram, or an interruption: the next call may be made at
     /// once.
     Transient,
-    /// Anything else: it may last, and must not be retried in a busy loop.
+    /// Anything else: it may persist, and must not be retried in a busy loop.
     Persistent,
 }
 
@@ -75,23 +76,23 @@
     fn from(error: &io::Error) -> ConnectFailure {
         match error.raw_os_error() {
             Some(EINTR) => ConnectFailure::Interrupted,
-            // No descriptor: of the process, of the system.
+            // The process (EMFILE) or the system (ENFILE) has no free descriptors.
             Some(EMFILE | ENFILE) => ConnectFailure::LocalResources,
-            // No memory for the socket or its buffers.
+            // No memory for the socket or its buffers is free.
             Some(ENOBUFS | ENOMEM) => ConnectFailure::LocalResources,
-            // All local ports are in use; `connect` says so by any of them.
+            // All local ports are in use; `connect` reports it by any of these.
             Some(EADDRNOTAVAIL | EADDRINUSE | EAGAIN) => ConnectFailure::LocalResources,
-            // This machine's routing table has no route, or its interface is down. This comes from
-            // the machine itself, before anything is sent, and concerns all servers alike: if it
-            // counted against them, a route that flaps for a moment would eject them all.
+            // This machine has no route, or its interface is down. It is reported locally, before
+            // anything is sent, and affects all servers: if it counted against them, a flapping
+            // route would eject all of them.
             Some(ENETUNREACH | ENETDOWN) => ConnectFailure::LocalResources,
-            // This machine's packet filter or policy forbids it.
+            // A packet filter or policy of this machine forbids the connection.
             Some(EACCES | EPERM) => ConnectFailure::LocalResources,
-            // ECONNREFUSED, ECONNRESET: the server's machine answered. ETIMEDOUT, and a timeout of
-            // this program: it did not. EHOSTUNREACH, EHOSTDOWN, ENONET: the network was reached,
-            // this host was not (no answer to ARP, or a router's report about this one address).
-            // Anything else, as EAFNOSUPPORT, comes from the address and will come again: the
-            // server is better avoided like one that is down.
+            // ECONNREFUSED, ECONNRESET: the server's machine answered. ETIMEDOUT, or a timeout of
+            // this process: it did not. EHOSTUNREACH, EHOSTDOWN, ENONET: the network was reached,
+            // but not this host (no answer to ARP, or an ICMP error for this address). Anything
+            // else, such as EAFNOSUPPORT, is caused by the address and will recur: the server is
+            // avoided as if it were down.
             _ => ConnectFailure::Server,
         }
     }
@@ -101,11 +102,11 @@
     fn from(error: &io::Error) -> AcceptFailure {
         match error.raw_os_error() {
             Some(EINTR | EAGAIN) => AcceptFailure::Interrupted,
-            // The client has left before its connection was accepted; a packet filter forbids this
-            // one.
+            // The client closed the connection before it was accepted, or a packet filter forbids
+            // it.
             Some(ECONNABORTED | EPERM | EPROTO) => AcceptFailure::PerConnection,
-            // Linux hands errors that already wait on the new connection to `accept`; accept(2)
-            // asks to treat them like EAGAIN.
+            // Linux reports pending network errors of the new connection through `accept`;
+            // accept(2) says to treat them like EAGAIN.
             Some(ENETDOWN | ENOPROTOOPT | EHOSTDOWN | ENONET) => AcceptFailure::PerConnection,
             Some(EHOSTUNREACH | EOPNOTSUPP | ENETUNREACH) => AcceptFailure::PerConnection,
             Some(ETIMEDOUT | ECONNRESET) => AcceptFailure::PerConnection,
@@ -117,7 +118,8 @@
 }
 
 impl AcceptFailure {
-    /// Whether the next call may be made at once: no resource is short, and the listener is usable.
+    /// Whether the next call may be made at once: no resource is exhausted, and the listener is
+    /// usable.
     pub fn is_transient(self) -> bool {
         matches!(
             self,
@@ -131,8 +133,8 @@
         match error.raw_os_error() {
             Some(EINTR | EAGAIN) => StreamFailure::Retry,
             Some(ENOBUFS | ENOMEM) => StreamFailure::MemoryExhausted,
-            // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH and the like: TCP has given
-            // up this connection, for whatever reason, and reports it once.
+            // ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH and the like: TCP has aborted
+            // the connection, and reports the error once.
             Some(_) => StreamFailure::Broken,
             None if matches!(
                 error.kind(),
@@ -150,7 +152,8 @@
     fn from(error: &io::Error) -> DatagramFailure {
         match error.raw_os_error() {
             Some(EINTR | EAGAIN) => DatagramFailure::Transient,
-            // By ICMP: nobody listens there now, or the host is not reached. Each is reported once.
+            // Reported by ICMP: the port is closed or the host unreachable. Each error is reported
+            // once.
             Some(ECONNREFUSED | ECONNRESET | EHOSTUNREACH | EHOSTDOWN | ENETUNREACH) => {
                 DatagramFailure::Transient
             }
@@ -159,8 +162,8 @@
     }
 }
 
-/// Whether a socket that could not be created, bound or listened on may be available a moment
-/// later: a resource was short, or its address is not there yet.
+/// Whether creating, binding or listening on a socket may succeed a moment later: a resource was
+/// exhausted, or the address is not available yet.
 pub fn is_retryable(error: &io::Error) -> bool {
     let resources = [
         EMFILE,
@@ -176,11 +179,11 @@
         .is_some_and(|errno| resources.contains(&errno))
 }
 
-/// How often a call that must not wait is made at most.
+/// Maximum number of calls made by `retry_at_once`.
 const MAX_IMMEDIATE_TRIES: usize = 4;
 
-/// Retries a call at once if a resource was short for a moment. For calls that must not wait:
-/// another would take the descriptor meanwhile.
+/// Retries a call at once if it failed for lack of a resource. For calls that must not wait because
+/// another task would take the descriptor meanwhile.
 ///
 /// # Errors
 /// The last failure.
@@ -194,10 +197,10 @@
     call()
 }
 
-/// Has small writes sent at once. If the system refuses, the connection is slower, not broken.
+/// Disables Nagle's algorithm. If that fails, the connection is slower but usable.
 pub fn set_nodelay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!(reason:% = error; "TCP_NODELAY was not set");
+        log::debug!(reason:% = error; "setting TCP_NODELAY failed");
     }
 }
 
--- a/crates/router/src/io_errors/tests.rs
+++ b/crates/router/src/io_errors/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn connect_errors_tell_local_shortages_from_failures_of_the_server() {
+fn connect_errors_distinguish_local_shortages_from_server_failures() {
     use ConnectFailure::{Interrupted, LocalResources, Server};
     let rows = [
         (EINTR, Interrupted),
@@ -41,12 +41,12 @@
     assert_eq!(
         ConnectFailure::from(&io::ErrorKind::TimedOut.into()),
         Server,
-        "a timeout of this program"
+        "a timeout of this process"
     );
 }
 
 #[test]
-fn accept_errors_tell_single_connections_from_shortages() {
+fn accept_errors_distinguish_single_connections_from_shortages() {
     use AcceptFailure::{
         DescriptorsExhausted, Interrupted, Listener, MemoryExhausted, PerConnection,
     };
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn stream_errors_tell_broken_connections_from_retries() {
+fn stream_errors_distinguish_broken_connections_from_retries() {
     use StreamFailure::{Broken, MemoryExhausted, Retry};
     let rows = [
         (EINTR, Retry),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn datagram_errors_tell_transient_from_persistent_ones() {
+fn datagram_errors_distinguish_transient_from_persistent_ones() {
     use DatagramFailure::{Persistent, Transient};
     let rows = [
         (EINTR, Transient),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn only_shortages_and_missing_addresses_are_retryable_at_start() {
+fn only_shortages_and_unavailable_addresses_are_retryable_at_start() {
     let retryable = |errno| is_retryable(&io::Error::from_raw_os_error(errno));
     assert!(
         [
