--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -1,28 +1,27 @@
-//! The router's clock: monotonic, for every deadline, window, wait and grace.
+//! The router's monotonic clock, on which all deadlines, windows and grace periods are based.
 //!
-//! The wall clock is read once, at the start, and only to compare timestamps from outside, which
-//! are Unix times, with monotonic times. When it is stepped later, or the clocks of other machines
-//! are, nothing here changes: `timestamps` bounds their timestamps, and `boot_time` finds a step
-//! between two starts.
+//! The wall clock is read once, at the start, to convert external Unix timestamps to monotonic
+//! times. Later steps of it, or of the clocks of other machines, have no effect here: `timestamps`
+//! bounds external timestamps, and `boot_time` detects a step between two starts.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How long before the start the clock's zero is: events before the start keep their distance.
-const ZERO_BEFORE_START: Duration = Duration::from_secs(30 * 24 * 3600);
+/// The clock's time at the start of the router, so that earlier events have positive times too.
+const START_OFFSET: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// Times since a zero well before the start, tied to both clocks once.
+/// Measures time since a zero point well before the start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
-    /// The time at `started_at`.
+    /// The time of this clock at `started_at`.
     offset: Duration,
-    /// The Unix time of the zero.
-    unix_of_zero: Duration,
+    /// The Unix time of the zero point.
+    unix_at_zero: Duration,
 }
 
 impl Clock {
-    /// The clock of a start. Nothing else reads the wall clock (`clippy.toml`).
+    /// Starts a clock. Nothing else reads the wall clock (`clippy.toml`).
     #[allow(clippy::disallowed_methods)]
     pub fn start() -> Clock {
         let unix = SystemTime::now()
@@ -30,33 +29,33 @@
             .unwrap_or_default();
         Clock {
             started_at: Instant::now(),
-            offset: ZERO_BEFORE_START,
-            unix_of_zero: unix.saturating_sub(ZERO_BEFORE_START),
+            offset: START_OFFSET,
+            unix_at_zero: unix.saturating_sub(START_OFFSET),
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Duration {
         self.offset + self.started_at.elapsed()
     }
 
-    /// A time as the runtime counts it.
+    /// Converts a time to an instant of the runtime.
     pub fn instant(&self, at: Duration) -> Instant {
-        // A time beyond the range of the clock never comes.
-        let far = || self.started_at + ZERO_BEFORE_START;
+        // A time beyond the range of `Instant` is never reached.
+        let far_future = || self.started_at + START_OFFSET;
         self.started_at
             .checked_add(at.saturating_sub(self.offset))
-            .unwrap_or_else(far)
+            .unwrap_or_else(far_future)
     }
 
-    /// A time as a Unix timestamp, in milliseconds.
+    /// Converts a time to a Unix timestamp in milliseconds.
     pub fn unix_ms(&self, at: Duration) -> u64 {
-        (self.unix_of_zero + at).as_millis() as u64
+        (self.unix_at_zero + at).as_millis() as u64
     }
 
-    /// The time of a Unix timestamp in milliseconds.
+    /// Converts a Unix timestamp in milliseconds to a time.
     pub fn at_unix_ms(&self, ms: u64) -> Duration {
-        Duration::from_millis(ms).saturating_sub(self.unix_of_zero)
+        Duration::from_millis(ms).saturating_sub(self.unix_at_zero)
     }
 }
 
--- a/crates/router/src/clock/tests.rs
+++ b/crates/router/src/clock/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 #[allow(clippy::disallowed_methods)]
-fn stamps_before_the_start_keep_their_distance() {
+fn timestamps_before_the_start_keep_their_distance() {
     let clock = Clock::start();
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
