--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a router could not start, or ended before its time.
+//! Errors that prevent a router from starting, or end it.
 
 use crate::cell_routing::CellMapError;
 use crate::configuration::ConfigurationError;
@@ -10,43 +10,36 @@
 use thiserror::Error;
 use tokio::task::JoinError;
 
-/// Why a router could not start, or ended before its time. Its text is one line that names the key
-/// at fault.
+/// Why a router could not start, or ended early. The message is one line that names the key at
+/// fault.
 #[derive(Debug, Error)]
 pub enum RouterError {
     /// The runtime or a signal handler could not be set up.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
     /// The local cache cannot be opened.
     #[error(transparent)]
     LocalCache(#[from] LocalCacheError),
-    /// The map of cells in the operator's file cannot be used.
+    /// The map of cells in the operator's file is invalid.
     #[error("cells: {0}")]
     Cells(#[from] CellMapError),
-    /// The operator's file names a zone that is none.
+    /// The operator's file names a zone that does not exist.
     #[error(transparent)]
     Zone(#[from] UnknownZone),
-    /// Clients cannot be listened to.
+    /// Listening for clients failed.
     #[error("listen: {address}: {source}")]
     Listen {
-        /// Where.
         address: SocketAddr,
-        /// What the system says.
         source: io::Error,
     },
     /// The control socket cannot be opened.
     #[error("control: {}: {source}", path.display())]
-    ControlSocket {
-        /// Where.
-        path: PathBuf,
-        /// What the system says.
-        source: io::Error,
-    },
-    /// The decisions have panicked: without them nothing can be answered, and a restart is better
-    /// than to go on.
-    #[error("the decisions failed: {0}")]
-    DecisionsFailed(#[source] JoinError),
+    ControlSocket { path: PathBuf, source: io::Error },
+    /// The decider has panicked. Nothing can be answered without it, so the router has to be
+    /// restarted.
+    #[error("decider task failed: {0}")]
+    DeciderFailed(#[source] JoinError),
 }
