--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,4 +1,4 @@
-//! One router on real sockets. Every decision is made by `chalkhall::control`; `serve` runs it.
+//! A router on real sockets, run by `serve`. All decisions are made by `chalkhall::control`.
 
 mod backoff;
 mod boot_time;
@@ -40,11 +40,11 @@
 use std::path::PathBuf;
 use tokio::task::LocalSet;
 
-/// Runs a router until it has ended. It is configured by its environment and by an operator's file,
-/// which are read again at each SIGHUP.
+/// Runs a router until it has ended. It is configured by its environment and by the operator's
+/// file, which are read again at each SIGHUP.
 ///
 /// # Errors
-/// Why it could not start, or what ended it before its time.
+/// If the router cannot start, or its decider panics.
 pub fn serve(directives: Directives, file: Option<PathBuf>) -> Result<(), RouterError> {
     let clock = Clock::start();
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/router/src/logging.rs
+++ b/crates/router/src/logging.rs
@@ -1,9 +1,10 @@
-//! Sets up logging: one event a line, with fields, as text or as JSON, on standard error.
+//! Sets up logging to standard error: one event per line, with fields, as text or JSON.
 
 use chalkhall_config::{Log, LogFormat};
 use structured_logger::json::new_writer;
 
-/// Starts logging; once in a process. `RUST_LOG` takes precedence over the operator's file.
+/// Initializes logging; to be called once per process. `RUST_LOG` takes precedence over the
+/// operator's file.
 pub fn init(settings: &Log) {
     let level = std::env::var("RUST_LOG")
         .ok()
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! `chalkhall-router`: one router on real sockets, as the platform starts it.
+//! `chalkhall-router`: the router process that the platform starts.
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -10,12 +10,12 @@
 /// ROUTER_LISTEN take precedence over its `name` and `listen`. SIGTERM drains and ends it, SIGHUP
 /// reloads the file.
 ///
-/// Exit codes: 0 after SIGTERM; 1 where it could not start, with one line that names what is at
-/// fault; 2 for arguments that make no sense.
+/// Exit codes: 0 after SIGTERM; 1 if it cannot start, with one line that names the cause; 2 for
+/// invalid arguments.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// The operator's file; without one all that it could turn on is off
+    /// The operator's file; without it, everything that it can turn on is off
     #[arg(value_name = "FILE")]
     directives: Option<PathBuf>,
 }
--- a/crates/router/src/rate_limited_log.rs
+++ b/crates/router/src/rate_limited_log.rs
@@ -1,14 +1,15 @@
-//! Bounds how often a warning is logged that could come in a flood: invalid messages of peers,
-//! connections that cannot be accepted.
+//! Limits the rate of warnings that could flood the log, such as those about invalid messages of
+//! peers or failed accepts.
 
 use std::fmt::Display;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The least time between two lines.
+/// The minimum time between two lines.
 const INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs one warning in an interval, and with it how many were suppressed since the last.
+/// Logs at most one warning per interval, with the number of warnings suppressed since the last
+/// one.
 #[derive(Default)]
 pub struct RateLimitedLog {
     last_logged_at: Option<Instant>,
@@ -16,22 +17,21 @@
 }
 
 impl RateLimitedLog {
-    /// Logs this message, unless another was logged just before.
+    /// Logs this message, unless a line was logged within the interval.
     pub fn log(&mut self, message: &str) {
         if let Some(suppressed) = self.admit() {
-            log::warn!("{message} ({suppressed} more of this kind before)");
+            log::warn!("{message} ({suppressed} similar warnings suppressed)");
         }
     }
 
-    /// Logs an error with this fixed message, unless another was logged just before.
+    /// Logs an error with a fixed message, unless a line was logged within the interval.
     pub fn log_error(&mut self, message: &str, error: &dyn Display) {
         if let Some(suppressed) = self.admit() {
             log::warn!(error:% = error, suppressed = suppressed; "{message}");
         }
     }
 
-    /// How many lines were suppressed since the last one; none where this one has to be suppressed
-    /// too.
+    /// The number of lines suppressed since the last one, or none if this one is suppressed too.
     fn admit(&mut self) -> Option<u64> {
         if self
             .last_logged_at
