--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -1,5 +1,5 @@
-//! The router's configuration: its environment and one JSON file, read, checked and given defaults
-//! here alone. Each error names the key that is at fault.
+//! The router's configuration: reads and validates environment variables and a JSON file, and
+//! applies defaults. Each error names the invalid key.
 
 use crate::clock::Clock;
 use crate::discovery_events::{DeploymentNames, EventError, NumberedEvent, parse_event};
@@ -10,90 +10,80 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Defaults where the platform sets no limits.
+/// Defaults for limits that the platform does not set.
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_SOCKETS: u64 = 1024;
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 const DEFAULT_IDLE_CLOSE: Duration = Duration::from_secs(30);
 const DEFAULT_STREAMS: u64 = 100;
 const DEFAULT_OPEN_REQUESTS: u64 = 20_000;
-/// Fewer descriptors are not enough to run.
+/// Minimum number of descriptors that a router needs to run.
 const MIN_SOCKETS: u64 = 64;
 
 /// The environment variable that holds the path of the configuration file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
 
-/// Why a configuration cannot be used.
+/// Why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// The environment does not name a file.
     #[error("ROUTER_CONFIG is not set")]
-    NoFile,
+    VariableNotSet,
     /// The file cannot be read.
     #[error("ROUTER_CONFIG: {path}: {source}")]
     Unreadable {
-        /// The file.
         path: String,
-        /// What the system says.
         source: std::io::Error,
     },
     /// The file is not JSON.
     #[error("ROUTER_CONFIG: {path}: {source}")]
-    NotJson {
-        /// The file.
+    InvalidJson {
         path: String,
-        /// Where and why.
         source: serde_json::Error,
     },
     /// The file is JSON, but not an object.
-    #[error("ROUTER_CONFIG: the file does not hold an object")]
+    #[error("ROUTER_CONFIG: the file is not a JSON object")]
     NotAnObject,
-    /// A key that has no default is not there.
+    /// A key without a default is missing.
     #[error("{key} is missing")]
     Missing {
-        /// The key, or the environment variable that stands for it.
+        /// The key, or the environment variable that takes precedence over it.
         key: String,
     },
-    /// A key holds something of another kind.
+    /// The value of a key has the wrong type.
     #[error("{key} is not {expected}")]
-    Unexpected {
-        /// The key at fault.
+    WrongType {
         key: &'static str,
-        /// What it is to hold.
+        /// The expected type, with its article.
         expected: &'static str,
     },
-    /// An address cannot be read.
+    /// The value of a key is not a socket address.
     #[error("{key} is not an address: {found:?}")]
-    NotAnAddress {
-        /// The key, or the environment variable that stands for it.
+    InvalidAddress {
+        /// The key, or the environment variable that takes precedence over it.
         key: String,
-        /// What it holds.
         found: String,
     },
-    /// The settings name no class of requests.
+    /// The settings define no class of requests.
     #[error("settings: Classes is empty")]
     NoClasses,
     /// The platform allows too few descriptors.
-    #[error("limits: sockets is under {MIN_SOCKETS}")]
+    #[error("limits: sockets is below {MIN_SOCKETS}")]
     TooFewSockets,
-    /// A field of a section cannot be used; the fault names the field and what is expected of it.
+    /// A field in a section of the file is invalid.
     #[error("{section}: {fault}")]
     Section {
-        /// The section of the file.
         section: &'static str,
-        /// The field's fault.
         fault: FieldError,
     },
-    /// A field outside of any section cannot be used.
+    /// A top-level field is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// An event among those that are known at the start cannot be read.
+    /// One of the discovery events known at the start is invalid.
     #[error("known: {0}")]
     Event(#[from] EventError),
 }
 
-/// A field cannot be used. The text is that of the reader of the settings: it names the field and
-/// what is expected of it.
+/// A field is invalid. The message of the settings reader names the field and what is expected.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct FieldError(pub String);
@@ -105,55 +95,54 @@
     }
 }
 
-/// A fault of the reader of the settings, in a section of the file.
+/// Converts an error message of the settings reader for a field in this section.
 fn in_section(section: &'static str) -> impl Fn(String) -> ConfigurationError {
     move |fault| FieldError(fault).in_section(section)
 }
 
-/// What a router is started with.
+/// The configuration of a router.
 #[derive(Debug)]
 pub struct Configuration {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Where clients reach it.
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The number of the last event in `known_events`.
+    /// The sequence number of the last event in `known_events`.
     pub last_event: u64,
-    /// The events of discovery up to the start.
+    /// The discovery events up to the start.
     pub known_events: Vec<NumberedEvent>,
-    /// The names that events use.
+    /// The names that discovery events use.
     pub names: DeploymentNames,
-    /// The settings of the deployment.
     pub deployment: Deployment,
-    /// The names of the classes of requests, by index.
+    /// The names of the request classes by index.
     pub classes: Vec<String>,
-    /// The names of the tenants, by index.
+    /// The names of the tenants by index.
     pub tenants: Vec<String>,
-    /// The limits of transport.
     pub limits: Limits,
-    /// How many answers at a client's rate the router's own link carries at once; none: unknown.
+    /// How many responses at the client transfer rate the router's own link carries concurrently,
+    /// if known.
     pub link_answers: Option<f64>,
-    /// Where routers gossip; none: they may not, or their addresses are not configured.
+    /// The addresses for gossip. None: gossip is not allowed, or no addresses are configured.
     pub peers: Option<Peers>,
-    /// The values of `FIXED_KEYS`.
-    fixed: Vec<Value>,
+    /// The values of `RESTART_ONLY_KEYS`.
+    restart_only_values: Vec<Value>,
 }
 
-/// The addresses of the routers of the tier.
+/// The gossip addresses of the routers of the tier.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    /// Where this router listens.
+    /// The address on which this router receives.
     pub listen: SocketAddr,
-    /// The address that reaches all of them.
+    /// The address that reaches all routers.
     pub all: SocketAddr,
-    /// Each router's, by number.
+    /// The routers' addresses by number.
     pub each: Vec<SocketAddr>,
 }
 
-/// The keys that a running router does not take over.
-const FIXED_KEYS: [&str; 9] = [
+/// The keys whose changes take effect only after a restart.
+const RESTART_ONLY_KEYS: [&str; 9] = [
     "name",
     "listen",
     "limits",
@@ -166,47 +155,51 @@
 ];
 
 impl Configuration {
-    /// The keys that differ in another configuration, where only a restart takes it over.
-    pub fn changed_fixed_keys(&self, new: &Configuration) -> Vec<&'static str> {
-        let pairs = self.fixed.iter().zip(&new.fixed).zip(FIXED_KEYS);
+    /// The keys that differ in `new` and require a restart.
+    pub fn changed_restart_only_keys(&self, new: &Configuration) -> Vec<&'static str> {
+        let pairs = self
+            .restart_only_values
+            .iter()
+            .zip(&new.restart_only_values)
+            .zip(RESTART_ONLY_KEYS);
         let changed = pairs.filter(|((old, new), _)| old != new);
         changed.map(|(_, key)| key).collect()
     }
 }
 
-/// The limits of transport.
+/// The limits on connections, requests and memory.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
-    /// For a connection to a server to be made.
+    /// The timeout for connecting to a server.
     pub connect_timeout: Duration,
-    /// When servers close a connection that carries nothing.
+    /// After this time servers close an idle connection.
     pub idle_close: Duration,
-    /// Attempts on one connection at a time.
+    /// Concurrent attempts on one connection to a server.
     pub streams: usize,
-    /// Requests that may be open at a time.
+    /// Concurrent open requests.
     pub open_requests: usize,
 }
 
-/// Reads the configuration that the environment names.
+/// Reads the configuration file that the environment names.
 ///
 /// # Errors
-/// The first fault that is found.
+/// The first error that is found.
 pub fn load(
     env: impl Fn(&str) -> Option<String>,
     clock: &Clock,
 ) -> Result<Configuration, ConfigurationError> {
-    let path = env(FILE_VARIABLE).ok_or(ConfigurationError::NoFile)?;
+    let path = env(FILE_VARIABLE).ok_or(ConfigurationError::VariableNotSet)?;
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(source) => return Err(ConfigurationError::Unreadable { path, source }),
     };
     let file: Value = match serde_json::from_str(&text) {
         Ok(file) => file,
-        Err(source) => return Err(ConfigurationError::NotJson { path, source }),
+        Err(source) => return Err(ConfigurationError::InvalidJson { path, source }),
     };
     let file = file.as_object().ok_or(ConfigurationError::NotAnObject)?;
     parse(file, env, clock)
@@ -219,7 +212,7 @@
 ) -> Result<Configuration, ConfigurationError> {
     let name = text_or_variable(file, "name", &env, "ROUTER_NAME")?;
     let listen = text_or_variable(file, "listen", &env, "ROUTER_LISTEN")?.into_address()?;
-    let discovery = Setting::of_key(file, "board")?.into_address()?;
+    let discovery = Setting::from_file(file, "board")?.into_address()?;
     let seed = parse_seed(file)?;
     let settings = object(file, "settings")?;
     let deployment = deployment::deployment(seed, settings).map_err(in_section("settings"))?;
@@ -248,20 +241,20 @@
         limits: parse_limits(file, settings)?,
         link_answers: parse_link_answers(file)?,
         peers: parse_peers(file, settings)?,
-        fixed: FIXED_KEYS
+        restart_only_values: RESTART_ONLY_KEYS
             .map(|key| file.get(key).cloned().unwrap_or_default())
             .to_vec(),
     })
 }
 
-/// A text, and what it was read from.
+/// A text value with the key or variable that it was read from.
 struct Setting {
     key: String,
     value: String,
 }
 
 impl Setting {
-    fn of_key(file: &Fields, key: &str) -> Result<Setting, ConfigurationError> {
+    fn from_file(file: &Fields, key: &str) -> Result<Setting, ConfigurationError> {
         let value = deployment::text(file, key).map_err(FieldError)?;
         Ok(Setting {
             key: key.to_owned(),
@@ -275,11 +268,11 @@
             return Err(ConfigurationError::Missing { key });
         }
         let address = value.parse();
-        address.map_err(|_| ConfigurationError::NotAnAddress { key, found: value })
+        address.map_err(|_| ConfigurationError::InvalidAddress { key, found: value })
     }
 }
 
-/// A key of the file, for which an environment variable may stand.
+/// Reads an environment variable if it is set, or else a key of the file.
 fn text_or_variable(
     file: &Fields,
     key: &str,
@@ -291,19 +284,19 @@
             key: variable.to_owned(),
             value,
         }),
-        None => Setting::of_key(file, key),
+        None => Setting::from_file(file, key),
     }
 }
 
 fn parse_seed(file: &Fields) -> Result<u64, ConfigurationError> {
-    const NOT_HEX: ConfigurationError = ConfigurationError::Unexpected {
+    const NOT_HEX: ConfigurationError = ConfigurationError::WrongType {
         key: "seed",
         expected: "16 hex digits",
     };
     match file.get("seed") {
         None | Some(Value::Null) => Ok(0),
         Some(Value::String(hex)) => u64::from_str_radix(hex, 16).map_err(|_| NOT_HEX),
-        Some(Value::Number(number)) => number.as_u64().ok_or(ConfigurationError::Unexpected {
+        Some(Value::Number(number)) => number.as_u64().ok_or(ConfigurationError::WrongType {
             key: "seed",
             expected: "a whole number",
         }),
@@ -317,7 +310,7 @@
     clock: &Clock,
 ) -> Result<Vec<NumberedEvent>, ConfigurationError> {
     let events = known.get("notices").and_then(Value::as_array);
-    let events = events.ok_or(ConfigurationError::Unexpected {
+    let events = events.ok_or(ConfigurationError::WrongType {
         key: "known: notices",
         expected: "an array",
     })?;
@@ -327,40 +320,49 @@
 
 fn parse_limits(file: &Fields, settings: &Fields) -> Result<Limits, ConfigurationError> {
     let empty = Fields::new();
-    let of_platform = match file.get("limits") {
+    let platform_limits = match file.get("limits") {
         None => &empty,
-        Some(limits) => limits.as_object().ok_or(ConfigurationError::Unexpected {
+        Some(limits) => limits.as_object().ok_or(ConfigurationError::WrongType {
             key: "limits",
             expected: "an object",
         })?,
     };
-    let of_deployment = settings.get("Limits").and_then(Value::as_object);
-    let of_deployment = of_deployment.unwrap_or(&empty);
-    let of_platform = |key, default| {
-        whole_or(of_platform, key, default).map_err(|fault| fault.in_section("limits"))
+    let deployment_limits = settings.get("Limits").and_then(Value::as_object);
+    let deployment_limits = deployment_limits.unwrap_or(&empty);
+    let platform_limits = |key, default| {
+        whole_or_default(platform_limits, key, default).map_err(|fault| fault.in_section("limits"))
     };
-    let sockets = of_platform("sockets", DEFAULT_SOCKETS)?;
+    let sockets = platform_limits("sockets", DEFAULT_SOCKETS)?;
     if sockets < MIN_SOCKETS {
         return Err(ConfigurationError::TooFewSockets);
     }
     Ok(Limits {
-        memory: of_platform("memory_mb", DEFAULT_MEMORY_MB)? << 20,
+        memory: platform_limits("memory_mb", DEFAULT_MEMORY_MB)? << 20,
         sockets: sockets as usize,
-        connect_timeout: span_or(of_deployment, "ConnectTimeout", DEFAULT_CONNECT_TIMEOUT)?,
-        idle_close: span_or(of_deployment, "IdleClose", DEFAULT_IDLE_CLOSE)?,
-        streams: whole_or(of_deployment, "StreamsPerConn", DEFAULT_STREAMS)? as usize,
-        open_requests: whole_or(of_deployment, "MaxOpen", DEFAULT_OPEN_REQUESTS)? as usize,
+        connect_timeout: duration_or_default(
+            deployment_limits,
+            "ConnectTimeout",
+            DEFAULT_CONNECT_TIMEOUT,
+        )?,
+        idle_close: duration_or_default(deployment_limits, "IdleClose", DEFAULT_IDLE_CLOSE)?,
+        streams: whole_or_default(deployment_limits, "StreamsPerConn", DEFAULT_STREAMS)? as usize,
+        open_requests: whole_or_default(deployment_limits, "MaxOpen", DEFAULT_OPEN_REQUESTS)?
+            as usize,
     })
 }
 
-/// A whole number, or its default where it is 0 or missing.
-fn whole_or(fields: &Fields, key: &str, default: u64) -> Result<u64, FieldError> {
+/// Reads a whole number, or the default if it is 0 or missing.
+fn whole_or_default(fields: &Fields, key: &str, default: u64) -> Result<u64, FieldError> {
     let found = deployment::whole(fields, key).map_err(FieldError)?;
     Ok(if found == 0 { default } else { found })
 }
 
-/// A span in milliseconds, or its default where it is not positive or missing.
-fn span_or(fields: &Fields, key: &str, default: Duration) -> Result<Duration, FieldError> {
+/// Reads a duration in milliseconds, or the default if it is not positive or is missing.
+fn duration_or_default(
+    fields: &Fields,
+    key: &str,
+    default: Duration,
+) -> Result<Duration, FieldError> {
     let ms = deployment::number(fields, key).map_err(FieldError)?;
     Ok(if ms > 0.0 {
         deployment::span(ms)
@@ -379,7 +381,7 @@
     }
     let address = |key: &str, found: &str| {
         let address = found.parse::<SocketAddr>();
-        address.map_err(|_| ConfigurationError::NotAnAddress {
+        address.map_err(|_| ConfigurationError::InvalidAddress {
             key: key.to_owned(),
             found: found.to_owned(),
         })
@@ -389,7 +391,7 @@
         address(key, found)
     };
     let each = file.get("peers").and_then(Value::as_array);
-    let each = each.ok_or(ConfigurationError::Unexpected {
+    let each = each.ok_or(ConfigurationError::WrongType {
         key: "peers",
         expected: "an array",
     })?;
@@ -415,7 +417,7 @@
         None | Some(Value::Null) => Err(ConfigurationError::Missing {
             key: key.to_owned(),
         }),
-        Some(found) => found.as_object().ok_or(ConfigurationError::Unexpected {
+        Some(found) => found.as_object().ok_or(ConfigurationError::WrongType {
             key,
             expected: "an object",
         }),
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -45,12 +45,12 @@
 ///
 /// # Errors
 /// If the router cannot start, or its decider panics.
-pub fn serve(directives: Directives, file: Option<PathBuf>) -> Result<(), RouterError> {
+pub fn serve(directives: Directives, directives_path: Option<PathBuf>) -> Result<(), RouterError> {
     let clock = Clock::start();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .on_thread_park(scheduling_delay::before_wait)
         .on_thread_unpark(scheduling_delay::after_wait)
         .build()?;
-    LocalSet::new().block_on(&runtime, startup::run(clock, directives, file))
+    LocalSet::new().block_on(&runtime, startup::run(clock, directives, directives_path))
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -22,8 +22,8 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let file = arguments.directives;
-    let (directives, faults) = file
+    let path = arguments.directives;
+    let (directives, faults) = path
         .as_deref()
         .map(chalkhall_config::read)
         .unwrap_or_default();
@@ -34,7 +34,7 @@
         return ExitCode::FAILURE;
     }
     chalkhall_router::logging::init(&directives.log);
-    match chalkhall_router::serve(directives, file) {
+    match chalkhall_router::serve(directives, path) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("chalkhall-router: {error}");
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes over, at each SIGHUP, what may change while the router runs.
+//! Reloads, at each SIGHUP, what may change while the router runs.
 
 use crate::clock::Clock;
 use crate::configuration::{self, Configuration, ConfigurationError};
@@ -12,44 +12,44 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::mpsc;
 
-/// Reads the configuration and the operator's file again, and hands on what is new. Of a
-/// configuration or a file that is faulty nothing is taken over.
+/// Reads the configuration and the operator's file again, and sends the changes to discovery and
+/// the decider. A configuration or file that cannot be read or parsed is ignored as a whole.
 pub struct ConfigurationReloader {
     configuration: Configuration,
-    /// The operator's file.
-    file: Option<PathBuf>,
+    /// The path of the operator's file.
+    directives_path: Option<PathBuf>,
     clock: Clock,
     discovery: mpsc::Sender<NewDiscovery>,
     decider: mpsc::Sender<DiscoveryEvent>,
-    /// Reserved for the files that are read, where clients have taken all other descriptors.
+    /// Reserved for reading files when clients hold all other descriptors.
     spare_descriptor: Cell<Option<File>>,
 }
 
-/// Reads the configuration that the environment names.
+/// Reads the configuration that the process environment names.
 ///
 /// # Errors
-/// The first fault that is found.
+/// The first error that is found.
 pub fn read_configuration(clock: &Clock) -> Result<Configuration, ConfigurationError> {
     configuration::load(|name| std::env::var(name).ok(), clock)
 }
 
-/// Any descriptor that is there to be given up.
+/// Opens a descriptor that can be released when another one is needed.
 fn reserve_descriptor() -> Option<File> {
     retry_at_once(|| File::open("/dev/null")).ok()
 }
 
 impl ConfigurationReloader {
-    /// The reloader of a router that runs with this configuration.
+    /// A reloader for a router that runs with this configuration.
     pub fn new(
         configuration: Configuration,
-        file: Option<PathBuf>,
+        directives_path: Option<PathBuf>,
         clock: Clock,
         discovery: mpsc::Sender<NewDiscovery>,
         decider: mpsc::Sender<DiscoveryEvent>,
     ) -> ConfigurationReloader {
         ConfigurationReloader {
             configuration,
-            file,
+            directives_path,
             clock,
             discovery,
             decider,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads a file while a descriptor is free for it.
+    /// Releases the spare descriptor while `read` runs, so that it can open a file.
     fn with_spare_descriptor<T>(&self, read: impl FnOnce() -> T) -> T {
         drop(self.spare_descriptor.take());
         let read = read();
@@ -77,16 +77,16 @@
         let new = match self.with_spare_descriptor(|| read_configuration(&self.clock)) {
             Ok(new) => new,
             Err(fault) => {
-                return log::warn!(reason:% = fault; "the new configuration is not taken over");
+                return log::warn!(reason:% = fault; "configuration reload rejected");
             }
         };
-        let changed = self.configuration.changed_fixed_keys(&new);
+        let changed = self.configuration.changed_restart_only_keys(&new);
         if !changed.is_empty() {
             let keys = changed.join(", ");
-            log::warn!("the new configuration has other {keys}: a restart is needed");
+            log::warn!("the new configuration changes {keys}: a restart is needed");
         }
-        // Its events are read by the names in its settings: with other settings those are not the
-        // names that the router runs with.
+        // The events refer to names in the new settings. If those have changed, the names differ
+        // from the ones that the router runs with, and the events are dropped.
         let known_events = if changed.contains(&"settings") {
             Vec::new()
         } else {
@@ -99,22 +99,24 @@
         let _ = self.discovery.send(new).await;
     }
 
-    /// Of the operator's file the map of cells and the drained zones are taken over; all else needs
-    /// a restart.
+    /// Applies the map of cells and the drained zones of the operator's file. Changes of other
+    /// directives need a restart.
     async fn reload_directives(&self) {
-        let Some(file) = &self.file else { return };
-        let (directives, faults) = self.with_spare_descriptor(|| chalkhall_config::read(file));
+        let Some(path) = &self.directives_path else {
+            return;
+        };
+        let (directives, faults) = self.with_spare_descriptor(|| chalkhall_config::read(path));
         if let Some(fault) = faults.first() {
             return log::warn!(
                 reason:% = fault, faults = faults.len();
-                "the operator's file is not taken over"
+                "operator's file reload rejected"
             );
         }
         let zones = &self.configuration.names.zones;
         match zone_failover::zone_indices(zones, &directives.regions.drained) {
             Ok(drained) => self.send(DiscoveryEvent::Drained(drained)).await,
             Err(fault) => {
-                log::warn!(reason:% = fault; "the operator's file is not taken over");
+                log::warn!(reason:% = fault; "operator's file reload rejected");
             }
         }
         if directives.cells.cells.is_empty() {
@@ -122,12 +124,12 @@
         }
         match cell_routing::plan(&directives.cells, &self.configuration.classes) {
             Ok(plan) => self.send(DiscoveryEvent::Cells(Box::new(plan))).await,
-            Err(fault) => log::warn!(reason:% = fault; "the map of cells is not taken over"),
+            Err(fault) => log::warn!(reason:% = fault; "cell map reload rejected"),
         }
     }
 
     async fn send(&self, event: DiscoveryEvent) {
-        // Where the decider has ended, so will this task.
+        // If the decider has ended, the process is about to exit.
         let _ = self.decider.send(event).await;
     }
 }
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts a router step by step, and runs it until it has ended.
+//! Starts a router and runs it until it has ended.
 
 use crate::cell_routing::CellRouting;
 use crate::client_connection::ClientFrontend;
@@ -30,25 +30,26 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::Instant;
 
-/// Messages waiting for the decider. Who brings more waits, and reads nothing meanwhile.
+/// Capacity of the decider's message channel. Senders wait while it is full, and read nothing from
+/// their sockets meanwhile.
 const MAX_MESSAGES: usize = 256;
-/// Events of discovery waiting for the decider; discovery is read no further meanwhile.
+/// Capacity of the decider's channel for discovery events. Discovery is not read while it is full.
 const MAX_EVENTS: usize = 64;
 
-/// Starts a router, and runs it until it has ended.
+/// Starts a router and runs it until it has ended.
 ///
 /// # Errors
-/// Why it could not start, or what ended it before its time.
+/// If the router cannot start, or its decider panics.
 pub async fn run(
     clock: Clock,
     directives: Directives,
-    file: Option<PathBuf>,
+    directives_path: Option<PathBuf>,
 ) -> Result<(), RouterError> {
-    // Before all else: by default either signal ends the program where it stands.
+    // First of all: by default, either signal kills the process.
     let signals = Signals::install()?;
     let mut configuration = read_configuration(&clock)?;
     let (phase_sender, phase) = watch::channel(Phase::Starting);
-    let (decider, mailbox) = mpsc::channel(MAX_MESSAGES);
+    let (decider, messages) = mpsc::channel(MAX_MESSAGES);
 
     let OpenedSubsystems { subsystems, tasks } =
         open_subsystems(clock, &directives, &configuration, &decider).await?;
@@ -61,14 +62,14 @@
         subsystems,
     );
     let frontend = client_frontend(&configuration, clock, &decisions);
-    // The list comes before the first request.
+    // The endpoint list has to be known before the first request.
     let event_times = apply_known_events(&mut configuration, &mut decisions, clock);
 
     let socket = bind_listener(&configuration).await?;
     let control_socket = open_control_socket(&directives)?;
     let (events_sender, events) = mpsc::channel(MAX_EVENTS);
     let decisions = spawn_local(async move {
-        decisions.run(mailbox, events).await;
+        decisions.run(messages, events).await;
         Instant::now()
     });
     let discovery = start_discovery(&configuration, clock, event_times, events_sender.clone());
@@ -87,19 +88,25 @@
     if let Some(control_socket) = control_socket {
         spawn_local(control_socket::run(control_socket, decider.clone()));
     }
-    // Clients hold a third of the descriptors at most; a few more may be on their way out.
+    // Clients may hold a third of the descriptors, and a few more while connections are evicted.
     let max_clients = configuration.limits.sockets / 3;
     let name = configuration.name.clone();
-    let reloader = ConfigurationReloader::new(configuration, file, clock, discovery, events_sender);
+    let reloader = ConfigurationReloader::new(
+        configuration,
+        directives_path,
+        clock,
+        discovery,
+        events_sender,
+    );
     spawn_local(reloader.run(signals.reload));
 
     listener::run(socket, max_clients, frontend, decider, phase).await;
     shutdown::finish(decisions, disk).await?;
-    log::info!(router = name.as_str(); "ended");
+    log::info!(router = name.as_str(); "router ended");
     Ok(())
 }
 
-/// The signals that the router handles.
+/// The signals that the process handles.
 struct Signals {
     /// SIGTERM.
     stop: Signal,
@@ -116,9 +123,9 @@
     }
 }
 
-/// What the tasks beside the decider need to start.
+/// The inputs of the subsystem tasks.
 struct SubsystemTasks {
-    /// The task that hands on how the disk's operations end.
+    /// The task that forwards the results of disk operations.
     disk: Option<JoinHandle<()>>,
     gossip_socket: Option<UdpSocket>,
     outgoing: mpsc::Receiver<OutgoingDatagram>,
@@ -126,7 +133,7 @@
 }
 
 impl SubsystemTasks {
-    /// Starts the tasks of gossip and probes. Returns the disk's.
+    /// Starts the tasks of gossip and latency probes. Returns the disk's task.
     fn start(
         self,
         configuration: &Configuration,
@@ -142,13 +149,13 @@
     }
 }
 
-/// What the operator's file turns on beside the decisions.
+/// The subsystems that the operator's file enables, with the inputs of their tasks.
 struct OpenedSubsystems {
     subsystems: Subsystems,
     tasks: SubsystemTasks,
 }
 
-/// Opens what the operator's file turns on beside the decisions.
+/// Opens the subsystems that the operator's file enables.
 async fn open_subsystems(
     clock: Clock,
     directives: &Directives,
@@ -163,7 +170,8 @@
         }) => (Some(cache), disk_results),
         None => (None, None),
     };
-    let disk = disk_results.map(|results| spawn_local(forward_disk(results, decider.clone())));
+    let disk =
+        disk_results.map(|results| spawn_local(forward_disk_results(results, decider.clone())));
     let cell_routing = open_cell_routing(directives, configuration)?;
     let talk = start_gossip(clock, directives, configuration);
     let (sender, outgoing) = gossip_socket::channel();
@@ -173,9 +181,7 @@
         _ => None,
     };
     if directives.regions.in_common && gossip_socket.is_none() {
-        log::warn!(
-            "regions: the platform lets routers not talk; each decides by what it sees itself"
-        );
+        log::warn!("regions: routers cannot gossip; each decides on its own observations only");
     }
     let (probe_sender, probes) = mpsc::channel(latency_probes::PROBE_QUEUE_CAPACITY);
     let mut subsystems = Subsystems {
@@ -202,8 +208,8 @@
     Ok(OpenedSubsystems { subsystems, tasks })
 }
 
-/// Hands on how the operations of the disk end, until its threads have ended.
-async fn forward_disk(mut results: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
+/// Forwards the results of disk operations until the disk's threads have ended.
+async fn forward_disk_results(mut results: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
     while let Some(end) = results.recv().await {
         let _ = decider.send(Message::Disk(end)).await;
     }
@@ -219,19 +225,19 @@
         &configuration.classes,
         deployment.zone,
         !deployment.customers.is_empty(),
-        longest_request(deployment),
+        max_request_lifetime(deployment),
         deployment.seed,
     )?)
 }
 
-/// The longest that a request, or what remembers its repetitions, lasts.
-fn longest_request(deployment: &Deployment) -> Duration {
+/// The longest time for which a request may be open or its repeats are recognised.
+fn max_request_lifetime(deployment: &Deployment) -> Duration {
     let classes = deployment.classes.iter();
     let longest = classes.map(|class| class.deadline.max(class.window)).max();
     longest.unwrap_or_default()
 }
 
-/// The gossip with the routers of the zone, where it is turned on and there are any.
+/// Starts gossip with the routers of the zone, if it is enabled and there are others.
 fn start_gossip(
     clock: Clock,
     directives: &Directives,
@@ -287,8 +293,8 @@
     })
 }
 
-/// Applies the events that the configuration holds. Returns what bounds the stamps of those that
-/// follow.
+/// Applies the discovery events in the configuration. Returns the bounds for the timestamps of
+/// later events.
 fn apply_known_events(
     configuration: &mut Configuration,
     decisions: &mut Decider,
@@ -327,7 +333,7 @@
     }
 }
 
-/// Starts to follow discovery. Returns where a new configuration of it goes.
+/// Starts to watch discovery. Returns the sender for a new discovery configuration.
 fn start_discovery(
     configuration: &Configuration,
     clock: Clock,
--- a/crates/router/tests/program/local_failures.rs
+++ b/crates/router/tests/program/local_failures.rs
@@ -40,8 +40,8 @@
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(status.success(), "{log}");
     for named in [
-        "the new configuration is not taken over",
-        "the operator's file is not taken over",
+        "configuration reload rejected",
+        "operator's file reload rejected",
     ] {
         assert!(log.contains(named), "{named}: {log}");
     }
@@ -70,5 +70,5 @@
     router.terminate();
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(status.success(), "{log}");
-    assert!(!log.contains("is not taken over"), "{log}");
+    assert!(!log.contains("reload rejected"), "{log}");
 }
