--- a/crates/router/src/scheduling_delay.rs
+++ b/crates/router/src/scheduling_delay.rs
@@ -1,41 +1,40 @@
-//! Detects scheduling delays of the event loop: it was stopped, had no CPU time or was busy for
-//! long.
+//! Detects scheduling delays of the event loop: the process was stopped, got no CPU time or was
+//! busy.
 //!
-//! What arrives meanwhile stays unread in the sockets. A request has then used some of its client's
-//! time before it is read, and a client that has left is not known to have. The runtime's thread
-//! reports each wait for I/O here; between two waits every socket that has something to read is
-//! found.
+//! Data that arrives during a delay stays unread in the sockets. A request has then used part of
+//! its deadline before it is read, and disconnects of clients go unnoticed. The runtime's thread
+//! reports each wait for I/O here; each wait finds all readable sockets.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// A longer time between two waits for I/O counts as a delay. An idle loop wakes every 50 ms, by
-/// the timer of the decider.
+/// At least this much time between two waits for I/O counts as a delay. An idle loop wakes up every
+/// 50 ms, for the decider's timer.
 const DELAY_THRESHOLD: Duration = Duration::from_millis(60);
-/// A wait that lasts this long found no task ready: what was in the sockets before has been read.
+/// Before a wait that lasts this long, no task was ready: all data received earlier has been read.
 const IDLE_WAIT: Duration = Duration::from_millis(1);
-/// Rounds of all tasks within which clients' connections read what has arrived.
+/// Scheduling rounds within which client connections read what has arrived.
 const CATCH_UP_ROUNDS: usize = 8;
 
 thread_local! {
     static EVENT_LOOP: Cell<Option<EventLoop>> = const { Cell::new(None) };
 }
 
-/// A time in which the event loop did not run as it should.
+/// A period in which the event loop was delayed.
 #[derive(Clone, Copy, Debug)]
 struct Delay {
     started_at: Instant,
     ended_at: Instant,
-    /// All other tasks have run since.
+    /// Whether all other tasks have run since.
     is_caught_up: bool,
 }
 
-/// What is known of the event loop of a thread.
+/// The state of a thread's event loop.
 #[derive(Clone, Copy, Debug)]
 struct EventLoop {
-    /// When the last wait for I/O began.
+    /// When the last wait for I/O started.
     last_wait_at: Instant,
     /// The last delay, until everything that arrived during it has been read.
     last_delay: Option<Delay>,
@@ -86,8 +85,8 @@
         }
     }
 
-    /// The start of a delay that ended shortly before `now`: what arrived during it may be read
-    /// then.
+    /// The start of a delay that ended shortly before `now`: data that arrived during it may be
+    /// read only now.
     fn recent_delay(&self, now: Instant) -> Option<Instant> {
         self.last_delay
             .filter(|delay| now < delay.ended_at + DELAY_THRESHOLD)
@@ -96,7 +95,7 @@
 
     fn unread_since(&self, now: Instant) -> Option<Instant> {
         if self.is_delayed(now) {
-            // What arrived during the delay before may be unread too.
+            // Data that arrived during the previous delay may be unread too.
             return self
                 .recent_delay(self.last_wait_at)
                 .or(Some(self.last_wait_at));
@@ -122,18 +121,18 @@
     update(EventLoop::after_wait);
 }
 
-/// Since when what is read now may have been unread, if the loop was delayed; `None` if it was not.
+/// The earliest time since which data read now may have been unread; `None` without a delay.
 pub fn unread_since() -> Option<Instant> {
     EVENT_LOOP
         .get()
         .and_then(|event_loop| event_loop.unread_since(Instant::now()))
 }
 
-/// Lets all other tasks read what arrived during a delay, once for each; returns at once if there
+/// Lets all other tasks read what arrived during a delay, once per delay; returns at once if there
 /// was none.
 ///
-/// `after_round` is called after each of their rounds: the caller may have a mailbox that they
-/// fill.
+/// `after_round` is called after each scheduling round, for example to drain a channel on which the
+/// other tasks send.
 pub async fn catch_up(mut after_round: impl FnMut()) {
     if EVENT_LOOP
         .get()
--- a/crates/router/src/scheduling_delay/tests.rs
+++ b/crates/router/src/scheduling_delay/tests.rs
@@ -2,8 +2,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A loop that has waited once, and when.
-fn quiet() -> (EventLoop, Instant) {
+/// A loop at the start of a wait, and the time of that.
+fn waiting_loop() -> (EventLoop, Instant) {
     let start = Instant::now();
     let mut event_loop = EventLoop::start(start);
     event_loop.before_wait(start);
@@ -12,7 +12,7 @@
 
 #[test]
 fn an_idle_loop_is_not_delayed() {
-    let (mut event_loop, mut now) = quiet();
+    let (mut event_loop, mut now) = waiting_loop();
     for _ in 0..100 {
         event_loop.before_wait(now);
         now += 51 * MS;
@@ -24,17 +24,17 @@
 
 #[test]
 fn a_long_wait_is_a_delay_until_everything_that_arrived_is_read() {
-    let (mut event_loop, start) = quiet();
+    let (mut event_loop, start) = waiting_loop();
     let woken = start + 900 * MS;
     event_loop.after_wait(woken);
     assert_eq!(event_loop.unread_since(woken), Some(start));
-    // The tasks that are ready get their turns in batches, with waits of no length between them.
+    // The ready tasks run in batches, with waits of no duration between them.
     for turn in 1..5 {
         event_loop.before_wait(woken + turn * 5 * MS);
         event_loop.after_wait(woken + turn * 5 * MS);
         assert_eq!(event_loop.unread_since(woken + turn * 5 * MS), Some(start));
     }
-    // None is ready any more.
+    // No task is ready any more.
     event_loop.before_wait(woken + 25 * MS);
     event_loop.after_wait(woken + 30 * MS);
     assert_eq!(event_loop.unread_since(woken + 30 * MS), None);
@@ -42,23 +42,23 @@
 
 #[test]
 fn a_delay_between_two_waits_counts_during_and_after_it() {
-    let (mut event_loop, start) = quiet();
+    let (mut event_loop, start) = waiting_loop();
     event_loop.after_wait(start + 20 * MS);
     let late = start + 700 * MS;
     assert_eq!(
         event_loop.unread_since(late),
         Some(start),
-        "not noticed by a wait yet"
+        "no wait has recorded the delay yet"
     );
     event_loop.before_wait(late);
     event_loop.after_wait(late);
     assert_eq!(event_loop.unread_since(late + MS), Some(start));
-    // A second one begins before all that came during the first has been read.
+    // A second delay begins before all data received during the first has been read.
     event_loop.before_wait(late + 5 * MS);
     assert_eq!(event_loop.unread_since(late + 80 * MS), Some(start));
     event_loop.before_wait(late + 80 * MS);
     assert_eq!(event_loop.unread_since(late + 81 * MS), Some(late + 5 * MS));
-    // A loop that is never idle has read it all by now.
+    // Even a loop that is never idle has read everything by now.
     for turn in 0..100 {
         event_loop.before_wait(late + (90 + turn) * MS);
         event_loop.after_wait(late + (90 + turn) * MS);
@@ -68,7 +68,7 @@
 
 #[test]
 fn tasks_catch_up_once_for_each_delay() {
-    let (mut event_loop, start) = quiet();
+    let (mut event_loop, start) = waiting_loop();
     assert!(!event_loop.needs_catch_up(start + 50 * MS));
     let delayed = start + 100 * MS;
     assert!(event_loop.needs_catch_up(delayed));
@@ -77,7 +77,7 @@
     assert_eq!(
         event_loop.unread_since(delayed + MS),
         Some(start),
-        "what is read then came before"
+        "data read now arrived before"
     );
     event_loop.before_wait(delayed + 2 * MS);
     event_loop.after_wait(delayed + 90 * MS);
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -1,9 +1,9 @@
-//! Bounds the timestamps in discovery's events and in copies by what the monotonic clock proves.
+//! Validates the timestamps in discovery events and copies against the monotonic clock.
 //!
-//! Wall clocks are stepped, this machine's and others'. A timestamp therefore counts only within
-//! the span in which its event can have happened. One outside that span says nothing, and the
-//! latest possible moment, the arrival, takes its place: a server that started later is earlier in
-//! its slow start, and a later purge reaches more copies.
+//! The wall clocks of this and other machines may be stepped. A timestamp is therefore accepted
+//! only within the interval in which its event can have happened. Otherwise it is replaced by the
+//! latest possible time, the arrival. That errs on the safe side: a server that started later is in
+//! an earlier part of its slow start, and a later purge covers more copies.
 
 use crate::clock::Clock;
 use crate::discovery_events::DiscoveryEvent;
@@ -11,34 +11,36 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Starts that are remembered; past that, those of servers that have left the list are forgotten.
+/// Maximum number of recorded server starts. Beyond it, those of servers that are no longer listed
+/// are dropped.
 const MAX_STARTS: usize = 8192;
-/// A timestamp this far in the future is an ordinary difference between two clocks.
-const SKEW_MS: u64 = 50;
-/// What shows that the origin's clock is ahead counts for one to two of these.
-const LEAD_WINDOW: Duration = Duration::from_secs(60);
+/// Timestamps up to this far in the future are attributed to normal clock skew.
+const MAX_SKEW_MS: u64 = 50;
+/// An observed clock offset is applied for one to two windows of this length.
+const OFFSET_WINDOW: Duration = Duration::from_secs(60);
 
-/// What is known of when the next event can have happened.
+/// Evidence for when the next event can have happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// Discovery has not yet said that it has nothing newer: its events may be of any age.
+    /// Discovery has not yet reported that it is up to date: its events may be of any age.
     Startup,
-    /// It had nothing newer at this moment, on the connection that is open.
+    /// Discovery was up to date at this time, on the current connection.
     Live(Duration),
-    /// The connection was lost since: its next events may have happened at any time meanwhile.
+    /// The connection was lost since then: the next events may have happened at any time in
+    /// between.
     Replayed,
 }
 
-/// A server's last start.
+/// The last start of a server.
 struct Start {
-    /// As it was received.
-    stamp: Duration,
-    /// As it counts.
-    counted: Duration,
+    /// The timestamp as received.
+    timestamp: Duration,
+    /// The time that is used for it.
+    effective: Duration,
     is_listed: bool,
 }
 
-/// Bounds the timestamps of discovery's events, in their order.
+/// Validates the timestamps of discovery events in the order of their arrival.
 pub struct EventTimes {
     clock: Clock,
     evidence: Evidence,
@@ -46,7 +48,7 @@
 }
 
 impl EventTimes {
-    /// At the start of the router, before anything was received.
+    /// The state at the start of the router, before any event has been received.
     pub fn new(clock: Clock) -> EventTimes {
         EventTimes {
             clock,
@@ -55,19 +57,19 @@
         }
     }
 
-    /// Discovery says that it has nothing newer than what it has sent.
+    /// Discovery has reported that it has sent all events.
     pub fn nothing_newer(&mut self) {
         self.evidence = Evidence::Live(self.clock.now());
     }
 
-    /// What comes next is of another connection or of a file: it may have happened some time ago.
+    /// The next events are from another connection or from a file, and may have happened earlier.
     pub fn interrupted(&mut self) {
         if self.evidence != Evidence::Startup {
             self.evidence = Evidence::Replayed;
         }
     }
 
-    /// Bounds the timestamps of an event that arrives now.
+    /// Replaces the timestamps of an event that arrives now where they are not possible.
     pub fn bound(&mut self, event: &mut DiscoveryEvent) {
         let now = self.clock.now();
         match event {
@@ -90,74 +92,76 @@
         }
     }
 
-    /// An event was passed on: on a live connection the next one happened after it.
+    /// An event was forwarded to the decider: on a live connection, the next one happened after it.
     pub fn passed(&mut self) {
         if let Evidence::Live(_) = self.evidence {
             self.nothing_newer();
         }
     }
 
-    /// A start that was received before counts as it did then: only a new timestamp is a new start.
+    /// A start that was received before keeps its effective time: only a new timestamp is a new
+    /// start.
     fn bound_start(&mut self, now: Duration, member: &mut Member) {
         let is_listed = member.standing != Standing::Gone;
-        let Some(stamp) = member.started else {
+        let Some(timestamp) = member.started else {
             self.starts.remove(&member.server);
             return;
         };
-        let possible = self.is_possible(now, stamp);
+        let is_possible = self.is_possible(now, timestamp);
         if self.starts.len() >= MAX_STARTS && !self.starts.contains_key(&member.server) {
             self.starts.retain(|_, start| start.is_listed);
         }
-        let counted = if possible { stamp } else { now };
+        let effective = if is_possible { timestamp } else { now };
         let start = self.starts.entry(member.server.clone()).or_insert(Start {
-            stamp,
-            counted,
+            timestamp,
+            effective,
             is_listed,
         });
-        if start.stamp != stamp {
-            (start.stamp, start.counted) = (stamp, counted);
+        if start.timestamp != timestamp {
+            (start.timestamp, start.effective) = (timestamp, effective);
         }
         start.is_listed = is_listed;
-        member.started = Some(start.counted);
+        member.started = Some(start.effective);
     }
 
-    fn is_possible(&self, now: Duration, stamp: Duration) -> bool {
+    fn is_possible(&self, now: Duration, timestamp: Duration) -> bool {
         match self.evidence {
-            Evidence::Startup => stamp <= now,
-            Evidence::Live(nothing_newer_at) => (nothing_newer_at..=now).contains(&stamp),
+            Evidence::Startup => timestamp <= now,
+            Evidence::Live(up_to_date_at) => (up_to_date_at..=now).contains(&timestamp),
             Evidence::Replayed => false,
         }
     }
 }
 
-/// Bounds the times at which copies were created, as their servers send them.
+/// Corrects the creation times of copies, as sent by servers.
 ///
-/// A copy cannot have been created after it arrived: by as much as its timestamp is in the future,
-/// the clock of the server is ahead at least, and later timestamps are corrected by as much. A
-/// timestamp that is too old needs no bound: the copy only counts as older than it is.
+/// A copy cannot have been created after it arrived. If its timestamp is in the future, the clock
+/// that created it is ahead by at least that much, and later timestamps are reduced by this offset.
+/// A timestamp that is too old needs no correction: the copy only counts as older than it is.
 #[derive(Debug, Default)]
 pub struct CopyTimes {
-    /// When the current window began, and the lead seen in it and in the one before.
-    window: Duration,
-    lead_ms: u64,
-    lead_before_ms: u64,
+    /// The start of the current window, and the largest offsets observed in it and in the previous
+    /// one.
+    window_start: Duration,
+    offset_ms: u64,
+    previous_offset_ms: u64,
 }
 
 impl CopyTimes {
-    /// When a copy that arrives now was created at the latest, in Unix milliseconds of this
+    /// The latest time at which a copy that arrives now was created, in Unix milliseconds of this
     /// router's clock. None: its age is not known.
-    pub fn bound(&mut self, clock: &Clock, made: u64) -> Option<u64> {
+    pub fn bound(&mut self, clock: &Clock, created_at_ms: u64) -> Option<u64> {
         let now = clock.now();
-        if now >= self.window + LEAD_WINDOW {
-            let follows = now < self.window + LEAD_WINDOW * 2;
-            self.lead_before_ms = if follows { self.lead_ms } else { 0 };
-            (self.window, self.lead_ms) = (now, 0);
+        if now >= self.window_start + OFFSET_WINDOW {
+            let is_next_window = now < self.window_start + OFFSET_WINDOW * 2;
+            self.previous_offset_ms = if is_next_window { self.offset_ms } else { 0 };
+            (self.window_start, self.offset_ms) = (now, 0);
         }
         let arrival = clock.unix_ms(now);
-        let lead = self.lead_ms.max(self.lead_before_ms);
-        self.lead_ms = self.lead_ms.max(made.saturating_sub(arrival));
-        let made = made.saturating_sub(lead);
-        (made <= arrival.saturating_add(SKEW_MS)).then_some(made.min(arrival))
+        let offset = self.offset_ms.max(self.previous_offset_ms);
+        self.offset_ms = self.offset_ms.max(created_at_ms.saturating_sub(arrival));
+        let created_at_ms = created_at_ms.saturating_sub(offset);
+        (created_at_ms <= arrival.saturating_add(MAX_SKEW_MS)).then_some(created_at_ms.min(arrival))
     }
 }
 
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -5,7 +5,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR_MS: u64 = 3_600_000;
 
-/// A clock on paused time, and what bounds discovery's events by it.
+/// A clock on paused time, with the event times that use it.
 fn event_times() -> (Clock, EventTimes) {
     let clock = Clock::start();
     (clock, EventTimes::new(clock))
@@ -16,35 +16,35 @@
 }
 
 fn list(clock: &Clock, whole: bool, entries: &[(&str, u64, Standing)]) -> DiscoveryEvent {
-    let member = |(name, stamp, standing): &(&str, u64, Standing)| Member {
+    let member = |(name, timestamp, standing): &(&str, u64, Standing)| Member {
         server: (*name).into(),
         standing: *standing,
-        started: (*stamp > 0).then(|| clock.at_unix_ms(*stamp)),
+        started: (*timestamp > 0).then(|| clock.at_unix_ms(*timestamp)),
         ..Member::default()
     };
-    let dial = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
+    let endpoint = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     DiscoveryEvent::List {
         whole,
         servers: entries
             .iter()
             .map(|entry| DiscoveredServer {
                 member: member(entry),
-                address: dial,
+                address: endpoint,
             })
             .collect(),
     }
 }
 
-/// How long ago the only server of an event counts as started; none: long ago.
+/// How long ago the only server of an event counts as started, or none if its start is not known.
 fn age_of_start(
     clock: &Clock,
     times: &mut EventTimes,
-    mut notice: DiscoveryEvent,
+    mut event: DiscoveryEvent,
 ) -> Option<Duration> {
-    times.bound(&mut notice);
+    times.bound(&mut event);
     times.passed();
-    let DiscoveryEvent::List { servers, .. } = notice else {
-        panic!("no list")
+    let DiscoveryEvent::List { servers, .. } = event else {
+        panic!("the event is not a list")
     };
     assert!(
         servers[0].member.started.is_none_or(|at| at <= clock.now()),
@@ -53,21 +53,21 @@
     servers[0].member.started.map(|at| clock.now() - at)
 }
 
-fn started(clock: &Clock, stamp: u64) -> DiscoveryEvent {
-    list(clock, false, &[("c1", stamp, Standing::Active)])
+fn started(clock: &Clock, timestamp: u64) -> DiscoveryEvent {
+    list(clock, false, &[("c1", timestamp, Standing::Active)])
 }
 
-/// How long ago a purge counts as made, in milliseconds.
-fn age_of_purge(clock: &Clock, times: &mut EventTimes, stamp: u64) -> u64 {
-    let mut notice = DiscoveryEvent::Purge {
+/// How many milliseconds ago a purge counts as issued.
+fn age_of_purge(clock: &Clock, times: &mut EventTimes, timestamp: u64) -> u64 {
+    let mut event = DiscoveryEvent::Purge {
         object: None,
         group: 1,
-        ms: stamp,
+        ms: timestamp,
     };
-    times.bound(&mut notice);
+    times.bound(&mut event);
     times.passed();
-    let DiscoveryEvent::Purge { ms, .. } = notice else {
-        panic!("no purge")
+    let DiscoveryEvent::Purge { ms, .. } = event else {
+        panic!("the event is not a purge")
     };
     now_ms(clock)
         .checked_sub(ms)
@@ -75,22 +75,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_live_stamp_within_the_last_word_and_its_arrival_is_believed() {
+async fn a_live_timestamp_between_the_last_report_and_its_arrival_is_accepted() {
     let (clock, mut times) = event_times();
     times.nothing_newer();
     advance(SECOND).await;
-    let stamp = now_ms(&clock) - 300;
-    assert_eq!(age_of_purge(&clock, &mut times, stamp), 300);
+    let timestamp = now_ms(&clock) - 300;
+    assert_eq!(age_of_purge(&clock, &mut times, timestamp), 300);
     times.nothing_newer();
     advance(SECOND).await;
-    let stamp = now_ms(&clock) - 300;
-    let age = age_of_start(&clock, &mut times, started(&clock, stamp)).expect("a start");
+    let timestamp = now_ms(&clock) - 300;
+    let age = age_of_start(&clock, &mut times, started(&clock, timestamp)).expect("a start");
     assert!((0.299..0.302).contains(&age.as_secs_f64()), "{age:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_live_stamp_from_before_the_last_word_or_from_the_future_counts_as_of_its_arrival() {
-    for stamp in [
+async fn a_live_timestamp_before_the_last_report_or_in_the_future_is_replaced_by_the_arrival() {
+    for timestamp in [
         |now| now - 1100,
         |now| now - HOUR_MS,
         |now| now + HOUR_MS,
@@ -102,160 +102,174 @@
         advance(SECOND * 100).await;
         times.nothing_newer();
         advance(SECOND).await;
-        let stamp = stamp(now_ms(&clock));
-        assert_eq!(age_of_purge(&clock, &mut times, stamp), 0, "{stamp}");
+        let timestamp = timestamp(now_ms(&clock));
         assert_eq!(
-            age_of_start(&clock, &mut times, started(&clock, stamp)),
+            age_of_purge(&clock, &mut times, timestamp),
+            0,
+            "{timestamp}"
+        );
+        assert_eq!(
+            age_of_start(&clock, &mut times, started(&clock, timestamp)),
             Some(Duration::ZERO),
-            "{stamp}"
+            "{timestamp}"
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_event_is_no_older_than_the_one_before_it_on_a_live_watch() {
+async fn an_event_is_no_older_than_the_previous_one_on_a_live_connection() {
     let (clock, mut times) = event_times();
     times.nothing_newer();
     advance(SECOND).await;
     assert_eq!(age_of_purge(&clock, &mut times, now_ms(&clock)), 0);
     advance(SECOND / 2).await;
-    let stamp = now_ms(&clock) - 800;
-    assert_eq!(age_of_purge(&clock, &mut times, stamp), 0);
+    let timestamp = now_ms(&clock) - 800;
+    assert_eq!(age_of_purge(&clock, &mut times, timestamp), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_start_counts_as_it_did_when_its_stamp_was_new() {
+async fn a_repeated_start_keeps_its_effective_time() {
     let (clock, mut times) = event_times();
     times.nothing_newer();
     advance(SECOND).await;
-    let stamp = now_ms(&clock) - HOUR_MS;
+    let timestamp = now_ms(&clock) - HOUR_MS;
     assert_eq!(
-        age_of_start(&clock, &mut times, started(&clock, stamp)),
+        age_of_start(&clock, &mut times, started(&clock, timestamp)),
         Some(Duration::ZERO)
     );
     advance(SECOND * 7).await;
-    // Configuration again by a change, by a whole list after a lost connection, and as it comes
-    // back from having left.
-    let again = started(&clock, stamp);
-    assert_eq!(age_of_start(&clock, &mut times, again), Some(SECOND * 7));
+    // The start is repeated by a change, by a whole list after a lost connection, and when the
+    // server returns after it was gone.
+    let repeated = started(&clock, timestamp);
+    assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
     times.interrupted();
-    let again = list(&clock, true, &[("c1", stamp, Standing::Active)]);
-    assert_eq!(age_of_start(&clock, &mut times, again), Some(SECOND * 7));
-    let left = list(&clock, false, &[("c1", stamp, Standing::Gone)]);
+    let repeated = list(&clock, true, &[("c1", timestamp, Standing::Active)]);
+    assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
+    let left = list(&clock, false, &[("c1", timestamp, Standing::Gone)]);
     assert_eq!(age_of_start(&clock, &mut times, left), Some(SECOND * 7));
-    let again = started(&clock, stamp);
-    assert_eq!(age_of_start(&clock, &mut times, again), Some(SECOND * 7));
-    // A stamp that was not told before is a new start.
-    let anew = started(&clock, stamp + 1);
-    assert_eq!(age_of_start(&clock, &mut times, anew), Some(Duration::ZERO));
+    let repeated = started(&clock, timestamp);
+    assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
+    // A timestamp that was not received before is a new start.
+    let new_start = started(&clock, timestamp + 1);
+    assert_eq!(
+        age_of_start(&clock, &mut times, new_start),
+        Some(Duration::ZERO)
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_replayed_after_a_lost_connection_counts_as_of_its_arrival() {
+async fn timestamps_replayed_after_a_lost_connection_are_replaced_by_the_arrival() {
     let (clock, mut times) = event_times();
     times.nothing_newer();
     advance(SECOND * 30).await;
     times.interrupted();
-    let stamp = now_ms(&clock) - 5000;
-    assert_eq!(age_of_purge(&clock, &mut times, stamp), 0);
+    let timestamp = now_ms(&clock) - 5000;
+    assert_eq!(age_of_purge(&clock, &mut times, timestamp), 0);
     assert_eq!(
-        age_of_start(&clock, &mut times, started(&clock, stamp)),
+        age_of_start(&clock, &mut times, started(&clock, timestamp)),
         Some(Duration::ZERO)
     );
-    // Once discovery has nothing newer again, stamps are believed again.
+    // Once discovery is up to date again, timestamps are accepted again.
     times.nothing_newer();
     advance(SECOND).await;
-    let stamp = now_ms(&clock) - 400;
-    assert_eq!(age_of_purge(&clock, &mut times, stamp), 400);
+    let timestamp = now_ms(&clock) - 400;
+    assert_eq!(age_of_purge(&clock, &mut times, timestamp), 400);
 }
 
 #[tokio::test(start_paused = true)]
-async fn at_the_start_stamps_are_believed_but_for_those_of_the_future() {
+async fn at_startup_timestamps_are_accepted_unless_they_are_in_the_future() {
     let (clock, mut times) = event_times();
-    // The connection that comes up at the start interrupts nothing.
+    // The first connection does not follow a lost one.
     times.interrupted();
     let minute_ago = now_ms(&clock) - 60_000;
     assert_eq!(age_of_purge(&clock, &mut times, minute_ago), 60_000);
     let age = age_of_start(&clock, &mut times, started(&clock, minute_ago)).expect("a start");
     assert_eq!(age.as_secs(), 60);
-    let ahead = now_ms(&clock) + HOUR_MS;
-    assert_eq!(age_of_purge(&clock, &mut times, ahead), 0);
+    let future = now_ms(&clock) + HOUR_MS;
+    assert_eq!(age_of_purge(&clock, &mut times, future), 0);
     assert_eq!(
-        age_of_start(&clock, &mut times, started(&clock, ahead)),
+        age_of_start(&clock, &mut times, started(&clock, future)),
         Some(Duration::ZERO)
     );
-    // It is warm in its time, not in an hour: told again it did not start again.
+    // The slow start is not delayed by an hour: a repeated timestamp is not a new start.
     advance(SECOND * 20).await;
-    let again = started(&clock, ahead);
-    assert_eq!(age_of_start(&clock, &mut times, again), Some(SECOND * 20));
+    let repeated = started(&clock, future);
+    assert_eq!(
+        age_of_start(&clock, &mut times, repeated),
+        Some(SECOND * 20)
+    );
     assert_eq!(age_of_start(&clock, &mut times, started(&clock, 0)), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn starts_of_servers_that_have_left_are_forgotten_past_the_bound() {
+async fn starts_of_unlisted_servers_are_dropped_beyond_the_limit() {
     let (clock, mut times) = event_times();
     times.nothing_newer();
     for number in 0..MAX_STARTS * 2 {
         let name = format!("c{number}");
-        let stamp = now_ms(&clock);
+        let timestamp = now_ms(&clock);
+        times.bound(&mut list(
+            &clock,
+            false,
+            &[(&name, timestamp, Standing::Active)],
+        ));
         times.bound(&mut list(
             &clock,
             false,
-            &[(&name, stamp, Standing::Active)],
+            &[(&name, timestamp, Standing::Gone)],
         ));
-        times.bound(&mut list(&clock, false, &[(&name, stamp, Standing::Gone)]));
     }
     assert!(times.starts.len() <= MAX_STARTS, "{}", times.starts.len());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_copy_is_not_made_after_it_arrives() {
+async fn a_copy_is_not_created_after_it_arrives() {
     let clock = Clock::start();
     let mut times = CopyTimes::default();
     let now = now_ms(&clock);
     assert_eq!(
         times.bound(&clock, now - 700),
         Some(now - 700),
-        "by an ordinary stamp"
+        "a plausible timestamp"
     );
     assert_eq!(
         times.bound(&clock, now + 20),
         Some(now),
-        "clocks differ a little"
+        "within the normal clock skew"
     );
     assert_eq!(
         times.bound(&clock, now + HOUR_MS),
         None,
         "its age is not known"
     );
-    // The clock that stamps is an hour ahead at least.
+    // The clock behind these timestamps is now known to be at least an hour ahead.
     assert_eq!(times.bound(&clock, now + HOUR_MS - 300), Some(now - 300));
     assert_eq!(
         times.bound(&clock, now),
         Some(now - HOUR_MS),
-        "older than it is, to be safe"
+        "counted as older than it is, to be safe"
     );
     assert_eq!(
         times.bound(&clock, now + HOUR_MS + 400),
         None,
-        "further ahead than was known"
+        "further ahead than the known offset"
     );
     assert_eq!(times.bound(&clock, u64::MAX), None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lead_that_is_not_seen_any_more_is_forgotten() {
+async fn an_offset_that_is_not_observed_any_more_expires() {
     let clock = Clock::start();
     let mut times = CopyTimes::default();
     assert_eq!(times.bound(&clock, now_ms(&clock) + HOUR_MS), None);
-    advance(LEAD_WINDOW).await;
+    advance(OFFSET_WINDOW).await;
     let now = now_ms(&clock);
     assert_eq!(
         times.bound(&clock, now),
         Some(now - HOUR_MS),
-        "it still counts in the next window"
+        "the offset still applies in the next window"
     );
-    advance(LEAD_WINDOW).await;
+    advance(OFFSET_WINDOW).await;
     let now = now_ms(&clock);
     assert_eq!(times.bound(&clock, now), Some(now));
 }
--- a/crates/router/src/uninterrupted.rs
+++ b/crates/router/src/uninterrupted.rs
@@ -1,4 +1,4 @@
-//! A stream that retries the calls that transferred nothing while its connection is usable.
+//! A stream wrapper that retries calls that transferred nothing while the connection is usable.
 
 use crate::io_errors::{MAX_INTERRUPTIONS, MEMORY_PAUSE, StreamFailure};
 use std::future::Future;
@@ -8,10 +8,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Sleep, sleep};
 
-/// Wraps a stream: interrupted reads and writes are retried at once, those for which the system had
-/// no memory after a pause. All other errors are returned: the connection has ended.
+/// Wraps a stream. Interrupted reads and writes are retried at once, those that failed for lack of
+/// memory after a pause. All other errors are returned, and mean that the connection has ended.
 ///
-/// A call that is cancelled between two tries has transferred nothing, so that a new wrapper may be
+/// A call that is cancelled between two attempts has transferred nothing, so a new wrapper may be
 /// used for each call.
 pub struct Uninterrupted<S> {
     stream: S,
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Makes a call until it has transferred something, has to wait, or shows that the connection
-    /// has ended.
+    /// Repeats a call until it has transferred something, is pending, or reports that the
+    /// connection has ended.
     fn poll_call<T>(
         &mut self,
         context: &mut Context<'_>,
@@ -49,8 +49,7 @@
                 StreamFailure::Broken => return Poll::Ready(Err(error)),
             }
         }
-        // Other tasks run meanwhile; a pause keeps an endless interruption from becoming a busy
-        // loop.
+        // The pause lets other tasks run, and prevents a busy loop if interruptions never end.
         let pause = self.pause.insert(Box::pin(sleep(MEMORY_PAUSE)));
         ready!(pause.as_mut().poll(context));
         context.waker().wake_by_ref();
--- a/crates/router/src/uninterrupted/tests.rs
+++ b/crates/router/src/uninterrupted/tests.rs
@@ -4,8 +4,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// A stream that fails with the errors of a script, one for each call; after that each call
-/// transfers one byte.
+/// A stream that fails with the errnos of a script, one for each call, and then transfers one byte
+/// per call.
 #[derive(Default)]
 struct Scripted {
     script: VecDeque<i32>,
@@ -85,9 +85,9 @@
     assert!(begin.elapsed() >= MEMORY_PAUSE * 2, "{:?}", begin.elapsed());
 }
 
-/// Nothing in Linux interrupts without end; if something did, all else on this thread goes on.
+/// Linux does not interrupt calls endlessly; if it did, other tasks on this thread would still run.
 #[tokio::test(start_paused = true)]
-async fn an_endless_interruption_is_no_busy_loop() {
+async fn endless_interruptions_cause_no_busy_loop() {
     let begin = Instant::now();
     let mut stream = scripted(&vec![EINTR; MAX_INTERRUPTIONS * 10]);
     stream.write_all(b"a").await.unwrap();
