--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -109,7 +109,7 @@
     pub listen: SocketAddr,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The sequence number of the last event in `known_events`.
+    /// The number of the last event in `known_events`.
     pub last_event: u64,
     /// The discovery events up to the start.
     pub known_events: Vec<NumberedEvent>,
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -78,15 +78,15 @@
 }
 
 /// Takes the next connection from the accept queue after the router has ended. None: the queue is
-/// empty, or accepts fail until `give_up_at`.
-async fn next_pending(listener: &impl Accept, give_up_at: Instant) -> Option<TcpStream> {
+/// empty, or accepts fail until `retry_deadline`.
+async fn next_pending(listener: &impl Accept, retry_deadline: Instant) -> Option<TcpStream> {
     loop {
         let error = match timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
             Ok(Ok(stream)) => return Some(stream),
             Ok(Err(error)) => error,
             Err(_) => return None,
         };
-        if Instant::now() >= give_up_at {
+        if Instant::now() >= retry_deadline {
             return None;
         }
         if AcceptFailure::from(&error).is_transient() {
@@ -237,9 +237,9 @@
         // Updates are not read any more: no connection may block on sending one.
         self.status_updates.close();
         while self.status_updates.try_recv().is_ok() {}
-        let give_up_at = Instant::now() + FINAL_ACCEPT_RETRY_TIMEOUT;
+        let retry_deadline = Instant::now() + FINAL_ACCEPT_RETRY_TIMEOUT;
         for _ in 0..ACCEPT_BACKLOG {
-            let Some(stream) = next_pending(&self.listener, give_up_at).await else {
+            let Some(stream) = next_pending(&self.listener, retry_deadline).await else {
                 break;
             };
             self.start_connection(stream);
