--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 run: build
 	ROUTER_CONFIG=$(ROUTER_CONFIG) exec target/release/chalkhall-router
 
-# One real router on loopback between stand-ins: a few requests, a summary, the end; some three seconds.
+# One real router on loopback between stand-ins: a few requests, a summary, a shutdown; some three seconds.
 demo:
 	@cargo build --locked -p chalkhall-cli --bin chalkhall --bin demo
 	@target/debug/demo
@@ -27,7 +27,7 @@
 	@test -d $(KIT)/sites || { echo "sites: $(KIT) is not there; the sites can't be played without the users' kit"; exit 1; }
 	@for file in real.json wire.json unlock.txt; do install -m 644 $(KIT)/sites/$$file deploy/sites/$$file; done
 
-# Mutants of the rules' code, of recovery and of what mates tell; needs cargo-mutants (cargo install cargo-mutants --locked).
+# Mutants of the rules' code, of recovery and of gossip; needs cargo-mutants (cargo install cargo-mutants --locked).
 # Minutes, so outside CI; what is left alive stands in docs/testing.md.
 RULES = (send|validate_\w+|accepts_new_work|is_safe_to_retry|admits\w*|finish|may_reject|max_age|last_purge|record|close|left|result|purged|told)\b
 RULE_FILES = $(foreach module,router lifecycle dispatch retry purge slow_start,-f src/$(module).rs)
@@ -54,8 +54,8 @@
 	cargo build --release --locked -p chalkhall-cli
 	cargo run --release --locked -p chalkhall-cli --bin proof-even -- --seed $(SEED)
 
-# 160 real routers, ten locations in two regions with a network between them: locations lost, flapping, cut off; what is decided in
-# common and by what ways. Ends on one line. Any SEED must hold. Fencing of moved ranges is not part of it yet.
+# 160 real routers, ten zones in two regions with a network between them: zones lost, flapping, cut off; failover by the common plan
+# and over which paths. Ends on one line. Any SEED must hold. Fencing of moved ranges is not part of it yet.
 proof-regions:
 	cargo build --release --locked -p chalkhall-cli
 	cargo run --release --locked -p chalkhall-cli --bin proof-regions -- --seed $(SEED)
