--- a/crates/router/tests/program/cancellation.rs
+++ b/crates/router/tests/program/cancellation.rs
@@ -116,7 +116,7 @@
         let mut client = router.connect();
         let id = client.send_request(1, "page", "", b"");
         let mut server = environment.server("c1").accept();
-        until("the request, unread", || server.has_unread_data());
+        wait_until("the request, unread", || server.has_unread_data());
         let gone = Instant::now();
         disconnect(client, reset);
         assert_eq!(server.read_request().id, id);
--- a/crates/router/tests/program/cells.rs
+++ b/crates/router/tests/program/cells.rs
@@ -90,7 +90,7 @@
         std::fs::write(&file, text).unwrap();
         router.reload();
         let mut who = BTreeSet::new();
-        until("the map in force", || {
+        wait_until("the map in force", || {
             from += 20;
             who = servers_of_requests(&environment, &mut client, &mut lines, from, 2);
             who == server_names(&[gold])
@@ -110,7 +110,7 @@
     for tag in 1000..1100u64 {
         let fields = format!("i={tag:016x},o={tag:016x},lot=1,m=1,d=4000");
         client.send_raw_request(tag, "page", &fields, b"");
-        until("an answer", || {
+        wait_until("an answer", || {
             for (_, line) in lines.iter_mut() {
                 if line.has_unread_data() {
                     line.respond_hit(b"x");
@@ -131,7 +131,7 @@
     client.send(&[b"REQ", b"5000", b"page", fields.as_bytes(), b""]);
     client.send_request(5001, "confirm", "", b"");
     let mut words = Vec::new();
-    until("two answers", || {
+    wait_until("two answers", || {
         for server in &environment.servers {
             if let Some(line) = server.try_accept() {
                 lines.push((server.name.clone(), line));
@@ -192,7 +192,7 @@
     let mut from = 100;
     let mut who = BTreeSet::new();
     let mut both = false;
-    until("all of it in the new cell", || {
+    wait_until("all of it in the new cell", || {
         // Discovery is alive: what it tells below comes on this connection.
         discovery.send("1\n");
         from += 20;
@@ -204,7 +204,7 @@
     // The new cell loses all it has: what has settled only just goes back.
     let gone = environment.server("c2").entry("leaving");
     discovery.send(endpoints_event(2, &[gone]));
-    until("all of it back", || {
+    wait_until("all of it back", || {
         from += 20;
         who = servers_of_requests(&environment, &mut client, &mut lines, from, 1);
         who == server_names(&["c1"])
--- a/crates/router/tests/program/clock_steps.rs
+++ b/crates/router/tests/program/clock_steps.rs
@@ -70,7 +70,7 @@
         body: &[u8],
     ) -> Served {
         let mut max_age = None;
-        until("an answer", || {
+        wait_until("an answer", || {
             self.each_request(environment, |_, line, request| {
                 max_age = request.field("maxage").parse().ok();
                 line.respond(&request, "OK", fields, body);
@@ -90,7 +90,7 @@
         client: &mut TestClient,
     ) {
         let mut tag = 1000;
-        until("a request with the bound of the purge", || {
+        wait_until("a request with the bound of the purge", || {
             tag += 1;
             client.send_request(tag, "page", "", b"");
             let served = self.serve_until_answered(environment, client, HIT_FIELDS, b"x");
@@ -118,7 +118,7 @@
         client.send_request(tag as u64, "page", "", b"");
     }
     let (mut taken, mut all) = (0, 0);
-    until("all requests", || {
+    wait_until("all requests", || {
         connections.each_request(&environment, |server, _, _| {
             taken += usize::from(server == "c1");
             all += 1;
@@ -198,7 +198,7 @@
 
 /// Waits until a router has found out what an earlier life left on its disk.
 fn until_recovered(control: &Path) {
-    until("the recovery", || {
+    wait_until("the recovery", || {
         let Ok(mut stream) = UnixStream::connect(control) else {
             return false;
         };
@@ -242,7 +242,7 @@
     };
     let mut router = environment.start();
     let mut client = router.connect();
-    until("a copy on disk", || {
+    wait_until("a copy on disk", || {
         ask(&environment, &mut client, b"before").max_age.is_none()
     });
     router.terminate();
--- a/crates/router/tests/program/deadlines.rs
+++ b/crates/router/tests/program/deadlines.rs
@@ -29,7 +29,7 @@
     let others = environment.server("o1").fill_accept_queue();
     let asked_at = Instant::now();
     client.send_request(1, "confirm", "", b"");
-    pass(300 * MS);
+    wait_for(300 * MS);
     // Its queue has room again: the system tries once more, a second after the first time.
     let mut own = LineConnection::new(environment.server("o1").accept_behind(&others));
     let up = asked_at.elapsed();
@@ -65,7 +65,7 @@
         let others = environment.server("o1").fill_accept_queue();
         client.send_request(1, "confirm", "", b"");
         assert_eq!(client.health(), "GREEN", "the request was read");
-        pass(100 * MS);
+        wait_for(100 * MS);
         router.pause();
         let own = environment.server("o1").accept_behind(&others);
         let mut kept = None;
@@ -75,10 +75,10 @@
             client.abort(1);
             kept = Some(client);
         }
-        pass(200 * MS);
+        wait_for(200 * MS);
         router.resume();
         assert_eq!(other.health(), "GREEN");
-        pass(100 * MS);
+        wait_for(100 * MS);
         drop(kept);
         assert_eq!(received_text(own), "", "closes: {closes}");
     }
@@ -110,7 +110,7 @@
     let asked_at = Instant::now();
     known.send_request(1, "page", "", b"");
     new.send_request(2, "page", "", b"");
-    pass(700 * MS);
+    wait_for(700 * MS);
     router.resume();
     let mut server = environment.server("c1").accept();
     for _ in 0..2 {
@@ -132,7 +132,7 @@
         (known.read_answer_word(), new.read_answer_word()),
         ("ACK".into(), "ACK".into())
     );
-    pass(300 * MS);
+    wait_for(300 * MS);
     rested.send_request(3, "page", "", b"");
     let request = server.read_request();
     assert!(
@@ -153,8 +153,8 @@
     assert_eq!(client.health(), "GREEN");
     router.pause();
     client.send_request(1, "page", "d=300", b"");
-    pass(500 * MS);
+    wait_for(500 * MS);
     router.resume();
     assert_eq!(client.read_answer_word(), "NAK");
-    assert!(environment.no_server_was_connected_to(), "sent on");
+    assert!(environment.no_server_has_a_new_connection(), "sent on");
 }
--- a/crates/router/tests/program/descriptor_limits.rs
+++ b/crates/router/tests/program/descriptor_limits.rs
@@ -25,13 +25,13 @@
     drop(discovery);
     // They come again as often as they are let go of.
     let idle_clients = IdleClients::connect(clients, router.address(), true);
-    until("no descriptor left", || {
+    wait_until("no descriptor left", || {
         router.open_descriptors() + 2 >= descriptors as usize
     });
-    until("more than there are", || {
-        idle_clients.held() as usize >= clients * 2 / 3
+    wait_until("more than there are", || {
+        idle_clients.established() as usize >= clients * 2 / 3
     });
-    pass(1000 * MS);
+    wait_for(1000 * MS);
     let back = Instant::now();
     environment.discovery.listen_again(at);
     let mut discovery = environment.discovery.accept_watch();
@@ -70,7 +70,7 @@
     busy.send_request(1, "page", "", b"");
     assert_eq!(busy.read_answer_word(), "NAK");
     let idle_clients = IdleClients::connect(300, router.address(), false);
-    until("no descriptor left", || idle_clients.held() >= 200);
+    wait_until("no descriptor left", || idle_clients.established() >= 200);
     let mut took: Vec<Duration> = Vec::new();
     for tag in 2..=400 {
         let sent_at = Instant::now();
--- a/crates/router/tests/program/discovery.rs
+++ b/crates/router/tests/program/discovery.rs
@@ -76,9 +76,9 @@
         let mut discovery = environment.discovery.accept_watch();
         assert_eq!(discovery.after_revision, 1);
         let begun = Instant::now();
-        until("a watch anew", || {
+        wait_until("a watch anew", || {
             let _ = discovery.try_send(words);
-            pass(50 * MS);
+            wait_for(50 * MS);
             environment.discovery.has_pending_watch()
         });
         assert!(
@@ -117,7 +117,7 @@
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
     let (mut tag, mut request) = (1, server.read_request());
-    until("the purge", || {
+    wait_until("the purge", || {
         server.respond(&request, "OK", "tell=hit", b"x");
         assert_eq!(client.read_answer_word(), "ACK");
         tag += 1;
@@ -149,7 +149,7 @@
         assert_eq!(new.after_revision, 1);
         // The old one goes on with another history of the same numbers.
         let mut took = true;
-        until("the old one's close", || {
+        wait_until("the old one's close", || {
             took = took && old.try_send(&endpoints_event(2, std::slice::from_ref(&leaving)));
             !took
         });
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -268,7 +268,7 @@
     let (bytes, router_address) = receive_datagram(&peer);
     assert_eq!(bytes[0], 0xC3);
     peer.send_to(&[0xC3, 0, 0, 9, 1], router_address).unwrap();
-    until("the nonsense", || {
+    wait_until("the nonsense", || {
         control_command(&control, "regions stat")["faulty"] == 1
     });
     drop(router);
--- a/crates/router/tests/program/local_cache.rs
+++ b/crates/router/tests/program/local_cache.rs
@@ -62,7 +62,7 @@
     discovery.send(purge_event(2, purged));
     // Told when the next request of another object carries the bound.
     let mut tag = 100;
-    until("the purge", || {
+    wait_until("the purge", || {
         tag += 1;
         client.send_request(tag, "page", "", b"");
         let request = server.read_request();
@@ -90,7 +90,7 @@
     request_object(&mut client);
     let request = server.read_request();
     // All this may have taken less than that millisecond.
-    until("the next millisecond", || unix_ms() > purged);
+    wait_until("the next millisecond", || unix_ms() > purged);
     server.respond(&request, "OK", &filled_fields_at(purged + 1), b"new");
     assert_eq!(client.read_answer().body, b"new");
     request_object(&mut client);
@@ -192,7 +192,7 @@
 /// this.
 fn until_served_from_cache(client: &mut TestClient, server: &mut LineConnection, body: &[u8]) {
     let mut own = false;
-    until("an own copy", || {
+    wait_until("an own copy", || {
         request_object(client);
         let came = loop {
             if client.has_unread_data() {
@@ -231,9 +231,9 @@
         client = router.connect();
         let mut first = None;
         // What it wrote is there, once its index is: until then the server is asked.
-        until("an own copy", || {
+        wait_until("an own copy", || {
             request_object(&mut client);
-            until("an answer", || {
+            wait_until("an answer", || {
                 if let Some(mut line) = environment.server("c1").try_accept() {
                     line.respond_hit(&body);
                     first = Some(line);
--- a/crates/router/tests/program/local_failures.rs
+++ b/crates/router/tests/program/local_failures.rs
@@ -32,7 +32,7 @@
     std::fs::write(&operators, &environment.directives).unwrap();
     environment.move_discovery();
     environment.write_configuration();
-    until("the new discovery", || {
+    wait_until("the new discovery", || {
         router.reload();
         environment.discovery.accept_watch().after_revision == 1
     });
@@ -58,7 +58,7 @@
     let _old = environment.discovery.accept_watch();
     let idle_clients = IdleClients::connect(300, router.address(), true);
     for _ in 0..5 {
-        until("no descriptor left", || {
+        wait_until("no descriptor left", || {
             router.open_descriptors() + 2 >= DESCRIPTORS
         });
         environment.move_discovery();
--- a/crates/router/tests/program/main.rs
+++ b/crates/router/tests/program/main.rs
@@ -1,4 +1,5 @@
-//! The router as a process on loopback, between fakes for all that it talks to.
+//! End-to-end tests: the router runs as a process on loopback, and fakes stand in for its clients,
+//! servers, discovery service and peers.
 
 mod cancellation;
 mod cells;
--- a/crates/router/tests/program/moments/cold_servers.rs
+++ b/crates/router/tests/program/moments/cold_servers.rs
@@ -98,27 +98,27 @@
         .iter_mut()
         .map(|environment| environment.spawn(""))
         .collect();
-    until("all ready", || routers.iter().all(RouterProcess::is_ready));
+    wait_until("all ready", || routers.iter().all(RouterProcess::is_ready));
     let load = |router: &RouterProcess, n: usize, seed: u64| {
         Load::at(router.address(), interval(n), seed + n as u64)
     };
     let loads = routers.iter().enumerate();
     let mut loads: Vec<Load> = loads.map(|(n, router)| load(router, n, seed)).collect();
-    pass(2000 * MS);
+    wait_for(2000 * MS);
     let killed: Vec<usize> = (0..processes).filter(|n| n % 4 == 1).collect();
     for &n in &killed {
         routers[n].child.kill().unwrap();
         routers[n].child.wait().unwrap();
         routers[n] = environments[n].spawn("");
     }
-    until("ready again", || {
+    wait_until("ready again", || {
         killed.iter().all(|n| routers[*n].is_ready())
     });
     for n in killed {
         let again = load(&routers[n], n, seed + 1000);
         drop(std::mem::replace(&mut loads[n], again).end());
     }
-    pass(2500 * MS);
+    wait_for(2500 * MS);
     let sent: usize = loads.into_iter().map(|load| load.end().0).sum();
     assert!(sent > processes * 30, "{sent}");
     let [c1, c2, p1, _] = &servers;
--- a/crates/router/tests/program/moments/leaving_clients.rs
+++ b/crates/router/tests/program/moments/leaving_clients.rs
@@ -70,7 +70,7 @@
     fn wait_for_attempt(&self, id: &str, not_at: Option<&RecordingServer>) -> &RecordingServer {
         let is_other = |s: &RecordingServer| not_at.is_none_or(|n| n.server.name != s.server.name);
         let mut found = None;
-        until("an attempt", || {
+        wait_until("an attempt", || {
             found = self.servers.iter().find(|s| is_other(s) && s.has(id));
             found.is_some()
         });
@@ -96,13 +96,13 @@
         if let Some(client) = &mut client {
             assert_eq!(client.health(), "GREEN");
         } else {
-            until("the departure", || {
+            wait_until("the departure", || {
                 self.router.open_descriptors() < descriptors
             });
         }
         let before = self.attempts();
         server.tell(&id, "BUSY");
-        until("time for one more", || left_at.elapsed() > 130 * MS);
+        wait_until("time for one more", || left_at.elapsed() > 130 * MS);
         assert_eq!(
             before,
             self.attempts(),
@@ -132,10 +132,10 @@
         };
         let abandoned: Vec<AbandonedRequest> = queued.into_iter().map(leave_one).collect();
         let last = abandoned.last().unwrap().left_at;
-        until("0.3 s", || last.elapsed() > 300 * MS);
+        wait_until("0.3 s", || last.elapsed() > 300 * MS);
         origin.hang(false);
         drop(others);
-        until("the connection", || last.elapsed() > 1600 * MS);
+        wait_until("the connection", || last.elapsed() > 1600 * MS);
         abandoned
     }
 
--- a/crates/router/tests/program/moments/restarts.rs
+++ b/crates/router/tests/program/moments/restarts.rs
@@ -24,12 +24,12 @@
         let mut resting = router.connect();
         assert_eq!(resting.health(), "GREEN");
         let since = Instant::now();
-        until("some load", || since.elapsed() > 200 * MS);
+        wait_until("some load", || since.elapsed() > 200 * MS);
         router.terminate();
         let told = Instant::now();
-        until("new ones come", || told.elapsed() > 150 * MS);
+        wait_until("new ones come", || told.elapsed() > 150 * MS);
         loads.push(of(9));
-        until("the last on open ones", || told.elapsed() > 500 * MS);
+        wait_until("the last on open ones", || told.elapsed() > 500 * MS);
         for load in loads {
             let (of_it, words) = load.end();
             asked += of_it;
--- a/crates/router/tests/program/moments/simultaneous_start.rs
+++ b/crates/router/tests/program/moments/simultaneous_start.rs
@@ -47,7 +47,7 @@
 /// How long each took since `begun`, in ascending order.
 fn wait_until_all_are_ready(routers: &[RouterProcess], begun: Instant) -> Vec<Duration> {
     let mut ready = vec![None; routers.len()];
-    until("all ready", || {
+    wait_until("all ready", || {
         let waiting = routers.iter().zip(&mut ready);
         for (router, ready) in waiting.filter(|(_, ready)| ready.is_none()) {
             let client = router.try_connect();
@@ -74,7 +74,7 @@
         discovery.set_nonblocking(true).unwrap();
     }
     let mut followed = vec![false; discoveries.len()];
-    until("all discovery services followed", || {
+    wait_until("all discovery services followed", || {
         let waiting = discoveries.iter().zip(&mut followed);
         for (discovery, followed) in waiting.filter(|(_, followed)| !**followed) {
             *followed = discovery.accept().is_ok();
--- a/crates/router/tests/program/pauses.rs
+++ b/crates/router/tests/program/pauses.rs
@@ -22,7 +22,7 @@
         2,
         &[environment.server("c1").entry("leaving")],
     ));
-    until("a long pause", || {
+    wait_until("a long pause", || {
         paused.elapsed() > Duration::from_millis(300)
     });
     router.resume();
@@ -56,7 +56,7 @@
     router.pause();
     let paused = Instant::now();
     server.respond(&request, "OK", "tell=hit", b"y");
-    until("a long pause", || {
+    wait_until("a long pause", || {
         paused.elapsed() > Duration::from_millis(600)
     });
     router.resume();
--- a/crates/router/tests/program/quiet_then_faults.rs
+++ b/crates/router/tests/program/quiet_then_faults.rs
@@ -46,7 +46,7 @@
     line.serve(b"first");
     assert_eq!(client.word(), "ACK");
     let since = Instant::now();
-    until("a rest", || since.elapsed() > 100 * MS);
+    wait_until("a rest", || since.elapsed() > 100 * MS);
     line
 }
 
@@ -59,7 +59,7 @@
     let mut client = program.client();
     let mut forgotten = rested(&world, &mut client, "page", "c1");
     client.ask(2, "page", "d=1000", b"");
-    until("the first byte", || forgotten.ready());
+    wait_until("the first byte", || forgotten.ready());
     forgotten.reset();
     let mut again = world.server("p1").accept();
     again.serve(b"second");
@@ -125,7 +125,7 @@
         let asked = hangs.asked();
         assert_eq!(hangs.line(), format!("QUIT {id}"));
         let mut last = None;
-        until("another attempt", || {
+        wait_until("another attempt", || {
             last = ["p1", "o1"]
                 .iter()
                 .find_map(|name| world.server(name).try_accept());
@@ -153,7 +153,7 @@
             let mut old = world.server(name).accept();
             old.asked();
             program.signal("STOP");
-            until("the pause", || program.is_stopped());
+            wait_until("the pause", || program.is_stopped());
             let id = client.ask(2, class, "d=2000", b"");
             let sent = Moment::now(program.child.id());
             let mut lines = Vec::new();
@@ -165,7 +165,7 @@
             }
             program.signal("CONT");
             let (mut asked, mut answered) = (0, Vec::new());
-            until("both answers", || {
+            wait_until("both answers", || {
                 lines.extend(world.servers.iter().filter_map(Server::try_accept));
                 for line in &mut lines {
                     let Some(ask) = line.try_asked() else {
@@ -214,7 +214,7 @@
     let mut world = World::new();
     let program = world.start();
     let (begun, mut watches) = (Instant::now(), Vec::new());
-    until("a watch that waits for it", || {
+    wait_until("a watch that waits for it", || {
         if world.discovery.is_watched() {
             watches.push((Instant::now(), world.discovery.accept().0));
         }
@@ -240,7 +240,7 @@
 ) -> &'static str {
     client.ask(tag, "page", "", b"");
     let mut at = "";
-    until("its server", || {
+    wait_until("its server", || {
         let come = ["c1", "p1"].map(|name| Some((name, world.server(name).try_accept()?)));
         lines.extend(come.into_iter().flatten());
         for (name, line) in &mut *lines {
@@ -266,7 +266,7 @@
         10_000,
     );
     let mut watch = None;
-    until("the drain", || {
+    wait_until("the drain", || {
         if world.discovery.is_watched() {
             let (mut again, after) = world.discovery.accept();
             if after == 1 {
@@ -317,7 +317,7 @@
     world.file["board"] = json!(crowded.dial.to_string());
     world.write();
     program.signal("HUP");
-    until("its connecting", || !connecting(crowded.dial).is_empty());
+    wait_until("its connecting", || !connecting(crowded.dial).is_empty());
     // Nobody listens at the second's.
     world.file["board"] = json!(address().to_string());
     world.write();
@@ -366,7 +366,7 @@
             .for_each(|listener| listener.set_nonblocking(true).unwrap());
         let (begun, mut client, mut server) = (Instant::now(), program.client(), None);
         let (mut tag, mut shut, mut given_up) = (0, 0, HashSet::new());
-        until("three seconds of it", || {
+        wait_until("three seconds of it", || {
             tag += 1;
             client.ask(tag, "page", "", b"");
             server
@@ -426,7 +426,7 @@
     }
     let mut used = Vec::new();
     let mut left = 32;
-    until("all of them", || {
+    wait_until("all of them", || {
         used.extend(world.server("c1").try_accept());
         for line in &mut used {
             // One that rests meanwhile is let go of: that shows as its end.
@@ -439,7 +439,7 @@
     });
     (0..32).for_each(|_| assert_eq!(client.word(), "ACK"));
     assert!(program.descriptors() > at_rest, "connections of its own");
-    until("their end", || {
+    wait_until("their end", || {
         let _ = watch.still_takes("1\n");
         assert_eq!(client.health(), "GREEN");
         program.descriptors() <= at_rest
--- a/crates/router/tests/program/server_connections.rs
+++ b/crates/router/tests/program/server_connections.rs
@@ -52,7 +52,7 @@
     let request = server.read_request();
     server.send(format!("{} OK {HIT_FIELDS} 240000\r\n", request.id));
     // Its end is the connection's too: either may be seen first, and the other with it.
-    until("the end of its time", || {
+    wait_until("the end of its time", || {
         !server.try_send("x") || client.has_unread_data()
     });
     let ended = Instant::now();
@@ -64,7 +64,7 @@
     );
     assert_eq!(server.read_line(), format!("QUIT {id}"));
     let late = Instant::now();
-    until("a close", || !server.try_send("x"));
+    wait_until("a close", || !server.try_send("x"));
     assert!(
         late.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -160,7 +160,7 @@
         ("ACK".into(), "ACK".into())
     );
     let since = Instant::now();
-    until("a while", || since.elapsed() > Duration::from_millis(100));
+    wait_until("a while", || since.elapsed() > Duration::from_millis(100));
     client.send_request(4, "confirm", "", b"");
     let mut new = environment.server("o1").accept();
     let request = new.read_request();
@@ -202,7 +202,7 @@
         .listener
         .set_nonblocking(true)
         .unwrap();
-    until("a connection to the new server", || {
+    wait_until("a connection to the new server", || {
         tag += 1;
         client.send_request(tag, "page", "", b"");
         std::thread::sleep(Duration::from_millis(20));
@@ -248,7 +248,7 @@
         .listener
         .set_nonblocking(true)
         .unwrap();
-    until("a connection to the new address", || {
+    wait_until("a connection to the new address", || {
         tag += 1;
         client.send_request(tag, "page", "", b"");
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/router/tests/program/shutdown.rs
+++ b/crates/router/tests/program/shutdown.rs
@@ -84,7 +84,7 @@
     let stopped = Moment::now(program.child.id());
     program.terminate();
     // What has ended and was not waited for still tells of its waits.
-    until("the program's end", || program.is_zombie());
+    wait_until("the program's end", || program.is_zombie());
     let took = stopped.elapsed();
     let (status, log) = program.ended();
     assert!(status.success(), "{log}");
@@ -128,7 +128,7 @@
                 [longest / 2, longest].map(|limit| keeps_sending(&program, 4, class, limit)),
             );
         }
-        until("requests at the servers", || {
+        wait_until("requests at the servers", || {
             ["c1", "o1"].iter().all(|name| {
                 world
                     .server(name)
--- a/crates/router/tests/program/shutdown_basic.rs
+++ b/crates/router/tests/program/shutdown_basic.rs
@@ -56,9 +56,9 @@
         ("GREEN".into(), "GREEN".into())
     );
     router.terminate();
-    until("RED", || resting.health() == "RED");
+    wait_until("RED", || resting.health() == "RED");
     router.pause();
-    pass(900 * MS);
+    wait_for(900 * MS);
     resting.send_request(1, "page", "", b"");
     resting.send_request(2, "confirm", "", b"write");
     half.write(b"*5\r\n$3\r\nREQ\r\n$1\r\n7");
@@ -105,7 +105,7 @@
     resting.send_request(1, "page", "", b"");
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(status.success(), "{log}");
-    assert!(environment.no_server_was_connected_to(), "sent on");
+    assert!(environment.no_server_has_a_new_connection(), "sent on");
 }
 
 /// Answers that a slow reader has not taken yet are waited for, while there is time.
@@ -129,7 +129,7 @@
     server.respond_hit(b"x");
     assert_eq!(other.read_answer_word(), "ACK");
     router.terminate();
-    pass(1300 * MS);
+    wait_for(1300 * MS);
     for tag in 1..=32 {
         let ClientAnswer {
             tag: of,
@@ -172,20 +172,20 @@
 #[test]
 fn a_stop_signal_before_readiness_still_shuts_down_gracefully() {
     let mut environment = TestEnvironment::new();
-    let (mut router, mut pipe) = environment.spawn_blocked_on_its_configuration();
+    let (mut router, mut pipe) = environment.spawn_blocked_reading_configuration();
     router.terminate();
     pipe.write_all(environment.file.to_string().as_bytes())
         .unwrap();
     drop(pipe);
     let begun = Instant::now();
     let mut client = None;
-    until("it listens", || {
+    wait_until("it listens", || {
         client = router.try_connect();
         client.is_some()
     });
     let mut client = client.unwrap();
     // The signal waits for the first turn of the program's tasks: a client may come before it.
-    until("RED", || client.health() == "RED");
+    wait_until("RED", || client.health() == "RED");
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"x");
     assert_eq!(
--- a/crates/router/tests/program/stand_ins.rs
+++ b/crates/router/tests/program/stand_ins.rs
@@ -10,7 +10,7 @@
     FakeDiscovery as Discovery, FakeServer as Server, HIT_FIELDS as HIT, LineConnection as Line,
     ReceivedRequest as Asked, RouterProcess as Program, SLACK, ScheduledInstant as Moment,
     TestClient as Client, TestEnvironment as World, endpoints_event as list,
-    fill_accept_queue as fill_queue, until, unused_address as address,
+    fill_accept_queue as fill_queue, unused_address as address, wait_until,
 };
 use std::net::{SocketAddr, TcpStream};
 use std::process::ExitStatus;
--- a/crates/router/tests/program/support/environment.rs
+++ b/crates/router/tests/program/support/environment.rs
@@ -1,4 +1,5 @@
-//! What surrounds a router under test: its configuration, its servers and discovery.
+//! The environment of a router under test: its configuration, its fake servers and fake discovery
+//! service.
 
 use super::fake_discovery::FakeDiscovery;
 use super::fake_server::{FakeServer, LineConnection};
@@ -15,18 +16,19 @@
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// `O_NONBLOCK`, for `open`: fails where it would wait.
+/// `O_NONBLOCK`: an `open` that would block fails instead.
 const NONBLOCK: i32 = 0o4000;
 
-/// The configuration of a router and the fakes around it; a test changes them before the start.
+/// The configuration of a router and the fakes that it talks to; a test adjusts them before the
+/// router starts.
 pub struct TestEnvironment {
     pub discovery: FakeDiscovery,
     pub servers: Vec<FakeServer>,
-    /// The configuration file.
+    /// The content of the configuration file.
     pub file: Value,
-    /// The operator's file; empty: there is none.
+    /// The content of the operator's file; if empty, the router is started without one.
     pub directives: String,
-    /// The shell command that starts the router, where it is not the program by itself.
+    /// A shell command that starts the router instead of the default one.
     pub command_override: Option<String>,
     listen: SocketAddr,
     dir: PathBuf,
@@ -51,9 +53,9 @@
     (environment, router, client)
 }
 
-/// Builders: what differs from the default environment.
+/// Builders that change the default environment.
 impl TestEnvironment {
-    /// A cache server `c1`, a parent `p1` and the origin `o1`.
+    /// The default environment: a cache server `c1`, a parent `p1` and the origin `o1`.
     pub fn new() -> TestEnvironment {
         let servers = vec![
             FakeServer::new("c1", "cache"),
@@ -77,31 +79,31 @@
         }
     }
 
-    /// A setting of a group, such as `with_setting("Limits", "ConnectTimeout", 100)`.
+    /// Sets a setting of a group, such as `with_setting("Limits", "ConnectTimeout", 100)`.
     pub fn with_setting(mut self, group: &str, name: &str, value: impl Into<Value>) -> Self {
         self.file["settings"][group][name] = value.into();
         self
     }
 
-    /// A limit of the machine, such as `with_machine_limit("sockets", 512)`.
+    /// Sets a limit of the machine, such as `with_machine_limit("sockets", 512)`.
     pub fn with_machine_limit(mut self, name: &str, value: impl Into<Value>) -> Self {
         self.file["limits"][name] = value.into();
         self
     }
 
-    /// One more server.
+    /// Adds a server.
     pub fn with_server(mut self, name: &str, kind: &'static str) -> Self {
         self.servers.push(FakeServer::new(name, kind));
         self
     }
 
-    /// Lines of the operator's file.
+    /// Sets the content of the operator's file.
     pub fn with_directives(mut self, directives: &str) -> Self {
         self.directives = directives.to_owned();
         self
     }
 
-    /// The endpoints that the configuration lists, where they are not all servers as `active`.
+    /// Sets the endpoint list of the configuration; by default it has every server as `active`.
     pub fn with_known_endpoints(mut self, endpoints: &[Value]) -> Self {
         self.file["known"] =
             json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": endpoints}}]});
@@ -109,8 +111,7 @@
     }
 }
 
-/// An environment in which nothing can be sent anywhere, since every server drains: whatever is
-/// requested is rejected at once.
+/// An environment in which every server drains: all requests are rejected at once.
 pub fn all_servers_draining() -> TestEnvironment {
     let environment = TestEnvironment::new();
     let entries: Vec<Value> = environment
@@ -121,24 +122,24 @@
     environment.with_known_endpoints(&entries)
 }
 
-/// Changes and starts.
+/// Changes to the environment, and starts of the router.
 impl TestEnvironment {
-    /// The server of a name.
+    /// The server with this name.
     pub fn server(&self, name: &str) -> &FakeServer {
         self.servers.iter().find(|s| s.name == name).unwrap()
     }
 
-    /// Where the configuration file is.
+    /// The path of the configuration file.
     pub fn configuration_path(&self) -> PathBuf {
         self.dir.join("told.json")
     }
 
-    /// Writes the configuration file anew, as a deployment that replaces it does.
+    /// Writes the configuration file, replacing an earlier one as a deployment does.
     pub fn write_configuration(&self) {
         std::fs::write(self.configuration_path(), self.file.to_string()).unwrap();
     }
 
-    /// Adds an event to those that the configuration knows, as its latest revision.
+    /// Adds an event to the known events of the configuration, as its latest revision.
     pub fn push_known_event(&mut self, revision: u64, event: &str) {
         let event: Value = serde_json::from_str(event).unwrap();
         self.file["known"]["rev"] = json!(revision);
@@ -146,13 +147,14 @@
         notices.push(event);
     }
 
-    /// Replaces the discovery service by one at another address, in the configuration too.
+    /// Replaces the discovery service by one at another address, also in the configuration.
     pub fn move_discovery(&mut self) {
         self.discovery = FakeDiscovery::new();
         self.file["board"] = json!(self.discovery.address().to_string());
     }
 
-    fn list_known_endpoints(&mut self) {
+    /// Lists every server as `active` in the configuration unless a test has set the list.
+    fn fill_known_endpoints(&mut self) {
         if self.file["known"].is_null() {
             let entries: Vec<Value> = self.servers.iter().map(|s| s.entry("active")).collect();
             let first = json!({"rev": 1, "pool": {"seq": 1, "whole": true, "hosts": entries}});
@@ -167,24 +169,25 @@
         router
     }
 
-    /// Starts the router, after shell commands that set its limits (`ulimit -n 48;`) if any.
+    /// Starts the router without waiting for it; `limits` are shell commands that are run first, such
+    /// as `ulimit -n 48;`, or empty.
     pub fn spawn(&mut self, limits: &str) -> RouterProcess {
-        self.list_known_endpoints();
+        self.fill_known_endpoints();
         self.write_configuration();
         self.run(limits)
     }
 
-    /// Starts the router and blocks it as it reads its configuration, until that is written to
-    /// the returned pipe.
-    pub fn spawn_blocked_on_its_configuration(&mut self) -> (RouterProcess, File) {
-        self.list_known_endpoints();
-        let made = Command::new("mkfifo")
+    /// Starts the router with a pipe as its configuration file: it blocks until the test writes the
+    /// configuration to the returned pipe.
+    pub fn spawn_blocked_reading_configuration(&mut self) -> (RouterProcess, File) {
+        self.fill_known_endpoints();
+        let status = Command::new("mkfifo")
             .arg(self.configuration_path())
             .status();
-        assert!(made.unwrap().success());
+        assert!(status.unwrap().success());
         let (router, mut pipe) = (self.run(""), None);
-        until("a reader of the configuration", || {
-            // Without a wait: nobody can be written to before the router reads.
+        wait_until("the router to open its configuration", || {
+            // Non-blocking: the open fails until the router has the pipe open for reading.
             pipe = File::options()
                 .write(true)
                 .custom_flags(NONBLOCK)
@@ -195,17 +198,21 @@
         (router, pipe.unwrap())
     }
 
+    /// Runs the router by the shell, with the operator's file if there is one.
     fn run(&mut self, limits: &str) -> RouterProcess {
         let path = self.configuration_path();
-        let mut run = format!("{limits} exec {}", env!("CARGO_BIN_EXE_chalkhall-router"));
+        let mut default_command =
+            format!("{limits} exec {}", env!("CARGO_BIN_EXE_chalkhall-router"));
         if !self.directives.is_empty() {
-            let operators = self.dir.join("chalkhall.conf");
-            std::fs::write(&operators, &self.directives).unwrap();
-            run += &format!(" {}", operators.display());
+            let operators_file = self.dir.join("chalkhall.conf");
+            std::fs::write(&operators_file, &self.directives).unwrap();
+            default_command += &format!(" {}", operators_file.display());
         }
-        let run = self.command_override.clone().unwrap_or(run);
+        let shell_command = self.command_override.clone().unwrap_or(default_command);
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", &run]).env("ROUTER_CONFIG", &path);
+        command
+            .args(["-c", &shell_command])
+            .env("ROUTER_CONFIG", &path);
         let child = command
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
@@ -214,10 +221,10 @@
         RouterProcess::new(child, self.listen)
     }
 
-    /// Waits for the first connection to any server; the server's name and the connection.
+    /// Waits for the first connection to any server; returns the server's name and the connection.
     pub fn accept_from_any_server(&self) -> (&str, LineConnection) {
         let mut found = None;
-        until("a connection to any server", || {
+        wait_until("a connection to any server", || {
             found = self
                 .servers
                 .iter()
@@ -227,8 +234,8 @@
         found.unwrap()
     }
 
-    /// No server has been connected to that has not been accepted.
-    pub fn no_server_was_connected_to(&self) -> bool {
+    /// No server has a connection that waits to be accepted.
+    pub fn no_server_has_a_new_connection(&self) -> bool {
         self.servers.iter().all(|s| s.try_accept().is_none())
     }
 }
@@ -239,7 +246,7 @@
     }
 }
 
-/// A directory of one environment.
+/// Creates a directory for one environment.
 fn new_directory() -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let name = format!(
--- a/crates/router/tests/program/support/fake_discovery.rs
+++ b/crates/router/tests/program/support/fake_discovery.rs
@@ -1,8 +1,8 @@
-//! A fake discovery service: the router watches it for events.
+//! A fake discovery service, which the router watches for events.
 
 use super::fake_server::LineConnection;
 use super::loopback::*;
-use super::wait::until;
+use super::wait::wait_until;
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -12,7 +12,7 @@
 /// A discovery service whose events the test writes.
 pub struct FakeDiscovery {
     pub listener: TcpListener,
-    /// A router's connection that has been accepted and not been handed out yet.
+    /// An accepted connection of the router that `accept_watch` has not returned yet.
     pending: Cell<Option<TcpStream>>,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Watch {
-    /// The connection by itself.
+    /// The connection without the revision.
     pub fn into_connection(self) -> LineConnection {
         self.connection
     }
@@ -53,22 +53,22 @@
         }
     }
 
-    /// Where it listens.
+    /// The address at which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Stops listening; returns the address at which nobody listens now.
+    /// Stops listening; returns the address, at which connections are refused from now on.
     pub fn stop_listening(&mut self) -> SocketAddr {
         let at = self.address();
         self.listener = listen();
         at
     }
 
-    /// Listens at this address again, as soon as it is free: a process that another test is just
-    /// starting may hold the earlier listener open for a moment more.
+    /// Listens at this address again, as soon as it is free: a process that another test is starting
+    /// may have inherited the earlier listener and hold it open until its `exec`.
     pub fn listen_again(&mut self, at: SocketAddr) {
-        until("the address to be free", || match TcpListener::bind(at) {
+        wait_until("the address to be free", || match TcpListener::bind(at) {
             Ok(listener) => {
                 self.listener = listener;
                 true
@@ -78,7 +78,7 @@
         });
     }
 
-    /// The router has connected and the watch has not been accepted yet.
+    /// The router has connected, and `accept_watch` has not returned that watch yet.
     pub fn has_pending_watch(&self) -> bool {
         let pending = self.pending.take().or_else(|| try_accept(&self.listener));
         let is_pending = pending.is_some();
@@ -86,7 +86,7 @@
         is_pending
     }
 
-    /// Waits for a watch of the router.
+    /// Waits for the router to start a watch.
     pub fn accept_watch(&self) -> Watch {
         let stream = self.pending.take();
         let stream = stream.unwrap_or_else(|| accept(&self.listener));
@@ -109,7 +109,7 @@
     )
 }
 
-/// An event with a purge of collection 1 at this time, as a line of the watch.
+/// An event that purges collection 1 as of this time, as a line of the watch.
 pub fn purge_event(revision: u64, unix_ms: u64) -> String {
     format!(
         "{}\n",
--- a/crates/router/tests/program/support/fake_server.rs
+++ b/crates/router/tests/program/support/fake_server.rs
@@ -8,35 +8,35 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// Fields of a response from a copy that the server holds.
+/// Fields of a cache hit response.
 pub const HIT_FIELDS: &str = "tell=hit,etag=4be0c1927d55a6f3,made=1";
 
-/// The far end of one of the router's connections, as a fake server or the fake discovery
-/// service has accepted it. It carries lines of text, some of them followed by a body.
+/// A connection of the router that a fake server or the fake discovery service has accepted. It
+/// carries lines of text, some of them followed by a body.
 pub struct LineConnection {
     reader: BufReader<TcpStream>,
 }
 
 impl LineConnection {
-    /// Takes over an accepted stream.
+    /// Wraps an accepted stream.
     pub fn new(stream: TcpStream) -> LineConnection {
         LineConnection {
             reader: BufReader::new(stream),
         }
     }
 
-    /// The next line; empty at the end of the connection.
+    /// Waits for the next line; empty at the end of the connection.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Err(e) if e.kind() != std::io::ErrorKind::ConnectionReset => {
-                panic!("no line arrived: {e}")
+                panic!("reading a line from the router failed: {e}")
             }
             _ => line.trim_end().to_owned(),
         }
     }
 
-    /// Something has arrived that was not read yet, or the end of the connection has.
+    /// Unread data or the end of the connection has arrived.
     pub fn has_unread_data(&mut self) -> bool {
         has_unread_data(&self.reader)
     }
@@ -51,12 +51,12 @@
         reset_on_drop(self.reader.get_ref());
     }
 
-    /// Shuts down the write side, and reads on.
+    /// Shuts down the write side; the read side stays open.
     pub fn half_close(&self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Writes text to the router; false once that has closed the connection.
+    /// Writes text to the router; false once the router has closed the connection.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.reader.get_mut().write_all(text.as_bytes()).is_ok()
     }
@@ -64,16 +64,17 @@
     /// Waits for the next request.
     pub fn read_request(&mut self) -> ReceivedRequest {
         self.read_request_or_close()
-            .expect("the connection has ended")
+            .expect("the connection ended before a request")
     }
 
-    /// Waits for the next request; none if the router closes the connection in order.
+    /// Waits for the next request; `None` if the router closes the connection.
     pub fn read_request_or_close(&mut self) -> Option<ReceivedRequest> {
         let line = self.read_line();
         (!line.is_empty()).then(|| self.parse_request(&line))
     }
 
-    /// A request that has arrived; none if nothing has, or another line, or the end.
+    /// Reads a request that has arrived; `None` if there is no data, or it is another line or the end
+    /// of the connection.
     pub fn try_read_request(&mut self) -> Option<ReceivedRequest> {
         if !self.has_unread_data() {
             return None;
@@ -102,13 +103,13 @@
         }
     }
 
-    /// Reads a request and responds as from a copy that the server holds.
+    /// Reads a request and responds with a cache hit.
     pub fn respond_hit(&mut self, body: &[u8]) {
         let request = self.read_request();
         self.respond(&request, "OK", HIT_FIELDS, body);
     }
 
-    /// Responds to a request.
+    /// Responds to a request with this status word, these fields and this body.
     pub fn respond(&mut self, request: &ReceivedRequest, word: &str, fields: &str, body: &[u8]) {
         self.send(
             [
@@ -156,18 +157,18 @@
         }
     }
 
-    /// Its entry in an endpoint list, with this state of health.
+    /// Its entry in an endpoint list, with this health state.
     pub fn entry(&self, health: &str) -> Value {
         json!({"host": self.name, "dial": self.dial.to_string(), "site": "here",
             "class": self.kind, "block": 0, "health": health, "share": 4, "born_ms": 0})
     }
 
-    /// Waits for a connection of the router.
+    /// Waits for a connection of the router and accepts it.
     pub fn accept(&self) -> LineConnection {
         LineConnection::new(accept(&self.listener))
     }
 
-    /// A connection of the router, if one has been made.
+    /// Accepts a connection of the router if one is pending.
     pub fn try_accept(&self) -> Option<LineConnection> {
         try_accept(&self.listener).map(LineConnection::new)
     }
@@ -179,19 +180,19 @@
         assert_eq!(client.health(), "GREEN");
     }
 
-    /// Shrinks its receive buffers, so that a connection that is not read is full soon.
+    /// Shrinks the receive buffers of its connections, so that one that is not read fills up soon.
     pub fn shrink_receive_buffer(&self) {
         socket2::SockRef::from(&self.listener)
             .set_recv_buffer_size(4096)
             .unwrap();
     }
 
-    /// Fills its accept queue: further connections do not come up while the returned ones are held.
+    /// Fills its accept queue: no further connection is established while the returned ones are held.
     pub fn fill_accept_queue(&self) -> Vec<TcpStream> {
         fill_accept_queue(self.dial)
     }
 
-    /// Accepts until the router's connection, which has waited behind those that fill the queue.
+    /// Accepts connections until the router's, which waited behind those that fill the queue.
     pub fn accept_behind(&self, queue: &[TcpStream]) -> TcpStream {
         let port = |stream: &TcpStream| stream.local_addr().unwrap().port();
         let ports: Vec<u16> = queue.iter().map(port).collect();
@@ -204,7 +205,7 @@
     }
 }
 
-/// A body of this length, whose bytes differ from their neighbours.
+/// A body of this length in which adjacent bytes differ.
 pub fn body_of_length(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n * 31 % 251) as u8).collect()
 }
--- a/crates/router/tests/program/support/idle_clients.rs
+++ b/crates/router/tests/program/support/idle_clients.rs
@@ -1,4 +1,4 @@
-//! Many clients that hold connections and ask for little or nothing.
+//! Many clients that hold connections open and send nothing, or one health check each.
 
 use super::test_client::frame;
 use super::wait::*;
@@ -9,30 +9,30 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Duration;
 
-/// Idle clients: each sends nothing, or one health check, and reconnects when it is closed.
+/// Idle clients that reconnect when the router closes their connections.
 pub struct IdleClients {
-    /// Connections that have come up so far.
-    held: Arc<AtomicU32>,
-    over: Arc<AtomicBool>,
+    /// Number of connections established so far, reconnections included.
+    established: Arc<AtomicU32>,
+    stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl IdleClients {
-    /// Keeps so many connections open, half of them from each of two threads.
+    /// Keeps this many connections open, half of them from each of two threads.
     pub fn connect(clients: usize, at: SocketAddr, check_health: bool) -> IdleClients {
-        let (held, over): (Arc<AtomicU32>, Arc<AtomicBool>) = Default::default();
+        let (established, stopped): (Arc<AtomicU32>, Arc<AtomicBool>) = Default::default();
         let threads = (0..2).map(|_| {
-            let (held, over) = (held.clone(), over.clone());
+            let (established, stopped) = (established.clone(), stopped.clone());
             spawn(move || {
                 let mut connections: Vec<TcpStream> = Vec::new();
-                while !over.load(Ordering::Relaxed) {
+                while !stopped.load(Ordering::Relaxed) {
                     connections.retain(is_open);
-                    while connections.len() < clients / 2 && !over.load(Ordering::Relaxed) {
+                    while connections.len() < clients / 2 && !stopped.load(Ordering::Relaxed) {
                         let Some(stream) = connect_once(at, check_health) else {
                             break;
                         };
                         connections.push(stream);
-                        held.fetch_add(1, Ordering::Relaxed);
+                        established.fetch_add(1, Ordering::Relaxed);
                     }
                     sleep(CHECK_INTERVAL * 3);
                 }
@@ -40,28 +40,28 @@
         });
         let threads = threads.collect();
         IdleClients {
-            held,
-            over,
+            established,
+            stopped,
             threads,
         }
     }
 
-    /// How many connections have come up so far.
-    pub fn held(&self) -> u32 {
-        self.held.load(Ordering::Relaxed)
+    /// Number of connections established so far, reconnections included.
+    pub fn established(&self) -> u32 {
+        self.established.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         self.threads
             .drain(..)
             .for_each(|thread| drop(thread.join()));
     }
 }
 
-/// One connection that does not block; none if it does not come up.
+/// Opens one non-blocking connection; `None` if it is not established within 50 ms.
 fn connect_once(at: SocketAddr, check_health: bool) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&at, Duration::from_millis(50)).ok()?;
     if check_health {
--- a/crates/router/tests/program/support/loopback.rs
+++ b/crates/router/tests/program/support/loopback.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// A loopback address that nobody else is given, and nobody listens at.
+/// A loopback address that no other caller gets and that has never had a listener.
 ///
-/// One that had been listened at would not do: a process that another test is just starting may
-/// hold the listener open for a moment more.
+/// The address of a closed listener would not do: a process that another test is starting may have
+/// inherited that listener and hold it open until its `exec`.
 pub fn unused_address() -> SocketAddr {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let (n, process) = (LAST.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -30,7 +30,7 @@
     TcpListener::bind(unused_address()).unwrap()
 }
 
-/// Accepts a connection if one has been made.
+/// Accepts a connection if one is pending.
 pub fn try_accept(listener: &TcpListener) -> Option<TcpStream> {
     listener.set_nonblocking(true).unwrap();
     let (stream, _) = listener.accept().ok()?;
@@ -42,21 +42,21 @@
 /// Waits for a connection and accepts it.
 pub fn accept(listener: &TcpListener) -> TcpStream {
     let mut stream = None;
-    until("a connection", || {
+    wait_until("a connection", || {
         stream = try_accept(listener);
         stream.is_some()
     });
     stream.unwrap()
 }
 
-/// Fills the accept queue of an address where nobody accepts: further connections do not come up
-/// as long as the returned ones are held.
+/// Fills the accept queue of a listener that accepts nothing: no further connection is established
+/// while the returned ones are held.
 pub fn fill_accept_queue(at: SocketAddr) -> Vec<TcpStream> {
-    let reach = |_: &u32| TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
-    (0..8192).map_while(|n| reach(&n)).collect()
+    let connect = |_: &u32| TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
+    (0..8192).map_while(|n| connect(&n)).collect()
 }
 
-/// Something has arrived that was not read yet, or the end of the connection has.
+/// Unread data or the end of the connection has arrived.
 pub fn has_unread_data(reader: &BufReader<TcpStream>) -> bool {
     let stream = reader.get_ref();
     stream.set_nonblocking(true).unwrap();
@@ -65,7 +65,7 @@
     has_arrived || !reader.buffer().is_empty()
 }
 
-/// Has a stream reset its connection when it is dropped, instead of closing it.
+/// Makes a stream reset its connection when it is dropped, instead of closing it.
 pub fn reset_on_drop(stream: &TcpStream) {
     let stream = socket2::SockRef::from(stream);
     stream.set_linger(Some(Duration::ZERO)).unwrap();
--- a/crates/router/tests/program/support/mod.rs
+++ b/crates/router/tests/program/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the program tests share: fakes for all that a router talks to over loopback, the router as
-//! a process, and builders for its configuration. Every wait ends with what it waits for, or fails
-//! the test.
+//! Shared support of the program tests: fakes for the router's clients, servers and discovery service
+//! on loopback, the router process, and builders for its configuration. A wait whose condition does
+//! not hold in time fails the test.
 
 mod environment;
 mod fake_discovery;
--- a/crates/router/tests/program/support/router_process.rs
+++ b/crates/router/tests/program/support/router_process.rs
@@ -1,4 +1,4 @@
-//! The router as a process: signals, its end, and what `/proc` says about it.
+//! The router process: signals, its exit, and its state in `/proc`.
 
 use super::test_client::TestClient;
 use super::wait::*;
@@ -6,78 +6,77 @@
 use std::net::SocketAddr;
 use std::process::{Child, Command, ExitStatus};
 
-/// A started router; it is killed when this is dropped, and its log shown if the test has failed.
+/// A started router; it is killed on drop, and its log is printed if the test has failed.
 pub struct RouterProcess {
     pub child: Child,
     listen: SocketAddr,
 }
 
-/// How a router has ended.
+/// The exit of a router.
 pub struct RouterExit {
     pub status: ExitStatus,
-    /// All that it logged.
+    /// Everything it logged.
     pub log: String,
 }
 
 impl RouterProcess {
-    /// A child that is to listen at this address.
+    /// Wraps a child process whose configuration has it listen at this address.
     pub fn new(child: Child, listen: SocketAddr) -> RouterProcess {
         RouterProcess { child, listen }
     }
 
-    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Where clients reach it.
+    /// The address at which it accepts clients.
     pub fn address(&self) -> SocketAddr {
         self.listen
     }
 
-    /// A new client, if the router takes the connection.
+    /// Connects a client; `None` if the connection is refused.
     pub fn try_connect(&self) -> Option<TestClient> {
         TestClient::connect(self.listen)
     }
 
-    /// A new client.
+    /// Connects a client.
     pub fn connect(&self) -> TestClient {
         self.try_connect().expect("the router listens")
     }
 
-    /// A health check on a new connection says that it is ready.
+    /// A health check on a new connection reports `GREEN`.
     pub fn is_ready(&self) -> bool {
         self.try_connect()
             .is_some_and(|mut client| client.health() == "GREEN")
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until a health check reports `GREEN`.
     pub fn wait_until_ready(&self) {
-        until("GREEN", || self.is_ready());
+        wait_until("the router to be ready", || self.is_ready());
     }
 
-    /// Waits until it tells new clients that it is shutting down.
+    /// Waits until health checks of new clients report `RED`: it is shutting down.
     pub fn wait_until_draining(&self) {
-        until("RED", || self.connect().health() == "RED");
+        wait_until("the router to drain", || self.connect().health() == "RED");
     }
 
-    /// Asks it to shut down.
+    /// Requests a graceful shutdown (SIGTERM).
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Has it read its configuration again.
+    /// Makes it reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal("HUP");
     }
 
-    /// Stops it as a machine that others share may, and waits until it has stopped.
+    /// Pauses it (SIGSTOP), as a loaded shared machine may, and waits until it has stopped.
     pub fn pause(&self) {
         self.signal("STOP");
-        until("the pause", || self.is_in_state('T'));
+        wait_until("the router to be paused", || self.is_in_state('T'));
     }
 
-    /// Ends a pause.
+    /// Ends a pause (SIGCONT).
     pub fn resume(&self) {
         self.signal("CONT");
     }
@@ -90,7 +89,7 @@
         assert!(sent.unwrap().success());
     }
 
-    /// Its state in `/proc` is this letter.
+    /// Its state in `/proc/PID/stat` is this letter, such as `T` for stopped.
     pub fn is_in_state(&self, state: char) -> bool {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap();
         stat.rsplit(") ")
@@ -98,17 +97,17 @@
             .is_some_and(|rest| rest.starts_with(state))
     }
 
-    /// How many descriptors it has open.
+    /// The number of descriptors that it has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.id()))
             .unwrap()
             .count()
     }
 
-    /// Waits for its end.
+    /// Waits until it exits.
     pub fn wait_for_exit(&mut self) -> RouterExit {
         let mut status = None;
-        until("the router's end", || {
+        wait_until("the router to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
--- a/crates/router/tests/program/support/scheduled_instant.rs
+++ b/crates/router/tests/program/support/scheduled_instant.rs
@@ -1,11 +1,11 @@
-//! Spans of time less what the machine, busy with others, gave no processor.
+//! Elapsed time without the time spent waiting for a processor.
 
 use std::time::{Duration, Instant};
 
-/// For how long the machine, busy with others, has had no processor for a process or thread that
-/// was ready to run. Nothing that a process does shortens it: it is no part of the time that a test
-/// holds against one.
-fn waited_for_processor(task: &str) -> Duration {
+/// How long a process or thread has been runnable without being scheduled on a processor, by
+/// `/proc/TASK/schedstat`. The process cannot influence this time, so a test does not count it
+/// against a time limit.
+fn time_waiting_for_processor(task: &str) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{task}/schedstat")).unwrap_or_default();
     let nanoseconds = stat
         .split_whitespace()
@@ -14,7 +14,7 @@
     Duration::from_nanos(nanoseconds.unwrap_or_default())
 }
 
-/// A moment, and how long the program and this thread had waited for a processor by then.
+/// An instant, and how long the router process and this thread had waited for a processor by then.
 #[derive(Clone, Copy)]
 pub struct ScheduledInstant {
     at: Instant,
@@ -24,8 +24,8 @@
 
 impl ScheduledInstant {
     pub fn now(process: u32) -> ScheduledInstant {
-        let waited =
-            waited_for_processor(&process.to_string()) + waited_for_processor("thread-self");
+        let waited = time_waiting_for_processor(&process.to_string())
+            + time_waiting_for_processor("thread-self");
         ScheduledInstant {
             at: Instant::now(),
             process,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The time since, less what the machine was busy with others.
+    /// The elapsed time, less the time that the process and this thread waited for a processor.
     pub fn elapsed(&self) -> Duration {
         let now = ScheduledInstant::now(self.process);
         (now.at - self.at).saturating_sub(now.waited.saturating_sub(self.waited))
--- a/crates/router/tests/program/support/settings.rs
+++ b/crates/router/tests/program/support/settings.rs
@@ -8,10 +8,10 @@
         "AimStretch": 2, "HardLimit": 5000, "Worth": 1, "LateWorth": 0.1, "Stream": false})
 }
 
-/// The settings that a test starts from.
+/// The default settings of a test.
 ///
-/// At 10 KB a second a part takes a second, so that no attempt is checked as overdue while a test
-/// is held up.
+/// With a `ClientKbPerS` of 10 a part of 10 KB is expected to take a second, so that no attempt counts
+/// as overdue while the test itself is delayed.
 pub fn default_settings() -> Value {
     json!({
         "Classes": [class("page", "pure"), class("confirm", "side_effect")],
--- a/crates/router/tests/program/support/test_client.rs
+++ b/crates/router/tests/program/support/test_client.rs
@@ -1,4 +1,4 @@
-//! A client of the router: its requests and the answers that it reads.
+//! A client of the router: writes requests and reads answers.
 
 use super::loopback::*;
 use super::wait::*;
@@ -7,7 +7,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A request id that no other request of this process has.
+/// A request id that is unique within this process.
 fn new_id() -> String {
     static LAST: AtomicU32 = AtomicU32::new(0);
     format!("{:016x}", LAST.fetch_add(1, Ordering::Relaxed))
@@ -51,7 +51,7 @@
 }
 
 impl ClientAnswer {
-    /// The answer that a test expects.
+    /// An answer to compare with.
     pub fn new(tag: u64, word: &str, fields: &str, body: impl AsRef<[u8]>) -> ClientAnswer {
         ClientAnswer {
             tag,
@@ -68,7 +68,7 @@
         self.write(&frame(parts));
     }
 
-    /// Connects; none if the connection is refused.
+    /// Connects; `None` if the connection is refused.
     pub fn connect(address: SocketAddr) -> Option<TestClient> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -78,23 +78,23 @@
         })
     }
 
-    /// Waits for an answer; none if the connection ends without one.
+    /// Waits for an answer; `None` if the connection ends without one.
     pub fn try_read_answer(&mut self) -> Option<ClientAnswer> {
         let ended = self.reader.fill_buf().is_ok_and(<[u8]>::is_empty);
         (!ended).then(|| self.read_answer())
     }
 
-    /// Asks for the router's state; none if the connection ends without an answer.
+    /// Requests the router's health state; `None` if the connection ends without an answer.
     pub fn try_health(&mut self) -> Option<String> {
         self.reader
             .get_mut()
             .write_all(&frame(&[b"HEALTH", b"1000", b""]))
             .ok()?;
-        let come = self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
-        come.then(|| self.read_answer_word())
+        let has_answer = self.reader.fill_buf().is_ok_and(|bytes| !bytes.is_empty());
+        has_answer.then(|| self.read_answer_word())
     }
 
-    /// Shuts down the write side, and reads on.
+    /// Shuts down the write side; the read side stays open.
     pub fn half_close(&self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
@@ -104,7 +104,8 @@
         reset_on_drop(self.reader.get_ref());
     }
 
-    /// Reads to the end: the router has closed the connection in order, with nothing more to read.
+    /// Reads to the end: the router has closed the connection without a reset and without further
+    /// data.
     pub fn is_closed_in_order(&mut self) -> bool {
         matches!(self.reader.read_to_end(&mut Vec::new()), Ok(0))
     }
@@ -114,14 +115,21 @@
         self.reader.get_mut().write_all(bytes).unwrap();
     }
 
-    /// Requests the object of the same number as the tag, with `more` fields; returns the id.
-    pub fn send_request(&mut self, tag: u64, class: &str, more: &str, body: &[u8]) -> String {
+    /// Requests the object with the same number as the tag, with further fields; returns the request
+    /// id. The deadline is 4 s unless the fields give one.
+    pub fn send_request(
+        &mut self,
+        tag: u64,
+        class: &str,
+        more_fields: &str,
+        body: &[u8],
+    ) -> String {
         let id = new_id();
         let fields = format!(
-            "i={id},o={tag:016x},lot=1,m=10.5{}{more}",
-            if more.is_empty() { "" } else { "," }
+            "i={id},o={tag:016x},lot=1,m=10.5{}{more_fields}",
+            if more_fields.is_empty() { "" } else { "," }
         );
-        let fields = if more.contains("d=") {
+        let fields = if more_fields.contains("d=") {
             fields
         } else {
             format!("{fields},d=4000")
@@ -130,7 +138,7 @@
         id
     }
 
-    /// Requests the object of the same number as the tag; false if the connection takes no more.
+    /// Requests the object with the same number as the tag; false if the connection is closed.
     pub fn try_send_request(&mut self, tag: u64, class: &str, limit_ms: u64) -> bool {
         let id = new_id();
         let fields = format!("i={id},o={tag:016x},lot=1,m=1,d={limit_ms}");
@@ -149,7 +157,7 @@
         self.write(&request_frame(tag, class, fields, body));
     }
 
-    /// Cancels the request of this tag.
+    /// Cancels the request with this tag.
     pub fn abort(&mut self, tag: u64) {
         self.send(&[b"ABORT", tag.to_string().as_bytes()]);
     }
@@ -180,10 +188,10 @@
         let number = line.trim_end().strip_prefix(sign);
         number
             .and_then(|n| n.parse().ok())
-            .unwrap_or_else(|| panic!("{line:?}"))
+            .unwrap_or_else(|| panic!("not a length line of the client protocol: {line:?}"))
     }
 
-    /// An answer or the end of the connection has arrived.
+    /// Unread data or the end of the connection has arrived.
     pub fn has_unread_data(&mut self) -> bool {
         has_unread_data(&self.reader)
     }
@@ -202,7 +210,7 @@
         }
     }
 
-    /// Asks for the router's state: `GREEN` when ready, `RED` when shutting down.
+    /// Requests the router's health state: `GREEN` when ready, `RED` when shutting down.
     pub fn health(&mut self) -> String {
         self.send(&[b"HEALTH", b"1000", b""]);
         self.read_answer_word()
--- a/crates/router/tests/program/support/wait.rs
+++ b/crates/router/tests/program/support/wait.rs
@@ -3,19 +3,20 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a test waits for anything before it fails; nothing takes nearly as long.
+/// How long a test waits for a condition before it fails; a correct run needs far less.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// What sockets and the scheduler may add to each time limit of the protocol.
+/// Tolerance for delays by sockets and the scheduler on each time limit of the protocol.
 pub const SLACK: Duration = Duration::from_millis(50);
 
-/// Pause between two checks of a condition.
+/// Interval between two checks of a condition.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One millisecond, to write spans as `300 * MS`.
+/// One millisecond, so that durations can be written as `300 * MS`.
 pub const MS: Duration = Duration::from_millis(1);
 
-/// Milliseconds since the Unix epoch, as the fake servers and the fake discovery stamp.
+/// Milliseconds since the Unix epoch, the timestamps of the fake servers and the fake discovery
+/// service.
 #[allow(clippy::disallowed_methods)]
 pub fn unix_ms() -> u64 {
     SystemTime::now()
@@ -24,21 +25,21 @@
         .as_millis() as u64
 }
 
-/// Checks a condition again and again until it holds.
+/// Polls a condition until it holds.
 ///
 /// # Panics
 ///
 /// If it does not hold within [`WAIT_LIMIT`]; `what` names the condition.
-pub fn until(what: &str, mut come: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_LIMIT;
-    while !come() {
-        assert!(Instant::now() < end, "{what}: did not come");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         sleep(CHECK_INTERVAL);
     }
 }
 
-/// Lets a span of time pass, where that span itself is under test.
-pub fn pass(time: Duration) {
+/// Waits for a duration that is itself part of the test.
+pub fn wait_for(duration: Duration) {
     let since = Instant::now();
-    until("the end of a span", || since.elapsed() > time);
+    wait_until("the end of the duration", || since.elapsed() > duration);
 }
