--- a/crates/router/tests/program/moments/cold_servers.rs
+++ b/crates/router/tests/program/moments/cold_servers.rs
@@ -1,4 +1,4 @@
-//! Servers in slow start before a fleet of routers.
+//! Servers in slow start behind a fleet of routers.
 
 use super::load::Load;
 use super::recording_server::*;
@@ -6,30 +6,30 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Seconds of work of one request: 10 KB at 100 KB a second.
-const WORK: f64 = 0.1;
+/// Seconds of server work per request: 10 KB at 100 KB a second.
+const WORK_SECONDS: f64 = 0.1;
 
-/// Requests that a warmed-up server works on at once.
+/// Concurrent requests that a server can work on after its slow start.
 const CAPACITY: f64 = 4.0;
 
-/// How many times its current capacity a server may be sent.
-const MULTIPLE: f64 = 2.0;
+/// The multiple of its current capacity that a server may be sent.
+const MAX_CAPACITY_MULTIPLE: f64 = 2.0;
 
-/// Seconds over which what arrives is counted.
-const WINDOW: f64 = 1.0;
+/// Length in seconds of the windows in which arrivals are counted.
+const WINDOW_SECONDS: f64 = 1.0;
 
-/// Share of its capacity that a server has when it starts.
-const FLOOR: f64 = 0.3;
+/// Share of its capacity that a server has at the beginning of its slow start.
+const INITIAL_CAPACITY_SHARE: f64 = 0.3;
 
-/// What a fleet sent to servers in slow start.
-pub struct SlowStartUse {
-    /// The greatest share of what a window allows that arrived in one, at the cache.
+/// The load of a fleet on servers in slow start.
+pub struct SlowStartUtilization {
+    /// The highest ratio of arrivals at the cache in a window to what the window allows.
     pub cache: f64,
-    /// The same at the parent, fills included.
+    /// The same for the parent, fills included.
     pub parent: f64,
 }
 
-/// The environment of one router of a fleet, before a cache and a parent that start now.
+/// The environment of one router of a fleet, with `c1` and `p1` as servers that started at `born_ms`.
 fn fleet_environment(
     index: usize,
     fleet: usize,
@@ -37,10 +37,10 @@
     born_ms: u64,
     servers: &[&RecordingServer],
 ) -> TestEnvironment {
-    let mut environment = environment_of(TestEnvironment::new(), servers)
+    let mut environment = environment_with_servers(TestEnvironment::new(), servers)
         .with_setting("FamilyInfo", "CrewByZone", json!([fleet]))
         .with_setting("FamilyInfo", "ClientKbPerS", 100)
-        .with_setting("FamilyInfo", "ParentFloor", FLOOR);
+        .with_setting("FamilyInfo", "ParentFloor", INITIAL_CAPACITY_SHARE);
     let hosts = &mut environment.file["known"]["notices"][0]["pool"]["hosts"];
     for host in hosts.as_array_mut().unwrap() {
         if ["c1", "p1"].contains(&host["host"].as_str().unwrap()) {
@@ -53,7 +53,7 @@
     environment
 }
 
-/// The interval between two requests to a router: a fifth of them get half of the traffic.
+/// The interval between two requests to a router: a fifth of the routers get half of the traffic.
 fn interval(index: usize) -> Duration {
     if index.is_multiple_of(5) {
         25 * MS
@@ -62,25 +62,27 @@
     }
 }
 
-/// The greatest share of what a window allows a server in slow start that arrived in one.
-fn greatest_use(arrivals: &[Instant], started: Instant, ramp: f64) -> f64 {
-    let mut greatest = 0.0_f64;
+/// The highest ratio of arrivals in a window to what the window allows a server in slow start.
+fn max_utilization(arrivals: &[Instant], started: Instant, ramp_seconds: f64) -> f64 {
+    let mut max_share = 0.0_f64;
     for first in arrivals {
-        let end = *first + Duration::from_secs_f64(WINDOW);
+        let end = *first + Duration::from_secs_f64(WINDOW_SECONDS);
         let in_window = |at: &&Instant| *at >= first && **at < end;
         let arrived = arrivals.iter().filter(in_window).count();
-        // The capacity at the beginning of the window, the least of it.
+        // The capacity at the beginning of the window is the lowest in it.
         let age = first.duration_since(started).as_secs_f64();
-        let capacity = CAPACITY * (FLOOR + (1.0 - FLOOR) * (age / ramp).min(1.0));
-        let allowed = MULTIPLE * capacity * WINDOW / WORK;
-        greatest = greatest.max(arrived as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
+        let capacity = CAPACITY
+            * (INITIAL_CAPACITY_SHARE
+                + (1.0 - INITIAL_CAPACITY_SHARE) * (age / ramp_seconds).min(1.0));
+        let allowed = MAX_CAPACITY_MULTIPLE * capacity * WINDOW_SECONDS / WORK_SECONDS;
+        max_share = max_share.max(arrived as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
     }
-    greatest
+    max_share
 }
 
-/// A cache and a parent in slow start before a fleet of routers that may not gossip, with uneven
-/// traffic, a quarter of them killed and started anew in the middle.
-pub fn measure_slow_start(processes: usize, seed: u64) -> SlowStartUse {
+/// Measures the load on a cache and a parent in slow start behind a fleet of routers without gossip
+/// and with uneven traffic. A quarter of the routers is killed and restarted halfway.
+pub fn measure_slow_start(processes: usize, seed: u64) -> SlowStartUtilization {
     let servers = [
         ("c1", "cache"),
         ("c2", "cache"),
@@ -88,22 +90,26 @@
         ("o1", "origin"),
     ];
     let servers =
-        servers.map(|(name, kind)| RecordingServer::of(FakeServer::new(name, kind), true));
+        servers.map(|(name, kind)| RecordingServer::start(FakeServer::new(name, kind), true));
     let (born_ms, started) = (unix_ms(), Instant::now());
-    let mut chance = fastrand::Rng::with_seed(seed);
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut environments: Vec<TestEnvironment> = (0..processes)
-        .map(|n| fleet_environment(n, processes, chance.u64(..), born_ms, &servers.each_ref()))
+        .map(|n| fleet_environment(n, processes, rng.u64(..), born_ms, &servers.each_ref()))
         .collect();
     let mut routers: Vec<RouterProcess> = environments
         .iter_mut()
         .map(|environment| environment.spawn(""))
         .collect();
-    wait_until("all ready", || routers.iter().all(RouterProcess::is_ready));
-    let load = |router: &RouterProcess, n: usize, seed: u64| {
-        Load::at(router.address(), interval(n), seed + n as u64)
+    wait_until("all routers to be ready", || {
+        routers.iter().all(RouterProcess::is_ready)
+    });
+    let start_load = |router: &RouterProcess, n: usize, seed: u64| {
+        Load::start(router.address(), interval(n), seed + n as u64)
     };
     let loads = routers.iter().enumerate();
-    let mut loads: Vec<Load> = loads.map(|(n, router)| load(router, n, seed)).collect();
+    let mut loads: Vec<Load> = loads
+        .map(|(n, router)| start_load(router, n, seed))
+        .collect();
     wait_for(2000 * MS);
     let killed: Vec<usize> = (0..processes).filter(|n| n % 4 == 1).collect();
     for &n in &killed {
@@ -111,27 +117,27 @@
         routers[n].child.wait().unwrap();
         routers[n] = environments[n].spawn("");
     }
-    wait_until("ready again", || {
+    wait_until("the restarted routers to be ready", || {
         killed.iter().all(|n| routers[*n].is_ready())
     });
     for n in killed {
-        let again = load(&routers[n], n, seed + 1000);
-        drop(std::mem::replace(&mut loads[n], again).end());
+        let new_load = start_load(&routers[n], n, seed + 1000);
+        drop(std::mem::replace(&mut loads[n], new_load).end());
     }
     wait_for(2500 * MS);
     let sent: usize = loads.into_iter().map(|load| load.end().0).sum();
-    assert!(sent > processes * 30, "{sent}");
+    assert!(sent > processes * 30, "too little load: {sent} requests");
     let [c1, c2, p1, _] = &servers;
-    let at_cache: Vec<Instant> = c1.come().iter().map(|request| request.at).collect();
-    let mut at_parent: Vec<Instant> = p1.come().iter().map(|request| request.at).collect();
+    let at_cache: Vec<Instant> = c1.received().iter().map(|request| request.at).collect();
+    let mut at_parent: Vec<Instant> = p1.received().iter().map(|request| request.at).collect();
     for cache in [c1, c2] {
-        let requests = cache.come();
+        let requests = cache.received();
         let fills = requests.iter().filter(|request| request.source == "p1");
         at_parent.extend(fills.map(|request| request.at));
     }
     at_parent.sort();
-    SlowStartUse {
-        cache: greatest_use(&at_cache, started, 17.0),
-        parent: greatest_use(&at_parent, started, 20.0),
+    SlowStartUtilization {
+        cache: max_utilization(&at_cache, started, 17.0),
+        parent: max_utilization(&at_parent, started, 20.0),
     }
 }
--- a/crates/router/tests/program/moments/load.rs
+++ b/crates/router/tests/program/moments/load.rs
@@ -1,4 +1,4 @@
-//! A client that sends requests at its own pace and counts its answers.
+//! A client that sends requests at a fixed interval and counts the answers.
 
 use crate::support::*;
 use std::collections::HashMap;
@@ -8,33 +8,33 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Requests at a pace of its own to one process, and what becomes of them.
+/// A client that sends requests at a fixed interval to one router, and counts the kinds of answers.
 pub struct Load {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<(usize, HashMap<String, usize>)>>,
 }
 
 impl Load {
-    /// Asks so often until it is ended, then waits for what is open.
-    pub fn at(address: SocketAddr, every: Duration, seed: u64) -> Load {
-        let over: Arc<AtomicBool> = Arc::default();
-        let told = over.clone();
+    /// Sends a request per interval, with up to 30 open, until it is stopped; then waits for open
+    /// requests.
+    pub fn start(address: SocketAddr, interval: Duration, seed: u64) -> Load {
+        let stopped: Arc<AtomicBool> = Arc::default();
+        let stopped_in_thread = stopped.clone();
         let thread = spawn(move || {
-            let (mut asked, mut words) = (0, HashMap::new());
+            let (mut sent, mut words) = (0, HashMap::new());
             let Some(mut client) = TestClient::connect(address) else {
                 return (0, words);
             };
-            let (mut open, mut next, mut chance) =
-                (0, Instant::now(), fastrand::Rng::with_seed(seed));
+            let (mut open, mut next, mut rng) = (0, Instant::now(), fastrand::Rng::with_seed(seed));
             let mut tag = 0;
             loop {
-                let over = told.load(Ordering::Relaxed);
-                if over && open == 0 {
-                    return (asked, words);
+                let stopped = stopped_in_thread.load(Ordering::Relaxed);
+                if stopped && open == 0 {
+                    return (sent, words);
                 }
-                if !over && Instant::now() >= next && open < 30 {
-                    (tag, asked, open, next) = (tag + 1, asked + 1, open + 1, next + every);
-                    let (id, object) = (chance.u64(..), chance.u64(..));
+                if !stopped && Instant::now() >= next && open < 30 {
+                    (tag, sent, open, next) = (tag + 1, sent + 1, open + 1, next + interval);
+                    let (id, object) = (rng.u64(..), rng.u64(..));
                     let fields = format!("i={id:016x},o={object:016x},lot=1,m=10,d=1500");
                     let tag = tag.to_string();
                     client.send(&[b"REQ", tag.as_bytes(), b"page", fields.as_bytes(), b""]);
@@ -47,7 +47,7 @@
                         }
                         None => {
                             *words.entry("lost".to_owned()).or_insert(0) += open;
-                            return (asked, words);
+                            return (sent, words);
                         }
                     }
                 } else {
@@ -56,13 +56,15 @@
             }
         });
         Load {
-            over,
+            stopped,
             thread: Some(thread),
         }
     }
 
+    /// Stops sending; returns the number of requests sent and the answers by kind. Requests that a
+    /// closed connection left open count as `lost`.
     pub fn end(mut self) -> (usize, HashMap<String, usize>) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         self.thread.take().unwrap().join().unwrap()
     }
 }
--- a/crates/router/tests/program/moments/recording_server.rs
+++ b/crates/router/tests/program/moments/recording_server.rs
@@ -1,4 +1,4 @@
-//! A fake server that records what arrives, and responds at once or when it is told to.
+//! A fake server that records requests, and responds at once or on demand.
 
 use crate::support::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,24 +8,24 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::Instant;
 
-/// What has come to a station: when its line was read, what it asked for, and where its answer
-/// goes.
+/// A request that a server received: when its line was read, its id, the parent to fill from, and the
+/// connection for the response.
 pub struct RecordedRequest {
     pub at: Instant,
     pub id: String,
     pub source: String,
-    to: Arc<Mutex<TcpStream>>,
+    writer: Arc<Mutex<TcpStream>>,
 }
 
 #[derive(Default)]
 struct Shared {
-    come: Mutex<Vec<RecordedRequest>>,
-    /// Takes and reads nothing.
-    hangs: AtomicBool,
-    over: AtomicBool,
+    received: Mutex<Vec<RecordedRequest>>,
+    /// While set, the server accepts and reads nothing.
+    is_hanging: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// A server that notes what comes, and answers at once, or only when it is told to.
+/// A server that records requests, and responds to each with a hit at once, or only by `respond`.
 pub struct RecordingServer {
     pub server: FakeServer,
     shared: Arc<Shared>,
@@ -33,18 +33,20 @@
 }
 
 impl RecordingServer {
-    pub fn of(server: FakeServer, answers: bool) -> RecordingServer {
+    pub fn start(server: FakeServer, responds: bool) -> RecordingServer {
         let shared: Arc<Shared> = Arc::default();
-        let (of, listener) = (shared.clone(), server.listener.try_clone().unwrap());
+        let (thread_shared, listener) = (shared.clone(), server.listener.try_clone().unwrap());
         listener.set_nonblocking(true).unwrap();
         let thread = spawn(move || {
             let mut connections = Vec::new();
-            while !of.over.load(Ordering::Relaxed) {
-                if of.hangs.load(Ordering::Relaxed) {
+            while !thread_shared.stopped.load(Ordering::Relaxed) {
+                if thread_shared.is_hanging.load(Ordering::Relaxed) {
                     sleep(MS);
                 } else if let Ok((stream, _)) = listener.accept() {
-                    let of = of.clone();
-                    connections.push(spawn(move || attend(&of, stream, answers)));
+                    let thread_shared = thread_shared.clone();
+                    connections.push(spawn(move || {
+                        serve_connection(&thread_shared, stream, responds)
+                    }));
                 } else {
                     sleep(MS);
                 }
@@ -60,23 +62,27 @@
         }
     }
 
-    pub fn come(&self) -> MutexGuard<'_, Vec<RecordedRequest>> {
-        self.shared.come.lock().unwrap()
+    pub fn received(&self) -> MutexGuard<'_, Vec<RecordedRequest>> {
+        self.shared.received.lock().unwrap()
     }
 
-    pub fn hang(&self, hangs: bool) {
-        self.shared.hangs.store(hangs, Ordering::Relaxed);
+    pub fn set_hanging(&self, is_hanging: bool) {
+        self.shared.is_hanging.store(is_hanging, Ordering::Relaxed);
     }
 
-    pub fn has(&self, id: &str) -> bool {
-        self.come().iter().any(|come| come.id == id)
+    pub fn has_received(&self, id: &str) -> bool {
+        self.received().iter().any(|received| received.id == id)
     }
 
-    pub fn tell(&self, id: &str, word: &str) {
-        let come = self.come();
-        let last = come.iter().rev().find(|come| come.id == id).unwrap();
+    pub fn respond(&self, id: &str, word: &str) {
+        let received = self.received();
+        let last = received
+            .iter()
+            .rev()
+            .find(|received| received.id == id)
+            .unwrap();
         let _ = last
-            .to
+            .writer
             .lock()
             .unwrap()
             .write_all(format!("{id} {word} - 0\r\n\r\n").as_bytes());
@@ -85,7 +91,7 @@
 
 impl Drop for RecordingServer {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
+        self.shared.stopped.store(true, Ordering::Relaxed);
         self.thread
             .take()
             .into_iter()
@@ -93,20 +99,20 @@
     }
 }
 
-fn attend(of: &Shared, stream: TcpStream, answers: bool) {
+fn serve_connection(shared: &Shared, stream: TcpStream, responds: bool) {
     stream.set_nonblocking(false).unwrap();
     stream.set_read_timeout(Some(20 * MS)).unwrap();
-    let to = Arc::new(Mutex::new(stream.try_clone().unwrap()));
+    let writer = Arc::new(Mutex::new(stream.try_clone().unwrap()));
     let (mut reader, mut line) = (BufReader::new(stream), String::new());
-    while !of.over.load(Ordering::Relaxed) {
-        if of.hangs.load(Ordering::Relaxed) {
+    while !shared.stopped.load(Ordering::Relaxed) {
+        if shared.is_hanging.load(Ordering::Relaxed) {
             sleep(MS);
             continue;
         }
         match reader.read_line(&mut line) {
             Ok(0) => return,
             Ok(_) => {}
-            // Half a line stays in it.
+            // On a read timeout a partial line stays in `line`.
             Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock) => continue,
             Err(_) => return,
         }
@@ -114,7 +120,7 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         if let ["ASK", id, fields, length] = words[..] {
             let length = length.parse::<u64>().unwrap() + 2;
-            if !skip(of, &mut reader, length) {
+            if !skip(shared, &mut reader, length) {
                 return;
             }
             let source = fields
@@ -122,24 +128,26 @@
                 .find_map(|f| f.strip_prefix("src="))
                 .unwrap_or("")
                 .to_owned();
-            let (id, to) = (id.to_owned(), to.clone());
-            if answers {
+            let (id, writer) = (id.to_owned(), writer.clone());
+            if responds {
                 let answer = format!("{id} OK {HIT_FIELDS} 1\r\nx\r\n");
-                let _ = to.lock().unwrap().write_all(answer.as_bytes());
+                let _ = writer.lock().unwrap().write_all(answer.as_bytes());
             }
-            of.come
-                .lock()
-                .unwrap()
-                .push(RecordedRequest { at, id, source, to });
+            shared.received.lock().unwrap().push(RecordedRequest {
+                at,
+                id,
+                source,
+                writer,
+            });
         }
         line.clear();
     }
 }
 
-/// Reads past a body; false where the connection ends in it.
-fn skip(of: &Shared, reader: &mut BufReader<TcpStream>, mut left: u64) -> bool {
+/// Skips a body; false if the connection ends within it.
+fn skip(shared: &Shared, reader: &mut BufReader<TcpStream>, mut left: u64) -> bool {
     let mut bytes = [0; 4096];
-    while left > 0 && !of.over.load(Ordering::Relaxed) {
+    while left > 0 && !shared.stopped.load(Ordering::Relaxed) {
         let part = bytes.len().min(left as usize);
         match reader.read(&mut bytes[..part]) {
             Ok(0) => return false,
@@ -151,8 +159,8 @@
     true
 }
 
-/// Worlds whose servers are these servers.
-pub fn environment_of(
+/// Makes these the servers of an environment.
+pub fn environment_with_servers(
     mut environment: TestEnvironment,
     servers: &[&RecordingServer],
 ) -> TestEnvironment {
--- a/crates/router/tests/program/moments/simultaneous_start.rs
+++ b/crates/router/tests/program/moments/simultaneous_start.rs
@@ -6,15 +6,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long the routers of a fleet took until they were ready.
+/// How long after the start the routers of a fleet were ready, by quantile.
 pub struct ReadyTimes {
-    pub half: Duration,
-    pub nine_in_ten: Duration,
+    pub p50: Duration,
+    pub p90: Duration,
     pub last: Duration,
 }
 
-/// Routers started at once, their discovery services `down` for so long at first and then slow to
-/// speak, while idle clients reconnect to each.
+/// Measures when routers that are started at once are ready. Their discovery services are down for the
+/// duration `down` and then send nothing, and idle clients reconnect to each router.
 pub fn measure_simultaneous_start(processes: usize, down: Duration, clients: usize) -> ReadyTimes {
     let mut environments: Vec<TestEnvironment> =
         (0..processes).map(|_| TestEnvironment::new()).collect();
@@ -22,7 +22,7 @@
     for (environment, discovery) in environments.iter_mut().zip(&discoveries) {
         environment.file["board"] = json!(discovery.to_string());
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let routers: Vec<RouterProcess> = environments
         .iter_mut()
         .map(|environment| environment.spawn("ulimit -n 128;"))
@@ -31,29 +31,29 @@
         .iter()
         .map(|router| IdleClients::connect(clients, router.address(), true))
         .collect();
-    let ready = wait_until_all_are_ready(&routers, begun);
-    while begun.elapsed() < down {
+    let ready = wait_until_all_are_ready(&routers, started_at);
+    while started_at.elapsed() < down {
         sleep(MS);
     }
     wait_until_all_follow(&discoveries);
     drop(idle_clients);
     ReadyTimes {
-        half: ready[processes / 2],
-        nine_in_ten: ready[processes * 9 / 10],
+        p50: ready[processes / 2],
+        p90: ready[processes * 9 / 10],
         last: ready[processes - 1],
     }
 }
 
-/// How long each took since `begun`, in ascending order.
-fn wait_until_all_are_ready(routers: &[RouterProcess], begun: Instant) -> Vec<Duration> {
+/// Returns how long after `started_at` each router was ready, in ascending order.
+fn wait_until_all_are_ready(routers: &[RouterProcess], started_at: Instant) -> Vec<Duration> {
     let mut ready = vec![None; routers.len()];
-    wait_until("all ready", || {
+    wait_until("all routers to be ready", || {
         let waiting = routers.iter().zip(&mut ready);
         for (router, ready) in waiting.filter(|(_, ready)| ready.is_none()) {
             let client = router.try_connect();
             let state = client.and_then(|mut client| client.try_health());
             if state.is_some_and(|state| state == "GREEN") {
-                *ready = Some(begun.elapsed());
+                *ready = Some(started_at.elapsed());
             }
         }
         ready.iter().all(Option::is_some)
@@ -63,9 +63,9 @@
     ready
 }
 
-/// Each router follows its discovery service within a second of its return.
+/// Checks that each router connects to its discovery service within a second of its return.
 fn wait_until_all_follow(discoveries: &[SocketAddr]) {
-    let back = Instant::now();
+    let returned_at = Instant::now();
     let discoveries: Vec<TcpListener> = discoveries
         .iter()
         .map(|at| TcpListener::bind(at).unwrap())
@@ -73,17 +73,17 @@
     for discovery in &discoveries {
         discovery.set_nonblocking(true).unwrap();
     }
-    let mut followed = vec![false; discoveries.len()];
-    wait_until("all discovery services followed", || {
-        let waiting = discoveries.iter().zip(&mut followed);
-        for (discovery, followed) in waiting.filter(|(_, followed)| !**followed) {
-            *followed = discovery.accept().is_ok();
+    let mut is_followed = vec![false; discoveries.len()];
+    wait_until("a connection to each discovery service", || {
+        let waiting = discoveries.iter().zip(&mut is_followed);
+        for (discovery, is_followed) in waiting.filter(|(_, is_followed)| !**is_followed) {
+            *is_followed = discovery.accept().is_ok();
         }
-        followed.iter().all(|followed| *followed)
+        is_followed.iter().all(|is_followed| *is_followed)
     });
     assert!(
-        back.elapsed() < 1000 * MS,
-        "followed {:?} after their return",
-        back.elapsed()
+        returned_at.elapsed() < 1000 * MS,
+        "the last discovery service was followed {:?} after its return",
+        returned_at.elapsed()
     );
 }
