--- a/crates/router/tests/program/shutdown.rs
+++ b/crates/router/tests/program/shutdown.rs
@@ -1,141 +1,159 @@
-//! Requests to stop while servers hang or clients go on sending, with deadlines that bring a kill soon.
+//! Time limits of the graceful shutdown, while servers hang or clients keep sending.
 
-use crate::stand_ins::*;
+use crate::support::*;
 use serde_json::json;
 use std::thread::{JoinHandle, spawn};
 use std::time::Duration;
 
-/// A kill comes no sooner after a request to stop than the longest deadline of the deployment and this.
-const KILL_AFTER_LONGEST: Duration = Duration::from_millis(700);
-/// What is sent so shortly before its connection is closed is sent again by its client.
-const CROSSING: Duration = Duration::from_millis(50);
+/// A router is killed no sooner than this, plus the longest deadline of the deployment, after its
+/// stop signal.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// A client sends a request again if it was sent no longer than this before the connection was
+/// closed.
+const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
-fn world_with_deadline(ms: u64) -> World {
-    let mut world = World::new();
-    for class in world.file["settings"]["Classes"].as_array_mut().unwrap() {
+fn environment_with_deadline(ms: u64) -> TestEnvironment {
+    let mut environment = TestEnvironment::new();
+    for class in environment.file["settings"]["Classes"]
+        .as_array_mut()
+        .unwrap()
+    {
         class["HardLimit"] = json!(ms);
         class["Aim"] = json!(ms / 2);
     }
-    world
+    environment
 }
 
-/// All servers drain: whatever is asked is rejected at once.
-fn all_leaving(mut world: World) -> World {
-    let entries: Vec<_> = world
+/// Makes every server drain, so that all requests are rejected at once.
+fn with_all_servers_draining(mut environment: TestEnvironment) -> TestEnvironment {
+    let entries: Vec<_> = environment
         .servers
         .iter()
         .map(|server| server.entry("leaving"))
         .collect();
-    world.file["known"] =
+    environment.file["known"] =
         json!({"rev": 1, "notices": [{"rev": 1, "pool": {"whole": true, "hosts": entries}}]});
-    world
+    environment
 }
 
-/// What became of the requests of one client until its connection was closed.
+/// The results of one client until its connection was closed.
 #[derive(Default)]
 struct Outcome {
     answered: usize,
-    /// Longest time from a request to its final answer, beyond the client's own limit.
-    latest: Duration,
-    /// Sent longer before the close than what crosses it, and without an answer.
+    /// The longest time by which an answer exceeded the client's time limit.
+    max_overrun: Duration,
+    /// Requests without an answer that were sent before the resend window.
     lost: usize,
 }
 
-/// A client that keeps so many requests open and sends a new one for each answer until the router closes the
-/// connection.
-fn keeps_sending(
-    program: &Program,
-    open_most: usize,
+/// Starts a client that keeps this many requests open, and sends a new one for each answer, until the
+/// router closes the connection.
+fn spawn_sending_client(
+    router: &RouterProcess,
+    max_open: usize,
     class: &'static str,
     limit_ms: u64,
 ) -> JoinHandle<Outcome> {
-    let (mut client, program) = (program.client(), program.child.id());
+    let (mut client, process) = (router.connect(), router.child.id());
     spawn(move || {
         let (mut outcome, mut open, mut tag) = (Outcome::default(), Vec::new(), 0);
         let limit = Duration::from_millis(limit_ms);
         loop {
-            while open.len() < open_most {
+            while open.len() < max_open {
                 tag += 1;
-                let sent = Moment::now(program);
-                if !client.try_ask(tag, class, limit_ms) {
+                let sent = ScheduledInstant::now(process);
+                if !client.try_send_request(tag, class, limit_ms) {
                     break;
                 }
                 open.push((tag, sent));
             }
-            let Some((of, ..)) = client.try_answer() else {
-                let crossed = |sent: &Moment| sent.elapsed() <= CROSSING + SLACK;
-                outcome.lost = open.iter().filter(|(_, sent)| !crossed(sent)).count();
+            let Some((answered_tag, ..)) = client.try_read_answer_tuple() else {
+                let is_resent = |sent: &ScheduledInstant| sent.elapsed() <= RESEND_WINDOW + SLACK;
+                outcome.lost = open.iter().filter(|(_, sent)| !is_resent(sent)).count();
                 return outcome;
             };
             let at = open
                 .iter()
-                .position(|(tag, _)| *tag == of)
+                .position(|(tag, _)| *tag == answered_tag)
                 .expect("an answer to an open request");
             let (_, sent) = open.swap_remove(at);
             outcome.answered += 1;
-            outcome.latest = outcome.latest.max(sent.elapsed().saturating_sub(limit));
+            outcome.max_overrun = outcome
+                .max_overrun
+                .max(sent.elapsed().saturating_sub(limit));
         }
     })
 }
 
-/// Asks it to stop while these clients go on; all that they sent has its answer in time, and the program has
-/// ended before it may be killed.
-fn ends_in_time(mut program: Program, clients: Vec<JoinHandle<Outcome>>, longest_ms: u64) {
-    let stopped = Moment::now(program.child.id());
-    program.terminate();
-    // What has ended and was not waited for still tells of its waits.
-    wait_until("the program's end", || program.is_zombie());
+/// Stops the router while these clients keep sending, and checks that all of their requests are
+/// answered in time and that the router exits before it may be killed.
+fn expect_exit_in_time(
+    mut router: RouterProcess,
+    clients: Vec<JoinHandle<Outcome>>,
+    longest_ms: u64,
+) {
+    let stopped = ScheduledInstant::now(router.child.id());
+    router.terminate();
+    // A zombie process still has the scheduling statistics that `elapsed` reads.
+    wait_until("the router to exit", || router.is_zombie());
     let took = stopped.elapsed();
-    let (status, log) = program.ended();
+    let (status, log) = router.wait_for_status_and_log();
     assert!(status.success(), "{log}");
     for client in clients {
         let Outcome {
             answered,
-            latest,
+            max_overrun,
             lost,
-        } = client.join().expect("no connection was reset");
+        } = client.join().expect("a connection was reset");
         assert!(answered > 0);
-        assert_eq!(lost, 0, "lost, with {answered} answered");
-        assert!(latest <= SLACK, "answered {latest:?} after its time");
+        assert_eq!(
+            lost, 0,
+            "requests without an answer; {answered} were answered"
+        );
+        assert!(
+            max_overrun <= SLACK,
+            "a request was answered {max_overrun:?} after its time limit"
+        );
     }
     assert!(
-        took < Duration::from_millis(longest_ms) + KILL_AFTER_LONGEST,
-        "ended after {took:?}"
+        took < Duration::from_millis(longest_ms) + KILL_GRACE,
+        "the router exited after {took:?}"
     );
 }
 
-/// Short deadlines bring a kill soon. Clients that send the next request as soon as they have an answer, on
-/// connections that stay open until the router closes them, keep every connection busy to the end.
+/// With short deadlines the router may be killed soon after its stop signal, while clients that send a
+/// request for each answer keep every connection busy until the router closes it.
 #[test]
-fn a_router_with_short_deadlines_ends_before_a_kill_though_clients_go_on_sending() {
-    let mut world = all_leaving(world_with_deadline(400));
-    let program = world.start();
+fn a_router_with_short_deadlines_exits_before_the_kill_while_clients_keep_sending() {
+    let mut environment = with_all_servers_draining(environment_with_deadline(400));
+    let router = environment.start();
     let clients = (0..16)
-        .map(|_| keeps_sending(&program, 4, "page", 400))
+        .map(|_| spawn_sending_client(&router, 4, "page", 400))
         .collect();
-    ends_in_time(program, clients, 400);
+    expect_exit_in_time(router, clients, 400);
 }
 
-/// Servers take connections and read nothing, from before the request to stop until after the end.
+/// Servers accept connections and read nothing, from before the stop signal until after the exit.
 #[test]
-fn servers_that_hang_through_a_shutdown_leave_no_request_without_its_answer() {
-    for longest in [400, 1000, 3000] {
-        let mut world = world_with_deadline(longest);
-        let program = world.start();
+fn every_request_is_answered_when_servers_hang_through_a_shutdown() {
+    for longest_ms in [400, 1000, 3000] {
+        let mut environment = environment_with_deadline(longest_ms);
+        let router = environment.start();
         let mut clients = Vec::new();
         for class in ["page", "confirm"] {
             clients.extend(
-                [longest / 2, longest].map(|limit| keeps_sending(&program, 4, class, limit)),
+                [longest_ms / 2, longest_ms]
+                    .map(|limit| spawn_sending_client(&router, 4, class, limit)),
             );
         }
         wait_until("requests at the servers", || {
             ["c1", "o1"].iter().all(|name| {
-                world
+                environment
                     .server(name)
                     .try_accept()
-                    .is_some_and(|mut line| line.ready())
+                    .is_some_and(|mut connection| connection.has_unread_data())
             })
         });
-        ends_in_time(program, clients, longest);
+        expect_exit_in_time(router, clients, longest_ms);
     }
 }
--- a/crates/router/tests/program/stand_ins.rs
+++ b/crates/router/tests/program/stand_ins.rs
@@ -1,21 +1,19 @@
-//! The earlier names of the [support](crate::support) module, for the test files that still use
-//! them: `quiet_then_faults.rs` and `shutdown.rs`. It goes when those are renamed.
+//! Methods of the [support](crate::support) types for `quiet_then_faults.rs` and `shutdown.rs`: answers
+//! as tuples, and earlier names of other methods. New tests use the support module directly.
 #![allow(
     dead_code,
-    reason = "open changes to those files may use more than they do now"
+    reason = "open changes to those files may use methods that are unused now"
 )]
 
 use crate::support;
-pub use crate::support::{
-    FakeDiscovery as Discovery, FakeServer as Server, HIT_FIELDS as HIT, LineConnection as Line,
-    ReceivedRequest as Asked, RouterProcess as Program, SLACK, ScheduledInstant as Moment,
-    TestClient as Client, TestEnvironment as World, endpoints_event as list,
-    fill_accept_queue as fill_queue, unused_address as address, wait_until,
+use crate::support::{
+    FakeDiscovery, FakeServer, LineConnection, ReceivedRequest, RouterProcess, TestClient,
+    TestEnvironment,
 };
 use std::net::{SocketAddr, TcpStream};
 use std::process::ExitStatus;
 
-impl Line {
+impl LineConnection {
     pub fn line(&mut self) -> String {
         self.read_line()
     }
@@ -32,15 +30,15 @@
         self.try_send(text)
     }
 
-    pub fn asked(&mut self) -> Asked {
+    pub fn asked(&mut self) -> ReceivedRequest {
         self.read_request()
     }
 
-    pub fn asked_or_closed(&mut self) -> Option<Asked> {
+    pub fn asked_or_closed(&mut self) -> Option<ReceivedRequest> {
         self.read_request_or_close()
     }
 
-    pub fn try_asked(&mut self) -> Option<Asked> {
+    pub fn try_asked(&mut self) -> Option<ReceivedRequest> {
         self.try_read_request()
     }
 
@@ -48,31 +46,33 @@
         self.respond_hit(body);
     }
 
-    pub fn answer(&mut self, asked: &Asked, word: &str, fields: &str, body: &[u8]) {
-        self.respond(asked, word, fields, body);
+    pub fn answer(&mut self, request: &ReceivedRequest, word: &str, fields: &str, body: &[u8]) {
+        self.respond(request, word, fields, body);
     }
 }
 
-impl Asked {
+impl ReceivedRequest {
     pub fn get(&self, name: &str) -> &str {
         self.field(name)
     }
 }
 
-impl Server {
+impl FakeServer {
     pub fn vanish(&self) -> Vec<TcpStream> {
         self.fill_accept_queue()
     }
 }
 
-impl Discovery {
-    pub fn accept(&self) -> (Line, u64) {
+impl FakeDiscovery {
+    /// Waits for a watch; returns its connection and the revision after which it asks for events.
+    pub fn accept_watch_connection(&self) -> (LineConnection, u64) {
         let watch = self.accept_watch();
         let after = watch.after_revision;
         (watch.into_connection(), after)
     }
 
-    pub fn goes_down(&mut self, watch: Line) -> SocketAddr {
+    /// Stops listening and closes a watch; returns the address, at which connections are refused.
+    pub fn stop_listening_and_close(&mut self, watch: LineConnection) -> SocketAddr {
         let at = self.stop_listening();
         drop(watch);
         at
@@ -88,13 +88,13 @@
 }
 
 /// A final answer: its tag, word, fields and body.
-pub type Answer = (u64, String, String, Vec<u8>);
+pub type AnswerTuple = (u64, String, String, Vec<u8>);
 
-fn tuple(answer: support::ClientAnswer) -> Answer {
+fn answer_tuple(answer: support::ClientAnswer) -> AnswerTuple {
     (answer.tag, answer.word, answer.fields, answer.body)
 }
 
-impl Client {
+impl TestClient {
     pub fn ask(&mut self, tag: u64, class: &str, more: &str, body: &[u8]) -> String {
         self.send_request(tag, class, more, body)
     }
@@ -103,12 +103,12 @@
         self.try_send_request(tag, class, limit_ms)
     }
 
-    pub fn answer(&mut self) -> Answer {
-        tuple(self.read_answer())
+    pub fn read_answer_tuple(&mut self) -> AnswerTuple {
+        answer_tuple(self.read_answer())
     }
 
-    pub fn try_answer(&mut self) -> Option<Answer> {
-        self.try_read_answer().map(tuple)
+    pub fn try_read_answer_tuple(&mut self) -> Option<AnswerTuple> {
+        self.try_read_answer().map(answer_tuple)
     }
 
     pub fn word(&mut self) -> String {
@@ -128,14 +128,14 @@
     }
 }
 
-impl World {
+impl TestEnvironment {
     pub fn write(&self) {
         self.write_configuration();
     }
 }
 
-impl Program {
-    pub fn client(&self) -> Client {
+impl RouterProcess {
+    pub fn client(&self) -> TestClient {
         self.connect()
     }
 
@@ -151,7 +151,8 @@
         self.open_descriptors()
     }
 
-    pub fn ended(&mut self) -> (ExitStatus, String) {
+    /// Waits until the router exits; returns its status and its log.
+    pub fn wait_for_status_and_log(&mut self) -> (ExitStatus, String) {
         let exit = self.wait_for_exit();
         (exit.status, exit.log)
     }
