--- a/crates/router/tests/program/cancellation.rs
+++ b/crates/router/tests/program/cancellation.rs
@@ -1,5 +1,5 @@
-//! Clients that cancel requests or leave: no attempt of theirs begins afterwards, and what has
-//! begun is cancelled at its server. A row each in `docs/crossings.md`.
+//! Clients that cancel requests or disconnect: no attempt for them begins afterwards, and attempts
+//! in progress are cancelled at their servers. `docs/crossings.md` has a row for each case.
 
 use crate::support::*;
 use serde_json::json;
@@ -14,15 +14,20 @@
     client.abort(1);
     assert_eq!(server.read_line(), format!("QUIT {id}"));
     server.respond(&request, "OK", "tell=hit", b"late");
-    assert_eq!(client.health(), "GREEN", "no answer is owed");
+    assert_eq!(
+        client.health(),
+        "GREEN",
+        "an answer to the cancelled request"
+    );
     let id = client.send_request(2, "page", "", b"");
     server.read_request();
     drop(client);
     assert_eq!(server.read_line(), format!("QUIT {id}"));
 }
 
-/// More called off in one go than there are places for answers, each answered before it was: the
-/// one that is wanted is answered too.
+/// A client pipelines 400 requests with their cancellations, more than its mailbox has slots for
+/// answers, and each is rejected before its cancellation is read. The next request is answered
+/// nevertheless.
 #[test]
 fn an_answer_has_a_mailbox_slot_however_many_requests_were_cancelled_before() {
     let mut environment = all_servers_draining();
@@ -46,20 +51,20 @@
         &request_fields(1000),
         b"",
     ]));
-    // All of it is there when the router reads: in one piece, as far as that goes.
+    // The router is paused, so that it finds all of this when it reads, as far as buffers allow.
     router.pause();
     client.write(&bytes);
     router.resume();
     let mut last = client.read_answer();
     while last.tag != 1000 {
-        // Answers that crossed their calling off.
+        // Answers written before the cancellations were read.
         last = client.read_answer();
     }
     assert_eq!(last.word, "NAK");
     assert_eq!(client.health(), "GREEN");
 }
 
-/// One tag called off and used again at once, and both are answered.
+/// A tag is cancelled and used again immediately: only the second request is answered.
 #[test]
 fn a_tag_reused_right_after_a_cancellation_gets_its_own_answer() {
     let (environment, _router, mut client) = start_router();
@@ -70,14 +75,19 @@
     client.send_request(1, "page", "", b"");
     assert_eq!(server.read_line(), format!("QUIT {}", first.id));
     let second = server.read_request();
-    // It crossed the QUIT.
+    // This response was sent before the QUIT was read.
     server.respond(&first, "OK", HIT_FIELDS, b"first");
     server.respond(&second, "OK", HIT_FIELDS, b"second");
     assert_eq!(client.read_answer().body, b"second");
-    assert_eq!(client.health(), "GREEN", "and no other");
+    assert_eq!(
+        client.health(),
+        "GREEN",
+        "the first response was forwarded too"
+    );
 }
 
-/// By a reset, or by shutting its side: then the router has heard it when this is over.
+/// Disconnects a client by a reset or by a half-close. In the latter case the router has noticed when
+/// this returns.
 fn disconnect(mut client: TestClient, reset: bool) {
     if reset {
         client.reset();
@@ -87,8 +97,7 @@
     }
 }
 
-/// A client that shuts its side has gone, as has one that resets: what is out is called off at
-/// once.
+/// A half-close counts as a disconnect, as a reset does: open attempts are cancelled at once.
 #[test]
 fn half_closed_and_reset_clients_have_their_attempts_cancelled() {
     let mut environment = TestEnvironment::new();
@@ -106,8 +115,8 @@
     }
 }
 
-/// What the system has taken for a server that hangs cannot be taken back: its QUIT follows right
-/// behind it.
+/// A request in the socket buffers of a server that hangs cannot be withdrawn: its QUIT is written
+/// right behind it.
 #[test]
 fn a_request_unread_by_a_hung_server_is_followed_by_its_cancellation() {
     let mut environment = TestEnvironment::new();
@@ -116,19 +125,19 @@
         let mut client = router.connect();
         let id = client.send_request(1, "page", "", b"");
         let mut server = environment.server("c1").accept();
-        wait_until("the request, unread", || server.has_unread_data());
-        let gone = Instant::now();
+        wait_until("the unread request", || server.has_unread_data());
+        let left = Instant::now();
         disconnect(client, reset);
         assert_eq!(server.read_request().id, id);
         assert_eq!(server.read_line(), format!("QUIT {id}"));
-        assert!(gone.elapsed() < 100 * MS, "{:?}", gone.elapsed());
+        assert!(left.elapsed() < 100 * MS, "{:?}", left.elapsed());
         environment.server("c1").close_and_wait(&router, server);
     }
 }
 
-/// A server hangs until its connection's socket is full. Who asks then and leaves is never sent on,
-/// though the server reads on a moment later; also where settings forbid calling off what has
-/// begun.
+/// A server hangs until the send buffer of its connection is full. A request whose client then
+/// disconnects is never written, even when the server resumes reading; this also holds where the
+/// settings forbid cancelling attempts in progress.
 #[test]
 fn a_request_queued_behind_a_full_socket_is_never_written_after_its_client_left() {
     [true, false]
@@ -138,7 +147,8 @@
 
 fn writes_nothing_for_clients_that_left(may_cancel: bool) {
     let mut environment = TestEnvironment::new().with_setting("Limits", "MayCancel", may_cancel);
-    // Nowhere else to go; and so many are listed that each is given one connection.
+    // `c1` is the only server that takes requests, and so many servers are listed that each gets a
+    // single connection.
     environment.servers.truncate(1);
     environment.servers[0].shrink_receive_buffer();
     let mut entries = vec![environment.server("c1").entry("active")];
@@ -149,14 +159,14 @@
     environment = environment.with_known_endpoints(&entries);
     environment.file["settings"]["Limits"]["StreamsPerConn"] = json!(1000);
     let router = environment.start();
-    // More than any system's buffers take of one connection.
+    // Together more than the socket buffers of one connection take.
     let body = vec![7; 63_000];
     let mut busy: Vec<TestClient> = (0..10).map(|_| router.connect()).collect();
     let mut first = Vec::new();
     for client in &mut busy {
         first.extend((1..=32).map(|tag| client.send_request(tag, "page", "", &body)));
     }
-    // Each has been looked at by the router when what was asked after it has its answer.
+    // The router has read all of a client's requests once it answers the health check behind them.
     assert!(busy.iter_mut().all(|client| client.health() == "GREEN"));
     let mut left = Vec::new();
     for n in 0..30 {
@@ -164,10 +174,10 @@
         left.push(client.send_request(1000 + n, "page", "", b""));
         disconnect(client, n % 2 == 1);
     }
-    // Those that reset have been heard too: another has come after them.
+    // The router has also noticed the resets, as it answers a client that connected after them.
     assert_eq!(router.connect().health(), "GREEN");
     let mut server = environment.server("c1").accept();
-    let come: Vec<String> = first
+    let received_ids: Vec<String> = first
         .iter()
         .map(|_| {
             let request = server.read_request();
@@ -176,8 +186,8 @@
         })
         .collect();
     assert!(
-        left.iter().all(|id| !come.contains(id)),
-        "sent on for one that has left"
+        left.iter().all(|id| !received_ids.contains(id)),
+        "a request was written after its client had left"
     );
     assert!(
         busy.iter_mut()
@@ -187,7 +197,7 @@
     assert_eq!(
         server.read_request().id,
         last,
-        "nothing else has come, not even a QUIT"
+        "something was written for a client that had left"
     );
     assert!(environment.server("c1").try_accept().is_none());
 }
--- a/crates/router/tests/program/clients.rs
+++ b/crates/router/tests/program/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that are slow, silent, many or talk nonsense, and the limits they meet.
+//! Slow, silent, invalid and numerous clients, and the limits that apply to them.
 
 use crate::support::*;
 use serde_json::json;
@@ -41,7 +41,7 @@
         other.write(bad.as_bytes());
         assert!(other.is_closed(), "{bad:?}");
     }
-    assert_eq!(client.health(), "GREEN", "the others are untouched");
+    assert_eq!(client.health(), "GREEN", "another connection was affected");
 }
 
 #[test]
@@ -55,27 +55,28 @@
     assert_eq!(client.read_answer_word(), "ACK");
 }
 
-/// A request id that is in use is refused, and nobody else's request ends with the refused one.
+/// A request whose id is in use is refused, and refusing it does not end the request that has the id.
 #[test]
-fn a_request_id_in_use_is_refused_and_its_first_request_goes_on() {
+fn a_request_id_in_use_is_refused_and_the_first_request_continues() {
     let (environment, router, mut client) = start_router();
     let id = client.send_request(20, "page", "", b"");
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
     client.send_raw_request(21, "page", format!("i={id},o={id},d=900"), b"");
     assert_eq!(client.read_answer().word, "FAIL");
-    // Nor is one client's request ended by another that names its id and goes.
+    // Nor does another client end the request by using its id, cancelling and disconnecting.
     let mut other = router.connect();
     other.send_raw_request(20, "page", format!("i={id},o={id},d=900"), b"");
     other.abort(20);
     other.send(&[b"HEALTH", b"1000", b""]);
-    // Its own answer may cross its calling off; nothing else comes before what it asked last.
-    let mut said = other.read_answer();
-    if said.tag == 20 {
-        assert_eq!(said, ClientAnswer::new(20, "FAIL", "", b""));
-        said = other.read_answer();
+    // The refusal may be written before its cancellation is read; no other answer precedes that of
+    // the health check.
+    let mut answer = other.read_answer();
+    if answer.tag == 20 {
+        assert_eq!(answer, ClientAnswer::new(20, "FAIL", "", b""));
+        answer = other.read_answer();
     }
-    assert_eq!((said.tag, said.word.as_str()), (1000, "GREEN"));
+    assert_eq!((answer.tag, answer.word.as_str()), (1000, "GREEN"));
     drop(other);
     assert_eq!(client.health(), "GREEN");
     server.respond(&request, "OK", "tell=hit", b"x");
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn one_request_more_than_a_connection_carries_fails() {
+fn a_request_over_the_limit_of_its_connection_fails() {
     let (_environment, _router, mut many) = start_router();
     (1..=33).for_each(|tag| drop(many.send_request(tag, "page", "", b"")));
     assert_eq!(many.read_answer(), ClientAnswer::new(33, "FAIL", "", b""));
@@ -108,13 +109,13 @@
     assert_eq!(quick.read_answer_word(), "ACK");
     for tag in 1..=32 {
         let ClientAnswer {
-            tag: of,
+            tag: answered_tag,
             word,
             body,
             ..
         } = slow.read_answer();
         assert!(
-            (of, word.as_str()) == (tag, "ACK") && body == object,
+            (answered_tag, word.as_str()) == (tag, "ACK") && body == object,
             "answer {tag}"
         );
     }
@@ -141,10 +142,10 @@
     assert_eq!(
         client.read_answer_word(),
         "ACK",
-        "what has been written takes no place any more"
+        "an answer that has been written still counts"
     );
-    // Where objects are small more may be out: to reckon with the largest would reject half of
-    // them.
+    // More requests may be open while objects are small: reserving the largest size for each would
+    // reject half of them.
     for tag in 1..=100 {
         client.send_request(tag, "page", "", b"");
         server.respond_hit(b"x");
@@ -153,8 +154,8 @@
     for tag in 1..=5 {
         client.send_request(tag, "page", "", b"");
     }
-    let request: Vec<_> = (1..=5).map(|_| server.read_request()).collect();
-    request
+    let requests: Vec<_> = (1..=5).map(|_| server.read_request()).collect();
+    requests
         .iter()
         .for_each(|request| server.respond(request, "OK", "tell=hit", b"x"));
     (1..=5).for_each(|_| assert_eq!(client.read_answer_word(), "ACK"));
@@ -166,15 +167,18 @@
     client.send_request(1, "page", "", b"");
     let id = client.send_request(2, "page", "", b"");
     let mut server = environment.server("c1").accept();
-    let request = [server.read_request(), server.read_request()];
+    let requests = [server.read_request(), server.read_request()];
     client.send_request(2, "page", "", b"");
     let mut tags =
         [client.read_answer(), client.read_answer()].map(|answer| (answer.tag, answer.word));
     tags.sort();
     assert_eq!(tags, [(1, "FAIL".into()), (2, "FAIL".into())]);
-    assert!(client.is_closed(), "a second answer under the same tag");
+    assert!(
+        client.is_closed(),
+        "the connection stayed open after a tag was reused"
+    );
     assert!([server.read_line(), server.read_line()].contains(&format!("QUIT {id}")));
-    request
+    requests
         .iter()
         .for_each(|request| server.respond(request, "OK", "tell=hit", b"late"));
 }
@@ -182,27 +186,27 @@
 #[test]
 fn silent_clients_and_partial_messages_are_closed_within_the_time_limit() {
     let (environment, router, mut client) = start_router();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut silent = router.connect();
-    let mut halves = [
+    let mut partials = [
         "*",
         "*5\r\n$3\r\nREQ\r\n",
         "*5\r\n$3\r\nREQ\r\n$1\r\n2\r\n$4\r\npage\r\n$9\r\ni=",
     ]
-    .map(|half| (half, router.connect()));
-    halves
+    .map(|partial| (partial, router.connect()));
+    partials
         .iter_mut()
-        .for_each(|(half, client)| client.write(half.as_bytes()));
-    // One with something open is told that it failed.
+        .for_each(|(partial, client)| client.write(partial.as_bytes()));
+    // A client with an open request gets a `FAIL` for it.
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().read_request();
     client.write(b"*2\r\n$6\r\nHEA");
-    assert!(silent.is_closed() && halves.iter_mut().all(|(_, client)| client.is_closed()));
+    assert!(silent.is_closed() && partials.iter_mut().all(|(_, client)| client.is_closed()));
     assert_eq!(client.read_answer_word(), "FAIL");
     assert!(
-        client.is_closed() && begun.elapsed() < Duration::from_secs(3),
+        client.is_closed() && started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
@@ -213,12 +217,12 @@
             .with_machine_limit("sockets", json!(if limits.is_empty() { 64 } else { 1024 }));
         let router = environment.spawn(limits);
         router.wait_until_ready();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut busy = router.connect();
         busy.send_request(1, "page", "", b"");
         let mut server = environment.server("c1").accept();
         let request = server.read_request();
-        // They hold all places, and those who stay after an answer too.
+        // Idle clients take every connection, half of them after a health check.
         let mut clients: Vec<TestClient> = (0..120).map(|_| router.connect()).collect();
         for client in &mut clients[60..] {
             client.send(&[b"HEALTH", b"1", b""]);
@@ -229,14 +233,14 @@
         server.respond_hit(b"x");
         assert_eq!(last.read_answer_word(), "ACK");
         assert!(
-            begun.elapsed() < Duration::from_millis(1900),
-            "not for want of a whole message"
+            started_at.elapsed() < Duration::from_millis(1900),
+            "idle clients were closed for their silence, not for the limit"
         );
         server.respond(&request, "OK", "tell=hit", b"y");
         assert_eq!(
             busy.read_answer().body,
             b"y",
-            "who has something open stays"
+            "a client with an open request was evicted"
         );
     }
 }
--- a/crates/router/tests/program/forwarding.rs
+++ b/crates/router/tests/program/forwarding.rs
@@ -1,5 +1,4 @@
-//! Requests, and what becomes of them by the responses of servers: passed on, retried elsewhere,
-//! rejected or failed.
+//! How requests end by the responses of servers: forwarded, retried elsewhere, rejected or failed.
 
 use crate::support::*;
 
@@ -67,7 +66,7 @@
     );
 }
 
-/// That a client's copy holds is passed on only of the copy that the server names.
+/// A "not modified" response is forwarded only if the server names the version that the client has.
 #[test]
 fn not_modified_for_another_version_than_the_clients_is_retried_elsewhere() {
     for fields in ["tell=hit,etag=1111111111111111", "tell=hit"] {
@@ -76,7 +75,7 @@
         let mut server = environment.server("c1").accept();
         let request = server.read_request();
         server.respond(&request, "SAME", fields, b"");
-        // As after any error it goes another way.
+        // The request is retried elsewhere, as after any error.
         let mut parent = environment.server("p1").accept();
         parent.respond_hit(b"whole");
         let ClientAnswer {
@@ -115,7 +114,7 @@
     let mut origin = environment.server("o1").accept();
     let request = origin.read_request();
     origin.respond(&request, "BUSY", "-", b"");
-    // It never ran there, so even what must not run twice goes another way.
+    // The request did not run there, so it is retried elsewhere although it is not idempotent.
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
     assert_eq!(
@@ -138,7 +137,7 @@
     assert_eq!(
         client.read_answer_word(),
         "FAIL",
-        "written, then broken: no second attempt, no rejection"
+        "the request may have run: it is neither retried nor rejected"
     );
 }
 
@@ -168,7 +167,7 @@
     client.send_request(2, "confirm", "", b"");
     let mut origin = environment.server("o1").accept();
     let request = origin.read_request();
-    // No client named a copy here: that one holds proves nothing.
+    // The client named no copy, so a "not modified" response is invalid.
     origin.respond(&request, "SAME", "-", b"");
     assert_eq!(client.read_answer_word(), "FAIL");
 }
--- a/crates/router/tests/program/pauses.rs
+++ b/crates/router/tests/program/pauses.rs
@@ -1,4 +1,4 @@
-//! The whole router paused for a moment, as on a machine that others share.
+//! Pauses of the whole router process, as on a loaded shared machine.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
     clients
         .iter_mut()
         .for_each(|client| assert_eq!(client.health(), "GREEN"));
-    // Held up, as a machine that others share may be, for long enough to be noticed.
+    // Paused for long enough to be detected as a scheduling delay.
     router.pause();
     let paused = Instant::now();
     for (tag, client) in (1..).zip(&mut clients) {
@@ -22,7 +22,7 @@
         2,
         &[environment.server("c1").entry("leaving")],
     ));
-    wait_until("a long pause", || {
+    wait_until("the end of the pause", || {
         paused.elapsed() > Duration::from_millis(300)
     });
     router.resume();
@@ -49,14 +49,14 @@
     let mut server = environment.server("c1").accept();
     server.respond_hit(b"x");
     assert_eq!(client.read_answer_word(), "ACK");
-    // Now known to be held there: out for longer than any hit takes, it is looked into and called
-    // off.
+    // The server is now known to hold the object: an attempt that takes longer than any hit is
+    // checked as overdue and cancelled.
     client.send_request(1, "page", "", b"");
     let request = server.read_request();
     router.pause();
     let paused = Instant::now();
     server.respond(&request, "OK", "tell=hit", b"y");
-    wait_until("a long pause", || {
+    wait_until("the end of the pause", || {
         paused.elapsed() > Duration::from_millis(600)
     });
     router.resume();
--- a/crates/router/tests/program/server_connections.rs
+++ b/crates/router/tests/program/server_connections.rs
@@ -1,5 +1,5 @@
-//! Connections to servers: partial and slow responses, silence, idle connections, and servers that
-//! are replaced or move.
+//! Connections to servers: partial and slow responses, silent servers, idle connections, and servers
+//! that are replaced or change their address.
 
 use crate::support::*;
 use std::io::Read;
@@ -12,7 +12,7 @@
             .with_setting("Limits", "ConnectTimeout", 100)
             .with_server("c2", "cache"),
     );
-    // Of one object, so both go to one cache.
+    // Both requests are for one object, so they go to the same cache.
     client.send_request(1, "page", "", b"");
     client.send(&[
         b"REQ",
@@ -24,9 +24,9 @@
     let (home, mut server) = environment.accept_from_any_server();
     let other = if home == "c1" { "c2" } else { "c1" };
     let request = [server.read_request(), server.read_request()];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     server.send(format!("{} OK {HIT_FIELDS} 240000\r\nhalf", request[0].id));
-    // Both are attempted elsewhere, long before their time is up, and the connection is gone.
+    // Both are retried elsewhere, long before their deadlines, and the connection is closed.
     let mut second = environment.server(other).accept();
     second.respond_hit(b"x");
     second.respond_hit(b"x");
@@ -35,36 +35,36 @@
         ("ACK".into(), "ACK".into())
     );
     assert!(
-        begun.elapsed() < Duration::from_millis(1000),
+        started_at.elapsed() < Duration::from_millis(1000),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     assert_eq!(server.read_line(), "");
 }
 
 #[test]
 fn a_trickling_response_past_its_deadline_closes_its_connection() {
-    // A test that is held up for this long would trickle too slowly itself.
+    // The timeout is long, as a test that is delayed by as much would itself trickle too slowly.
     let (environment, _router, mut client) =
         start_router_in(TestEnvironment::new().with_setting("Limits", "ConnectTimeout", 300));
     let id = client.send_request(1, "page", "d=1000", b"");
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
     server.send(format!("{} OK {HIT_FIELDS} 240000\r\n", request.id));
-    // Its end is the connection's too: either may be seen first, and the other with it.
-    wait_until("the end of its time", || {
+    // The rejection and the close of the connection happen together; either may be seen first.
+    wait_until("the deadline of the request", || {
         !server.try_send("x") || client.has_unread_data()
     });
     let ended = Instant::now();
     assert_eq!(client.read_answer_word(), "NAK");
     assert!(
         ended.elapsed() < Duration::from_millis(100),
-        "closed before its time: {:?}",
+        "the connection was closed before the deadline: {:?}",
         ended.elapsed()
     );
     assert_eq!(server.read_line(), format!("QUIT {id}"));
     let late = Instant::now();
-    wait_until("a close", || !server.try_send("x"));
+    wait_until("the connection to be closed", || !server.try_send("x"));
     assert!(
         late.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -72,8 +72,8 @@
     );
 }
 
-/// Half a line of a server that says no more: the connection is let go of, and what is asked
-/// meanwhile is answered all the same.
+/// A server sends half a line and nothing more: the connection is closed, and later requests are
+/// answered on another one.
 #[test]
 fn a_partial_line_on_an_idle_connection_closes_only_that_connection() {
     let (environment, _router, mut client) =
@@ -83,9 +83,9 @@
     server.respond_hit(b"x");
     assert_eq!(client.read_answer_word(), "ACK");
     server.send("00ff OK tell=hit");
-    let said = Instant::now();
-    assert_eq!(server.read_line(), "", "let go of");
-    assert!(said.elapsed() < 1000 * MS, "{:?}", said.elapsed());
+    let sent_at = Instant::now();
+    assert_eq!(server.read_line(), "", "the connection was not closed");
+    assert!(sent_at.elapsed() < 1000 * MS, "{:?}", sent_at.elapsed());
     client.send_request(2, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"y");
     assert_eq!(client.read_answer_word(), "ACK");
@@ -94,15 +94,15 @@
 #[test]
 fn a_silent_servers_request_is_rejected_in_time_and_its_connection_not_reused() {
     let (environment, _router, mut client) = start_router();
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
     let id = client.send_request(1, "page", "d=600", b"");
     let mut silent = environment.server("c1").accept();
     silent.read_request();
     assert_eq!(client.read_answer_word(), "NAK");
     assert!(
-        asked_at.elapsed() < Duration::from_millis(650),
+        sent_at.elapsed() < Duration::from_millis(650),
         "{:?}",
-        asked_at.elapsed()
+        sent_at.elapsed()
     );
     assert_eq!(silent.read_line(), format!("QUIT {id}"));
     assert_eq!(silent.read_line(), "", "nothing is out on it any more");
@@ -119,25 +119,29 @@
             .with_setting("Limits", "ConnectTimeout", 9000)
             .with_setting("Obligations", "DrainGrace", 300),
     );
-    let others = environment.server("o1").fill_accept_queue();
-    let begun = Instant::now();
+    let queued = environment.server("o1").fill_accept_queue();
+    let started_at = Instant::now();
     client.send_request(1, "confirm", "", b"");
-    // Reported never sent, so it may go another way.
+    // The attempt was never sent, so the request may be sent to another server.
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
     assert!(
-        begun.elapsed() >= Duration::from_millis(295),
+        started_at.elapsed() >= Duration::from_millis(295),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
     server.respond(&request, "OK", "tell=via_origin", b"done");
     assert_eq!(client.read_answer_word(), "ACK");
-    // When the server is back its connection comes up at last, and carries nothing.
-    let mut own = environment.server("o1").accept_behind(&others);
+    // Once the server accepts again, its connection is established, and nothing is written on it.
+    let mut origin_connection = environment.server("o1").accept_behind(&queued);
     drop(router);
-    let mut came = Vec::new();
-    let _ = own.read_to_end(&mut came);
-    assert!(came.is_empty(), "{}", String::from_utf8_lossy(&came));
+    let mut received = Vec::new();
+    let _ = origin_connection.read_to_end(&mut received);
+    assert!(
+        received.is_empty(),
+        "{}",
+        String::from_utf8_lossy(&received)
+    );
 }
 
 #[test]
@@ -148,7 +152,7 @@
     let request = idle.read_request();
     idle.respond(&request, "OK", "tell=via_origin", b"one");
     assert_eq!(client.read_answer_word(), "ACK");
-    // While one is in use it serves for the next too.
+    // A connection that is in use carries further requests.
     client.send_request(2, "confirm", "", b"");
     let request = idle.read_request();
     client.send_request(3, "confirm", "", b"");
@@ -160,7 +164,9 @@
         ("ACK".into(), "ACK".into())
     );
     let since = Instant::now();
-    wait_until("a while", || since.elapsed() > Duration::from_millis(100));
+    wait_until("the connection to be idle for 100 ms", || {
+        since.elapsed() > Duration::from_millis(100)
+    });
     client.send_request(4, "confirm", "", b"");
     let mut new = environment.server("o1").accept();
     let request = new.read_request();
@@ -189,13 +195,13 @@
     client.send_request(1, "page", "", b"");
     let mut old = environment.server("c1").accept();
     let first = old.read_request();
-    let gone = environment.server("c1").entry("left");
+    let old_entry = environment.server("c1").entry("left");
     environment.servers[0].name = "c2".into();
     discovery.send(endpoints_event(
         2,
-        &[gone, environment.server("c2").entry("active")],
+        &[old_entry, environment.server("c2").entry("active")],
     ));
-    // Told once a request of the same object comes on a connection of its own.
+    // The event has been applied once a request goes out on a connection to the new server.
     let (mut tag, mut new) = (10, None);
     environment
         .server("c2")
@@ -218,14 +224,18 @@
     assert_eq!(
         client.read_answer().body,
         b"first",
-        "what was out at the old one still ends"
+        "a request open at the old server was not answered"
     );
     new.respond(&second, "OK", "tell=hit", b"new");
     assert_eq!(
         client.read_answer(),
         ClientAnswer::new(tag, "ACK", "", b"new")
     );
-    assert_eq!(old.read_line(), "", "nothing is kept of the old one");
+    assert_eq!(
+        old.read_line(),
+        "",
+        "the connection to the old server was kept"
+    );
 }
 
 #[test]
@@ -241,7 +251,7 @@
         &[environment.server("c1").entry("active")],
     ));
     drop(old);
-    // Rejected while nobody listens at the old address any more and the new one has not been told.
+    // Requests are rejected between the close of the old address and the event with the new one.
     let mut tag = 1;
     environment
         .server("c1")
--- a/crates/router/tests/program/shutdown_basic.rs
+++ b/crates/router/tests/program/shutdown_basic.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: open requests and slow readers are waited for, connections closed in order,
-//! and signals that meet. `shutdown.rs` has the time limits.
+//! Graceful shutdown: it waits for open requests and slow readers and closes connections without
+//! resets, also under repeated signals. `shutdown.rs` tests the time limits.
 
 use crate::support::*;
 use std::io::Write;
@@ -18,7 +18,7 @@
     let second = server.read_request();
     server.respond(&second, "OK", "tell=hit", b"two");
     assert_eq!(later.read_answer_word(), "ACK");
-    // The last answer is large, and its client slow to read it.
+    // The last answer is large, and the client reads it only after the shutdown has begun.
     let object = body_of_length(240_000);
     server.respond(&first, "OK", "tell=hit", &object);
     assert_eq!(client.read_answer().body, object);
@@ -43,25 +43,26 @@
     assert!(router.wait_for_exit().status.success());
 }
 
-/// The program is held up while its time to end comes: it wakes with requests unread on a
-/// connection that rests, on one that nobody has accepted yet, and half of one on a third. Each
-/// whole one is answered, and no connection is reset over bytes that nobody read.
+/// The router is paused beyond the time at which it would exit. It resumes with unread requests on an
+/// idle connection, with requests on connections that it has not accepted yet, and with a partial
+/// request on another one. Each complete request is answered, and no connection is reset because of
+/// unread bytes.
 #[test]
 fn requests_received_before_the_exit_are_answered_and_no_connection_is_reset() {
     let mut environment = all_servers_draining();
     let mut router = environment.start();
-    let (mut resting, mut half) = (router.connect(), router.connect());
+    let (mut idle, mut partial) = (router.connect(), router.connect());
     assert_eq!(
-        (resting.health(), half.health()),
+        (idle.health(), partial.health()),
         ("GREEN".into(), "GREEN".into())
     );
     router.terminate();
-    wait_until("RED", || resting.health() == "RED");
+    wait_until("the router to drain", || idle.health() == "RED");
     router.pause();
     wait_for(900 * MS);
-    resting.send_request(1, "page", "", b"");
-    resting.send_request(2, "confirm", "", b"write");
-    half.write(b"*5\r\n$3\r\nREQ\r\n$1\r\n7");
+    idle.send_request(1, "page", "", b"");
+    idle.send_request(2, "confirm", "", b"write");
+    partial.write(b"*5\r\n$3\r\nREQ\r\n$1\r\n7");
     let mut waiting: Vec<TestClient> = (0..3).map(|_| router.connect()).collect();
     waiting
         .iter_mut()
@@ -70,45 +71,52 @@
     let rejected = ("NAK".to_owned(), "w=200".to_owned());
     for tag in [1, 2] {
         let ClientAnswer {
-            tag: of,
+            tag: answered_tag,
             word,
             fields,
             ..
-        } = resting.read_answer();
-        assert_eq!((of, (word, fields)), (tag, rejected.clone()));
+        } = idle.read_answer();
+        assert_eq!((answered_tag, (word, fields)), (tag, rejected.clone()));
     }
     for client in &mut waiting {
         let ClientAnswer {
-            tag: of,
+            tag: answered_tag,
             word,
             fields,
             ..
         } = client.read_answer();
-        assert_eq!((of, (word, fields)), (1, rejected.clone()));
+        assert_eq!((answered_tag, (word, fields)), (1, rejected.clone()));
     }
-    for client in waiting.iter_mut().chain([&mut resting, &mut half]) {
-        assert!(client.is_closed_in_order(), "reset");
+    for client in waiting.iter_mut().chain([&mut idle, &mut partial]) {
+        assert!(
+            client.is_closed_in_order(),
+            "the connection was not closed cleanly"
+        );
     }
     assert!(router.wait_for_exit().status.success());
 }
 
-/// What comes after the router has shut its side is read, and neither sent on nor answered.
+/// A request that arrives after the router has half-closed the connection is read, but neither
+/// forwarded nor answered.
 #[test]
 fn a_request_that_crosses_the_connection_shutdown_is_neither_forwarded_nor_answered() {
     let mut environment = TestEnvironment::new();
     let mut router = environment.start();
-    let mut resting = router.connect();
-    assert_eq!(resting.health(), "GREEN");
+    let mut idle = router.connect();
+    assert_eq!(idle.health(), "GREEN");
     router.terminate();
-    assert!(resting.is_closed_in_order(), "its end of the connection");
-    // The system still takes this: the router reads on for a while.
-    resting.send_request(1, "page", "", b"");
+    assert!(
+        idle.is_closed_in_order(),
+        "the connection was not closed cleanly"
+    );
+    // The write succeeds, as the router goes on reading for a while.
+    idle.send_request(1, "page", "", b"");
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(status.success(), "{log}");
-    assert!(environment.no_server_has_a_new_connection(), "sent on");
+    assert!(environment.no_server_has_a_new_connection(), "forwarded");
 }
 
-/// Answers that a slow reader has not taken yet are waited for, while there is time.
+/// Within its time limit the shutdown waits for a slow reader to read its answers.
 #[test]
 fn a_slow_reader_gets_all_of_its_answers_before_the_exit() {
     let mut environment = TestEnvironment::new();
@@ -123,7 +131,7 @@
             slow.send_request(tag + 1, "page", "", b"");
         }
     }
-    // The router has them all, and the last lies in no system's buffer.
+    // The router has all answers, and more of them than socket buffers take.
     let mut other = router.connect();
     other.send_request(1, "page", "", b"");
     server.respond_hit(b"x");
@@ -132,27 +140,27 @@
     wait_for(1300 * MS);
     for tag in 1..=32 {
         let ClientAnswer {
-            tag: of,
+            tag: answered_tag,
             word,
             body,
             ..
         } = slow.read_answer();
         assert!(
-            (of, word.as_str(), body.len()) == (tag, "ACK", 240_000),
+            (answered_tag, word.as_str(), body.len()) == (tag, "ACK", 240_000),
             "answer {tag}"
         );
     }
     assert!(router.wait_for_exit().status.success());
 }
 
-/// Asked to stop twice, with a new file between: it ends once, in time, and in order.
+/// Two stop signals with a reload between them: the router exits once, in time and gracefully.
 #[test]
 fn repeated_stop_and_reload_signals_end_the_router_once() {
     let (environment, mut router, mut client) = start_router();
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for signal in ["TERM", "HUP", "TERM", "HUP"] {
         router.signal(signal);
     }
@@ -161,14 +169,14 @@
     assert_eq!(client.read_answer_word(), "ACK");
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(
-        status.success() && begun.elapsed() < 1500 * MS,
+        status.success() && started_at.elapsed() < 1500 * MS,
         "{:?} {log}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
 
-/// Asked to stop while it still reads its file: it serves as it was told, says that it goes, and
-/// ends in order and in time.
+/// A stop signal while the router still reads its configuration: it starts to serve, reports that it
+/// drains, and exits gracefully and in time.
 #[test]
 fn a_stop_signal_before_readiness_still_shuts_down_gracefully() {
     let mut environment = TestEnvironment::new();
@@ -177,26 +185,26 @@
     pipe.write_all(environment.file.to_string().as_bytes())
         .unwrap();
     drop(pipe);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut client = None;
-    wait_until("it listens", || {
+    wait_until("the router to listen", || {
         client = router.try_connect();
         client.is_some()
     });
     let mut client = client.unwrap();
-    // The signal waits for the first turn of the program's tasks: a client may come before it.
-    wait_until("RED", || client.health() == "RED");
+    // The signal is handled on the first turn of the router's tasks; a client may be served earlier.
+    wait_until("the router to drain", || client.health() == "RED");
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"x");
     assert_eq!(
         client.read_answer_word(),
         "ACK",
-        "what still comes is answered"
+        "a request was not answered while the router drains"
     );
     let RouterExit { status, log } = router.wait_for_exit();
     assert!(
-        status.success() && begun.elapsed() < 1500 * MS,
+        status.success() && started_at.elapsed() < 1500 * MS,
         "{status} {:?} {log}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
