--- a/crates/router/tests/program/configuration.rs
+++ b/crates/router/tests/program/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration files that are wrong end the start with the name of the fault.
+//! An invalid configuration aborts the startup with an error that names the value.
 
 use crate::support::*;
 use serde_json::json;
@@ -62,7 +62,7 @@
         );
     }
     let mut environment = TestEnvironment::new();
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    environment.file["listen"] = json!(taken.local_addr().unwrap().to_string());
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    environment.file["listen"] = json!(listener.local_addr().unwrap().to_string());
     assert!(environment.spawn("").wait_for_exit().log.contains("listen"));
 }
--- a/crates/router/tests/program/deployments.rs
+++ b/crates/router/tests/program/deployments.rs
@@ -1,5 +1,5 @@
-//! Settings of other deployments than the default one: those of the sites in `deploy/sites`, in
-//! small.
+//! Tests under other settings than the default ones: reduced versions of the sites in
+//! `deploy/sites`.
 
 use crate::support::*;
 use serde_json::{Value, json};
@@ -13,8 +13,8 @@
     class
 }
 
-/// As `kiosk-vouchers`: short limits, a window shorter than they are, most of it not to be run
-/// twice, few descriptors and little memory, connections that do not last.
+/// Like `kiosk-vouchers`: short time limits, a window shorter than those limits, mostly requests that
+/// are not idempotent, few descriptors, little memory, and a short idle timeout of connections.
 pub fn short_deadline_environment() -> TestEnvironment {
     let mut environment = TestEnvironment::new();
     environment.file["limits"] = json!({"cores": 0.2, "memory_mb": 32, "sockets": 96});
@@ -39,8 +39,8 @@
     environment
 }
 
-/// As `museum-loans`: tenants, classes of all effects, long limits, slow connections, nothing
-/// called off.
+/// Like `museum-loans`: tenants, classes of all effects, long time limits, slow connections, and no
+/// cancellation of attempts.
 pub fn multi_tenant_environment() -> TestEnvironment {
     let mut environment = TestEnvironment::new();
     let settings = &mut environment.file["settings"];
@@ -67,8 +67,8 @@
     environment
 }
 
-/// By it servers know a repeat: without it an attempt after one that may have run could have its
-/// effect twice.
+/// Servers recognize a retry by its idempotency key: without it, a retry of an attempt that may have
+/// run could take effect twice.
 #[test]
 fn every_attempt_carries_the_idempotency_key() {
     for (mut environment, class) in [
@@ -96,12 +96,12 @@
         );
         origin.respond(&request, "ERR", "-", b"");
         let mut server = environment.server("c1").accept();
-        let again = server.read_request();
+        let retry = server.read_request();
         assert_eq!(
-            (again.field("nonce"), &again.body[..]),
+            (retry.field("nonce"), &retry.body[..]),
             (key, &b"row 4"[..])
         );
-        server.respond(&again, "OK", "tell=via_origin", b"done");
+        server.respond(&retry, "OK", "tell=via_origin", b"done");
         assert_eq!(client.read_answer_word(), "ACK");
     }
 }
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn idempotency_keys_that_could_break_a_line_are_refused() {
+fn idempotency_keys_that_could_break_the_line_protocol_are_refused() {
     let mut environment = short_deadline_environment();
     let router = environment.start();
     let mut client = router.connect();
@@ -143,7 +143,7 @@
         );
         assert!(
             environment.server("o1").try_accept().is_none(),
-            "sent on: {key:?}"
+            "forwarded: {key:?}"
         );
     }
 }
--- a/crates/router/tests/program/discovery.rs
+++ b/crates/router/tests/program/discovery.rs
@@ -1,4 +1,5 @@
-//! The watch of the discovery service: gaps, silence, outages, and another service after a reload.
+//! The watch of the discovery service: gaps, silence, outages, and moving to another service at a
+//! reload.
 
 use crate::deployments::{multi_tenant_environment, short_deadline_environment};
 use crate::support::*;
@@ -17,8 +18,11 @@
     ));
     drop(discovery);
     let mut discovery = environment.discovery.accept_watch();
-    assert_eq!(discovery.after_revision, 2, "after a break");
-    // One that came before, then one past a gap.
+    assert_eq!(
+        discovery.after_revision, 2,
+        "after a break of the connection"
+    );
+    // An event that was already applied, then one behind a gap.
     discovery.send(endpoints_event(
         2,
         &[environment.server("c1").entry("active")],
@@ -26,27 +30,33 @@
     discovery.send(endpoints_event(4, &[]));
     let mut discovery = environment.discovery.accept_watch();
     assert_eq!(discovery.after_revision, 2, "after a gap");
-    let said = Instant::now();
+    let sent_at = Instant::now();
     discovery.send("7\n");
     let mut discovery = environment.discovery.accept_watch();
-    assert_eq!(discovery.after_revision, 2, "after a number ahead");
-    assert!(said.elapsed() < Duration::from_secs(2), "not for silence");
+    assert_eq!(
+        discovery.after_revision, 2,
+        "after a revision that is ahead"
+    );
+    assert!(
+        sent_at.elapsed() < Duration::from_secs(2),
+        "reconnected only after the silence timeout"
+    );
     discovery.send("{nonsense\n");
     let mut discovery = environment.discovery.accept_watch();
-    assert_eq!(discovery.after_revision, 2, "after nonsense");
-    // An event that cannot be used hides those after it no longer than once.
-    let odd = json!({"rev": 3, "pool": {"hosts": [{"host": "c9"}]}});
-    discovery.send(format!("{odd}\n"));
+    assert_eq!(discovery.after_revision, 2, "after an invalid line");
+    // An event that cannot be read delays later ones by one reconnection only.
+    let unreadable = json!({"rev": 3, "pool": {"hosts": [{"host": "c9"}]}});
+    discovery.send(format!("{unreadable}\n"));
     let mut discovery = environment.discovery.accept_watch();
     assert_eq!(
         discovery.after_revision, 2,
         "after an event that cannot be read"
     );
-    discovery.send(format!("{odd}\n{}", endpoints_event(4, &[])));
+    discovery.send(format!("{unreadable}\n{}", endpoints_event(4, &[])));
     drop(discovery);
     assert_eq!(environment.discovery.accept_watch().after_revision, 4);
     let mut client = router.connect();
-    // All go to the cache that does not drain, whichever the hash would take.
+    // All requests go to the cache that does not drain, whichever one the hash selects.
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c2").accept();
     for tag in 2..=9 {
@@ -65,31 +75,31 @@
     assert_eq!(environment.discovery.accept_watch().after_revision, 1);
 }
 
-/// Numbers that stay behind, events that were told before, half lines: a discovery service that
-/// goes on like this holds back as much as a silent one.
+/// A discovery service that sends only revisions that are behind, events that were already applied,
+/// or partial lines counts as silent.
 #[test]
 fn discovery_without_new_events_is_reconnected() {
     let mut environment = TestEnvironment::new();
     let _router = environment.start();
     let old = endpoints_event(1, &[]);
-    for words in ["0\n", &old, "{\"rev\":"] {
+    for text in ["0\n", &old, "{\"rev\":"] {
         let mut discovery = environment.discovery.accept_watch();
         assert_eq!(discovery.after_revision, 1);
-        let begun = Instant::now();
-        wait_until("a watch anew", || {
-            let _ = discovery.try_send(words);
+        let started_at = Instant::now();
+        wait_until("a new watch", || {
+            let _ = discovery.try_send(text);
             wait_for(50 * MS);
             environment.discovery.has_pending_watch()
         });
         assert!(
-            begun.elapsed() < 2600 * MS,
-            "{words:?}: {:?}",
-            begun.elapsed()
+            started_at.elapsed() < 2600 * MS,
+            "{text:?}: {:?}",
+            started_at.elapsed()
         );
     }
 }
 
-/// Discovery's descriptors are there before the first client is.
+/// The descriptors of the watch are reserved before the first client connects.
 #[test]
 fn discovery_that_is_down_at_the_start_is_followed_once_it_listens() {
     let mut environment = TestEnvironment::new();
@@ -99,11 +109,15 @@
     let mut client = router.connect();
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"x");
-    assert_eq!(client.read_answer_word(), "ACK", "by the list of the start");
-    let back = Instant::now();
+    assert_eq!(
+        client.read_answer_word(),
+        "ACK",
+        "not served by the configured endpoint list"
+    );
+    let returned = Instant::now();
     environment.discovery.listen_again(at);
     assert_eq!(environment.discovery.accept_watch().after_revision, 1);
-    assert!(back.elapsed() < 1000 * MS, "{:?}", back.elapsed());
+    assert!(returned.elapsed() < 1000 * MS, "{:?}", returned.elapsed());
 }
 
 #[test]
@@ -117,7 +131,7 @@
     client.send_request(1, "page", "", b"");
     let mut server = environment.server("c1").accept();
     let (mut tag, mut request) = (1, server.read_request());
-    wait_until("the purge", || {
+    wait_until("the purge to be applied", || {
         server.respond(&request, "OK", "tell=hit", b"x");
         assert_eq!(client.read_answer_word(), "ACK");
         tag += 1;
@@ -129,8 +143,8 @@
     assert!(oldest > 0 && unix_ms() - oldest >= purged, "{oldest}");
 }
 
-/// Nothing of an old file's discovery remains after a new one: not its connection, nor what it
-/// still says.
+/// A reload that names another discovery service closes the connection to the old one, and events
+/// that the old one still sends are ignored.
 #[test]
 fn events_of_a_replaced_discovery_service_are_ignored() {
     for mut environment in [
@@ -147,11 +161,11 @@
         router.reload();
         let mut new = environment.discovery.accept_watch();
         assert_eq!(new.after_revision, 1);
-        // The old one goes on with another history of the same numbers.
-        let mut took = true;
-        wait_until("the old one's close", || {
-            took = took && old.try_send(&endpoints_event(2, std::slice::from_ref(&leaving)));
-            !took
+        // The old service continues with different events under the same revisions.
+        let mut is_open = true;
+        wait_until("the old watch to be closed", || {
+            is_open = is_open && old.try_send(&endpoints_event(2, std::slice::from_ref(&leaving)));
+            !is_open
         });
         new.send(endpoints_event(
             2,
@@ -184,7 +198,7 @@
         }
         assert!(
             environment.server("c2").try_accept().is_none(),
-            "sent to one that drains"
+            "sent to a server that drains"
         );
     }
 }
@@ -193,26 +207,26 @@
 fn a_reloaded_configuration_moves_to_its_discovery_service() {
     let mut environment = TestEnvironment::new().with_server("c2", "cache");
     let mut router = environment.start();
-    // Silent, and in the middle of an event.
+    // The old service is silent in the middle of an event.
     let mut old = environment.discovery.accept_watch();
     old.send("{\"rev\":2,");
-    // An event of the new file, one that both have, and one that the new discovery service alone
-    // tells.
+    // The new file has an event with the revision that the old service was sending, and a changed
+    // limit that needs a restart.
     environment.move_discovery();
     let leaving = endpoints_event(2, &[environment.server("c1").entry("leaving")]);
     environment.push_known_event(2, &leaving);
     environment.file["limits"]["sockets"] = json!(512);
     environment.write_configuration();
-    let told = Instant::now();
+    let reloaded = Instant::now();
     for _ in 0..3 {
         router.reload();
     }
     let discovery = environment.discovery.accept_watch();
     assert_eq!(discovery.after_revision, 2);
     assert!(
-        told.elapsed() < Duration::from_millis(1500),
-        "not for silence: {:?}",
-        told.elapsed()
+        reloaded.elapsed() < Duration::from_millis(1500),
+        "reconnected only after the silence timeout: {:?}",
+        reloaded.elapsed()
     );
     let mut client = router.connect();
     client.send_request(1, "page", "", b"");
@@ -224,7 +238,7 @@
     }
     router.terminate();
     router.wait_until_draining();
-    // One that is faulty changes nothing.
+    // A reload of an invalid file changes nothing.
     environment.file["board"] = json!("nowhere");
     environment.write_configuration();
     router.reload();
--- a/crates/router/tests/program/fleet.rs
+++ b/crates/router/tests/program/fleet.rs
@@ -1,5 +1,5 @@
-//! What a fleet of hundreds asks of each router: one process as the line `run` starts it, and talk
-//! with peers.
+//! Requirements of a large fleet on each router: the `run` line of the deploy file starts exactly one
+//! process, and peers exchange messages by gossip.
 
 use crate::support::*;
 use serde_json::json;
@@ -19,8 +19,8 @@
     sockets.filter_map(|fd| inode(&fd.path())).collect()
 }
 
-/// The local addresses, as the system writes them, at which a process listens (TCP) or is bound
-/// (UDP).
+/// The local addresses of a process's sockets in a state, as `/proc/net` writes them: `0A` is listening
+/// (TCP), `07` is bound (UDP).
 fn local_addresses_in_state(process: u32, table: &str, state: &str) -> Vec<String> {
     let held = sockets_of(process);
     let text = std::fs::read_to_string(format!("/proc/{process}/net/{table}")).unwrap_or_default();
@@ -28,19 +28,23 @@
         .lines()
         .skip(1)
         .map(|line| line.split_whitespace().collect::<Vec<_>>());
-    let own = lines.filter(|words| words[3] == state && held.contains(&words[9].parse().unwrap()));
-    own.map(|words| words[1].to_owned()).collect()
+    let sockets =
+        lines.filter(|columns| columns[3] == state && held.contains(&columns[9].parse().unwrap()));
+    sockets.map(|columns| columns[1].to_owned()).collect()
 }
 
-/// `run` of the deploy file, with the program as this build left it.
+/// The `run` line of the deploy file, with the path of the router binary of this build.
 fn deploy_run_command() -> String {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
     let line = deploy
         .lines()
         .find_map(|line| line.strip_prefix("run = \""))
-        .expect("run");
-    let line = line.split_once('"').expect("its end").0;
+        .expect("a run line in deploy/balancer.toml");
+    let line = line
+        .split_once('"')
+        .expect("the closing quote of the run line")
+        .0;
     assert!(
         line.starts_with("exec target/release/chalkhall-router "),
         "{line}"
@@ -58,10 +62,15 @@
     environment.command_override = Some(deploy_run_command());
     let mut router = environment.start();
     let process = router.id();
-    // The shell has given way: whom the platform started is the router itself.
-    let of = |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap();
-    assert!(of("comm").starts_with("chalkhall-route"), "{}", of("comm"));
-    let maps = of("maps");
+    // The shell was replaced by `exec`: the started process is the router itself.
+    let proc_file =
+        |name: &str| std::fs::read_to_string(format!("/proc/{process}/{name}")).unwrap();
+    assert!(
+        proc_file("comm").starts_with("chalkhall-route"),
+        "{}",
+        proc_file("comm")
+    );
+    let maps = proc_file("maps");
     assert!(
         maps.contains("/libc.so.6") && maps.contains("/ld-linux"),
         "linked statically:\n{maps}"
@@ -75,13 +84,13 @@
         .flatten()
     {
         let children = std::fs::read_to_string(task.path().join("children")).unwrap();
-        assert_eq!(children, "", "it has started another process");
+        assert_eq!(children, "", "the router has started another process");
     }
-    let listens = local_addresses_in_state(process, "tcp", "0A");
-    assert_eq!(listens.len(), 1, "it listens at {listens:?}");
+    let listening = local_addresses_in_state(process, "tcp", "0A");
+    assert_eq!(listening.len(), 1, "the router listens at {listening:?}");
     assert!(
-        listens[0].ends_with(":13BA"),
-        "{listens:?} is not port 5050"
+        listening[0].ends_with(":13BA"),
+        "{listening:?} is not port 5050"
     );
     for table in ["tcp6", "udp", "udp6"] {
         assert_eq!(
@@ -95,15 +104,14 @@
             "{table}"
         );
     }
-    // The signals come through a pair of sockets that have no name, so that nobody can come to
-    // them.
-    let (held, unix) = (sockets_of(process), of("net/unix"));
-    let own = |line: &&str| {
+    // Signals arrive through a pair of unnamed sockets, which no other process can connect to.
+    let (held, unix) = (sockets_of(process), proc_file("net/unix"));
+    let is_own = |line: &&str| {
         line.split_whitespace()
             .any(|word| word.parse().is_ok_and(|n| held.contains(&n)))
     };
     assert!(
-        unix.lines().filter(own).all(|line| !line.contains('/')),
+        unix.lines().filter(is_own).all(|line| !line.contains('/')),
         "a Unix socket with a name:\n{unix}"
     );
     drop(client);
@@ -111,7 +119,8 @@
     assert_eq!(router.wait_for_exit().status.code(), Some(0));
 }
 
-/// A router of two at its zone, and what is told to it of the other.
+/// An environment of two routers in a zone, of which the test plays the second. Returns it with the
+/// sockets at the address of the peer and at the one for messages to all peers.
 fn environment_with_peer(tell: &str) -> (TestEnvironment, UdpSocket, UdpSocket) {
     let mut environment = TestEnvironment::new();
     let socket = || {
@@ -119,14 +128,14 @@
         socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         socket
     };
-    let (peer, all, own) = (socket(), socket(), unused_address());
-    let at = |socket: &UdpSocket| socket.local_addr().unwrap().to_string();
+    let (peer, all, own_address) = (socket(), socket(), unused_address());
+    let address_of = |socket: &UdpSocket| socket.local_addr().unwrap().to_string();
     environment.file["settings"]["FamilyInfo"]["CrewByZone"] = json!([2]);
     environment.file["settings"]["PeersTotal"] = json!(2);
     environment.file["settings"]["Limits"]["PeerMessages"] = json!(true);
-    environment.file["peer_listen"] = json!(own.to_string());
-    environment.file["peers"] = json!([own.to_string(), at(&peer)]);
-    environment.file["peers_all"] = json!(at(&all));
+    environment.file["peer_listen"] = json!(own_address.to_string());
+    environment.file["peers"] = json!([own_address.to_string(), address_of(&peer)]);
+    environment.file["peers_all"] = json!(address_of(&all));
     environment.directives = format!("peers {{\n tell {tell}\n}}\n");
     (environment, peer, all)
 }
@@ -141,35 +150,36 @@
 fn a_peer_is_discovered_and_sent_an_observation() {
     let (mut environment, peer, all) = environment_with_peer("on");
     let router = environment.start();
-    let (looking, router_address) = receive_datagram(&all);
+    let (peer_search, router_address) = receive_datagram(&all);
     assert_eq!(
-        looking,
+        peer_search,
         [0xC1, 1, 0, 0],
-        "its format, looking for peers, at zone 0"
+        "its format, looking for peers, in zone 0"
     );
-    // Nonsense, and a stranger's word, change nothing: the router goes on, and tells its peer.
+    // Invalid datagrams and those of unknown senders change nothing: the router goes on, and sends to
+    // its peer.
     peer.send_to(&[0xC1, 0xFF, 0, 0, 1], router_address)
         .unwrap();
     all.send_to(&[0xC1, 0, 0, 0], router_address).unwrap();
     peer.send_to(&[0xC1, 1, 0, 0], router_address).unwrap();
-    assert_eq!(receive_datagram(&peer).0, [0xC1, 0, 0, 0], "a sign of life");
+    assert_eq!(receive_datagram(&peer).0, [0xC1, 0, 0, 0], "a heartbeat");
     let mut client = router.connect();
     client.send_request(1, "page", "", b"");
     environment.server("c1").accept().respond_hit(b"body");
     assert_eq!(client.read_answer_word(), "ACK");
-    let mut told = receive_datagram(&peer).0;
-    while told.len() == 4 {
-        told = receive_datagram(&peer).0;
+    let mut message = receive_datagram(&peer).0;
+    while message.len() == 4 {
+        message = receive_datagram(&peer).0;
     }
     assert_eq!(
-        (&told[..4], told.len()),
+        (&message[..4], message.len()),
         (&[0xC1, 0, 0, 0][..], 9),
-        "one finding"
+        "one observation"
     );
 }
 
 #[test]
-fn a_taken_gossip_address_disables_gossip_but_not_the_start() {
+fn a_gossip_address_in_use_disables_gossip_but_not_the_router() {
     let (mut environment, _peer, all) = environment_with_peer("on");
     environment.file["peer_listen"] = json!(all.local_addr().unwrap().to_string());
     let router = environment.start();
@@ -194,15 +204,15 @@
             Vec::<String>::new()
         );
         all.set_nonblocking(true).unwrap();
-        assert!(all.recv(&mut [0; 16]).is_err(), "something was said");
+        assert!(all.recv(&mut [0; 16]).is_err(), "a datagram was sent");
     }
 }
 
-/// One question at the control socket.
-fn control_command(path: &std::path::Path, words: &str) -> serde_json::Value {
+/// Sends one command to the control socket and returns its reply.
+fn control_command(path: &std::path::Path, command: &str) -> serde_json::Value {
     use std::io::{BufRead, BufReader, Write};
     let mut stream = std::os::unix::net::UnixStream::connect(path).unwrap();
-    stream.write_all(format!("{words}\n").as_bytes()).unwrap();
+    stream.write_all(format!("{command}\n").as_bytes()).unwrap();
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
     serde_json::from_str(&line).unwrap()
@@ -221,7 +231,7 @@
         control.display()
     );
     let router = environment.start();
-    for (words, what) in [
+    for (command, expected) in [
         ("latency observe z1 z2 5", "not this router's region"),
         ("latency observe north zz 5", "zz is not a zone"),
         ("latency observe north z2 -5", "MS is from 0"),
@@ -229,11 +239,11 @@
         ("latency observe north", "is written"),
         ("regions nonsense", "unknown words"),
     ] {
-        let said = control_command(&control, words)["error"]
+        let error = control_command(&control, command)["error"]
             .as_str()
             .unwrap_or_default()
             .to_owned();
-        assert!(said.contains(what), "{words}: {said}");
+        assert!(error.contains(expected), "{command}: {error}");
     }
     assert_eq!(
         control_command(&control, "latency observe north z2 40 20")["observed"],
@@ -243,9 +253,9 @@
         control_command(&control, "latency observe north z1 90 20")["observed"],
         20
     );
-    let shown = control_command(&control, "steer show");
-    let of = |edge: &str| {
-        shown["edges"]
+    let plan = control_command(&control, "steer show");
+    let edge_entry = |edge: &str| {
+        plan["edges"]
             .as_array()
             .unwrap()
             .iter()
@@ -253,29 +263,33 @@
             .unwrap()
             .clone()
     };
-    let ms = |edge: &str| of(edge)["clients_ms"].as_f64().unwrap();
+    let ms = |edge: &str| edge_entry(edge)["clients_ms"].as_f64().unwrap();
     assert!(
         (ms("z2") / 40.0 - 1.0).abs() < 0.06 && (ms("z1") / 90.0 - 1.0).abs() < 0.06,
-        "{shown}"
+        "{plan}"
     );
     assert_eq!(
-        (shown["region"].as_str(), of("here")["share"].as_f64()),
+        (
+            plan["region"].as_str(),
+            edge_entry("here")["share"].as_f64()
+        ),
         (Some("north"), Some(1.0)),
-        "{shown}"
+        "{plan}"
     );
     assert_eq!(control_command(&control, "regions stat")["bad"], false);
-    // Its peer is told in words of the new kind, and nonsense of that kind changes nothing.
+    // The peer gets messages of the new format, and an invalid message of that format is counted and
+    // otherwise ignored.
     let (bytes, router_address) = receive_datagram(&peer);
     assert_eq!(bytes[0], 0xC3);
     peer.send_to(&[0xC3, 0, 0, 9, 1], router_address).unwrap();
-    wait_until("the nonsense", || {
+    wait_until("the invalid message to be counted", || {
         control_command(&control, "regions stat")["faulty"] == 1
     });
     drop(router);
 }
 
 #[test]
-fn an_unknown_zone_in_regions_ends_the_start_with_its_name() {
+fn an_unknown_zone_in_regions_aborts_startup_and_is_named() {
     let (mut environment, _peer, _all) = environment_with_peer("off");
     environment.directives = "regions {\n in-common on\n drain atlantis\n}\n".into();
     let RouterExit { status, log } = environment.spawn("").wait_for_exit();
--- a/crates/router/tests/program/local_cache.rs
+++ b/crates/router/tests/program/local_cache.rs
@@ -1,15 +1,15 @@
-//! Own copies in memory, through the program on loopback.
+//! The local cache in memory and on disk, and the control socket that reports it.
 
 use crate::support::*;
 
 const TAG: &str = "etag=4be0c1927d55a6f3";
 
-fn filled_fields(ago: u64) -> String {
-    filled_fields_at(unix_ms() - ago)
+fn filled_fields(age_ms: u64) -> String {
+    filled_fields_at(unix_ms() - age_ms)
 }
 
-fn filled_fields_at(ms: u64) -> String {
-    format!("tell=filled,{TAG},made={ms}")
+fn filled_fields_at(made_ms: u64) -> String {
+    format!("tell=filled,{TAG},made={made_ms}")
 }
 
 fn request_object(client: &mut TestClient) {
@@ -33,13 +33,13 @@
         word == "ACK" && fields.contains("unchanged=1") && body.is_empty(),
         "{word} {fields}"
     );
-    // Another part is another copy; nothing of all this came to the server.
+    // Another part is another copy. It is the first request to reach the server since.
     client.send_request(7, "page", "piece=1", b"");
     assert_eq!(server.read_request().field("chunk"), "1");
 }
 
-/// Asks for object 7 until its copy is one of the router's own: a first sighting is not kept, the
-/// second is.
+/// Requests object 7 until it is in the local cache: it is admitted at its second request, not at
+/// its first.
 fn fill_cache(environment: &TestEnvironment, client: &mut TestClient) -> LineConnection {
     request_object(client);
     let mut server = environment.server("c1").accept();
@@ -54,28 +54,28 @@
 }
 
 #[test]
-fn the_local_cache_keeps_a_purge() {
+fn copies_made_before_a_purge_are_not_cached() {
     let (environment, _router, mut client) = start_router_with("store {\n memory 10MB\n}\n");
     let mut discovery = environment.discovery.accept_watch();
     let mut server = fill_cache(&environment, &mut client);
     let purged = unix_ms();
     discovery.send(purge_event(2, purged));
-    // Told when the next request of another object carries the bound.
+    // The purge is known to be applied once a request for another object carries a lower `maxage`.
     let mut tag = 100;
-    wait_until("the purge", || {
+    wait_until("the purge to be applied", || {
         tag += 1;
         client.send_request(tag, "page", "", b"");
         let request = server.read_request();
-        let bound: u64 = request.field("maxage").parse().unwrap();
+        let max_age: u64 = request.field("maxage").parse().unwrap();
         server.respond(&request, "OK", &filled_fields(0), b"x");
         client.read_answer();
-        bound < 12_000
+        max_age < 12_000
     });
     request_object(&mut client);
     let request = server.read_request();
     assert_eq!(request.field("item"), "0000000000000007");
-    // Made before the purge, or in its very millisecond: passed on, for the server says so, but not
-    // kept.
+    // A copy made before the purge, or in the same millisecond, is forwarded, as the server vouches
+    // for it, but not cached.
     server.respond(&request, "OK", &filled_fields_at(purged - 60_000), b"old");
     client.read_answer();
     request_object(&mut client);
@@ -89,12 +89,12 @@
     client.read_answer();
     request_object(&mut client);
     let request = server.read_request();
-    // All this may have taken less than that millisecond.
+    // All of the above may have taken less than a millisecond.
     wait_until("the next millisecond", || unix_ms() > purged);
     server.respond(&request, "OK", &filled_fields_at(purged + 1), b"new");
     assert_eq!(client.read_answer().body, b"new");
     request_object(&mut client);
-    assert_eq!(client.read_answer().body, b"new", "made since");
+    assert_eq!(client.read_answer().body, b"new", "made after the purge");
 }
 
 #[test]
@@ -134,8 +134,8 @@
 
 #[test]
 fn cached_copies_are_evicted_before_a_request_is_rejected() {
-    // Bodies in hand may take 5 MB, together with own copies 1.5 MB past what the router takes
-    // itself.
+    // Bodies in flight may take 5 MB; together with cached copies they may take 1.5 MB beyond the
+    // router's own memory.
     let (environment, _router, mut client) = start_router_in(
         TestEnvironment::new()
             .with_machine_limit("memory_mb", 10)
@@ -151,7 +151,8 @@
         assert_eq!(client.read_answer_word(), "ACK");
     }
     let mut server = server.unwrap();
-    // Four answers to come at up to 240 KB each: too much beside own copies, not for the router.
+    // Four outstanding answers of up to 240 KB each: too much beside the cached copies, but within the
+    // limit without them.
     for tag in 1000..1003 {
         client.send_request(tag, "page", "", b"");
         server.read_request();
@@ -160,12 +161,12 @@
     assert_eq!(
         server.read_request().field("item"),
         "0000000000000007",
-        "its copy has left, and nothing is rejected"
+        "the copy was not evicted, or the request was rejected"
     );
 }
 
 #[test]
-fn every_fault_of_the_operators_file_is_reported_at_the_start() {
+fn every_fault_of_the_operators_file_is_reported_at_startup() {
     let mut environment = TestEnvironment::new()
         .with_directives("store {\n memry 5MB\n disk /x\n}\nlog-format yaml\n");
     let RouterExit { status, log: text } = environment.spawn("").wait_for_exit();
@@ -179,22 +180,22 @@
     }
 }
 
-fn configure_disk_cache(environment: &mut TestEnvironment, more: &str) -> std::path::PathBuf {
+fn configure_disk_cache(environment: &mut TestEnvironment, more_lines: &str) -> std::path::PathBuf {
     let path = environment.configuration_path().with_file_name("copies");
     let disk = path.display();
     environment.directives = format!(
-        "store {{\n disk {disk} 64MB\n segment 1MB\n sync-after 20ms\n least-fresh 0\n{more}\n}}\n"
+        "store {{\n disk {disk} 64MB\n segment 1MB\n sync-after 20ms\n least-fresh 0\n{more_lines}\n}}\n"
     );
     path
 }
 
-/// Asks until the router answers by itself. Whatever comes to the server meanwhile is answered like
-/// this.
+/// Requests object 7 until the router answers it from its cache. Requests that reach the server
+/// meanwhile are answered with this body.
 fn until_served_from_cache(client: &mut TestClient, server: &mut LineConnection, body: &[u8]) {
-    let mut own = false;
-    wait_until("an own copy", || {
+    let mut is_cached = false;
+    wait_until("an answer from the local cache", || {
         request_object(client);
-        let came = loop {
+        let reached_server = loop {
             if client.has_unread_data() {
                 break false;
             }
@@ -202,13 +203,13 @@
                 break true;
             }
         };
-        if came {
+        if reached_server {
             let request = server.read_request();
             server.respond(&request, "OK", &filled_fields(0), body);
         }
         assert_eq!(client.read_answer().body, body);
-        own = !came;
-        own
+        is_cached = !reached_server;
+        is_cached
     });
 }
 
@@ -224,24 +225,25 @@
     server.respond_hit(&body);
     client.read_answer();
     until_served_from_cache(&mut client, &mut server, &body);
-    for end in ["KILL", "TERM"] {
-        router.signal(end);
+    for signal in ["KILL", "TERM"] {
+        router.signal(signal);
         router.wait_for_exit();
         router = environment.start();
         client = router.connect();
         let mut first = None;
-        // What it wrote is there, once its index is: until then the server is asked.
-        wait_until("an own copy", || {
+        // The copies are available once the index has been recovered; until then requests go to the
+        // server.
+        wait_until("an answer from the local cache", || {
             request_object(&mut client);
             wait_until("an answer", || {
-                if let Some(mut line) = environment.server("c1").try_accept() {
-                    line.respond_hit(&body);
-                    first = Some(line);
+                if let Some(mut connection) = environment.server("c1").try_accept() {
+                    connection.respond_hit(&body);
+                    first = Some(connection);
                 }
                 client.has_unread_data()
-                    || first.as_mut().is_some_and(|line| {
-                        if line.has_unread_data() {
-                            line.respond_hit(&body);
+                    || first.as_mut().is_some_and(|connection| {
+                        if connection.has_unread_data() {
+                            connection.respond_hit(&body);
                         }
                         client.has_unread_data()
                     })
@@ -249,12 +251,14 @@
             let ClientAnswer {
                 word,
                 fields,
-                body: found,
+                body: received_body,
                 ..
             } = client.read_answer();
-            assert_eq!((word.as_str(), &found), ("ACK", &body));
+            assert_eq!((word.as_str(), &received_body), ("ACK", &body));
             fields == format!("ver={}", &TAG[5..])
-                && !first.as_mut().is_some_and(|line| line.has_unread_data())
+                && !first
+                    .as_mut()
+                    .is_some_and(|connection| connection.has_unread_data())
         });
     }
 }
@@ -274,7 +278,8 @@
     router.terminate();
     router.wait_for_exit();
     let router = environment.start();
-    // Before any client asks: nothing says that no purge was told meanwhile.
+    // Revalidated before any client requests it: a purge may have been missed while the router was
+    // down.
     let mut server = environment.server("c1").accept();
     let request = server.read_request();
     assert_eq!(
@@ -323,25 +328,25 @@
         std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777,
         0o600
     );
-    let ask = |words: &str| {
+    let control_command = |command: &str| {
         let mut stream = UnixStream::connect(&socket).unwrap();
-        stream.write_all(words.as_bytes()).unwrap();
-        let mut said = String::new();
-        stream.read_to_string(&mut said).unwrap();
-        serde_json::from_str::<serde_json::Value>(&said).unwrap()
+        stream.write_all(command.as_bytes()).unwrap();
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).unwrap();
+        serde_json::from_str::<serde_json::Value>(&reply).unwrap()
     };
     let mut client = router.connect();
     let _server = fill_cache(&environment, &mut client);
-    let told = ask("store stat\n");
+    let stat = control_command("store stat\n");
     assert_eq!(
         (
-            told["memory"]["parts"].as_u64(),
-            told["memory"]["most"].as_u64()
+            stat["memory"]["parts"].as_u64(),
+            stat["memory"]["most"].as_u64()
         ),
         (Some(1), Some(10_000_000))
     );
     assert!(
-        ask("make tea\n")["error"]
+        control_command("make tea\n")["error"]
             .as_str()
             .is_some_and(|e| e.contains("make tea"))
     );
--- a/crates/router/tests/program/soak.rs
+++ b/crates/router/tests/program/soak.rs
@@ -1,5 +1,5 @@
-//! Load that never repeats itself: ever new clients, objects and servers. What grows without an end
-//! shows as memory that does. Some seconds in the usual run; `SOAK_SECONDS=600` for the long one.
+//! A soak test with new clients, objects and servers all the time, in which unbounded state shows as
+//! growing memory. It runs for 8 s by default; `SOAK_SECONDS=600` makes it a long run.
 
 use crate::support::*;
 use std::collections::HashMap;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Answers whatever comes on a connection as a fill of 20 KB, until it ends.
+/// Answers every request on a connection with a fill of 20 KB until the connection ends.
 fn respond_with_fills(stream: TcpStream, served: &AtomicUsize) -> std::io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
@@ -36,13 +36,13 @@
     Ok(())
 }
 
-fn accept_and_respond(listener: TcpListener, ended: Arc<AtomicBool>, served: Arc<AtomicUsize>) {
+fn accept_and_respond(listener: TcpListener, stopped: Arc<AtomicBool>, served: Arc<AtomicUsize>) {
     listener.set_nonblocking(true).unwrap();
-    while !ended.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         match listener.accept() {
             Ok((stream, _)) => {
                 let served = served.clone();
-                // A connection that the router closes ends its thread, whatever was half read.
+                // The thread ends with its connection, also in the middle of a request.
                 thread::spawn(move || drop(respond_with_fills(stream, &served)));
             }
             Err(_) => thread::sleep(Duration::from_millis(2)),
@@ -50,7 +50,7 @@
     }
 }
 
-/// Memory in KB that a process has in place.
+/// Resident memory of a process in KB.
 fn resident_kb(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap();
     let line = text
@@ -73,7 +73,7 @@
         .with_machine_limit("memory_mb", 64)
         .with_setting("FamilyInfo", "ClientKbPerS", 10_000)
         .with_directives("store {\n memory 25%\n}\n");
-    let (ended, served) = (
+    let (stopped, served) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicUsize::new(0)),
     );
@@ -81,71 +81,73 @@
         .servers
         .iter()
         .map(|server| {
-            let (listener, ended, served) = (
+            let (listener, stopped, served) = (
                 server.listener.try_clone().unwrap(),
-                ended.clone(),
+                stopped.clone(),
                 served.clone(),
             );
-            thread::spawn(move || accept_and_respond(listener, ended, served))
+            thread::spawn(move || accept_and_respond(listener, stopped, served))
         })
         .collect();
     let router = environment.start();
     let mut discovery = environment.discovery.accept_watch();
-    let begun = Instant::now();
-    let (mut quarters, mut asked, mut rev) = (Vec::new(), 0u64, 1);
+    let started_at = Instant::now();
+    let (mut quarters, mut rounds, mut rev) = (Vec::new(), 0u64, 1);
     let mut words: HashMap<String, usize> = HashMap::new();
     let mut name = environment.server("c1").name.clone();
     for quarter in 0..4 {
-        let until = begun + Duration::from_secs(seconds) * (quarter + 1) / 4;
+        let until = started_at + Duration::from_secs(seconds) * (quarter + 1) / 4;
         while Instant::now() < until {
-            // A client of its own for each 16 requests, all for objects that nobody asked for
-            // before.
+            // Every 16 requests come from a new client and are for objects not requested before.
             let mut client = router.connect();
-            (0..16).for_each(|n| drop(client.send_request(asked * 16 + n + 1, "page", "", b"")));
+            (0..16).for_each(|n| drop(client.send_request(rounds * 16 + n + 1, "page", "", b"")));
             (0..16).for_each(|_| *words.entry(client.read_answer_word()).or_default() += 1);
-            asked += 1;
-            if asked.is_multiple_of(50) {
-                // At the cache's address another one stands, of a name of its own.
+            rounds += 1;
+            if rounds.is_multiple_of(50) {
+                // A server with a new name replaces the cache at its address.
                 rev += 1;
                 let server = environment.server("c1");
-                let mut gone = server.entry("left");
-                gone["host"] = serde_json::json!(name);
+                let mut old = server.entry("left");
+                old["host"] = serde_json::json!(name);
                 name = format!("c-{rev}");
                 let mut new = server.entry("active");
                 new["host"] = serde_json::json!(name);
-                let told = endpoints_event(rev, &[gone, new]);
-                if !discovery.try_send(&told) {
-                    // A discovery service that says nothing for two seconds is watched anew.
+                let event = endpoints_event(rev, &[old, new]);
+                if !discovery.try_send(&event) {
+                    // The router reconnects when discovery has been silent for two seconds.
                     discovery = environment.discovery.accept_watch();
-                    discovery.send(&told);
+                    discovery.send(&event);
                 }
             }
         }
         quarters.push(resident_kb(router.id()));
     }
-    ended.store(true, Ordering::Relaxed);
+    stopped.store(true, Ordering::Relaxed);
     threads
         .into_iter()
         .for_each(|thread| thread.join().unwrap());
-    let counted = (asked * 16, served.load(Ordering::Relaxed), rev, &words);
+    let totals = (rounds * 16, served.load(Ordering::Relaxed), rev, &words);
     eprintln!(
-        "soak: {seconds} s, {counted:?} asked, served, lists, answers; KB by quarters {quarters:?}"
+        "soak: {seconds} s, {totals:?} sent, served, events, answers; resident KB by quarter {quarters:?}"
     );
     let served = words.get("ACK").copied().unwrap_or(0);
     assert!(
-        served > 1000 && counted.1 > 1000 && rev > 2,
-        "hardly any load: {counted:?}"
+        served > 1000 && totals.1 > 1000 && rev > 2,
+        "too little load: {totals:?}"
     );
-    // Own copies fill their 16 MB in the first quarter of a long run, later in a short one.
-    let (most, grown) = (48 << 10, quarters[3].saturating_sub(quarters[0]));
-    assert!(quarters[3] < most, "{quarters:?} KB");
-    let allowed = if seconds >= 60 {
+    // Cached copies fill their 16 MB in the first quarter of a long run, but later in a short one.
+    let (max_kb, growth_kb) = (48 << 10, quarters[3].saturating_sub(quarters[0]));
+    assert!(
+        quarters[3] < max_kb,
+        "resident memory over {max_kb} KB: {quarters:?} KB"
+    );
+    let max_growth_kb = if seconds >= 60 {
         quarters[0] / 10 + 1024
     } else {
         20 << 10
     };
     assert!(
-        grown < allowed,
-        "grown by {grown} KB after the first quarter: {quarters:?}"
+        growth_kb < max_growth_kb,
+        "memory grew by {growth_kb} KB after the first quarter: {quarters:?}"
     );
 }
