--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -102,7 +102,7 @@
 
     listener::run(socket, max_clients, frontend, decider, phase).await;
     shutdown::finish(decisions, disk).await?;
-    log::info!(router = name.as_str(); "router ended");
+    log::info!(router = name.as_str(); "ended");
     Ok(())
 }
 
