--- a/Makefile
+++ b/Makefile
@@ -29,7 +29,7 @@
 
 # Mutants of the rules' code, of recovery and of what mates tell; needs cargo-mutants (cargo install cargo-mutants --locked).
 # Minutes, so outside CI; what is left alive stands in docs/testing.md.
-RULES = (send|validate_\w+|accepts_new_work|is_safe_to_retry|admits\w*|finish|may_reject|max_age|last_purge|record|close|left|result|purged|told)\b
+RULES = (send|validate_\w+|accepts_new_work|is_safe_to_retry|admits\w*|finish|may_reject|max_age|last_purge|record|close|client_left|attempt_ended|record_purge|record_peer_finding)\b
 RULE_FILES = $(foreach module,router lifecycle dispatch retry purge slow_start,-f src/$(module).rs)
 JOBS ?= 4
 mutants:
--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -7,7 +7,7 @@
 //! count-min sketch (Cormode and Muthukrishnan, "An improved data stream summary", 2005), where colliding
 //! names are counted as one: a new tenant amid a flood of new names is rejected with them, a known one is not.
 
-use chalkhall::interface::Arrival;
+use chalkhall::interface::IncomingRequest;
 use lru::LruCache;
 use std::num::NonZeroUsize;
 use std::time::Duration;
@@ -55,7 +55,7 @@
 
 /// The key of a request's tenant: its customer where the settings name customers, else its group of objects,
 /// whose clients are then limited together.
-pub fn tenant(arrival: &Arrival, by_customer: bool) -> [u8; 8] {
+pub fn tenant(arrival: &IncomingRequest, by_customer: bool) -> [u8; 8] {
     if by_customer {
         (arrival.customer as u64).to_le_bytes()
     } else {
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -5,7 +5,7 @@
 //! name-based mappings to increase hit rates", 1998). Shuffle sharding: each cell draws K of N servers, and the
 //! overlap of any two cells is bounded (AWS Builders' Library, "Workload isolation using shuffle-sharding").
 
-use chalkhall::interface::{Arrival, Id};
+use chalkhall::interface::{Id, IncomingRequest};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
 
 impl What {
     /// Whether a request is in this scope.
-    pub fn covers(&self, arrival: &Arrival) -> bool {
+    pub fn covers(&self, arrival: &IncomingRequest) -> bool {
         match self {
             What::Prefix(prefix) => arrival.object.starts_with(prefix.as_str()),
             What::Groups(range) => range.contains(&arrival.group),
@@ -202,7 +202,7 @@
     }
 
     /// The cell of a request: by the binding of its object, group, customer or class, in this order.
-    pub fn cell_of(&self, arrival: &Arrival) -> Option<Cell> {
+    pub fn cell_of(&self, arrival: &IncomingRequest) -> Option<Cell> {
         let by_object = self
             .prefixes
             .iter()
--- a/crates/cells/src/map/tests.rs
+++ b/crates/cells/src/map/tests.rs
@@ -40,12 +40,12 @@
     })
     .unwrap();
     let cell = |object: &str, group, customer, class| {
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             object: object.into(),
             group,
             customer,
             class,
-            ..Arrival::default()
+            ..IncomingRequest::default()
         };
         map.cell_of(&arrival)
             .map(|cell| map.name(cell).to_owned())
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -7,7 +7,7 @@
 //! attempt is sent. A request keeps the cell that it was assigned on arrival for all its attempts.
 
 use crate::map::Cell;
-use chalkhall::control::Judged;
+use chalkhall::control::ServerHealth;
 use chalkhall::interface::{Outcome, Remark};
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     hits: f64,
     /// Hit rate at the old cell; `None` before its first served request.
     old_hit_rate: Option<f64>,
-    detector: Judged,
+    detector: ServerHealth,
     settled_at: Duration,
     /// Time after which all requests in flight at the old cell have ended.
     settling_time: Duration,
@@ -59,7 +59,7 @@
     /// `settling_time`: the longest lifetime of a request or of its deduplication state.
     pub fn new(from: Cell, to: Cell, settling_time: Duration) -> Move {
         let (state, share, paused) = (State::Prepared, 0.0, false);
-        let (samples, hits, old_hit_rate, detector) = (0.0, 0.0, None, Judged::default());
+        let (samples, hits, old_hit_rate, detector) = (0.0, 0.0, None, ServerHealth::default());
         Move {
             from,
             to,
@@ -124,7 +124,7 @@
     fn enter(&mut self, state: State, share: f64) {
         (self.state, self.share, self.samples, self.hits) = (state, share, 0.0, 0.0);
         if matches!(state, State::Prepared | State::RolledBack) {
-            self.detector = Judged::default();
+            self.detector = ServerHealth::default();
         }
     }
 
@@ -170,8 +170,8 @@
             return;
         }
         // A failing new cell rolls the move back, by the same outlier detection as for a server.
-        self.detector.judge(now, !served, 1.0);
-        if self.detector.is_aside() {
+        self.detector.record_outcome(now, !served, 1.0);
+        if self.detector.is_ejected() {
             return self.enter(RolledBack, 0.0);
         }
         if !served || self.paused || self.state == Settling {
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -222,7 +222,7 @@
     failed: bool,
 }
 
-impl Outlet for Environment {
+impl ActionSink for Environment {
     fn attempt(&mut self, _request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         let is_local = server.starts_with('m');
         let found = is_local.then(|| {
@@ -244,18 +244,18 @@
             .push_back((self.attempts, outcome, remark));
         self.attempts += 1;
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {
         self.failed = true;
     }
     fn fail(&mut self, _request: &Id) {
         self.failed = true;
     }
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.push((at, mark));
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.timers.push((at, timer_id));
     }
-    fn watch_list(&mut self) {}
-    fn held(&mut self, _request: &Id) -> Option<Held> {
+    fn subscribe_list(&mut self) {}
+    fn local_copy(&mut self, _request: &Id) -> Option<LocalCopy> {
         let object = object_name(self.request.object);
         let part = Part {
             object: object.as_bytes(),
@@ -269,13 +269,13 @@
         } else {
             "m2"
         };
-        Some(Held {
-            place: place.into(),
-            made: self.driver.now - age,
-            same: false,
+        Some(LocalCopy {
+            cache: place.into(),
+            created_at: self.driver.now - age,
+            client_has_it: false,
         })
     }
-    fn keep(&mut self, _request: &Id, rank: u8) {
+    fn keep_local_copy(&mut self, _request: &Id, rank: u8) {
         if self.hit {
             let object = object_name(self.request.object);
             self.driver.store.rank(
@@ -296,7 +296,7 @@
 /// A cache server, a parent, the origin, and the local cache's memory tier (`m1`) and disk tier (`m2`).
 pub fn members() -> Vec<Member> {
     let member = |(server, tier): (&str, Tier)| {
-        let capacity = if tier == Tier::Own {
+        let capacity = if tier == Tier::Local {
             f64::INFINITY
         } else {
             8.0
@@ -308,7 +308,7 @@
             ..Member::default()
         }
     };
-    let local = [("m1", Tier::Own), ("m2", Tier::Own)];
+    let local = [("m1", Tier::Local), ("m2", Tier::Local)];
     [
         ("c1", Tier::Cache),
         ("p1", Tier::Parent),
@@ -321,18 +321,18 @@
 }
 
 pub fn deployment() -> Deployment {
-    let cold = ColdStart::default();
+    let cold = SlowStartSettings::default();
     Deployment {
-        number: 0,
+        router_index: 0,
         seed: 1,
         routers: 1,
         zone: 0,
-        routers_at: vec![1],
-        hub_of: vec![0],
+        routers_per_zone: vec![1],
+        hub_by_zone: vec![0],
         classes: vec![Class {
-            window: Duration::from_secs(2),
+            dedup_window: Duration::from_secs(2),
             soft_deadline: Duration::from_secs(2),
-            soft_stretch: 2.0,
+            soft_deadline_multiple: 2.0,
             deadline: Duration::from_secs(5),
             value: 1.0,
             late_value: 0.2,
@@ -340,7 +340,7 @@
             in_parts: true,
             ..Class::default()
         }],
-        tick: Duration::from_millis(2),
+        min_call_interval: Duration::from_millis(2),
         client_kb_per_s: 10_000.0,
         max_attempts: 8,
         may_cancel: true,
@@ -374,9 +374,9 @@
         failed: false,
     };
     let mut router = Router::start(environment.driver.now, &deployment(), &mut environment);
-    router.list(
+    router.update_list(
         environment.driver.now,
-        ListKind::Whole,
+        ListKind::Snapshot,
         &members(),
         &mut environment,
     );
@@ -398,30 +398,30 @@
             environment.failed,
         ) = (*request, 0, false, false);
         let id: Id = n.to_string().into();
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id: id.clone(),
             object: object_name(request.object).into(),
             part: request.part,
             kb: request.bytes as f64 / 1000.0,
-            left: Duration::from_secs(5),
-            ..Arrival::default()
+            time_left: Duration::from_secs(5),
+            ..IncomingRequest::default()
         };
         router.request(now, arrival, &mut environment);
         while let Some((attempt, outcome, remark)) = environment.finished_attempts.pop_front() {
             // The cost of a fill differs by object, from near sources to far ones.
             let wait = Duration::from_secs_f64(0.01 + 0.05 * random_share(request.object, 4));
             let first_byte = (remark == Remark::Filled).then_some(wait);
-            let over = outcome == Outcome::Served;
-            let took = Duration::from_millis(1);
-            let ended = Ended {
+            let is_complete = outcome == Outcome::Served;
+            let duration = Duration::from_millis(1);
+            let ended = AttemptResult {
                 outcome,
                 remark,
-                took,
+                duration,
                 first_byte,
-                over,
+                is_complete,
                 load: Load::default(),
             };
-            router.result(now, &id, attempt, &ended, &mut environment);
+            router.attempt_ended(now, &id, attempt, &ended, &mut environment);
         }
         assert!(!environment.failed, "a request was rejected or failed");
         // All timers belong to requests that have ended, so that they have no effect.
--- a/crates/cli/src/bin/proof-store/timings.rs
+++ b/crates/cli/src/bin/proof-store/timings.rs
@@ -207,7 +207,7 @@
         };
         let now = runner.rig.now();
         let mut router = Router::start(now, &day::deployment(), &mut runner);
-        router.list(now, ListKind::Whole, &day::members(), &mut runner);
+        router.update_list(now, ListKind::Snapshot, &day::members(), &mut runner);
         runner.router = Some(router);
         runner
     }
@@ -216,14 +216,14 @@
     fn request(&mut self, n: u64, piece: Piece, name: &Bytes) -> Result<Duration, String> {
         let id: Id = n.to_string().into();
         let object = std::str::from_utf8(name).map_err(|e| e.to_string())?;
-        let (kb, left) = (2.0, Duration::from_secs(5));
-        let arrival = Arrival {
+        let (kb, time_left) = (2.0, Duration::from_secs(5));
+        let arrival = IncomingRequest {
             id: id.clone(),
             object: object.into(),
             part: piece.part,
             kb,
-            left,
-            ..Arrival::default()
+            time_left,
+            ..IncomingRequest::default()
         };
         (self.name, self.answer) = (name.clone(), None);
         let mut router = self
@@ -233,39 +233,39 @@
         let begun = Instant::now();
         let now = self.rig.now();
         router.request(now, arrival, self);
-        let (outcome, remark, over) = (Outcome::Served, Remark::Hit, true);
-        let (took, load) = (Duration::ZERO, Load::default());
-        router.result(
+        let (outcome, remark, is_complete) = (Outcome::Served, Remark::Hit, true);
+        let (duration, load) = (Duration::ZERO, Load::default());
+        router.attempt_ended(
             now,
             &id,
             0,
-            &Ended {
+            &AttemptResult {
                 outcome,
                 remark,
-                took,
+                duration,
                 first_byte: None,
-                over,
+                is_complete,
                 load,
             },
             self,
         );
-        let took = begun.elapsed();
+        let duration = begun.elapsed();
         // Its timers fire after it has ended, outside of the measured duration.
         let timers = std::mem::take(&mut self.timers);
         timers
             .into_iter()
-            .for_each(|mark| router.wake(now, mark, self));
+            .for_each(|timer_id| router.wake(now, timer_id, self));
         self.router = Some(router);
         std::hint::black_box(
             self.answer
                 .take()
                 .ok_or("a request was not answered from memory")?,
         );
-        Ok(took)
+        Ok(duration)
     }
 }
 
-impl Outlet for RequestRunner {
+impl ActionSink for RequestRunner {
     fn attempt(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
         let now = self.rig.now();
         let part = Part {
@@ -275,14 +275,14 @@
         };
         self.answer = self.rig.store.take(now, part);
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, _at: Duration, mark: u64) {
-        self.timers.push(mark);
+    fn set_timer(&mut self, _at: Duration, timer_id: u64) {
+        self.timers.push(timer_id);
     }
-    fn watch_list(&mut self) {}
-    fn held(&mut self, _request: &Id) -> Option<Held> {
+    fn subscribe_list(&mut self) {}
+    fn local_copy(&mut self, _request: &Id) -> Option<LocalCopy> {
         let part = Part {
             object: &self.name,
             part: 0,
@@ -290,14 +290,14 @@
         };
         let found = self.rig.store.find(part, None)?;
         // Nothing expires in this deployment, so the age does not matter.
-        Some(Held {
-            place: "m1".into(),
-            made: Duration::ZERO,
-            same: false,
+        Some(LocalCopy {
+            cache: "m1".into(),
+            created_at: Duration::ZERO,
+            client_has_it: false,
         })
         .filter(|_| found.place == Place::Memory)
     }
-    fn keep(&mut self, _request: &Id, rank: u8) {
+    fn keep_local_copy(&mut self, _request: &Id, rank: u8) {
         let name = self.name.clone();
         self.rig.store.rank(
             Part {
--- a/crates/gossip/src/peer_exchange.rs
+++ b/crates/gossip/src/peer_exchange.rs
@@ -58,13 +58,13 @@
 
 impl WeightReceiver for Router {
     fn set_weight(&mut self, cache: &Id, log_factor: f64) {
-        Router::lean(self, cache, log_factor);
+        Router::adjust_weight(self, cache, log_factor);
     }
 }
 
 impl HintReceiver for Router {
     fn receive_finding(&mut self, now: Duration, part: u32, cache: Id) {
-        self.told(now, part, cache);
+        self.record_peer_finding(now, part, cache);
     }
 }
 
--- a/crates/gossip/tests/stand_ins/mod.rs
+++ b/crates/gossip/tests/stand_ins/mod.rs
@@ -94,12 +94,12 @@
     found: Vec<(u32, Id)>,
 }
 
-impl Outlet for Commands {
+impl ActionSink for Commands {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
         self.attempts
             .push((request.clone(), server.clone(), fill.clone()));
     }
-    fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
+    fn reject(&mut self, request: &Id, _retry_after: Option<Duration>) {
         self.answers.push((request.clone(), true));
     }
     fn fail(&mut self, request: &Id) {
@@ -108,11 +108,11 @@
     fn cancel(&mut self, request: &Id, attempt: usize) {
         self.cancels.push((request.clone(), attempt));
     }
-    fn wake_at(&mut self, at: Duration, timer: u64) {
-        self.wakes.push((at, timer));
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.wakes.push((at, timer_id));
     }
-    fn watch_list(&mut self) {}
-    fn found(&mut self, part: u32, cache: &Id) {
+    fn subscribe_list(&mut self) {}
+    fn holder_found(&mut self, part: u32, cache: &Id) {
         self.found.push((part, cache.clone()));
     }
 }
@@ -128,7 +128,7 @@
 
 /// A request that a running router has accepted: its arrival, its soft deadline and its attempts.
 struct OpenRequest {
-    arrival: Arrival,
+    arrival: IncomingRequest,
     key: u64,
     soft: Duration,
     open: bool,
@@ -157,16 +157,16 @@
 }
 
 fn deployment(number: usize, seed: u64) -> Deployment {
-    let cold = ColdStart {
-        from: 0.3,
-        warm_within: ms(10_000),
-        multiple: 2.0,
-        span: ms(1000),
+    let cold = SlowStartSettings {
+        initial_capacity: 0.3,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.0,
+        window: ms(1000),
     };
     let page = Class {
-        window: ms(2000),
+        dedup_window: ms(2000),
         soft_deadline: ms(500),
-        soft_stretch: 2.0,
+        soft_deadline_multiple: 2.0,
         deadline: ms(3000),
         value: 1.0,
         late_value: 0.2,
@@ -175,17 +175,17 @@
         ..Class::default()
     };
     Deployment {
-        number: number as u64,
+        router_index: number as u64,
         seed,
         routers: ROUTERS,
         zone: number / ROUTERS_HERE,
-        routers_at: vec![ROUTERS_HERE; ZONES],
+        routers_per_zone: vec![ROUTERS_HERE; ZONES],
         classes: vec![page],
-        tick: ms(1),
+        min_call_interval: ms(1),
         client_kb_per_s: 5000.0,
         max_attempts: 6,
         may_cancel: true,
-        longest_advice: Some(ms(500)),
+        max_retry_after: Some(ms(500)),
         cold_cache: cold,
         cold_parent: cold,
         drain_grace: ms(500),
@@ -289,7 +289,7 @@
         let deployment = deployment(number, seed);
         let mut commands = Commands::default();
         let mut router = Router::start(self.now, &deployment, &mut commands);
-        router.list(self.now, ListKind::Whole, &self.list, &mut commands);
+        router.update_list(self.now, ListKind::Snapshot, &self.list, &mut commands);
         let (routers, zone, own_number) = (ROUTERS, deployment.zone, number as u64);
         let config = About {
             number: own_number,
@@ -398,7 +398,7 @@
                 .or_default() += 1;
             self.counts.fills += 1;
         }
-        let stored_key = (fill.rank > 0).then_some(key);
+        let stored_key = (fill.priority > 0).then_some(key);
         let incarnation = self.nodes[number].incarnation;
         let took = Duration::from_secs_f64(wait + work * slow);
         let is_silent = self.scenario.kills_routers
@@ -431,7 +431,7 @@
         attempt: usize,
         outcome: Outcome,
         remark: Remark,
-        took: Duration,
+        duration: Duration,
     ) {
         let Some(request) = self.nodes[number].open_requests.get_mut(id) else {
             return;
@@ -440,18 +440,18 @@
             self.counts.served_in_time += usize::from(self.now <= request.soft);
             self.counts.hits += usize::from(remark == Remark::Hit);
         }
-        let over = !request.open;
+        let is_complete = !request.open;
         let first_byte = Some(ms(10)).filter(|_| remark == Remark::Filled);
-        let ended = Ended {
+        let ended = AttemptResult {
             outcome,
             remark,
-            took,
+            duration,
             first_byte,
-            over,
+            is_complete,
             load: Load::default(),
         };
         self.call(number, |router, now, commands| {
-            router.result(now, id, attempt, &ended, commands)
+            router.attempt_ended(now, id, attempt, &ended, commands)
         });
     }
 
@@ -487,14 +487,14 @@
         let object: Id = format!("o{rank}-{local}").as_str().into();
         let kb = 400.0 + ((rank * 7919) % 17) as f64 * 120.0;
         let key = rank << 40 | local << 16 | part;
-        let left = ms(3000);
-        let arrival = Arrival {
+        let time_left = ms(3000);
+        let arrival = IncomingRequest {
             id: id.clone(),
             object,
             part,
             kb,
-            left,
-            ..Arrival::default()
+            time_left,
+            ..IncomingRequest::default()
         };
         let soft = self.now + ms(500) + Duration::from_secs_f64(2.0 * kb / 5000.0);
         let request = OpenRequest {
@@ -506,7 +506,7 @@
         };
         let incarnation = self.nodes[number].incarnation;
         self.nodes[number].open_requests.insert(id.clone(), request);
-        self.schedule(left, Event::Deadline(number, incarnation, id));
+        self.schedule(time_left, Event::Deadline(number, incarnation, id));
         self.call(number, |router, now, commands| {
             router.request(now, arrival, commands)
         });
--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -1,7 +1,7 @@
 //! Applies the cell map to the list of servers, assigns cells to requests, and enforces the limits
 //! of tenants at admission.
 
-use chalkhall::interface::{Arrival, Id, Member, Outcome, Remark, Standing, Tier};
+use chalkhall::interface::{Id, IncomingRequest, Member, Outcome, Remark, ServerState, Tier};
 use chalkhall_cells::limits::{Allowed, Tenants, Verdict, tenant};
 use chalkhall_cells::map::{Cell, Map, Members, Told, What};
 use chalkhall_cells::moves::Move;
@@ -257,7 +257,7 @@
         let is_changed = |member: &&Member| is_snapshot || changed.contains(&member.server);
         let updated = self.members.values().filter(is_changed).cloned().collect();
         self.members
-            .retain(|_, member| member.standing != Standing::Gone);
+            .retain(|_, member| member.standing != ServerState::Removed);
         updated
     }
 
@@ -266,7 +266,7 @@
         let is_assigned = |member: &&Member| {
             member.tier == Tier::Cache
                 && member.zone == self.zone
-                && member.standing != Standing::Gone
+                && member.standing != ServerState::Removed
         };
         let assigned = self.members.values().filter(is_assigned);
         let servers = assigned.map(|member| member.server.clone()).collect();
@@ -292,7 +292,7 @@
     /// Informs the moves which cells have an active server.
     fn update_moves(&mut self, now: Duration) {
         let is_active =
-            |member: &&Member| member.tier == Tier::Cache && member.standing == Standing::Active;
+            |member: &&Member| member.tier == Tier::Cache && member.standing == ServerState::Active;
         let active = self.members.values().filter(is_active);
         let live_cells: BTreeSet<Cell> = active
             .flat_map(|member| member.cells.iter().copied())
@@ -310,7 +310,7 @@
     pub fn record_attempt(
         &mut self,
         now: Duration,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         outcome: Outcome,
         remark: Remark,
     ) {
@@ -354,7 +354,7 @@
     pub fn assign_cell(
         &mut self,
         now: Duration,
-        arrival: &mut Arrival,
+        arrival: &mut IncomingRequest,
         is_non_idempotent: bool,
     ) -> Result<(), RetryAfter> {
         arrival.cell = self.map.cell_of(arrival);
@@ -369,14 +369,14 @@
             return Ok(());
         };
         let tenant = tenant(arrival, self.by_customer);
-        match tenants.request(now, &tenant, arrival.repeated) {
+        match tenants.request(now, &tenant, arrival.is_retry) {
             Verdict::Late(wait) => Err(RetryAfter(wait)),
             _ => Ok(()),
         }
     }
 
     /// Counts a request that was served towards its tenant's limit.
-    pub fn record_served(&mut self, now: Duration, arrival: &Arrival) {
+    pub fn record_served(&mut self, now: Duration, arrival: &IncomingRequest) {
         if let Some(tenants) = &mut self.tenants {
             let tenant = tenant(arrival, self.by_customer);
             tenants.served(now, &tenant);
--- a/crates/router/src/client_connection/admission.rs
+++ b/crates/router/src/client_connection/admission.rs
@@ -71,7 +71,7 @@
         received_after: Duration,
     ) -> Result<(), CloseReason> {
         let ParsedRequest { arrival, forwarded } = request;
-        let deadline = received_after + arrival.left;
+        let deadline = received_after + arrival.time_left;
         let deadline = self.connection.frontend.clock.instant(deadline);
         self.write_buffer.extend_deadline(deadline);
         let client = self.reserve_reply().await?;
--- a/crates/router/src/client_connection/requests.rs
+++ b/crates/router/src/client_connection/requests.rs
@@ -4,7 +4,7 @@
 use crate::client_protocol::{fields, number};
 use crate::server_protocol::ForwardedFields;
 use bytes::Bytes;
-use chalkhall::interface::{Arrival, Id};
+use chalkhall::interface::{Id, IncomingRequest};
 use std::time::Duration;
 use thiserror::Error;
 
@@ -86,7 +86,7 @@
 
 /// A valid request.
 pub(super) struct ParsedRequest {
-    pub(super) arrival: Arrival,
+    pub(super) arrival: IncomingRequest,
     pub(super) forwarded: ForwardedFields,
 }
 
@@ -100,9 +100,9 @@
         frontend: &ClientFrontend,
     ) -> Result<ParsedRequest, RequestError> {
         let mut request = ParsedRequest {
-            arrival: Arrival {
+            arrival: IncomingRequest {
                 class: frontend.class_index(&message.class)?,
-                ..Arrival::default()
+                ..IncomingRequest::default()
             },
             forwarded: ForwardedFields {
                 class: message.class,
@@ -120,7 +120,7 @@
             request.set_field(name, value, frontend)?;
         }
         let arrival = &request.arrival;
-        if arrival.id.is_empty() || arrival.object.is_empty() || arrival.left.is_zero() {
+        if arrival.id.is_empty() || arrival.object.is_empty() || arrival.time_left.is_zero() {
             return Err(RequestError::MissingField);
         }
         Ok(request)
@@ -136,11 +136,11 @@
         match name {
             b"i" => (arrival.id, forwarded.id) = (parse_id(&value)?, value),
             b"o" => (arrival.object, forwarded.object) = (parse_id(&value)?, value),
-            b"d" => arrival.left = parse_deadline(&value)?,
+            b"d" => arrival.time_left = parse_deadline(&value)?,
             b"piece" => (arrival.part, forwarded.part) = (parse_number(&value)?, value),
             b"lot" => arrival.group = parse_group(&value)?,
             b"t" => arrival.customer = frontend.tenant_index(&value)?,
-            b"r" => arrival.repeated = &value[..] == b"1",
+            b"r" => arrival.is_retry = &value[..] == b"1",
             b"m" => arrival.kb = parse_kb(&value, frontend.max_kb())?,
             b"ver" => forwarded.have = Some(value).filter(|etag| parse_id(etag).is_ok()),
             b"k" => forwarded.idempotency_key = Some(parse_idempotency_key(value)?),
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -136,7 +136,7 @@
             unlisted_local_members: local_members.unwrap_or_default(),
             cell_routing,
             zone_failover,
-            slow_start_window: deployment.cold_cache.warm_within,
+            slow_start_window: deployment.cold_cache.warm_up_time,
             is_non_idempotent_class: classes.clone().map(is_non_idempotent).collect(),
             max_body_bytes: limits.memory as f64 / 2.0,
             limits,
@@ -145,7 +145,7 @@
                 .map(|class| class.deadline)
                 .max()
                 .unwrap_or_default(),
-            max_retry_after: deployment.longest_advice,
+            max_retry_after: deployment.max_retry_after,
             is_gossip_list_stale: false,
             protocol_errors: RateLimitedLog::default(),
         }
@@ -153,7 +153,7 @@
 
     /// The time after which a rejected client is told to retry.
     pub fn retry_after(&self) -> Option<Duration> {
-        self.router.advice
+        self.router.retry_after
     }
 }
 
--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -4,7 +4,7 @@
 use super::requests::{PendingRequest, Requester};
 use crate::cell_routing::RetryAfter;
 use crate::messages::{ClientReply, FinalAnswer, NewRequest};
-use chalkhall::interface::Arrival;
+use chalkhall::interface::IncomingRequest;
 use std::time::Duration;
 
 impl Decider {
@@ -42,17 +42,21 @@
     ///
     /// # Errors
     /// The final answer if the request is refused.
-    fn admit(&mut self, arrival: &mut Arrival, waited: Duration) -> Result<(), FinalAnswer> {
+    fn admit(
+        &mut self,
+        arrival: &mut IncomingRequest,
+        waited: Duration,
+    ) -> Result<(), FinalAnswer> {
         if self.dispatcher.requests.contains(&arrival.id) {
             self.protocol_errors
                 .log("request refused: its id is in use by an open request");
             return Err(FinalAnswer::Failed);
         }
-        let rejected = FinalAnswer::Rejected(self.router.advice);
+        let rejected = FinalAnswer::Rejected(self.router.retry_after);
         if !self.has_capacity() {
             return Err(rejected);
         }
-        arrival.left = arrival.left.saturating_sub(waited);
+        arrival.time_left = arrival.time_left.saturating_sub(waited);
         let now = self.dispatcher.now;
         let is_non_idempotent = self.is_non_idempotent(arrival);
         if let Some(cells) = &mut self.cell_routing
@@ -82,7 +86,7 @@
             && self.dispatcher.requests.len() < self.limits.open_requests
     }
 
-    fn is_non_idempotent(&self, arrival: &Arrival) -> bool {
+    fn is_non_idempotent(&self, arrival: &IncomingRequest) -> bool {
         self.is_non_idempotent_class.get(arrival.class) == Some(&true)
     }
 }
--- a/crates/router/src/decider/attempt_results.rs
+++ b/crates/router/src/decider/attempt_results.rs
@@ -20,12 +20,12 @@
         let Some(attempt) = self.dispatcher.close_attempt(&id, number) else {
             return;
         };
-        let mut result = interface::Ended {
+        let mut result = interface::AttemptResult {
             outcome,
             remark: Remark::None,
-            took: attempt.took,
+            duration: attempt.took,
             first_byte: None,
-            over: false,
+            is_complete: false,
             load: interface::Load::default(),
         };
         if let Some(answer) = answer {
@@ -35,11 +35,11 @@
             self.report_attempt(&id, &attempt, &result);
         }
         let request = self.dispatcher.requests.get(&id);
-        result.over = request.is_some_and(|request| request.is_resolved());
+        result.is_complete = request.is_some_and(|request| request.is_resolved());
         self.dispatcher.maybe_finished.push(id.clone());
         let now = self.dispatcher.now;
         self.router
-            .result(now, &id, number, &result, &mut self.dispatcher);
+            .attempt_ended(now, &id, number, &result, &mut self.dispatcher);
         self.dispatcher.served_answer = None;
     }
 
@@ -49,7 +49,7 @@
         id: &Id,
         attempt: &ClosedAttempt,
         mut answer: Box<Answer>,
-        result: &mut interface::Ended,
+        result: &mut interface::AttemptResult,
     ) {
         if let (true, Some(local_cache)) = (attempt.is_at_server, &mut self.dispatcher.local_cache)
         {
@@ -97,7 +97,12 @@
     }
 
     /// Reports the result of an attempt at a listed server to cell routing and zone failover.
-    fn report_attempt(&mut self, id: &Id, attempt: &ClosedAttempt, result: &interface::Ended) {
+    fn report_attempt(
+        &mut self,
+        id: &Id,
+        attempt: &ClosedAttempt,
+        result: &interface::AttemptResult,
+    ) {
         let now = self.dispatcher.now;
         let Some(request) = self.dispatcher.requests.get(id) else {
             return;
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -6,7 +6,7 @@
 use crate::cell_routing::CellPlan;
 use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
 use crate::local_cache::LocalCache;
-use chalkhall::interface::{Id, ListKind, Member, Standing};
+use chalkhall::interface::{Id, ListKind, Member, ServerState};
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
         };
         log::info!(epoch = epoch, moved = moved.len(); "cells: map replaced");
         self.router
-            .list(now, ListKind::Changes, &moved, &mut self.dispatcher);
+            .update_list(now, ListKind::Changes, &moved, &mut self.dispatcher);
     }
 
     fn purge(&mut self, now: Duration, object: Option<Id>, group: u64, unix_ms: u64) {
@@ -53,7 +53,7 @@
         if let Some(local_cache) = &mut self.dispatcher.local_cache {
             local_cache.purge(object.as_ref(), group, unix_ms);
         }
-        self.router.purged(now, object, group, age);
+        self.router.record_purge(now, object, group, age);
     }
 
     fn update_list(&mut self, now: Duration, is_snapshot: bool, listed: Vec<DiscoveredServer>) {
@@ -64,11 +64,12 @@
         }
         members.append(&mut self.unlisted_local_members);
         let kind = if is_snapshot {
-            ListKind::Whole
+            ListKind::Snapshot
         } else {
             ListKind::Changes
         };
-        self.router.list(now, kind, &members, &mut self.dispatcher);
+        self.router
+            .update_list(now, kind, &members, &mut self.dispatcher);
         self.is_gossip_list_stale = true;
         if is_snapshot {
             self.refresh_gossip_members();
@@ -86,7 +87,7 @@
         let share = self.limits.sockets / 3 / (2 * server_count);
         let max_connections = share.clamp(1, MAX_CONNECTIONS_PER_SERVER);
         for DiscoveredServer { member, address } in listed {
-            if member.standing == Standing::Gone {
+            if member.standing == ServerState::Removed {
                 servers.remove(&member.server);
                 continue;
             }
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -10,7 +10,7 @@
 };
 use crate::rate_limited_log::RateLimitedLog;
 use crate::server_protocol::Answer;
-use chalkhall::interface::{Fill, Held, Id, Outcome, Outlet};
+use chalkhall::interface::{ActionSink, Fill, Id, LocalCopy, Outcome};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
@@ -185,7 +185,7 @@
     }
 }
 
-impl Outlet for Dispatcher {
+impl ActionSink for Dispatcher {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         if self.attempt_at_local_cache(request, server) {
             return;
@@ -254,27 +254,27 @@
         }
     }
 
-    fn wake_at(&mut self, at: Duration, timer: u64) {
-        self.timers.push(Reverse((at, timer)));
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.timers.push(Reverse((at, timer_id)));
     }
 
-    fn watch_list(&mut self) {
+    fn subscribe_list(&mut self) {
         // Not needed: discovery sends the list to every router.
     }
 
-    fn held(&mut self, request: &Id) -> Option<Held> {
+    fn local_copy(&mut self, request: &Id) -> Option<LocalCopy> {
         let pending = self.requests.get(request)?;
         let local_cache = self.local_cache.as_mut()?;
         local_cache.lookup(&pending.arrival, pending.forwarded.have.as_ref())
     }
 
-    fn found(&mut self, part: u32, cache: &Id) {
+    fn holder_found(&mut self, part: u32, cache: &Id) {
         if let Some(gossip) = &mut self.gossip {
             gossip.talk.found(part, cache);
         }
     }
 
-    fn keep(&mut self, request: &Id, retention_priority: u8) {
+    fn keep_local_copy(&mut self, request: &Id, retention_priority: u8) {
         let (Some(local_cache), Some(pending)) =
             (&mut self.local_cache, self.requests.get(request))
         else {
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -123,7 +123,7 @@
                 if self.dispatcher.requests.abandon(&id, tag, &client) {
                     self.dispatcher.maybe_finished.push(id.clone());
                     let now = self.dispatcher.now;
-                    self.router.left(now, &id, &mut self.dispatcher);
+                    self.router.client_left(now, &id, &mut self.dispatcher);
                 }
             }
             Message::Written(bytes) => self.dispatcher.release_written(bytes),
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{CancellationFlag, ClientReply, ServerCommand};
 use crate::server_protocol::ForwardedFields;
-use chalkhall::interface::{Arrival, Id};
+use chalkhall::interface::{Id, IncomingRequest};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -21,7 +21,7 @@
     pub(super) requester: Option<Requester>,
     pub(super) tag: u64,
     pub(super) cancellation: CancellationFlag,
-    pub(super) arrival: Arrival,
+    pub(super) arrival: IncomingRequest,
     pub(super) forwarded: ForwardedFields,
     pub(super) is_non_idempotent: bool,
     pub(super) received_at: Duration,
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -52,12 +52,12 @@
     );
     let fill = Fill {
         source: server.clone(),
-        rank: 0,
-        oldest: None,
-        join: false,
+        priority: 0,
+        max_age: None,
+        may_join: false,
         only_held: false,
         parent_keeps: true,
-        renew: false,
+        revalidate: false,
     };
     ServerCommand::Send(Box::new(AttemptRequest {
         attempt,
--- a/crates/router/src/decider/shutdown.rs
+++ b/crates/router/src/decider/shutdown.rs
@@ -43,7 +43,7 @@
             new.client.send(ClientReply {
                 tag: new.tag,
                 id: new.arrival.id,
-                last: FinalAnswer::Rejected(self.router.advice),
+                last: FinalAnswer::Rejected(self.router.retry_after),
             });
         }
     }
@@ -53,7 +53,7 @@
         for id in self.dispatcher.requests.ids() {
             if self.dispatcher.reply(&id, FinalAnswer::Failed) {
                 let now = self.dispatcher.now;
-                self.router.left(now, &id, &mut self.dispatcher);
+                self.router.client_left(now, &id, &mut self.dispatcher);
             }
         }
     }
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -6,7 +6,7 @@
 use crate::local_cache::{LocalCache, Revalidation};
 use crate::messages::{AttemptEnded, CancellationFlag};
 use crate::zone_failover::ZoneFailover;
-use chalkhall::interface::{Member, Standing};
+use chalkhall::interface::{Member, ServerState};
 use chalkhall_gossip::Talk;
 use chalkhall_store::threads::End;
 use std::time::Duration;
@@ -102,7 +102,7 @@
         let now = self.dispatcher.now;
         let is_warm = |started: Duration| now >= started + self.slow_start_window;
         let is_balanced = |member: &&Member| {
-            member.standing == Standing::Active && member.started.is_none_or(is_warm)
+            member.standing == ServerState::Active && member.started.is_none_or(is_warm)
         };
         let balanced = self.router.caches().filter(is_balanced);
         talk.even(balanced.map(|member| (member.server.clone(), member.capacity)));
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -7,7 +7,7 @@
     AttemptRequest, CancellationFlag, ClientReply, FinalAnswer, NewRequest, ServerCommand,
 };
 use crate::server_protocol::ForwardedFields;
-use chalkhall::interface::{Arrival, Fill, Id};
+use chalkhall::interface::{Fill, Id, IncomingRequest};
 
 fn start_decider(phase: Phase) -> (Decider, mpsc::Sender<Message>, watch::Receiver<Phase>) {
     let (phase, phase_receiver) = watch::channel(phase);
@@ -22,7 +22,7 @@
     };
     let deployment = Deployment {
         classes: vec![Default::default()],
-        longest_advice: Some(Duration::from_millis(90)),
+        max_retry_after: Some(Duration::from_millis(90)),
         ..Deployment::default()
     };
     let subsystems = Subsystems {
@@ -48,13 +48,13 @@
 
 fn new_request(tag: u64, client: &mpsc::Sender<ClientReply>) -> NewRequest {
     let id: Id = format!("{tag:016x}").as_str().into();
-    let left = Duration::from_secs(4);
-    let arrival = Arrival {
+    let time_left = Duration::from_secs(4);
+    let arrival = IncomingRequest {
         id: id.clone(),
         object: id,
-        left,
+        time_left,
         kb: 1.0,
-        ..Arrival::default()
+        ..IncomingRequest::default()
     };
     let client = client.clone().try_reserve_owned().unwrap();
     NewRequest {
@@ -72,12 +72,12 @@
     let expires_at = tokio::time::Instant::now() + Duration::from_secs(5);
     let fill = Fill {
         source: server.clone(),
-        rank: 0,
-        oldest: None,
-        join: false,
+        priority: 0,
+        max_age: None,
+        may_join: false,
         only_held: false,
         parent_keeps: true,
-        renew: false,
+        revalidate: false,
     };
     AttemptRequest {
         attempt: attempt_id(server, 0),
--- a/crates/router/src/discovery_events.rs
+++ b/crates/router/src/discovery_events.rs
@@ -2,7 +2,7 @@
 
 use crate::cell_routing::CellPlan;
 use crate::clock::Clock;
-use chalkhall::interface::{Id, Member, Standing, Tier};
+use chalkhall::interface::{Id, Member, ServerState, Tier};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -169,11 +169,11 @@
     Ok(DiscoveredServer { member, address })
 }
 
-fn parse_health(health: &str) -> Result<Standing, EventError> {
+fn parse_health(health: &str) -> Result<ServerState, EventError> {
     match health {
-        "active" => Ok(Standing::Active),
-        "leaving" => Ok(Standing::Draining),
-        "left" => Ok(Standing::Gone),
+        "active" => Ok(ServerState::Active),
+        "leaving" => Ok(ServerState::Draining),
+        "left" => Ok(ServerState::Removed),
         other => Err(EventError::UnknownHealth(other.to_owned())),
     }
 }
--- a/crates/router/src/discovery_events/tests.rs
+++ b/crates/router/src/discovery_events/tests.rs
@@ -38,7 +38,7 @@
     let DiscoveredServer { member, address } = &servers[0];
     assert_eq!(
         (member.zone, member.tier, member.standing),
-        (1, Tier::Parent, Standing::Draining)
+        (1, Tier::Parent, ServerState::Draining)
     );
     assert_eq!(
         (member.started, address.port(), member.capacity),
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -12,7 +12,7 @@
 use crate::timestamps::CopyTimes;
 use bytes::Bytes;
 use chalkhall::interface::{
-    Arrival, Class, Held, Id, Load, Member, Outcome, Remark, Standing, Tier,
+    Class, Id, IncomingRequest, Load, LocalCopy, Member, Outcome, Remark, ServerState, Tier,
 };
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::{Disk, Fetched, Phase};
@@ -106,7 +106,7 @@
 /// A request of the local cache itself that checks whether a copy is still current.
 pub struct Revalidation {
     /// The request as the routing logic sees it.
-    pub arrival: Arrival,
+    pub arrival: IncomingRequest,
     /// The fields that are forwarded to the server.
     pub forwarded: ForwardedFields,
 }
@@ -120,8 +120,8 @@
             .take(1 + usize::from(self.store.disk().is_some()));
         let member = |server: &Id| Member {
             server: server.clone(),
-            tier: Tier::Own,
-            standing: Standing::Active,
+            tier: Tier::Local,
+            standing: ServerState::Active,
             capacity: self.link_capacity,
             ..Member::default()
         };
@@ -134,15 +134,19 @@
     }
 
     /// Looks up a copy to answer a request with. `client_etag` is the tag of the client's copy.
-    pub fn lookup(&mut self, arrival: &Arrival, client_etag: Option<&Bytes>) -> Option<Held> {
+    pub fn lookup(
+        &mut self,
+        arrival: &IncomingRequest,
+        client_etag: Option<&Bytes>,
+    ) -> Option<LocalCopy> {
         let found = self
             .store
             .find(part(arrival), client_etag.map(|tag| &tag[..]))?;
         let place = &self.tiers[usize::from(found.place == Place::Disk)];
-        Some(Held {
-            place: place.clone(),
-            made: self.clock.at_unix_ms(found.made),
-            same: found.same,
+        Some(LocalCopy {
+            cache: place.clone(),
+            created_at: self.clock.at_unix_ms(found.made),
+            client_has_it: found.same,
         })
     }
 
@@ -152,7 +156,7 @@
         &mut self,
         key: &AttemptId,
         server: &Id,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         client_etag: Option<&Bytes>,
     ) -> Option<AttemptResult> {
         let now = self.clock.now();
@@ -207,7 +211,7 @@
     pub fn read_result(
         &self,
         fetched: &Fetched,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         client_etag: Option<&Bytes>,
     ) -> AttemptResult {
         match fetched {
@@ -220,7 +224,7 @@
     fn answer(
         &self,
         copy: &Rc<Copy>,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         client_etag: Option<&Bytes>,
     ) -> AttemptResult {
         let age = self
@@ -265,7 +269,7 @@
 
     /// Stores a server's answer. An answer without a creation time is not stored, because its age
     /// would be unknown.
-    pub fn insert(&mut self, arrival: &Arrival, answer: &Answer, retention_priority: u8) {
+    pub fn insert(&mut self, arrival: &IncomingRequest, answer: &Answer, retention_priority: u8) {
         let Some(made) = answer.created_at_unix_ms.filter(|made| *made > 0) else {
             return;
         };
@@ -295,7 +299,7 @@
     }
 
     /// Sets the retention priority of a copy, which determines how early it is evicted.
-    pub fn set_retention_priority(&mut self, arrival: &Arrival, retention_priority: u8) {
+    pub fn set_retention_priority(&mut self, arrival: &IncomingRequest, retention_priority: u8) {
         self.store.rank(part(arrival), retention_priority);
     }
 
@@ -303,7 +307,7 @@
     /// is current.
     pub fn record_server_answer(
         &mut self,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         answer: &Answer,
         client_etag: Option<&Bytes>,
     ) {
@@ -414,7 +418,7 @@
                 .position(|named| named.name == copy.class)?;
             let object = std::str::from_utf8(&copy.object).ok()?;
             let id = format!("{:016x}", self.random.u64(..));
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 id: id.as_str().into(),
                 class,
                 customer: 0,
@@ -422,10 +426,10 @@
                 part: copy.part,
                 group: copy.group,
                 kb: copy.kb,
-                at: None,
+                zone: None,
                 cell: None,
-                left: self.classes[class].class.deadline,
-                repeated: true,
+                time_left: self.classes[class].class.deadline,
+                is_retry: true,
             };
             let forwarded = ForwardedFields {
                 id: id.into(),
@@ -453,7 +457,7 @@
     }
 }
 
-fn part(arrival: &Arrival) -> Part<'_> {
+fn part(arrival: &IncomingRequest) -> Part<'_> {
     Part {
         object: arrival.object.as_bytes(),
         part: arrival.part,
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -4,7 +4,7 @@
 use crate::operator_query::Query;
 use crate::server_protocol::{Answer, ForwardedFields};
 use bytes::Bytes;
-use chalkhall::interface::{Arrival, Fill, Id, Outcome};
+use chalkhall::interface::{Fill, Id, IncomingRequest, Outcome};
 use chalkhall_store::threads::End;
 use serde_json::Value;
 use std::cell::Cell;
@@ -39,7 +39,7 @@
 /// A request that was received on a client connection.
 pub struct NewRequest {
     /// The fields that decisions are based on.
-    pub arrival: Arrival,
+    pub arrival: IncomingRequest,
     /// The fields that are forwarded to a server unchanged.
     pub passed: ForwardedFields,
     /// The earliest time at which it may have arrived; it may have been unread since then.
--- a/crates/router/src/messages/fixtures.rs
+++ b/crates/router/src/messages/fixtures.rs
@@ -40,11 +40,11 @@
 fn no_fill() -> Fill {
     Fill {
         source: "s".into(),
-        rank: 0,
-        oldest: None,
-        join: false,
+        priority: 0,
+        max_age: None,
+        may_join: false,
         only_held: false,
         parent_keeps: true,
-        renew: false,
+        revalidate: false,
     }
 }
--- a/crates/router/src/server_connection/attempts/tests.rs
+++ b/crates/router/src/server_connection/attempts/tests.rs
@@ -160,7 +160,7 @@
     let ms = Duration::from_millis;
     let mut attempts = Attempts::default();
     let mut late = attempt_request("a", ms(1000), ms(800));
-    late.fill.oldest = Some(Duration::from_micros(50_900));
+    late.fill.max_age = Some(Duration::from_micros(50_900));
     attempts.handle(Instant::now(), send(late));
     tokio::time::advance(Duration::from_micros(300_500)).await;
     attempts.stage_next_write();
--- a/crates/router/src/server_protocol.rs
+++ b/crates/router/src/server_protocol.rs
@@ -82,10 +82,10 @@
     if *fill.source != *server {
         let _ = write!(line, ",{}={}", keywords::SOURCE, fill.source);
     }
-    if fill.rank > 0 {
-        let _ = write!(line, ",{}={}", keywords::RETENTION_PRIORITY, fill.rank);
+    if fill.priority > 0 {
+        let _ = write!(line, ",{}={}", keywords::RETENTION_PRIORITY, fill.priority);
     }
-    if let Some(max_age) = fill.oldest {
+    if let Some(max_age) = fill.max_age {
         // This is the age limit at the decision, although the server applies it when the line
         // arrives. A copy from before a purge is older by then than the time between purge and
         // decision, so the delay and the rounding can only exclude more copies than necessary.
@@ -100,10 +100,10 @@
         );
     }
     let flags = [
-        (fill.join, keywords::FLAG_COALESCE),
+        (fill.may_join, keywords::FLAG_COALESCE),
         (fill.only_held, keywords::FLAG_ONLY_IF_CACHED),
         (!fill.parent_keeps, keywords::FLAG_NO_STORE_AT_PARENT),
-        (fill.renew, keywords::FLAG_REFRESH),
+        (fill.revalidate, keywords::FLAG_REFRESH),
     ];
     let flags: Vec<_> = flags
         .into_iter()
@@ -292,9 +292,9 @@
         };
         let value = value.parse().ok().filter(|value: &f64| value.is_finite());
         match name {
-            keywords::LOAD_IN_FLIGHT | keywords::LOAD_IN_FLIGHT_SHORT => load.in_hand = value,
+            keywords::LOAD_IN_FLIGHT | keywords::LOAD_IN_FLIGHT_SHORT => load.in_service = value,
             keywords::LOAD_QUEUED | keywords::LOAD_QUEUED_SHORT => load.queued = value,
-            keywords::LOAD_UTILIZATION | keywords::LOAD_BUSY => load.busy = value,
+            keywords::LOAD_UTILIZATION | keywords::LOAD_BUSY => load.utilization = value,
             keywords::LOAD_HIT_RATIO => load.hit_share = value,
             keywords::LOAD_LINK => load.link = value,
             _ => {}
--- a/crates/router/src/server_protocol/keywords.rs
+++ b/crates/router/src/server_protocol/keywords.rs
@@ -67,7 +67,7 @@
         b"src_refused" => Remark::SourceRefused,
         b"src_broke" => Remark::SourceUnreached,
         b"src_lacks" => Remark::SourceLacks,
-        b"no_slot" => Remark::NoFillPlace,
+        b"no_slot" => Remark::NoFillCapacity,
         b"origin_failed" => Remark::OriginFailed,
         _ => Remark::None,
     }
--- a/crates/router/src/server_protocol/tests.rs
+++ b/crates/router/src/server_protocol/tests.rs
@@ -24,7 +24,7 @@
     );
     assert_eq!(expected[0].body, &b"x\r\ny\r\n"[..]);
     assert_eq!(
-        (expected[0].load.in_hand, expected[0].load.busy),
+        (expected[0].load.in_service, expected[0].load.utilization),
         (Some(7.0), Some(0.61))
     );
     assert_eq!(expected[1].outcome, Outcome::Missing);
@@ -73,12 +73,12 @@
     forwarded.part = bytes(b"3");
     let mut fill = Fill {
         source: "p1".into(),
-        rank: 2,
-        oldest: Some(Duration::from_micros(10)),
-        join: true,
+        priority: 2,
+        max_age: Some(Duration::from_micros(10)),
+        may_join: true,
         only_held: true,
         parent_keeps: false,
-        renew: true,
+        revalidate: true,
     };
     let limit = Duration::from_millis(1500);
     assert_eq!(
@@ -87,12 +87,12 @@
          flags=collapse+only-if-cached+no-store-up+refresh 0\r\n\r\n"
     );
     fill = Fill {
-        rank: 0,
-        oldest: None,
-        join: false,
+        priority: 0,
+        max_age: None,
+        may_join: false,
         only_held: false,
         parent_keeps: true,
-        renew: false,
+        revalidate: false,
         ..fill
     };
     (forwarded.have, forwarded.body) = (Some(bytes(b"4be0")), bytes(b"xy"));
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -233,7 +233,9 @@
 /// The longest time for which a request may be open or its repeats are recognised.
 fn max_request_lifetime(deployment: &Deployment) -> Duration {
     let classes = deployment.classes.iter();
-    let longest = classes.map(|class| class.deadline.max(class.window)).max();
+    let longest = classes
+        .map(|class| class.deadline.max(class.dedup_window))
+        .max();
     longest.unwrap_or_default()
 }
 
@@ -249,10 +251,10 @@
     let deployment = &configuration.deployment;
     let zone = deployment.zone;
     let about = About {
-        number: deployment.number,
+        number: deployment.router_index,
         routers: deployment.routers,
         zone,
-        routers_here: deployment.routers_at.get(zone).copied().unwrap_or(0),
+        routers_here: deployment.routers_per_zone.get(zone).copied().unwrap_or(0),
         seed: deployment.seed,
     };
     let mut talk = Talk::start(clock.now(), about)?;
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Clock;
 use crate::discovery_events::DiscoveryEvent;
-use chalkhall::interface::{Id, Member, Standing};
+use chalkhall::interface::{Id, Member, ServerState};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -102,7 +102,7 @@
     /// A start that was received before keeps its effective time: only a new timestamp is a new
     /// start.
     fn bound_start(&mut self, now: Duration, member: &mut Member) {
-        let is_listed = member.standing != Standing::Gone;
+        let is_listed = member.standing != ServerState::Removed;
         let Some(timestamp) = member.started else {
             self.starts.remove(&member.server);
             return;
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -15,8 +15,8 @@
     clock.unix_ms(clock.now())
 }
 
-fn list(clock: &Clock, whole: bool, entries: &[(&str, u64, Standing)]) -> DiscoveryEvent {
-    let member = |(name, timestamp, standing): &(&str, u64, Standing)| Member {
+fn list(clock: &Clock, whole: bool, entries: &[(&str, u64, ServerState)]) -> DiscoveryEvent {
+    let member = |(name, timestamp, standing): &(&str, u64, ServerState)| Member {
         server: (*name).into(),
         standing: *standing,
         started: (*timestamp > 0).then(|| clock.at_unix_ms(*timestamp)),
@@ -54,7 +54,7 @@
 }
 
 fn started(clock: &Clock, timestamp: u64) -> DiscoveryEvent {
-    list(clock, false, &[("c1", timestamp, Standing::Active)])
+    list(clock, false, &[("c1", timestamp, ServerState::Active)])
 }
 
 /// How many milliseconds ago a purge counts as issued.
@@ -143,9 +143,9 @@
     let repeated = started(&clock, timestamp);
     assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
     times.interrupted();
-    let repeated = list(&clock, true, &[("c1", timestamp, Standing::Active)]);
+    let repeated = list(&clock, true, &[("c1", timestamp, ServerState::Active)]);
     assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
-    let left = list(&clock, false, &[("c1", timestamp, Standing::Gone)]);
+    let left = list(&clock, false, &[("c1", timestamp, ServerState::Removed)]);
     assert_eq!(age_of_start(&clock, &mut times, left), Some(SECOND * 7));
     let repeated = started(&clock, timestamp);
     assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
@@ -211,12 +211,12 @@
         times.bound(&mut list(
             &clock,
             false,
-            &[(&name, timestamp, Standing::Active)],
+            &[(&name, timestamp, ServerState::Active)],
         ));
         times.bound(&mut list(
             &clock,
             false,
-            &[(&name, timestamp, Standing::Gone)],
+            &[(&name, timestamp, ServerState::Removed)],
         ));
     }
     assert!(times.starts.len() <= MAX_STARTS, "{}", times.starts.len());
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -7,7 +7,8 @@
 use crate::latency_probes::Probe;
 use chalkhall::control::Router;
 use chalkhall::interface::{
-    Arrival, Class, ColdStart, Deployment, Effect, Id, Member, Outcome, Remark, Standing, Tier,
+    Class, Deployment, Effect, Id, IncomingRequest, Member, Outcome, Remark, ServerState,
+    SlowStartSettings, Tier,
 };
 use chalkhall_config::Regions as Settings;
 use chalkhall_failover::{About, Place, Regions, Where};
@@ -55,7 +56,7 @@
     /// The index of this router's zone.
     zone: usize,
     router_number: u64,
-    slow_start: ColdStart,
+    slow_start: SlowStartSettings,
     pass_through: bool,
     client_kb_per_s: f64,
     classes: Vec<ClassPolicy>,
@@ -109,7 +110,7 @@
     deployment: &Deployment,
     zone_count: usize,
 ) -> Option<Regions> {
-    let number = u16::try_from(deployment.number);
+    let number = u16::try_from(deployment.router_index);
     let zone = u8::try_from(deployment.zone);
     let (Ok(number), Ok(zone)) = (number, zone) else {
         log::warn!(
@@ -190,7 +191,7 @@
             zone_names: names.to_vec(),
             region_of,
             zone: deployment.zone,
-            router_number: deployment.number,
+            router_number: deployment.router_index,
             slow_start: deployment.cold_cache,
             pass_through: deployment.pass_through,
             client_kb_per_s: deployment.client_kb_per_s.max(MIN_CLIENT_KB_PER_S),
@@ -235,7 +236,7 @@
         let mut capacities = vec![Place::default(); self.zone_names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
         let is_active =
-            |member: &&Member| member.tier == Tier::Cache && member.standing == Standing::Active;
+            |member: &&Member| member.tier == Tier::Cache && member.standing == ServerState::Active;
         for member in router.members().filter(is_active) {
             let Some(capacity) = capacities.get_mut(member.zone) else {
                 continue;
@@ -254,9 +255,9 @@
         let age = member
             .started
             .map(|at| now.saturating_sub(at).as_secs_f64());
-        let warm_within = self.slow_start.warm_within.as_secs_f64().max(1e-9);
+        let warm_within = self.slow_start.warm_up_time.as_secs_f64().max(1e-9);
         let warmth = age.map_or(1.0, |age| (age / warm_within).min(1.0));
-        let initial_share = self.slow_start.from;
+        let initial_share = self.slow_start.initial_capacity;
         zone.capacity += member.capacity;
         zone.present += member.capacity * (initial_share + (1.0 - initial_share) * warmth);
         zone.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
@@ -319,7 +320,11 @@
     ///
     /// # Errors
     /// No zone has capacity for it.
-    pub fn assign_zone(&mut self, now: Duration, arrival: &mut Arrival) -> Result<(), NoCapacity> {
+    pub fn assign_zone(
+        &mut self,
+        now: Duration,
+        arrival: &mut IncomingRequest,
+    ) -> Result<(), NoCapacity> {
         let work = arrival.kb / self.client_kb_per_s;
         self.regions.asked(now, work);
         let class = self.classes.get(arrival.class).copied().unwrap_or_default();
@@ -332,7 +337,7 @@
             .request(hash_fraction, may_leave, class.value / work.max(1e-6))
         {
             Where::Home => {}
-            Where::Abroad(place) => arrival.at = Some(place),
+            Where::Abroad(place) => arrival.zone = Some(place),
             // Parents may serve it, if they accept attempts.
             Where::Nowhere if self.pass_through => {}
             Where::Nowhere => return Err(NoCapacity),
@@ -353,7 +358,7 @@
         let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.zone == self.zone) else {
             return;
         };
-        if member.standing != Standing::Active {
+        if member.standing != ServerState::Active {
             return;
         }
         match outcome {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,8 @@
 //! ```
 
 use chalkhall::interface::{
-    Class, ColdStart, Customer, Deployment, Effect, Group, Hints, Siblings, Telling,
+    CapacityHints, Class, Customer, Deployment, Effect, Group, ReportedDetails, Siblings,
+    SlowStartSettings,
 };
 use serde_json::{Map, Value};
 use std::time::Duration;
@@ -147,14 +148,14 @@
             "all" | "" => Group::All,
             other => return Err(format!("unknown Group {other:?}")),
         },
-        window: span(number(class, "Window")?),
+        dedup_window: span(number(class, "Window")?),
         soft_deadline: span(number(class, "Aim")?),
-        soft_stretch: number(class, "AimStretch")?,
+        soft_deadline_multiple: number(class, "AimStretch")?,
         deadline: span(number(class, "HardLimit")?),
         value: number(class, "Worth")?,
         late_value: number(class, "LateWorth")?,
         fresh: (fresh > 0.0).then(|| span(fresh)),
-        stale_for: span(class_number("StaleFor")?),
+        max_staleness: span(class_number("StaleFor")?),
         stale_value: class_number("StaleEarns")?,
         cacheable: !class_flag("ClassWrite")?,
         in_parts: class_flag("Segmented")?,
@@ -182,12 +183,12 @@
     };
     let fall = duration_of(&rules, "Fall")?;
     Ok(Deployment {
-        number: whole(options, "MyNumber")?,
+        router_index: whole(options, "MyNumber")?,
         seed,
         routers: whole(options, "PeersTotal")? as usize,
         zone: whole(options, "Locality")? as usize,
-        routers_at: counts("CrewByZone")?,
-        hub_of: counts("HomeHub")?,
+        routers_per_zone: counts("CrewByZone")?,
+        hub_by_zone: counts("HomeHub")?,
         link_kb_per_s: numbers(&family, "PipeKbPerS")?,
         classes: classes
             .iter()
@@ -203,51 +204,51 @@
                 })
             })
             .collect::<Result<_, String>>()?,
-        tick: duration_of(options, "Granularity")?,
+        min_call_interval: duration_of(options, "Granularity")?,
 
         client_kb_per_s: number(&family, "ClientKbPerS")?,
         max_attempts: whole(&limits, "MaxAttempts")? as usize,
-        second_copies: flag(&limits, "SecondCopies")?,
+        allows_hedging: flag(&limits, "SecondCopies")?,
         may_cancel: flag(&limits, "MayCancel")?,
-        longest_advice: flag(&limits, "RetryAfter")?
+        max_retry_after: flag(&limits, "RetryAfter")?
             .then(|| duration_of(&limits, "MaxRetryAfter"))
             .transpose()?,
-        cold_cache: ColdStart {
-            from: number(&rules, "ColdFrom")?,
-            warm_within: duration_of(&rules, "WarmWithin")?,
-            multiple: number(&rules, "TipMultiple")?,
-            span: fall,
+        cold_cache: SlowStartSettings {
+            initial_capacity: number(&rules, "ColdFrom")?,
+            warm_up_time: duration_of(&rules, "WarmWithin")?,
+            overload_multiple: number(&rules, "TipMultiple")?,
+            window: fall,
         },
-        cold_parent: ColdStart {
-            from: number(&family, "ParentFloor")?,
-            warm_within: duration_of(&family, "ParentRamp")?,
-            multiple: number(&family, "ParentFallMultiple")?,
-            span: fall,
+        cold_parent: SlowStartSettings {
+            initial_capacity: number(&family, "ParentFloor")?,
+            warm_up_time: duration_of(&family, "ParentRamp")?,
+            overload_multiple: number(&family, "ParentFallMultiple")?,
+            window: fall,
         },
         drain_grace: duration_of(&rules, "DrainGrace")?,
         purge_grace: duration_of(&family, "ObeyAfter")?,
         purge_done: duration_of(&family, "PurgeDone")?,
 
         pass_through: flag(&family, "PassThroughOk")?,
-        joins: flag(&family, "SharesFills")?,
+        joins_fills: flag(&family, "SharesFills")?,
         siblings: match text(&family, "Neighbours")? {
             "location" => Siblings::Zone,
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
         telling: match text(&family, "Says")? {
-            "all" => Telling::All,
-            "hit" => Telling::Hits,
-            _ => Telling::Nothing,
+            "all" => ReportedDetails::All,
+            "hit" => ReportedDetails::Hits,
+            _ => ReportedDetails::Nothing,
         },
         hints: match text(options, "Weights")? {
-            "nominal" => Hints::Nominal,
-            "rough" => Hints::Rough,
-            "live" => Hints::Live,
-            _ => Hints::None,
+            "nominal" => CapacityHints::Nominal,
+            "rough" => CapacityHints::Rough,
+            "live" => CapacityHints::Live,
+            _ => CapacityHints::None,
         },
         list_on_request: text(options, "RegistryMode")? == "ask",
-        ask_within: duration_of(&rules, "AskWithin")?,
+        list_request_interval: duration_of(&rules, "AskWithin")?,
     })
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,8 @@
 
 use chalkhall::control::Router;
 use chalkhall::interface::{
-    Arrival, Ended, Fill, Id, ListKind, Load, Member, Outcome, Outlet, Remark, Standing, Tier,
+    ActionSink, AttemptResult, Fill, Id, IncomingRequest, ListKind, Load, Member, Outcome, Remark,
+    ServerState, Tier,
 };
 use chalkhall_settings::{self as deployment, Fields, flag, ms, number, span, text, whole};
 use serde_json::{Value, json};
@@ -34,26 +35,26 @@
     }
 }
 
-impl<W: Write> Outlet for ReplyWriter<'_, W> {
+impl<W: Write> ActionSink for ReplyWriter<'_, W> {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        let manner = u8::from(fill.join)
+        let manner = u8::from(fill.may_join)
             | u8::from(fill.only_held) << 1
             | u8::from(!fill.parent_keeps) << 2
-            | u8::from(fill.renew) << 3;
+            | u8::from(fill.revalidate) << 3;
         let mut fields = json!({"OpId": &**request, "Server": &**server, "GiveUpAfter": ms(limit)});
         fields["Source"] = (*fill.source).into();
-        fields["Rank"] = fill.rank.into();
+        fields["Rank"] = fill.priority.into();
         fields["Manner"] = manner.into();
-        if let Some(oldest) = fill.oldest {
+        if let Some(oldest) = fill.max_age {
             fields["HowOld"] = ms(oldest).into();
         }
         self.write("ServeOrFill", fields);
     }
 
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
         self.write(
             "Refuse",
-            json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}),
+            json!({"OpId": &**request, "HoldOff": retry_after.map_or(0.0, ms)}),
         );
     }
 
@@ -65,11 +66,11 @@
         self.write("CallOff", json!({"OpId": &**request, "N": attempt}));
     }
 
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.write("NotifyMe", json!({"When": ms(at), "Mark": mark}));
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.write("NotifyMe", json!({"When": ms(at), "Mark": timer_id}));
     }
 
-    fn watch_list(&mut self) {
+    fn subscribe_list(&mut self) {
         self.write("Listen", json!({"Enable": true}));
     }
 }
@@ -87,9 +88,9 @@
         tier: Tier::Cache,
         cohort: whole(f, "Cohort")?,
         standing: match text(f, "Mode")? {
-            "active" => Standing::Active,
-            "leaving" => Standing::Draining,
-            "left" => Standing::Gone,
+            "active" => ServerState::Active,
+            "leaving" => ServerState::Draining,
+            "left" => ServerState::Removed,
             other => return Err(format!("unknown Mode {other:?}")),
         },
         capacity: number(f, "CapacityHint")?,
@@ -124,7 +125,7 @@
         6 => Remark::SourceRefused,
         7 => Remark::SourceUnreached,
         8 => Remark::SourceLacks,
-        9 => Remark::NoFillPlace,
+        9 => Remark::NoFillCapacity,
         10 => Remark::OriginFailed,
         _ => Remark::None,
     }
@@ -148,9 +149,9 @@
         let values = values.as_array().ok_or("Metrics is not an array")?;
         for (name, value) in self.report.iter().zip(values) {
             match name.as_str() {
-                "rif" => load.in_hand = value.as_f64(),
+                "rif" => load.in_service = value.as_f64(),
                 "q" => load.queued = value.as_f64(),
-                "busy" => load.busy = value.as_f64(),
+                "busy" => load.utilization = value.as_f64(),
                 "x0" => load.hit_share = value.as_f64(),
                 "x1" => load.link = value.as_f64(),
                 _ => {}
@@ -159,16 +160,16 @@
         Ok(load)
     }
 
-    fn ended(&self, f: &Fields) -> Result<Ended, String> {
+    fn ended(&self, f: &Fields) -> Result<AttemptResult, String> {
         let first_byte = f.get("Ttfb").filter(|v| !v.is_null());
-        Ok(Ended {
+        Ok(AttemptResult {
             outcome: outcome(text(f, "StateCode")?)?,
             remark: remark(whole(f, "Remark")?),
-            took: span(number(f, "Took")?),
+            duration: span(number(f, "Took")?),
             first_byte: first_byte
                 .map(|_| number(f, "Ttfb").map(span))
                 .transpose()?,
-            over: flag(f, "Last")?,
+            is_complete: flag(f, "Last")?,
             load: self.load(f)?,
         })
     }
@@ -232,8 +233,8 @@
             "Discovery" => {
                 let kind = match text(f, "How")? {
                     "incr" => ListKind::Changes,
-                    "total" => ListKind::Whole,
-                    "warm_copy" => ListKind::Remembered,
+                    "total" => ListKind::Snapshot,
+                    "warm_copy" => ListKind::Restored,
                     "lost" => ListKind::Failed,
                     other => return Err(format!("unknown How {other:?}")),
                 };
@@ -253,10 +254,10 @@
                     ..member.clone()
                 };
                 let entries: Vec<Member> = entries.iter().map(with_tier).collect();
-                hosted.router.list(now, kind, &entries, out);
+                hosted.router.update_list(now, kind, &entries, out);
             }
             "Accept" => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     id: id(f, "OpId")?,
                     class: whole(f, "Priority")? as usize,
                     customer: whole(f, "Customer")? as usize,
@@ -264,9 +265,9 @@
                     part: whole(f, "Segment")?,
                     group: whole(f, "SetNo")?,
                     kb: number(f, "Kb")?,
-                    at: None,
-                    left: span(number(f, "Ttl")?),
-                    repeated: flag(f, "Repeat")?,
+                    zone: None,
+                    time_left: span(number(f, "Ttl")?),
+                    is_retry: flag(f, "Repeat")?,
                     cell: None,
                 };
                 if arrival.class >= hosted.classes {
@@ -276,18 +277,22 @@
             }
             "Result" => {
                 let ended = hosted.ended(f)?;
-                hosted
-                    .router
-                    .result(now, &id(f, "OpId")?, whole(f, "N")? as usize, &ended, out);
+                hosted.router.attempt_ended(
+                    now,
+                    &id(f, "OpId")?,
+                    whole(f, "N")? as usize,
+                    &ended,
+                    out,
+                );
             }
-            "First" => hosted.router.begun(&id(f, "OpId")?),
-            "TimedOutClient" => hosted.router.left(now, &id(f, "OpId")?, out),
+            "First" => hosted.router.answer_started(&id(f, "OpId")?),
+            "TimedOutClient" => hosted.router.client_left(now, &id(f, "OpId")?, out),
             "Timer" => hosted.router.wake(now, whole(f, "Mark")?, out),
             "ExpiredNow" => {
                 let object = Some(text(f, "Item")?)
                     .filter(|item| !item.is_empty())
                     .map(Id::from);
-                hosted.router.purged(
+                hosted.router.record_purge(
                     now,
                     object,
                     whole(f, "FamilyId")?,
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -25,7 +25,7 @@
 };
 use crate::key::{self, Key};
 use crate::recovery::{Recovered, RecoveryError};
-use chalkhall::control::Judged;
+use chalkhall::control::ServerHealth;
 use chalkhall_scheduler::{Cost, Done, Kind, Rate, Scheduler};
 use retry::Retry;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -284,7 +284,7 @@
     segments: Segments,
     admission: Admission,
     /// Outlier detection for writes and syncs. Reads for requests are judged by the request decisions instead.
-    write_health: Judged,
+    write_health: ServerHealth,
     counts: Counts,
     last_ticket: u64,
     pending_reads: HashMap<u64, ReadPurpose>,
@@ -387,7 +387,7 @@
                 settings.least_fresh,
                 now,
             ),
-            write_health: Judged::default(),
+            write_health: ServerHealth::default(),
             counts: Counts::default(),
             last_ticket: 0,
             pending_reads: HashMap::new(),
@@ -450,7 +450,7 @@
     }
 
     pub fn is_set_aside(&self) -> bool {
-        self.write_health.is_aside()
+        self.write_health.is_ejected()
     }
 
     pub fn work(&self) -> impl Iterator<Item = (&'static str, usize, usize, Done)> {
--- a/crates/store/src/decide/disk/reclaim.rs
+++ b/crates/store/src/decide/disk/reclaim.rs
@@ -62,7 +62,7 @@
                     && purges.survives(entry.object, group, spot.made)
                     && (spot.heat > 0 || spot.rank > 2)
             });
-            match spot.filter(|_| !self.settings.admit_all && self.write_health.sound(now)) {
+            match spot.filter(|_| !self.settings.admit_all && self.write_health.is_available(now)) {
                 Some(spot) => candidates.push(((spot.heat > 0, spot.rank, spot.heat), entry)),
                 None => self.forget(entry.key, backend),
             }
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -115,7 +115,7 @@
 
     pub(super) fn can_write(&self, now: Duration, length: usize) -> bool {
         matches!(self.phase, Phase::Recovering | Phase::Ready)
-            && self.write_health.sound(now)
+            && self.write_health.is_available(now)
             && self.pending_append_bytes + length <= MAX_PENDING_WRITE_BYTES
     }
 
@@ -161,7 +161,7 @@
             return None;
         }
         self.last_ticket = ticket;
-        self.write_health.sent(now);
+        self.write_health.record_sent(now);
         self.segments.record_append(segment, length, now);
         let object = key::object(&copy.object);
         let (key, group, tag) = (
@@ -263,7 +263,7 @@
         self.pending_append_bytes -= spot.length as usize;
         match result {
             Ok(()) => {
-                self.write_health.judge(now, false, 1.0);
+                self.write_health.record_outcome(now, false, 1.0);
                 self.counts.written += u64::from(!carried);
                 self.counts.carried += u64::from(carried);
                 // The copy may have been purged or replaced while it was written.
@@ -278,7 +278,7 @@
             }
             Err(_) => {
                 self.counts.write_faults += 1;
-                self.write_health.judge(now, true, 1.0);
+                self.write_health.record_outcome(now, true, 1.0);
                 // Records already written to the segment can be read, but nothing more is appended, because the
                 // state of its end is unknown.
                 if self
@@ -333,7 +333,7 @@
         backend: &mut dyn DiskBackend,
     ) {
         let before = self.segments.get(segment).map_or(0, |s| s.synced_up_to);
-        self.write_health.judge(now, !synced, 1.0);
+        self.write_health.record_outcome(now, !synced, 1.0);
         let Some((entries, unsynced)) = self.unsealed.get_mut(&segment) else {
             return;
         };
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -82,40 +82,40 @@
     timers: BTreeMap<(Duration, u64), ()>,
 }
 
-impl Outlet for RecordedActions {
+impl ActionSink for RecordedActions {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         self.attempts.push((request.clone(), server.clone()));
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.insert((at, mark), ());
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.timers.insert((at, timer_id), ());
     }
-    fn watch_list(&mut self) {}
+    fn subscribe_list(&mut self) {}
 }
 
 fn deployment() -> Deployment {
-    let cold = ColdStart {
-        from: 0.25,
-        warm_within: Duration::from_secs(100_000),
-        multiple: 2.0,
-        span: Duration::from_secs(1),
+    let cold = SlowStartSettings {
+        initial_capacity: 0.25,
+        warm_up_time: Duration::from_secs(100_000),
+        overload_multiple: 2.0,
+        window: Duration::from_secs(1),
     };
     Deployment {
         seed: 1,
         routers: 10,
-        routers_at: vec![10],
+        routers_per_zone: vec![10],
         classes: vec![Class {
             soft_deadline: Duration::from_millis(500),
-            soft_stretch: 2.0,
+            soft_deadline_multiple: 2.0,
             deadline: Duration::from_secs(4),
             value: 1.0,
             late_value: 0.2,
             cacheable: true,
             ..Class::default()
         }],
-        tick: Duration::from_millis(2),
+        min_call_interval: Duration::from_millis(2),
         client_kb_per_s: 1000.0,
         max_attempts: 4,
         may_cancel: true,
@@ -132,9 +132,9 @@
         server: format!("cache-{n:04}.zone-0").into(),
         capacity: 8.0,
         standing: if n % 100 < scene.draining {
-            Standing::Draining
+            ServerState::Draining
         } else {
-            Standing::Active
+            ServerState::Active
         },
         started: (n % 100 < scene.cold).then_some(now - Duration::from_secs(5)),
         ..Member::default()
@@ -158,20 +158,20 @@
         .collect()
 }
 
-fn ended(servers: Servers) -> Ended {
+fn ended(servers: Servers) -> AttemptResult {
     let (outcome, remark) = match servers {
         Servers::AnswerFromCopies => (Outcome::Served, Remark::Hit),
         Servers::Fill => (Outcome::Served, Remark::Filled),
         Servers::Refuse => (Outcome::Full, Remark::None),
         Servers::Fail => (Outcome::Unreachable, Remark::None),
     };
-    let (took, over) = (Duration::from_millis(5), outcome == Outcome::Served);
-    Ended {
+    let (duration, is_complete) = (Duration::from_millis(5), outcome == Outcome::Served);
+    AttemptResult {
         outcome,
         remark,
-        took,
-        first_byte: Some(took),
-        over,
+        duration,
+        first_byte: Some(duration),
+        is_complete,
         load: Load::default(),
     }
 }
@@ -187,9 +187,9 @@
     fn new(caches: usize, scene: Scene) -> Benchmark {
         let (mut recorded, now) = (RecordedActions::default(), Duration::from_secs(1000));
         let mut router = Router::start(Duration::from_secs(1), &deployment(), &mut recorded);
-        router.list(
+        router.update_list(
             now,
-            ListKind::Whole,
+            ListKind::Snapshot,
             &members(caches, scene, now),
             &mut recorded,
         );
@@ -229,28 +229,28 @@
     }
 
     /// Sends one request and ends all its attempts.
-    fn send_request(&mut self, gap: Duration, answer: &mut dyn FnMut(&Id) -> Ended) {
+    fn send_request(&mut self, gap: Duration, answer: &mut dyn FnMut(&Id) -> AttemptResult) {
         self.now += gap;
-        while let Some((&(at, mark), ())) = self.recorded.timers.first_key_value()
+        while let Some((&(at, timer_id), ())) = self.recorded.timers.first_key_value()
             && at <= self.now
         {
             self.recorded.timers.pop_first();
-            self.router.wake(at, mark, &mut self.recorded);
+            self.router.wake(at, timer_id, &mut self.recorded);
         }
         self.next += 1;
         let id: Id = format!("{}", self.next).into();
         let object = fastrand::Rng::with_seed(self.next).u64(..REQUESTS / REPEATS);
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id,
             object: format!("object-{object}").into(),
             kb: 20.0,
-            left: Duration::from_secs(4),
-            ..Arrival::default()
+            time_left: Duration::from_secs(4),
+            ..IncomingRequest::default()
         };
         self.router.request(self.now, arrival, &mut self.recorded);
         let mut attempt = 0;
         while let Some((request, server)) = self.recorded.attempts.pop() {
-            self.router.result(
+            self.router.attempt_ended(
                 self.now,
                 &request,
                 attempt,
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -2,7 +2,7 @@
 //! priority. A part is not kept on its first access; a part that is accessed again is ranked by
 //! size, fill cost and access frequency.
 
-use crate::interface::{Arrival, Id};
+use crate::interface::{Id, IncomingRequest};
 use chalkhall_stats::Recent;
 use lru::LruCache;
 use std::num::NonZeroUsize;
@@ -24,7 +24,7 @@
 const DEFAULT_PRIORITY: u8 = 2;
 
 /// The key of a part: 31 bits, as routers exchange it by gossip.
-pub fn part_key(arrival: &Arrival) -> u32 {
+pub fn part_key(arrival: &IncomingRequest) -> u32 {
     (xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) >> 33) as u32
 }
 
@@ -92,7 +92,7 @@
     pub fn record_access(
         &mut self,
         now: Duration,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         fresh_for: Option<Duration>,
         is_shared: bool,
     ) -> u8 {
@@ -111,7 +111,7 @@
         };
         // A retry must not count as a second access: it would admit parts that are requested only
         // once.
-        if arrival.repeated || std::mem::take(&mut part.is_unanswered) {
+        if arrival.is_retry || std::mem::take(&mut part.is_unanswered) {
             return part.retention_priority;
         }
         let since_access = now.saturating_sub(part.last_access_at);
@@ -149,7 +149,7 @@
     }
 
     /// The history of the requested part.
-    pub fn part_mut(&mut self, arrival: &Arrival) -> Option<&mut PartHistory> {
+    pub fn part_mut(&mut self, arrival: &IncomingRequest) -> Option<&mut PartHistory> {
         self.parts.peek_mut(&part_key(arrival))
     }
 
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -3,11 +3,11 @@
 const NOW: Duration = Duration::from_secs(1000);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn arrival(object: &str) -> Arrival {
-    Arrival {
+fn arrival(object: &str) -> IncomingRequest {
+    IncomingRequest {
         object: object.into(),
         kb: 20.0,
-        ..Arrival::default()
+        ..IncomingRequest::default()
     }
 }
 
@@ -31,8 +31,8 @@
 fn a_retry_does_not_count_as_a_second_access() {
     let mut history = AccessHistory::default();
     history.record_access(NOW, &arrival("x"), None, false);
-    let repeated = Arrival {
-        repeated: true,
+    let repeated = IncomingRequest {
+        is_retry: true,
         ..arrival("x")
     };
     assert_eq!(history.record_access(NOW, &repeated, None, false), 0);
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::{CopyHolder, part_key};
 use crate::fill_limiter::FillResult;
-use crate::interface::{Ended, Id, Outcome, Remark, Tier};
+use crate::interface::{AttemptResult, Id, Outcome, Remark, Tier};
 use crate::request::{ANSWER_OVERHEAD, OpenAttempt, Route, SuspectedError};
 use crate::retry::PossibleExecution;
 use crate::router::{EventContext, Router};
@@ -27,17 +27,17 @@
     /// The attempt counted as a fill.
     is_fill: bool,
     is_late: bool,
-    ended: &'a Ended,
+    result: &'a AttemptResult,
 }
 
 impl Completion<'_> {
     fn is_served(&self) -> bool {
-        self.ended.outcome == Outcome::Served
+        self.result.outcome == Outcome::Served
     }
 
     /// Whether the attempt was answered from a copy.
     fn is_hit(&self) -> bool {
-        self.is_served() && matches!(self.ended.remark, Remark::Hit | Remark::Stale)
+        self.is_served() && matches!(self.result.remark, Remark::Hit | Remark::Stale)
     }
 
     /// Whether the attempt was answered by a fill.
@@ -49,7 +49,7 @@
     fn is_silent(&self) -> bool {
         use Outcome::*;
         matches!(
-            self.ended.outcome,
+            self.result.outcome,
             Unreachable | Broken | TimedOut | Cancelled | NeverSent
         )
     }
@@ -78,7 +78,7 @@
         id: &Id,
         number: usize,
         open: &OpenAttempt,
-        ended: &Ended,
+        result: &AttemptResult,
     ) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -95,14 +95,14 @@
             sent_at: open.sent_at,
             is_fill: attempt.is_fill,
             is_late: context.now > latest,
-            ended,
+            result,
         };
         let part = part_key(&request.arrival);
         let holder_before = self.access_history.holder(part);
         self.update_statistics(context.now, &completion);
         let holder = self.access_history.holder(part);
         if let Some(holder) = holder.filter(|holder| holder_before.as_ref() != Some(holder)) {
-            context.actions.found(part, &holder);
+            context.actions.holder_found(part, &holder);
         }
         if completion.is_fill {
             self.record_fill_result(context, &completion);
@@ -136,11 +136,11 @@
     /// may cause, and for attempts that this machine could not send.
     fn is_unrelated_to_load(&self, completion: &Completion) -> bool {
         use Outcome::*;
-        let ended = completion.ended;
+        let result = completion.result;
         if matches!(
-            ended.outcome,
+            result.outcome,
             Cancelled | Missing | Broken | Full | NeverSent
-        ) || ended.remark == Remark::SourceUnreached
+        ) || result.remark == Remark::SourceUnreached
         {
             return true;
         }
@@ -148,36 +148,36 @@
         let mut hops = hops.filter_map(|name| self.endpoints.get(name));
         hops.any(|endpoint| {
             let is_silent = endpoint.last_answer_at < completion.sent_at;
-            endpoint.outliers.is_ejected() || is_silent && ended.outcome == TimedOut
+            endpoint.outliers.is_ejected() || is_silent && result.outcome == TimedOut
         })
     }
 
     /// Takes the next step of the request: another attempt at another server, or its final answer.
     fn continue_request(&mut self, context: &mut EventContext, completion: &Completion) {
         use Outcome::*;
-        let (id, route, ended) = (completion.id, completion.route, completion.ended);
+        let (id, route, result) = (completion.id, completion.route, completion.result);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let may_have_executed = matches!(ended.outcome, Error | TimedOut | Broken | Cancelled);
+        let may_have_executed = matches!(result.outcome, Error | TimedOut | Broken | Cancelled);
         if may_have_executed && request.possible_execution.is_none() && !route.is_local() {
             request.possible_execution = Some(PossibleExecution {
                 sent_at: completion.sent_at,
                 server: route.server.clone(),
             });
         }
-        if request.is_finished || ended.outcome == Missing && !route.is_local() {
+        if request.is_finished || result.outcome == Missing && !route.is_local() {
             return self.finish(context, id);
         }
         // If only the source failed, the same cache is tried again with another source.
         let source_failed = !matches!(
-            ended.remark,
-            Remark::None | Remark::NoFillPlace | Remark::Joined
+            result.remark,
+            Remark::None | Remark::NoFillCapacity | Remark::Joined
         );
-        let either_is_full = ended.outcome == Full && ended.remark == Remark::None;
+        let either_is_full = result.outcome == Full && result.remark == Remark::None;
         let failed = route.hops().skip(usize::from(source_failed));
         let failed = failed.take(1 + usize::from(either_is_full));
-        if ended.outcome != Cancelled {
+        if result.outcome != Cancelled {
             request.failed_servers.extend(failed.cloned());
         }
         self.advance(context, id);
@@ -196,9 +196,9 @@
 
     fn outcome_weights(&mut self, completion: &Completion) -> OutcomeWeights {
         use Outcome::*;
-        let (route, ended) = (completion.route, completion.ended);
+        let (route, result) = (completion.route, completion.result);
         let has_source = route.source != route.server;
-        match (ended.outcome, ended.remark) {
+        match (result.outcome, result.remark) {
             (Served, _) if completion.is_hit() => OutcomeWeights::new(1.0, 0.0),
             (Served, _) => {
                 let is_late = completion.is_late && has_source;
@@ -265,13 +265,13 @@
         let Some(request) = self.requests.get(completion.id) else {
             return;
         };
-        let (kb, ended) = (request.arrival.kb, completion.ended);
-        let (is_filled, is_broken) = (completion.is_filled(), ended.outcome == Outcome::Broken);
+        let (kb, result) = (request.arrival.kb, completion.result);
+        let (is_filled, is_broken) = (completion.is_filled(), result.outcome == Outcome::Broken);
         // Only the cache itself can make a hit slow: a degrading cache answers later and later
         // until it fails.
         let expected_time = ANSWER_OVERHEAD + request.sending_time;
         let is_late_hit =
-            completion.is_hit() && ended.took > expected_time.mul_f64(SLOW_HIT_MULTIPLE);
+            completion.is_hit() && result.duration > expected_time.mul_f64(SLOW_HIT_MULTIPLE);
         let route = completion.route;
         for (name, weight) in route.hops().zip([weights.server, weights.source]) {
             let Some(endpoint) = self.endpoints.get_mut(name) else {
@@ -300,15 +300,15 @@
 
     /// Behind a parent, the origin's outcome is determined by the time to its first byte.
     fn record_outcome_of_origins(&mut self, now: Duration, completion: &Completion) {
-        let ended = completion.ended;
-        if !matches!(ended.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
+        let result = completion.result;
+        if !matches!(result.remark, Remark::OriginFailed | Remark::FilledByOrigin) {
             return;
         }
         let Some(request) = self.requests.get(completion.id) else {
             return;
         };
         let objective = self.classes[request.arrival.class].soft_deadline;
-        let failed = !completion.is_served() || ended.first_byte > Some(objective);
+        let failed = !completion.is_served() || result.first_byte > Some(objective);
         let origins = self.endpoints.origins();
         let origins: Vec<Id> = origins.map(|origin| origin.member.server.clone()).collect();
         for origin in &origins {
@@ -337,7 +337,7 @@
             cache: completion.route.server.clone(),
             known_at: now,
         });
-        if let Some(wait) = completion.ended.first_byte {
+        if let Some(wait) = completion.result.first_byte {
             part.fill_cost = Some((wait.as_secs_f64() * 1e3).max(MIN_FILL_COST_MS));
         }
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -7,26 +7,26 @@
 
 /// A wrapper of [`OutlierDetector`] with the method names that other packages use.
 #[derive(Debug, Default)]
-pub struct Judged(OutlierDetector);
+pub struct ServerHealth(OutlierDetector);
 
-impl Judged {
+impl ServerHealth {
     /// See [`OutlierDetector::is_available`].
-    pub fn sound(&self, now: Duration) -> bool {
+    pub fn is_available(&self, now: Duration) -> bool {
         self.0.is_available(now)
     }
 
     /// See [`OutlierDetector::is_ejected`].
-    pub fn is_aside(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.0.is_ejected()
     }
 
     /// See [`OutlierDetector::record_sent`].
-    pub fn sent(&mut self, now: Duration) {
+    pub fn record_sent(&mut self, now: Duration) {
         self.0.record_sent(now);
     }
 
     /// See [`OutlierDetector::record_outcome`].
-    pub fn judge(&mut self, now: Duration, failed: bool, weight: f64) {
+    pub fn record_outcome(&mut self, now: Duration, failed: bool, weight: f64) {
         self.0.record_outcome(now, failed, weight);
     }
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -126,7 +126,7 @@
     }
 
     /// Rules 3 and 4, for a server or a source. After the notice of a drain or removal it is sent
-    /// nothing new. While it warms up, each router sends no more per span than its share of the
+    /// nothing new. While it warms up, each router sends no more per window than its share of the
     /// budget, as the routers together would otherwise overload the server.
     #[inline]
     fn validate_endpoint(
@@ -210,26 +210,26 @@
         let is_for_cache = server.member.tier == Tier::Cache;
         Fill {
             source: route.source.clone(),
-            rank: request.retention_priority * u8::from(is_for_cache),
-            oldest: max_age,
-            join: self.joins_fills,
+            priority: request.retention_priority * u8::from(is_for_cache),
+            max_age: max_age,
+            may_join: self.joins_fills,
             // While the origin fails, fetches from it would only delay the copies that parents
             // hold.
             only_held: source.member.tier == Tier::Parent
                 && is_cacheable
                 && self.endpoints.are_origins_failing(now),
             parent_keeps: true,
-            renew: !route.is_local() && !route.allowed_staleness.is_zero(),
+            revalidate: !route.is_local() && !route.allowed_staleness.is_zero(),
         }
     }
 
     fn record_sent(&mut self, now: Duration, route: &Route, validated: &ValidatedAttempt) {
-        let span = self.slow_start.longest_span();
+        let window = self.slow_start.longest_window();
         for (name, work) in route.hops().zip(validated.work) {
             let Some(endpoint) = self.endpoints.get_mut(name) else {
                 continue;
             };
-            endpoint.sent_work.note(now, span, work);
+            endpoint.sent_work.note(now, window, work);
             endpoint.in_flight_kb += validated.kb;
             endpoint.in_flight += 1;
             endpoint.outliers.record_sent(now);
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -7,13 +7,13 @@
 /// Discards every action.
 struct NoopOutlet;
 
-impl Outlet for NoopOutlet {
+impl ActionSink for NoopOutlet {
     fn attempt(&mut self, _: &Id, _: &Id, _: Duration, _: &Fill) {}
     fn reject(&mut self, _: &Id, _: Option<Duration>) {}
     fn fail(&mut self, _: &Id) {}
     fn cancel(&mut self, _: &Id, _: usize) {}
-    fn wake_at(&mut self, _: Duration, _: u64) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: Duration, _: u64) {}
+    fn subscribe_list(&mut self) {}
 }
 
 fn cache(name: &str) -> Member {
@@ -27,11 +27,11 @@
 /// A router with two caches, and a request with this effect whose first attempt was sent to a
 /// cache.
 fn router(effect: Effect) -> (Router, Id) {
-    let limits = ColdStart {
-        from: 0.5,
-        warm_within: SECOND * 10,
-        multiple: 2.0,
-        span: SECOND,
+    let limits = SlowStartSettings {
+        initial_capacity: 0.5,
+        warm_up_time: SECOND * 10,
+        overload_multiple: 2.0,
+        window: SECOND,
     };
     let deployment = Deployment {
         routers: 1,
@@ -50,13 +50,13 @@
     };
     let mut router = Router::start(SECOND, &deployment, &mut NoopOutlet);
     let members = [cache("cache-1"), cache("cache-2")];
-    router.list(NOW, ListKind::Whole, &members, &mut NoopOutlet);
-    let arrival = Arrival {
+    router.update_list(NOW, ListKind::Snapshot, &members, &mut NoopOutlet);
+    let arrival = IncomingRequest {
         id: "request".into(),
         object: "object".into(),
         kb: 20.0,
-        left: SECOND * 4,
-        ..Arrival::default()
+        time_left: SECOND * 4,
+        ..IncomingRequest::default()
     };
     router.request(NOW, arrival, &mut NoopOutlet);
     (router, "request".into())
@@ -123,7 +123,7 @@
     assert_eq!(refusal(&router, before, &id, &to), None);
     let refused = refusal(&router, deadline, &id, &to);
     assert_eq!(refused, Some(Refusal::DeadlinePassed));
-    router.begun(&id);
+    router.answer_started(&id);
     assert_eq!(
         refusal(&router, NOW, &id, &to),
         Some(Refusal::RequestFinished)
@@ -145,10 +145,10 @@
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, false);
     let draining = Member {
-        standing: Standing::Draining,
+        standing: ServerState::Draining,
         ..cache("cache-2")
     };
-    router.list(NOW, ListKind::Changes, &[draining], &mut NoopOutlet);
+    router.update_list(NOW, ListKind::Changes, &[draining], &mut NoopOutlet);
     let refused = refusal(&router, NOW, &id, &route("cache-2"));
     assert_eq!(refused, Some(Refusal::EndpointDraining));
     let filled = Route {
@@ -168,7 +168,7 @@
         capacity: 0.01,
         ..cache("cache-2")
     };
-    router.list(NOW, ListKind::Changes, &[warming], &mut NoopOutlet);
+    router.update_list(NOW, ListKind::Changes, &[warming], &mut NoopOutlet);
     let refused = refusal(&router, NOW, &id, &route("cache-2"));
     assert_eq!(refused, Some(Refusal::SlowStartBudgetSpent));
 }
@@ -183,7 +183,7 @@
     };
     let old = created(NOW - SECOND);
     assert_eq!(refusal(&router, NOW, &id, &old), None);
-    router.purged(NOW, Some("object".into()), 0, Duration::ZERO);
+    router.record_purge(NOW, Some("object".into()), 0, Duration::ZERO);
     let refused = refusal(&router, NOW + SECOND, &id, &old);
     assert_eq!(refused, Some(Refusal::CopyTooOld));
     let new = created(NOW + Duration::from_millis(1));
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -4,7 +4,7 @@
 //! The cost of a list change is proportional to the number of members that it names: indexes are
 //! updated in place.
 
-use crate::interface::{Id, Member, Standing, Tier};
+use crate::interface::{Id, Member, ServerState, Tier};
 use crate::outlier::OutlierDetector;
 use crate::selection::{Candidate, Pool};
 use chalkhall_stats::{NameMap, Window};
@@ -42,7 +42,7 @@
     /// Whether the server accepts new requests.
     #[inline]
     pub fn is_active(&self) -> bool {
-        self.member.standing == Standing::Active
+        self.member.standing == ServerState::Active
     }
 
     fn candidate(&self, slot: usize) -> Candidate {
@@ -124,14 +124,14 @@
         // Nearly all pools change, so they are rebuilt on first use.
         self.pools.clear();
         let endpoints = self.endpoints.values_mut();
-        for endpoint in endpoints.filter(|e| e.member.tier != Tier::Own) {
-            endpoint.member.standing = Standing::Gone;
+        for endpoint in endpoints.filter(|e| e.member.tier != Tier::Local) {
+            endpoint.member.standing = ServerState::Removed;
         }
         for member in members {
             self.update_member(member);
         }
         self.endpoints
-            .retain(|endpoint| endpoint.member.standing != Standing::Gone);
+            .retain(|endpoint| endpoint.member.standing != ServerState::Removed);
         self.rebuild_indexes();
         self.update_local_capacity();
     }
@@ -160,7 +160,7 @@
 
     fn remove_if_gone(&mut self, member: &Member) {
         let listed = self.endpoints.get(&member.server);
-        if listed.is_some_and(|endpoint| endpoint.member.standing == Standing::Gone) {
+        if listed.is_some_and(|endpoint| endpoint.member.standing == ServerState::Removed) {
             self.remove_from_indexes(&member.server, member);
             self.endpoints.remove(&member.server);
         }
@@ -173,7 +173,7 @@
             return;
         };
         let member = &endpoint.member;
-        let remains_active = next.standing == Standing::Active;
+        let remains_active = next.standing == ServerState::Active;
         for key in PoolKey::of(member).filter(|key| !remains_active || !key.includes(next)) {
             let Some(pool) = self.pools.get_mut(&key) else {
                 continue;
@@ -189,7 +189,7 @@
         let ejected = usize::from(endpoint.outliers.is_ejected());
         health.ejected = health.ejected.saturating_sub(ejected);
         // The tier's maximum can only fall if this member had it.
-        if member.tier != next.tier || next.standing == Standing::Gone {
+        if member.tier != next.tier || next.standing == ServerState::Removed {
             let share = endpoint.on_time_fill_share;
             let best = health.best_on_time_share;
             health.best_on_time_share = best.filter(|best| share == 0.0 || share < *best);
@@ -209,7 +209,7 @@
         health.best_on_time_share = best.map(|best| best.max(endpoint.on_time_fill_share));
         match member.tier {
             Tier::Origin => self.origins.insert(slot),
-            Tier::Own => self.local_caches.insert(slot),
+            Tier::Local => self.local_caches.insert(slot),
             Tier::Cache | Tier::Parent => false,
         };
         if !endpoint.is_active() {
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 const NOW: Duration = Duration::from_secs(1000);
-const ALL_TIERS: [Tier; TIER_COUNT] = [Tier::Cache, Tier::Parent, Tier::Origin, Tier::Own];
+const ALL_TIERS: [Tier; TIER_COUNT] = [Tier::Cache, Tier::Parent, Tier::Origin, Tier::Local];
 
 /// Asserts that the totals of each tier match the state of its servers.
 fn assert_tier_totals(list: &mut EndpointList) {
@@ -55,7 +55,11 @@
 }
 
 fn random_member(random: &mut fastrand::Rng) -> Member {
-    let standing = [Standing::Active, Standing::Draining, Standing::Gone];
+    let standing = [
+        ServerState::Active,
+        ServerState::Draining,
+        ServerState::Removed,
+    ];
     let number = random.usize(..600);
     Member {
         server: format!("server-{number}").into(),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -39,11 +39,11 @@
     /// The servers that drop repeats of a deduplicated request.
     pub group: Group,
     /// How long repeats are recognised, counted from the first attempt that may have been executed.
-    pub window: Duration,
+    pub dedup_window: Duration,
     /// The latency objective, after which an answer earns only `late_value`.
     pub soft_deadline: Duration,
     /// The soft deadline is extended by this multiple of the answer's transfer time.
-    pub soft_stretch: f64,
+    pub soft_deadline_multiple: f64,
     /// The hard deadline, after which an answer has no value.
     pub deadline: Duration,
     /// The value of an answer within the soft deadline.
@@ -53,7 +53,7 @@
     /// How long a copy stays fresh; `None`: until it is purged.
     pub fresh: Option<Duration>,
     /// How long after `fresh` has passed a stale copy may still be served.
-    pub stale_for: Duration,
+    pub max_staleness: Duration,
     /// The fraction of the value that an answer from a stale copy earns.
     pub stale_value: f64,
     /// Whether caches may keep a copy. Requests of other classes are executed at the origin.
@@ -75,20 +75,20 @@
 
 /// Slow-start parameters: how much load a server bears after it has started.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ColdStart {
+pub struct SlowStartSettings {
     /// The minimum fraction of its capacity that a server has when it starts.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// The time after which the server has its full capacity at the latest.
-    pub warm_within: Duration,
+    pub warm_up_time: Duration,
     /// The server fails when it is sent more than this multiple of its current capacity...
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// ...over this period.
-    pub span: Duration,
+    pub window: Duration,
 }
 
 /// The meaning of the capacity hints in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Hints {
+pub enum CapacityHints {
     #[default]
     /// The list has no capacity hints.
     None,
@@ -114,7 +114,7 @@
 
 /// Which details of hits and fills answers report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Telling {
+pub enum ReportedDetails {
     #[default]
     /// No details.
     Nothing,
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
     /// The index of this router among all routers.
-    pub number: u64,
+    pub router_index: u64,
     /// The seed of the random number generator.
     pub seed: u64,
     /// The number of routers in the deployment.
@@ -137,9 +137,9 @@
     /// The zone of this router.
     pub zone: usize,
     /// The number of routers in each zone.
-    pub routers_at: Vec<usize>,
+    pub routers_per_zone: Vec<usize>,
     /// The hub to which each zone is connected.
-    pub hub_of: Vec<usize>,
+    pub hub_by_zone: Vec<usize>,
     /// The bandwidth of each zone's link; 0: unknown.
     pub link_kb_per_s: Vec<f64>,
     /// The request classes, by class number.
@@ -147,23 +147,23 @@
     /// The customers, by customer number.
     pub customers: Vec<Customer>,
     /// The minimum interval between two calls of the router.
-    pub tick: Duration,
+    pub min_call_interval: Duration,
 
     /// The maximum transfer rate of one answer; the unit of capacity.
     pub client_kb_per_s: f64,
     /// The maximum number of attempts per request.
     pub max_attempts: usize,
     /// Whether hedged requests are allowed.
-    pub second_copies: bool,
+    pub allows_hedging: bool,
     /// Whether attempts can be cancelled.
     pub may_cancel: bool,
     /// The maximum retry delay that clients honour after a rejection; `None`: rejections carry no
     /// delay.
-    pub longest_advice: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// Slow-start parameters of caches.
-    pub cold_cache: ColdStart,
+    pub cold_cache: SlowStartSettings,
     /// Slow-start parameters of parents.
-    pub cold_parent: ColdStart,
+    pub cold_parent: SlowStartSettings,
     /// How long after the notice of a drain attempts may still be sent.
     pub drain_grace: Duration,
     /// How long after the notice of a purge older copies may still be served.
@@ -173,30 +173,30 @@
     /// Whether attempts can be sent to parents and origins directly.
     pub pass_through: bool,
     /// Whether a server can let a request wait for a fill of the same part that is in progress.
-    pub joins: bool,
+    pub joins_fills: bool,
     /// Which caches can be the source of a fill.
     pub siblings: Siblings,
     /// Which details of hits and fills answers report.
-    pub telling: Telling,
+    pub telling: ReportedDetails,
     /// The meaning of the capacity hints in the endpoint list.
-    pub hints: Hints,
+    pub hints: CapacityHints,
     /// Whether the endpoint list is delivered only on request. A list counts as received once
-    /// `ask_within` has passed without a request.
+    /// `list_request_interval` has passed without a request.
     pub list_on_request: bool,
     /// The maximum interval between two requests for the list.
-    pub ask_within: Duration,
+    pub list_request_interval: Duration,
 }
 
 /// The administrative state of a listed server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerState {
     #[default]
     /// The server accepts requests.
     Active,
     /// The server accepts no new requests and completes those in progress.
     Draining,
     /// The server is no longer listed.
-    Gone,
+    Removed,
 }
 
 /// The tier of a server. Local caches are not part of the discovered endpoint list; a front end
@@ -211,7 +211,7 @@
     /// The origin.
     Origin,
     /// A local cache of this router: its memory tier or its disk tier.
-    Own,
+    Local,
 }
 
 /// An entry of the endpoint list: a cache server, parent, origin or local cache.
@@ -226,7 +226,7 @@
     /// The server's cohort.
     pub cohort: u64,
     /// The server's administrative state.
-    pub standing: Standing,
+    pub standing: ServerState,
     /// The capacity hint. For a local cache, the number of answers that this router's link can
     /// transfer in parallel at the clients' rate.
     pub capacity: f64,
@@ -242,16 +242,16 @@
     /// Only the entries that changed.
     Changes,
     /// The complete list.
-    Whole,
+    Snapshot,
     /// The complete list as it was last received, restored from storage.
-    Remembered,
+    Restored,
     /// The request for the list failed.
     Failed,
 }
 
 /// An incoming request.
 #[derive(Clone, Debug, Default)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// The request's identifier.
     pub id: Id,
     /// The request's class, as an index of [`Deployment::classes`].
@@ -269,11 +269,11 @@
     /// The request's cell, which restricts it to caches of that cell; `None`: no restriction.
     pub cell: Option<u32>,
     /// The zone whose caches serve all attempts of the request; `None`: the router's own zone.
-    pub at: Option<usize>,
+    pub zone: Option<usize>,
     /// The time left until the client's deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The client marked the request as a retry.
-    pub repeated: bool,
+    pub is_retry: bool,
 }
 
 /// The outcome of an attempt.
@@ -321,7 +321,7 @@
     /// The source was asked for a held copy only, and has none.
     SourceLacks,
     /// The server had no capacity for another fill.
-    NoFillPlace,
+    NoFillCapacity,
     /// The origin failed.
     OriginFailed,
 }
@@ -330,11 +330,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// The number of requests in service.
-    pub in_hand: Option<f64>,
+    pub in_service: Option<f64>,
     /// The number of queued requests.
     pub queued: Option<f64>,
     /// The server's utilization.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// The recent hit ratio.
     pub hit_share: Option<f64>,
     /// Of a cache: the utilization of its zone's link. Of a parent: the number of fetches in
@@ -344,17 +344,17 @@
 
 /// The result of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The outcome, which tells an answer from the kinds of failure.
     pub outcome: Outcome,
     /// What the answer reports of the copy or the fill.
     pub remark: Remark,
     /// The duration of the attempt.
-    pub took: Duration,
+    pub duration: Duration,
     /// The time to the source's first byte, or to its failure, where reported.
     pub first_byte: Option<Duration>,
     /// The request is complete; the client needs no further answer.
-    pub over: bool,
+    pub is_complete: bool,
     /// The load report that came with the result.
     pub load: Load,
 }
@@ -366,53 +366,53 @@
     pub source: Id,
     /// 0: the server keeps no new copy and changes none; 1 to 3: the priority at which it retains a
     /// copy.
-    pub rank: u8,
+    pub priority: u8,
     /// The maximum age of an acceptable copy; `None`: the class's freshness applies. Never zero.
-    pub oldest: Option<Duration>,
+    pub max_age: Option<Duration>,
     /// The request may wait for a fill of the same part that is in progress.
-    pub join: bool,
+    pub may_join: bool,
     /// The source answers only from copies that it holds.
     pub only_held: bool,
     /// A parent that fetches the part retains a copy.
     pub parent_keeps: bool,
     /// A stale copy is served, and revalidated in the background.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// A local copy of the requested part.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// The member of tier [`Tier::Own`] that has the copy.
-    pub place: Id,
+pub struct LocalCopy {
+    /// The member of tier [`Tier::Local`] that has the copy.
+    pub cache: Id,
     /// When the origin sent it.
-    pub made: Duration,
+    pub created_at: Duration,
     /// The client holds the same copy, so that a not-modified answer suffices.
-    pub same: bool,
+    pub client_has_it: bool,
 }
 
 /// The actions of a router. Each call takes effect at once, in call order.
-pub trait Outlet {
+pub trait ActionSink {
     /// Sends an attempt, limited to the duration `limit`. Where `fill` names the server itself as
     /// the source, the server answers only from a copy that it holds.
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill);
     /// Gives the final answer: rejected. Guarantees the client that a retry is safe.
-    fn reject(&mut self, request: &Id, advice: Option<Duration>);
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>);
     /// Gives the final answer: failed. Guarantees nothing.
     fn fail(&mut self, request: &Id);
     /// Cancels an attempt, identified by its number in send order.
     fn cancel(&mut self, request: &Id, attempt: usize);
-    /// Schedules a call of `wake` with this mark at time `at` or later.
-    fn wake_at(&mut self, at: Duration, mark: u64);
+    /// Schedules a call of `wake` with this timer ID at time `at` or later.
+    fn set_timer(&mut self, at: Duration, timer_id: u64);
     /// Subscribes to changes of the endpoint list, where it is delivered only on request.
-    fn watch_list(&mut self);
+    fn subscribe_list(&mut self);
     /// The local copy for this request; `None` if there is none, or if it is not known to be
     /// unaffected by the purges received.
-    fn held(&mut self, _request: &Id) -> Option<Held> {
+    fn local_copy(&mut self, _request: &Id) -> Option<LocalCopy> {
         None
     }
     /// Reports a newly learned location of a copy: `cache` holds the part with this key, or was
     /// asked to keep it.
-    fn found(&mut self, _part: u32, _cache: &Id) {}
+    fn holder_found(&mut self, _part: u32, _cache: &Id) {}
     /// Keeps the answer just served to this request as a local copy, at this priority from 1 to 3.
-    fn keep(&mut self, _request: &Id, _rank: u8) {}
+    fn keep_local_copy(&mut self, _request: &Id, _priority: u8) {}
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,30 +3,30 @@
 //! handles failures.
 //!
 //! [`control::Router`] makes the decisions; each concern has a module of its own. [`interface`]
-//! defines its input types and the [`interface::Outlet`] trait, through which it acts. Any front
+//! defines its input types and the [`interface::ActionSink`] trait, through which it acts. Any front
 //! end can drive it; `crates/simulator-adapter` is one.
 //!
-//! A front end implements [`interface::Outlet`] to turn the router's actions into messages:
+//! A front end implements [`interface::ActionSink`] to turn the router's actions into messages:
 //!
 //! ```
-//! use chalkhall::interface::{Fill, Id, Outlet};
+//! use chalkhall::interface::{Fill, Id, ActionSink};
 //! use std::time::Duration;
 //!
 //! struct Printer(Vec<String>);
 //!
-//! impl Outlet for Printer {
+//! impl ActionSink for Printer {
 //!     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
 //!         self.0.push(format!("{request}: {server}, filled from {}", fill.source));
 //!     }
-//!     fn reject(&mut self, request: &Id, _advice: Option<Duration>) {
+//!     fn reject(&mut self, request: &Id, _retry_after: Option<Duration>) {
 //!         self.0.push(format!("{request}: rejected"));
 //!     }
 //!     fn fail(&mut self, request: &Id) {
 //!         self.0.push(format!("{request}: failed"));
 //!     }
 //!     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-//!     fn wake_at(&mut self, _at: Duration, _mark: u64) {}
-//!     fn watch_list(&mut self) {}
+//!     fn set_timer(&mut self, _at: Duration, _timer_id: u64) {}
+//!     fn subscribe_list(&mut self) {}
 //! }
 //!
 //! let mut out = Printer(Vec::new());
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -2,7 +2,7 @@
 //! fill or for a fill slot, is sent to a server, or gets its final answer.
 
 use crate::admission::part_key;
-use crate::interface::{Effect, Held, Id};
+use crate::interface::{Effect, Id, LocalCopy};
 use crate::request::{PendingRequest, Route};
 use crate::retry::RetryTarget;
 use crate::router::{EventContext, Router};
@@ -54,10 +54,10 @@
         if capacity <= 0.0 || !self.classes[request.arrival.class].cacheable {
             return false;
         }
-        let Some(copy) = context.actions.held(id) else {
+        let Some(copy) = context.actions.local_copy(id) else {
             return false;
         };
-        let sending_time = if copy.same {
+        let sending_time = if copy.client_has_it {
             request.sending_time / NOT_MODIFIED_DIVISOR
         } else {
             request.sending_time
@@ -75,9 +75,9 @@
             return false;
         }
         let route = Route {
-            server: copy.place.clone(),
-            source: copy.place,
-            copy_created_at: Some(copy.made),
+            server: copy.cache.clone(),
+            source: copy.cache,
+            copy_created_at: Some(copy.created_at),
             allowed_staleness,
         };
         let is_sent = self.send(context, id, route).is_ok();
@@ -87,10 +87,15 @@
         is_sent
     }
 
-    fn is_local_cache_usable(&self, now: Duration, request: &PendingRequest, copy: &Held) -> bool {
-        let cache = self.endpoints.get(&copy.place);
+    fn is_local_cache_usable(
+        &self,
+        now: Duration,
+        request: &PendingRequest,
+        copy: &LocalCopy,
+    ) -> bool {
+        let cache = self.endpoints.get(&copy.cache);
         cache.is_some_and(|cache| cache.outliers.is_available(now))
-            && !request.failed_servers.contains(&copy.place)
+            && !request.failed_servers.contains(&copy.cache)
     }
 
     /// Waits for a fill of the same part that is in progress, as a second fill would only add load.
@@ -126,7 +131,7 @@
         let retention_priority = request.retention_priority.max(min_priority);
         let is_cacheable = self.classes[request.arrival.class].cacheable;
         if served && retention_priority > 0 && is_cacheable {
-            context.actions.keep(id, retention_priority);
+            context.actions.keep_local_copy(id, retention_priority);
         }
         for waiter in waiters {
             let resume = TimerCallback::ResumeRequest(waiter);
@@ -171,7 +176,7 @@
             return;
         };
         // A stale local copy, within the limit of the request's class, is better than no answer.
-        let allowed_staleness = self.classes[request.arrival.class].stale_for;
+        let allowed_staleness = self.classes[request.arrival.class].max_staleness;
         if !allowed_staleness.is_zero()
             && request.open_attempts == 0
             && self.answer_locally(context, id, allowed_staleness)
@@ -185,11 +190,11 @@
             part.is_unanswered = true;
         }
         if self.may_reject(context.now, request) {
-            context.actions.reject(id, self.advice);
+            context.actions.reject(id, self.retry_after);
         } else {
             context.actions.fail(id);
         }
-        self.begun(id);
+        self.answer_started(id);
         self.close(context, id);
     }
 
--- a/src/purge.rs
+++ b/src/purge.rs
@@ -1,7 +1,7 @@
 //! Purges (rule 5): no request is answered from a copy older than a purge. The log keeps the purges
 //! that are still in progress, which bound the age of the copies that an attempt accepts.
 
-use crate::interface::{Arrival, Id};
+use crate::interface::{Id, IncomingRequest};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
     }
 
     /// The time of the latest purge of the requested object or its group.
-    pub fn last_purge(&self, arrival: &Arrival) -> Option<Duration> {
+    pub fn last_purge(&self, arrival: &IncomingRequest) -> Option<Duration> {
         let object = PurgeScope::Object(arrival.object.clone());
         let group = PurgeScope::Group(arrival.group);
         let of_object = self.purged_at.get(&object);
@@ -68,7 +68,7 @@
 
     /// The maximum age of a copy created after the last purge, while that purge may be incomplete.
     /// Never zero, which would mean any age.
-    pub fn max_age(&self, now: Duration, arrival: &Arrival) -> Option<Duration> {
+    pub fn max_age(&self, now: Duration, arrival: &IncomingRequest) -> Option<Duration> {
         let purged_at = self.last_purge(arrival)?;
         let is_open = now < purged_at + self.completes_within;
         is_open.then(|| now.saturating_sub(purged_at).max(Duration::from_micros(1)))
--- a/src/purge/tests.rs
+++ b/src/purge/tests.rs
@@ -25,10 +25,10 @@
 #[test]
 fn the_copy_age_is_limited_from_a_purge_until_its_completion() {
     let mut log = PurgeLog::new(SECOND * 6);
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         object: "x".into(),
         group: 7,
-        ..Arrival::default()
+        ..IncomingRequest::default()
     };
     assert_eq!(log.max_age(NOW, &arrival), None);
     log.record(NOW, NOW, None, 7);
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,6 +1,6 @@
 //! The state of one request, from its arrival to the end of its last attempt.
 
-use crate::interface::{Arrival, Id};
+use crate::interface::{Id, IncomingRequest};
 use crate::retry::PossibleExecution;
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
 /// A request that has no final answer yet, or that has attempts in flight.
 #[derive(Debug)]
 pub struct PendingRequest {
-    pub arrival: Arrival,
+    pub arrival: IncomingRequest,
     /// The priority at which a copy of the part is retained; 0: not retained.
     pub retention_priority: u8,
     /// The request is the first known access to its part.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -29,7 +29,7 @@
     target: &RetryTarget,
     latest: Duration,
 ) -> bool {
-    let is_remembered = latest < execution.sent_at + class.window;
+    let is_remembered = latest < execution.sent_at + class.dedup_window;
     let shares = |group: fn(&Member) -> u64| match (target, executed_on) {
         (RetryTarget::Server(next), Some(first)) => is_remembered && group(next) == group(first),
         _ => false,
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -7,7 +7,7 @@
     Class {
         effect,
         group,
-        window: WINDOW,
+        dedup_window: WINDOW,
         ..Class::default()
     }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,7 +1,7 @@
 //! The router: a state machine without I/O that makes every decision about requests.
 //!
 //! [`Router::start`] creates it; each kind of event has a method, which takes the time since the
-//! start and the [`Outlet`] for the router's actions. The state is held by modules with one concern
+//! start and the [`ActionSink`] for the router's actions. The state is held by modules with one concern
 //! each. `lifecycle` decides the next step of a request, `routing` selects its destination,
 //! `dispatch` enforces the rules for sending it, and `completion` and `overdue` process results and
 //! missing results of attempts.
@@ -29,7 +29,7 @@
 /// The context of an event: its time, and the receiver of the router's actions.
 pub(crate) struct EventContext<'a> {
     pub(crate) now: Duration,
-    pub(crate) actions: &'a mut dyn Outlet,
+    pub(crate) actions: &'a mut dyn ActionSink,
 }
 
 /// The state of a router.
@@ -44,7 +44,7 @@
     pub(crate) max_attempts: usize,
     pub(crate) may_cancel: bool,
     /// The retry delay that rejected clients are told, also by rejections of the front end.
-    pub advice: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Whether attempts can be sent to parents and origins directly.
     pub(crate) passes_through: bool,
     pub(crate) joins_fills: bool,
@@ -68,13 +68,13 @@
 
 impl Router {
     /// Creates a router with an empty endpoint list.
-    pub fn start(now: Duration, deployment: &Deployment, actions: &mut dyn Outlet) -> Router {
-        let in_zone = deployment.routers_at.get(deployment.zone).copied();
+    pub fn start(now: Duration, deployment: &Deployment, actions: &mut dyn ActionSink) -> Router {
+        let in_zone = deployment.routers_per_zone.get(deployment.zone).copied();
         let routers_in_zone = in_zone.unwrap_or(deployment.routers).max(1) as f64;
         if deployment.list_on_request {
-            actions.watch_list();
+            actions.subscribe_list();
         }
-        let max_action_delay = deployment.tick * 2;
+        let max_action_delay = deployment.min_call_interval * 2;
         let has_rate_limit = deployment.client_kb_per_s > 0.0;
         Router {
             zone: deployment.zone,
@@ -88,11 +88,11 @@
             routers_in_zone,
             max_attempts: deployment.max_attempts.max(1),
             may_cancel: deployment.may_cancel,
-            advice: deployment
-                .longest_advice
+            retry_after: deployment
+                .max_retry_after
                 .map(|longest| longest.min(MAX_RETRY_AFTER)),
             passes_through: deployment.pass_through,
-            joins_fills: deployment.joins,
+            joins_fills: deployment.joins_fills,
             slow_start: SlowStart::new(now, deployment, routers_in_zone),
             purges: PurgeLog::new(deployment.purge_done + max_action_delay),
             random: fastrand::Rng::with_seed(deployment.seed),
@@ -101,16 +101,16 @@
     }
 
     /// Updates the endpoint list. The health state of a restarted server is reset.
-    pub fn list(
+    pub fn update_list(
         &mut self,
         now: Duration,
         kind: ListKind,
         members: &[Member],
-        actions: &mut dyn Outlet,
+        actions: &mut dyn ActionSink,
     ) {
         match kind {
             ListKind::Changes => self.endpoints.change(members),
-            ListKind::Whole | ListKind::Remembered => self.endpoints.replace(members),
+            ListKind::Snapshot | ListKind::Restored => self.endpoints.replace(members),
             ListKind::Failed => {
                 // Without a subscription the router would not learn of drains.
                 let context = &mut EventContext { now, actions };
@@ -120,7 +120,12 @@
     }
 
     /// Handles an incoming request. It gets exactly one final answer, by its deadline.
-    pub fn request(&mut self, now: Duration, arrival: Arrival, actions: &mut dyn Outlet) {
+    pub fn request(
+        &mut self,
+        now: Duration,
+        arrival: IncomingRequest,
+        actions: &mut dyn ActionSink,
+    ) {
         let context = &mut EventContext { now, actions };
         let id = arrival.id.clone();
         let request = self.pending_request(now, arrival);
@@ -131,7 +136,7 @@
         self.advance(context, &id);
     }
 
-    fn pending_request(&mut self, now: Duration, arrival: Arrival) -> PendingRequest {
+    fn pending_request(&mut self, now: Duration, arrival: IncomingRequest) -> PendingRequest {
         let class = &self.classes[arrival.class];
         let is_known = !class.cacheable || self.access_history.part_mut(&arrival).is_some();
         // With more routers in the zone, a first access here is more often a repeated one in the
@@ -152,8 +157,10 @@
             retention_priority,
             is_first_access: !is_known,
             sending_time,
-            soft_deadline: now + class.soft_deadline + sending_time.mul_f64(class.soft_stretch),
-            deadline: now + arrival.left.saturating_sub(self.max_action_delay),
+            soft_deadline: now
+                + class.soft_deadline
+                + sending_time.mul_f64(class.soft_deadline_multiple),
+            deadline: now + arrival.time_left.saturating_sub(self.max_action_delay),
             attempts: Vec::new(),
             open_attempts: 0,
             is_finished: false,
@@ -166,27 +173,27 @@
     }
 
     /// Handles the departure of a client; its request needs no answer.
-    pub fn left(&mut self, now: Duration, id: &Id, actions: &mut dyn Outlet) {
-        self.begun(id);
+    pub fn client_left(&mut self, now: Duration, id: &Id, actions: &mut dyn ActionSink) {
+        self.answer_started(id);
         self.close(&mut EventContext { now, actions }, id);
     }
 
     /// Handles the start of a streamed answer, which is not interrupted; the request needs no other
     /// answer.
-    pub fn begun(&mut self, id: &Id) {
+    pub fn answer_started(&mut self, id: &Id) {
         if let Some(request) = self.requests.get_mut(id) {
             request.is_finished = true;
         }
     }
 
     /// Handles the end of an attempt. Only the first result of an attempt counts.
-    pub fn result(
+    pub fn attempt_ended(
         &mut self,
         now: Duration,
         id: &Id,
         attempt: usize,
-        ended: &Ended,
-        actions: &mut dyn Outlet,
+        result: &AttemptResult,
+        actions: &mut dyn ActionSink,
     ) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -196,21 +203,21 @@
             return;
         };
         request.open_attempts -= 1;
-        request.is_finished |= ended.over;
+        request.is_finished |= result.is_complete;
         let context = &mut EventContext { now, actions };
-        self.complete_attempt(context, id, attempt, &open, ended);
+        self.complete_attempt(context, id, attempt, &open, result);
         self.close(context, id);
     }
 
     /// Handles a purge of an object, or of a group if `object` is `None`, made `ago` before `now`.
-    pub fn purged(&mut self, now: Duration, object: Option<Id>, group: u64, ago: Duration) {
+    pub fn record_purge(&mut self, now: Duration, object: Option<Id>, group: u64, ago: Duration) {
         let purged_at = now.saturating_sub(ago);
         self.purges.record(now, purged_at, object, group);
     }
 
     /// Handles the gossip of another router of the zone that a cache holds a part or was asked to
     /// keep it. The next access here counts as a repeated one, and is not expected to fill.
-    pub fn told(&mut self, now: Duration, part: u32, cache: Id) {
+    pub fn record_peer_finding(&mut self, now: Duration, part: u32, cache: Id) {
         self.access_history.record_holder(now, part, cache);
     }
 
@@ -230,18 +237,18 @@
     }
 
     /// Sets the adjustment of a cache's selection weight, as agreed among the routers of its zone.
-    pub fn lean(&mut self, cache: &Id, by: f64) {
+    pub fn adjust_weight(&mut self, cache: &Id, by: f64) {
         self.endpoints.adjust_weight(cache, by);
     }
 
     /// Handles a timer.
-    pub fn wake(&mut self, now: Duration, mark: u64, actions: &mut dyn Outlet) {
-        let Some(callback) = self.timers.fire(mark) else {
+    pub fn wake(&mut self, now: Duration, timer_id: u64, actions: &mut dyn ActionSink) {
+        let Some(callback) = self.timers.fire(timer_id) else {
             return;
         };
         let context = &mut EventContext { now, actions };
         match callback {
-            TimerCallback::ReconnectList => context.actions.watch_list(),
+            TimerCallback::ReconnectList => context.actions.subscribe_list(),
             TimerCallback::RequestDeadline(id) => self.finish(context, &id),
             TimerCallback::ResumeRequest(id) => self.advance(context, &id),
             TimerCallback::FillQueueTimeout(id) => {
@@ -262,7 +269,7 @@
         callback: TimerCallback,
     ) {
         let id = self.timers.set(callback);
-        context.actions.wake_at(context.now + delay, id);
+        context.actions.set_timer(context.now + delay, id);
     }
 }
 
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -11,24 +11,24 @@
 #[derive(Default)]
 struct RecordedAttempts(Vec<(Id, Id)>);
 
-impl Outlet for RecordedAttempts {
+impl ActionSink for RecordedAttempts {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, _fill: &Fill) {
         self.0.push((request.clone(), server.clone()));
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, _at: Duration, _mark: u64) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _at: Duration, _timer_id: u64) {}
+    fn subscribe_list(&mut self) {}
 }
 
 fn deployment() -> Deployment {
     let second = Duration::from_secs(1);
-    let cold = ColdStart {
-        from: 0.25,
-        warm_within: second * 1000,
-        multiple: 2.0,
-        span: second,
+    let cold = SlowStartSettings {
+        initial_capacity: 0.25,
+        warm_up_time: second * 1000,
+        overload_multiple: 2.0,
+        window: second,
     };
     let class = Class {
         soft_deadline: second,
@@ -38,7 +38,7 @@
     };
     Deployment {
         routers: 10,
-        routers_at: vec![10],
+        routers_per_zone: vec![10],
         classes: vec![class],
         client_kb_per_s: 1000.0,
         max_attempts: 4,
@@ -71,7 +71,7 @@
         ..parent.clone()
     };
     let members: Vec<Member> = (0..caches).map(cache).chain([parent, origin]).collect();
-    router.list(NOW, ListKind::Whole, &members, recorded);
+    router.update_list(NOW, ListKind::Snapshot, &members, recorded);
     router
 }
 
@@ -84,14 +84,14 @@
     outcome: Outcome,
     remark: Remark,
 ) -> [usize; 2] {
-    let (took, load) = (Duration::from_millis(5), Load::default());
-    let over = outcome == Outcome::Served;
-    let ended = Ended {
+    let (duration, load) = (Duration::from_millis(5), Load::default());
+    let is_complete = outcome == Outcome::Served;
+    let result = AttemptResult {
         outcome,
         remark,
-        took,
+        duration,
         first_byte: None,
-        over,
+        is_complete,
         load,
     };
     let mut highest = [0, 0];
@@ -99,21 +99,21 @@
         router.considered.set(0);
         let id: Id = format!("request-{n}").into();
         let object = format!("object-{n}").as_str().into();
-        let left = Duration::from_secs(4);
+        let time_left = Duration::from_secs(4);
         router.request(
             NOW,
-            Arrival {
+            IncomingRequest {
                 id,
                 object,
                 kb: 20.0,
-                left,
-                ..Arrival::default()
+                time_left,
+                ..IncomingRequest::default()
             },
             recorded,
         );
         let mut attempts = 0;
         while let Some((request, _)) = recorded.0.pop() {
-            router.result(NOW, &request, attempts, &ended, recorded);
+            router.attempt_ended(NOW, &request, attempts, &result, recorded);
             attempts += 1;
         }
         highest = [
@@ -207,7 +207,7 @@
         };
         change(&mut member);
         router.endpoints.visited.set(0);
-        router.list(NOW, ListKind::Changes, &[member], &mut recorded);
+        router.update_list(NOW, ListKind::Changes, &[member], &mut recorded);
         let [considered, _] = play(&mut router, &mut recorded, 1, Outcome::Served, Remark::Hit);
         highest = highest.max(considered + router.endpoints.visited.get());
     }
@@ -218,8 +218,8 @@
 fn a_list_change_visits_no_more_of_3200_servers_than_of_200() {
     let changes: [fn(&mut Member); 5] = [
         |member| member.capacity = 5.0,
-        |member| member.standing = Standing::Draining,
-        |member| member.standing = Standing::Gone,
+        |member| member.standing = ServerState::Draining,
+        |member| member.standing = ServerState::Removed,
         |member| member.started = Some(NOW - Duration::from_secs(5)),
         |member| member.server = format!("new-{}", member.server).into(),
     ];
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -94,7 +94,7 @@
         let is_degraded =
             !self.fill_limiter.has_free_slot() || self.endpoints.are_origins_failing(now);
         if is_degraded || !request.attempts.is_empty() {
-            self.classes[request.arrival.class].stale_for
+            self.classes[request.arrival.class].max_staleness
         } else {
             Duration::ZERO
         }
@@ -181,5 +181,5 @@
 /// The pool of a tier for a request.
 fn pool_key(tier: Tier, request: &PendingRequest, home_zone: usize) -> PoolKey {
     let arrival = &request.arrival;
-    PoolKey::new(tier, arrival.at.unwrap_or(home_zone), arrival.cell)
+    PoolKey::new(tier, arrival.zone.unwrap_or(home_zone), arrival.cell)
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -2,20 +2,20 @@
 //! while it warms up.
 //!
 //! The routers do not communicate for this. Each one keeps within its share of a budget for the
-//! work sent in a period (`span`). If the share of one router is less than one transfer, a
+//! work sent in a `window`. If the share of one router is less than one transfer, a
 //! hash-based lottery selects the few routers that may send one.
 
 use crate::endpoints::Endpoint;
-use crate::interface::{ColdStart, Deployment, Tier};
+use crate::interface::{Deployment, SlowStartSettings, Tier};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The fraction of a server's budget that the routers use together, as capacity hints may be
 /// inaccurate.
 const BUDGET_MARGIN: f64 = 0.45;
-/// The number of spans for which a draw of the routers is valid. In the span after a new draw, the
+/// The number of windows for which a draw of the routers is valid. In the window after a new draw, the
 /// routers of both draws may send, so a longer period reduces that overlap.
-const DRAW_PERIOD_SPANS: f64 = 8.0;
+const DRAW_PERIOD_WINDOWS: f64 = 8.0;
 /// The maximum fraction of the budget that one transfer in the lottery may take.
 const MAX_DRAWN_SHARE: f64 = 1.0 / 8.0;
 /// The maximum fraction of the budget that one transfer of above-average size in the lottery may
@@ -46,19 +46,19 @@
 /// The slow-start parameters of a tier.
 #[derive(Clone, Copy, Debug, Default)]
 struct TierSlowStart {
-    limits: ColdStart,
+    limits: SlowStartSettings,
     /// The number of routers that send to one server.
     sharing_routers: f64,
 }
 
-/// The work that a warming server may be sent in a span.
+/// The work that a warming server may be sent in a window.
 struct Budget {
     /// The work of all routers.
     total: f64,
     /// This router's share.
     share: f64,
-    /// The time since the server's start, in spans.
-    age_spans: f64,
+    /// The time since the server's start, in windows.
+    age_windows: f64,
 }
 
 /// Decides whether a recently started server may be sent more work.
@@ -77,7 +77,7 @@
     /// Creates the state of a router that starts at `now`, with the deployment's parameters.
     pub fn new(now: Duration, deployment: &Deployment, routers_in_zone: f64) -> SlowStart {
         SlowStart {
-            router_number: deployment.number,
+            router_number: deployment.router_index,
             zone: deployment.zone,
             started_at: now,
             caches: TierSlowStart {
@@ -109,9 +109,9 @@
         }
     }
 
-    /// The longer of the spans of the two tiers.
-    pub fn longest_span(&self) -> Duration {
-        self.caches.limits.span.max(self.parents.limits.span)
+    /// The longer of the windows of the two tiers.
+    pub fn longest_window(&self) -> Duration {
+        self.caches.limits.window.max(self.parents.limits.window)
     }
 
     /// Whether a server may be sent this work now. Inlined, as it is called for each candidate of a
@@ -135,27 +135,27 @@
         let tier = match endpoint.member.tier {
             Tier::Cache => &self.caches,
             Tier::Parent => &self.parents,
-            Tier::Origin | Tier::Own => return true,
+            Tier::Origin | Tier::Local => return true,
         };
         let limits = &tier.limits;
-        if age >= limits.warm_within + limits.span {
+        if age >= limits.warm_up_time + limits.window {
             return true;
         }
         // The load that the routers of a remote zone send to its warming cache is unknown here.
         let is_remote = endpoint.member.tier == Tier::Cache && endpoint.member.zone != self.zone;
         // The load that an earlier incarnation of this router sent is unknown as well.
-        let is_recently_started = now < self.started_at + limits.span;
+        let is_recently_started = now < self.started_at + limits.window;
         if is_remote || is_recently_started {
             return false;
         }
         let budget = tier.budget(endpoint, age);
-        let sent = endpoint.sent_work.sum(now, limits.span);
+        let sent = endpoint.sent_work.sum(now, limits.window);
         sent + work <= budget.share || self.is_drawn(endpoint, &budget, sent, work)
     }
 
     /// With many routers, no share covers one transfer. A few routers, selected by hash, may then
-    /// send one transfer per span, or several small ones that together fit in half of the mean. The
-    /// expected sum in any span equals the sum of the shares. The lottery rounds small sizes up:
+    /// send one transfer per window, or several small ones that together fit in half of the mean. The
+    /// expected sum in any window equals the sum of the shares. The lottery rounds small sizes up:
     /// with exact sizes, a router could win once for each size that it is asked for.
     fn is_drawn(&self, endpoint: &Endpoint, budget: &Budget, sent: f64, work: f64) -> bool {
         let (mean, share) = (self.mean_work.seconds, budget.share);
@@ -164,19 +164,19 @@
         if work.max(small) > large.min(budget.total * MAX_DRAWN_SHARE) {
             return false;
         }
-        let draw = self.draw(endpoint, budget.age_spans);
+        let draw = self.draw(endpoint, budget.age_windows);
         let fits_as_small = sent + work <= small && draw * small < share;
         fits_as_small || draw * work.max(small) < share - sent
     }
 
     /// The draw of this router for a server, from 0 to 1. Each router changes its draws at a
     /// different time: if all draws changed at once, the routers of both draws could send within
-    /// one span, twice the expected work.
-    fn draw(&self, endpoint: &Endpoint, age_spans: f64) -> f64 {
+    /// one window, twice the expected work.
+    fn draw(&self, endpoint: &Endpoint, age_windows: f64) -> f64 {
         let name = endpoint.member.server.as_bytes();
         let hash = |seed| xxh3_64_with_seed(name, seed) as f64 / 2f64.powi(64);
         let offset = hash(self.router_number);
-        let draws = (age_spans / DRAW_PERIOD_SPANS + offset) as u64;
+        let draws = (age_windows / DRAW_PERIOD_WINDOWS + offset) as u64;
         hash((draws + 1) << 32 ^ self.router_number)
     }
 }
@@ -184,13 +184,15 @@
 impl TierSlowStart {
     fn budget(&self, endpoint: &Endpoint, age: Duration) -> Budget {
         let limits = &self.limits;
-        let warmth = (age.as_secs_f64() / limits.warm_within.as_secs_f64()).min(1.0);
-        let capacity = endpoint.member.capacity * (limits.from + (1.0 - limits.from) * warmth);
-        let total = BUDGET_MARGIN * limits.multiple * capacity * limits.span.as_secs_f64();
+        let warmth = (age.as_secs_f64() / limits.warm_up_time.as_secs_f64()).min(1.0);
+        let capacity = endpoint.member.capacity
+            * (limits.initial_capacity + (1.0 - limits.initial_capacity) * warmth);
+        let total =
+            BUDGET_MARGIN * limits.overload_multiple * capacity * limits.window.as_secs_f64();
         Budget {
             total,
             share: total / self.sharing_routers,
-            age_spans: age.div_duration_f64(limits.span),
+            age_windows: age.div_duration_f64(limits.window),
         }
     }
 }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -5,11 +5,11 @@
 const STARTED: Duration = Duration::from_secs(1000);
 
 fn slow_start(routers: usize) -> SlowStart {
-    let limits = ColdStart {
-        from: 0.5,
-        warm_within: SECOND * 10,
-        multiple: 2.0,
-        span: SECOND,
+    let limits = SlowStartSettings {
+        initial_capacity: 0.5,
+        warm_up_time: SECOND * 10,
+        overload_multiple: 2.0,
+        window: SECOND,
     };
     let deployment = Deployment {
         routers,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_warming_server_admits_the_routers_share_of_its_budget_per_span() {
+fn a_warming_server_admits_the_routers_share_of_its_budget_per_window() {
     let slow_start = slow_start(1);
     let mut cache = endpoint(Tier::Cache, 0, Some(STARTED));
     let budget = BUDGET_MARGIN * 2.0 * 5.0;
@@ -72,7 +72,7 @@
     let slow_start = slow_start(1);
     let remote = endpoint(Tier::Cache, 1, Some(STARTED));
     assert!(!slow_start.admits(STARTED, &remote, 0.1));
-    // This router started at 1 s, so its first span ends at 2 s.
+    // This router started at 1 s, so its first window ends at 2 s.
     let cache = endpoint(Tier::Cache, 0, Some(SECOND));
     assert!(!slow_start.admits(SECOND * 2 - Duration::from_nanos(1), &cache, 0.1));
     assert!(slow_start.admits(SECOND * 2, &cache, 0.1));
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -14,7 +14,7 @@
     attempts: BTreeMap<Id, usize>,
 }
 
-impl Outlet for Simulation {
+impl ActionSink for Simulation {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         self.actions
             .push(format!("attempt {request} {server} {limit:?} {fill:?}"));
@@ -22,8 +22,9 @@
         self.open_attempts.push_back((request.clone(), *n));
         *n += 1;
     }
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.actions.push(format!("reject {request} {advice:?}"));
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
+        self.actions
+            .push(format!("reject {request} {retry_after:?}"));
     }
     fn fail(&mut self, request: &Id) {
         self.actions.push(format!("fail {request}"));
@@ -31,25 +32,25 @@
     fn cancel(&mut self, request: &Id, attempt: usize) {
         self.actions.push(format!("cancel {request} {attempt}"));
     }
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.insert((at, mark), ());
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.timers.insert((at, timer_id), ());
     }
-    fn watch_list(&mut self) {}
+    fn subscribe_list(&mut self) {}
 }
 
 fn deployment(seed: u64) -> Deployment {
     let ms = Duration::from_millis;
-    let cold = ColdStart {
-        from: 0.25,
-        warm_within: ms(10_000),
-        multiple: 2.0,
-        span: ms(1000),
+    let cold = SlowStartSettings {
+        initial_capacity: 0.25,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.0,
+        window: ms(1000),
     };
     let class = |effect, cacheable| Class {
         effect,
-        window: ms(2000),
+        dedup_window: ms(2000),
         soft_deadline: ms(500),
-        soft_stretch: 2.0,
+        soft_deadline_multiple: 2.0,
         deadline: ms(4000),
         value: 1.0,
         late_value: 0.2,
@@ -57,20 +58,20 @@
         ..Class::default()
     };
     Deployment {
-        number: 0,
+        router_index: 0,
         seed,
         routers: 2,
         zone: 1,
-        routers_at: vec![0, 2],
+        routers_per_zone: vec![0, 2],
         classes: vec![
             class(Effect::Idempotent, true),
             class(Effect::NonIdempotent, false),
         ],
-        tick: ms(2),
+        min_call_interval: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: 6,
         may_cancel: true,
-        longest_advice: Some(ms(1000)),
+        max_retry_after: Some(ms(1000)),
         cold_cache: cold,
         cold_parent: cold,
         drain_grace: ms(250),
@@ -103,46 +104,46 @@
     let caches = ["c1", "c2", "c3", "c4", "c5"];
     let mut list: Vec<Member> = caches
         .iter()
-        .map(|c| member(c, Tier::Cache, Standing::Active))
+        .map(|c| member(c, Tier::Cache, ServerState::Active))
         .collect();
-    list.push(member("p1", Tier::Parent, Standing::Active));
-    list.push(member("p2", Tier::Parent, Standing::Active));
-    list.push(member("o1", Tier::Origin, Standing::Active));
-    router.list(now, ListKind::Whole, &list, &mut simulation);
+    list.push(member("p1", Tier::Parent, ServerState::Active));
+    list.push(member("p2", Tier::Parent, ServerState::Active));
+    list.push(member("o1", Tier::Origin, ServerState::Active));
+    router.update_list(now, ListKind::Snapshot, &list, &mut simulation);
     for n in 0..3000 {
         now += Duration::from_millis(rng.u64(..12));
-        while let Some((&(at, mark), ())) = simulation
+        while let Some((&(at, timer_id), ())) = simulation
             .timers
             .first_key_value()
             .filter(|((at, _), ())| *at <= now)
         {
             simulation.timers.pop_first();
-            router.wake(at.max(now), mark, &mut simulation);
+            router.wake(at.max(now), timer_id, &mut simulation);
         }
         match rng.u8(..40) {
             0 => {
                 let (name, standing) = (
                     caches[rng.usize(..5)],
-                    [Standing::Active, Standing::Draining],
+                    [ServerState::Active, ServerState::Draining],
                 );
                 let changed = member(name, Tier::Cache, standing[rng.usize(..2)]);
-                router.list(now, ListKind::Changes, &[changed], &mut simulation);
+                router.update_list(now, ListKind::Changes, &[changed], &mut simulation);
             }
-            1 => router.purged(
+            1 => router.record_purge(
                 now,
                 Some(format!("x{}", rng.u8(..50)).as_str().into()),
                 0,
                 Duration::ZERO,
             ),
             2..=19 => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     id: format!("a{n}").as_str().into(),
                     class: usize::from(rng.u8(..10) == 0),
                     object: format!("x{}", rng.u8(..50)).as_str().into(),
                     kb: 20.0 + f64::from(rng.u8(..200)),
-                    left: Duration::from_millis(4000),
+                    time_left: Duration::from_millis(4000),
                     cell,
-                    ..Arrival::default()
+                    ..IncomingRequest::default()
                 };
                 router.request(now, arrival, &mut simulation);
             }
@@ -157,22 +158,22 @@
                     3 => Outcome::Unreachable,
                     _ => Outcome::Served,
                 };
-                let over = outcome == Outcome::Served;
-                let remark = if over {
+                let is_complete = outcome == Outcome::Served;
+                let remark = if is_complete {
                     [Remark::Hit, Remark::Filled][rng.usize(..2)]
                 } else {
                     Remark::None
                 };
-                let (took, load) = (Duration::from_millis(rng.u64(1..400)), Load::default());
-                let ended = Ended {
+                let (duration, load) = (Duration::from_millis(rng.u64(1..400)), Load::default());
+                let ended = AttemptResult {
                     outcome,
                     remark,
-                    took,
+                    duration,
                     first_byte: None,
-                    over,
+                    is_complete,
                     load,
                 };
-                router.result(now, &id, attempt, &ended, &mut simulation);
+                router.attempt_ended(now, &id, attempt, &ended, &mut simulation);
             }
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Effects that are harmless in one router and add up over many: the decisions of a fleet against
 //! directly computed sums.
 
-use chalkhall::control::{Judged, Router};
+use chalkhall::control::{Router, ServerHealth};
 use chalkhall::interface::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,46 +17,46 @@
     timers: BTreeMap<(Duration, u64), ()>,
 }
 
-impl Outlet for RecordedActions {
+impl ActionSink for RecordedActions {
     fn attempt(&mut self, request: &Id, _server: &Id, _limit: Duration, fill: &Fill) {
         self.attempts.push((request.clone(), fill.source.clone()));
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.insert((at, mark), ());
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.timers.insert((at, timer_id), ());
     }
-    fn watch_list(&mut self) {}
+    fn subscribe_list(&mut self) {}
 }
 
 const ROUTERS: u64 = 300;
 const COLD_FROM: f64 = 0.1;
 
-fn deployment(number: u64) -> Deployment {
-    let cold = ColdStart {
-        from: COLD_FROM,
-        warm_within: ms(20_000),
-        multiple: 2.0,
-        span: ms(1000),
+fn deployment(router_index: u64) -> Deployment {
+    let cold = SlowStartSettings {
+        initial_capacity: COLD_FROM,
+        warm_up_time: ms(20_000),
+        overload_multiple: 2.0,
+        window: ms(1000),
     };
     Deployment {
-        number,
-        seed: number,
+        router_index,
+        seed: router_index,
         routers: ROUTERS as usize,
         zone: 1,
-        routers_at: vec![0, 1],
+        routers_per_zone: vec![0, 1],
         classes: vec![Class {
-            window: ms(2000),
+            dedup_window: ms(2000),
             soft_deadline: ms(5000),
-            soft_stretch: 2.0,
+            soft_deadline_multiple: 2.0,
             deadline: ms(9000),
             value: 1.0,
             late_value: 0.2,
             cacheable: true,
             ..Class::default()
         }],
-        tick: ms(2),
+        min_call_interval: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: 6,
         may_cancel: true,
@@ -99,7 +99,7 @@
     for number in 0..ROUTERS {
         let mut recorded = RecordedActions::default();
         let mut router = Router::start(ms(0), &deployment(number), &mut recorded);
-        router.list(ms(0), ListKind::Whole, &list, &mut recorded);
+        router.update_list(ms(0), ListKind::Snapshot, &list, &mut recorded);
         let mut rng = fastrand::Rng::with_seed(number ^ 77);
         let mut now = started;
         for n in 0u64.. {
@@ -107,21 +107,21 @@
             if now > started + ms(20_000) {
                 break;
             }
-            while let Some((&(at, mark), ())) = recorded
+            while let Some((&(at, timer_id), ())) = recorded
                 .timers
                 .first_key_value()
                 .filter(|((at, _), ())| *at <= now)
             {
                 recorded.timers.pop_first();
-                router.wake(at, mark, &mut recorded);
+                router.wake(at, timer_id, &mut recorded);
             }
             let id: Id = format!("{number}-{n}").into();
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 id: id.clone(),
                 object: id,
                 kb: 200.0,
-                left: ms(9000),
-                ..Arrival::default()
+                time_left: ms(9000),
+                ..IncomingRequest::default()
             };
             router.request(now, arrival, &mut recorded);
             for (id, source) in std::mem::take(&mut recorded.attempts) {
@@ -129,27 +129,27 @@
                     sent.push((now, 0.2));
                     by_router.entry(number).or_default().push(now);
                 }
-                let ended = Ended {
+                let ended = AttemptResult {
                     outcome: Outcome::Served,
                     remark: Remark::Filled,
-                    took: ms(200),
+                    duration: ms(200),
                     first_byte: Some(ms(10)),
-                    over: true,
+                    is_complete: true,
                     load: Load::default(),
                 };
-                router.result(now, &id, 0, &ended, &mut recorded);
+                router.attempt_ended(now, &id, 0, &ended, &mut recorded);
             }
         }
     }
-    // One transfer exceeds a router's share several times: no router sends two within a span.
+    // One transfer exceeds a router's share several times: no router sends two within a window.
     for (router, times) in &by_router {
         let pair = times.windows(2).find(|pair| pair[1] < pair[0] + ms(1000));
         assert!(
             pair.is_none(),
-            "router {router} sent two within a span: {pair:?}"
+            "router {router} sent two within a window: {pair:?}"
         );
     }
-    // The routers drawn change: those of the first four spans differ from those of four spans after
+    // The routers drawn change: those of the first four windows differ from those of four windows after
     // their draws have ended.
     let senders = |from: u64| {
         let (from, to) = (started + ms(from), started + ms(from + 4000));
@@ -200,7 +200,7 @@
     );
 }
 
-/// A request that takes more than an eighth of what the cold parent bears in a span has to wait
+/// A request that takes more than an eighth of what the cold parent bears in a window has to wait
 /// until it bears more: the total of a few such requests would vary too far from the mean.
 #[test]
 fn a_large_request_is_not_sent_to_a_cold_parent() {
@@ -212,15 +212,15 @@
     for number in 0..ROUTERS {
         let mut recorded = RecordedActions::default();
         let mut router = Router::start(ms(0), &deployment(number), &mut recorded);
-        router.list(ms(0), ListKind::Whole, &list, &mut recorded);
+        router.update_list(ms(0), ListKind::Snapshot, &list, &mut recorded);
         for second in 0..3 {
             let id: Id = format!("{number}-{second}").into();
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 id: id.clone(),
                 object: id,
                 kb: 2000.0,
-                left: ms(9000),
-                ..Arrival::default()
+                time_left: ms(9000),
+                ..IncomingRequest::default()
             };
             router.request(ms(10_000 + second * 1000), arrival, &mut recorded);
         }
@@ -239,24 +239,24 @@
 #[test]
 fn ejection_ends_when_probes_no_longer_limit_the_load() {
     let is_ejected_after_probes = |interval: Duration| {
-        let (mut detector, mut now) = (Judged::default(), ms(1_000_000));
+        let (mut detector, mut now) = (ServerHealth::default(), ms(1_000_000));
         for _ in 0..40 {
             now += interval;
-            detector.sent(now);
-            detector.judge(now, false, 1.0);
+            detector.record_sent(now);
+            detector.record_outcome(now, false, 1.0);
         }
         for _ in 0..3 {
-            detector.judge(now, true, 1.0);
+            detector.record_outcome(now, true, 1.0);
         }
-        assert!(detector.is_aside());
+        assert!(detector.is_ejected());
         now += ms(6000);
-        detector.sent(now);
-        detector.judge(now, true, 1.0);
-        assert!(detector.is_aside(), "a failure does not end the ejection");
+        detector.record_sent(now);
+        detector.record_outcome(now, true, 1.0);
+        assert!(detector.is_ejected(), "a failure does not end the ejection");
         now += ms(6000);
-        detector.sent(now);
-        detector.judge(now, false, 1.0);
-        detector.is_aside()
+        detector.record_sent(now);
+        detector.record_outcome(now, false, 1.0);
+        detector.is_ejected()
     };
     assert!(
         !is_ejected_after_probes(ms(6000)),
--- a/tests/local_failures.rs
+++ b/tests/local_failures.rs
@@ -18,7 +18,7 @@
     failed: usize,
 }
 
-impl Outlet for Recorder {
+impl ActionSink for Recorder {
     fn attempt(&mut self, _: &Id, _: &Id, _: Duration, _: &Fill) {
         self.attempts.push_back(self.sent);
         self.sent += 1;
@@ -30,17 +30,17 @@
         self.failed += 1;
     }
     fn cancel(&mut self, _: &Id, _: usize) {}
-    fn wake_at(&mut self, _: Duration, _: u64) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: Duration, _: u64) {}
+    fn subscribe_list(&mut self) {}
 }
 
 fn deployment() -> Deployment {
     let ms = Duration::from_millis;
     let class = |effect, cacheable| Class {
         effect,
-        window: ms(2000),
+        dedup_window: ms(2000),
         soft_deadline: ms(500),
-        soft_stretch: 2.0,
+        soft_deadline_multiple: 2.0,
         deadline: ms(4000),
         value: 1.0,
         late_value: 0.2,
@@ -54,9 +54,9 @@
     ];
     Deployment {
         routers: 1,
-        routers_at: vec![1],
+        routers_per_zone: vec![1],
         classes,
-        tick: ms(2),
+        min_call_interval: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: MAX_ATTEMPTS,
         may_cancel: true,
@@ -78,27 +78,27 @@
         member("o1".into(), Tier::Origin),
     ];
     let list: Vec<Member> = caches.chain(sources).collect();
-    router.list(now, ListKind::Whole, &list, recorder);
+    router.update_list(now, ListKind::Snapshot, &list, recorder);
 }
 
-fn arrival(n: usize, class: usize) -> Arrival {
-    Arrival {
+fn arrival(n: usize, class: usize) -> IncomingRequest {
+    IncomingRequest {
         id: format!("a{n}").as_str().into(),
         class,
         object: format!("x{n}").as_str().into(),
         kb: 20.0,
-        left: Duration::from_millis(4000),
-        ..Arrival::default()
+        time_left: Duration::from_millis(4000),
+        ..IncomingRequest::default()
     }
 }
 
-fn never_sent() -> Ended {
-    Ended {
+fn never_sent() -> AttemptResult {
+    AttemptResult {
         outcome: Outcome::NeverSent,
         remark: Remark::None,
-        took: Duration::ZERO,
+        duration: Duration::ZERO,
         first_byte: None,
-        over: false,
+        is_complete: false,
         load: Load::default(),
     }
 }
@@ -116,7 +116,7 @@
         let id = arrival.id.clone();
         router.request(now, arrival, &mut recorder);
         while let Some(attempt) = recorder.attempts.pop_front() {
-            router.result(now, &id, attempt, &never_sent(), &mut recorder);
+            router.attempt_ended(now, &id, attempt, &never_sent(), &mut recorder);
         }
         assert!(
             (1..=MAX_ATTEMPTS).contains(&recorder.sent),
@@ -146,7 +146,7 @@
             let id = arrival.id.clone();
             router.request(now, arrival, &mut recorder);
             while let Some(attempt) = recorder.attempts.pop_front() {
-                router.result(now, &id, attempt, &never_sent(), &mut recorder);
+                router.attempt_ended(now, &id, attempt, &never_sent(), &mut recorder);
             }
         }
         let mut servers = ChosenServers::default();
@@ -162,13 +162,13 @@
 #[derive(Default)]
 struct ChosenServers(Vec<Id>);
 
-impl Outlet for ChosenServers {
+impl ActionSink for ChosenServers {
     fn attempt(&mut self, _: &Id, server: &Id, _: Duration, _: &Fill) {
         self.0.push(server.clone());
     }
     fn reject(&mut self, _: &Id, _: Option<Duration>) {}
     fn fail(&mut self, _: &Id) {}
     fn cancel(&mut self, _: &Id, _: usize) {}
-    fn wake_at(&mut self, _: Duration, _: u64) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _: Duration, _: u64) {}
+    fn subscribe_list(&mut self) {}
 }
--- a/tests/oracle/simulation.rs
+++ b/tests/oracle/simulation.rs
@@ -74,7 +74,7 @@
     ended: Vec<Id>,
     subscriptions: usize,
     requested: HashMap<Id, (Id, u64)>,
-    local: HashMap<(Id, u64), Held>,
+    local: HashMap<(Id, u64), LocalCopy>,
 }
 
 impl Recorder {
@@ -107,16 +107,20 @@
     }
 }
 
-impl Outlet for Recorder {
+impl ActionSink for Recorder {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         self.note(
             "attempt",
-            format_args!("{request} {server} {} {fill:?}", limit.as_micros()),
+            format_args!(
+                "{request} {server} {} {}",
+                limit.as_micros(),
+                fill_text(fill)
+            ),
         );
         self.attempts.push((request.clone(), server.clone(), limit));
     }
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        self.note("reject", format_args!("{request} {advice:?}"));
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
+        self.note("reject", format_args!("{request} {retry_after:?}"));
         self.ended.push(request.clone());
     }
     fn fail(&mut self, request: &Id) {
@@ -127,41 +131,56 @@
         self.note("cancel", format_args!("{request} {attempt}"));
         self.cancels.push((request.clone(), attempt));
     }
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.note("wake", format_args!("{} {mark}", at.as_micros()));
-        self.timers.insert((at, mark), ());
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.note("wake", format_args!("{} {timer_id}", at.as_micros()));
+        self.timers.insert((at, timer_id), ());
     }
-    fn watch_list(&mut self) {
+    fn subscribe_list(&mut self) {
         self.note("watch", format_args!(""));
         self.subscriptions += 1;
     }
-    fn held(&mut self, request: &Id) -> Option<Held> {
+    fn local_copy(&mut self, request: &Id) -> Option<LocalCopy> {
         self.local.get(self.requested.get(request)?).cloned()
     }
-    fn found(&mut self, part: u32, cache: &Id) {
+    fn holder_found(&mut self, part: u32, cache: &Id) {
         self.note("found", format_args!("{part} {cache}"));
     }
-    fn keep(&mut self, request: &Id, rank: u8) {
-        self.note("keep", format_args!("{request} {rank}"));
+    fn keep_local_copy(&mut self, request: &Id, priority: u8) {
+        self.note("keep", format_args!("{request} {priority}"));
         let Some(requested) = self.requested.get(request).cloned() else {
             return;
         };
-        let place = if rank > 1 { "m1" } else { "m2" };
-        let held = Held {
-            place: place.into(),
-            made: self.now,
-            same: rank == 3,
+        let cache = if priority > 1 { "m1" } else { "m2" };
+        let local_copy = LocalCopy {
+            cache: cache.into(),
+            created_at: self.now,
+            client_has_it: priority == 3,
         };
-        self.local.insert(requested, held);
+        self.local.insert(requested, local_copy);
     }
 }
 
+/// The text of a fill. The recorded lines use these keys.
+fn fill_text(fill: &Fill) -> String {
+    format!(
+        "Fill {{ source: {:?}, rank: {:?}, oldest: {:?}, join: {:?}, only_held: {:?}, \
+         parent_keeps: {:?}, renew: {:?} }}",
+        fill.source,
+        fill.priority,
+        fill.max_age,
+        fill.may_join,
+        fill.only_held,
+        fill.parent_keeps,
+        fill.revalidate
+    )
+}
+
 /// An attempt in flight, with the time and the result of its end.
 struct InFlight {
     request: Id,
     attempt: usize,
     ends_at: Duration,
-    ended: Ended,
+    ended: AttemptResult,
 }
 
 /// The hash of all actions in a simulation, with the number of actions in total and of each kind.
@@ -191,9 +210,9 @@
     Class {
         effect,
         group,
-        window: ms(2000),
+        dedup_window: ms(2000),
         soft_deadline: ms(500),
-        soft_stretch: 2.0,
+        soft_deadline_multiple: 2.0,
         deadline: ms(4000),
         value: 1.0,
         late_value: 0.2,
@@ -208,7 +227,7 @@
     vec![
         class(Idempotent, Group::All, None, true),
         Class {
-            stale_for: ms(20_000),
+            max_staleness: ms(20_000),
             value: 3.0,
             ..class(Idempotent, Group::All, Some(3000), true)
         },
@@ -225,31 +244,34 @@
 }
 
 fn deployment(setup: &Setup) -> Deployment {
-    let cold = ColdStart {
-        from: 0.25,
-        warm_within: ms(10_000),
-        multiple: 2.0,
-        span: ms(1000),
+    let cold = SlowStartSettings {
+        initial_capacity: 0.25,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.0,
+        window: ms(1000),
     };
     Deployment {
-        number: 3,
+        router_index: 3,
         seed: setup.seed,
         routers: setup.routers,
         zone: 1,
-        routers_at: vec![setup.routers / 2, setup.routers.div_ceil(2)],
+        routers_per_zone: vec![setup.routers / 2, setup.routers.div_ceil(2)],
         classes: classes(),
-        tick: ms(2),
+        min_call_interval: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: 5,
         may_cancel: setup.may_cancel,
-        longest_advice: Some(ms(1000)),
+        max_retry_after: Some(ms(1000)),
         cold_cache: cold,
-        cold_parent: ColdStart { from: 0.1, ..cold },
+        cold_parent: SlowStartSettings {
+            initial_capacity: 0.1,
+            ..cold
+        },
         drain_grace: ms(250),
         purge_grace: ms(500),
         purge_done: ms(6000),
         pass_through: setup.pass_through,
-        joins: setup.joins,
+        joins_fills: setup.joins,
         list_on_request: setup.list_on_request,
         ..Deployment::default()
     }
@@ -291,7 +313,7 @@
             let server = server.into();
             members.push(Member {
                 server,
-                tier: Tier::Own,
+                tier: Tier::Local,
                 capacity,
                 ..Member::default()
             });
@@ -350,7 +372,7 @@
                 entry.ends_at = cancelled_at;
                 entry.ended.outcome = Outcome::Cancelled;
                 entry.ended.remark = Remark::None;
-                entry.ended.over = false;
+                entry.ended.is_complete = false;
             }
         }
         let ended = std::mem::take(&mut self.recorder.ended);
@@ -358,7 +380,7 @@
     }
 
     /// Draws the duration and the result of an attempt.
-    fn answer(&mut self, server: &str, limit: Duration) -> (Duration, Ended) {
+    fn answer(&mut self, server: &str, limit: Duration) -> (Duration, AttemptResult) {
         use Outcome::*;
         // Some servers are faulty for a while, so that outlier detection has work.
         let period = self.recorder.now.as_secs() / 7;
@@ -375,7 +397,7 @@
                 Remark::SourceRefused,
                 Remark::SourceUnreached,
                 Remark::SourceLacks,
-                Remark::NoFillPlace,
+                Remark::NoFillCapacity,
                 Remark::OriginFailed,
                 Remark::None,
                 Remark::None,
@@ -407,25 +429,25 @@
             (Served, remarks[self.rng.usize(..remarks.len())])
         };
         let is_slow = self.one_in(12);
-        let took = match outcome {
+        let duration = match outcome {
             TimedOut => limit,
             _ if is_slow => ms(400 + self.rng.u64(..2500)).min(limit),
             _ => ms(2 + self.rng.u64(..120)).min(limit),
         };
-        let first_byte = self.rng.bool().then(|| took.mul_f64(self.rng.f64()));
-        let over = outcome == Served;
+        let first_byte = self.rng.bool().then(|| duration.mul_f64(self.rng.f64()));
+        let is_complete = outcome == Served;
         *self
             .outcomes
             .entry(format!("{outcome:?} {remark:?}"))
             .or_default() += 1;
         (
-            took,
-            Ended {
+            duration,
+            AttemptResult {
                 outcome,
                 remark,
-                took,
+                duration,
                 first_byte,
-                over,
+                is_complete,
                 load: Load::default(),
             },
         )
@@ -439,7 +461,7 @@
                 .recorder
                 .timers
                 .first_key_value()
-                .map(|((at, mark), ())| (*at, *mark));
+                .map(|((at, timer_id), ())| (*at, *timer_id));
             let answers = self.in_flight.iter().enumerate();
             let answer = answers.map(|(n, entry)| (entry.ends_at, n)).min();
             let answer_first = match (wake, answer) {
@@ -453,11 +475,11 @@
                 };
                 let entry = self.in_flight.remove(n);
                 self.recorder.now = self.recorder.now.max(at);
-                if entry.ended.over {
+                if entry.ended.is_complete {
                     self.pending.retain(|id| *id != entry.request);
                 }
                 let now = self.recorder.now;
-                self.router.result(
+                self.router.attempt_ended(
                     now,
                     &entry.request,
                     entry.attempt,
@@ -465,13 +487,13 @@
                     &mut self.recorder,
                 );
             } else {
-                let Some((at, mark)) = wake.filter(|(at, _)| *at <= until) else {
+                let Some((at, timer_id)) = wake.filter(|(at, _)| *at <= until) else {
                     break;
                 };
                 self.recorder.timers.pop_first();
                 self.recorder.now = self.recorder.now.max(at);
                 let now = self.recorder.now;
-                self.router.wake(now, mark, &mut self.recorder);
+                self.router.wake(now, timer_id, &mut self.recorder);
             }
         }
         self.recorder.now = until;
@@ -492,7 +514,7 @@
         let id: Id = format!("r{}", self.next_id).into();
         self.next_id += 1;
         let (object, part, group) = self.part();
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id: id.clone(),
             class: self.rng.usize(..classes().len()),
             customer: 0,
@@ -502,13 +524,13 @@
             kb: 1.0 + self.rng.f64().powi(4) * 900.0,
             cell: (self.setup.cells > 0 && !self.one_in(5))
                 .then(|| self.rng.u32(..self.setup.cells)),
-            at: self.one_in(10).then_some(0),
-            left: ms(if self.one_in(20) {
+            zone: self.one_in(10).then_some(0),
+            time_left: ms(if self.one_in(20) {
                 30
             } else {
                 1500 + self.rng.u64(..3000)
             }),
-            repeated: self.one_in(15),
+            is_retry: self.one_in(15),
         };
         self.recorder.requested.insert(id.clone(), (object, part));
         self.pending.push(id);
@@ -525,33 +547,33 @@
                 let (object, _, group) = self.part();
                 let object = self.rng.bool().then_some(object);
                 let ago = ms(self.rng.u64(..800));
-                self.router.purged(now, object, group, ago);
+                self.router.record_purge(now, object, group, ago);
             }
             3 | 4 => {
                 let (object, part, _) = self.part();
-                let part = part_key(&Arrival {
+                let part = part_key(&IncomingRequest {
                     object,
                     part,
-                    ..Arrival::default()
+                    ..IncomingRequest::default()
                 });
                 let cache = self.any_cache();
-                self.router.told(now, part, cache);
+                self.router.record_peer_finding(now, part, cache);
             }
             5 => {
                 let (cache, by) = (self.any_cache(), self.rng.f64() - 0.5);
-                self.router.lean(&cache, by);
+                self.router.adjust_weight(&cache, by);
             }
             6 if !self.pending.is_empty() => {
                 let id = self
                     .pending
                     .swap_remove(self.rng.usize(..self.pending.len()));
-                self.router.left(now, &id, &mut self.recorder);
+                self.router.client_left(now, &id, &mut self.recorder);
             }
             7 if !self.pending.is_empty() => {
                 let id = self
                     .pending
                     .swap_remove(self.rng.usize(..self.pending.len()));
-                self.router.begun(&id);
+                self.router.answer_started(&id);
             }
             _ => {
                 let (object, part, _) = self.part();
@@ -572,30 +594,37 @@
         let kind = self.rng.u8(..12);
         let member = &mut self.members[changed];
         member.standing = match member.standing {
-            Standing::Active => Standing::Draining,
-            Standing::Draining => Standing::Gone,
-            Standing::Gone => Standing::Active,
+            ServerState::Active => ServerState::Draining,
+            ServerState::Draining => ServerState::Removed,
+            ServerState::Removed => ServerState::Active,
         };
-        if member.standing == Standing::Active && self.setup.cold_starts {
+        if member.standing == ServerState::Active && self.setup.cold_starts {
             member.started = Some(now);
         }
         match kind {
             0 => {
-                let listed_members = self.members.iter().filter(|m| m.standing != Standing::Gone);
+                let listed_members = self
+                    .members
+                    .iter()
+                    .filter(|m| m.standing != ServerState::Removed);
                 let listed_members: Vec<Member> = listed_members
-                    .filter(|m| m.tier != Tier::Own)
+                    .filter(|m| m.tier != Tier::Local)
                     .cloned()
                     .collect();
-                self.router
-                    .list(now, ListKind::Whole, &listed_members, &mut self.recorder);
+                self.router.update_list(
+                    now,
+                    ListKind::Snapshot,
+                    &listed_members,
+                    &mut self.recorder,
+                );
             }
             1 => self
                 .router
-                .list(now, ListKind::Failed, &[], &mut self.recorder),
+                .update_list(now, ListKind::Failed, &[], &mut self.recorder),
             _ => {
                 let changed = [self.members[changed].clone()];
                 self.router
-                    .list(now, ListKind::Changes, &changed, &mut self.recorder);
+                    .update_list(now, ListKind::Changes, &changed, &mut self.recorder);
             }
         }
     }
@@ -603,7 +632,7 @@
     fn play(mut self) -> Trace {
         let (now, members) = (self.recorder.now, self.members.clone());
         self.router
-            .list(now, ListKind::Changes, &members, &mut self.recorder);
+            .update_list(now, ListKind::Changes, &members, &mut self.recorder);
         let end = STARTED_AT + DURATION;
         while self.recorder.now < end {
             let gap = ms(self.rng.u64(..2 * self.setup.request_every_ms + 1));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -46,25 +46,26 @@
     timers: BTreeMap<(Duration, u64), ()>,
     /// The requested part of each request, and the local copies by part.
     requested: HashMap<Id, (String, u64)>,
-    local_copies: HashMap<(String, u64), Held>,
+    local_copies: HashMap<(String, u64), LocalCopy>,
 }
 
-impl Outlet for Recorder {
+impl ActionSink for Recorder {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
         let oldest = fill
-            .oldest
+            .max_age
             .map_or("-".into(), |o| o.as_micros().to_string());
-        let (source, rank, limit) = (&fill.source, fill.rank, limit.as_millis());
+        let (source, rank, limit) = (&fill.source, fill.priority, limit.as_millis());
         let held = if fill.only_held { "held" } else { "any" };
-        let join = if fill.join { "join" } else { "alone" };
-        let renew = if fill.renew { " renew" } else { "" };
+        let join = if fill.may_join { "join" } else { "alone" };
+        let renew = if fill.revalidate { " renew" } else { "" };
         let line = format!("attempt {request} {server} from {source} rank {rank} oldest {oldest}");
         let line = format!("{line} {held} limit {limit} {join}{renew}");
         self.lines.push(line);
     }
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
-        let advice = advice.map_or("none".into(), |advice| advice.as_millis().to_string());
-        self.lines.push(format!("reject {request} advice {advice}"));
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
+        let retry_after = retry_after.map_or("none".into(), |delay| delay.as_millis().to_string());
+        self.lines
+            .push(format!("reject {request} advice {retry_after}"));
     }
     fn fail(&mut self, request: &Id) {
         self.lines.push(format!("fail {request}"));
@@ -72,19 +73,19 @@
     fn cancel(&mut self, request: &Id, attempt: usize) {
         self.lines.push(format!("cancel {request} {attempt}"));
     }
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.timers.insert((at, mark), ());
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.timers.insert((at, timer_id), ());
     }
-    fn watch_list(&mut self) {
+    fn subscribe_list(&mut self) {
         self.lines.push("watch".into());
     }
-    fn held(&mut self, request: &Id) -> Option<Held> {
+    fn local_copy(&mut self, request: &Id) -> Option<LocalCopy> {
         self.local_copies.get(self.requested.get(request)?).cloned()
     }
-    fn keep(&mut self, request: &Id, rank: u8) {
-        self.lines.push(format!("keep {request} rank {rank}"));
+    fn keep_local_copy(&mut self, request: &Id, priority: u8) {
+        self.lines.push(format!("keep {request} rank {priority}"));
     }
-    fn found(&mut self, _part: u32, cache: &Id) {
+    fn holder_found(&mut self, _part: u32, cache: &Id) {
         self.lines.push(format!("found {cache}"));
     }
 }
@@ -92,9 +93,9 @@
 fn class(effect: Effect, fresh: Option<Duration>, cacheable: bool) -> Class {
     Class {
         effect,
-        window: ms(2000),
+        dedup_window: ms(2000),
         soft_deadline: ms(500),
-        soft_stretch: 2.0,
+        soft_deadline_multiple: 2.0,
         deadline: ms(4000),
         value: 1.0,
         late_value: 0.2,
@@ -107,18 +108,18 @@
 /// Classes: 0 is fresh until purged, 1 is fresh for 5 s, 2 is non-idempotent, 3 is deduplicated,
 /// and 4 is deduplicated by cohort and cacheable.
 fn deployment() -> Deployment {
-    let cold = ColdStart {
-        from: 0.25,
-        warm_within: ms(10_000),
-        multiple: 2.0,
-        span: ms(1000),
+    let cold = SlowStartSettings {
+        initial_capacity: 0.25,
+        warm_up_time: ms(10_000),
+        overload_multiple: 2.0,
+        window: ms(1000),
     };
     Deployment {
-        number: 0,
+        router_index: 0,
         seed: 1,
         routers: 2,
         zone: 1,
-        routers_at: vec![0, 1, 1],
+        routers_per_zone: vec![0, 1, 1],
         classes: vec![
             class(Effect::Idempotent, None, true),
             class(Effect::Idempotent, Some(ms(5000)), true),
@@ -129,13 +130,16 @@
                 ..class(Effect::Deduplicated, None, true)
             },
         ],
-        tick: ms(2),
+        min_call_interval: ms(2),
         client_kb_per_s: 1000.0,
         max_attempts: 6,
         may_cancel: true,
-        longest_advice: Some(ms(1000)),
+        max_retry_after: Some(ms(1000)),
         cold_cache: cold,
-        cold_parent: ColdStart { from: 0.1, ..cold },
+        cold_parent: SlowStartSettings {
+            initial_capacity: 0.1,
+            ..cold
+        },
         drain_grace: ms(250),
         purge_grace: ms(500),
         purge_done: ms(6000),
@@ -154,14 +158,14 @@
         tier: match &name[..1] {
             "c" => Tier::Cache,
             "p" => Tier::Parent,
-            "m" => Tier::Own,
+            "m" => Tier::Local,
             _ => Tier::Origin,
         },
         cohort: cohort.parse().expect("a cohort"),
         standing: match state {
-            "draining" => Standing::Draining,
-            "gone" => Standing::Gone,
-            _ => Standing::Active,
+            "draining" => ServerState::Draining,
+            "gone" => ServerState::Removed,
+            _ => ServerState::Active,
         },
         capacity: if name.starts_with('m') { 2.0 } else { 6.0 },
         started: state.parse().ok().map(ms),
@@ -337,13 +341,13 @@
     fn configure(&mut self, line: &Line) {
         let deployment = &mut self.deployment;
         deployment.max_attempts = line.number("attempts", 6) as usize;
-        deployment.joins = line.flag("joins", 0);
+        deployment.joins_fills = line.flag("joins", 0);
         deployment.pass_through = line.flag("pass", 1);
         deployment.list_on_request = line.flag("ask", 0);
-        deployment.classes[1].stale_for = line.time("stale", 0);
-        deployment.routers_at[1] = line.number("here", 1) as usize;
+        deployment.classes[1].max_staleness = line.time("stale", 0);
+        deployment.routers_per_zone[1] = line.number("here", 1) as usize;
         deployment.may_cancel = line.flag("cancel", 1);
-        deployment.cold_cache.span = line.time("span", 1000);
+        deployment.cold_cache.window = line.time("span", 1000);
     }
 
     /// Applies an event to the router.
@@ -353,24 +357,24 @@
         let recorder = &mut self.recorder;
         match line.verb {
             "at" => self.advance_to(ms(1000 + words[0].parse::<u64>().expect("a time"))),
-            "list" => router.list(now, ListKind::Changes, &members(words), recorder),
-            "whole" => router.list(now, ListKind::Whole, &members(words), recorder),
-            "list-failed" => router.list(now, ListKind::Failed, &[], recorder),
+            "list" => router.update_list(now, ListKind::Changes, &members(words), recorder),
+            "whole" => router.update_list(now, ListKind::Snapshot, &members(words), recorder),
+            "list-failed" => router.update_list(now, ListKind::Failed, &[], recorder),
             "request" | "requests" => self.request(line),
             "result" | "results" => self.result(line),
             "told" => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     object: line.object().into(),
                     part: line.number("part", 0),
-                    ..Arrival::default()
+                    ..IncomingRequest::default()
                 };
-                router.told(now, part_key(&arrival), words[0].into());
+                router.record_peer_finding(now, part_key(&arrival), words[0].into());
             }
-            "left" => router.left(now, &words[0].into(), recorder),
-            "begun" => router.begun(&words[0].into()),
+            "left" => router.client_left(now, &words[0].into(), recorder),
+            "begun" => router.answer_started(&words[0].into()),
             "purge" => {
                 let object = line.text("object").map(Id::from);
-                router.purged(now, object, line.number("group", 0), line.time("ago", 0));
+                router.record_purge(now, object, line.number("group", 0), line.time("ago", 0));
             }
             other => panic!("{}: unknown verb {other}", line.place),
         }
@@ -378,12 +382,12 @@
 
     fn advance_to(&mut self, until: Duration) {
         let router = self.router.as_mut().expect("started");
-        while let Some((&(at, mark), ())) = self.recorder.timers.first_key_value()
+        while let Some((&(at, timer_id), ())) = self.recorder.timers.first_key_value()
             && at <= until
         {
             self.recorder.timers.pop_first();
             self.now = self.now.max(at);
-            router.wake(self.now, mark, &mut self.recorder);
+            router.wake(self.now, timer_id, &mut self.recorder);
         }
         self.now = until;
     }
@@ -393,7 +397,7 @@
         let router = self.router.as_mut().expect("started");
         for id in &ids {
             let object = line.text("object").unwrap_or(id);
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 id: id.as_str().into(),
                 class: line.number("class", 0) as usize,
                 customer: 0,
@@ -402,9 +406,9 @@
                 group: line.number("group", 0),
                 kb: line.number("kb", 100) as f64,
                 cell: line.text("cell").and_then(|cell| cell.parse().ok()),
-                at: None,
-                left: line.time("left", 4000),
-                repeated: line.flag("repeated", 0),
+                zone: None,
+                time_left: line.time("left", 4000),
+                is_retry: line.flag("repeated", 0),
             };
             let requested = (object.to_owned(), arrival.part);
             self.recorder
@@ -424,19 +428,19 @@
             _ => Remark::None,
         };
         let first_byte_delay = line.time("waited", 0);
-        let ended = Ended {
+        let ended = AttemptResult {
             outcome: outcome(words[1]),
             remark,
-            took: line.time("took", 10),
+            duration: line.time("took", 10),
             first_byte: Some(first_byte_delay)
                 .filter(|first_byte_delay| !first_byte_delay.is_zero()),
-            over: words[1] == "served" || words.contains(&"over"),
+            is_complete: words[1] == "served" || words.contains(&"over"),
             load: Load::default(),
         };
         let attempt = words[0].parse().expect("a number");
         let router = self.router.as_mut().expect("started");
         for id in ids {
-            router.result(
+            router.attempt_ended(
                 self.now,
                 &id.as_str().into(),
                 attempt,
@@ -448,10 +452,10 @@
 
     fn local_copies(&mut self, line: &Line) {
         let part = (line.object().to_owned(), line.number("part", 0));
-        let held = |place: &str| Held {
-            place: place.into(),
-            made: self.now.saturating_sub(line.time("age", 0)),
-            same: line.flag("same", 0),
+        let held = |place: &str| LocalCopy {
+            cache: place.into(),
+            created_at: self.now.saturating_sub(line.time("age", 0)),
+            client_has_it: line.flag("same", 0),
         };
         match line.words[0] {
             "gone" => self.recorder.local_copies.remove(&part),
