--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const SPAN: Duration = Duration::from_millis(1000);
+const WINDOW: Duration = Duration::from_millis(1000);
 const WARM_WITHIN: Duration = Duration::from_millis(8000);
 const COLD_FROM: f64 = 0.4;
 const MULTIPLE: f64 = 2.0;
@@ -20,7 +20,7 @@
 const STARTED: Duration = Duration::from_millis(6000);
 const WARMING: &str = "warming";
 
-/// The number of requests of mean work that may reach a server in one span when the settings allow
+/// The number of requests of mean work that may reach a server in one window when the settings allow
 /// `allowed`.
 fn bound(allowed: f64) -> f64 {
     let slack = if allowed < 30.0 { 3.0 } else { 2.0 };
@@ -44,20 +44,20 @@
     Steady,
     /// All routers learn of it at the same time, this long after its start.
     ListedLate(Duration),
-    /// Routers learn of it up to two spans late.
+    /// Routers learn of it up to two windows late.
     ListedUnevenly,
-    /// Routers send for 0.6 of a span only, around the end of every other span.
+    /// Routers send for 0.6 of a window only, around the end of every other window.
     Bursts,
     /// Seven in ten routers restart while it warms up, one after another or all at once.
     RoutersRestart { together: bool },
-    /// The server restarts twice, the second time within a span.
+    /// The server restarts twice, the second time within a window.
     ServerRestarts,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     routers: usize,
-    /// The number of requests of mean work that the settings allow in a span at the start.
+    /// The number of requests of mean work that the settings allow in a window at the start.
     allowed: f64,
     tier: Tier,
     sizes: Sizes,
@@ -72,9 +72,9 @@
 /// What a fleet sent to the server, relative to what it may send.
 #[derive(Debug, Default)]
 struct Measured {
-    /// The maximum in one span, as a share of the bound at that time.
+    /// The maximum in one window, as a share of the bound at that time.
     worst: f64,
-    /// The average per span, as a share of what the settings allow.
+    /// The average per window, as a share of what the settings allow.
     used: f64,
 }
 
@@ -83,16 +83,16 @@
     made: Vec<(Id, Id, Id)>,
 }
 
-impl Outlet for Attempts {
+impl ActionSink for Attempts {
     fn attempt(&mut self, request: &Id, server: &Id, _limit: Duration, fill: &Fill) {
         self.made
             .push((request.clone(), server.clone(), fill.source.clone()));
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, _at: Duration, _mark: u64) {}
-    fn watch_list(&mut self) {}
+    fn set_timer(&mut self, _at: Duration, _timer_id: u64) {}
+    fn subscribe_list(&mut self) {}
 }
 
 const CLASS_MEANS: [f64; 3] = [0.4, 1.0, 1.6];
@@ -106,20 +106,20 @@
             cacheable: true,
             ..Class::default()
         };
-        let cold = ColdStart {
-            from: COLD_FROM,
-            warm_within: WARM_WITHIN,
-            multiple: MULTIPLE,
-            span: SPAN,
+        let cold = SlowStartSettings {
+            initial_capacity: COLD_FROM,
+            warm_up_time: WARM_WITHIN,
+            overload_multiple: MULTIPLE,
+            window: WINDOW,
         };
         Deployment {
-            number: number as u64,
+            router_index: number as u64,
             seed: self.seed ^ (number as u64) << 32,
             routers: self.routers,
             zone: 0,
-            routers_at: vec![self.routers],
+            routers_per_zone: vec![self.routers],
             classes: vec![class; CLASS_MEANS.len()],
-            tick: Duration::from_millis(2),
+            min_call_interval: Duration::from_millis(2),
             client_kb_per_s: KB_PER_S,
             max_attempts: 4,
             may_cancel: true,
@@ -132,7 +132,7 @@
 
     /// The capacity for which the settings allow `allowed` requests at the start.
     fn capacity(&self) -> f64 {
-        self.allowed * MEAN_WORK / (MULTIPLE * COLD_FROM * SPAN.as_secs_f64())
+        self.allowed * MEAN_WORK / (MULTIPLE * COLD_FROM * WINDOW.as_secs_f64())
     }
 
     fn allowed_at(&self, age: Duration) -> f64 {
@@ -189,7 +189,8 @@
     fn sends_at(&self, now: Duration) -> bool {
         self.timing != Timing::Bursts
             || now < STARTED
-            || (now + SPAN * 2 - STARTED - SPAN.mul_f64(0.7)).div_duration_f64(SPAN) % 2.0 < 0.6
+            || (now + WINDOW * 2 - STARTED - WINDOW.mul_f64(0.7)).div_duration_f64(WINDOW) % 2.0
+                < 0.6
     }
 
     /// All events, in chronological order.
@@ -198,7 +199,7 @@
         for router in 0..self.routers {
             let end = STARTED + self.observed_for;
             // A router that has run for some time has already received some requests.
-            let mut now = STARTED - SPAN / 4;
+            let mut now = STARTED - WINDOW / 4;
             while now < end {
                 now += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / self.demand);
                 if now < end && self.sends_at(now) {
@@ -207,7 +208,7 @@
             }
             let listed_at = match self.timing {
                 Timing::ListedLate(late) => STARTED + late,
-                Timing::ListedUnevenly => STARTED + SPAN.mul_f64(2.0 * rng.f64()),
+                Timing::ListedUnevenly => STARTED + WINDOW.mul_f64(2.0 * rng.f64()),
                 _ => STARTED,
             };
             events.push((listed_at, Event::Listed(router, STARTED)));
@@ -215,10 +216,10 @@
                 && rng.f64() < 0.7
             {
                 let after = if together { 0.6 } else { 0.3 + 2.0 * rng.f64() };
-                events.push((STARTED + SPAN.mul_f64(after), Event::Restart(router)));
+                events.push((STARTED + WINDOW.mul_f64(after), Event::Restart(router)));
             }
             if self.timing == Timing::ServerRestarts {
-                for restarted_at in [STARTED + SPAN.mul_f64(1.2), STARTED + SPAN.mul_f64(1.8)] {
+                for restarted_at in [STARTED + WINDOW.mul_f64(1.2), STARTED + WINDOW.mul_f64(1.8)] {
                     events.push((restarted_at, Event::Listed(router, restarted_at)));
                 }
             }
@@ -242,32 +243,42 @@
                 Event::Listed(router, since) => {
                     started = since;
                     observer.restarted(since);
-                    routers[router].list(now, ListKind::Whole, &self.list(since), &mut attempts);
+                    routers[router].update_list(
+                        now,
+                        ListKind::Snapshot,
+                        &self.list(since),
+                        &mut attempts,
+                    );
                 }
                 Event::Restart(router) => {
                     routers[router] = start_router(router, now, &mut attempts);
-                    routers[router].list(now, ListKind::Whole, &self.list(started), &mut attempts);
+                    routers[router].update_list(
+                        now,
+                        ListKind::Snapshot,
+                        &self.list(started),
+                        &mut attempts,
+                    );
                 }
                 Event::Request(router) => {
                     let (class, size) = self.size(&mut rng);
                     let id: Id = n.to_string().into();
                     let kb = size * MEAN_WORK * KB_PER_S;
-                    let left = Duration::from_secs(9);
+                    let time_left = Duration::from_secs(9);
                     let object = id.clone();
-                    let arrival = Arrival {
+                    let arrival = IncomingRequest {
                         id,
                         class,
                         object,
                         kb,
-                        left,
-                        ..Arrival::default()
+                        time_left,
+                        ..IncomingRequest::default()
                     };
                     routers[router].request(now, arrival, &mut attempts);
                     for (id, server, source) in std::mem::take(&mut attempts.made) {
                         if *server == *self.name() || *source == *self.name() {
                             observer.sent(now, self.work_units(class, size));
                         }
-                        routers[router].result(now, &id, 0, &served(), &mut attempts);
+                        routers[router].attempt_ended(now, &id, 0, &served(), &mut attempts);
                     }
                 }
             }
@@ -284,18 +295,18 @@
     Restart(usize),
 }
 
-fn served() -> Ended {
-    Ended {
+fn served() -> AttemptResult {
+    AttemptResult {
         outcome: Outcome::Served,
         remark: Remark::Filled,
-        took: Duration::from_millis(50),
+        duration: Duration::from_millis(50),
         first_byte: Some(Duration::from_millis(10)),
-        over: true,
+        is_complete: true,
         load: Load::default(),
     }
 }
 
-/// Measures the work that reaches the server in each sliding span.
+/// Measures the work that reaches the server in each sliding window.
 struct Observer {
     scenario: Scenario,
     started: Duration,
@@ -326,11 +337,15 @@
     fn sent(&mut self, now: Duration, weight: f64) {
         self.within.push_back((now, weight));
         self.total += weight;
-        while self.within.front().is_some_and(|(at, _)| *at + SPAN <= now) {
+        while self
+            .within
+            .front()
+            .is_some_and(|(at, _)| *at + WINDOW <= now)
+        {
             self.within.pop_front();
         }
         let sum: f64 = self.within.iter().map(|(_, weight)| weight).sum();
-        // What the settings allow grows within the span; its lowest value counts.
+        // What the settings allow grows within the window; its lowest value counts.
         let least = self
             .scenario
             .allowed_at(self.within[0].0.saturating_sub(self.started));
@@ -338,11 +353,11 @@
     }
 
     fn measured(&self) -> Measured {
-        let spans = self.scenario.observed_for.div_duration_f64(SPAN);
+        let windows = self.scenario.observed_for.div_duration_f64(WINDOW);
         let allowed = self.scenario.allowed_at(self.scenario.observed_for / 2);
         Measured {
             worst: self.worst,
-            used: self.total / spans / allowed,
+            used: self.total / windows / allowed,
         }
     }
 }
@@ -412,7 +427,7 @@
                 let timing = TIMINGS[turn % TIMINGS.len()];
                 let (tier, sizes) = LOADS[turn % LOADS.len()];
                 let demand = high_demand(routers, allowed);
-                let observed_for = if routers > 30 { SPAN * 3 } else { SPAN * 5 };
+                let observed_for = if routers > 30 { WINDOW * 3 } else { WINDOW * 5 };
                 let scenario = Scenario {
                     routers,
                     allowed,
@@ -438,17 +453,17 @@
     println!("maximum {:.2} of the bound: {}", worst.0, worst.1);
 }
 
-/// Guards against two faults. When all routers changed their draws within the same span, the
+/// Guards against two faults. When all routers changed their draws within the same window, the
 /// routers of both draws sent. With several sizes, a router sent the first size that its draw
 /// allowed, more on average than its share.
 #[test]
-fn hundreds_of_routers_that_learn_of_a_server_mid_span_stay_well_below_the_bound() {
+fn hundreds_of_routers_that_learn_of_a_server_mid_window_stay_well_below_the_bound() {
     for (tier, sizes) in [
         (Tier::Cache, Sizes::Classes),
         (Tier::Parent, Sizes::Classes),
     ] {
         for allowed in [30.0, 60.0] {
-            let (routers, timing, demand, observed_for) = (300, LATE, 40.0, SPAN * 2);
+            let (routers, timing, demand, observed_for) = (300, LATE, 40.0, WINDOW * 2);
             let scenario = Scenario {
                 routers,
                 allowed,
@@ -487,7 +502,7 @@
 }
 
 /// The work of randomly drawn routers varies. In the worst case, in which all routers learn of a
-/// server and send at once, the count per span is spread no wider than a Poisson variable, which
+/// server and send at once, the count per window is spread no wider than a Poisson variable, which
 /// exceeds the bound with a probability of less than one in a million.
 #[test]
 fn fewer_than_one_slow_start_in_a_million_exceeds_the_bound_by_chance() {
@@ -499,7 +514,7 @@
         &[18.0, 30.0]
     };
     for allowed in all.iter().copied() {
-        let (tier, sizes, observed_for) = (Tier::Cache, Sizes::Equal, SPAN.mul_f64(1.8));
+        let (tier, sizes, observed_for) = (Tier::Cache, Sizes::Equal, WINDOW.mul_f64(1.8));
         let scenario = Scenario {
             routers: 300,
             allowed,
@@ -550,7 +565,7 @@
     for routers in [1, 6, 30, 300] {
         for (tier, sizes) in [(Tier::Cache, Sizes::Equal), (Tier::Parent, Sizes::Classes)] {
             let (allowed, timing) = (36.0, Timing::Steady);
-            let (demand, observed_for) = (high_demand(routers, allowed).max(20.0), SPAN * 3);
+            let (demand, observed_for) = (high_demand(routers, allowed).max(20.0), WINDOW * 3);
             let scenario = Scenario {
                 routers,
                 allowed,
