--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use chalkhall::interface::Id;
 use chalkhall_cells::plan::{CellCapacity, Reason, Tenant, plan as plan_of};
-use chalkhall_router::cell_routing::plan;
+use chalkhall_router::cell_routing::read_cell_plan;
 use chalkhall_settings as deployment;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -83,7 +83,7 @@
             .collect();
         classes.dedup();
     }
-    let mut map = plan(&directives.cells, &classes)
+    let mut map = read_cell_plan(&directives.cells, &classes)
         .map_err(|error| Failure::new(error.to_string()))?
         .map;
     map.place(&caches);
--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -94,7 +94,7 @@
 ///
 /// # Errors
 /// All faults of the map.
-pub fn plan(settings: &Settings, classes: &[String]) -> Result<CellPlan, CellMapError> {
+pub fn read_cell_plan(settings: &Settings, classes: &[String]) -> Result<CellPlan, CellMapError> {
     let mut faults = Vec::new();
     let mut read_binding = |(bound, cell): &(Bound, String)| {
         let scope = read_scope(bound, classes, &mut faults);
@@ -177,7 +177,7 @@
         if settings.cells.is_empty() && settings.tenant.is_none() {
             return Ok(None);
         }
-        let CellPlan { map, moves } = plan(settings, classes)?;
+        let CellPlan { map, moves } = read_cell_plan(settings, classes)?;
         let tenants = settings
             .tenant
             .map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
--- a/crates/router/src/client_connection.rs
+++ b/crates/router/src/client_connection.rs
@@ -25,7 +25,7 @@
 use crate::messages::{
     CancellationFlag, ClientReply, ConnectionSlot, Message, SlotStatus, SlotUpdate,
 };
-use crate::server_connection::at;
+use crate::server_connection::sleep_until_opt;
 use chalkhall::interface::Id;
 use closing::{CloseReason, ProtocolViolation};
 use read_buffer::ReadBuffer;
@@ -228,7 +228,7 @@
             }
             // Below the read, so that a request that has just arrived is answered first.
             Some(()) = slot.eviction_requests.recv(), if is_idle => Event::EvictionRequested,
-            () = at(deadline) => Event::TimedOut,
+            () = sleep_until_opt(deadline) => Event::TimedOut,
         };
         if let Event::Read { unread_for, .. } = &mut event {
             *unread_for = read_buffer.wait.unread_for();
@@ -361,7 +361,7 @@
         }
         let bytes = self.write_buffer.take_body_bytes();
         if bytes > 0 {
-            self.send_to_decider(Message::Written(bytes)).await;
+            self.send_to_decider(Message::BodyWritten(bytes)).await;
         }
     }
 
@@ -379,16 +379,16 @@
 
     /// Buffers the final answer to a request, unless the client has cancelled the request.
     fn take_reply(&mut self, reply: ClientReply) {
-        let ClientReply { tag, id, last } = reply;
+        let ClientReply { tag, id, answer } = reply;
         if self
             .open_requests
             .get(&tag)
             .is_some_and(|open| open.id == id)
         {
             self.open_requests.remove(&tag);
-            self.write_buffer.push_answer(tag, last);
+            self.write_buffer.push_answer(tag, answer);
         } else {
-            self.write_buffer.discard_answer(&last);
+            self.write_buffer.discard_answer(&answer);
         }
     }
 }
--- a/crates/router/src/client_connection/admission.rs
+++ b/crates/router/src/client_connection/admission.rs
@@ -83,11 +83,11 @@
         self.open_requests.insert(tag, open);
         let request = Message::Request(Box::new(NewRequest {
             arrival,
-            passed: forwarded,
+            forwarded,
             received_after,
             tag,
             client,
-            wanted: cancellation,
+            cancellation,
         }));
         if self.connection.decider.send(request).await.is_err() {
             // The decider has ended.
@@ -115,7 +115,7 @@
     /// Withdraws a request that its client has cancelled.
     async fn cancel_request(&mut self, tag: u64) {
         if let Some(open) = self.open_requests.remove(&tag) {
-            open.cancellation.end();
+            open.cancellation.cancel();
             self.withdraw(tag, open).await;
         }
     }
@@ -133,7 +133,7 @@
         // decider is being notified.
         self.open_requests
             .values()
-            .for_each(|open| open.cancellation.end());
+            .for_each(|open| open.cancellation.cancel());
         for (tag, open) in std::mem::take(&mut self.open_requests) {
             self.withdraw(tag, open).await;
         }
@@ -141,7 +141,7 @@
 
     async fn withdraw(&self, tag: u64, open: OpenRequest) {
         let replies = self.reply_sender.clone();
-        self.send_to_decider(Message::Left(open.id, tag, replies))
+        self.send_to_decider(Message::ClientLeft(open.id, tag, replies))
             .await;
     }
 
--- a/crates/router/src/client_connection/closing.rs
+++ b/crates/router/src/client_connection/closing.rs
@@ -123,7 +123,7 @@
             self.take_reply(reply);
         }
         let bytes = self.write_buffer.take_body_bytes();
-        self.send_to_decider(Message::Written(bytes)).await;
+        self.send_to_decider(Message::BodyWritten(bytes)).await;
     }
 }
 
--- a/crates/router/src/client_connection/requests.rs
+++ b/crates/router/src/client_connection/requests.rs
@@ -142,7 +142,7 @@
             b"t" => arrival.customer = frontend.tenant_index(&value)?,
             b"r" => arrival.is_retry = &value[..] == b"1",
             b"m" => arrival.kb = parse_kb(&value, frontend.max_kb())?,
-            b"ver" => forwarded.have = Some(value).filter(|etag| parse_id(etag).is_ok()),
+            b"ver" => forwarded.client_etag = Some(value).filter(|etag| parse_id(etag).is_ok()),
             b"k" => forwarded.idempotency_key = Some(parse_idempotency_key(value)?),
             _ => {}
         }
--- a/crates/router/src/client_connection/test_support.rs
+++ b/crates/router/src/client_connection/test_support.rs
@@ -179,7 +179,7 @@
     drop(request.client.send(ClientReply {
         tag: request.tag,
         id: request.arrival.id,
-        last: answer,
+        answer,
     }));
 }
 
--- a/crates/router/src/client_connection/tests.rs
+++ b/crates/router/src/client_connection/tests.rs
@@ -93,7 +93,7 @@
                         answered += 1;
                         reply(new, FinalAnswer::Rejected(None));
                     }
-                    Message::Left(..) => cancelled += 1,
+                    Message::ClientLeft(..) => cancelled += 1,
                     _ => {}
                 }
             }
@@ -121,7 +121,7 @@
         for is_cancelled in [true, false] {
             let mut harness = connect(Phase::Serving, &request(1)).await;
             let new = harness.request().await;
-            assert!(new.wanted.still());
+            assert!(new.cancellation.is_active());
             if is_cancelled {
                 harness
                     .peer
@@ -131,10 +131,10 @@
             } else {
                 harness.peer.shutdown().await.unwrap();
             }
-            let Some(Message::Left(..)) = harness.messages.recv().await else {
+            let Some(Message::ClientLeft(..)) = harness.messages.recv().await else {
                 panic!("the decider was not notified")
             };
-            assert!(!new.wanted.still());
+            assert!(!new.cancellation.is_active());
         }
     };
     LocalSet::new().run_until(inside).await;
@@ -194,7 +194,7 @@
                 harness.peer.shutdown().await.unwrap();
             }
             harness.settle().await;
-            assert!(!open.wanted.still(), "cancelled: {is_cancelled}");
+            assert!(!open.cancellation.is_active(), "cancelled: {is_cancelled}");
         }
     };
     LocalSet::new().run_until(inside).await;
@@ -242,10 +242,10 @@
             .collect();
         harness.peer.write_all(&health).await.unwrap();
         harness.settle().await;
-        assert!(!open.wanted.still());
+        assert!(!open.cancellation.is_active());
         assert!(matches!(
             harness.messages.try_recv(),
-            Ok(Message::Left(_, 2, _))
+            Ok(Message::ClientLeft(_, 2, _))
         ));
         drop(open);
         harness.phase.send_replace(Phase::Ended);
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -123,7 +123,7 @@
     pub limits: Limits,
     /// How many responses at the client transfer rate the router's own link carries concurrently,
     /// if known.
-    pub link_answers: Option<f64>,
+    pub link_capacity: Option<f64>,
     /// The addresses for gossip. None: gossip is not allowed, or no addresses are configured.
     pub peers: Option<Peers>,
     /// The values of `RESTART_ONLY_KEYS`.
@@ -239,7 +239,7 @@
         classes: named.classes,
         tenants: named.customers,
         limits: parse_limits(file, settings)?,
-        link_answers: parse_link_answers(file)?,
+        link_capacity: parse_link_capacity(file)?,
         peers: parse_peers(file, settings)?,
         restart_only_values: RESTART_ONLY_KEYS
             .map(|key| file.get(key).cloned().unwrap_or_default())
@@ -405,7 +405,7 @@
     }))
 }
 
-fn parse_link_answers(file: &Fields) -> Result<Option<f64>, ConfigurationError> {
+fn parse_link_capacity(file: &Fields) -> Result<Option<f64>, ConfigurationError> {
     let rate = |key| deployment::number(file, key).map_err(FieldError);
     let (answer_rate, link_rate) = (rate("flow_bytes_per_s")?, rate("link_bytes_per_s")?);
     let is_known = answer_rate > 0.0 && link_rate > 0.0;
--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -10,7 +10,7 @@
 impl Decider {
     /// Handles a request that a client connection has read.
     pub(super) fn receive_request(&mut self, mut new: NewRequest) {
-        if !new.wanted.still() {
+        if !new.cancellation.is_active() {
             // The client has left before the request was processed.
             return;
         }
@@ -19,7 +19,7 @@
             new.client.send(ClientReply {
                 tag: new.tag,
                 id: new.arrival.id,
-                last: refusal,
+                answer: refusal,
             });
             return;
         }
@@ -27,9 +27,9 @@
         self.dispatcher.requests.insert(PendingRequest {
             requester: Some(Requester::Client(new.client)),
             tag: new.tag,
-            cancellation: new.wanted,
+            cancellation: new.cancellation,
             arrival: new.arrival.clone(),
-            forwarded: new.passed,
+            forwarded: new.forwarded,
             is_non_idempotent: self.is_non_idempotent(&new.arrival),
             received_at: now,
             attempts: Vec::new(),
--- a/crates/router/src/decider/attempt_results.rs
+++ b/crates/router/src/decider/attempt_results.rs
@@ -62,7 +62,7 @@
         result.load = answer.load;
         // "Not modified" is forwarded only if it names the copy that the client has.
         let request = self.dispatcher.requests.get(id);
-        let client_etag = request.and_then(|request| request.forwarded.have.as_ref());
+        let client_etag = request.and_then(|request| request.forwarded.client_etag.as_ref());
         if answer.is_not_modified && (client_etag.is_none() || client_etag != answer.etag.as_ref())
         {
             self.protocol_errors
@@ -85,7 +85,7 @@
                 cell_routing.record_served(dispatcher.now, &request.arrival);
             }
             if let (true, Some(local_cache)) = (attempt.is_at_server, &mut dispatcher.local_cache) {
-                let client_etag = request.forwarded.have.as_ref();
+                let client_etag = request.forwarded.client_etag.as_ref();
                 local_cache.record_server_answer(&request.arrival, &answer, client_etag);
             }
         }
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -15,18 +15,25 @@
     pub fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
         let now = self.dispatcher.clock.now();
         match event {
-            DiscoveryEvent::Drained(zones) => {
+            DiscoveryEvent::DrainedZones(zones) => {
                 if let Some(failover) = &mut self.zone_failover {
                     failover.drain_zones(&zones);
                 }
             }
-            DiscoveryEvent::Cells(plan) => self.replace_cell_map(now, *plan),
+            DiscoveryEvent::CellMap(plan) => self.replace_cell_map(now, *plan),
             DiscoveryEvent::UpToDate => {
                 let local_cache = self.dispatcher.local_cache.iter_mut();
                 local_cache.for_each(LocalCache::confirm_up_to_date);
             }
-            DiscoveryEvent::Purge { object, group, ms } => self.purge(now, object, group, ms),
-            DiscoveryEvent::List { whole, servers } => self.update_list(now, whole, servers),
+            DiscoveryEvent::Purge {
+                object,
+                group,
+                purged_at_unix_ms,
+            } => self.purge(now, object, group, purged_at_unix_ms),
+            DiscoveryEvent::List {
+                is_snapshot,
+                servers,
+            } => self.update_list(now, is_snapshot, servers),
         }
     }
 
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -76,7 +76,7 @@
         let Some(requester) = request.requester.take() else {
             return false;
         };
-        request.cancellation.end();
+        request.cancellation.cancel();
         if let Requester::Client(client) = requester {
             self.final_outcomes.push(FinalOutcome {
                 class: request.arrival.class,
@@ -87,7 +87,7 @@
             client.send(ClientReply {
                 tag: request.tag,
                 id: id.clone(),
-                last: answer,
+                answer,
             });
         }
         self.maybe_finished.push(id.clone());
@@ -133,7 +133,7 @@
             request: request.clone(),
             number: pending.attempts.len(),
         };
-        let etag = pending.forwarded.have.as_ref();
+        let etag = pending.forwarded.client_etag.as_ref();
         if let Some(result) = local_cache.attempt(&attempt_id, server, &pending.arrival, etag) {
             self.local_results.push_back(AttemptEnded {
                 attempt: attempt_id,
@@ -200,7 +200,7 @@
         let attempt_request = self.attempt_request(&attempt_id, pending, server, limit, fill);
         let work = pending.arrival.kb / self.client_kb_per_s;
         if let Some(gossip) = &mut self.gossip {
-            gossip.talk.sent(server, work);
+            gossip.exchange.sent(server, work);
         }
         let commands = self.servers.commands_to(server);
         let is_sent = commands.as_ref().is_some_and(|commands| {
@@ -265,12 +265,12 @@
     fn local_copy(&mut self, request: &Id) -> Option<LocalCopy> {
         let pending = self.requests.get(request)?;
         let local_cache = self.local_cache.as_mut()?;
-        local_cache.lookup(&pending.arrival, pending.forwarded.have.as_ref())
+        local_cache.lookup(&pending.arrival, pending.forwarded.client_etag.as_ref())
     }
 
     fn holder_found(&mut self, part: u32, cache: &Id) {
         if let Some(gossip) = &mut self.gossip {
-            gossip.talk.found(part, cache);
+            gossip.exchange.found(part, cache);
         }
     }
 
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -87,7 +87,7 @@
     fn next_wakeup(&self) -> Duration {
         let now = self.dispatcher.now;
         let timer = self.dispatcher.timers.peek().map(|Reverse((at, _))| *at);
-        let phase = self.phase.borrow().next_look(now);
+        let phase = self.phase.borrow().next_check(now);
         let wakeups = [timer, phase, self.subsystems_wakeup()];
         let earliest = wakeups.into_iter().flatten().min();
         earliest.unwrap_or(Duration::MAX).min(now + MAX_LOOP_WAIT)
@@ -119,19 +119,21 @@
         self.dispatcher.now = self.dispatcher.clock.now();
         match message {
             Message::Request(new) => self.receive_request(*new),
-            Message::Left(id, tag, client) => {
+            Message::ClientLeft(id, tag, client) => {
                 if self.dispatcher.requests.abandon(&id, tag, &client) {
                     self.dispatcher.maybe_finished.push(id.clone());
                     let now = self.dispatcher.now;
                     self.router.client_left(now, &id, &mut self.dispatcher);
                 }
             }
-            Message::Written(bytes) => self.dispatcher.release_written(bytes),
-            Message::Ended(ended) => self.complete_attempt(ended),
-            Message::ServerRests(server) => self.dispatcher.servers.forget_stopped_actor(&server),
-            Message::Disk(end) => self.complete_disk_operation(end),
-            Message::Way(edge, round_trip) => self.record_latency(edge, round_trip),
-            Message::Peer(from, bytes) => self.receive_datagram(from, &bytes),
+            Message::BodyWritten(bytes) => self.dispatcher.release_written(bytes),
+            Message::AttemptEnded(ended) => self.complete_attempt(ended),
+            Message::ServerActorStopped(server) => {
+                self.dispatcher.servers.forget_stopped_actor(&server)
+            }
+            Message::DiskOperationEnded(end) => self.complete_disk_operation(end),
+            Message::LatencyMeasured(edge, round_trip) => self.record_latency(edge, round_trip),
+            Message::PeerDatagram(from, bytes) => self.receive_datagram(from, &bytes),
             Message::OperatorQuery(OperatorQuery { query, answer }) => {
                 // The operator may have disconnected.
                 let _ = answer.send(self.answer_query(query));
--- a/crates/router/src/decider/operator_queries.rs
+++ b/crates/router/src/decider/operator_queries.rs
@@ -50,10 +50,10 @@
 }
 
 fn report_peers(gossip: &Gossip, now: Duration) -> Value {
-    let (recent, known) = gossip.talk.peers(now);
-    let dropped = gossip.talk.dropped();
+    let (recent, known) = gossip.exchange.peers(now);
+    let dropped = gossip.exchange.dropped();
     let weights: BTreeMap<&str, f64> = gossip
-        .talk
+        .exchange
         .weights()
         .map(|(cache, weight)| (&**cache, weight))
         .collect();
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -31,7 +31,7 @@
 impl PendingRequest {
     /// Whether its final answer has been sent or is no longer awaited.
     pub(super) fn is_resolved(&self) -> bool {
-        self.requester.is_none() || !self.cancellation.still()
+        self.requester.is_none() || !self.cancellation.is_active()
     }
 
     /// Whether nothing waits for its final answer any more and all its attempts have ended.
@@ -109,7 +109,7 @@
         else {
             return false;
         };
-        request.cancellation.end();
+        request.cancellation.cancel();
         request.requester = None;
         true
     }
--- a/crates/router/src/decider/servers/tests.rs
+++ b/crates/router/src/decider/servers/tests.rs
@@ -73,7 +73,7 @@
 
 async fn next_stopped_actor(messages: &mut mpsc::Receiver<Message>) -> Id {
     match messages.recv().await {
-        Some(Message::ServerRests(server)) => server,
+        Some(Message::ServerActorStopped(server)) => server,
         _ => panic!("unexpected message"),
     }
 }
@@ -174,8 +174,8 @@
                     .await
                     .expect("the attempt was not reported")
                 {
-                    Some(Message::ServerRests(name)) => handles.forget_stopped_actor(&name),
-                    Some(Message::Ended(AttemptEnded {
+                    Some(Message::ServerActorStopped(name)) => handles.forget_stopped_actor(&name),
+                    Some(Message::AttemptEnded(AttemptEnded {
                         attempt, outcome, ..
                     })) => {
                         assert_eq!((&*attempt.request, outcome), (&*id, Outcome::NeverSent));
--- a/crates/router/src/decider/shutdown.rs
+++ b/crates/router/src/decider/shutdown.rs
@@ -19,7 +19,7 @@
         let open_requests = self.dispatcher.requests.len();
         log::info!(open_requests = open_requests; "stop requested; draining");
         let phase = *self.phase.borrow();
-        let draining = phase.asked_to_stop(self.dispatcher.now, self.max_deadline);
+        let draining = phase.drain(self.dispatcher.now, self.max_deadline);
         self.phase.send_replace(draining);
     }
 
@@ -43,7 +43,7 @@
             new.client.send(ClientReply {
                 tag: new.tag,
                 id: new.arrival.id,
-                last: FinalAnswer::Rejected(self.router.retry_after),
+                answer: FinalAnswer::Rejected(self.router.retry_after),
             });
         }
     }
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -28,7 +28,7 @@
 /// Gossip with the other routers of the zone.
 pub struct Gossip {
     /// The protocol state machine.
-    pub talk: Talk,
+    pub exchange: Talk,
     /// Its transport.
     pub sender: GossipSender,
 }
@@ -55,7 +55,7 @@
         let gossip = self.dispatcher.gossip.as_ref();
         let wakeups = [
             local_cache.and_then(|local_cache| local_cache.next_wakeup(now)),
-            gossip.map(|gossip| gossip.talk.next()),
+            gossip.map(|gossip| gossip.exchange.next()),
             self.zone_failover.as_ref().map(ZoneFailover::next_wakeup),
         ];
         wakeups.into_iter().flatten().min()
@@ -63,15 +63,15 @@
 
     fn tick_gossip(&mut self) {
         let now = self.dispatcher.now;
-        let is_due = |gossip: &Gossip| now >= gossip.talk.next();
+        let is_due = |gossip: &Gossip| now >= gossip.exchange.next();
         if !self.dispatcher.gossip.as_ref().is_some_and(is_due) {
             return;
         }
         self.refresh_gossip_members();
-        if let Some(Gossip { talk, sender }) = &mut self.dispatcher.gossip
-            && now >= talk.next()
+        if let Some(Gossip { exchange, sender }) = &mut self.dispatcher.gossip
+            && now >= exchange.next()
         {
-            talk.tick(now, sender, &mut self.router);
+            exchange.tick(now, sender, &mut self.router);
         }
     }
 
@@ -90,13 +90,13 @@
     /// iterates over the whole list, and a rollout changes it hundreds of times, one server at a
     /// time. Changes are therefore batched until the next message to the peers.
     pub(super) fn refresh_gossip_members(&mut self) {
-        let Some(Gossip { talk, .. }) = &mut self.dispatcher.gossip else {
+        let Some(Gossip { exchange, .. }) = &mut self.dispatcher.gossip else {
             return;
         };
         if !std::mem::take(&mut self.is_gossip_list_stale) {
             return;
         }
-        talk.caches(self.router.caches().map(|member| &member.server));
+        exchange.caches(self.router.caches().map(|member| &member.server));
         // Caches in slow start or draining carry less load on purpose; they are excluded from load
         // balancing by gossip.
         let now = self.dispatcher.now;
@@ -105,7 +105,7 @@
             member.standing == ServerState::Active && member.started.is_none_or(is_warm)
         };
         let balanced = self.router.caches().filter(is_balanced);
-        talk.even(balanced.map(|member| (member.server.clone(), member.capacity)));
+        exchange.even(balanced.map(|member| (member.server.clone(), member.capacity)));
     }
 
     /// Sends a request of the local cache that revalidates a copy.
@@ -136,7 +136,7 @@
             let Some(request) = self.dispatcher.requests.get(&read.attempt.request) else {
                 continue;
             };
-            let etag = request.forwarded.have.as_ref();
+            let etag = request.forwarded.client_etag.as_ref();
             let result = local_cache.read_result(&read.fetched, &request.arrival, etag);
             self.dispatcher.local_results.push_back(AttemptEnded {
                 attempt: read.attempt,
@@ -154,8 +154,8 @@
         {
             return;
         }
-        if let Some(Gossip { talk, .. }) = &mut self.dispatcher.gossip {
-            talk.heard(now, from, bytes, &mut self.router);
+        if let Some(Gossip { exchange, .. }) = &mut self.dispatcher.gossip {
+            exchange.heard(now, from, bytes, &mut self.router);
         }
     }
 
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -59,11 +59,11 @@
     let client = client.clone().try_reserve_owned().unwrap();
     NewRequest {
         arrival,
-        passed: ForwardedFields::default(),
+        forwarded: ForwardedFields::default(),
         received_after: Duration::ZERO,
         tag,
         client,
-        wanted: CancellationFlag::default(),
+        cancellation: CancellationFlag::default(),
     }
 }
 
@@ -115,7 +115,7 @@
         let reply = answers.try_recv().expect("an answer");
         assert_eq!(reply.tag, tag);
         let retry_after = Duration::from_millis(90);
-        assert!(matches!(reply.last, FinalAnswer::Rejected(Some(wait)) if wait == retry_after));
+        assert!(matches!(reply.answer, FinalAnswer::Rejected(Some(wait)) if wait == retry_after));
     }
     assert!(
         sender.try_send(Message::Stop).is_err(),
@@ -129,7 +129,7 @@
     let (mut decider, _messages, _phase) = start_decider(Phase::Serving);
     let (client, _answers) = mpsc::channel(1);
     let abandoned = new_request(1, &client);
-    abandoned.wanted.end();
+    abandoned.cancellation.cancel();
     assert_eq!(client.capacity(), 0);
     decider.handle(Message::Request(Box::new(abandoned)));
     assert_eq!(
@@ -146,7 +146,7 @@
     assert_eq!(decider.open_work(), 0);
     decider.dispatcher.unwritten_bytes = 1;
     assert_eq!(decider.open_work(), 1);
-    decider.handle(Message::Written(1));
+    decider.handle(Message::BodyWritten(1));
     assert_eq!(decider.open_work(), 0);
 }
 
@@ -169,7 +169,7 @@
                 ..Member::default()
             };
             decider.apply_discovery_event(DiscoveryEvent::List {
-                whole: false,
+                is_snapshot: false,
                 servers: vec![DiscoveredServer {
                     member,
                     address: server_address,
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -82,14 +82,14 @@
     /// A descriptor that is reserved for the next connection before the first client is accepted.
     /// Otherwise, when idle clients use all descriptors, reconnecting would have to wait until they
     /// leave.
-    pub spare_socket: Option<TcpSocket>,
+    pub reserved_socket: Option<TcpSocket>,
 }
 
 /// Creates a socket to connect to an address with.
 ///
 /// # Errors
 /// The system has no descriptor left.
-pub fn socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
+pub fn new_socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
     retry_at_once(|| {
         if address.is_ipv4() {
             TcpSocket::new_v4()
@@ -149,7 +149,7 @@
                 error = self.follow(&mut state) => Ok(error),
             };
             // The descriptor is reserved again before another task can take it.
-            self.spare_socket = socket(self.address).ok();
+            self.reserved_socket = new_socket(self.address).ok();
             match ended {
                 Ok(error) => {
                     let has_progressed = self.last_event > last_before;
@@ -207,7 +207,7 @@
 
     async fn reconfigure(&mut self, new: NewDiscovery) {
         if self.address.is_ipv4() != new.address.is_ipv4() {
-            self.spare_socket = socket(new.address).ok();
+            self.reserved_socket = new_socket(new.address).ok();
         }
         self.address = new.address;
         self.event_times.interrupted();
@@ -233,7 +233,7 @@
             self.event_times.bound(&mut event);
             slot.send(event);
         }
-        self.event_times.passed();
+        self.event_times.event_forwarded();
         Ok(())
     }
 
@@ -261,8 +261,8 @@
 
     /// Connects, and requests all events after the last one received.
     async fn watch(&mut self) -> Result<Watch, WatchError> {
-        let spare = self.spare_socket.take();
-        let socket = spare.map_or_else(|| socket(self.address), Ok)?;
+        let spare = self.reserved_socket.take();
+        let socket = spare.map_or_else(|| new_socket(self.address), Ok)?;
         let connect = async {
             let stream = socket.connect(self.address).await?;
             set_nodelay(&stream);
@@ -297,7 +297,7 @@
         if number < last {
             return Ok(Progress::Behind);
         }
-        self.event_times.nothing_newer();
+        self.event_times.confirm_up_to_date();
         // If the mailbox is full, the next heartbeat is sufficient.
         let _ = self.decider.try_send(DiscoveryEvent::UpToDate);
         Ok(Progress::Current)
--- a/crates/router/src/discovery/tests.rs
+++ b/crates/router/src/discovery/tests.rs
@@ -19,7 +19,7 @@
         event_times,
         decider,
         random,
-        spare_socket: None,
+        reserved_socket: None,
     }
 }
 
@@ -84,7 +84,7 @@
                 event: Some(DiscoveryEvent::Purge {
                     object: None,
                     group: 2,
-                    ms: 5,
+                    purged_at_unix_ms: 5,
                 }),
             }]
         } else {
@@ -243,7 +243,9 @@
             stream.write_all(lines.as_bytes()).await.unwrap();
             loop {
                 match events.recv().await.expect("discovery has ended") {
-                    DiscoveryEvent::Purge { ms, .. } => return ms,
+                    DiscoveryEvent::Purge {
+                        purged_at_unix_ms, ..
+                    } => return purged_at_unix_ms,
                     DiscoveryEvent::UpToDate => {}
                     _ => panic!("not a purge"),
                 }
--- a/crates/router/src/discovery_events.rs
+++ b/crates/router/src/discovery_events.rs
@@ -34,11 +34,11 @@
 #[derive(Debug)]
 pub enum DiscoveryEvent {
     /// The zones that the operator's file drains. This event does not come from discovery.
-    Drained(Vec<usize>),
+    DrainedZones(Vec<usize>),
     /// A list of servers, or changes to it.
     List {
         /// Whether the list is complete: servers that are not in it have left.
-        whole: bool,
+        is_snapshot: bool,
         /// The servers.
         servers: Vec<DiscoveredServer>,
     },
@@ -49,12 +49,12 @@
         /// The group.
         group: u64,
         /// The time of the purge, in Unix milliseconds.
-        ms: u64,
+        purged_at_unix_ms: u64,
     },
     /// Discovery has sent all of its events.
     UpToDate,
     /// A new cell map from the operator's file. This event does not come from discovery.
-    Cells(Box<CellPlan>),
+    CellMap(Box<CellPlan>),
 }
 
 /// A numbered event of discovery.
@@ -124,7 +124,7 @@
     let hosts = required(list, "hosts", "pool.hosts", "an array", Value::as_array)?;
     let servers = hosts.iter().map(|host| parse_server(host, names, clock));
     Ok(DiscoveryEvent::List {
-        whole: list.get("whole").and_then(Value::as_bool).unwrap_or(false),
+        is_snapshot: list.get("whole").and_then(Value::as_bool).unwrap_or(false),
         servers: servers.collect::<Result<_, _>>()?,
     })
 }
@@ -138,7 +138,7 @@
     Ok(DiscoveryEvent::Purge {
         object,
         group: group.unwrap_or(0),
-        ms: required(purge, "ms", "flush.ms", UNSIGNED_INTEGER, Value::as_u64)?,
+        purged_at_unix_ms: required(purge, "ms", "flush.ms", UNSIGNED_INTEGER, Value::as_u64)?,
     })
 }
 
--- a/crates/router/src/discovery_events/tests.rs
+++ b/crates/router/src/discovery_events/tests.rs
@@ -29,12 +29,15 @@
 fn lists_and_purges_are_parsed() {
     let NumberedEvent {
         number,
-        event: Some(DiscoveryEvent::List { whole, servers }),
+        event: Some(DiscoveryEvent::List {
+            is_snapshot,
+            servers,
+        }),
     } = parse(LIST_EVENT).unwrap()
     else {
         panic!("not a list")
     };
-    assert_eq!((number, whole, servers.len()), (41, true, 1));
+    assert_eq!((number, is_snapshot, servers.len()), (41, true, 1));
     let DiscoveredServer { member, address } = &servers[0];
     assert_eq!(
         (member.zone, member.tier, member.standing),
@@ -44,14 +47,20 @@
         (member.started, address.port(), member.capacity),
         (None, 5050, 4.0)
     );
-    let Some(DiscoveryEvent::Purge { object, group, ms }) =
-        parse(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#)
-            .unwrap()
-            .event
+    let Some(DiscoveryEvent::Purge {
+        object,
+        group,
+        purged_at_unix_ms,
+    }) = parse(r#"{"rev":2,"flush":{"asset":"o","ms":5}}"#)
+        .unwrap()
+        .event
     else {
         panic!("not a purge")
     };
-    assert_eq!((object.as_deref(), group, ms), (Some("o"), 0, 5));
+    assert_eq!(
+        (object.as_deref(), group, purged_at_unix_ms),
+        (Some("o"), 0, 5)
+    );
     let unknown = parse(r#"{"rev":3,"other":{}}"#).unwrap();
     assert!(unknown.number == 3 && unknown.event.is_none());
 }
--- a/crates/router/src/gossip_socket.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -10,7 +10,7 @@
 use crate::listener::bind_with;
 use crate::messages::Message;
 use crate::rate_limited_log::RateLimitedLog;
-use crate::server_connection::at;
+use crate::server_connection::sleep_until_opt;
 use chalkhall_gossip::codec::MOST_BYTES;
 use chalkhall_gossip::{Mouth, To};
 use std::collections::HashMap;
@@ -26,25 +26,25 @@
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 /// The number of consecutive failures of any kind that causes a pause.
 const MAX_CONSECUTIVE_FAILURES: usize = 32;
-/// The capacity of the queue of outgoing datagrams; more are dropped.
+/// The capacity of the queue of outbound datagrams; more are dropped.
 const SEND_QUEUE_CAPACITY: usize = 256;
 /// One byte more than the maximum length, so that datagrams that are too long can be recognized.
 const RECEIVE_BUFFER_BYTES: usize = MOST_BYTES + 1;
 
 /// An encoded datagram to be sent.
 #[derive(Debug)]
-pub struct OutgoingDatagram {
+pub struct OutboundDatagram {
     destination: To,
     bytes: Vec<u8>,
 }
 
 /// Queues datagrams for the socket's actor.
 #[derive(Clone)]
-pub struct GossipSender(mpsc::Sender<OutgoingDatagram>);
+pub struct GossipSender(mpsc::Sender<OutboundDatagram>);
 
 impl Mouth for GossipSender {
     fn say(&mut self, to: To, bytes: &[u8]) {
-        let datagram = OutgoingDatagram {
+        let datagram = OutboundDatagram {
             destination: to,
             bytes: bytes.to_vec(),
         };
@@ -53,8 +53,8 @@
     }
 }
 
-/// Creates the queue of outgoing datagrams: a sender, and the receiver for [`run`].
-pub fn channel() -> (GossipSender, mpsc::Receiver<OutgoingDatagram>) {
+/// Creates the queue of outbound datagrams: a sender, and the receiver for [`run`].
+pub fn channel() -> (GossipSender, mpsc::Receiver<OutboundDatagram>) {
     let (sender, receiver) = mpsc::channel(SEND_QUEUE_CAPACITY);
     (GossipSender(sender), receiver)
 }
@@ -103,7 +103,7 @@
 pub async fn run(
     socket: impl DatagramSocket,
     peers: Peers,
-    mut outbound: mpsc::Receiver<OutgoingDatagram>,
+    mut outbound: mpsc::Receiver<OutboundDatagram>,
     decider: mpsc::Sender<Message>,
 ) {
     let mut inbound = Inbound::new(&peers, decider);
@@ -115,7 +115,7 @@
                 let Some(datagram) = datagram else { return };
                 send(&socket, &peers, &datagram);
             }
-            () = at(paused_until), if paused_until.is_some() => paused_until = None,
+            () = sleep_until_opt(paused_until), if paused_until.is_some() => paused_until = None,
             received = socket.receive(&mut buffer), if paused_until.is_none() => match received {
                 Ok((length, sender)) => inbound.received(sender, &buffer[..length]),
                 Err(error) => paused_until = inbound.failed(Instant::now(), &error),
@@ -125,7 +125,7 @@
 }
 
 /// Sends a datagram to its destination. It is lost if that fails or the destination is unknown.
-fn send(socket: &impl DatagramSocket, peers: &Peers, datagram: &OutgoingDatagram) {
+fn send(socket: &impl DatagramSocket, peers: &Peers, datagram: &OutboundDatagram) {
     let address = match datagram.destination {
         To::All => Some(peers.all),
         To::One(number) => usize::try_from(number)
@@ -184,7 +184,9 @@
             return self.unknown_senders.log(&line);
         };
         // The datagram is dropped if the mailbox is full.
-        let _ = self.decider.try_send(Message::Peer(*number, bytes.into()));
+        let _ = self
+            .decider
+            .try_send(Message::PeerDatagram(*number, bytes.into()));
     }
 
     /// Records a failure to receive. Returns the end of a pause, if one is necessary.
--- a/crates/router/src/gossip_socket/tests.rs
+++ b/crates/router/src/gossip_socket/tests.rs
@@ -108,7 +108,7 @@
     let (decider, mut messages) = mpsc::channel(8);
     let receive = async {
         match messages.recv().await {
-            Some(Message::Peer(0, bytes)) => assert_eq!(*bytes, [7]),
+            Some(Message::PeerDatagram(0, bytes)) => assert_eq!(*bytes, [7]),
             _ => panic!("unexpected message"),
         }
     };
--- a/crates/router/src/latency_probes.rs
+++ b/crates/router/src/latency_probes.rs
@@ -113,7 +113,7 @@
                     None
                 }
             };
-            let message = Message::Way(edge, round_trip);
+            let message = Message::LatencyMeasured(edge, round_trip);
             if self.decider.send(message).await.is_err() {
                 return;
             }
--- a/crates/router/src/latency_probes/tests.rs
+++ b/crates/router/src/latency_probes/tests.rs
@@ -29,7 +29,7 @@
             .unwrap();
         assert!(matches!(
             messages.recv().await,
-            Some(Message::Way(3, Some(_)))
+            Some(Message::LatencyMeasured(3, Some(_)))
         ));
         // The connection is reused. When it breaks, the probe is lost, and the next one uses a new
         // connection.
@@ -38,7 +38,10 @@
         stream.read_line(&mut line).await.unwrap();
         assert_eq!(line, "NOOP 2\r\n");
         drop(stream);
-        assert!(matches!(messages.recv().await, Some(Message::Way(3, None))));
+        assert!(matches!(
+            messages.recv().await,
+            Some(Message::LatencyMeasured(3, None))
+        ));
         probes
             .send(Probe {
                 edge: 4,
@@ -46,7 +49,10 @@
             })
             .await
             .unwrap();
-        assert!(matches!(messages.recv().await, Some(Message::Way(4, None))));
+        assert!(matches!(
+            messages.recv().await,
+            Some(Message::LatencyMeasured(4, None))
+        ));
         probes.send(Probe { edge: 3, address }).await.unwrap();
         assert!(listener.accept().await.is_ok());
     });
--- a/crates/router/src/lifecycle.rs
+++ b/crates/router/src/lifecycle.rs
@@ -58,7 +58,7 @@
 
     /// The phase after a request to stop.
     #[must_use]
-    pub fn asked_to_stop(self, now: Duration, longest_deadline: Duration) -> Phase {
+    pub fn drain(self, now: Duration, longest_deadline: Duration) -> Phase {
         match self {
             Phase::Starting | Phase::Serving => {
                 let killed_at = now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
@@ -89,7 +89,7 @@
     }
 
     /// The next time at which the phase may change.
-    pub fn next_look(self, now: Duration) -> Option<Duration> {
+    pub fn next_check(self, now: Duration) -> Option<Duration> {
         let Phase::Draining { since, until } = self else {
             return None;
         };
--- a/crates/router/src/lifecycle/tests.rs
+++ b/crates/router/src/lifecycle/tests.rs
@@ -4,9 +4,9 @@
 fn draining_waits_for_arrivals_and_ends_before_a_kill() {
     let ms = Duration::from_millis;
     assert!(!Phase::Starting.is_ready() && Phase::Serving.is_ready());
-    let phase = Phase::Serving.asked_to_stop(ms(1000), ms(5000));
+    let phase = Phase::Serving.drain(ms(1000), ms(5000));
     assert!(!phase.is_ready());
-    assert_eq!(phase.asked_to_stop(ms(1500), ms(5000)), phase);
+    assert_eq!(phase.drain(ms(1500), ms(5000)), phase);
     assert_eq!(phase.at(ms(1700), || 0), phase, "more requests may arrive");
     assert_eq!(phase.at(ms(1800), || 1), phase, "a request is open");
     assert_eq!(phase.at(ms(1800), || 0), Phase::Ended);
@@ -24,11 +24,11 @@
             ms(7000),
             ms(7000) + longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY,
         );
-        let phase = Phase::Serving.asked_to_stop(since, longest);
+        let phase = Phase::Serving.drain(since, longest);
         let end = |open: usize| {
             let mut now = since;
             while phase.at(now, || open) != Phase::Ended {
-                now = phase.next_look(now).expect("draining ends by time alone");
+                now = phase.next_check(now).expect("draining ends by time alone");
             }
             now - since
         };
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::Phase;
 use crate::messages::{Message, SlotId, SlotUpdate};
 use crate::rate_limited_log::RateLimitedLog;
-use crate::server_connection::at;
+use crate::server_connection::sleep_until_opt;
 use binding::ACCEPT_BACKLOG;
 use connection_slots::ConnectionSlots;
 use std::collections::HashMap;
@@ -179,7 +179,7 @@
             _ = self.phase.wait_for(|phase| *phase == Phase::Ended) => Event::RouterEnded,
             Some(update) = self.status_updates.recv() => Event::StatusChanged(update),
             Some(ended) = self.connections.join_next_with_id() => Event::ConnectionClosed(ended),
-            () = at(self.paused_until), if is_paused => Event::PauseElapsed,
+            () = sleep_until_opt(self.paused_until), if is_paused => Event::PauseElapsed,
             accepted = self.listener.accept(), if may_accept => Event::Accepted(accepted),
         }
     }
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -436,7 +436,7 @@
                 class: copy.class,
                 object: copy.object,
                 part: copy.part.to_string().into(),
-                have: Some(copy.tag),
+                client_etag: Some(copy.tag),
                 ..ForwardedFields::default()
             };
             Some(Revalidation { arrival, forwarded })
--- a/crates/router/src/local_cache/open.rs
+++ b/crates/router/src/local_cache/open.rs
@@ -111,7 +111,7 @@
             classes: classes(configuration),
             tiers: [MEMORY_TIER.into(), DISK_TIER.into()],
             usable_memory: usable,
-            link_capacity: configuration.link_answers.unwrap_or(f64::INFINITY),
+            link_capacity: configuration.link_capacity.unwrap_or(f64::INFINITY),
             random: fastrand::Rng::with_seed(seed),
             pending_reads: HashMap::new(),
         };
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -18,20 +18,20 @@
 pub enum Message {
     Request(Box<NewRequest>),
     /// The client has cancelled the request with this id and tag, or its connection has closed.
-    Left(Id, u64, mpsc::Sender<ClientReply>),
+    ClientLeft(Id, u64, mpsc::Sender<ClientReply>),
     /// This many body bytes have been written to a client, or dropped.
-    Written(usize),
-    Ended(AttemptEnded),
+    BodyWritten(usize),
+    AttemptEnded(AttemptEnded),
     /// The actor of this server has ended with no attempts in flight. A new one is started when one
     /// is needed.
-    ServerRests(Id),
+    ServerActorStopped(Id),
     /// A disk operation of the local cache has ended.
-    Disk(End),
+    DiskOperationEnded(End),
     /// A datagram from the router with this number.
-    Peer(u64, Box<[u8]>),
+    PeerDatagram(u64, Box<[u8]>),
     /// The result of a latency probe of the edge with this index: its round-trip time, or none if
     /// it failed.
-    Way(usize, Option<Duration>),
+    LatencyMeasured(usize, Option<Duration>),
     OperatorQuery(OperatorQuery),
     Stop,
 }
@@ -41,7 +41,7 @@
     /// The fields that decisions are based on.
     pub arrival: IncomingRequest,
     /// The fields that are forwarded to a server unchanged.
-    pub passed: ForwardedFields,
+    pub forwarded: ForwardedFields,
     /// The earliest time at which it may have arrived; it may have been unread since then.
     pub received_after: Duration,
     /// Identifies it on its connection.
@@ -49,7 +49,7 @@
     /// Reserved capacity for the final answer, so that sending it cannot fail.
     pub client: mpsc::OwnedPermit<ClientReply>,
     /// Ended by the client connection or by the decider.
-    pub wanted: CancellationFlag,
+    pub cancellation: CancellationFlag,
 }
 
 /// Whether a request still waits for its final answer.
@@ -69,12 +69,12 @@
 
 impl CancellationFlag {
     /// Marks the request as answered or cancelled: no further attempt may start.
-    pub fn end(&self) {
+    pub fn cancel(&self) {
         self.0.set(false);
     }
 
     /// Whether the request still waits for its final answer.
-    pub fn still(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.0.get()
     }
 }
@@ -86,7 +86,7 @@
     pub tag: u64,
     /// The request's id. Its client may have reused the tag since.
     pub id: Id,
-    pub last: FinalAnswer,
+    pub answer: FinalAnswer,
 }
 
 /// The result of a request for its client.
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -114,7 +114,7 @@
         }
         let zones = &self.configuration.names.zones;
         match zone_failover::zone_indices(zones, &directives.regions.drained) {
-            Ok(drained) => self.send(DiscoveryEvent::Drained(drained)).await,
+            Ok(drained) => self.send(DiscoveryEvent::DrainedZones(drained)).await,
             Err(fault) => {
                 log::warn!(reason:% = fault; "operator's file reload rejected");
             }
@@ -122,8 +122,8 @@
         if directives.cells.cells.is_empty() {
             return;
         }
-        match cell_routing::plan(&directives.cells, &self.configuration.classes) {
-            Ok(plan) => self.send(DiscoveryEvent::Cells(Box::new(plan))).await,
+        match cell_routing::read_cell_plan(&directives.cells, &self.configuration.classes) {
+            Ok(plan) => self.send(DiscoveryEvent::CellMap(Box::new(plan))).await,
             Err(fault) => log::warn!(reason:% = fault; "cell map reload rejected"),
         }
     }
--- a/crates/router/src/server_connection.rs
+++ b/crates/router/src/server_connection.rs
@@ -122,7 +122,7 @@
                     return Some(connected.unwrap_or_else(timed_out).inspect(set_nodelay));
                 }
                 command = self.commands.recv() => attempts.handle(Instant::now(), command?),
-                () = at(next_deadline) => attempts.expire(Instant::now()),
+                () = sleep_until_opt(next_deadline) => attempts.expire(Instant::now()),
             }
         }
     }
@@ -157,8 +157,8 @@
                     }
                     inbound.decode(Instant::now(), attempts)?;
                 }
-                () = at(stalled_at) => return Err(DisconnectReason::AnswerStalled),
-                () = at(next_deadline) => {}
+                () = sleep_until_opt(stalled_at) => return Err(DisconnectReason::AnswerStalled),
+                () = sleep_until_opt(next_deadline) => {}
             }
         }
     }
@@ -212,7 +212,7 @@
 }
 
 /// Sleeps until a time, or forever if there is none.
-pub async fn at(time: Option<Instant>) {
+pub async fn sleep_until_opt(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => std::future::pending().await,
--- a/crates/router/src/server_connection/attempts.rs
+++ b/crates/router/src/server_connection/attempts.rs
@@ -139,7 +139,7 @@
         // Sent later, an attempt could reach a server after the grace period of a drain or a purge,
         // or run for a client that has left or already has its answer.
         self.withdraw_unsent(|request| {
-            now >= request.deadline.min(request.send_by) || !request.cancellation.still()
+            now >= request.deadline.min(request.send_by) || !request.cancellation.is_active()
         });
         while let Some(id) = self.find_in_flight(|in_flight| now >= in_flight.deadline) {
             self.abandon(now, &id, Outcome::TimedOut);
--- a/crates/router/src/server_connection/attempts/tests.rs
+++ b/crates/router/src/server_connection/attempts/tests.rs
@@ -98,7 +98,7 @@
     // The client leaves or gets its answer, the time to send passes, the attempt is cancelled, or
     // the connection breaks.
     let (mut left, cancellation) = stage(long);
-    cancellation.end();
+    cancellation.cancel();
     left.expire(Instant::now());
     let (mut late, _) = stage(none);
     late.expire(Instant::now());
@@ -117,7 +117,7 @@
     // Once its first byte is written, the attempt may have run.
     let (mut attempts, cancellation) = stage(none);
     assert_eq!(write(&mut attempts, 1), "A");
-    cancellation.end();
+    cancellation.cancel();
     attempts.expire(Instant::now());
     assert!(take_ended(&mut attempts).is_empty());
     attempts.disconnected(Outcome::NeverSent);
@@ -137,7 +137,7 @@
     for request in requests {
         attempts.handle(Instant::now(), send(request));
     }
-    cancellation.end();
+    cancellation.cancel();
     attempts.expire(Instant::now());
     assert_eq!(
         take_ended(&mut attempts),
--- a/crates/router/src/server_pool.rs
+++ b/crates/router/src/server_pool.rs
@@ -9,7 +9,7 @@
     AttemptEnded, AttemptId, AttemptRequest, ConnectionAttemptEnded, ConnectionCommand,
     ConnectionEvent, Message, ServerCommand,
 };
-use crate::server_connection::{Connection, at};
+use crate::server_connection::{Connection, sleep_until_opt};
 use chalkhall::interface::{Id, Outcome};
 use connection_pool::{ConnectionPool, Requirements};
 pub use connection_slots::ConnectionSlots;
@@ -111,7 +111,7 @@
                     self.pool.retire_longest_idle();
                     None
                 }
-                () = at(timer) => None,
+                () = sleep_until_opt(timer) => None,
             };
             if let Some(command) = command {
                 last_command_at = Instant::now();
@@ -147,7 +147,10 @@
     async fn stop(mut self) {
         self.commands.close();
         // If the decider has ended, the message is not needed.
-        let _ = self.decider.send(Message::ServerRests(self.name)).await;
+        let _ = self
+            .decider
+            .send(Message::ServerActorStopped(self.name))
+            .await;
     }
 
     async fn handle(&mut self, command: ServerCommand) {
@@ -178,7 +181,7 @@
 
     async fn report(&self, ended: AttemptEnded) {
         // If the decider has ended, the result is not needed.
-        let _ = self.decider.send(Message::Ended(ended)).await;
+        let _ = self.decider.send(Message::AttemptEnded(ended)).await;
     }
 
     /// Cancels an attempt. If the mailbox of its connection is full, the attempt ends at its
--- a/crates/router/src/server_pool/tests.rs
+++ b/crates/router/src/server_pool/tests.rs
@@ -161,7 +161,7 @@
             (0, CONNECTION_MAILBOX_CAPACITY)
         );
         server.handle(ServerCommand::Send(request("b"))).await;
-        let Ok(Message::Ended(ended)) = messages.try_recv() else {
+        let Ok(Message::AttemptEnded(ended)) = messages.try_recv() else {
             panic!("the attempt was not reported")
         };
         assert_eq!(
@@ -169,7 +169,7 @@
             ("b", Outcome::NeverSent)
         );
         // The flag of the request is cancelled; the command does not fit into the mailbox.
-        cancellations[7].end();
+        cancellations[7].cancel();
         server
             .handle(ServerCommand::Cancel(attempt_id("a", 7)))
             .await;
@@ -263,7 +263,7 @@
             let commands = actors.spawn(name.into(), listener.local_addr().unwrap(), 1);
             assert!(commands.try_send(ServerCommand::Send(request("x"))).is_ok());
             streams.push(answer_once(&listener).await);
-            let Some(Message::Ended(ended)) = messages.recv().await else {
+            let Some(Message::AttemptEnded(ended)) = messages.recv().await else {
                 panic!("{name}: no attempt ended")
             };
             assert_eq!(ended.outcome, Outcome::Served, "{name}");
@@ -305,7 +305,7 @@
             let ended = loop {
                 tokio::select! {
                     Some(event) = from_connections.recv() => server.handle(event).await,
-                    Some(Message::Ended(ended)) = messages.recv() => break ended,
+                    Some(Message::AttemptEnded(ended)) = messages.recv() => break ended,
                 }
             };
             assert_eq!(
--- a/crates/router/src/server_protocol.rs
+++ b/crates/router/src/server_protocol.rs
@@ -30,7 +30,7 @@
     /// The part of the object.
     pub part: Bytes,
     /// The entity tag of the client's copy.
-    pub have: Option<Bytes>,
+    pub client_etag: Option<Bytes>,
     /// The key by which servers recognize a repeated request.
     pub idempotency_key: Option<Bytes>,
     /// The body of a write.
@@ -63,8 +63,8 @@
         remaining.as_millis().max(1)
     );
     encode_fill(&mut line, server, fill);
-    if let Some(have) = &forwarded.have {
-        let _ = write!(line, ",{}={}", keywords::CLIENT_ETAG, text(have));
+    if let Some(client_etag) = &forwarded.client_etag {
+        let _ = write!(line, ",{}={}", keywords::CLIENT_ETAG, text(client_etag));
     }
     if let Some(key) = &forwarded.idempotency_key {
         let _ = write!(line, ",{}={}", keywords::IDEMPOTENCY_KEY, text(key));
--- a/crates/router/src/server_protocol/tests.rs
+++ b/crates/router/src/server_protocol/tests.rs
@@ -95,7 +95,7 @@
         revalidate: false,
         ..fill
     };
-    (forwarded.have, forwarded.body) = (Some(bytes(b"4be0")), bytes(b"xy"));
+    (forwarded.client_etag, forwarded.body) = (Some(bytes(b"4be0")), bytes(b"xy"));
     assert_eq!(
         encode_request(&forwarded, "p1", limit, &fill),
         "ASK a1 cls=page,item=o1,chunk=3,limit=1500,have=4be0 2\r\nxy\r\n"
--- a/crates/router/src/shutdown/tests.rs
+++ b/crates/router/src/shutdown/tests.rs
@@ -10,7 +10,7 @@
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_hanging_disk_does_not_delay_the_end_until_a_kill() {
     let ms = Duration::from_millis;
-    let draining = Phase::Serving.asked_to_stop(Duration::ZERO, ms(400));
+    let draining = Phase::Serving.drain(Duration::ZERO, ms(400));
     assert_eq!(draining.at(ms(850), || 1), Phase::Ended);
     let inside = async {
         let ended = Instant::now();
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -8,7 +8,7 @@
 use crate::discovery::{Discovery, NewDiscovery};
 use crate::discovery_events::DiscoveryEvent;
 use crate::error::RouterError;
-use crate::gossip_socket::{self, GossipSender, OutgoingDatagram};
+use crate::gossip_socket::{self, GossipSender, OutboundDatagram};
 use crate::latency_probes::{self, Probe};
 use crate::lifecycle::Phase;
 use crate::local_cache::{LocalCache, OpenedCache};
@@ -128,7 +128,7 @@
     /// The task that forwards the results of disk operations.
     disk: Option<JoinHandle<()>>,
     gossip_socket: Option<UdpSocket>,
-    outgoing: mpsc::Receiver<OutgoingDatagram>,
+    outbound: mpsc::Receiver<OutboundDatagram>,
     probes: mpsc::Receiver<Probe>,
 }
 
@@ -141,7 +141,7 @@
     ) -> Option<JoinHandle<()>> {
         let peers = configuration.peers.clone();
         if let Some((socket, peers)) = self.gossip_socket.zip(peers) {
-            let run = gossip_socket::run(socket, peers, self.outgoing, decider.clone());
+            let run = gossip_socket::run(socket, peers, self.outbound, decider.clone());
             spawn_local(run);
         }
         spawn_local(latency_probes::run(self.probes, decider.clone()));
@@ -173,9 +173,9 @@
     let disk =
         disk_results.map(|results| spawn_local(forward_disk_results(results, decider.clone())));
     let cell_routing = open_cell_routing(directives, configuration)?;
-    let talk = start_gossip(clock, directives, configuration);
-    let (sender, outgoing) = gossip_socket::channel();
-    let is_gossip_wanted = talk.is_some() || directives.regions.in_common;
+    let exchange = start_gossip(clock, directives, configuration);
+    let (sender, outbound) = gossip_socket::channel();
+    let is_gossip_wanted = exchange.is_some() || directives.regions.in_common;
     let gossip_socket = match &configuration.peers {
         Some(peers) if is_gossip_wanted => gossip_socket::bind(peers).await,
         _ => None,
@@ -192,8 +192,8 @@
     };
     if gossip_socket.is_some() {
         let for_gossip = sender.clone();
-        subsystems.gossip = talk.map(|talk| Gossip {
-            talk,
+        subsystems.gossip = exchange.map(|exchange| Gossip {
+            exchange,
             sender: for_gossip,
         });
         subsystems.zone_failover =
@@ -202,7 +202,7 @@
     let tasks = SubsystemTasks {
         disk,
         gossip_socket,
-        outgoing,
+        outbound,
         probes,
     };
     Ok(OpenedSubsystems { subsystems, tasks })
@@ -211,7 +211,7 @@
 /// Forwards the results of disk operations until the disk's threads have ended.
 async fn forward_disk_results(mut results: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
     while let Some(end) = results.recv().await {
-        let _ = decider.send(Message::Disk(end)).await;
+        let _ = decider.send(Message::DiskOperationEnded(end)).await;
     }
 }
 
@@ -353,7 +353,7 @@
         event_times,
         decider,
         random: fastrand::Rng::with_seed(configuration.deployment.seed),
-        spare_socket: discovery::socket(address).ok(),
+        reserved_socket: discovery::new_socket(address).ok(),
     };
     spawn_local(discovery.run(reconfigured));
     reconfigure
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -58,7 +58,7 @@
     }
 
     /// Discovery has reported that it has sent all events.
-    pub fn nothing_newer(&mut self) {
+    pub fn confirm_up_to_date(&mut self) {
         self.evidence = Evidence::Live(self.clock.now());
     }
 
@@ -73,8 +73,11 @@
     pub fn bound(&mut self, event: &mut DiscoveryEvent) {
         let now = self.clock.now();
         match event {
-            DiscoveryEvent::List { whole, servers } => {
-                if *whole {
+            DiscoveryEvent::List {
+                is_snapshot,
+                servers,
+            } => {
+                if *is_snapshot {
                     self.starts
                         .values_mut()
                         .for_each(|start| start.is_listed = false);
@@ -83,19 +86,23 @@
                     self.bound_start(now, &mut server.member);
                 }
             }
-            DiscoveryEvent::Purge { ms, .. } => {
-                if !self.is_possible(now, self.clock.at_unix_ms(*ms)) {
-                    *ms = self.clock.unix_ms(now);
+            DiscoveryEvent::Purge {
+                purged_at_unix_ms, ..
+            } => {
+                if !self.is_possible(now, self.clock.at_unix_ms(*purged_at_unix_ms)) {
+                    *purged_at_unix_ms = self.clock.unix_ms(now);
                 }
             }
-            DiscoveryEvent::Drained(_) | DiscoveryEvent::UpToDate | DiscoveryEvent::Cells(_) => {}
+            DiscoveryEvent::DrainedZones(_)
+            | DiscoveryEvent::UpToDate
+            | DiscoveryEvent::CellMap(_) => {}
         }
     }
 
     /// An event was forwarded to the decider: on a live connection, the next one happened after it.
-    pub fn passed(&mut self) {
+    pub fn event_forwarded(&mut self) {
         if let Evidence::Live(_) = self.evidence {
-            self.nothing_newer();
+            self.confirm_up_to_date();
         }
     }
 
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -15,7 +15,7 @@
     clock.unix_ms(clock.now())
 }
 
-fn list(clock: &Clock, whole: bool, entries: &[(&str, u64, ServerState)]) -> DiscoveryEvent {
+fn list(clock: &Clock, is_snapshot: bool, entries: &[(&str, u64, ServerState)]) -> DiscoveryEvent {
     let member = |(name, timestamp, standing): &(&str, u64, ServerState)| Member {
         server: (*name).into(),
         standing: *standing,
@@ -24,7 +24,7 @@
     };
     let endpoint = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     DiscoveryEvent::List {
-        whole,
+        is_snapshot,
         servers: entries
             .iter()
             .map(|entry| DiscoveredServer {
@@ -42,7 +42,7 @@
     mut event: DiscoveryEvent,
 ) -> Option<Duration> {
     times.bound(&mut event);
-    times.passed();
+    times.event_forwarded();
     let DiscoveryEvent::List { servers, .. } = event else {
         panic!("the event is not a list")
     };
@@ -62,26 +62,29 @@
     let mut event = DiscoveryEvent::Purge {
         object: None,
         group: 1,
-        ms: timestamp,
+        purged_at_unix_ms: timestamp,
     };
     times.bound(&mut event);
-    times.passed();
-    let DiscoveryEvent::Purge { ms, .. } = event else {
+    times.event_forwarded();
+    let DiscoveryEvent::Purge {
+        purged_at_unix_ms, ..
+    } = event
+    else {
         panic!("the event is not a purge")
     };
     now_ms(clock)
-        .checked_sub(ms)
+        .checked_sub(purged_at_unix_ms)
         .expect("a purge in the future")
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_live_timestamp_between_the_last_report_and_its_arrival_is_accepted() {
     let (clock, mut times) = event_times();
-    times.nothing_newer();
+    times.confirm_up_to_date();
     advance(SECOND).await;
     let timestamp = now_ms(&clock) - 300;
     assert_eq!(age_of_purge(&clock, &mut times, timestamp), 300);
-    times.nothing_newer();
+    times.confirm_up_to_date();
     advance(SECOND).await;
     let timestamp = now_ms(&clock) - 300;
     let age = age_of_start(&clock, &mut times, started(&clock, timestamp)).expect("a start");
@@ -100,7 +103,7 @@
     ] {
         let (clock, mut times) = event_times();
         advance(SECOND * 100).await;
-        times.nothing_newer();
+        times.confirm_up_to_date();
         advance(SECOND).await;
         let timestamp = timestamp(now_ms(&clock));
         assert_eq!(
@@ -119,7 +122,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_event_is_no_older_than_the_previous_one_on_a_live_connection() {
     let (clock, mut times) = event_times();
-    times.nothing_newer();
+    times.confirm_up_to_date();
     advance(SECOND).await;
     assert_eq!(age_of_purge(&clock, &mut times, now_ms(&clock)), 0);
     advance(SECOND / 2).await;
@@ -130,7 +133,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_repeated_start_keeps_its_effective_time() {
     let (clock, mut times) = event_times();
-    times.nothing_newer();
+    times.confirm_up_to_date();
     advance(SECOND).await;
     let timestamp = now_ms(&clock) - HOUR_MS;
     assert_eq!(
@@ -160,7 +163,7 @@
 #[tokio::test(start_paused = true)]
 async fn timestamps_replayed_after_a_lost_connection_are_replaced_by_the_arrival() {
     let (clock, mut times) = event_times();
-    times.nothing_newer();
+    times.confirm_up_to_date();
     advance(SECOND * 30).await;
     times.interrupted();
     let timestamp = now_ms(&clock) - 5000;
@@ -170,7 +173,7 @@
         Some(Duration::ZERO)
     );
     // Once discovery is up to date again, timestamps are accepted again.
-    times.nothing_newer();
+    times.confirm_up_to_date();
     advance(SECOND).await;
     let timestamp = now_ms(&clock) - 400;
     assert_eq!(age_of_purge(&clock, &mut times, timestamp), 400);
@@ -204,7 +207,7 @@
 #[tokio::test(start_paused = true)]
 async fn starts_of_unlisted_servers_are_dropped_beyond_the_limit() {
     let (clock, mut times) = event_times();
-    times.nothing_newer();
+    times.confirm_up_to_date();
     for number in 0..MAX_STARTS * 2 {
         let name = format!("c{number}");
         let timestamp = now_ms(&clock);
