--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -18,4 +18,4 @@
 pub mod messages;
 pub mod planner;
 
-pub use planner::{About, KIND_POLICIES, Place, Regions, Where};
+pub use planner::{FailoverConfig, FailoverPlanner, KIND_POLICIES, TargetZone, ZoneCapacity};
--- a/crates/failover/src/planner.rs
+++ b/crates/failover/src/planner.rs
@@ -26,7 +26,7 @@
 
 use crate::evidence::{DecayingCounts, Health};
 use crate::messages::{MAX_PLAN_ZONES, PLAN, Plan, ROUTER_LOAD, RouterLoad, ZONE_STATE, ZoneState};
-use chalkhall_gossip::Mouth;
+use chalkhall_gossip::DatagramSender;
 use chalkhall_gossip::gossip::{Gossip, KindPolicy, RouterIdentity};
 use chalkhall_latency::{Estimate, Model, Offer, ShareTable};
 use chalkhall_stats::Recent;
@@ -98,36 +98,36 @@
 
 /// Identity of a router, and whether its requests may leave the zone.
 #[derive(Clone, Copy, Debug)]
-pub struct About {
+pub struct FailoverConfig {
     pub number: u16,
     pub routers: usize,
-    pub place: u8,
-    pub places: usize,
+    pub zone: u8,
+    pub zones: usize,
     pub incarnation: u32,
     pub seed: u64,
     /// Whether requests may go to other zones' caches. Otherwise plans are only published and
     /// shown.
-    pub abroad: bool,
+    pub may_leave_zone: bool,
 }
 
 /// The capacity of a zone's caches, as listed by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Place {
+pub struct ZoneCapacity {
     /// Capacity of the active caches, in concurrent transfers.
     pub capacity: f64,
     /// The part of it that is available, by how warm the caches are.
-    pub present: f64,
+    pub available: f64,
     /// Capacity of the warm caches.
     pub warm: f64,
 }
 
 /// The zone whose caches serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Where {
+pub enum TargetZone {
     Home,
-    Abroad(usize),
+    Remote(usize),
     /// No zone has capacity for it.
-    Nowhere,
+    Unavailable,
 }
 
 /// State for operators and fronts.
@@ -136,13 +136,13 @@
     pub bad: bool,
     pub drained: bool,
     pub flaps: u32,
-    pub speaker: bool,
+    pub is_coordinator: bool,
     /// The plan in force and its publisher.
     pub plan: Option<(Plan, u16)>,
     pub demand: f64,
     pub peers: usize,
     /// By zone: bad, drained, demand, spare capacity for this zone.
-    pub places: Vec<(bool, bool, f64, f64)>,
+    pub zones: Vec<(bool, bool, f64, f64)>,
 }
 
 /// An edge as reported to a front.
@@ -152,15 +152,15 @@
     /// Share of this zone's requests, by the plan in force.
     pub share: f64,
     /// Spare capacity for this zone, in concurrent transfers.
-    pub room: f64,
+    pub spare_capacity: f64,
     pub bad: bool,
-    pub way: Option<Estimate>,
-    pub leg: Option<Estimate>,
+    pub path: Option<Estimate>,
+    pub client_path: Option<Estimate>,
 }
 
 /// The failover decisions of one router.
-pub struct Regions {
-    config: About,
+pub struct FailoverPlanner {
+    config: FailoverConfig,
     gossip: Gossip,
     model: Model,
     outcomes: DecayingCounts,
@@ -169,7 +169,7 @@
     demand: (f64, Duration),
     /// Answers in time and late ones.
     timeliness: DecayingCounts,
-    capacities: Vec<Place>,
+    capacities: Vec<ZoneCapacity>,
     drained: Vec<bool>,
     /// Spare capacity by zone at the last computation.
     spare_capacities: Vec<f64>,
@@ -191,14 +191,14 @@
     rng: fastrand::Rng,
 }
 
-impl Regions {
+impl FailoverPlanner {
     /// Returns `None` if there are no other routers, or a number is out of range.
-    pub fn start(now: Duration, config: About) -> Option<Regions> {
-        let About {
+    pub fn start(now: Duration, config: FailoverConfig) -> Option<FailoverPlanner> {
+        let FailoverConfig {
             number,
             routers,
-            place: zone,
-            places,
+            zone,
+            zones,
             incarnation,
             seed,
             ..
@@ -210,22 +210,22 @@
             incarnation,
             seed,
         };
-        let is_valid = places <= usize::from(u8::MAX) && usize::from(zone) < places;
+        let is_valid = zones <= usize::from(u8::MAX) && usize::from(zone) < zones;
         let gossip = Gossip::start(now, identity, &KIND_POLICIES).filter(|_| is_valid)?;
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x2e91);
         // Routers that start together do not all send at the same instant.
         let phase = EVALUATION_INTERVAL.mul_f64(rng.f64());
-        Some(Regions {
+        Some(FailoverPlanner {
             config,
             gossip,
-            model: Model::new(number, zone, places),
+            model: Model::new(number, zone, zones),
             outcomes: DecayingCounts::default(),
             health: Health::default(),
             demand: (0.0, now),
             timeliness: DecayingCounts::default(),
-            capacities: vec![Place::default(); places],
-            drained: vec![false; places],
-            spare_capacities: vec![0.0; places],
+            capacities: vec![ZoneCapacity::default(); zones],
+            drained: vec![false; zones],
+            spare_capacities: vec![0.0; zones],
             spare_computed_at: None,
             table: ShareTable::default(),
             plan_number: 0,
@@ -253,7 +253,7 @@
     }
 
     /// Replaces the capacities by zone. Those beyond the configured zones are ignored.
-    pub fn list(&mut self, capacities: &[Place]) {
+    pub fn set_capacities(&mut self, capacities: &[ZoneCapacity]) {
         self.capacities
             .iter_mut()
             .zip(capacities)
@@ -261,7 +261,7 @@
     }
 
     /// Sets the zones that are drained by the operator; all others are in use.
-    pub fn drain(&mut self, zones: &[usize]) {
+    pub fn set_drained_zones(&mut self, zones: &[usize]) {
         self.drained
             .iter_mut()
             .enumerate()
@@ -270,7 +270,7 @@
     }
 
     /// Records an attempt at caches of this zone that shows whether they are available.
-    pub fn saw(&mut self, now: Duration, good: bool) {
+    pub fn record_attempt(&mut self, now: Duration, good: bool) {
         let was_suspect = self.outcomes.suggests_bad(now);
         self.outcomes.record(now, good, 1.0);
         // A suspected failure is published urgently: each peer has as few outcomes as this router.
@@ -278,7 +278,7 @@
     }
 
     /// Records a request: its work, in seconds at a client's rate.
-    pub fn asked(&mut self, now: Duration, work: f64) {
+    pub fn record_request(&mut self, now: Duration, work: f64) {
         let demand = self.demand_at(now);
         self.demand = (demand + work / DEMAND_WINDOW.as_secs_f64(), now);
     }
@@ -292,12 +292,12 @@
     }
 
     /// Records the final answer of a request of this zone's clients, in time or late.
-    pub fn answered(&mut self, now: Duration, in_time: bool) {
+    pub fn record_answer(&mut self, now: Duration, in_time: bool) {
         self.timeliness.record(now, in_time, 1.0);
     }
 
     /// The edges whose paths are to be probed now.
-    pub fn to_measure(&mut self, now: Duration) -> Vec<usize> {
+    pub fn paths_to_probe(&mut self, now: Duration) -> Vec<usize> {
         // A router that knows no peers probes all paths: directly after a start all routers would.
         if now < self.started_at + STARTUP_GRACE {
             return Vec::new();
@@ -305,8 +305,8 @@
         self.model.paths_to_probe(now, &self.gossip)
     }
 
-    /// When [`Regions::tick`] is due.
-    pub fn next(&self) -> Duration {
+    /// When [`FailoverPlanner::tick`] is due.
+    pub fn next_tick(&self) -> Duration {
         let next_evaluation = self.evaluated_at + EVALUATION_INTERVAL;
         if self.urgent {
             Duration::ZERO
@@ -317,7 +317,7 @@
 
     /// Receives a datagram from the router with this number. Returns false if it contains no
     /// messages.
-    pub fn heard(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
+    pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         let is_gossip = self.gossip.receive(now, from, bytes);
         for topic in self.gossip.take_updated_topics() {
             // Loads and plans of peers may change decisions, so they are evaluated at once.
@@ -379,7 +379,7 @@
 
     /// The state of a zone: by the majority of its publishers, and by the median of their values.
     pub fn zone_state(&self, now: Duration, zone: usize) -> Option<ZoneState> {
-        if zone == usize::from(self.config.place) {
+        if zone == usize::from(self.config.zone) {
             return Some(self.own_zone_state(now));
         }
         let messages = self
@@ -420,7 +420,7 @@
         let (good, bad) = self.timeliness.counts_at(now);
         ZoneState {
             bad: self.health.is_bad(),
-            drained: self.drained[usize::from(self.config.place)],
+            drained: self.drained[usize::from(self.config.zone)],
             demand: self.zone_demand(now),
             late_share: if good + bad > 1.0 {
                 bad / (good + bad)
@@ -455,7 +455,7 @@
             .spare_computed_at
             .map_or(0.0, |at| now.saturating_sub(at).as_secs_f64());
         let mut spare_capacities = vec![0.0; self.capacities.len()];
-        let own_zone = usize::from(self.config.place);
+        let own_zone = usize::from(self.config.zone);
         let bad_zones = zone_states
             .iter()
             .flatten()
@@ -476,7 +476,7 @@
                     p50: Some(last),
                     p90: Some(last),
                     lost: 0.0,
-                    doubt: 0.0,
+                    uncertainty: 0.0,
                     reporters: 1,
                 });
                 offers.push(Offer {
@@ -485,7 +485,7 @@
                     capacity: if self.health.is_bad() {
                         0.0
                     } else {
-                        zone.present
+                        zone.available
                     },
                 });
                 continue;
@@ -494,7 +494,7 @@
             let Some(state) = state else { continue };
             let path = self.model.path(now, &self.gossip, edge);
             let is_unreachable = path.is_some_and(|path| path.p50.is_none());
-            let is_usable = self.config.abroad
+            let is_usable = self.config.may_leave_zone
                 && !state.bad
                 && !state.drained
                 && !self.drained[edge]
@@ -520,7 +520,7 @@
     }
 
     fn zone_states(&self, now: Duration) -> Vec<Option<ZoneState>> {
-        (0..self.config.places)
+        (0..self.config.zones)
             .map(|zone| self.zone_state(now, zone))
             .collect()
     }
@@ -546,11 +546,11 @@
     }
 
     /// Evaluates the state of the zone, publishes it, plans as the coordinator, and gossips.
-    pub fn tick(&mut self, now: Duration, sender: &mut dyn Mouth) {
+    pub fn tick(&mut self, now: Duration, sender: &mut dyn DatagramSender) {
         if self.urgent || now >= self.evaluated_at + EVALUATION_INTERVAL {
             self.evaluated_at = now;
             self.update_health(now);
-            let own_zone = usize::from(self.config.place);
+            let own_zone = usize::from(self.config.zone);
             self.trial_share = match self
                 .model
                 .path(now, &self.gossip, own_zone)
@@ -603,7 +603,7 @@
     }
 
     fn update_plan(&mut self, now: Duration, urgent: bool) {
-        let (zone_states, own_zone) = (self.zone_states(now), usize::from(self.config.place));
+        let (zone_states, own_zone) = (self.zone_states(now), usize::from(self.config.zone));
         let demand = zone_states[own_zone].map_or(0.0, |state| state.demand);
         let (offers, spare_capacities) = self.offers(now, &zone_states);
         (self.spare_capacities, self.spare_computed_at) = (spare_capacities, Some(now));
@@ -661,7 +661,7 @@
         self.gossip.publish(
             now,
             PLAN,
-            self.config.place,
+            self.config.zone,
             plan.encode(),
             urgent || is_large_change,
         );
@@ -671,15 +671,15 @@
     /// requests move as shares change. `may_leave`: the request may be repeated anywhere and has no
     /// side effect. `value`: what it is worth relative to its work; if not all requests can be
     /// served, those with the lowest value are rejected.
-    pub fn request(&mut self, point: f64, may_leave: bool, value: f64) -> Where {
+    pub fn select_zone(&mut self, point: f64, may_leave: bool, value: f64) -> TargetZone {
         self.values.note(value);
-        let own_zone = usize::from(self.config.place);
+        let own_zone = usize::from(self.config.zone);
         let Some((plan, _)) = self
             .plan
             .as_ref()
-            .filter(|_| may_leave && self.config.abroad)
+            .filter(|_| may_leave && self.config.may_leave_zone)
         else {
-            return Where::Home;
+            return TargetZone::Home;
         };
         let sum: f64 = plan.shares.iter().map(|(_, share)| share).sum();
         // Encoded shares are rounded down.
@@ -689,10 +689,10 @@
             && self.values.len() > VALUE_SAMPLES / 4
             && value < self.values.quantile(unplanned.min(0.999))
         {
-            return Where::Nowhere;
+            return TargetZone::Unavailable;
         }
         if self.health.is_bad() && self.rng.f64() < self.trial_share {
-            return Where::Home;
+            return TargetZone::Home;
         }
         let mut cumulative = 0.0;
         let found = plan.shares.iter().find(|(_, share)| {
@@ -700,8 +700,8 @@
             point * sum < cumulative
         });
         match found {
-            Some((edge, _)) if *edge != own_zone => Where::Abroad(*edge),
-            _ => Where::Home,
+            Some((edge, _)) if *edge != own_zone => TargetZone::Remote(*edge),
+            _ => TargetZone::Home,
         }
     }
 
@@ -723,11 +723,11 @@
     /// Edges for a front: where this region's clients are best served, the best first. By the
     /// latency of clients' paths if fronts have reported them, otherwise by that of paths from
     /// here. Edges without capacity come last.
-    pub fn steer(&self, now: Duration) -> Vec<Edge> {
-        let (zone_states, own_zone) = (self.zone_states(now), usize::from(self.config.place));
+    pub fn rank_edges(&self, now: Duration) -> Vec<Edge> {
+        let (zone_states, own_zone) = (self.zone_states(now), usize::from(self.config.zone));
         let (offers, _) = self.offers(now, &zone_states);
         let edge = |edge: usize| {
-            let room = offers
+            let spare_capacity = offers
                 .iter()
                 .find(|o| o.edge == edge)
                 .map_or(0.0, |o| o.capacity);
@@ -741,30 +741,33 @@
             Edge {
                 edge,
                 share: planned_share.unwrap_or(f64::from(u8::from(is_unplanned_home))),
-                room,
+                spare_capacity,
                 bad: zone_states[edge].is_some_and(|state| state.bad),
-                way: self.model.path(now, &self.gossip, edge),
-                leg: self.model.client_path(now, &self.gossip, edge),
+                path: self.model.path(now, &self.gossip, edge),
+                client_path: self.model.client_path(now, &self.gossip, edge),
             }
         };
-        let mut edges: Vec<Edge> = (0..self.config.places).map(edge).collect();
+        let mut edges: Vec<Edge> = (0..self.config.zones).map(edge).collect();
         let cost = |edge: &Edge| {
-            let client_latency = edge.leg.and_then(|path| path.p50).unwrap_or(Duration::ZERO);
+            let client_latency = edge
+                .client_path
+                .and_then(|path| path.p50)
+                .unwrap_or(Duration::ZERO);
             let path_latency =
-                edge.way
+                edge.path
                     .and_then(|path| path.p50)
                     .unwrap_or(if edge.edge == own_zone {
                         Duration::ZERO
                     } else {
                         Duration::MAX
                     });
-            if edge.leg.is_some() {
+            if edge.client_path.is_some() {
                 client_latency
             } else {
                 path_latency
             }
         };
-        edges.sort_by_key(|edge| (edge.room <= 0.0, cost(edge), edge.edge));
+        edges.sort_by_key(|edge| (edge.spare_capacity <= 0.0, cost(edge), edge.edge));
         edges
     }
 
@@ -772,7 +775,7 @@
     pub fn report(&self, now: Duration) -> Report {
         let zone_states = self.zone_states(now);
         let (offers, _) = self.offers(now, &zone_states);
-        let own_zone = usize::from(self.config.place);
+        let own_zone = usize::from(self.config.zone);
         let room = |edge: usize| {
             offers
                 .iter()
@@ -787,11 +790,11 @@
             bad: self.health.is_bad(),
             drained: self.drained[own_zone],
             flaps: self.health.flaps(),
-            speaker: self.coordinator(now) == self.config.number,
+            is_coordinator: self.coordinator(now) == self.config.number,
             plan: self.plan.clone(),
             demand: zone_states[own_zone].map_or(0.0, |state| state.demand),
             peers: self.loads(now).count() - 1,
-            places: zone_states.iter().enumerate().map(summary).collect(),
+            zones: zone_states.iter().enumerate().map(summary).collect(),
         }
     }
 }
--- a/crates/failover/src/planner/tests.rs
+++ b/crates/failover/src/planner/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use chalkhall_gossip::To;
+use chalkhall_gossip::Destination;
 use proptest::prelude::*;
 
 fn ms(ms: u64) -> Duration {
@@ -9,9 +9,9 @@
 #[derive(Default)]
 struct SentDatagrams(Vec<(u64, Vec<u8>)>);
 
-impl Mouth for SentDatagrams {
-    fn say(&mut self, to: To, bytes: &[u8]) {
-        let To::One(to) = to else {
+impl DatagramSender for SentDatagrams {
+    fn send(&mut self, to: Destination, bytes: &[u8]) {
+        let Destination::One(to) = to else {
             panic!("gossip sends no broadcasts")
         };
         self.0.push((to, bytes.to_vec()));
@@ -21,7 +21,7 @@
 /// Zones of routers and caches as a fluid model: load beyond a zone's capacity is not served.
 struct Simulation {
     zones: usize,
-    routers: Vec<Option<Regions>>,
+    routers: Vec<Option<FailoverPlanner>>,
     incarnations: u32,
     capacity: f64,
     /// Which zones are down; and when each was restored, with empty caches.
@@ -52,22 +52,22 @@
 fn router(
     now: u64,
     number: usize,
-    places: usize,
+    zones: usize,
     routers: usize,
     incarnation: u32,
     seed: u64,
-) -> Regions {
-    let place = (number % places) as u8;
-    let config = About {
+) -> FailoverPlanner {
+    let zone = (number % zones) as u8;
+    let config = FailoverConfig {
         number: number as u16,
         routers,
-        place,
-        places,
+        zone,
+        zones,
         incarnation,
         seed: seed ^ number as u64,
-        abroad: true,
+        may_leave_zone: true,
     };
-    Regions::start(ms(now), config).expect("more than one router")
+    FailoverPlanner::start(ms(now), config).expect("more than one router")
 }
 
 impl Simulation {
@@ -107,10 +107,10 @@
     fn until(&mut self, from: u64, to: u64) {
         for now in (from..to).step_by(50) {
             let routers_per_zone = self.routers.len() / self.zones;
-            let listed: Vec<Place> = (0..self.zones)
+            let listed: Vec<ZoneCapacity> = (0..self.zones)
                 .map(|p| {
                     // Discovery keeps listing a failed zone.
-                    let present = if self.down[p] {
+                    let available = if self.down[p] {
                         self.capacity
                     } else {
                         self.present(p, now)
@@ -120,9 +120,9 @@
                     } else {
                         0.0
                     };
-                    Place {
+                    ZoneCapacity {
                         capacity: self.capacity,
-                        present,
+                        available,
                         warm,
                     }
                 })
@@ -139,19 +139,19 @@
                         .map(|k| (zone + k) % self.zones)
                         .find(|p| !self.down[*p])
                 });
-                let Some(regions) = &mut self.routers[n] else {
+                let Some(planner) = &mut self.routers[n] else {
                     continue;
                 };
-                regions.list(&listed);
+                planner.set_capacities(&listed);
                 for k in 0..10 {
-                    regions.asked(ms(now), work * 0.05);
+                    planner.record_request(ms(now), work * 0.05);
                     let point = (k as f64 + self.rng.f64()) / 10.0;
-                    let to = match regions.request(point, true, self.rng.f64()) {
-                        Where::Home if self.naive => naive_to.flatten().unwrap_or(zone),
-                        Where::Home => zone,
-                        Where::Abroad(to) if !self.naive => to,
-                        Where::Abroad(_) => zone,
-                        Where::Nowhere => {
+                    let to = match planner.select_zone(point, true, self.rng.f64()) {
+                        TargetZone::Home if self.naive => naive_to.flatten().unwrap_or(zone),
+                        TargetZone::Home => zone,
+                        TargetZone::Remote(to) if !self.naive => to,
+                        TargetZone::Remote(_) => zone,
+                        TargetZone::Unavailable => {
                             rejected[zone] += work;
                             continue;
                         }
@@ -167,8 +167,8 @@
                 .map(|p| {
                     // An overloaded zone serves less than its capacity: it works on requests that
                     // are already late.
-                    let present = self.present(p, now);
-                    let overload = total[p] / present.max(1e-9);
+                    let available = self.present(p, now);
+                    let overload = total[p] / available.max(1e-9);
                     if overload > 1.3 {
                         0.3 / overload
                     } else {
@@ -184,21 +184,21 @@
             for (n, destinations) in destinations.iter().enumerate() {
                 let zone = n % self.zones;
                 let is_faulty = self.faulty_router == Some(n);
-                let Some(regions) = &mut self.routers[n] else {
+                let Some(planner) = &mut self.routers[n] else {
                     continue;
                 };
                 for (to, _) in destinations.iter().copied() {
                     let in_time = self.rng.f64() < served[to];
                     if to == zone {
                         // A late answer shows that the zone is busy, not that it is down.
-                        regions.saw(ms(now), !self.down[zone] && !is_faulty);
+                        planner.record_attempt(ms(now), !self.down[zone] && !is_faulty);
                     }
-                    regions.answered(ms(now), in_time);
+                    planner.record_answer(ms(now), in_time);
                 }
-                for edge in regions.to_measure(ms(now)) {
+                for edge in planner.paths_to_probe(ms(now)) {
                     let round_trip = (!self.down[edge])
                         .then(|| ms(2 + 10 * ((edge + self.zones - zone) % self.zones) as u64));
-                    regions.model().saw(ms(now), edge, round_trip);
+                    planner.model().record_probe(ms(now), edge, round_trip);
                 }
             }
             for p in 0..self.zones {
@@ -233,11 +233,11 @@
                 let now = now + offset;
                 for n in 0..self.routers.len() {
                     let mut datagrams = SentDatagrams::default();
-                    let Some(regions) = &mut self.routers[n] else {
+                    let Some(planner) = &mut self.routers[n] else {
                         continue;
                     };
-                    if ms(now) >= regions.next() {
-                        regions.tick(ms(now), &mut datagrams);
+                    if ms(now) >= planner.next_tick() {
+                        planner.tick(ms(now), &mut datagrams);
                     }
                     for (to, bytes) in datagrams.0 {
                         let (a, b) = (n % self.zones, to as usize % self.zones);
@@ -245,7 +245,7 @@
                             continue;
                         }
                         if let Some(other) = &mut self.routers[to as usize] {
-                            other.heard(ms(now), n as u64, &bytes);
+                            other.receive(ms(now), n as u64, &bytes);
                         }
                     }
                 }
@@ -427,7 +427,7 @@
         .routers
         .iter_mut()
         .flatten()
-        .for_each(|r| r.drain(&[2]));
+        .for_each(|r| r.set_drained_zones(&[2]));
     simulation.until(3000, 9000);
     let [served, sent_away, _] = simulation.shares(2, 7000, 9000);
     assert!(
@@ -442,7 +442,7 @@
         .routers
         .iter_mut()
         .flatten()
-        .for_each(|r| r.drain(&[]));
+        .for_each(|r| r.set_drained_zones(&[]));
     simulation.until(9000, 16_000);
     assert!(simulation.shares(2, 14_000, 16_000)[1] < 0.01);
 }
@@ -461,13 +461,15 @@
     let mut simulation = Simulation::new(6, 60, 0.5, 9);
     simulation.fail(1);
     simulation.until(0, 5000);
-    let regions = simulation.routers[1].as_mut().expect("a running router");
-    assert!((0..100).all(|n| regions.request(f64::from(n) / 100.0, false, 1.0) == Where::Home));
+    let planner = simulation.routers[1].as_mut().expect("a running router");
+    assert!(
+        (0..100).all(|n| planner.select_zone(f64::from(n) / 100.0, false, 1.0) == TargetZone::Home)
+    );
     assert!(
         (0..100)
             .filter(|n| matches!(
-                regions.request(f64::from(*n) / 100.0, true, 1.0),
-                Where::Abroad(_)
+                planner.select_zone(f64::from(*n) / 100.0, true, 1.0),
+                TargetZone::Remote(_)
             ))
             .count()
             > 80
@@ -482,19 +484,19 @@
         ),
     ) {
         use chalkhall_gossip::gossip::{Message, Topic, Version, encode};
-        let mut regions = router(0, 0, 4, 12, 1, 1);
-        regions.list(&[Place { capacity: 10.0, present: 10.0, warm: 10.0 }; 4]);
+        let mut planner = router(0, 0, 4, 12, 1, 1);
+        planner.set_capacities(&[ZoneCapacity { capacity: 10.0, available: 10.0, warm: 10.0 }; 4]);
         for (n, (kind, key, publisher, payload)) in messages.into_iter().enumerate() {
             let version = Version { incarnation: 1, sequence: n as u32 };
             let zone = (publisher % 4) as u8;
             let (topic, age) = (Topic { kind, key, publisher }, Duration::ZERO);
             let message = Message { topic, zone, version, age, urgent: true, payload };
-            regions.heard(ms(10), u64::from(publisher), &encode(zone, &[message]));
-            regions.tick(ms(10 + n as u64 * 60), &mut SentDatagrams::default());
+            planner.receive(ms(10), u64::from(publisher), &encode(zone, &[message]));
+            planner.tick(ms(10 + n as u64 * 60), &mut SentDatagrams::default());
             for point in [0.0, 0.3, 0.99] {
-                let _ = regions.request(point, true, 1.0);
+                let _ = planner.select_zone(point, true, 1.0);
             }
         }
-        let _ = regions.report(ms(5000));
+        let _ = planner.report(ms(5000));
     }
 }
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -24,14 +24,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Largest size of a datagram.
-pub const MOST_BYTES: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 const FINDINGS_FORMAT: u8 = 0xC1;
 const SEEKS_PEERS_FLAG: u8 = 1;
 /// Size of a datagram without findings.
 pub const HEADER_BYTES: usize = 4;
 const FINDING_BYTES: usize = 5;
 /// Findings that fit into one datagram.
-pub const MAX_FINDINGS: usize = (MOST_BYTES - HEADER_BYTES) / FINDING_BYTES;
+pub const MAX_FINDINGS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / FINDING_BYTES;
 /// Bits of a part's key.
 pub const KEY_BITS: u32 = 31;
 
@@ -45,7 +45,7 @@
 /// A datagram of findings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Datagram {
-    pub looking: bool,
+    pub seeks_peers: bool,
     pub zone: u16,
     pub findings: Vec<Finding>,
 }
@@ -90,7 +90,9 @@
 
 /// Encodes as many of the loads as fit.
 pub fn encode_loads(zone: u16, loads: &[Load]) -> Vec<u8> {
-    let loads = &loads[..loads.len().min((MOST_BYTES - HEADER_BYTES) / LOAD_BYTES)];
+    let loads = &loads[..loads
+        .len()
+        .min((MAX_DATAGRAM_BYTES - HEADER_BYTES) / LOAD_BYTES)];
     let mut bytes = vec![LOADS_FORMAT, 0];
     bytes.extend(zone.to_be_bytes());
     for Load {
@@ -113,7 +115,7 @@
     let [LOADS_FORMAT, flags, high, low, rest @ ..] = bytes else {
         return None;
     };
-    if bytes.len() > MOST_BYTES || !rest.len().is_multiple_of(LOAD_BYTES) {
+    if bytes.len() > MAX_DATAGRAM_BYTES || !rest.len().is_multiple_of(LOAD_BYTES) {
         return Some(Err(DecodeError::Length));
     }
     if *flags != 0 {
@@ -143,7 +145,11 @@
         let mut bytes = Vec::with_capacity(HEADER_BYTES + findings.len() * FINDING_BYTES);
         bytes.extend([
             FINDINGS_FORMAT,
-            if self.looking { SEEKS_PEERS_FLAG } else { 0 },
+            if self.seeks_peers {
+                SEEKS_PEERS_FLAG
+            } else {
+                0
+            },
         ]);
         bytes.extend(self.zone.to_be_bytes());
         for finding in findings {
@@ -160,7 +166,7 @@
         let [format, flags, high, low, rest @ ..] = bytes else {
             return Err(DecodeError::Length);
         };
-        if bytes.len() > MOST_BYTES || rest.len() % FINDING_BYTES != 0 {
+        if bytes.len() > MAX_DATAGRAM_BYTES || rest.len() % FINDING_BYTES != 0 {
             return Err(DecodeError::Length);
         }
         if *format != FINDINGS_FORMAT || flags & !SEEKS_PEERS_FLAG != 0 {
@@ -178,7 +184,7 @@
             return Err(DecodeError::Value);
         }
         Ok(Datagram {
-            looking: flags & SEEKS_PEERS_FLAG != 0,
+            seeks_peers: flags & SEEKS_PEERS_FLAG != 0,
             zone: u16::from_be_bytes([*high, *low]),
             findings,
         })
--- a/crates/gossip/src/codec/tests.rs
+++ b/crates/gossip/src/codec/tests.rs
@@ -8,8 +8,8 @@
         any::<u16>(),
         prop::collection::vec(finding, 0..70),
     );
-    all.prop_map(|(looking, zone, findings)| Datagram {
-        looking,
+    all.prop_map(|(seeks_peers, zone, findings)| Datagram {
+        seeks_peers,
         zone,
         findings,
     })
@@ -19,9 +19,9 @@
     #[test]
     fn encoding_round_trips_up_to_the_datagram_limit(sent in datagrams()) {
         let bytes = sent.encode();
-        prop_assert!(bytes.len() <= MOST_BYTES);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let decoded = Datagram::decode(&bytes).expect("valid bytes");
-        prop_assert_eq!((decoded.looking, decoded.zone), (sent.looking, sent.zone));
+        prop_assert_eq!((decoded.seeks_peers, decoded.zone), (sent.seeks_peers, sent.zone));
         prop_assert_eq!(&decoded.findings[..], &sent.findings[..sent.findings.len().min(MAX_FINDINGS)]);
     }
 
@@ -45,7 +45,7 @@
         let load = |(cache, work_ms, requests)| Load { cache, work_ms, requests };
         let loads: Vec<Load> = loads.into_iter().map(load).collect();
         let sent = encode_loads(zone, &loads);
-        prop_assert!(sent.len() <= MOST_BYTES);
+        prop_assert!(sent.len() <= MAX_DATAGRAM_BYTES);
         let decoded = decode_loads(&sent).expect("a datagram of loads").expect("valid bytes");
         prop_assert_eq!(decoded, (zone, loads[..loads.len().min(63)].to_vec()));
         prop_assert!(Datagram::decode(&sent).is_err(), "a decoder of findings rejects a datagram of loads");
@@ -67,7 +67,7 @@
         let mut bytes = sent.encode();
         bytes[bit / 8] ^= 1 << (bit % 8);
         match Datagram::decode(&bytes) {
-            Ok(read) => prop_assert!(bit == 8 && read.looking != sent.looking),
+            Ok(read) => prop_assert!(bit == 8 && read.seeks_peers != sent.seeks_peers),
             Err(error) => prop_assert_eq!(error, DecodeError::UnknownFormat),
         }
     }
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -23,8 +23,8 @@
 //! (limits by kind and zone). Not handled: a router that publishes in another's name, since
 //! datagrams are not signed yet. The peers' addresses must be configured by the operator.
 
-use crate::codec::MOST_BYTES;
-use crate::peer_exchange::{Mouth, To};
+use crate::codec::MAX_DATAGRAM_BYTES;
+use crate::peer_exchange::{DatagramSender, Destination};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -129,7 +129,7 @@
 pub fn encode(zone: u8, messages: &[Message]) -> Vec<u8> {
     let mut bytes = vec![FORMAT, 0, zone, 0];
     for message in messages {
-        if bytes.len() + MESSAGE_HEADER_BYTES + message.payload.len() > MOST_BYTES
+        if bytes.len() + MESSAGE_HEADER_BYTES + message.payload.len() > MAX_DATAGRAM_BYTES
             || message.payload.len() > MAX_PAYLOAD_BYTES
         {
             continue;
@@ -159,7 +159,7 @@
 }
 
 fn decode_messages(flags: u8, count: u8, mut rest: &[u8]) -> Result<Vec<Message>, DecodeError> {
-    if flags != 0 || rest.len() + HEADER_BYTES > MOST_BYTES {
+    if flags != 0 || rest.len() + HEADER_BYTES > MAX_DATAGRAM_BYTES {
         return Err(if flags == 0 {
             DecodeError::Length
         } else {
@@ -223,11 +223,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
     /// Malformed datagrams.
-    pub faulty: u64,
+    pub malformed: u64,
     /// From or of an unknown router, or of an unknown kind.
-    pub strange: u64,
+    pub unknown: u64,
     /// Expired, or no newer than what is held.
-    pub old: u64,
+    pub stale: u64,
 }
 
 /// Rounds that are sent outside the regular interval, for urgent messages.
@@ -430,7 +430,7 @@
     }
 
     /// Sends what is due, the messages with the fewest transmissions first.
-    pub fn tick(&mut self, now: Duration, sender: &mut dyn Mouth) {
+    pub fn tick(&mut self, now: Duration, sender: &mut dyn DatagramSender) {
         if let Some(burst) = self.urgent_burst.filter(|burst| now >= burst.next_round_at) {
             let rounds_left = burst.rounds_left - 1;
             self.urgent_burst = (rounds_left > 0).then_some(UrgentBurst {
@@ -468,7 +468,7 @@
 
     /// Sends a publisher a message of its own earlier incarnation, so that it raises its own above
     /// that.
-    fn return_earlier_message(&mut self, now: Duration, sender: &mut dyn Mouth) {
+    fn return_earlier_message(&mut self, now: Duration, sender: &mut dyn DatagramSender) {
         let Some((publisher, topic)) = self.pending_returns.pop_first() else {
             return;
         };
@@ -483,8 +483,8 @@
             urgent: false,
             payload: message.payload.clone(),
         };
-        sender.say(
-            To::One(u64::from(publisher)),
+        sender.send(
+            Destination::One(u64::from(publisher)),
             &encode(self.identity.zone, &[outgoing]),
         );
     }
@@ -513,7 +513,7 @@
     }
 
     /// Sends one datagram, to a router of this zone or of another.
-    fn send(&mut self, now: Duration, to: u16, urgent: bool, sender: &mut dyn Mouth) {
+    fn send(&mut self, now: Duration, to: u16, urgent: bool, sender: &mut dyn DatagramSender) {
         let (in_zone, max_transmissions) = (self.peers.contains_key(&to), self.max_transmissions());
         let policies = &self.policies;
         let policy = |kind: u8| policies.iter().find(|policy| policy.kind == kind);
@@ -548,7 +548,7 @@
             return;
         }
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (mut messages, mut free_bytes) = (Vec::new(), MOST_BYTES - HEADER_BYTES);
+        let (mut messages, mut free_bytes) = (Vec::new(), MAX_DATAGRAM_BYTES - HEADER_BYTES);
         for (_, topic, message) in candidates {
             let size = MESSAGE_HEADER_BYTES + message.payload.len();
             if size > free_bytes {
@@ -565,8 +565,8 @@
                 payload: message.payload.clone(),
             });
         }
-        sender.say(
-            To::One(u64::from(to)),
+        sender.send(
+            Destination::One(u64::from(to)),
             &encode(self.identity.zone, &messages),
         );
     }
@@ -578,13 +578,13 @@
             return false;
         };
         let Ok((zone, messages)) = decoded else {
-            self.dropped.faulty += 1;
+            self.dropped.malformed += 1;
             return true;
         };
         let is_known_router =
             from < self.identity.routers as u64 && from != u64::from(self.identity.number);
         if !is_known_router {
-            self.dropped.strange += 1;
+            self.dropped.unknown += 1;
             return true;
         }
         if zone == self.identity.zone {
@@ -615,7 +615,7 @@
             .filter(|policy| !policy.zone_only || zone == self.identity.zone);
         let (Some(policy), true) = (policy, usize::from(topic.publisher) < self.identity.routers)
         else {
-            self.dropped.strange += 1;
+            self.dropped.unknown += 1;
             return;
         };
         let known = self
@@ -623,7 +623,7 @@
             .get(&topic)
             .filter(|message| now < message.published_at + policy.lifetime);
         if age >= policy.lifetime || known.is_some_and(|message| message.version >= version) {
-            self.dropped.old += 1;
+            self.dropped.stale += 1;
             // Other routers may still relay messages of an earlier incarnation; the publisher
             // itself sends its current ones.
             let is_lower =
@@ -674,7 +674,7 @@
             sequence: self.last,
         };
         if claimed <= published || claimed.incarnation >= self.max_incarnation {
-            self.dropped.old += u64::from(claimed > published);
+            self.dropped.stale += u64::from(claimed > published);
             return;
         }
         self.identity.incarnation = claimed.incarnation + 1;
--- a/crates/gossip/src/gossip/tests.rs
+++ b/crates/gossip/src/gossip/tests.rs
@@ -23,11 +23,11 @@
 ];
 
 #[derive(Default)]
-struct SentDatagrams(Vec<(To, Vec<u8>)>);
+struct SentDatagrams(Vec<(Destination, Vec<u8>)>);
 
-impl Mouth for SentDatagrams {
-    fn say(&mut self, to: To, bytes: &[u8]) {
-        assert!(bytes.len() <= MOST_BYTES);
+impl DatagramSender for SentDatagrams {
+    fn send(&mut self, to: Destination, bytes: &[u8]) {
+        assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         self.0.push((to, bytes.to_vec()));
     }
 }
@@ -70,7 +70,7 @@
                 let mut sent = SentDatagrams::default();
                 self.all[number].tick(ms(now), &mut sent);
                 for (to, bytes) in sent.0 {
-                    let To::One(to) = to else {
+                    let Destination::One(to) = to else {
                         panic!("gossip sends no broadcasts")
                     };
                     self.bytes += bytes.len();
@@ -210,7 +210,7 @@
         r.receive(ms(100), 5, &encode(5, &[received]));
         assert_eq!(held(&r).as_deref(), Some(expected));
     }
-    assert_eq!(r.dropped().old, 2);
+    assert_eq!(r.dropped().stale, 2);
     // From an unknown publisher, of an unknown kind, in this router's own name.
     for (publisher, kind) in [(20, 1), (5, 9), (0, 1)] {
         let mut invalid = message(9, 9, b"x");
@@ -222,7 +222,7 @@
         (Some(b"newer".as_slice()), 1)
     );
     r.receive(ms(100), 77, &encode(5, &[message(9, 9, b"x")]));
-    assert_eq!(r.dropped().strange, 3);
+    assert_eq!(r.dropped().unknown, 3);
 }
 
 #[test]
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -11,5 +11,7 @@
 pub mod peer_exchange;
 pub mod weight_balancer;
 
-pub use peer_exchange::{About, Dropped, HintReceiver, Mouth, Talk, To};
+pub use peer_exchange::{
+    DatagramSender, Destination, Dropped, ExchangeConfig, HintReceiver, PeerExchange,
+};
 pub use weight_balancer::WeightReceiver;
--- a/crates/gossip/src/peer_exchange.rs
+++ b/crates/gossip/src/peer_exchange.rs
@@ -1,5 +1,5 @@
 //! The exchange of hints between the routers of a zone: discovery of peers, what is sent to which
-//! of them and when, and what is accepted. No I/O: datagrams go out through a [`Mouth`], accepted
+//! of them and when, and what is accepted. No I/O: datagrams go out through a [`DatagramSender`], accepted
 //! hints through a [`HintReceiver`].
 //!
 //! Peers discover each other by a broadcast to all routers that carries the sender's zone: every
@@ -39,15 +39,15 @@
 
 /// Destination of a datagram: every router of the tier, or one by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum Destination {
     All,
     One(u64),
 }
 
 /// Sends datagrams; any of them may be lost.
-pub trait Mouth {
+pub trait DatagramSender {
     /// Sends one datagram.
-    fn say(&mut self, to: To, bytes: &[u8]);
+    fn send(&mut self, to: Destination, bytes: &[u8]);
 }
 
 /// Receives what the peers report.
@@ -70,12 +70,12 @@
 
 /// Identity of this router within the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct About {
+pub struct ExchangeConfig {
     pub number: u64,
     pub routers: usize,
     pub zone: usize,
     /// Number of routers in the zone, including this one.
-    pub routers_here: usize,
+    pub routers_in_zone: usize,
     pub seed: u64,
 }
 
@@ -83,13 +83,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
     /// Datagrams from unknown routers, or from more peers than the zone has.
-    pub strangers: u64,
+    pub unknown_senders: u64,
     /// Datagrams of another format, truncated, too long, or with values out of bounds.
-    pub faulty: u64,
+    pub malformed: u64,
     /// Findings beyond what a peer may send per period.
-    pub flood: u64,
+    pub over_quota: u64,
     /// Findings of this router that were dropped unsent.
-    pub untold: u64,
+    pub unsent: u64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -101,8 +101,8 @@
 }
 
 /// The exchange of hints with the peers, as one router takes part in it.
-pub struct Talk {
-    config: About,
+pub struct PeerExchange {
+    config: ExchangeConfig,
     /// By tag. `None` where two caches have the same tag: findings for those are neither sent nor
     /// accepted.
     caches: BTreeMap<u8, Option<Id>>,
@@ -118,14 +118,15 @@
     weight_balancer: Option<WeightBalancer>,
 }
 
-impl Talk {
+impl PeerExchange {
     /// Returns `None` if there are no other routers to exchange with.
-    pub fn start(now: Duration, config: About) -> Option<Talk> {
-        let is_alone =
-            config.routers_here <= 1 || config.routers <= 1 || config.zone > usize::from(u16::MAX);
+    pub fn start(now: Duration, config: ExchangeConfig) -> Option<PeerExchange> {
+        let is_alone = config.routers_in_zone <= 1
+            || config.routers <= 1
+            || config.zone > usize::from(u16::MAX);
         // Routers that start together do not all send at the same instant.
         let phase = SEND_INTERVAL.mul_f64(fastrand::Rng::with_seed(config.seed).f64());
-        (!is_alone).then(|| Talk {
+        (!is_alone).then(|| PeerExchange {
             config,
             caches: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -140,12 +141,12 @@
     }
 
     /// Turns on adjusting the weights of the zone's caches together with the peers.
-    pub fn even_load(&mut self) {
+    pub fn enable_weight_balancing(&mut self) {
         self.weight_balancer = Some(WeightBalancer::default());
     }
 
     /// Replaces the caches whose load is evened out, with their capacities.
-    pub fn even(&mut self, caches: impl Iterator<Item = (Id, f64)>) {
+    pub fn set_balanced_caches(&mut self, caches: impl Iterator<Item = (Id, f64)>) {
         if let Some(balancer) = &mut self.weight_balancer {
             balancer.set_caches(caches);
         }
@@ -159,7 +160,7 @@
     }
 
     /// Records work sent to a server by this router, in seconds at a client's rate.
-    pub fn sent(&mut self, server: &Id, work: f64) {
+    pub fn record_sent(&mut self, server: &Id, work: f64) {
         self.weight_balancer
             .iter_mut()
             .for_each(|balancer| balancer.record_sent(server, work));
@@ -169,7 +170,7 @@
     fn send_loads(
         &mut self,
         now: Duration,
-        sender: &mut dyn Mouth,
+        sender: &mut dyn DatagramSender,
         receiver: &mut dyn HintReceiver,
     ) {
         let Some(loads) = self
@@ -186,12 +187,12 @@
             .iter()
             .filter(|(_, peer)| now < peer.last_received + PEER_TIMEOUT)
         {
-            sender.say(To::One(*number), &bytes);
+            sender.send(Destination::One(*number), &bytes);
         }
     }
 
     /// Replaces the caches of this zone.
-    pub fn caches<'a>(&mut self, names: impl Iterator<Item = &'a Id>) {
+    pub fn set_caches<'a>(&mut self, names: impl Iterator<Item = &'a Id>) {
         self.caches.clear();
         for name in names {
             let entry = self.caches.entry(cache_tag(name));
@@ -202,7 +203,7 @@
     }
 
     /// Records that this router has found a part at a cache, or had it stored there.
-    pub fn found(&mut self, part: u32, cache: &Id) {
+    pub fn record_finding(&mut self, part: u32, cache: &Id) {
         let cache = cache_tag(cache);
         if !matches!(self.caches.get(&cache), Some(Some(_))) {
             return;
@@ -213,13 +214,13 @@
         }
         if self.pending.len() == MAX_QUEUED_FINDINGS {
             self.pending.pop_front();
-            self.dropped.untold += 1;
+            self.dropped.unsent += 1;
         }
         self.pending.push_back(Finding { part, cache });
     }
 
-    /// When [`Talk::tick`] is due.
-    pub fn next(&self) -> Duration {
+    /// When [`PeerExchange::tick`] is due.
+    pub fn next_tick(&self) -> Duration {
         self.next_tick_at
     }
 
@@ -239,7 +240,12 @@
     }
 
     /// Searches for missing peers, and sends the queued findings.
-    pub fn tick(&mut self, now: Duration, sender: &mut dyn Mouth, receiver: &mut dyn HintReceiver) {
+    pub fn tick(
+        &mut self,
+        now: Duration,
+        sender: &mut dyn DatagramSender,
+        receiver: &mut dyn HintReceiver,
+    ) {
         if now < self.next_tick_at {
             return;
         }
@@ -247,11 +253,11 @@
         self.next_tick_at = now + SEND_INTERVAL;
         self.send_loads(now, sender, receiver);
         let zone = self.config.zone as u16;
-        if now >= self.next_search_at && self.peers.len() + 1 < self.config.routers_here {
-            sender.say(
-                To::All,
+        if now >= self.next_search_at && self.peers.len() + 1 < self.config.routers_in_zone {
+            sender.send(
+                Destination::All,
                 &Datagram {
-                    looking: true,
+                    seeks_peers: true,
                     zone,
                     findings: Vec::new(),
                 }
@@ -271,7 +277,7 @@
                 .drain(..self.pending.len().min(MAX_FINDINGS))
                 .collect();
             let bytes = Datagram {
-                looking: false,
+                seeks_peers: false,
                 zone,
                 findings,
             }
@@ -280,8 +286,8 @@
             let (header, sends_heartbeat) = (&bytes[..HEADER_BYTES], is_heartbeat_due && n == 0);
             for (number, peer) in &self.peers {
                 match now < peer.last_received + PEER_TIMEOUT {
-                    true => sender.say(To::One(*number), &bytes),
-                    false if sends_heartbeat => sender.say(To::One(*number), header),
+                    true => sender.send(Destination::One(*number), &bytes),
+                    false if sends_heartbeat => sender.send(Destination::One(*number), header),
                     false => {}
                 }
             }
@@ -290,7 +296,7 @@
     }
 
     /// Receives a datagram from the router with this number.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         now: Duration,
         from: u64,
@@ -299,11 +305,12 @@
     ) {
         let is_known_router = from < self.config.routers as u64 && from != self.config.number;
         // A zone has no more peers than its configured routers, whoever claims to be one.
-        let is_full =
-            || self.peers.len() + 1 >= self.config.routers_here && !self.peers.contains_key(&from);
+        let is_full = || {
+            self.peers.len() + 1 >= self.config.routers_in_zone && !self.peers.contains_key(&from)
+        };
         if let Some(loads) = decode_loads(bytes) {
             match (loads, &mut self.weight_balancer) {
-                (Err(_), _) => self.dropped.faulty += 1,
+                (Err(_), _) => self.dropped.malformed += 1,
                 // Loads count only from known peers, and make no sender a peer.
                 (Ok((zone, loads)), Some(balancer))
                     if self.peers.contains_key(&from) && usize::from(zone) == self.config.zone =>
@@ -315,14 +322,14 @@
             return;
         }
         let Ok(datagram) = Datagram::decode(bytes) else {
-            self.dropped.faulty += 1;
+            self.dropped.malformed += 1;
             return;
         };
         if is_known_router && usize::from(datagram.zone) != self.config.zone {
             return;
         }
         if !is_known_router || is_full() {
-            self.dropped.strangers += 1;
+            self.dropped.unknown_senders += 1;
             return;
         }
         let peer = self.peers.entry(from).or_default();
@@ -335,8 +342,8 @@
             .len()
             .min(MAX_ACCEPTED_FINDINGS - peer.accepted);
         peer.accepted += accepted;
-        self.dropped.flood += (datagram.findings.len() - accepted) as u64;
-        if datagram.looking {
+        self.dropped.over_quota += (datagram.findings.len() - accepted) as u64;
+        if datagram.seeks_peers {
             // The sender learns of this router by its next heartbeat, which is made due at once.
             self.idle_periods = HEARTBEAT_PERIODS;
         }
--- a/crates/gossip/src/peer_exchange/tests.rs
+++ b/crates/gossip/src/peer_exchange/tests.rs
@@ -6,11 +6,11 @@
 }
 
 #[derive(Default)]
-struct SentDatagrams(Vec<(To, Vec<u8>)>);
+struct SentDatagrams(Vec<(Destination, Vec<u8>)>);
 
-impl Mouth for SentDatagrams {
-    fn say(&mut self, to: To, bytes: &[u8]) {
-        assert!(bytes.len() <= crate::codec::MOST_BYTES);
+impl DatagramSender for SentDatagrams {
+    fn send(&mut self, to: Destination, bytes: &[u8]) {
+        assert!(bytes.len() <= crate::codec::MAX_DATAGRAM_BYTES);
         self.0.push((to, bytes.to_vec()));
     }
 }
@@ -30,7 +30,7 @@
 
 /// Six routers of zone 1 and six of zone 2, on a network that may lose datagrams.
 struct Net {
-    exchanges: Vec<Option<Talk>>,
+    exchanges: Vec<Option<PeerExchange>>,
     received: Vec<ReceivedFindings>,
     loss: f64,
     /// Routers from this number on are partitioned from those before.
@@ -39,19 +39,19 @@
     broadcasts: usize,
 }
 
-fn config(number: u64) -> About {
-    About {
+fn config(number: u64) -> ExchangeConfig {
+    ExchangeConfig {
         number,
         routers: 12,
         zone: 1 + number as usize / 6,
-        routers_here: 6,
+        routers_in_zone: 6,
         seed: number,
     }
 }
 
-fn exchange(now: u64, number: u64) -> Talk {
-    let mut exchange = Talk::start(ms(now), config(number)).expect("more than one router");
-    exchange.caches(["c1".into(), "c2".into()].iter());
+fn exchange(now: u64, number: u64) -> PeerExchange {
+    let mut exchange = PeerExchange::start(ms(now), config(number)).expect("more than one router");
+    exchange.set_caches(["c1".into(), "c2".into()].iter());
     exchange
 }
 
@@ -78,14 +78,16 @@
                 };
                 exchange.tick(ms(now), &mut sent, &mut ReceivedFindings::default());
                 for (to, bytes) in sent.0 {
-                    self.broadcasts += usize::from(to == To::All);
+                    self.broadcasts += usize::from(to == Destination::All);
                     let others = (0..12).filter(|o| *o != number);
-                    for other in others.filter(|o| to == To::All || to == To::One(*o as u64)) {
+                    for other in others
+                        .filter(|o| to == Destination::All || to == Destination::One(*o as u64))
+                    {
                         let is_partitioned =
                             (number < self.partition_at) != (other < self.partition_at);
                         let lost = is_partitioned || self.rng.f64() < self.loss;
                         if let (false, Some(exchange)) = (lost, &mut self.exchanges[other]) {
-                            exchange.heard(
+                            exchange.receive(
                                 ms(now),
                                 number as u64,
                                 &bytes,
@@ -113,7 +115,7 @@
         self.exchanges[number]
             .as_mut()
             .expect("a running router")
-            .found(part, &cache.into());
+            .record_finding(part, &cache.into());
     }
 }
 
@@ -201,29 +203,29 @@
     }
     .encode();
     for from in [0, 12, u64::MAX] {
-        exchange.heard(ms(1), from, &valid, &mut receiver);
+        exchange.receive(ms(1), from, &valid, &mut receiver);
     }
-    exchange.heard(ms(1), 1, &valid[..3], &mut receiver);
-    exchange.heard(ms(1), 1, &[0; 256], &mut receiver);
+    exchange.receive(ms(1), 1, &valid[..3], &mut receiver);
+    exchange.receive(ms(1), 1, &[0; 256], &mut receiver);
     assert_eq!(
         (
             exchange.peers(ms(1)),
-            exchange.dropped.strangers,
-            exchange.dropped.faulty
+            exchange.dropped.unknown_senders,
+            exchange.dropped.malformed
         ),
         ((0, 0), 3, 2)
     );
     // All routers claim to be in this zone: no more are accepted than the zone has.
-    (1..12).for_each(|from| exchange.heard(ms(1), from, &valid, &mut receiver));
+    (1..12).for_each(|from| exchange.receive(ms(1), from, &valid, &mut receiver));
     assert_eq!(exchange.peers(ms(1)).1, 5);
     for part in 0..10_000 {
-        exchange.found(part, &"c1".into());
+        exchange.record_finding(part, &"c1".into());
     }
     assert_eq!(exchange.pending.len(), MAX_QUEUED_FINDINGS);
     let mut sent = SentDatagrams::default();
     exchange.tick(ms(600), &mut sent, &mut ReceivedFindings::default());
     assert!(sent.0.len() <= 1 + 5 * MAX_DATAGRAMS_PER_PERIOD);
-    assert_eq!(exchange.dropped.untold, 10_000 - MAX_QUEUED_FINDINGS as u64);
+    assert_eq!(exchange.dropped.unsent, 10_000 - MAX_QUEUED_FINDINGS as u64);
 }
 
 #[test]
@@ -241,14 +243,14 @@
         ..Datagram::default()
     }
     .encode();
-    (0..1000).for_each(|_| exchange.heard(ms(100), 1, &flood, &mut receiver));
+    (0..1000).for_each(|_| exchange.receive(ms(100), 1, &flood, &mut receiver));
     assert_eq!(
-        (receiver.0.len(), exchange.dropped.flood),
+        (receiver.0.len(), exchange.dropped.over_quota),
         (MAX_ACCEPTED_FINDINGS, 50_000 - MAX_ACCEPTED_FINDINGS as u64)
     );
     // The limit is per peer and period: another peer is not affected, nor is the next period.
-    exchange.heard(ms(100), 2, &flood, &mut receiver);
-    exchange.heard(ms(100) + SEND_INTERVAL, 1, &flood, &mut receiver);
+    exchange.receive(ms(100), 2, &flood, &mut receiver);
+    exchange.receive(ms(100) + SEND_INTERVAL, 1, &flood, &mut receiver);
     assert_eq!(receiver.0.len(), MAX_ACCEPTED_FINDINGS + 100);
 }
 
@@ -267,14 +269,14 @@
         .find(|name| cache_tag(name) == cache_tag(duplicate))
         .expect("a name with this tag");
     let (mut exchange, mut receiver) = (exchange(0, 0), ReceivedFindings::default());
-    exchange.caches([first.clone(), duplicate.clone()].iter());
-    exchange.found(1, duplicate);
+    exchange.set_caches([first.clone(), duplicate.clone()].iter());
+    exchange.record_finding(1, duplicate);
     assert!(exchange.pending.is_empty());
     let findings = vec![Finding {
         part: 3,
         cache: cache_tag(duplicate),
     }];
-    exchange.heard(
+    exchange.receive(
         ms(1),
         1,
         &Datagram {
@@ -291,10 +293,10 @@
 #[test]
 fn exchange_does_not_start_in_a_zone_with_one_router() {
     assert!(
-        Talk::start(
+        PeerExchange::start(
             ms(0),
-            About {
-                routers_here: 1,
+            ExchangeConfig {
+                routers_in_zone: 1,
                 ..config(0)
             }
         )
--- a/crates/gossip/tests/stand_ins/mod.rs
+++ b/crates/gossip/tests/stand_ins/mod.rs
@@ -5,7 +5,7 @@
 
 use chalkhall::control::Router;
 use chalkhall::interface::*;
-use chalkhall_gossip::{About, Mouth, Talk, To};
+use chalkhall_gossip::{DatagramSender, Destination, ExchangeConfig, PeerExchange};
 use lru::LruCache;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -118,10 +118,10 @@
 }
 
 #[derive(Default)]
-struct SentDatagrams(Vec<(To, Vec<u8>)>);
+struct SentDatagrams(Vec<(Destination, Vec<u8>)>);
 
-impl Mouth for SentDatagrams {
-    fn say(&mut self, to: To, bytes: &[u8]) {
+impl DatagramSender for SentDatagrams {
+    fn send(&mut self, to: Destination, bytes: &[u8]) {
         self.0.push((to, bytes.to_vec()));
     }
 }
@@ -139,7 +139,7 @@
 struct Node {
     incarnation: u32,
     router: Option<Router>,
-    exchange: Option<Talk>,
+    exchange: Option<PeerExchange>,
     open_requests: HashMap<Id, OpenRequest>,
 }
 
@@ -291,24 +291,24 @@
         let mut router = Router::start(self.now, &deployment, &mut commands);
         router.update_list(self.now, ListKind::Snapshot, &self.list, &mut commands);
         let (routers, zone, own_number) = (ROUTERS, deployment.zone, number as u64);
-        let config = About {
+        let config = ExchangeConfig {
             number: own_number,
             routers,
             zone,
-            routers_here: ROUTERS_HERE,
+            routers_in_zone: ROUTERS_HERE,
             seed,
         };
         let mut exchange = self
             .scenario
             .exchange
-            .then(|| Talk::start(self.now, config))
+            .then(|| PeerExchange::start(self.now, config))
             .flatten();
         exchange
             .iter_mut()
-            .for_each(|exchange| exchange.caches(router.caches().map(|m| &m.server)));
-        let wait = exchange
-            .as_ref()
-            .map_or(END, |exchange| exchange.next().saturating_sub(self.now));
+            .for_each(|exchange| exchange.set_caches(router.caches().map(|m| &m.server)));
+        let wait = exchange.as_ref().map_or(END, |exchange| {
+            exchange.next_tick().saturating_sub(self.now)
+        });
         let node = &mut self.nodes[number];
         (node.router, node.exchange) = (Some(router), exchange);
         self.schedule(wait, Event::Tick(number));
@@ -332,7 +332,7 @@
             self.nodes[number]
                 .exchange
                 .iter_mut()
-                .for_each(|exchange| exchange.found(part, &cache));
+                .for_each(|exchange| exchange.record_finding(part, &cache));
         }
         for (id, rejected) in commands.answers {
             let request = self.nodes[number]
@@ -519,12 +519,12 @@
             return;
         };
         exchange.tick(self.now, &mut sent, router);
-        let wait = exchange.next().saturating_sub(self.now);
+        let wait = exchange.next_tick().saturating_sub(self.now);
         self.schedule(wait, Event::Tick(number));
         for (to, mut bytes) in sent.0 {
             let others: Vec<usize> = match to {
-                To::All => (0..ROUTERS).filter(|other| *other != number).collect(),
-                To::One(other) => vec![other as usize],
+                Destination::All => (0..ROUTERS).filter(|other| *other != number).collect(),
+                Destination::One(other) => vec![other as usize],
             };
             for other in others {
                 self.counts.bytes += bytes.len();
@@ -636,7 +636,7 @@
                 Event::Datagram(number, from, bytes) => {
                     let node = &mut simulation.nodes[number];
                     if let (Some(exchange), Some(router)) = (&mut node.exchange, &mut node.router) {
-                        exchange.heard(simulation.now, from, &bytes, router);
+                        exchange.receive(simulation.now, from, &bytes, router);
                     }
                 }
                 Event::Kill => simulation.kill(),
@@ -653,7 +653,9 @@
             .nodes
             .iter()
             .filter_map(|node| node.exchange.as_ref());
-        simulation.counts.strangers = exchanges.map(|exchange| exchange.dropped().strangers).sum();
+        simulation.counts.strangers = exchanges
+            .map(|exchange| exchange.dropped().unknown_senders)
+            .sum();
         simulation.counts
     }
 }
--- a/crates/harness/src/datagram_relay.rs
+++ b/crates/harness/src/datagram_relay.rs
@@ -4,7 +4,7 @@
 //! i's socket to j, so each router sees its peers at the addresses it was given.
 
 use crate::zone_network::ZoneNetwork;
-use chalkhall_gossip::codec::{Datagram, Finding, KEY_BITS, MOST_BYTES};
+use chalkhall_gossip::codec::{Datagram, Finding, KEY_BITS, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -93,7 +93,7 @@
             spawn_local(async move {
                 let mut rng = fastrand::Rng::with_seed(faults.borrow().seed ^ to as u64);
                 let socket = sockets.get(to).unwrap_or(&all);
-                let mut buffer = [0; 2 * MOST_BYTES];
+                let mut buffer = [0; 2 * MAX_DATAGRAM_BYTES];
                 while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
                     let Some(sender) = routers.iter().position(|at| *at == from) else {
                         continue;
@@ -101,7 +101,7 @@
                     counters.send_modify(|c| {
                         c.datagrams += 1;
                         c.bytes += length as u64;
-                        c.too_long += u64::from(length > MOST_BYTES);
+                        c.too_long += u64::from(length > MAX_DATAGRAM_BYTES);
                     });
                     let receivers = if to < routers.len() {
                         to..to + 1
@@ -139,7 +139,7 @@
         };
         let findings = (0..50).map(finding).collect();
         let bytes = Datagram {
-            looking: rng.bool(),
+            seeks_peers: rng.bool(),
             zone: zone as u16,
             findings,
         }
--- a/crates/latency/src/merge.rs
+++ b/crates/latency/src/merge.rs
@@ -24,7 +24,7 @@
     /// Share of probes that were lost.
     pub lost: f64,
     /// Relative uncertainty as one standard deviation: from the number of samples and their age.
-    pub doubt: f64,
+    pub uncertainty: f64,
     /// Number of reports that were used.
     pub reporters: usize,
 }
@@ -35,8 +35,8 @@
     pub fn bounds(&self) -> (f64, f64) {
         let median = self.p50.map_or(f64::INFINITY, |p50| p50.as_secs_f64());
         (
-            median / (1.0 + 2.0 * self.doubt),
-            median * (1.0 + 2.0 * self.doubt),
+            median / (1.0 + 2.0 * self.uncertainty),
+            median * (1.0 + 2.0 * self.uncertainty),
         )
     }
 }
@@ -99,13 +99,13 @@
         .map(|(_, age)| age.as_secs_f64())
         .fold(f64::INFINITY, f64::min);
     // Standard error of the median of a normal sample: its variance is pi/2 over the sample size.
-    let doubt = (spread.max(0.02).powi(2) * std::f64::consts::FRAC_PI_2 / samples).sqrt()
+    let uncertainty = (spread.max(0.02).powi(2) * std::f64::consts::FRAC_PI_2 / samples).sqrt()
         + DRIFT_PER_SECOND * youngest_age;
     Some(Estimate {
         p50,
         p90,
         lost,
-        doubt,
+        uncertainty,
         reporters: used.len(),
     })
 }
--- a/crates/latency/src/merge/tests.rs
+++ b/crates/latency/src/merge/tests.rs
@@ -71,7 +71,7 @@
     let doubt_of = |n: usize, age| {
         merge(&[report(&vec![10.0; n], age)])
             .expect("a report")
-            .doubt
+            .uncertainty
     };
     assert!(doubt_of(2, 0) > doubt_of(20, 0) && doubt_of(20, 3000) > doubt_of(20, 0) + 0.14);
     assert_eq!(merge(&[]), None);
--- a/crates/latency/src/model.rs
+++ b/crates/latency/src/model.rs
@@ -65,7 +65,7 @@
 /// A peer that was not alive for this long does not count as a prober.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time after which an unanswered probe counts as lost.
-pub const PATIENCE: Duration = Duration::from_millis(800);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Edges in one message of the matrix.
 const MATRIX_CHUNK_EDGES: usize = 32;
 /// Size of an encoded entry.
@@ -77,7 +77,7 @@
     pub p50: Option<Duration>,
     pub p90: Option<Duration>,
     pub lost: f64,
-    pub doubt: f64,
+    pub uncertainty: f64,
 }
 
 /// Encodes the bucket of a span as one byte; 255 stands for none.
@@ -94,12 +94,12 @@
         // An uncertainty of 255 marks an unknown path.
         None => [255, 255, 255, 255],
         Some(entry) => {
-            let doubt = (entry.doubt * 100.0).round().min(254.0) as u8;
+            let uncertainty = (entry.uncertainty * 100.0).round().min(254.0) as u8;
             [
                 encode_span(entry.p50),
                 encode_span(entry.p90),
                 (entry.lost * 255.0) as u8,
-                doubt,
+                uncertainty,
             ]
         }
     };
@@ -117,7 +117,7 @@
             p50: decode_span(b[0]),
             p90: decode_span(b[1]),
             lost: f64::from(b[2]) / 255.0,
-            doubt: f64::from(b[3]) / 100.0,
+            uncertainty: f64::from(b[3]) / 100.0,
         };
         known.then_some(entry)
     };
@@ -196,14 +196,14 @@
     }
 
     /// Records a probe to an edge: its round trip, or `None` if it was not answered within
-    /// [`PATIENCE`].
-    pub fn saw(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
+    /// [`PROBE_TIMEOUT`].
+    pub fn record_probe(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
         if edge >= self.edges {
             self.rejected += 1;
             return;
         }
         let sketch = self.paths.entry(edge).or_default();
-        match round_trip.filter(|round_trip| *round_trip < PATIENCE) {
+        match round_trip.filter(|round_trip| *round_trip < PROBE_TIMEOUT) {
             Some(round_trip) => sketch.record_round_trip(now, round_trip),
             None => sketch.record_loss(now),
         }
@@ -211,7 +211,13 @@
 
     /// Records `count` equal samples of the latency of this region's clients to an edge, as
     /// measured by a front.
-    pub fn observed(&mut self, now: Duration, edge: usize, latency: Duration, count: u32) {
+    pub fn record_client_samples(
+        &mut self,
+        now: Duration,
+        edge: usize,
+        latency: Duration,
+        count: u32,
+    ) {
         if edge >= self.edges {
             self.rejected += 1;
             return;
@@ -260,13 +266,13 @@
                              p50,
                              p90,
                              lost,
-                             doubt,
+                             uncertainty,
                              ..
                          }| MatrixEntry {
                 p50,
                 p90,
                 lost,
-                doubt,
+                uncertainty,
             };
             let entries: Vec<Option<MatrixEntry>> =
                 edges.map(|edge| measured(edge).map(entry)).collect();
@@ -348,7 +354,8 @@
             p90: from_seconds(median(&|entry| seconds(entry.p90))?),
             lost: median(&|entry| entry.lost)?,
             // A report that is one half-life old has lost half of its samples.
-            doubt: median(&|entry| entry.doubt)? * age.div_duration_f64(HALF_LIFE).exp2().sqrt(),
+            uncertainty: median(&|entry| entry.uncertainty)?
+                * age.div_duration_f64(HALF_LIFE).exp2().sqrt(),
         };
         Some((entry, entries.len()))
     }
@@ -366,14 +373,14 @@
                     p50,
                     p90,
                     lost,
-                    doubt,
+                    uncertainty,
                 },
                 reporters,
             )) if reporters >= 3 => Some(Estimate {
                 p50,
                 p90,
                 lost,
-                doubt,
+                uncertainty,
                 reporters,
             }),
             _ => own,
@@ -402,14 +409,14 @@
             p50,
             p90,
             lost,
-            doubt,
+            uncertainty,
             ..
         } = self.path(now, gossip, edge)?;
         Some(MatrixEntry {
             p50,
             p90,
             lost,
-            doubt,
+            uncertainty,
         })
     }
 
--- a/crates/latency/src/model/tests.rs
+++ b/crates/latency/src/model/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use chalkhall_gossip::gossip::{RouterIdentity, encode as datagram};
-use chalkhall_gossip::{Mouth, To};
+use chalkhall_gossip::{DatagramSender, Destination};
 use proptest::prelude::*;
 
 #[derive(Default)]
 struct SentDatagrams(Vec<(u64, Vec<u8>)>);
 
-impl Mouth for SentDatagrams {
-    fn say(&mut self, to: To, bytes: &[u8]) {
-        let To::One(to) = to else {
+impl DatagramSender for SentDatagrams {
+    fn send(&mut self, to: Destination, bytes: &[u8]) {
+        let Destination::One(to) = to else {
             panic!("gossip sends no broadcasts")
         };
         self.0.push((to, bytes.to_vec()));
@@ -82,7 +82,7 @@
                 };
                 for edge in edges {
                     let path = self.sample(n % self.zones, edge);
-                    self.routers[n].0.saw(ms(now), edge, Some(path));
+                    self.routers[n].0.record_probe(ms(now), edge, Some(path));
                 }
                 if (now + n as u64 * 10).is_multiple_of(250) {
                     let (model, gossip) = &mut self.routers[n];
@@ -102,7 +102,7 @@
                             p50: Some(ms(1)),
                             p90: Some(ms(1)),
                             lost: 0.0,
-                            doubt: 0.0,
+                            uncertainty: 0.0,
                         };
                         messages.push((
                             MATRIX,
@@ -257,7 +257,7 @@
 #[test]
 fn an_edge_that_stops_answering_is_unknown_or_lost_but_never_fast() {
     let (mut model, gossip) = router(0, 6, 120, 1);
-    (0..10).for_each(|n| model.saw(ms(n * 500), 2, Some(ms(5))));
+    (0..10).for_each(|n| model.record_probe(ms(n * 500), 2, Some(ms(5))));
     assert!(
         model
             .path(ms(5000), &gossip, 2)
@@ -265,21 +265,21 @@
             .p50
             .is_some()
     );
-    (10..16).for_each(|n| model.saw(ms(n * 500), 2, None));
+    (10..16).for_each(|n| model.record_probe(ms(n * 500), 2, None));
     assert_eq!(
         model.path(ms(8000), &gossip, 2).expect("a sample").p50,
         None
     );
     assert_eq!(model.path(ms(8000) + LIFETIME, &gossip, 2), None, "expired");
-    model.saw(ms(0), 99, Some(ms(1)));
-    model.observed(ms(0), 99, ms(1), 9);
+    model.record_probe(ms(0), 99, Some(ms(1)));
+    model.record_client_samples(ms(0), 99, ms(1), 9);
     assert_eq!(model.rejected(), 2);
 }
 
 #[test]
 fn samples_from_fronts_are_published_only_within_their_own_zone() {
     let (mut model, mut gossip) = router(0, 6, 120, 1);
-    model.observed(ms(0), 3, ms(40), 1000);
+    model.record_client_samples(ms(0), 3, ms(40), 1000);
     let client_path = model.client_path(ms(0), &gossip, 3).expect("an estimate");
     assert!((client_path.p50.expect("answered probes").as_secs_f64() / 0.040 - 1.0).abs() < 0.06);
     let mut sent = SentDatagrams::default();
--- a/crates/latency/src/share_table/tests.rs
+++ b/crates/latency/src/share_table/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use proptest::prelude::*;
 
-fn path(ms: f64, doubt: f64) -> Option<Estimate> {
+fn path(ms: f64, uncertainty: f64) -> Option<Estimate> {
     let p50 = Some(Duration::from_secs_f64(ms / 1e3));
     Some(Estimate {
         p50,
         p90: p50,
         lost: 0.0,
-        doubt,
+        uncertainty,
         reporters: 3,
     })
 }
@@ -203,7 +203,7 @@
             now += elapsed;
             let mut seen = std::collections::BTreeSet::new();
             let offers: Vec<Offer> = offers.into_iter().filter(|(edge, ..)| seen.insert(*edge))
-                .map(|(edge, ms, capacity, doubt)| Offer { edge, path: path(ms, doubt), capacity }).collect();
+                .map(|(edge, ms, capacity, uncertainty)| Offer { edge, path: path(ms, uncertainty), capacity }).collect();
             table.update(s(now), demand, &offers);
             prop_assert_eq!(table.shares().len(), offers.len());
             let sum: f64 = table.shares().iter().map(|(_, share)| share).sum();
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -200,7 +200,7 @@
         let attempt_request = self.attempt_request(&attempt_id, pending, server, limit, fill);
         let work = pending.arrival.kb / self.client_kb_per_s;
         if let Some(gossip) = &mut self.gossip {
-            gossip.exchange.sent(server, work);
+            gossip.exchange.record_sent(server, work);
         }
         let commands = self.servers.commands_to(server);
         let is_sent = commands.as_ref().is_some_and(|commands| {
@@ -270,7 +270,7 @@
 
     fn holder_found(&mut self, part: u32, cache: &Id) {
         if let Some(gossip) = &mut self.gossip {
-            gossip.exchange.found(part, cache);
+            gossip.exchange.record_finding(part, cache);
         }
     }
 
--- a/crates/router/src/decider/operator_queries.rs
+++ b/crates/router/src/decider/operator_queries.rs
@@ -61,10 +61,10 @@
         "weights": weights,
         "mates": recent,
         "known": known,
-        "strangers": dropped.strangers,
-        "faulty": dropped.faulty,
-        "flood": dropped.flood,
-        "untold": dropped.untold,
+        "strangers": dropped.unknown_senders,
+        "faulty": dropped.malformed,
+        "flood": dropped.over_quota,
+        "untold": dropped.unsent,
     })
 }
 
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -7,7 +7,7 @@
 use crate::messages::{AttemptEnded, CancellationFlag};
 use crate::zone_failover::ZoneFailover;
 use chalkhall::interface::{Member, ServerState};
-use chalkhall_gossip::Talk;
+use chalkhall_gossip::PeerExchange;
 use chalkhall_store::threads::End;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 /// Gossip with the other routers of the zone.
 pub struct Gossip {
     /// The protocol state machine.
-    pub exchange: Talk,
+    pub exchange: PeerExchange,
     /// Its transport.
     pub sender: GossipSender,
 }
@@ -55,7 +55,7 @@
         let gossip = self.dispatcher.gossip.as_ref();
         let wakeups = [
             local_cache.and_then(|local_cache| local_cache.next_wakeup(now)),
-            gossip.map(|gossip| gossip.exchange.next()),
+            gossip.map(|gossip| gossip.exchange.next_tick()),
             self.zone_failover.as_ref().map(ZoneFailover::next_wakeup),
         ];
         wakeups.into_iter().flatten().min()
@@ -63,13 +63,13 @@
 
     fn tick_gossip(&mut self) {
         let now = self.dispatcher.now;
-        let is_due = |gossip: &Gossip| now >= gossip.exchange.next();
+        let is_due = |gossip: &Gossip| now >= gossip.exchange.next_tick();
         if !self.dispatcher.gossip.as_ref().is_some_and(is_due) {
             return;
         }
         self.refresh_gossip_members();
         if let Some(Gossip { exchange, sender }) = &mut self.dispatcher.gossip
-            && now >= exchange.next()
+            && now >= exchange.next_tick()
         {
             exchange.tick(now, sender, &mut self.router);
         }
@@ -96,7 +96,7 @@
         if !std::mem::take(&mut self.is_gossip_list_stale) {
             return;
         }
-        exchange.caches(self.router.caches().map(|member| &member.server));
+        exchange.set_caches(self.router.caches().map(|member| &member.server));
         // Caches in slow start or draining carry less load on purpose; they are excluded from load
         // balancing by gossip.
         let now = self.dispatcher.now;
@@ -105,7 +105,8 @@
             member.standing == ServerState::Active && member.started.is_none_or(is_warm)
         };
         let balanced = self.router.caches().filter(is_balanced);
-        exchange.even(balanced.map(|member| (member.server.clone(), member.capacity)));
+        exchange
+            .set_balanced_caches(balanced.map(|member| (member.server.clone(), member.capacity)));
     }
 
     /// Sends a request of the local cache that revalidates a copy.
@@ -155,7 +156,7 @@
             return;
         }
         if let Some(Gossip { exchange, .. }) = &mut self.dispatcher.gossip {
-            exchange.heard(now, from, bytes, &mut self.router);
+            exchange.receive(now, from, bytes, &mut self.router);
         }
     }
 
--- a/crates/router/src/gossip_socket.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -11,8 +11,8 @@
 use crate::messages::Message;
 use crate::rate_limited_log::RateLimitedLog;
 use crate::server_connection::sleep_until_opt;
-use chalkhall_gossip::codec::MOST_BYTES;
-use chalkhall_gossip::{Mouth, To};
+use chalkhall_gossip::codec::MAX_DATAGRAM_BYTES;
+use chalkhall_gossip::{DatagramSender, Destination};
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
@@ -29,12 +29,12 @@
 /// The capacity of the queue of outbound datagrams; more are dropped.
 const SEND_QUEUE_CAPACITY: usize = 256;
 /// One byte more than the maximum length, so that datagrams that are too long can be recognized.
-const RECEIVE_BUFFER_BYTES: usize = MOST_BYTES + 1;
+const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
 /// An encoded datagram to be sent.
 #[derive(Debug)]
 pub struct OutboundDatagram {
-    destination: To,
+    destination: Destination,
     bytes: Vec<u8>,
 }
 
@@ -42,8 +42,8 @@
 #[derive(Clone)]
 pub struct GossipSender(mpsc::Sender<OutboundDatagram>);
 
-impl Mouth for GossipSender {
-    fn say(&mut self, to: To, bytes: &[u8]) {
+impl DatagramSender for GossipSender {
+    fn send(&mut self, to: Destination, bytes: &[u8]) {
         let datagram = OutboundDatagram {
             destination: to,
             bytes: bytes.to_vec(),
@@ -127,8 +127,8 @@
 /// Sends a datagram to its destination. It is lost if that fails or the destination is unknown.
 fn send(socket: &impl DatagramSocket, peers: &Peers, datagram: &OutboundDatagram) {
     let address = match datagram.destination {
-        To::All => Some(peers.all),
-        To::One(number) => usize::try_from(number)
+        Destination::All => Some(peers.all),
+        Destination::One(number) => usize::try_from(number)
             .ok()
             .and_then(|number| peers.each.get(number))
             .copied(),
--- a/crates/router/src/gossip_socket/tests.rs
+++ b/crates/router/src/gossip_socket/tests.rs
@@ -124,7 +124,7 @@
     let (mut sender, outbound) = channel();
     let (decider, _messages) = mpsc::channel(8);
     for byte in 1..=4 {
-        sender.say(To::All, &[byte]);
+        sender.send(Destination::All, &[byte]);
     }
     // The actor stops when all senders are dropped, after everything is sent.
     drop(sender);
--- a/crates/router/src/latency_probes.rs
+++ b/crates/router/src/latency_probes.rs
@@ -1,13 +1,13 @@
 //! Measures the round trip of network paths with probes to cache servers, on separate connections
 //! with one probe at a time.
 //!
-//! A probe without an answer within [`PATIENCE`] is reported as lost, and the next one uses a new
+//! A probe without an answer within [`PROBE_TIMEOUT`] is reported as lost, and the next one uses a new
 //! connection. Probes never block, and those that exceed the limits are dropped.
 
 use crate::io_errors::{ConnectFailure, set_nodelay};
 use crate::messages::Message;
 use crate::uninterrupted::Uninterrupted;
-use chalkhall_latency::model::PATIENCE;
+use chalkhall_latency::model::PROBE_TIMEOUT;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -97,7 +97,7 @@
     /// Runs until the idle timeout has passed without a probe, or the decider has ended.
     async fn run(mut self, mut edges: mpsc::Receiver<usize>) {
         while let Ok(Some(edge)) = timeout(IDLE_TIMEOUT, edges.recv()).await {
-            let measured = timeout(PATIENCE, self.probe()).await;
+            let measured = timeout(PROBE_TIMEOUT, self.probe()).await;
             let round_trip = match measured.unwrap_or(Err(ProbeError::TimedOut)) {
                 Ok(round_trip) => Some(round_trip),
                 Err(error) => {
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -19,7 +19,7 @@
 use crate::{control_socket, discovery, listener, shutdown};
 use chalkhall::interface::Deployment;
 use chalkhall_config::Told as Directives;
-use chalkhall_gossip::{About, Talk};
+use chalkhall_gossip::{ExchangeConfig, PeerExchange};
 use chalkhall_store::threads::End;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -244,24 +244,24 @@
     clock: Clock,
     directives: &Directives,
     configuration: &Configuration,
-) -> Option<Talk> {
+) -> Option<PeerExchange> {
     if configuration.peers.is_none() || !directives.peers.tell {
         return None;
     }
     let deployment = &configuration.deployment;
     let zone = deployment.zone;
-    let about = About {
+    let config = ExchangeConfig {
         number: deployment.router_index,
         routers: deployment.routers,
         zone,
-        routers_here: deployment.routers_per_zone.get(zone).copied().unwrap_or(0),
+        routers_in_zone: deployment.routers_per_zone.get(zone).copied().unwrap_or(0),
         seed: deployment.seed,
     };
-    let mut talk = Talk::start(clock.now(), about)?;
+    let mut exchange = PeerExchange::start(clock.now(), config)?;
     if directives.peers.even_load {
-        talk.even_load();
+        exchange.enable_weight_balancing();
     }
-    Some(talk)
+    Some(exchange)
 }
 
 fn open_zone_failover(
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -11,7 +11,7 @@
     SlowStartSettings, Tier,
 };
 use chalkhall_config::Regions as Settings;
-use chalkhall_failover::{About, Place, Regions, Where};
+use chalkhall_failover::{FailoverConfig, FailoverPlanner, TargetZone, ZoneCapacity};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 
 /// The failover between zones.
 pub struct ZoneFailover {
-    regions: Regions,
+    planner: FailoverPlanner,
     sender: GossipSender,
     /// The queue of latency probes to other zones, if they are enabled.
     probes: Option<mpsc::Sender<Probe>>,
@@ -104,12 +104,12 @@
 }
 
 /// Starts the failover logic. Returns `None` if failover cannot be coordinated with other routers.
-fn start_regions(
+fn start_planner(
     clock: Clock,
     settings: &Settings,
     deployment: &Deployment,
     zone_count: usize,
-) -> Option<Regions> {
+) -> Option<FailoverPlanner> {
     let number = u16::try_from(deployment.router_index);
     let zone = u8::try_from(deployment.zone);
     let (Ok(number), Ok(zone)) = (number, zone) else {
@@ -119,21 +119,21 @@
         return None;
     };
     let now = clock.now();
-    let about = About {
+    let config = FailoverConfig {
         number,
         routers: deployment.routers,
-        place: zone,
-        places: zone_count,
+        zone,
+        zones: zone_count,
         // In tenths of a second, which overflow 32 bits after thirteen years.
         incarnation: (clock.unix_ms(now) / 100) as u32,
         seed: deployment.seed,
-        abroad: settings.abroad,
+        may_leave_zone: settings.abroad,
     };
-    let regions = Regions::start(now, about);
-    if regions.is_none() {
+    let planner = FailoverPlanner::start(now, config);
+    if planner.is_none() {
         log::warn!("regions: failover is off: there are no other routers");
     }
-    regions
+    planner
 }
 
 /// Parses a latency in milliseconds.
@@ -175,17 +175,17 @@
         }
         let drained = zone_indices(names, &settings.drained)?;
         let region_of = regions_of_zones(settings, names)?;
-        let Some(mut regions) = start_regions(clock, settings, deployment, names.len()) else {
+        let Some(mut planner) = start_planner(clock, settings, deployment, names.len()) else {
             return Ok(None);
         };
-        regions.drain(&drained);
+        planner.set_drained_zones(&drained);
         let (abroad, measure) = (settings.abroad, settings.measure);
         log::info!(
             abroad = abroad, measure = measure, places = names.len();
             "regions: failover enabled"
         );
         Ok(Some(ZoneFailover {
-            regions,
+            planner,
             sender,
             probes: settings.measure.then_some(probes),
             zone_names: names.to_vec(),
@@ -202,26 +202,26 @@
 
     /// When [`ZoneFailover::tick`] is due next.
     pub fn next_wakeup(&self) -> Duration {
-        self.regions.next()
+        self.planner.next_tick()
     }
 
     /// Drains these zones, and no others.
     pub fn drain_zones(&mut self, zones: &[usize]) {
-        self.regions.drain(zones);
+        self.planner.set_drained_zones(zones);
     }
 
     /// Handles a datagram of another router. Returns false if it does not belong to failover.
     pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
-        self.regions.heard(now, from, bytes)
+        self.planner.receive(now, from, bytes)
     }
 
     /// Records the round trip of a latency probe to a zone; `None` if it was lost.
     pub fn record_latency(&mut self, now: Duration, edge: usize, round_trip: Option<Duration>) {
-        self.regions.model().saw(now, edge, round_trip);
+        self.planner.model().record_probe(now, edge, round_trip);
         // A lost probe shows that caches of this zone do not respond, which requests show only as
         // timeouts.
         if edge == self.zone && round_trip.is_none() {
-            self.regions.saw(now, false);
+            self.planner.record_attempt(now, false);
         }
     }
 
@@ -233,7 +233,7 @@
         router: &Router,
         address: impl Fn(&Id) -> Option<SocketAddr>,
     ) {
-        let mut capacities = vec![Place::default(); self.zone_names.len()];
+        let mut capacities = vec![ZoneCapacity::default(); self.zone_names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
         let is_active =
             |member: &&Member| member.tier == Tier::Cache && member.standing == ServerState::Active;
@@ -244,14 +244,14 @@
             self.add_capacity(now, member, capacity);
             caches.entry(member.zone).or_default().push(member);
         }
-        self.regions.list(&capacities);
-        self.regions.tick(now, &mut self.sender);
+        self.planner.set_capacities(&capacities);
+        self.planner.tick(now, &mut self.sender);
         self.send_probes(now, &caches, address);
         self.log(now);
     }
 
     /// Adds a cache to the capacity of its zone; in slow start it counts only in part.
-    fn add_capacity(&self, now: Duration, member: &Member, zone: &mut Place) {
+    fn add_capacity(&self, now: Duration, member: &Member, zone: &mut ZoneCapacity) {
         let age = member
             .started
             .map(|at| now.saturating_sub(at).as_secs_f64());
@@ -259,7 +259,7 @@
         let warmth = age.map_or(1.0, |age| (age / warm_within).min(1.0));
         let initial_share = self.slow_start.initial_capacity;
         zone.capacity += member.capacity;
-        zone.present += member.capacity * (initial_share + (1.0 - initial_share) * warmth);
+        zone.available += member.capacity * (initial_share + (1.0 - initial_share) * warmth);
         zone.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
     }
 
@@ -272,7 +272,7 @@
         let Some(probes) = &self.probes else {
             return;
         };
-        for edge in self.regions.to_measure(now) {
+        for edge in self.planner.paths_to_probe(now) {
             // Routers that measure the same zone probe different caches of it.
             let candidates = caches
                 .get(&edge)
@@ -287,8 +287,8 @@
 
     fn log(&mut self, now: Duration) {
         let state = LoggedState {
-            plan_number: self.regions.plan_number(),
-            is_zone_unhealthy: self.regions.is_bad(),
+            plan_number: self.planner.plan_number(),
+            is_zone_unhealthy: self.planner.is_bad(),
         };
         if state == self.logged {
             return;
@@ -309,7 +309,7 @@
 
     fn shares(&self) -> Vec<(&str, f64)> {
         let name = |edge: usize| self.zone_names.get(edge).map_or("", String::as_str);
-        self.regions
+        self.planner
             .plan_shares()
             .iter()
             .map(|(edge, share)| (name(*edge), *share))
@@ -326,21 +326,21 @@
         arrival: &mut IncomingRequest,
     ) -> Result<(), NoCapacity> {
         let work = arrival.kb / self.client_kb_per_s;
-        self.regions.asked(now, work);
+        self.planner.record_request(now, work);
         let class = self.classes.get(arrival.class).copied().unwrap_or_default();
         // A cell consists of caches of this zone, so requests of a cell stay in it.
         let may_leave = class.may_leave_zone && arrival.cell.is_none();
         let hash_fraction =
             xxh3_64_with_seed(arrival.object.as_bytes(), arrival.part) as f64 / 2f64.powi(64);
         match self
-            .regions
-            .request(hash_fraction, may_leave, class.value / work.max(1e-6))
+            .planner
+            .select_zone(hash_fraction, may_leave, class.value / work.max(1e-6))
         {
-            Where::Home => {}
-            Where::Abroad(place) => arrival.zone = Some(place),
+            TargetZone::Home => {}
+            TargetZone::Remote(zone) => arrival.zone = Some(zone),
             // Parents may serve it, if they accept attempts.
-            Where::Nowhere if self.pass_through => {}
-            Where::Nowhere => return Err(NoCapacity),
+            TargetZone::Unavailable if self.pass_through => {}
+            TargetZone::Unavailable => return Err(NoCapacity),
         }
         Ok(())
     }
@@ -362,9 +362,9 @@
             return;
         }
         match outcome {
-            Served | Missing | Full => self.regions.saw(now, true),
-            Unreachable | Broken => self.regions.saw(now, false),
-            Error if remark == Remark::None => self.regions.saw(now, false),
+            Served | Missing | Full => self.planner.record_attempt(now, true),
+            Unreachable | Broken => self.planner.record_attempt(now, false),
+            Error if remark == Remark::None => self.planner.record_attempt(now, false),
             // Timeouts and cancellations may be due to the source of a fill.
             _ => {}
         }
@@ -380,8 +380,8 @@
     ) {
         let class = self.classes.get(class).copied().unwrap_or_default();
         let took = now.saturating_sub(received_at);
-        self.regions
-            .answered(now, was_served && took <= class.latency_objective);
+        self.planner
+            .record_answer(now, was_served && took <= class.latency_objective);
     }
 
     /// Handles `latency observe REGION EDGE MS [COUNT]`: records the latency between clients and a
@@ -410,7 +410,9 @@
                 "MS is from 0 to {MAX_OBSERVED_MS}, COUNT from 1 to {MAX_OBSERVED_SAMPLES}"
             ));
         };
-        self.regions.model().observed(now, edge, latency, count);
+        self.planner
+            .model()
+            .record_client_samples(now, edge, latency, count);
         json!({"observed": count})
     }
 
@@ -418,16 +420,16 @@
     /// of preference.
     pub fn steer(&self, now: Duration) -> Value {
         let ms = |latency: Option<Duration>| latency.map(|latency| latency.as_secs_f64() * 1e3);
-        let edges = self.regions.steer(now).into_iter().map(|edge| {
+        let edges = self.planner.rank_edges(now).into_iter().map(|edge| {
             json!({
                 "edge": self.zone_names.get(edge.edge).map_or("", String::as_str),
                 "share": edge.share,
-                "room": edge.room,
+                "room": edge.spare_capacity,
                 "bad": edge.bad,
-                "way_ms": edge.way.and_then(|path| ms(path.p50)),
-                "way_p90_ms": edge.way.and_then(|path| ms(path.p90)),
-                "clients_ms": edge.leg.and_then(|path| ms(path.p50)),
-                "doubt": edge.way.map(|path| path.doubt),
+                "way_ms": edge.path.and_then(|path| ms(path.p50)),
+                "way_p90_ms": edge.path.and_then(|path| ms(path.p90)),
+                "clients_ms": edge.client_path.and_then(|path| ms(path.p50)),
+                "doubt": edge.path.map(|path| path.uncertainty),
             })
         });
         json!({
@@ -439,8 +441,8 @@
 
     /// Handles `regions stat`.
     pub fn report(&self, now: Duration) -> Value {
-        let report = self.regions.report(now);
-        let zones = report.places.iter().zip(&self.zone_names);
+        let report = self.planner.report(now);
+        let zones = report.zones.iter().zip(&self.zone_names);
         let zones = zones.map(|((bad, drained, demand, room), name)| {
             json!({
                 "location": name,
@@ -458,20 +460,20 @@
                 "shares": plan.shares.iter().map(share).collect::<Vec<_>>(),
             })
         });
-        let dropped = self.regions.gossip().dropped();
+        let dropped = self.planner.gossip().dropped();
         json!({
             "location": self.zone_names.get(self.zone),
             "bad": report.bad,
             "drained": report.drained,
             "flaps": report.flaps,
-            "speaks": report.speaker,
+            "speaks": report.is_coordinator,
             "mates": report.peers,
             "demand": report.demand,
             "plan": plan,
             "places": zones.collect::<Vec<Value>>(),
-            "faulty": dropped.faulty,
-            "strange": dropped.strange,
-            "old": dropped.old,
+            "faulty": dropped.malformed,
+            "strange": dropped.unknown,
+            "old": dropped.stale,
         })
     }
 }
