--- a/crates/cells/src/limits.rs
+++ b/crates/cells/src/limits.rs
@@ -32,7 +32,7 @@
 
 /// The limits of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct TenantLimits {
     /// Requests per second, and the burst allowed after a pause.
     pub rate: f64,
     pub burst: f64,
@@ -41,10 +41,10 @@
     pub max_retries: f64,
 }
 
-impl Allowed {
+impl TenantLimits {
     /// The operator's rate and burst, with the default retry budget.
-    pub fn at(rate: f64, burst: f64) -> Allowed {
-        Allowed {
+    pub fn new(rate: f64, burst: f64) -> TenantLimits {
+        TenantLimits {
             rate,
             burst,
             retries_per_request: RETRIES_PER_REQUEST,
@@ -55,7 +55,7 @@
 
 /// The key of a request's tenant: its customer where the settings name customers, else its group of objects,
 /// whose clients are then limited together.
-pub fn tenant(arrival: &IncomingRequest, by_customer: bool) -> [u8; 8] {
+pub fn tenant_key(arrival: &IncomingRequest, by_customer: bool) -> [u8; 8] {
     if by_customer {
         (arrival.customer as u64).to_le_bytes()
     } else {
@@ -65,10 +65,10 @@
 
 /// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     Accepted,
     /// Rejected; the earliest time after which a retry can be accepted.
-    Late(Duration),
+    RetryAfter(Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -79,10 +79,10 @@
 }
 
 impl Bucket {
-    fn refill(&mut self, now: Duration, allowed: &Allowed) {
+    fn refill(&mut self, now: Duration, limits: &TenantLimits) {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = self.updated_at.max(now);
-        self.tokens = (self.tokens + allowed.rate * elapsed).min(allowed.burst);
+        self.tokens = (self.tokens + limits.rate * elapsed).min(limits.burst);
     }
 }
 
@@ -110,16 +110,16 @@
 
 /// The limits of all tenants of a cell.
 pub struct Tenants {
-    allowed: Allowed,
+    limits: TenantLimits,
     buckets: LruCache<u64, Bucket>,
     sketch: Vec<Counter>,
     seed: u64,
 }
 
 impl Tenants {
-    pub fn new(allowed: Allowed, seed: u64) -> Tenants {
+    pub fn new(limits: TenantLimits, seed: u64) -> Tenants {
         Tenants {
-            allowed,
+            limits,
             buckets: LruCache::new(MAX_BUCKETS),
             sketch: vec![Counter::default(); SKETCH_ROWS * SKETCH_COLUMNS],
             seed,
@@ -139,21 +139,21 @@
     }
 
     /// Decides on a request of a tenant. `is_retry`: the request is known to be a retry.
-    pub fn request(&mut self, now: Duration, tenant: &[u8], is_retry: bool) -> Verdict {
-        let (key, allowed) = (self.key(tenant), self.allowed);
+    pub fn request(&mut self, now: Duration, tenant: &[u8], is_retry: bool) -> Decision {
+        let (key, limits) = (self.key(tenant), self.limits);
         if let Some(bucket) = self.buckets.peek_mut(&key) {
-            bucket.refill(now, &allowed);
+            bucket.refill(now, &limits);
             if is_retry && bucket.retries < ONE_TOKEN {
-                return Verdict::Late(Duration::from_secs_f64(1.0 / allowed.rate.max(1e-3)));
+                return Decision::RetryAfter(Duration::from_secs_f64(1.0 / limits.rate.max(1e-3)));
             }
             if bucket.tokens < ONE_TOKEN {
-                return Verdict::Late(Duration::from_secs_f64(
-                    (1.0 - bucket.tokens) / allowed.rate.max(1e-3),
+                return Decision::RetryAfter(Duration::from_secs_f64(
+                    (1.0 - bucket.tokens) / limits.rate.max(1e-3),
                 ));
             }
             bucket.tokens -= 1.0;
             bucket.retries -= f64::from(is_retry);
-            return Verdict::Accepted;
+            return Decision::Accepted;
         }
         // An unknown tenant: the smallest of its counters is an upper bound of its own recent requests.
         let slots = self.slots(key);
@@ -165,23 +165,22 @@
             .map(|slot| self.sketch[*slot].requests)
             .fold(f64::INFINITY, f64::min);
         // A counter that halves every half-life converges to rate * half-life / ln 2.
-        let steady_state = allowed.rate * HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
-        if requests + 1.0 > steady_state + allowed.burst {
-            let excess = (requests + 1.0) / (steady_state + allowed.burst);
-            return Verdict::Late(HALF_LIFE.mul_f64(excess.log2().clamp(0.01, 1.0)));
+        let steady_state = limits.rate * HALF_LIFE.as_secs_f64() / std::f64::consts::LN_2;
+        if requests + 1.0 > steady_state + limits.burst {
+            let excess = (requests + 1.0) / (steady_state + limits.burst);
+            return Decision::RetryAfter(HALF_LIFE.mul_f64(excess.log2().clamp(0.01, 1.0)));
         }
         slots
             .iter()
             .for_each(|slot| self.sketch[*slot].requests += 1.0);
-        Verdict::Accepted
+        Decision::Accepted
     }
 
     /// Records that a request of a tenant was served.
     pub fn served(&mut self, now: Duration, tenant: &[u8]) {
-        let (key, allowed) = (self.key(tenant), self.allowed);
+        let (key, limits) = (self.key(tenant), self.limits);
         if let Some(bucket) = self.buckets.get_mut(&key) {
-            bucket.retries =
-                (bucket.retries + allowed.retries_per_request).min(allowed.max_retries);
+            bucket.retries = (bucket.retries + limits.retries_per_request).min(limits.max_retries);
             return;
         }
         let slots = self.slots(key);
@@ -194,7 +193,7 @@
             .map(|slot| self.sketch[*slot].served)
             .fold(f64::INFINITY, f64::min);
         if served >= MIN_SERVED && self.may_evict(now) {
-            let (tokens, retries) = (allowed.burst / 2.0, 0.0);
+            let (tokens, retries) = (limits.burst / 2.0, 0.0);
             self.buckets.put(
                 key,
                 Bucket {
--- a/crates/cells/src/map.rs
+++ b/crates/cells/src/map.rs
@@ -30,7 +30,7 @@
 
 /// The scope of a binding: the requests that belong to a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Scope {
     /// Objects whose id starts with this prefix.
     Prefix(String),
     Groups(RangeInclusive<u64>),
@@ -39,42 +39,42 @@
     Class(usize),
 }
 
-impl What {
+impl Scope {
     /// Whether a request is in this scope.
     pub fn covers(&self, arrival: &IncomingRequest) -> bool {
         match self {
-            What::Prefix(prefix) => arrival.object.starts_with(prefix.as_str()),
-            What::Groups(range) => range.contains(&arrival.group),
-            What::Customer(n) => arrival.customer == *n,
-            What::Class(n) => arrival.class == *n,
+            Scope::Prefix(prefix) => arrival.object.starts_with(prefix.as_str()),
+            Scope::Groups(range) => range.contains(&arrival.group),
+            Scope::Customer(n) => arrival.customer == *n,
+            Scope::Class(n) => arrival.class == *n,
         }
     }
 }
 
 /// The operator's definition of the cells.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct Definition {
     /// The epoch of the map: a router never returns to an older one.
     pub epoch: u64,
     pub cells: Vec<(String, Members)>,
-    pub bindings: Vec<(What, String)>,
+    pub bindings: Vec<(Scope, String)>,
     /// Target cells of moves: they are in use even if nothing is bound to them.
-    pub arriving: Vec<String>,
+    pub move_targets: Vec<String>,
     /// The cell of requests without a binding; `None`: they belong to no cell and may go to any server.
-    pub otherwise: Option<String>,
+    pub default_cell: Option<String>,
     /// Maximum number of servers that two shuffle-sharded cells share; `None`: unlimited.
-    pub overlap: Option<usize>,
+    pub max_overlap: Option<usize>,
 }
 
 /// A valid cell map.
 #[derive(Clone, Debug)]
 pub struct Map {
-    definition: Told,
+    definition: Definition,
     prefixes: Vec<(String, Cell)>,
     groups: Vec<(RangeInclusive<u64>, Cell)>,
     customers: BTreeMap<usize, Cell>,
     classes: BTreeMap<usize, Cell>,
-    otherwise: Option<Cell>,
+    default_cell: Option<Cell>,
     /// The cells of each server. A server in no cell takes no requests that belong to a cell.
     cells_by_server: BTreeMap<Id, Rc<[Cell]>>,
 }
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// All faults of the definition.
-    pub fn new(definition: Told) -> Result<Map, Vec<String>> {
+    pub fn new(definition: Definition) -> Result<Map, Vec<String>> {
         let mut faults = Vec::new();
         if definition.cells.len() > MAX_CELLS || definition.bindings.len() > MAX_BINDINGS {
             faults.push(format!(
@@ -134,12 +134,12 @@
         for (what, name) in &definition.bindings {
             let cell = cell(name, &mut faults);
             let is_invalid = match what {
-                What::Prefix(prefix) => {
+                Scope::Prefix(prefix) => {
                     let is_invalid = prefixes.iter().any(|(p, _)| p == prefix);
                     prefixes.push((prefix.clone(), cell));
                     is_invalid
                 }
-                What::Groups(range) => {
+                Scope::Groups(range) => {
                     let overlaps = |(r, _): &(RangeInclusive<u64>, Cell)| {
                         r.start() <= range.end() && range.start() <= r.end()
                     };
@@ -147,18 +147,18 @@
                     groups.push((range.clone(), cell));
                     is_invalid
                 }
-                What::Customer(n) => customers.insert(*n, cell).is_some(),
-                What::Class(n) => classes.insert(*n, cell).is_some(),
+                Scope::Customer(n) => customers.insert(*n, cell).is_some(),
+                Scope::Class(n) => classes.insert(*n, cell).is_some(),
             };
             if is_invalid {
                 faults.push(format!("{what:?} is bound twice, or is an empty range"));
             }
         }
-        for name in &definition.arriving {
+        for name in &definition.move_targets {
             cell(name, &mut faults);
         }
-        let otherwise = definition
-            .otherwise
+        let default_cell = definition
+            .default_cell
             .as_deref()
             .map(|name| cell(name, &mut faults));
         for (n, (name, _)) in definition.cells.iter().enumerate() {
@@ -177,7 +177,7 @@
             groups,
             customers,
             classes,
-            otherwise,
+            default_cell,
             cells_by_server: BTreeMap::new(),
         })
     }
@@ -218,11 +218,11 @@
             .or_else(by_group)
             .or_else(|| self.customers.get(&arrival.customer).copied())
             .or_else(|| self.classes.get(&arrival.class).copied())
-            .or(self.otherwise)
+            .or(self.default_cell)
     }
 
     /// The cell with this name.
-    pub fn named(&self, name: &str) -> Option<Cell> {
+    pub fn cell_by_name(&self, name: &str) -> Option<Cell> {
         self.definition
             .cells
             .iter()
@@ -231,13 +231,13 @@
     }
 
     /// The cell to which exactly this scope is bound.
-    pub fn bound(&self, what: &What) -> Option<Cell> {
+    pub fn cell_of_scope(&self, scope: &Scope) -> Option<Cell> {
         let found = self
             .definition
             .bindings
             .iter()
-            .find(|(bound, _)| bound == what);
-        found.and_then(|(_, name)| self.named(name))
+            .find(|(bound, _)| bound == scope);
+        found.and_then(|(_, name)| self.cell_by_name(name))
     }
 
     /// The cells of a server, in order. A server in no cell takes no requests that belong to a cell.
@@ -249,7 +249,7 @@
     }
 
     /// Assigns these cache servers to the cells.
-    pub fn place(&mut self, servers: &BTreeSet<Id>) {
+    pub fn assign(&mut self, servers: &BTreeSet<Id>) {
         let mut cells: BTreeMap<Id, BTreeSet<Cell>> = servers
             .iter()
             .map(|s| (s.clone(), BTreeSet::new()))
@@ -311,7 +311,7 @@
             ranking.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
             let mut selected = BTreeSet::new();
             for (_, server) in &ranking {
-                let max_overlap = self.definition.overlap.unwrap_or(usize::MAX);
+                let max_overlap = self.definition.max_overlap.unwrap_or(usize::MAX);
                 // The server must not push the overlap with an earlier cell past the limit.
                 let shared = |other: &BTreeSet<&Id>| {
                     other.intersection(&selected).count() + usize::from(other.contains(server))
@@ -352,7 +352,7 @@
                 faults.push(format!("cell {name} has {count} of {wanted} servers"));
             }
         }
-        if unassigned > 0 && self.otherwise.is_some() {
+        if unassigned > 0 && self.default_cell.is_some() {
             faults.push(format!(
                 "{unassigned} servers are in no cell and receive no requests: every request belongs to a cell"
             ));
--- a/crates/cells/src/map/tests.rs
+++ b/crates/cells/src/map/tests.rs
@@ -5,18 +5,18 @@
     range.map(|n| Id::from(format!("s-{n:04}"))).collect()
 }
 
-fn definition(cells: Vec<(&str, Members)>) -> Told {
+fn definition(cells: Vec<(&str, Members)>) -> Definition {
     let bindings = cells
         .iter()
         .enumerate()
-        .map(|(n, (name, _))| (What::Customer(n), (*name).to_owned()));
-    Told {
+        .map(|(n, (name, _))| (Scope::Customer(n), (*name).to_owned()));
+    Definition {
         bindings: bindings.collect(),
         cells: cells
             .into_iter()
             .map(|(name, members)| (name.to_owned(), members))
             .collect(),
-        ..Told::default()
+        ..Definition::default()
     }
 }
 
@@ -25,18 +25,18 @@
     let cells = ["a", "b", "c", "d", "e"].map(|name| (name.to_owned(), Members::Shuffle(1)));
     let bind = |what, name: &str| (what, name.to_owned());
     let bindings = vec![
-        bind(What::Prefix("7f".into()), "a"),
-        bind(What::Prefix("7f3a".into()), "b"),
-        bind(What::Groups(3..=5), "c"),
-        bind(What::Customer(2), "d"),
-        bind(What::Class(1), "e"),
+        bind(Scope::Prefix("7f".into()), "a"),
+        bind(Scope::Prefix("7f3a".into()), "b"),
+        bind(Scope::Groups(3..=5), "c"),
+        bind(Scope::Customer(2), "d"),
+        bind(Scope::Class(1), "e"),
     ];
-    let otherwise = Some("a".to_owned());
-    let map = Map::new(Told {
+    let default_cell = Some("a".to_owned());
+    let map = Map::new(Definition {
         cells: cells.to_vec(),
         bindings,
-        otherwise,
-        ..Told::default()
+        default_cell,
+        ..Definition::default()
     })
     .unwrap();
     let cell = |object: &str, group, customer, class| {
@@ -68,8 +68,8 @@
         ("c", Members::Shuffle(0)),
     ]);
     definition.bindings = vec![
-        (What::Groups(1..=9), "a".into()),
-        (What::Groups(9..=9), "nowhere".into()),
+        (Scope::Groups(1..=9), "a".into()),
+        (Scope::Groups(9..=9), "nowhere".into()),
     ];
     let faults = Map::new(definition).unwrap_err().join("\n");
     for part in [
@@ -93,7 +93,7 @@
     ]))
     .unwrap();
     let all = servers(0..2000);
-    map.place(&all);
+    map.assign(&all);
     let before = map.report();
     let (a, b) = (before[0].1.len(), before[1].1.len());
     assert!(
@@ -101,7 +101,7 @@
         "{a} {b}"
     );
     let before_removal = map.cells_by_server.clone();
-    map.place(&servers(1..2000));
+    map.assign(&servers(1..2000));
     assert!(
         map.cells_by_server
             .iter()
@@ -113,7 +113,7 @@
 fn a_cell_with_too_few_servers_is_reported() {
     let list = Members::List(vec!["s-0001".into(), "gone".into()]);
     let mut map = Map::new(definition(vec![("a", list), ("b", Members::Shuffle(30))])).unwrap();
-    map.place(&servers(0..10));
+    map.assign(&servers(0..10));
     assert_eq!(
         map.faults(),
         ["cell a has 1 of 2 servers", "cell b has 9 of 30 servers"]
@@ -136,9 +136,9 @@
     ) {
         let names: Vec<String> = (0..cells).map(|n| format!("cell-{n}")).collect();
         let drawn = names.iter().map(|n| (n.as_str(), Members::Shuffle(k))).collect();
-        let definition = Told { overlap: Some(overlap), ..definition(drawn) };
+        let definition = Definition { max_overlap: Some(overlap), ..definition(drawn) };
         let mut map = Map::new(definition).unwrap();
-        map.place(&servers(0..count));
+        map.assign(&servers(0..count));
         let report = map.report().into_iter();
         let report: Vec<BTreeSet<Id>> = report.map(|(_, s)| s.into_iter().collect()).collect();
         for (n, one) in report.iter().enumerate() {
@@ -146,7 +146,7 @@
             prop_assert!(report[..n].iter().all(|other| one.intersection(other).count() <= overlap));
         }
         let mut again = map.clone();
-        again.place(&servers(0..count));
+        again.assign(&servers(0..count));
         prop_assert_eq!(map.report(), again.report());
     }
 }
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -130,7 +130,7 @@
 
     /// Reports which of the two cells have live servers. A new cell without any takes no requests; an old cell
     /// without any keeps none.
-    pub fn alive(&mut self, now: Duration, from: bool, to: bool) {
+    pub fn update_liveness(&mut self, now: Duration, from: bool, to: bool) {
         use State::*;
         match (self.state, from, to) {
             (Warming | Shifting | Settling, true, false) => self.enter(RolledBack, 0.0),
@@ -148,7 +148,7 @@
 
     /// Records the outcome of one of the tenant's attempts at a cell. Attempts that were rejected, cancelled or
     /// never sent, and missing objects, are no evidence about the cell.
-    pub fn ended(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
+    pub fn record_attempt(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
         use Outcome::{Broken, Error, Served, TimedOut, Unreachable};
         if matches!(outcome, Served | Error | TimedOut | Broken | Unreachable) {
             let hit = matches!(remark, Remark::Hit | Remark::Stale);
--- a/crates/cells/src/moves/tests.rs
+++ b/crates/cells/src/moves/tests.rs
@@ -9,7 +9,7 @@
 
 fn started_move() -> Move {
     let mut moved = Move::new(1, 2, SETTLING_TIME);
-    moved.alive(s(0), true, true);
+    moved.update_liveness(s(0), true, true);
     moved
 }
 
@@ -88,11 +88,11 @@
     assert_eq!((moved.state(), moved.share()), (State::RolledBack, 0.0));
     let mut moved = started_move();
     record_served(&mut moved, s(1), 100, 1.0);
-    moved.alive(s(2), true, false);
+    moved.update_liveness(s(2), true, false);
     assert_eq!(moved.state(), State::RolledBack);
     let mut moved = started_move();
     record_served(&mut moved, s(1), 100, 1.0);
-    moved.alive(s(2), false, true);
+    moved.update_liveness(s(2), false, true);
     assert_eq!((moved.state(), moved.share()), (State::Settling, 1.0));
 }
 
@@ -109,7 +109,7 @@
     assert!(moved.share() > share);
     moved.reverse();
     moved.reverse();
-    moved.alive(s(1), true, true);
+    moved.update_liveness(s(1), true, true);
     assert_eq!(
         (moved.state(), moved.share()),
         (State::Warming, INITIAL_SHARE)
@@ -173,7 +173,7 @@
         Event::OldCellDown => old = false,
         Event::TimePasses => moved.tick(s(100)),
     }
-    moved.alive(s(1), old, new);
+    moved.update_liveness(s(1), old, new);
     (
         moved.state(),
         (moved.share() * 64.0) as u32,
--- a/crates/cli/src/bin/proof-store/allocations.rs
+++ b/crates/cli/src/bin/proof-store/allocations.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use chalkhall_store::copy::Copy;
-use chalkhall_store::decide::index::{Index, Spot};
+use chalkhall_store::decide::index::{Index, IndexEntry};
 use chalkhall_store::decide::memory::Memory;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::rc::Rc;
@@ -40,11 +40,11 @@
         let body = Bytes::copy_from_slice(&vec![7; rng.usize(..4000)]);
         let copy = Copy {
             object: token(),
-            tag: token(),
+            etag: token(),
             body,
             ..Copy::default()
         };
-        memory.keep(key, Rc::new(copy), 1 + rng.u8(..3), &mut |_, _| {});
+        memory.insert(key, Rc::new(copy), 1 + rng.u8(..3), &mut |_, _| {});
     }
     (ALLOCATED_BYTES.load(Ordering::Relaxed) - before) as f64 / memory.bytes() as f64
 }
@@ -53,21 +53,21 @@
 /// left out.
 pub fn index_bytes_per_part(parts: u64) -> f64 {
     let mut rng = fastrand::Rng::with_seed(11);
-    let (made, group) = (1_800_000_000_000, 3);
+    let (created_at_ms, group) = (1_800_000_000_000, 3);
     let (length, tag) = (4096, 9);
     let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
     let (mut index, mut highest) = (Index::new(u64::MAX), 0.0f64);
     for n in 0..parts {
-        let (segment, at) = (n as u32 >> 10, (n as u32 & 1023) * length);
-        let spot = Spot {
+        let (segment, offset) = (n as u32 >> 10, (n as u32 & 1023) * length);
+        let spot = IndexEntry {
             segment,
-            at,
+            offset,
             length,
             tag,
-            made,
+            created_at_ms,
             group,
             rank: 2,
-            heat: 0,
+            read_count: 0,
             proven: true,
         };
         let _ = index.put(rng.u64(..), &spot);
--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -11,8 +11,8 @@
 use chalkhall::control::Router;
 use chalkhall::interface::*;
 use chalkhall_store::copy::Copy;
-use chalkhall_store::decide::disk::Wanted;
-use chalkhall_store::decide::{Part, Place};
+use chalkhall_store::decide::disk::DiskSettings;
+use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::stand_ins::{Disk, Driver};
 use lru::LruCache;
 use std::collections::{HashMap, VecDeque};
@@ -183,30 +183,30 @@
     format!("{object:016x}")
 }
 
-fn make_copy(request: Request, made: u64, body: &Bytes) -> Copy {
+fn make_copy(request: Request, created_at_ms: u64, body: &Bytes) -> Copy {
     Copy {
         object: object_name(request.object).into(),
         part: request.part,
         group: 0,
         class: Bytes::from_static(b"clip"),
-        made,
+        created_at_ms,
         kb: request.bytes as f64 / 1000.0,
-        in_parts: true,
-        tag: Bytes::from_static(b"4be0c1927d55a6f3"),
+        is_multipart: true,
+        etag: Bytes::from_static(b"4be0c1927d55a6f3"),
         body: body.slice(..request.bytes),
         ..Copy::default()
     }
 }
 
-fn disk_settings(admit_all: bool) -> Wanted {
-    Wanted {
+fn disk_settings(admit_all: bool) -> DiskSettings {
+    DiskSettings {
         bytes: DISK_BYTES,
         segment: SEGMENT_BYTES,
         index: 4 << 20,
         scrub: 0,
-        least_fresh: Duration::ZERO,
+        min_freshness: Duration::ZERO,
         admit_all,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
@@ -263,8 +263,8 @@
             group: 0,
         };
         let found = self.driver.store.find(part, None)?;
-        let age = Duration::from_millis(self.driver.unix_ms() - found.made);
-        let place = if found.place == Place::Memory {
+        let age = Duration::from_millis(self.driver.unix_ms() - found.created_at_ms);
+        let place = if found.tier == CacheTier::Memory {
             "m1"
         } else {
             "m2"
@@ -278,7 +278,7 @@
     fn keep_local_copy(&mut self, _request: &Id, rank: u8) {
         if self.hit {
             let object = object_name(self.request.object);
-            self.driver.store.rank(
+            self.driver.store.set_rank(
                 Part {
                     object: object.as_bytes(),
                     part: self.request.part,
@@ -388,7 +388,7 @@
             environment
                 .driver
                 .store
-                .tick(now, &mut environment.driver.orders);
+                .tick(now, &mut environment.driver.backend);
             environment.driver.settle();
         }
         (
@@ -448,7 +448,7 @@
     for (n, request) in day.iter().enumerate() {
         driver.now += REQUEST_INTERVAL;
         if n % 10 == 0 {
-            driver.store.tick(driver.now, &mut driver.orders);
+            driver.store.tick(driver.now, &mut driver.backend);
             driver.settle();
         }
         let object = object_name(request.object);
--- a/crates/cli/src/bin/proof-store/main.rs
+++ b/crates/cli/src/bin/proof-store/main.rs
@@ -7,7 +7,7 @@
 mod timings;
 
 use chalkhall_cli::torture::torture;
-use chalkhall_store::stand_ins::crashes::{Seen, crash_point};
+use chalkhall_store::stand_ins::crashes::{CrashTestResults, crash_point};
 use clap::Parser;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -61,11 +61,11 @@
 
 /// Crashes simulated days, each with a random seed, at random operations, on all cores. A day that ends before its
 /// operation is reached does not count towards `count`; a worker gives up after 4 × `count` days.
-fn run_crash_points(seed: u64, count: u64) -> Seen {
+fn run_crash_points(seed: u64, count: u64) -> CrashTestResults {
     let workers = thread::available_parallelism().map_or(4, |n| n.get() as u64);
     let run_worker = |worker: u64| {
         let (mut all, mut rng) = (
-            Seen::default(),
+            CrashTestResults::default(),
             fastrand::Rng::with_seed(seed ^ worker << 40),
         );
         let (mut points, mut attempts) = (0, 0);
@@ -89,7 +89,7 @@
         let running: Vec<_> = (0..workers)
             .map(|worker| scope.spawn(move || run_worker(worker)))
             .collect();
-        let mut sum = Seen::default();
+        let mut sum = CrashTestResults::default();
         for worker in running {
             let (points, outcome) = worker.join().expect("a crash point worker panicked");
             // `reclaimed` holds the number of crash points: reclaims within a day are not summed here.
--- a/crates/cli/src/bin/proof-store/timings.rs
+++ b/crates/cli/src/bin/proof-store/timings.rs
@@ -6,10 +6,10 @@
 use chalkhall::interface::*;
 use chalkhall_cli::rig::Rig;
 use chalkhall_store::copy::Copy;
-use chalkhall_store::decide::disk::Wanted;
-use chalkhall_store::decide::{Part, Place};
+use chalkhall_store::decide::disk::DiskSettings;
+use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::{Disk, Piece};
+use chalkhall_store::stand_ins::{Disk, TestPart};
 use hdrhistogram::Histogram;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -20,29 +20,29 @@
 
 const STORE_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn disk_settings(bytes: u64) -> Wanted {
-    Wanted {
+fn disk_settings(bytes: u64) -> DiskSettings {
+    DiskSettings {
         bytes,
         index: 64 << 20,
-        least_fresh: Duration::ZERO,
+        min_freshness: Duration::ZERO,
         known_purges: Duration::from_secs(100_000),
         scrub: 0,
         read_ahead: 0,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
 /// Writes `parts` parts of `size` bytes to a new store, which then stops without an orderly shutdown, as after a
 /// kill.
-fn fill_store(path: &Path, parts: u64, size: usize) -> Result<Vec<Piece>, String> {
+fn fill_store(path: &Path, parts: u64, size: usize) -> Result<Vec<TestPart>, String> {
     let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
-    let pieces: Vec<Piece> = (0..parts)
-        .map(|n| Piece {
+    let test_parts: Vec<TestPart> = (0..parts)
+        .map(|n| TestPart {
             object: n / 16,
             part: n % 16,
         })
         .collect();
-    for (n, piece) in pieces.iter().enumerate() {
+    for (n, test_part) in test_parts.iter().enumerate() {
         let made = chalkhall_cli::rig::unix_ms();
         let written_count = |rig: &Rig| rig.store.disk().map_or(0, |disk| disk.counts().written);
         // Limits the writes in flight to what the store's queues accept.
@@ -53,8 +53,12 @@
             return Err("the disk did not catch up with the writes within 60 s".into());
         }
         let now = rig.now();
-        rig.store
-            .keep(now, piece.version(1, made, size), 2, &mut rig.shelf);
+        rig.store.insert(
+            now,
+            test_part.copy_of_version(1, made, size),
+            2,
+            &mut rig.connector,
+        );
     }
     let all = |rig: &mut Rig| {
         rig.store
@@ -65,7 +69,7 @@
         return Err(format!("{:?}", rig.store.disk().map(|disk| disk.counts())));
     }
     rig.end(STORE_TIMEOUT);
-    Ok(pieces)
+    Ok(test_parts)
 }
 
 fn segment_files(path: &Path) -> Result<Vec<PathBuf>, String> {
@@ -83,13 +87,16 @@
 /// blocks of the same size: the median of several rounds, one after the other.
 pub fn read_ratio(path: &Path, seed: u64) -> Result<f64, String> {
     const SIZE: usize = 200_000;
-    let pieces = fill_store(path, 400, SIZE)?;
+    let test_parts = fill_store(path, 400, SIZE)?;
     let files = segment_files(path)?;
     let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
     if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
         return Err("the store was not ready within 60 s".into());
     }
-    let names: Vec<_> = pieces.iter().map(|piece| piece.name()).collect();
+    let names: Vec<_> = test_parts
+        .iter()
+        .map(|test_part| test_part.name())
+        .collect();
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut ratios = Vec::new();
     for _ in 0..7 {
@@ -105,29 +112,31 @@
             }
         }
         let plain = plain as f64 / begun.elapsed().as_secs_f64();
-        let mut order: Vec<usize> = (0..pieces.len()).collect();
+        let mut order: Vec<usize> = (0..test_parts.len()).collect();
         rng.shuffle(&mut order);
         let (begun, mut read) = (Instant::now(), 0);
         let mut order = order.into_iter();
-        let (mut in_flight, mut remaining) = (0usize, pieces.len());
+        let (mut in_flight, mut remaining) = (0usize, test_parts.len());
         while remaining > 0 {
             while in_flight < 16 {
                 let Some(n) = order.next() else { break };
                 let part = Part {
                     object: &names[n],
-                    part: pieces[n].part,
-                    group: pieces[n].group(),
+                    part: test_parts[n].part,
+                    group: test_parts[n].group(),
                 };
                 let now = rig.now();
                 rig.store
-                    .fetch(now, part, &mut rig.shelf)
+                    .start_read(now, part, &mut rig.connector)
                     .ok_or("a part is missing from the store")?;
                 in_flight += 1;
             }
             rig.turn();
-            for (_, fetched) in rig.shelf.fetched.drain(..) {
+            for (_, fetched) in rig.connector.completed_reads.drain(..) {
                 match fetched {
-                    chalkhall_store::decide::disk::Fetched::Copy(copy) => read += copy.body.len(),
+                    chalkhall_store::decide::disk::ReadResult::Copy(copy) => {
+                        read += copy.body.len()
+                    }
                     other => return Err(format!("{other:?}")),
                 }
                 (in_flight, remaining) = (in_flight - 1, remaining - 1);
@@ -140,7 +149,7 @@
 
 /// Time until the index is complete after a kill, over the time to read the headers of the same records in sequence.
 pub fn recovery_ratio(path: &Path) -> Result<f64, String> {
-    let pieces = fill_store(path, 100_000, 300)?;
+    let test_parts = fill_store(path, 100_000, 300)?;
     let files = segment_files(path)?;
     let mut ratios = Vec::new();
     for _ in 0..5 {
@@ -163,10 +172,10 @@
             }
         }
         let plain = begun.elapsed().as_secs_f64();
-        if headers != pieces.len() {
+        if headers != test_parts.len() {
             return Err(format!(
                 "read {headers} record headers of {} parts",
-                pieces.len()
+                test_parts.len()
             ));
         }
         let begun = Instant::now();
@@ -176,7 +185,7 @@
                 && rig
                     .store
                     .disk()
-                    .is_some_and(|d| d.index().len() == pieces.len())
+                    .is_some_and(|d| d.index().len() == test_parts.len())
         };
         if !rig.until(STORE_TIMEOUT, is_complete) {
             return Err("the index was not complete within 60 s".into());
@@ -213,14 +222,14 @@
     }
 
     /// Runs one request and returns its duration, from its arrival to its end.
-    fn request(&mut self, n: u64, piece: Piece, name: &Bytes) -> Result<Duration, String> {
+    fn request(&mut self, n: u64, test_part: TestPart, name: &Bytes) -> Result<Duration, String> {
         let id: Id = n.to_string().into();
         let object = std::str::from_utf8(name).map_err(|e| e.to_string())?;
         let (kb, time_left) = (2.0, Duration::from_secs(5));
         let arrival = IncomingRequest {
             id: id.clone(),
             object: object.into(),
-            part: piece.part,
+            part: test_part.part,
             kb,
             time_left,
             ..IncomingRequest::default()
@@ -273,7 +282,7 @@
             part: 0,
             group: 0,
         };
-        self.answer = self.rig.store.take(now, part);
+        self.answer = self.rig.store.get(now, part);
     }
     fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
@@ -295,11 +304,11 @@
             created_at: Duration::ZERO,
             client_has_it: false,
         })
-        .filter(|_| found.place == Place::Memory)
+        .filter(|_| found.tier == CacheTier::Memory)
     }
     fn keep_local_copy(&mut self, _request: &Id, rank: u8) {
         let name = self.name.clone();
-        self.rig.store.rank(
+        self.rig.store.set_rank(
             Part {
                 object: &name,
                 part: 0,
@@ -323,10 +332,13 @@
 
 fn hung_ratio_of_new_stores(rng: &mut fastrand::Rng) -> Result<f64, String> {
     const OBJECTS: u64 = 500;
-    let pieces: Vec<Piece> = (0..OBJECTS)
-        .map(|object| Piece { object, part: 0 })
+    let test_parts: Vec<TestPart> = (0..OBJECTS)
+        .map(|object| TestPart { object, part: 0 })
+        .collect();
+    let names: Vec<Bytes> = test_parts
+        .iter()
+        .map(|test_part| test_part.name())
         .collect();
-    let names: Vec<Bytes> = pieces.iter().map(|piece| piece.name()).collect();
     let disk = Disk::new();
     let files = disk.clone();
     let take = move || Ok(Arc::new(files.clone()) as Arc<dyn Files>);
@@ -344,12 +356,14 @@
     let hung_index = usize::from(runners[1].rig.store.disk().is_some());
     let made = chalkhall_cli::rig::unix_ms();
     for runner in &mut runners {
-        for piece in &pieces {
+        for test_part in &test_parts {
             let now = runner.rig.now();
-            runner
-                .rig
-                .store
-                .keep(now, piece.version(1, made, 2000), 2, &mut runner.rig.shelf);
+            runner.rig.store.insert(
+                now,
+                test_part.copy_of_version(1, made, 2000),
+                2,
+                &mut runner.rig.connector,
+            );
         }
     }
     disk.hang(true);
@@ -360,25 +374,25 @@
         for which in [round as usize % 2, 1 - round as usize % 2] {
             let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
             for n in 0..10_000u64 {
-                let at = rng.usize(..pieces.len());
+                let at = rng.usize(..test_parts.len());
                 let runner = &mut runners[which];
                 if n % 1000 == 0 {
                     // Copies that the memory tier has no room for go on arriving, and with them writes to the disk.
                     let now = runner.rig.now();
-                    let large = Piece {
+                    let large = TestPart {
                         object: OBJECTS + round * 1000 + n,
                         part: 0,
                     };
-                    runner.rig.store.keep(
+                    runner.rig.store.insert(
                         now,
-                        large.version(1, made, 1 << 20),
+                        large.copy_of_version(1, made, 1 << 20),
                         1,
-                        &mut runner.rig.shelf,
+                        &mut runner.rig.connector,
                     );
                     runner.rig.turn();
                 }
                 requests += 1;
-                let took = runner.request(requests, pieces[at], &names[at])?;
+                let took = runner.request(requests, test_parts[at], &names[at])?;
                 times
                     .record(took.as_nanos() as u64)
                     .map_err(|e| e.to_string())?;
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -19,7 +19,7 @@
         .and_then(Value::as_object)
         .ok_or_else(|| fail(&"settings is missing"))?;
     let names = deployment::names(settings).map_err(|e| fail(&e))?;
-    let zone = deployment::whole(settings, "Locality").map_err(|e| fail(&e))? as usize;
+    let zone = deployment::unsigned(settings, "Locality").map_err(|e| fail(&e))? as usize;
     let not_caches = deployment::parent_and_origin(settings);
     let events = file["known"]["notices"]
         .as_array()
@@ -77,7 +77,7 @@
             .bindings
             .iter()
             .filter_map(|(bound, _)| match bound {
-                chalkhall_config::Bound::Class(name) => Some(name.clone()),
+                chalkhall_config::Scope::Class(name) => Some(name.clone()),
                 _ => None,
             })
             .collect();
@@ -86,7 +86,7 @@
     let mut map = read_cell_plan(&directives.cells, &classes)
         .map_err(|error| Failure::new(error.to_string()))?
         .map;
-    map.place(&caches);
+    map.assign(&caches);
     let faults = map.faults();
     if as_json {
         let cells: Vec<Value> = map
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,7 +1,7 @@
 //! `check` and `directives`.
 
 use crate::Failure;
-use chalkhall_config::{WORDS, read};
+use chalkhall_config::{DIRECTIVES, read};
 use serde_json::json;
 use std::path::Path;
 
@@ -26,10 +26,10 @@
 
 /// Prints all directives.
 pub fn directives(as_json: bool) {
-    let entries = WORDS.entries();
+    let entries = DIRECTIVES.entries();
     if as_json {
         let list = entries.iter().map(
-            |e| json!({"section": e.section, "name": e.name, "takes": e.takes, "says": e.says}),
+            |e| json!({"section": e.section, "name": e.name, "takes": e.usage, "says": e.help}),
         );
         println!("{}", json!(list.collect::<Vec<_>>()));
         return;
@@ -41,8 +41,8 @@
             println!("{section} {{");
         }
         let indent = if section.is_empty() { "" } else { "    " };
-        let written = format!("{indent}{} {}", entry.name, entry.takes);
-        println!("{written:<40} # {}", entry.says);
+        let written = format!("{indent}{} {}", entry.name, entry.usage);
+        println!("{written:<40} # {}", entry.help);
     }
     if !section.is_empty() {
         println!("}}");
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -195,7 +195,7 @@
     if json {
         let all: Vec<_> = entries
             .map(
-                |e| json!({"section": e.section, "name": e.name, "takes": e.takes, "says": e.says}),
+                |e| json!({"section": e.section, "name": e.name, "takes": e.usage, "says": e.help}),
             )
             .collect();
         println!("{}", json!(all));
@@ -204,7 +204,7 @@
     for entry in entries {
         println!(
             "{:8} {} {}\n         {}",
-            entry.section, entry.name, entry.takes, entry.says
+            entry.section, entry.name, entry.usage, entry.help
         );
     }
 }
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -1,10 +1,10 @@
 //! Drives a store without a router, for crash tests and measurements.
 
 use chalkhall_store::copy::Copy;
-use chalkhall_store::decide::disk::{Disk, Fetched, Phase, Wanted};
-use chalkhall_store::decide::{Part, Place, Store};
+use chalkhall_store::decide::disk::{Disk, DiskSettings, Phase, ReadResult};
+use chalkhall_store::decide::{CacheTier, Part, Store};
 use chalkhall_store::files::{Directory, Files};
-use chalkhall_store::threads::{End, NotTaken, Shelf, start};
+use chalkhall_store::threads::{CompletedOperation, DiskConnector, OpenError, start};
 use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 /// A store, its I/O threads and a clock.
 pub struct Rig {
     pub store: Store,
-    pub shelf: Shelf,
-    ends: Receiver<End>,
+    pub connector: DiskConnector,
+    ends: Receiver<CompletedOperation>,
     started: Instant,
 }
 
@@ -29,34 +29,39 @@
 
 impl Rig {
     /// Opens a store on a directory that no other process holds.
-    pub fn open(path: &Path, memory: u64, wanted: Wanted, readers: usize) -> Result<Rig, String> {
+    pub fn open(
+        path: &Path,
+        memory: u64,
+        settings: DiskSettings,
+        readers: usize,
+    ) -> Result<Rig, String> {
         let path = path.to_path_buf();
         let take = move || {
-            let taken = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
+            let taken = Directory::lock(&path).map_err(|error| OpenError::of(&path, &error))?;
             Ok(Arc::new(taken) as Arc<dyn Files>)
         };
-        Rig::on(take, memory, wanted, readers)
+        Rig::on(take, memory, settings, readers)
     }
 
     /// Opens a store on any implementation of files.
     pub fn on(
-        take: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
+        take: impl FnMut() -> Result<Arc<dyn Files>, OpenError> + Send + 'static,
         memory: u64,
-        wanted: Wanted,
+        settings: DiskSettings,
         readers: usize,
     ) -> Result<Rig, String> {
         let (threads, ends) =
             start(take, fastrand::u64(1..), readers).map_err(|e| e.to_string())?;
-        let shelf = Shelf {
+        let connector = DiskConnector {
             threads: Some(threads),
-            said: Some(Vec::new()),
-            ..Shelf::default()
+            durability_changes: Some(Vec::new()),
+            ..DiskConnector::default()
         };
         // The clock starts well above zero, as a router's does.
-        let disk = Disk::new(wanted, CLOCK_START, unix_ms());
+        let disk = Disk::new(settings, CLOCK_START, unix_ms());
         Ok(Rig {
             store: Store::new(memory, Some(disk)),
-            shelf,
+            connector,
             ends,
             started: Instant::now(),
         })
@@ -67,7 +72,7 @@
         let (_, ends) = tokio::sync::mpsc::channel(1);
         Rig {
             store: Store::new(memory, None),
-            shelf: Shelf::default(),
+            connector: DiskConnector::default(),
             ends,
             started: Instant::now(),
         }
@@ -81,10 +86,10 @@
     pub fn turn(&mut self) -> bool {
         let (now, mut completed) = (self.now(), false);
         while let Ok(end) = self.ends.try_recv() {
-            self.shelf.ended(&mut self.store, now, end);
+            self.connector.complete(&mut self.store, now, end);
             completed = true;
         }
-        self.store.tick(now, &mut self.shelf);
+        self.store.tick(now, &mut self.connector);
         completed
     }
 
@@ -119,17 +124,23 @@
 
     /// The copy with which a request for a part is answered.
     pub fn get(&mut self, part: Part) -> Option<Rc<Copy>> {
-        match self.store.find(part, None)?.place {
-            Place::Memory => self.store.take(self.now(), part),
-            Place::Disk => {
-                let ticket = self.store.fetch(self.now(), part, &mut self.shelf)?;
+        match self.store.find(part, None)?.tier {
+            CacheTier::Memory => self.store.get(self.now(), part),
+            CacheTier::Disk => {
+                let ticket = self
+                    .store
+                    .start_read(self.now(), part, &mut self.connector)?;
                 let mut found = None;
                 self.until(Duration::from_secs(10), |rig| {
-                    found = rig.shelf.fetched.iter().position(|(t, _)| *t == ticket);
+                    found = rig
+                        .connector
+                        .completed_reads
+                        .iter()
+                        .position(|(t, _)| *t == ticket);
                     found.is_some()
                 });
-                match self.shelf.fetched.swap_remove(found?).1 {
-                    Fetched::Copy(copy) => Some(copy),
+                match self.connector.completed_reads.swap_remove(found?).1 {
+                    ReadResult::Copy(copy) => Some(copy),
                     _ => None,
                 }
             }
@@ -140,14 +151,14 @@
     pub fn close(mut self, within: Duration) {
         let now = self.now();
         if let Some(disk) = self.store.disk_mut() {
-            disk.close(now, &mut self.shelf);
+            disk.close(now, &mut self.connector);
         }
         self.end(within);
     }
 
     /// Stops without sealing anything, and waits until the threads have released the directory.
     pub fn end(mut self, within: Duration) {
-        self.shelf.threads = None;
+        self.connector.threads = None;
         let end = Instant::now() + within;
         // The channel is disconnected when the last thread has ended.
         while Instant::now() < end {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -2,14 +2,14 @@
 
 use crate::Failure;
 use bytesize::ByteSize;
-use chalkhall_store::catalogue::{Catalogue, Known, Line, NAME};
+use chalkhall_store::catalogue::{Catalogue, CatalogueLine, CatalogueSnapshot, FILE_NAME};
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::Fault;
-use chalkhall_store::decide::purges::{GROUPS, Mark, Purges, group_slot};
+use chalkhall_store::decide::purges::{GROUP_SLOTS, PurgeRecord, Purges, group_slot};
 use chalkhall_store::files::{Directory, Files};
-use chalkhall_store::format::Entry;
-use chalkhall_store::hands::{Hands, mark, open};
+use chalkhall_store::format::FooterEntry;
 use chalkhall_store::key;
+use chalkhall_store::segment_files::{SegmentFiles, open_store, write_lines};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -22,25 +22,25 @@
 /// An opened store; its directory is locked while this value lives.
 struct OpenedStore {
     files: Arc<dyn Files>,
-    hands: Hands,
+    segment_files: SegmentFiles,
     catalogue: Catalogue,
-    known: Known,
+    known: CatalogueSnapshot,
     purges: Purges,
     segments: Vec<u32>,
 }
 
-fn open_store(path: &Path) -> Result<OpenedStore, Failure> {
+fn open_directory(path: &Path) -> Result<OpenedStore, Failure> {
     let fail = |what: &dyn std::fmt::Display| Failure::new(format!("{}: {what}", path.display()));
-    if !path.join(NAME).is_file() {
+    if !path.join(FILE_NAME).is_file() {
         return Err(fail(&"not a store directory"));
     }
-    let files: Arc<dyn Files> = Arc::new(Directory::take(path).map_err(|e| fail(&e))?);
-    let (catalogue, known, mut segments) = open(&files, 0, None).map_err(|e| fail(&e))?;
+    let files: Arc<dyn Files> = Arc::new(Directory::lock(path).map_err(|e| fail(&e))?);
+    let (catalogue, known, mut segments) = open_store(&files, 0, None).map_err(|e| fail(&e))?;
     segments.sort_unstable();
     let mut purges = Purges::default();
-    known.marks.iter().for_each(|mark| purges.restore(*mark));
+    known.purges.iter().for_each(|mark| purges.restore(*mark));
     Ok(OpenedStore {
-        hands: Hands::new(files.clone(), known.store),
+        segment_files: SegmentFiles::new(files.clone(), known.store_id),
         files,
         catalogue,
         known,
@@ -52,7 +52,7 @@
 /// A record on disk.
 struct Found {
     segment: u32,
-    entry: Entry,
+    entry: FooterEntry,
     read: Result<(Copy, u8), Fault>,
     purged: bool,
     /// A newer copy of the same part exists.
@@ -66,7 +66,7 @@
 ) -> Result<Vec<(u32, Fault)>, Failure> {
     let (mut listed, mut faults) = (Vec::new(), Vec::new());
     for segment in opened.segments.clone() {
-        match opened.hands.list(segment) {
+        match opened.segment_files.list(segment) {
             Ok(entries) => listed.extend(entries.into_iter().map(|entry| (segment, entry))),
             Err(fault) => faults.push((segment, fault)),
         }
@@ -74,7 +74,7 @@
     let mut newest: HashMap<u64, (u64, u32, u32)> = HashMap::new();
     for (segment, entry) in &listed {
         let (this, best) = (
-            (entry.made, *segment, entry.at),
+            (entry.created_at_ms, *segment, entry.offset),
             newest.entry(entry.key).or_default(),
         );
         *best = this.max(*best);
@@ -88,11 +88,14 @@
     let style = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {eta}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     for (segment, entry) in listed {
-        let read = opened.hands.read(segment, entry.at, entry.length);
-        let purged = !opened
-            .purges
-            .survives(entry.object, entry.group as usize, entry.made);
-        let older = newest.get(&entry.key) != Some(&(entry.made, segment, entry.at));
+        let read = opened
+            .segment_files
+            .read(segment, entry.offset, entry.length);
+        let purged =
+            !opened
+                .purges
+                .survives(entry.object, entry.group as usize, entry.created_at_ms);
+        let older = newest.get(&entry.key) != Some(&(entry.created_at_ms, segment, entry.offset));
         visit(
             opened,
             Found {
@@ -140,29 +143,29 @@
 
 /// Prints what the store in a directory holds.
 pub fn stat(path: &Path, as_json: bool) -> Result<(), Failure> {
-    let mut opened = open_store(path)?;
+    let mut opened = open_directory(path)?;
     let (mut parts, mut bytes, mut damaged, mut older, mut purged, mut ranks) =
         (0u64, 0u64, 0u64, 0u64, 0u64, [0u64; 4]);
     let mut faults = 0;
-    let mut listed: Vec<(u32, Entry)> = Vec::new();
+    let mut listed: Vec<(u32, FooterEntry)> = Vec::new();
     for segment in opened.segments.clone() {
-        match opened.hands.list(segment) {
+        match opened.segment_files.list(segment) {
             Ok(entries) => listed.extend(entries.into_iter().map(|entry| (segment, entry))),
             Err(_) => faults += 1,
         }
     }
     let mut newest: HashMap<u64, (u64, u32, u32)> = HashMap::new();
     for (segment, entry) in &listed {
-        let this = (entry.made, *segment, entry.at);
+        let this = (entry.created_at_ms, *segment, entry.offset);
         let best = newest.entry(entry.key).or_default();
         *best = this.max(*best);
     }
     for (segment, entry) in &listed {
-        if newest.get(&entry.key) != Some(&(entry.made, *segment, entry.at)) {
+        if newest.get(&entry.key) != Some(&(entry.created_at_ms, *segment, entry.offset)) {
             older += 1;
         } else if !opened
             .purges
-            .survives(entry.object, entry.group as usize, entry.made)
+            .survives(entry.object, entry.group as usize, entry.created_at_ms)
         {
             purged += 1;
         } else {
@@ -173,10 +176,10 @@
     }
     damaged += faults;
     let report = json!({
-        "store": format!("{:016x}", opened.known.store), "segments": opened.segments.len(), "parts": parts,
+        "store": format!("{:016x}", opened.known.store_id), "segments": opened.segments.len(), "parts": parts,
         "record_bytes": bytes, "older": older, "purged": purged, "segments_unreadable": damaged,
-        "rank_1": ranks[1], "rank_2": ranks[2], "rank_3": ranks[3], "purges_known": opened.known.marks.len(),
-        "board_heard_until_ms": opened.known.heard,
+        "rank_1": ranks[1], "rank_2": ranks[2], "rank_3": ranks[3], "purges_known": opened.known.purges.len(),
+        "board_heard_until_ms": opened.known.confirmed_up_to_ms,
     });
     print(as_json, &report);
     Ok(())
@@ -206,7 +209,7 @@
 
 /// Lists the parts on disk.
 pub fn list(path: &Path, object: Option<&str>, as_json: bool) -> Result<(), Failure> {
-    let mut opened = open_store(path)?;
+    let mut opened = open_directory(path)?;
     let mut out = std::io::stdout().lock();
     let mut broken = false;
     walk(&mut opened, |_, found| {
@@ -217,19 +220,19 @@
         if broken || object.is_some_and(|object| object.as_bytes() != copy.object) {
             return;
         }
-        let (at, length) = (found.entry.at, copy.body.len());
+        let (at, length) = (found.entry.offset, copy.body.len());
         let line = if as_json {
             json!({"object": text(&copy.object), "part": copy.part, "group": copy.group, "rank": rank,
-                "bytes": length, "made": copy.made, "tag": text(&copy.tag), "category": text(&copy.class),
+                "bytes": length, "made": copy.created_at_ms, "tag": text(&copy.etag), "category": text(&copy.class),
                 "segment": found.segment, "at": at, "purged": found.purged, "older": found.older})
             .to_string()
         } else {
             let mark = if found.purged { " purged" } else { "" }.to_owned()
                 + if found.older { " older" } else { "" };
-            let (object, tag, segment) = (text(&copy.object), text(&copy.tag), found.segment);
+            let (object, tag, segment) = (text(&copy.object), text(&copy.etag), found.segment);
             format!(
                 "{object} {} {} {rank} {length} {} {tag} {segment}:{at}{mark}",
-                copy.part, copy.group, copy.made
+                copy.part, copy.group, copy.created_at_ms
             )
         };
         // The reader may have closed the pipe, as `head` does.
@@ -240,17 +243,19 @@
 
 /// Reads every record and reports the damaged ones.
 pub fn verify(path: &Path, as_json: bool) -> Result<(), Failure> {
-    let mut opened = open_store(path)?;
+    let mut opened = open_directory(path)?;
     let (mut whole, mut bytes, mut damaged, mut purged) = (0u64, 0u64, Vec::new(), 0u64);
-    let faults = walk(&mut opened, |_, found| match &found.read {
+    let faults = walk(&mut opened, |_, found| {
+        match &found.read {
         Ok((copy, _)) => {
             whole += 1;
             bytes += copy.body.len() as u64;
             purged += u64::from(found.purged);
         }
         Err(fault) => damaged.push(
-            json!({"segment": found.segment, "at": found.entry.at, "what": format!("{fault:?}")}),
+            json!({"segment": found.segment, "at": found.entry.offset, "what": format!("{fault:?}")}),
         ),
+    }
     })?;
     damaged.extend(
         faults
@@ -281,8 +286,8 @@
 
 /// Rewrites segments without their damaged records.
 pub fn repair(path: &Path, dry_run: bool, as_json: bool) -> Result<(), Failure> {
-    let mut opened = open_store(path)?;
-    let mut intact: HashMap<u32, Vec<Entry>> =
+    let mut opened = open_directory(path)?;
+    let mut intact: HashMap<u32, Vec<FooterEntry>> =
         opened.segments.iter().map(|s| (*s, Vec::new())).collect();
     let mut damaged: HashMap<u32, u64> = HashMap::new();
     let faults = walk(&mut opened, |_, found| match found.read {
@@ -295,7 +300,7 @@
         for (segment, _) in &repaired {
             let entries = intact.remove(segment).unwrap_or_default();
             opened
-                .hands
+                .segment_files
                 .rewrite(*segment, entries)
                 .map_err(|f| Failure::new(format!("segment {segment}: {f:?}")))?;
         }
@@ -328,19 +333,19 @@
 
 /// Writes the body of one part to a file or to standard output.
 pub fn export(path: &Path, object: &str, part: u64, out: Option<&Path>) -> Result<(), Failure> {
-    let mut opened = open_store(path)?;
-    let wanted = key::part(key::object(object.as_bytes()), part);
-    let mut newest: Option<(u64, u32, Entry)> = None;
+    let mut opened = open_directory(path)?;
+    let settings = key::part(key::object(object.as_bytes()), part);
+    let mut newest: Option<(u64, u32, FooterEntry)> = None;
     for segment in opened.segments.clone() {
         for entry in opened
-            .hands
+            .segment_files
             .list(segment)
             .unwrap_or_default()
             .into_iter()
-            .filter(|e| e.key == wanted)
+            .filter(|e| e.key == settings)
         {
-            if newest.is_none_or(|(made, of, _)| (made, of) <= (entry.made, segment)) {
-                newest = Some((entry.made, segment, entry));
+            if newest.is_none_or(|(made, of, _)| (made, of) <= (entry.created_at_ms, segment)) {
+                newest = Some((entry.created_at_ms, segment, entry));
             }
         }
     }
@@ -348,13 +353,13 @@
         newest.ok_or_else(|| Failure::new(format!("{object} part {part} is not here")))?;
     if !opened
         .purges
-        .survives(entry.object, entry.group as usize, entry.made)
+        .survives(entry.object, entry.group as usize, entry.created_at_ms)
     {
         return Err(Failure::new(format!("{object} part {part} was purged")));
     }
     let (copy, _) = opened
-        .hands
-        .read(segment, entry.at, entry.length)
+        .segment_files
+        .read(segment, entry.offset, entry.length)
         .map_err(|f| Failure::new(format!("{f:?}")))?;
     if copy.object != object.as_bytes() || copy.part != part {
         return Err(Failure::new(format!("{object} part {part} is not here")));
@@ -376,26 +381,26 @@
     all: bool,
     as_json: bool,
 ) -> Result<(), Failure> {
-    let mut opened = open_store(path)?;
+    let mut opened = open_directory(path)?;
     let now = crate::rig::unix_ms();
-    let marks = match (object, group) {
+    let records = match (object, group) {
         (Some(object), _) => opened
             .purges
-            .object(key::object(object.as_bytes()), now)
+            .purge_object(key::object(object.as_bytes()), now)
             .into_iter()
             .flatten()
             .collect(),
-        (_, Some(group)) => vec![opened.purges.group(group, now)],
-        _ => Vec::<Mark>::new(),
+        (_, Some(group)) => vec![opened.purges.purge_group(group, now)],
+        _ => Vec::<PurgeRecord>::new(),
     };
-    debug_assert!(group.is_none_or(|group| group_slot(group) < GROUPS));
-    let written: Vec<Line> = marks.into_iter().map(Line::Purge).collect();
-    mark(&mut opened.catalogue, &written).map_err(|f| Failure::new(format!("{f:?}")))?;
+    debug_assert!(group.is_none_or(|group| group_slot(group) < GROUP_SLOTS));
+    let written: Vec<CatalogueLine> = records.into_iter().map(CatalogueLine::Purge).collect();
+    write_lines(&mut opened.catalogue, &written).map_err(|f| Failure::new(format!("{f:?}")))?;
     let mut removed = 0;
     if all {
         for segment in opened.segments.clone() {
             opened
-                .hands
+                .segment_files
                 .remove(segment)
                 .map_err(|f| Failure::new(format!("segment {segment}: {f:?}")))?;
             removed += 1;
--- a/crates/cli/src/torture.rs
+++ b/crates/cli/src/torture.rs
@@ -4,8 +4,8 @@
 use crate::Failure;
 use crate::rig::{Rig, unix_ms};
 use chalkhall_store::decide::Part;
-use chalkhall_store::decide::disk::Wanted;
-use chalkhall_store::stand_ins::{Piece, size_of};
+use chalkhall_store::decide::disk::DiskSettings;
+use chalkhall_store::stand_ins::{TestPart, body_len};
 use indicatif::ProgressBar;
 use serde_json::json;
 use std::collections::HashMap;
@@ -22,17 +22,17 @@
 /// Discovery lists the purges of this period before a start: longer than any run, so all are known.
 const KNOWN_PURGES: Duration = Duration::from_secs(100_000);
 
-fn wanted() -> Wanted {
-    Wanted {
+fn settings() -> DiskSettings {
+    DiskSettings {
         bytes: 24 << 20,
         segment: 1 << 20,
         index: 4 << 20,
-        least_fresh: Duration::ZERO,
+        min_freshness: Duration::ZERO,
         sync_after: Duration::from_millis(5),
         sync_bytes: 400_000,
         known_purges: KNOWN_PURGES,
         scrub: 0,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
@@ -54,34 +54,41 @@
 /// durable, after it was synced; `G` a copy that is dropped, before it is removed.
 pub fn writer(path: &Path, seed: u64) -> Result<(), Failure> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut rig = Rig::open(path, MEMORY_BYTES, wanted(), 2).map_err(Failure::new)?;
+    let mut rig = Rig::open(path, MEMORY_BYTES, settings(), 2).map_err(Failure::new)?;
     let mut out = std::io::stdout().lock();
     let mut log = String::new();
     let end = Instant::now() + Duration::from_secs(30);
     while Instant::now() < end {
         for _ in 0..4 {
-            let piece = Piece {
+            let test_part = TestPart {
                 object: rng.u64(..OBJECTS),
                 part: rng.u64(..PARTS),
             };
             let now = rig.now();
-            let copy = piece.version(1, unix_ms(), size_of(piece, MAX_BODY_BYTES));
-            rig.store.keep(now, copy, 1 + rng.u8(..3), &mut rig.shelf);
+            let copy = test_part.copy_of_version(1, unix_ms(), body_len(test_part, MAX_BODY_BYTES));
+            rig.store
+                .insert(now, copy, 1 + rng.u8(..3), &mut rig.connector);
         }
         if rng.u8(..10) == 0 {
-            let piece = Piece {
+            let test_part = TestPart {
                 object: rng.u64(..OBJECTS),
                 part: 0,
             };
             let ms = unix_ms();
-            writeln!(out, "P {} {ms}", piece.object)
+            writeln!(out, "P {} {ms}", test_part.object)
                 .and_then(|()| out.flush())
                 .map_err(Failure::new)?;
-            rig.store.purge(Some(&piece.name()), 0, ms, &mut rig.shelf);
+            rig.store
+                .purge(Some(&test_part.name()), 0, ms, &mut rig.connector);
         }
         rig.turn();
         log.clear();
-        for (key, made) in rig.shelf.said.iter_mut().flat_map(|said| said.drain(..)) {
+        for (key, made) in rig
+            .connector
+            .durability_changes
+            .iter_mut()
+            .flat_map(|changes| changes.drain(..))
+        {
             let _ = match made {
                 Some(made) => writeln!(log, "D {key} {made}"),
                 None => writeln!(log, "G {key}"),
@@ -122,7 +129,12 @@
     }
 
     fn read_reports(&mut self, rig: &mut Rig) {
-        for (key, made) in rig.shelf.said.iter_mut().flat_map(|said| said.drain(..)) {
+        for (key, made) in rig
+            .connector
+            .durability_changes
+            .iter_mut()
+            .flat_map(|changes| changes.drain(..))
+        {
             match made {
                 Some(made) => drop(self.durable.insert(key, made)),
                 None => drop(self.durable.remove(&key)),
@@ -177,43 +189,43 @@
     }
     bar.finish_and_clear();
     // After a start without knowledge of purges, nothing on disk may be served.
-    let without_purges = Wanted {
+    let without_purges = DiskSettings {
         known_purges: Duration::ZERO,
-        ..wanted()
+        ..settings()
     };
     let mut rig = Rig::open(path, MEMORY_BYTES, without_purges, 2).map_err(Failure::new)?;
     rig.until(Duration::from_secs(30), |rig| {
         rig.is_ready() || rig.refusal().is_some()
     });
-    for piece in pieces() {
-        found.unproven_served += u64::from(get(&mut rig, piece).is_some());
+    for test_part in test_parts() {
+        found.unproven_served += u64::from(get(&mut rig, test_part).is_some());
     }
     rig.end(Duration::from_secs(5));
     Ok(found)
 }
 
-fn pieces() -> impl Iterator<Item = Piece> {
-    (0..OBJECTS).flat_map(|object| (0..PARTS).map(move |part| Piece { object, part }))
+fn test_parts() -> impl Iterator<Item = TestPart> {
+    (0..OBJECTS).flat_map(|object| (0..PARTS).map(move |part| TestPart { object, part }))
 }
 
-fn get(rig: &mut Rig, piece: Piece) -> Option<std::rc::Rc<chalkhall_store::copy::Copy>> {
-    let name = piece.name();
+fn get(rig: &mut Rig, test_part: TestPart) -> Option<std::rc::Rc<chalkhall_store::copy::Copy>> {
+    let name = test_part.name();
     rig.get(Part {
         object: &name,
-        part: piece.part,
-        group: piece.group(),
+        part: test_part.part,
+        group: test_part.group(),
     })
 }
 
 fn verify(path: &Path, log: &mut WriterLog, found: &mut Found) -> Result<(), Failure> {
-    let mut rig = Rig::open(path, MEMORY_BYTES, wanted(), 2).map_err(Failure::new)?;
+    let mut rig = Rig::open(path, MEMORY_BYTES, settings(), 2).map_err(Failure::new)?;
     for (object, ms) in &log.purged {
-        let name = Piece {
+        let name = TestPart {
             object: *object,
             part: 0,
         }
         .name();
-        rig.store.purge(Some(&name), 0, *ms, &mut rig.shelf);
+        rig.store.purge(Some(&name), 0, *ms, &mut rig.connector);
     }
     let ready = rig.until(Duration::from_secs(30), |rig| {
         rig.is_ready() || rig.refusal().is_some()
@@ -228,21 +240,25 @@
     }
     log.read_reports(&mut rig);
     let durable = log.durable.clone();
-    for piece in pieces() {
-        let purged = log.purged.get(&piece.object).copied().unwrap_or(0);
-        let copy = get(&mut rig, piece);
+    for test_part in test_parts() {
+        let purged = log.purged.get(&test_part.object).copied().unwrap_or(0);
+        let copy = get(&mut rig, test_part);
         if let Some(copy) = &copy {
             found.answers += 1;
-            let expected = piece.version(1, copy.made, size_of(piece, MAX_BODY_BYTES));
+            let expected = test_part.copy_of_version(
+                1,
+                copy.created_at_ms,
+                body_len(test_part, MAX_BODY_BYTES),
+            );
             found.torn += u64::from(expected != **copy);
-            found.stale += u64::from(copy.made <= purged);
+            found.stale += u64::from(copy.created_at_ms <= purged);
         }
         log.read_reports(&mut rig);
-        if let Some(made) = durable.get(&piece.key()).filter(|made| **made > purged) {
-            let still_durable = log.durable.contains_key(&piece.key());
+        if let Some(made) = durable.get(&test_part.key()).filter(|made| **made > purged) {
+            let still_durable = log.durable.contains_key(&test_part.key());
             found.durable += 1;
             found.lost_synced +=
-                u64::from(still_durable && copy.is_none_or(|copy| copy.made < *made));
+                u64::from(still_durable && copy.is_none_or(|copy| copy.created_at_ms < *made));
         }
     }
     found.reclaimed += rig.store.disk().map_or(0, |disk| disk.counts().reclaimed);
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,8 +1,8 @@
 //! End-to-end tests of the commands.
 
 use chalkhall_cli::rig::{Rig, unix_ms};
-use chalkhall_store::decide::disk::Wanted;
-use chalkhall_store::stand_ins::Piece;
+use chalkhall_store::decide::disk::DiskSettings;
+use chalkhall_store::stand_ins::TestPart;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -59,26 +59,26 @@
 
 const PARTS: u64 = 12;
 
-fn piece(object: u64) -> Piece {
-    Piece { object, part: 2 }
+fn test_part(object: u64) -> TestPart {
+    TestPart { object, part: 2 }
 }
 
 /// Fills a store with one part of each of twelve objects and closes it cleanly. Returns the body of object 3.
 fn fill_store(path: &Path) -> Vec<u8> {
-    let wanted = Wanted {
+    let settings = DiskSettings {
         bytes: 16 << 20,
         segment: 1 << 20,
-        least_fresh: Duration::ZERO,
-        ..Wanted::default()
+        min_freshness: Duration::ZERO,
+        ..DiskSettings::default()
     };
-    let mut rig = Rig::open(path, 0, wanted, 1).unwrap();
+    let mut rig = Rig::open(path, 0, settings, 1).unwrap();
     for n in 0..PARTS {
         let now = rig.now();
-        rig.store.keep(
+        rig.store.insert(
             now,
-            piece(n).version(1, unix_ms() - 5, 9000),
+            test_part(n).copy_of_version(1, unix_ms() - 5, 9000),
             2,
-            &mut rig.shelf,
+            &mut rig.connector,
         );
     }
     let written = |rig: &mut Rig| {
@@ -89,7 +89,7 @@
     assert!(rig.until(Duration::from_secs(10), written));
     rig.close(Duration::from_secs(10));
     drop(lock_process_start());
-    piece(3).version(1, 0, 9000).body.to_vec()
+    test_part(3).copy_of_version(1, 0, 9000).body.to_vec()
 }
 
 #[test]
@@ -168,7 +168,7 @@
         Some(0)
     );
     let written = std::fs::read_to_string(example).unwrap();
-    for entry in chalkhall_config::WORDS.entries() {
+    for entry in chalkhall_config::DIRECTIVES.entries() {
         let is_listed = written
             .lines()
             .any(|l| l.trim().trim_start_matches('#').split(' ').next() == Some(entry.name));
@@ -202,7 +202,7 @@
         (report["parts"].as_u64(), report["rank_2"].as_u64()),
         (Some(PARTS), Some(PARTS))
     );
-    let name = String::from_utf8(piece(3).name().to_vec()).unwrap();
+    let name = String::from_utf8(test_part(3).name().to_vec()).unwrap();
     let listed = text(&chalkhall(&["store", "list", path, "--object", &name]));
     assert!(
         listed.starts_with(&format!("{name} 2 ")) && listed.lines().count() == 1,
@@ -287,7 +287,7 @@
     assert!(none.status.code() == Some(1) && text(&none).contains("not a store directory"));
     assert_eq!(std::fs::read_dir(&folder.0).unwrap().count(), 0);
     fill_store(&folder.0);
-    let held = chalkhall_store::files::Directory::take(&folder.0).unwrap();
+    let held = chalkhall_store::files::Directory::lock(&folder.0).unwrap();
     let refused = chalkhall(&["store", "drop", path, "--all"]);
     assert!(
         text(&refused).contains(&format!("is held by process {}", std::process::id())),
--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -1,10 +1,10 @@
 //! A disk hangs under full load: the store does not block on it, and uses it again once it recovers.
 
 use chalkhall_cli::rig::{Rig, unix_ms};
-use chalkhall_store::decide::disk::{Fetched, Wanted};
-use chalkhall_store::decide::{Part, Place};
+use chalkhall_store::decide::disk::{DiskSettings, ReadResult};
+use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::{Disk, Piece};
+use chalkhall_store::stand_ins::{Disk, TestPart};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -14,62 +14,64 @@
 fn a_hanging_disk_blocks_nothing_and_is_used_again() {
     let disk = Disk::new();
     let files = disk.clone();
-    let wanted = Wanted {
+    let settings = DiskSettings {
         bytes: 64 << 20,
         segment: 1 << 20,
-        least_fresh: Duration::ZERO,
-        ..Wanted::default()
+        min_freshness: Duration::ZERO,
+        ..DiskSettings::default()
     };
     let mut rig = Rig::on(
         move || Ok(Arc::new(files.clone()) as Arc<dyn Files>),
         8 << 20,
-        wanted,
+        settings,
         2,
     )
     .unwrap();
     assert!(rig.until(TIMEOUT, |rig| rig.is_ready()));
-    let piece = |object| Piece { object, part: 0 };
+    let test_part = |object| TestPart { object, part: 0 };
     let keep = |rig: &mut Rig, object| {
         let now = rig.now();
-        rig.store.keep(
+        rig.store.insert(
             now,
-            piece(object).version(1, unix_ms(), 20_000),
+            test_part(object).copy_of_version(1, unix_ms(), 20_000),
             2,
-            &mut rig.shelf,
+            &mut rig.connector,
         );
     };
     let place = |rig: &mut Rig, object: u64| {
-        let name = piece(object).name();
+        let name = test_part(object).name();
         rig.store
             .find(
                 Part {
                     object: &name,
                     part: 0,
-                    group: piece(object).group(),
+                    group: test_part(object).group(),
                 },
                 None,
             )
-            .map(|found| found.place)
+            .map(|found| found.tier)
     };
     // More than the memory tier holds: the first objects are only on disk.
     (0..600).for_each(|n| {
         keep(&mut rig, n);
         rig.turn();
     });
-    assert!(rig.until(TIMEOUT, |rig| place(rig, 0) == Some(Place::Disk)
-        && place(rig, 1) == Some(Place::Disk)));
+    assert!(
+        rig.until(TIMEOUT, |rig| place(rig, 0) == Some(CacheTier::Disk)
+            && place(rig, 1) == Some(CacheTier::Disk))
+    );
     disk.hang(true);
     // Fetches until the queues of the I/O threads are full and refuse more.
     let (mut accepted, mut refused) = (Vec::new(), 0);
     for n in 0..2000 {
-        let name = piece(n % 2).name();
+        let name = test_part(n % 2).name();
         let now = rig.now();
         let part = Part {
             object: &name,
             part: 0,
-            group: piece(n % 2).group(),
+            group: test_part(n % 2).group(),
         };
-        match rig.store.fetch(now, part, &mut rig.shelf) {
+        match rig.store.start_read(now, part, &mut rig.connector) {
             Some(ticket) => accepted.push(ticket),
             None => refused += 1,
         }
@@ -81,10 +83,10 @@
         "{} accepted, {refused} refused",
         accepted.len()
     );
-    assert!(rig.shelf.fetched.is_empty());
+    assert!(rig.connector.completed_reads.is_empty());
     assert_eq!(
         place(&mut rig, 11_999),
-        Some(Place::Memory),
+        Some(CacheTier::Memory),
         "the memory tier still accepts copies"
     );
     let waiting = rig.store.bytes()
@@ -95,12 +97,13 @@
         "{waiting} bytes are waiting for the disk"
     );
     disk.hang(false);
-    assert!(rig.until(TIMEOUT, |rig| rig.shelf.fetched.len() == accepted.len()));
+    assert!(rig.until(TIMEOUT, |rig| rig.connector.completed_reads.len()
+        == accepted.len()));
     assert!(
-        rig.shelf
-            .fetched
+        rig.connector
+            .completed_reads
             .iter()
-            .all(|(_, fetched)| matches!(fetched, Fetched::Copy(_)))
+            .all(|(_, fetched)| matches!(fetched, ReadResult::Copy(_)))
     );
     keep(&mut rig, 50_000);
     (0..500).for_each(|n| {
@@ -108,7 +111,7 @@
         rig.turn();
     });
     assert!(
-        rig.until(TIMEOUT, |rig| place(rig, 50_000) == Some(Place::Disk)),
+        rig.until(TIMEOUT, |rig| place(rig, 50_000) == Some(CacheTier::Disk)),
         "the disk tier is not written to again"
     );
 }
--- a/crates/config/src/directives.rs
+++ b/crates/config/src/directives.rs
@@ -1,4 +1,4 @@
-//! The directives of the operator's file and what they set. The defaults are those of [`Told`].
+//! The directives of the operator's file and what they set. The defaults are those of [`Directives`].
 
 use crate::values::{self, Amount};
 use std::ops::RangeInclusive;
@@ -7,7 +7,7 @@
 
 /// The contents of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct Directives {
     pub log: Log,
     /// The path of the control socket; `None`: no control socket.
     pub control: Option<PathBuf>,
@@ -21,11 +21,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Regions {
     /// Exchanges the state of the zones with all routers and follows the common plan.
-    pub in_common: bool,
+    pub failover: bool,
     /// Measures the latency to other zones' caches.
     pub measure: bool,
     /// Allows requests to go to other zones' caches when those of their own zone are down.
-    pub abroad: bool,
+    pub cross_zone: bool,
     /// The names of the regions, and the zones of each.
     pub regions: Vec<(String, Vec<String>)>,
     /// Zones that are drained and receive no requests.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
     /// Exchanges observations and in-flight load with the other routers of the zone.
-    pub tell: bool,
+    pub gossip: bool,
     /// Balances the load of the zone's caches together with the peers.
     pub even_load: bool,
 }
@@ -51,7 +51,7 @@
 
 /// The scope of a binding: the requests that belong to a cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bound {
+pub enum Scope {
     Prefix(String),
     Groups(RangeInclusive<u64>),
     Customer(usize),
@@ -63,9 +63,9 @@
 pub struct Cells {
     pub epoch: u64,
     pub cells: Vec<(String, CellMembers)>,
-    pub bindings: Vec<(Bound, String)>,
+    pub bindings: Vec<(Scope, String)>,
     /// Moves of bound scopes, each with its target cell.
-    pub moves: Vec<(Bound, String)>,
+    pub moves: Vec<(Scope, String)>,
     pub otherwise: Option<String>,
     pub overlap: Option<usize>,
     /// Requests per second of one tenant, and its burst.
@@ -119,7 +119,7 @@
     /// Bytes per second that are read to detect damage.
     pub scrub: u64,
     /// Background work pauses while the event loop's delay exceeds this.
-    pub yield_over: Duration,
+    pub max_loop_delay: Duration,
 }
 
 impl Default for Store {
@@ -140,45 +140,48 @@
             revalidate: 0.0,
             read_ahead: 1,
             scrub: 1 << 20,
-            yield_over: Duration::from_millis(5),
+            max_loop_delay: Duration::from_millis(5),
         }
     }
 }
 
 /// Applies the arguments of a directive. A fault has the index of the argument, from 0.
-pub type Set<T> = fn(&mut T, &[&str]) -> Result<(), (usize, String)>;
+pub type Apply<T> = fn(&mut T, &[&str]) -> Result<(), (usize, String)>;
 
 /// A directive: its section, name, arguments and help text.
-pub struct Entry<T: 'static> {
+pub struct Directive<T: 'static> {
     pub section: &'static str,
     pub name: &'static str,
     /// The usage of the arguments.
-    pub takes: &'static str,
+    pub usage: &'static str,
     /// The number of arguments.
     pub count: RangeInclusive<usize>,
     /// The directive may be given more than once.
-    pub many: bool,
+    pub repeatable: bool,
     /// The help text.
-    pub says: &'static str,
-    pub set: Set<T>,
+    pub help: &'static str,
+    pub set: Apply<T>,
 }
 
 /// The sections and directives of one kind of file; `T` is the type that they fill.
 pub struct Table<T: 'static> {
     sections: &'static [&'static str],
-    entries: &'static [Entry<T>],
+    entries: &'static [Directive<T>],
 }
 
 impl<T> Table<T> {
-    pub const fn new(sections: &'static [&'static str], entries: &'static [Entry<T>]) -> Table<T> {
+    pub const fn new(
+        sections: &'static [&'static str],
+        entries: &'static [Directive<T>],
+    ) -> Table<T> {
         Table { sections, entries }
     }
 
-    pub fn entries(&self) -> &'static [Entry<T>] {
+    pub fn entries(&self) -> &'static [Directive<T>] {
         self.entries
     }
 
-    pub fn find(&self, section: &str, name: &str) -> Option<&'static Entry<T>> {
+    pub fn find(&self, section: &str, name: &str) -> Option<&'static Directive<T>> {
         self.entries
             .iter()
             .find(|e| e.section == section && e.name == name)
@@ -226,18 +229,18 @@
 }
 
 /// Parses a scope: `prefix ID`, `group FROM-TO`, `customer NUMBER` or `category NAME`.
-fn scope(args: &[&str]) -> Result<Bound, (usize, String)> {
+fn scope(args: &[&str]) -> Result<Scope, (usize, String)> {
     match args[0] {
-        "prefix" => Ok(Bound::Prefix(args[1].to_owned())),
+        "prefix" => Ok(Scope::Prefix(args[1].to_owned())),
         "group" => {
             let (from, to) = args[1].split_once('-').unwrap_or((args[1], args[1]));
-            let [from, to] = [from, to].map(|word| at(1, values::whole(word, 0, u64::MAX)));
-            Ok(Bound::Groups(from?..=to?))
+            let [from, to] = [from, to].map(|word| at(1, values::integer(word, 0, u64::MAX)));
+            Ok(Scope::Groups(from?..=to?))
         }
-        "customer" => Ok(Bound::Customer(
-            at(1, values::whole(args[1], 0, 1 << 32))? as usize
+        "customer" => Ok(Scope::Customer(
+            at(1, values::integer(args[1], 0, 1 << 32))? as usize,
         )),
-        "category" => Ok(Bound::Class(args[1].to_owned())),
+        "category" => Ok(Scope::Class(args[1].to_owned())),
         other => Err((
             0,
             format!("{other:?} is not prefix, group, customer or category"),
@@ -248,23 +251,23 @@
 const fn directive(
     section: &'static str,
     name: &'static str,
-    takes: &'static str,
-    says: &'static str,
-    set: Set<Told>,
-) -> Entry<Told> {
-    Entry {
+    usage: &'static str,
+    help: &'static str,
+    set: Apply<Directives>,
+) -> Directive<Directives> {
+    Directive {
         section,
         name,
-        takes,
+        usage,
         count: 1..=1,
-        many: false,
-        says,
+        repeatable: false,
+        help,
         set,
     }
 }
 
 /// The directives of the operator's file.
-pub const WORDS: Table<Told> = Table::new(
+pub const DIRECTIVES: Table<Directives> = Table::new(
     &["store", "cells", "peers", "regions"],
     &[
         directive(
@@ -311,13 +314,13 @@
                 Ok(())
             },
         ),
-        Entry {
+        Directive {
             section: "store",
             name: "disk",
-            takes: "DIRECTORY SIZE",
+            usage: "DIRECTORY SIZE",
             count: 2..=2,
-            many: false,
-            says: "local cache on disk: directory and maximum size",
+            repeatable: false,
+            help: "local cache on disk: directory and maximum size",
             set: |file, args| {
                 let size =
                     bytes_within(args[1], 16 << 20, 1 << 50).map_err(|(_, what)| (1, what))?;
@@ -371,7 +374,7 @@
             "SPAN",
             "copies fresh for less than this are not written",
             |file, args| {
-                file.store.least_fresh = at(0, values::span(args[0]))?;
+                file.store.least_fresh = at(0, values::duration(args[0]))?;
                 Ok(())
             },
         ),
@@ -391,7 +394,7 @@
             "COUNT",
             "threads that read from the disk",
             |file, args| {
-                file.store.readers = at(0, values::whole(args[0], 1, 64))? as usize;
+                file.store.readers = at(0, values::integer(args[0], 1, 64))? as usize;
                 Ok(())
             },
         ),
@@ -401,7 +404,7 @@
             "SPAN",
             "maximum time until a written part is synced",
             |file, args| {
-                file.store.sync_after = at(0, values::span(args[0]))?;
+                file.store.sync_after = at(0, values::duration(args[0]))?;
                 Ok(())
             },
         ),
@@ -421,7 +424,7 @@
             "SPAN",
             "period of purges in discovery's first list",
             |file, args| {
-                file.store.known_purges = at(0, values::span(args[0]))?;
+                file.store.known_purges = at(0, values::duration(args[0]))?;
                 Ok(())
             },
         ),
@@ -431,7 +434,7 @@
             "COUNT",
             "copies from before a start revalidated per second",
             |file, args| {
-                file.store.revalidate = at(0, values::whole(args[0], 0, 100_000))? as f64;
+                file.store.revalidate = at(0, values::integer(args[0], 0, 100_000))? as f64;
                 Ok(())
             },
         ),
@@ -441,7 +444,7 @@
             "COUNT",
             "parts read ahead on sequential access",
             |file, args| {
-                file.store.read_ahead = at(0, values::whole(args[0], 0, 64))? as usize;
+                file.store.read_ahead = at(0, values::integer(args[0], 0, 64))? as usize;
                 Ok(())
             },
         ),
@@ -461,7 +464,7 @@
             "SPAN",
             "background work pauses above this event-loop delay",
             |file, args| {
-                file.store.yield_over = at(0, values::span(args[0]))?;
+                file.store.max_loop_delay = at(0, values::duration(args[0]))?;
                 Ok(())
             },
         ),
@@ -471,17 +474,17 @@
             "NUMBER",
             "version of the map: a router never returns to an older one",
             |file, args| {
-                file.cells.epoch = at(0, values::whole(args[0], 0, u64::MAX))?;
+                file.cells.epoch = at(0, values::integer(args[0], 0, u64::MAX))?;
                 Ok(())
             },
         ),
-        Entry {
+        Directive {
             section: "cells",
             name: "cell",
-            takes: "NAME list SERVER.. | share SHARE | shuffle COUNT",
+            usage: "NAME list SERVER.. | share SHARE | shuffle COUNT",
             count: 3..=1024,
-            many: true,
-            says: "a part of the fleet, and its cache servers",
+            repeatable: true,
+            help: "a part of the fleet, and its cache servers",
             set: |file, args| {
                 let members = match (args[1], &args[2..]) {
                     ("list", servers) => {
@@ -489,7 +492,7 @@
                     }
                     ("share", [share]) => CellMembers::Share(at(2, values::share(share))?),
                     ("shuffle", [count]) => {
-                        CellMembers::Shuffle(at(2, values::whole(count, 1, 10_000))? as usize)
+                        CellMembers::Shuffle(at(2, values::integer(count, 1, 10_000))? as usize)
                     }
                     ("share" | "shuffle", _) => return Err((3, "too many arguments".into())),
                     (other, _) => {
@@ -500,25 +503,25 @@
                 Ok(())
             },
         },
-        Entry {
+        Directive {
             section: "cells",
             name: "bind",
-            takes: "prefix ID | group FROM[-TO] | customer NUMBER | category NAME, then CELL",
+            usage: "prefix ID | group FROM[-TO] | customer NUMBER | category NAME, then CELL",
             count: 3..=3,
-            many: true,
-            says: "binds requests to a cell",
+            repeatable: true,
+            help: "binds requests to a cell",
             set: |file, args| {
                 file.cells.bindings.push((scope(args)?, args[2].to_owned()));
                 Ok(())
             },
         },
-        Entry {
+        Directive {
             section: "cells",
             name: "move",
-            takes: "a scope as in bind, then the target CELL",
+            usage: "a scope as in bind, then the target CELL",
             count: 3..=3,
-            many: true,
-            says: "moves bound requests to another cell, as fast as it warms up",
+            repeatable: true,
+            help: "moves bound requests to another cell, as fast as it warms up",
             set: |file, args| {
                 file.cells.moves.push((scope(args)?, args[2].to_owned()));
                 Ok(())
@@ -540,7 +543,7 @@
             "COUNT",
             "maximum number of servers that two shuffle cells share",
             |file, args| {
-                file.cells.overlap = Some(at(0, values::whole(args[0], 0, 10_000))? as usize);
+                file.cells.overlap = Some(at(0, values::integer(args[0], 0, 10_000))? as usize);
                 Ok(())
             },
         ),
@@ -550,7 +553,7 @@
             "on|off",
             "failover between zones by a plan common to all routers",
             |file, args| {
-                file.regions.in_common = on_or_off(args[0])?;
+                file.regions.failover = on_or_off(args[0])?;
                 Ok(())
             },
         ),
@@ -570,17 +573,17 @@
             "on|off",
             "with in-common: requests may go to other zones' caches",
             |file, args| {
-                file.regions.abroad = on_or_off(args[0])?;
+                file.regions.cross_zone = on_or_off(args[0])?;
                 Ok(())
             },
         ),
-        Entry {
+        Directive {
             section: "regions",
             name: "region",
-            takes: "NAME ZONE..",
+            usage: "NAME ZONE..",
             count: 2..=64,
-            many: true,
-            says: "zones that are close to one another",
+            repeatable: true,
+            help: "zones that are close to one another",
             set: |file, args| {
                 if file.regions.regions.iter().any(|(name, _)| name == args[0]) {
                     return Err((0, format!("region {} is defined twice", args[0])));
@@ -598,13 +601,13 @@
                 Ok(())
             },
         },
-        Entry {
+        Directive {
             section: "regions",
             name: "drain",
-            takes: "LOCATION",
+            usage: "LOCATION",
             count: 1..=1,
-            many: true,
-            says: "drains a zone, as fast as others can take its load",
+            repeatable: true,
+            help: "drains a zone, as fast as others can take its load",
             set: |file, args| {
                 file.regions.drained.push(args[0].to_owned());
                 Ok(())
@@ -616,7 +619,7 @@
             "on|off",
             "gossip with the other routers of the zone",
             |file, args| {
-                file.peers.tell = on_or_off(args[0])?;
+                file.peers.gossip = on_or_off(args[0])?;
                 Ok(())
             },
         ),
@@ -630,17 +633,17 @@
                 Ok(())
             },
         ),
-        Entry {
+        Directive {
             section: "cells",
             name: "tenant-rate",
-            takes: "RATE BURST",
+            usage: "RATE BURST",
             count: 2..=2,
-            many: false,
-            says: "requests per second of one tenant, and its burst",
+            repeatable: false,
+            help: "requests per second of one tenant, and its burst",
             set: |file, args| {
-                let rate = at(0, values::whole(args[0], 1, 1_000_000))? as f64;
+                let rate = at(0, values::integer(args[0], 1, 1_000_000))? as f64;
                 file.cells.tenant =
-                    Some((rate, at(1, values::whole(args[1], 1, 1_000_000))? as f64));
+                    Some((rate, at(1, values::integer(args[1], 1, 1_000_000))? as f64));
                 Ok(())
             },
         },
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -16,8 +16,8 @@
 pub mod values;
 
 pub use directives::{
-    Bound, CellMembers, Cells, Entry, Log, LogFormat, Peers, Regions, Set, Store, Table, Told,
-    WORDS,
+    Apply, CellMembers, Cells, DIRECTIVES, Directive, Directives, Log, LogFormat, Peers, Regions,
+    Scope, Store, Table,
 };
 pub use values::Amount;
 
@@ -50,13 +50,13 @@
 }
 
 /// Reads a file and the files that it includes. With faults, the result has the directives that could be read.
-pub fn read(path: &Path) -> (Told, Vec<Fault>) {
-    read_with(&WORDS, path)
+pub fn read(path: &Path) -> (Directives, Vec<Fault>) {
+    read_with(&DIRECTIVES, path)
 }
 
 /// Reads directives from a string.
-pub fn read_text(text: &str) -> (Told, Vec<Fault>) {
-    read_text_with(&WORDS, text)
+pub fn read_text(text: &str) -> (Directives, Vec<Fault>) {
+    read_text_with(&DIRECTIVES, text)
 }
 
 /// Reads a file by another table of directives.
@@ -236,7 +236,7 @@
         if let Some((_, _, before)) = self
             .seen
             .iter()
-            .find(|(s, n, _)| !entry.many && (*s, *n) == (in_section, entry.name))
+            .find(|(s, n, _)| !entry.repeatable && (*s, *n) == (in_section, entry.name))
         {
             let what = format!("{} was given before, at {before}", entry.name);
             return self.fault(file, first, what);
@@ -247,7 +247,7 @@
             return self.fault(
                 file,
                 first,
-                format!("{} is written: {} {}", entry.name, entry.name, entry.takes),
+                format!("{} is written: {} {}", entry.name, entry.name, entry.usage),
             );
         }
         if let Err((at, what)) = (entry.set)(&mut self.result, &texts) {
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -51,7 +51,7 @@
 }
 
 /// Parses a duration such as `250ms` or `1m30s`, without spaces.
-pub fn span(word: &str) -> Result<Duration, String> {
+pub fn duration(word: &str) -> Result<Duration, String> {
     if word == "0" {
         return Ok(Duration::ZERO);
     }
@@ -65,7 +65,7 @@
 }
 
 /// Parses an integer from `lower` to `upper`.
-pub fn whole(word: &str, lower: u64, upper: u64) -> Result<u64, String> {
+pub fn integer(word: &str, lower: u64, upper: u64) -> Result<u64, String> {
     let found = word.parse().ok().filter(|n| (lower..=upper).contains(n));
     found.ok_or_else(|| format!("{word:?} is not an integer from {lower} to {upper}"))
 }
--- a/crates/failover/src/planner.rs
+++ b/crates/failover/src/planner.rs
@@ -29,7 +29,7 @@
 use chalkhall_gossip::DatagramSender;
 use chalkhall_gossip::gossip::{Gossip, KindPolicy, RouterIdentity};
 use chalkhall_latency::{Estimate, Model, Offer, ShareTable};
-use chalkhall_stats::Recent;
+use chalkhall_stats::RecentQuantiles;
 use std::time::Duration;
 
 /// Lifetime of loads and states.
@@ -187,7 +187,7 @@
     planned_at: Duration,
     evaluated_at: Duration,
     urgent: bool,
-    values: Recent,
+    values: RecentQuantiles,
     rng: fastrand::Rng,
 }
 
@@ -237,7 +237,7 @@
             planned_at: now,
             evaluated_at: now.saturating_sub(phase),
             urgent: false,
-            values: Recent::new(VALUE_SAMPLES),
+            values: RecentQuantiles::new(VALUE_SAMPLES),
             rng,
         })
     }
@@ -672,7 +672,7 @@
     /// side effect. `value`: what it is worth relative to its work; if not all requests can be
     /// served, those with the lowest value are rejected.
     pub fn select_zone(&mut self, point: f64, may_leave: bool, value: f64) -> TargetZone {
-        self.values.note(value);
+        self.values.record(value);
         let own_zone = usize::from(self.config.zone);
         let Some((plan, _)) = self
             .plan
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/play.rs
@@ -12,7 +12,7 @@
 //! assert_eq!(faults[0].to_string(), "2:2: secnds is not a directive of work; seconds is");
 //! ```
 
-use chalkhall_config::{Entry, Fault as FileFault, Table, values};
+use chalkhall_config::{Directive, Fault as FileFault, Table, values};
 use std::path::Path;
 use std::time::Duration;
 
@@ -352,7 +352,10 @@
 /// Parses `1/8`, `30%` or a count.
 fn parse_amount(word: &str) -> Result<Amount, String> {
     if let Some((a, b)) = word.split_once('/') {
-        let (a, b) = (values::whole(a, 1, 1 << 20)?, values::whole(b, 1, 1 << 20)?);
+        let (a, b) = (
+            values::integer(a, 1, 1 << 20)?,
+            values::integer(b, 1, 1 << 20)?,
+        );
         return if a <= b {
             Ok(Amount::Share(a as f64 / b as f64))
         } else {
@@ -362,7 +365,7 @@
     if word.ends_with('%') {
         return values::share(word).map(Amount::Share);
     }
-    let count = values::whole(word, 1, 1 << 20);
+    let count = values::integer(word, 1, 1 << 20);
     count
         .map(|n| Amount::Count(n as usize))
         .map_err(|_| format!("{word:?} is not a share or a count, such as 1/8, 30% or 3"))
@@ -382,7 +385,7 @@
         "parents" => Ok(Target::Parents(of_all?)),
         "routers" => Ok(Target::Routers(of_all?)),
         "location" => Ok(Target::Zone(
-            at_word(place + 1, values::whole(of, 0, 10_000))? as usize,
+            at_word(place + 1, values::integer(of, 0, 10_000))? as usize,
         )),
         other => Err((
             place,
@@ -401,11 +404,11 @@
 
 /// Parses `at SPAN [for|over SPAN] WHAT ...` without its first word.
 fn parse_fault(words: &[&str]) -> Result<Fault, ParseError> {
-    let starts_at = at_word(0, values::span(words[0]))?;
+    let starts_at = at_word(0, values::duration(words[0]))?;
     let (duration, next_word) = match words.get(1) {
         Some(&"for" | &"over") => {
             let span = words.get(2).ok_or((1, "expected a duration".to_owned()))?;
-            (at_word(2, values::span(span))?, 3)
+            (at_word(2, values::duration(span))?, 3)
         }
         _ => (Duration::ZERO, 1),
     };
@@ -429,13 +432,13 @@
             FaultKind::Resets(parse_target(place, w)?, share(place + 2, of)?)
         }
         ("lose", ["region", of]) => {
-            FaultKind::LoseRegion(at_word(place + 1, values::whole(of, 0, 100))? as usize)
+            FaultKind::LoseRegion(at_word(place + 1, values::integer(of, 0, 100))? as usize)
         }
         ("lose", w) => FaultKind::Lose(parse_target(place, w)?),
         ("ways", [from, to, effect @ ..]) => {
             let zone_or_all = |place: usize, word: &str| match word {
                 "all" => Ok(None),
-                word => at_word(place, values::whole(word, 0, 10_000)).map(|n| Some(n as usize)),
+                word => at_word(place, values::integer(word, 0, 10_000)).map(|n| Some(n as usize)),
             };
             let (from, to) = (zone_or_all(place, from)?, zone_or_all(place + 1, to)?);
             match effect {
@@ -453,27 +456,31 @@
         ("drain", w) => FaultKind::Drain(parse_target(place, w)?),
         ("replace", w) => FaultKind::Replace(parse_target(place, w)?),
         ("join", [count]) => {
-            FaultKind::Join(at_word(place, values::whole(count, 1, 1000))? as usize)
+            FaultKind::Join(at_word(place, values::integer(count, 1, 1000))? as usize)
         }
         ("kill", w) => FaultKind::Kill(parse_target(place, w)?),
         ("freeze", w) => FaultKind::Freeze(parse_target(place, w)?),
         ("restart", w) => FaultKind::Restart(parse_target(place, w)?),
         ("reload", w) => FaultKind::Reload(parse_target(place, w)?),
         ("purge", [count]) => {
-            FaultKind::Purge(at_word(place, values::whole(count, 1, 10_000))? as usize)
+            FaultKind::Purge(at_word(place, values::integer(count, 1, 10_000))? as usize)
+        }
+        ("lists", ["late", span]) => {
+            FaultKind::ListsLate(at_word(place + 1, values::duration(span))?)
         }
-        ("lists", ["late", span]) => FaultKind::ListsLate(at_word(place + 1, values::span(span))?),
         ("lists", ["doubled"]) => FaultKind::ListsDoubled,
         ("lists", ["cut"]) => FaultKind::ListsCut,
         ("datagrams", ["lost", of]) => FaultKind::Lost(share(place + 1, of)?),
         ("datagrams", ["doubled", of]) => FaultKind::Doubled(share(place + 1, of)?),
         ("datagrams", ["turned", of]) => FaultKind::Turned(share(place + 1, of)?),
-        ("datagrams", ["late", span]) => FaultKind::Late(at_word(place + 1, values::span(span))?),
+        ("datagrams", ["late", span]) => {
+            FaultKind::Late(at_word(place + 1, values::duration(span))?)
+        }
         ("deaf", w) => FaultKind::Deaf(parse_target(place, w)?),
         ("lie", w) => FaultKind::Lie(parse_target(place, w)?),
         ("hot", [of]) => FaultKind::Hot(share(place, of)?),
         ("shift", ["location", from, "to", to]) => {
-            let zone = |place, word| at_word(place, values::whole(word, 0, 10_000));
+            let zone = |place, word| at_word(place, values::integer(word, 0, 10_000));
             FaultKind::Shift(
                 zone(place + 1, from)? as usize,
                 zone(place + 3, to)? as usize,
@@ -496,23 +503,23 @@
 const fn entry(
     section: &'static str,
     name: &'static str,
-    takes: &'static str,
-    says: &'static str,
+    usage: &'static str,
+    help: &'static str,
     set: fn(&mut Play, &[&str]) -> Result<(), ParseError>,
-) -> Entry<Play> {
-    Entry {
+) -> Directive<Play> {
+    Directive {
         section,
         name,
-        takes,
+        usage,
         count: 1..=1,
-        many: false,
-        says,
+        repeatable: false,
+        help,
         set,
     }
 }
 
 fn parse_count(word: &str, least: u64, most: u64) -> Result<usize, ParseError> {
-    at_word(0, values::whole(word, least, most)).map(|n| n as usize)
+    at_word(0, values::integer(word, least, most)).map(|n| n as usize)
 }
 
 fn parse_number(word: &str, least: f64, most: f64) -> Result<f64, ParseError> {
@@ -631,7 +638,8 @@
             },
         ),
         entry("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
-            p.fleet.slow_start = at_word(0, values::span(w[0]))?.max(Duration::from_millis(100));
+            p.fleet.slow_start =
+                at_word(0, values::duration(w[0]))?.max(Duration::from_millis(100));
             Ok(())
         }),
         entry(
@@ -674,7 +682,7 @@
             "SPAN",
             "what a word takes one way between zones of a region",
             |p, w| {
-                p.fleet.intra_region_delay = at_word(0, values::span(w[0]))?;
+                p.fleet.intra_region_delay = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -684,7 +692,7 @@
             "SPAN",
             "the same between regions",
             |p, w| {
-                p.fleet.inter_region_delay = at_word(0, values::span(w[0]))?;
+                p.fleet.inter_region_delay = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -698,13 +706,13 @@
                 Ok(())
             },
         ),
-        Entry {
+        Directive {
             section: "fleet",
             name: "directive",
-            takes: "SECTION NAME VALUE..",
+            usage: "SECTION NAME VALUE..",
             count: 3..=8,
-            many: true,
-            says: "a line of every router's operator's file",
+            repeatable: true,
+            help: "a line of every router's operator's file",
             set: |p, w| {
                 p.fleet.directives.push((w[0].to_owned(), w[1..].join(" ")));
                 Ok(())
@@ -720,7 +728,7 @@
             "SPAN",
             "before anything is measured",
             |p, w| {
-                p.work.warmup = at_word(0, values::span(w[0]))?;
+                p.work.warmup = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -772,7 +780,7 @@
             "SPAN",
             "how long a client waits, all tries together",
             |p, w| {
-                p.work.client_timeout = at_word(0, values::span(w[0]))?;
+                p.work.client_timeout = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -782,7 +790,7 @@
             "SPAN",
             "within which an answer earns all of its value",
             |p, w| {
-                p.work.soft_deadline = at_word(0, values::span(w[0]))?;
+                p.work.soft_deadline = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -807,16 +815,16 @@
             },
         ),
         entry("work", "fresh", "SPAN", "how long a copy is", |p, w| {
-            p.work.max_age = at_word(0, values::span(w[0]))?;
+            p.work.max_age = at_word(0, values::duration(w[0]))?;
             Ok(())
         }),
-        Entry {
+        Directive {
             section: "faults",
             name: "at",
-            takes: "SPAN [for|over SPAN] WHAT ..",
+            usage: "SPAN [for|over SPAN] WHAT ..",
             count: 2..=12,
-            many: true,
-            says: "what breaks, from when and for how long",
+            repeatable: true,
+            help: "what breaks, from when and for how long",
             set: |p, w| {
                 let found = parse_fault(w)?;
                 p.faults.push(found);
@@ -889,7 +897,7 @@
             "SPAN",
             "from a loss until requests go elsewhere, at most",
             |p, w| {
-                p.must.plan = Some(at_word(0, values::span(w[0]))?);
+                p.must.plan = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
             },
         ),
@@ -909,7 +917,7 @@
             "SPAN",
             "what is measured begins so long after the last fault",
             |p, w| {
-                p.must.after = Some(at_word(0, values::span(w[0]))?);
+                p.must.after = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
             },
         ),
--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -2,10 +2,10 @@
 //! of tenants at admission.
 
 use chalkhall::interface::{Id, IncomingRequest, Member, Outcome, Remark, ServerState, Tier};
-use chalkhall_cells::limits::{Allowed, Tenants, Verdict, tenant};
-use chalkhall_cells::map::{Cell, Map, Members, Told, What};
+use chalkhall_cells::limits::{Decision, TenantLimits, Tenants, tenant_key};
+use chalkhall_cells::map::{Cell, Definition, Map, Members, Scope};
 use chalkhall_cells::moves::Move;
-use chalkhall_config::{Bound, CellMembers, Cells as Settings};
+use chalkhall_config::{CellMembers, Cells as Settings, Scope as DirectiveScope};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -32,7 +32,7 @@
 /// A move in progress.
 struct ActiveMove {
     /// The requests that move.
-    scope: What,
+    scope: Scope,
     state: Move,
 }
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct PlannedMove {
     /// The requests that move.
-    scope: What,
+    scope: Scope,
     from: Cell,
     to: Cell,
 }
@@ -71,10 +71,10 @@
     Map(String),
     /// A scope that moves is not bound to a cell.
     #[error("{0:?} moves but is not bound to a cell")]
-    MoveOfUnbound(What),
+    MoveOfUnbound(Scope),
     /// A scope moves to the cell that it is bound to.
     #[error("{0:?} moves to the cell that it is bound to")]
-    MoveToSameCell(What),
+    MoveToSameCell(Scope),
 }
 
 /// A cell map is invalid.
@@ -96,23 +96,23 @@
 /// All faults of the map.
 pub fn read_cell_plan(settings: &Settings, classes: &[String]) -> Result<CellPlan, CellMapError> {
     let mut faults = Vec::new();
-    let mut read_binding = |(bound, cell): &(Bound, String)| {
+    let mut read_binding = |(bound, cell): &(DirectiveScope, String)| {
         let scope = read_scope(bound, classes, &mut faults);
         (scope, cell.clone())
     };
     let bindings = settings.bindings.iter().map(&mut read_binding).collect();
-    let moves: Vec<(What, String)> = settings.moves.iter().map(&mut read_binding).collect();
+    let moves: Vec<(Scope, String)> = settings.moves.iter().map(&mut read_binding).collect();
     let cells = settings.cells.iter();
-    let map = Map::new(Told {
+    let map = Map::new(Definition {
         epoch: settings.epoch,
         cells: cells
             .map(|(name, of)| (name.clone(), members(of)))
             .collect(),
         bindings,
         // A scope that moves to a cell belongs to it as well.
-        arriving: moves.iter().map(|(_, cell)| cell.clone()).collect(),
-        otherwise: settings.otherwise.clone(),
-        overlap: settings.overlap,
+        move_targets: moves.iter().map(|(_, cell)| cell.clone()).collect(),
+        default_cell: settings.otherwise.clone(),
+        max_overlap: settings.overlap,
     });
     let map = match map {
         Ok(map) => map,
@@ -123,7 +123,7 @@
     };
     let mut planned = Vec::new();
     for (scope, cell) in moves {
-        match (map.bound(&scope), map.named(&cell)) {
+        match (map.cell_of_scope(&scope), map.cell_by_name(&cell)) {
             (Some(from), Some(to)) if from != to => planned.push(PlannedMove { scope, from, to }),
             (None, _) => faults.push(CellFault::MoveOfUnbound(scope)),
             _ => faults.push(CellFault::MoveToSameCell(scope)),
@@ -137,17 +137,17 @@
 }
 
 /// Reads the scope of a binding. A class that is not in the settings is a fault.
-fn read_scope(bound: &Bound, classes: &[String], faults: &mut Vec<CellFault>) -> What {
+fn read_scope(bound: &DirectiveScope, classes: &[String], faults: &mut Vec<CellFault>) -> Scope {
     match bound {
-        Bound::Prefix(prefix) => What::Prefix(prefix.clone()),
-        Bound::Groups(range) => What::Groups(range.clone()),
-        Bound::Customer(number) => What::Customer(*number),
-        Bound::Class(name) => {
+        DirectiveScope::Prefix(prefix) => Scope::Prefix(prefix.clone()),
+        DirectiveScope::Groups(range) => Scope::Groups(range.clone()),
+        DirectiveScope::Customer(number) => Scope::Customer(*number),
+        DirectiveScope::Class(name) => {
             let class = classes.iter().position(|class| class == name);
             if class.is_none() {
                 faults.push(CellFault::UnknownClass(name.clone()));
             }
-            What::Class(class.unwrap_or(usize::MAX))
+            Scope::Class(class.unwrap_or(usize::MAX))
         }
     }
 }
@@ -180,7 +180,7 @@
         let CellPlan { map, moves } = read_cell_plan(settings, classes)?;
         let tenants = settings
             .tenant
-            .map(|(rate, burst)| Tenants::new(Allowed::at(rate, burst), seed));
+            .map(|(rate, burst)| Tenants::new(TenantLimits::new(rate, burst), seed));
         log::info!(
             cells = map.len(), epoch = map.epoch(), tenants_limited = tenants.is_some();
             "cells: map loaded"
@@ -270,7 +270,7 @@
         };
         let assigned = self.members.values().filter(is_assigned);
         let servers = assigned.map(|member| member.server.clone()).collect();
-        self.map.place(&servers);
+        self.map.assign(&servers);
         let mut moved = Vec::new();
         for member in self.members.values_mut() {
             let cells = self.map.cells_of(&member.server);
@@ -302,7 +302,9 @@
                 live_cells.contains(&state.from),
                 live_cells.contains(&state.to),
             );
-            advance(&self.map, scope, state, |state| state.alive(now, from, to));
+            advance(&self.map, scope, state, |state| {
+                state.update_liveness(now, from, to)
+            });
         }
     }
 
@@ -320,7 +322,7 @@
         for ActiveMove { scope, state } in &mut self.moves {
             if scope.covers(arrival) {
                 advance(&self.map, scope, state, |state| {
-                    state.ended(now, cell, outcome, remark);
+                    state.record_attempt(now, cell, outcome, remark);
                     state.tick(now);
                 });
             }
@@ -368,9 +370,9 @@
         let Some(tenants) = self.tenants.as_mut().filter(|_| !is_non_idempotent) else {
             return Ok(());
         };
-        let tenant = tenant(arrival, self.by_customer);
+        let tenant = tenant_key(arrival, self.by_customer);
         match tenants.request(now, &tenant, arrival.is_retry) {
-            Verdict::Late(wait) => Err(RetryAfter(wait)),
+            Decision::RetryAfter(wait) => Err(RetryAfter(wait)),
             _ => Ok(()),
         }
     }
@@ -378,14 +380,14 @@
     /// Counts a request that was served towards its tenant's limit.
     pub fn record_served(&mut self, now: Duration, arrival: &IncomingRequest) {
         if let Some(tenants) = &mut self.tenants {
-            let tenant = tenant(arrival, self.by_customer);
+            let tenant = tenant_key(arrival, self.by_customer);
             tenants.served(now, &tenant);
         }
     }
 }
 
 /// Applies a step to a move, and logs a change of its state.
-fn advance(map: &Map, scope: &What, state: &mut Move, step: impl FnOnce(&mut Move)) {
+fn advance(map: &Map, scope: &Scope, state: &mut Move, step: impl FnOnce(&mut Move)) {
     let before = (state.state(), state.share());
     step(state);
     let after = (state.state(), state.share());
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -232,7 +232,7 @@
         name: name.value,
         listen,
         discovery,
-        last_event: deployment::whole(known, "rev").map_err(in_section("known"))?,
+        last_event: deployment::unsigned(known, "rev").map_err(in_section("known"))?,
         known_events: parse_known_events(known, &names, clock)?,
         names,
         deployment,
@@ -255,7 +255,7 @@
 
 impl Setting {
     fn from_file(file: &Fields, key: &str) -> Result<Setting, ConfigurationError> {
-        let value = deployment::text(file, key).map_err(FieldError)?;
+        let value = deployment::string(file, key).map_err(FieldError)?;
         Ok(Setting {
             key: key.to_owned(),
             value: value.to_owned(),
@@ -353,7 +353,7 @@
 
 /// Reads a whole number, or the default if it is 0 or missing.
 fn whole_or_default(fields: &Fields, key: &str, default: u64) -> Result<u64, FieldError> {
-    let found = deployment::whole(fields, key).map_err(FieldError)?;
+    let found = deployment::unsigned(fields, key).map_err(FieldError)?;
     Ok(if found == 0 { default } else { found })
 }
 
@@ -365,7 +365,7 @@
 ) -> Result<Duration, FieldError> {
     let ms = deployment::number(fields, key).map_err(FieldError)?;
     Ok(if ms > 0.0 {
-        deployment::span(ms)
+        deployment::duration_from_ms(ms)
     } else {
         default
     })
@@ -387,7 +387,7 @@
         })
     };
     let address_of = |key: &str| {
-        let found = deployment::text(file, key).map_err(FieldError)?;
+        let found = deployment::string(file, key).map_err(FieldError)?;
         address(key, found)
     };
     let each = file.get("peers").and_then(Value::as_array);
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -8,7 +8,7 @@
 use crate::zone_failover::ZoneFailover;
 use chalkhall::interface::{Member, ServerState};
 use chalkhall_gossip::PeerExchange;
-use chalkhall_store::threads::End;
+use chalkhall_store::threads::CompletedOperation;
 use std::time::Duration;
 
 use super::requests::{PendingRequest, Requester};
@@ -128,7 +128,7 @@
     }
 
     /// Handles the end of a disk operation, and reports the attempts that waited for it.
-    pub(super) fn complete_disk_operation(&mut self, end: End) {
+    pub(super) fn complete_disk_operation(&mut self, end: CompletedOperation) {
         let Some(local_cache) = &mut self.dispatcher.local_cache else {
             return;
         };
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -35,7 +35,7 @@
 
 pub use error::RouterError;
 
-use chalkhall_config::Told as Directives;
+use chalkhall_config::Directives;
 use clock::Clock;
 use std::path::PathBuf;
 use tokio::task::LocalSet;
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -15,9 +15,9 @@
     Class, Id, IncomingRequest, Load, LocalCopy, Member, Outcome, Remark, ServerState, Tier,
 };
 use chalkhall_store::copy::Copy;
-use chalkhall_store::decide::disk::{Disk, Fetched, Phase};
-use chalkhall_store::decide::{Part, Place, Store};
-use chalkhall_store::threads::{End, Shelf};
+use chalkhall_store::decide::disk::{Disk, Phase, ReadResult};
+use chalkhall_store::decide::{CacheTier, Part, Store};
+use chalkhall_store::threads::{CompletedOperation, DiskConnector};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
 /// The router's own cache.
 pub struct LocalCache {
     store: Store,
-    disk_io: Shelf,
+    disk_io: DiskConnector,
     clock: Clock,
     /// Bounds the times at which copies were created.
     copy_times: CopyTimes,
@@ -100,7 +100,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// The result of the read.
-    pub fetched: Fetched,
+    pub fetched: ReadResult,
 }
 
 /// A request of the local cache itself that checks whether a copy is still current.
@@ -142,11 +142,11 @@
         let found = self
             .store
             .find(part(arrival), client_etag.map(|tag| &tag[..]))?;
-        let place = &self.tiers[usize::from(found.place == Place::Disk)];
+        let place = &self.tiers[usize::from(found.tier == CacheTier::Disk)];
         Some(LocalCopy {
             cache: place.clone(),
-            created_at: self.clock.at_unix_ms(found.made),
-            client_has_it: found.same,
+            created_at: self.clock.at_unix_ms(found.created_at_ms),
+            client_has_it: found.is_same_version,
         })
     }
 
@@ -162,7 +162,7 @@
         let now = self.clock.now();
         if *server == self.tiers[1] {
             // A disk whose job queues are full counts as unreachable.
-            return match self.store.fetch(now, part(arrival), &mut self.disk_io) {
+            return match self.store.start_read(now, part(arrival), &mut self.disk_io) {
                 Some(ticket) => {
                     self.pending_reads.insert(ticket, key.clone());
                     None
@@ -170,7 +170,7 @@
                 None => Some(AttemptResult::without_answer(Outcome::Unreachable)),
             };
         }
-        let copy = self.store.take(now, part(arrival));
+        let copy = self.store.get(now, part(arrival));
         Some(match copy {
             Some(copy) => self.answer(&copy, arrival, client_etag),
             None => AttemptResult::without_answer(Outcome::Missing),
@@ -191,13 +191,13 @@
         self.store
             .disk_mut()
             .into_iter()
-            .for_each(|disk| disk.leave(ticket));
+            .for_each(|disk| disk.cancel_read(ticket));
         true
     }
 
     /// Takes the completed reads from disk.
     pub fn take_completed_reads(&mut self) -> Vec<CompletedRead> {
-        let fetched = std::mem::take(&mut self.disk_io.fetched);
+        let fetched = std::mem::take(&mut self.disk_io.completed_reads);
         fetched
             .into_iter()
             .filter_map(|(ticket, fetched)| {
@@ -210,14 +210,14 @@
     /// The result of the attempt that waited for a read.
     pub fn read_result(
         &self,
-        fetched: &Fetched,
+        fetched: &ReadResult,
         arrival: &IncomingRequest,
         client_etag: Option<&Bytes>,
     ) -> AttemptResult {
         match fetched {
-            Fetched::Copy(copy) => self.answer(copy, arrival, client_etag),
-            Fetched::Gone => AttemptResult::without_answer(Outcome::Missing),
-            Fetched::Failed => AttemptResult::without_answer(Outcome::Unreachable),
+            ReadResult::Copy(copy) => self.answer(copy, arrival, client_etag),
+            ReadResult::Gone => AttemptResult::without_answer(Outcome::Missing),
+            ReadResult::Failed => AttemptResult::without_answer(Outcome::Unreachable),
         }
     }
 
@@ -230,12 +230,12 @@
         let age = self
             .clock
             .now()
-            .saturating_sub(self.clock.at_unix_ms(copy.made));
+            .saturating_sub(self.clock.at_unix_ms(copy.created_at_ms));
         let fresh = self
             .classes
             .get(arrival.class)
             .and_then(|named| named.class.fresh);
-        let is_not_modified = client_etag.is_some_and(|tag| !tag.is_empty() && *tag == copy.tag);
+        let is_not_modified = client_etag.is_some_and(|tag| !tag.is_empty() && *tag == copy.etag);
         let answer = Answer {
             id: Bytes::new(),
             outcome: Outcome::Served,
@@ -247,8 +247,8 @@
             },
             first_byte: None,
             load: Load::default(),
-            etag: Some(copy.tag.clone()).filter(|tag| !tag.is_empty()),
-            created_at_unix_ms: Some(copy.made),
+            etag: Some(copy.etag.clone()).filter(|tag| !tag.is_empty()),
+            created_at_unix_ms: Some(copy.created_at_ms),
             body: if is_not_modified {
                 Bytes::new()
             } else {
@@ -270,7 +270,10 @@
     /// Stores a server's answer. An answer without a creation time is not stored, because its age
     /// would be unknown.
     pub fn insert(&mut self, arrival: &IncomingRequest, answer: &Answer, retention_priority: u8) {
-        let Some(made) = answer.created_at_unix_ms.filter(|made| *made > 0) else {
+        let Some(created_at_ms) = answer
+            .created_at_unix_ms
+            .filter(|created_at_ms| *created_at_ms > 0)
+        else {
             return;
         };
         let Some(NamedClass { name, class }) = self.classes.get(arrival.class) else {
@@ -283,14 +286,14 @@
             part: arrival.part,
             group: arrival.group,
             class: name.clone(),
-            made,
-            fresh: class.fresh.map_or(0, |fresh| fresh.as_millis() as u64),
+            created_at_ms,
+            fresh_for_ms: class.fresh.map_or(0, |fresh| fresh.as_millis() as u64),
             kb: arrival.kb,
-            in_parts: class.in_parts,
-            tag: answer.etag.as_deref().map(copied).unwrap_or_default(),
+            is_multipart: class.in_parts,
+            etag: answer.etag.as_deref().map(copied).unwrap_or_default(),
             body: copied(&answer.body),
         };
-        self.store.keep(
+        self.store.insert(
             self.clock.now(),
             copy,
             retention_priority,
@@ -300,7 +303,7 @@
 
     /// Sets the retention priority of a copy, which determines how early it is evicted.
     pub fn set_retention_priority(&mut self, arrival: &IncomingRequest, retention_priority: u8) {
-        self.store.rank(part(arrival), retention_priority);
+        self.store.set_rank(part(arrival), retention_priority);
     }
 
     /// Records the answer of a server: its tag shows whether a copy on disk from an earlier start
@@ -318,8 +321,8 @@
         if let (Some(tag), Some(created_at), true) =
             (tag, answer.created_at_unix_ms, self.store.disk().is_some())
         {
-            self.store.proven(part(arrival), tag, created_at);
-            self.store.disproven(part(arrival), &mut self.disk_io);
+            self.store.confirm_version(part(arrival), tag, created_at);
+            self.store.drop_unproven(part(arrival), &mut self.disk_io);
         }
     }
 
@@ -354,7 +357,7 @@
         self.store
             .disk_mut()
             .into_iter()
-            .for_each(|disk| disk.heard(ms));
+            .for_each(|disk| disk.confirm_discovery_up_to(ms));
     }
 
     /// Evicts copies from memory to free it for bodies, both present and expected.
@@ -364,16 +367,17 @@
             .usable_memory
             .saturating_sub(body_bytes as u64 + tables);
         if self.store.memory().bytes() > capacity {
-            self.store.give_way(capacity);
+            self.store.evict_to(capacity);
         }
     }
 
     /// Handles the end of a disk operation.
-    pub fn complete_disk_operation(&mut self, end: End) {
-        if let End::Opened { .. } = &end {
+    pub fn complete_disk_operation(&mut self, end: CompletedOperation) {
+        if let CompletedOperation::Opened { .. } = &end {
             self.apply_clock_step();
         }
-        self.disk_io.ended(&mut self.store, self.clock.now(), end);
+        self.disk_io
+            .complete(&mut self.store, self.clock.now(), end);
     }
 
     /// Called when the disk is open. If the clock was set back, copies from earlier starts are not
@@ -399,18 +403,18 @@
         self.store
             .disk_mut()
             .into_iter()
-            .for_each(|disk| disk.turn(now, late));
+            .for_each(|disk| disk.record_loop_delay(now, late));
         self.store.tick(now, &mut self.disk_io);
     }
 
     /// When background work is due next.
     pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
-        self.store.disk()?.next_look(now)
+        self.store.disk()?.next_wakeup(now)
     }
 
     /// Takes the requests that revalidate copies from an earlier start.
     pub fn take_revalidations(&mut self) -> Vec<Revalidation> {
-        let unproven = std::mem::take(&mut self.disk_io.unproven);
+        let unproven = std::mem::take(&mut self.disk_io.revalidations);
         let revalidations = unproven.into_iter().filter_map(|copy| {
             let class = self
                 .classes
@@ -436,7 +440,7 @@
                 class: copy.class,
                 object: copy.object,
                 part: copy.part.to_string().into(),
-                client_etag: Some(copy.tag),
+                client_etag: Some(copy.etag),
                 ..ForwardedFields::default()
             };
             Some(Revalidation { arrival, forwarded })
--- a/crates/router/src/local_cache/open.rs
+++ b/crates/router/src/local_cache/open.rs
@@ -8,10 +8,10 @@
 use bytes::Bytes;
 use chalkhall_config::Store as Settings;
 use chalkhall_store::decide::Store;
-use chalkhall_store::decide::disk::{Disk, SEGMENTS_LEAST, Wanted};
+use chalkhall_store::decide::disk::{Disk, DiskSettings, MIN_SEGMENTS};
 use chalkhall_store::decide::index::Index;
 use chalkhall_store::files::{Directory, Files};
-use chalkhall_store::threads::{self, End, NotTaken, Shelf};
+use chalkhall_store::threads::{self, CompletedOperation, DiskConnector, OpenError};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     pub cache: LocalCache,
     /// The results of disk operations, for [`LocalCache::complete_disk_operation`]; `None` without
     /// a disk.
-    pub disk_results: Option<mpsc::Receiver<End>>,
+    pub disk_results: Option<mpsc::Receiver<CompletedOperation>>,
 }
 
 /// The error if the local cache cannot be opened as configured.
@@ -46,7 +46,7 @@
     #[error("store: segment is too large")]
     SegmentTooLarge,
     /// The disk size is less than the minimum number of segments needs.
-    #[error("store: disk {bytes} bytes is too small: {SEGMENTS_LEAST} segments take {min_bytes}")]
+    #[error("store: disk {bytes} bytes is too small: {MIN_SEGMENTS} segments take {min_bytes}")]
     DiskTooSmall {
         /// The configured size.
         bytes: u64,
@@ -67,7 +67,7 @@
 struct OpeningDisk {
     disk: Disk,
     threads: threads::Threads,
-    results: mpsc::Receiver<End>,
+    results: mpsc::Receiver<CompletedOperation>,
 }
 
 impl LocalCache {
@@ -89,7 +89,7 @@
         let memory = settings.memory.map(|memory| memory.of(limit).min(usable));
         let max_memory = memory.unwrap_or(0);
         let set_back_ms = Arc::new(AtomicU64::new(0));
-        let mut disk_io = Shelf::default();
+        let mut disk_io = DiskConnector::default();
         let (mut disk, mut disk_results) = (None, None);
         if let Some((path, bytes)) = &settings.disk {
             let disk_settings = disk_settings(settings, *bytes, limit, usable)?;
@@ -138,13 +138,13 @@
 fn start_disk(
     settings: &Settings,
     path: &Path,
-    disk_settings: Wanted,
+    disk_settings: DiskSettings,
     clock: Clock,
     set_back_ms: Arc<AtomicU64>,
 ) -> Result<OpeningDisk, LocalCacheError> {
     let (path, boot): (PathBuf, _) = (path.to_owned(), BootTime::read(&clock));
     let open_directory = move || {
-        let directory = Directory::take(&path).map_err(|error| NotTaken::of(&path, &error))?;
+        let directory = Directory::lock(&path).map_err(|error| OpenError::of(&path, &error))?;
         // Opening may be retried after a failure, so the largest value is kept.
         let set_back = boot.as_ref().map_or(0, |boot| set_back_by(boot, &path));
         set_back_ms.fetch_max(set_back, Ordering::Release);
@@ -189,14 +189,14 @@
     bytes: u64,
     limit: u64,
     usable: u64,
-) -> Result<Wanted, LocalCacheError> {
+) -> Result<DiskSettings, LocalCacheError> {
     let segment = u32::try_from(settings.segment).map_err(|_| LocalCacheError::SegmentTooLarge)?;
-    let min_bytes = settings.segment * SEGMENTS_LEAST as u64;
+    let min_bytes = settings.segment * MIN_SEGMENTS as u64;
     if bytes < min_bytes {
         return Err(LocalCacheError::DiskTooSmall { bytes, min_bytes });
     }
     let index = settings.index.of(limit).min(usable / 2);
-    let parts = Index::parts_most(index);
+    let parts = Index::max_parts(index);
     if parts < MIN_INDEXED_PARTS {
         return Err(LocalCacheError::IndexTooSmall {
             bytes: index,
@@ -204,13 +204,13 @@
         });
     }
     log::info!(index_bytes = index, parts_at_most = parts; "store: index");
-    Ok(Wanted {
+    Ok(DiskSettings {
         bytes,
         segment,
         index,
-        write_rate: settings.write_rate,
-        write_day: settings.write_day,
-        least_fresh: settings.least_fresh,
+        write_bytes_per_second: settings.write_rate,
+        write_bytes_per_day: settings.write_day,
+        min_freshness: settings.least_fresh,
         carry: settings.carry,
         sync_after: settings.sync_after,
         sync_bytes: settings.sync_bytes,
@@ -218,7 +218,7 @@
         revalidate: settings.revalidate,
         read_ahead: settings.read_ahead,
         scrub: settings.scrub,
-        yield_over: settings.yield_over,
+        max_loop_delay: settings.max_loop_delay,
         admit_all: false,
     })
 }
--- a/crates/router/src/local_cache/report.rs
+++ b/crates/router/src/local_cache/report.rs
@@ -18,14 +18,14 @@
     let (memory, counts) = (store.memory(), store.counts());
     json!({
         "bytes": memory.bytes(),
-        "most": memory.most(),
+        "most": memory.limit(),
         "parts": memory.len(),
         "hits": counts.hits,
         "hit_bytes": counts.hit_bytes,
         "kept": counts.kept,
-        "not_kept": counts.not_kept,
-        "left": counts.left,
-        "gave_way": counts.gave_way,
+        "not_kept": counts.rejected,
+        "left": counts.evicted,
+        "gave_way": counts.evicted_for_memory,
         "outdated": counts.outdated,
         "purges": counts.purges,
     })
@@ -35,11 +35,11 @@
     let (counts, (bytes, live)) = (disk.counts(), disk.segments().bytes());
     json!({
         "phase": phase(disk.phase()),
-        "set_aside": disk.is_set_aside(),
+        "set_aside": disk.is_ejected(),
         "parts": disk.index().len(),
         "index_bytes": disk.index().bytes(),
         "segments": disk.segments().len(),
-        "segments_most": disk.segments().most,
+        "segments_most": disk.segments().max_segments,
         "bytes": bytes,
         "live_bytes": live,
         "hits": counts.hits,
@@ -84,13 +84,13 @@
 }
 
 fn background_work(disk: &Disk) -> Value {
-    let work = disk.work().map(|(name, waiting, under_way, done)| {
+    let work = disk.work_report().map(|(name, waiting, under_way, done)| {
         let kind = json!({
             "waiting": waiting,
             "under_way": under_way,
-            "done": done.pieces,
+            "done": done.tasks,
             "bytes": done.bytes as u64,
-            "late": done.late,
+            "late": done.overdue,
             "starved": done.starved,
             "refused": done.refused,
         });
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -5,7 +5,7 @@
 use crate::server_protocol::{Answer, ForwardedFields};
 use bytes::Bytes;
 use chalkhall::interface::{Fill, Id, IncomingRequest, Outcome};
-use chalkhall_store::threads::End;
+use chalkhall_store::threads::CompletedOperation;
 use serde_json::Value;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     /// is needed.
     ServerActorStopped(Id),
     /// A disk operation of the local cache has ended.
-    DiskOperationEnded(End),
+    DiskOperationEnded(CompletedOperation),
     /// A datagram from the router with this number.
     PeerDatagram(u64, Box<[u8]>),
     /// The result of a latency probe of the edge with this index: its round-trip time, or none if
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -18,9 +18,9 @@
 use crate::zone_failover::ZoneFailover;
 use crate::{control_socket, discovery, listener, shutdown};
 use chalkhall::interface::Deployment;
-use chalkhall_config::Told as Directives;
+use chalkhall_config::Directives;
 use chalkhall_gossip::{ExchangeConfig, PeerExchange};
-use chalkhall_store::threads::End;
+use chalkhall_store::threads::CompletedOperation;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -175,12 +175,12 @@
     let cell_routing = open_cell_routing(directives, configuration)?;
     let exchange = start_gossip(clock, directives, configuration);
     let (sender, outbound) = gossip_socket::channel();
-    let is_gossip_wanted = exchange.is_some() || directives.regions.in_common;
+    let is_gossip_wanted = exchange.is_some() || directives.regions.failover;
     let gossip_socket = match &configuration.peers {
         Some(peers) if is_gossip_wanted => gossip_socket::bind(peers).await,
         _ => None,
     };
-    if directives.regions.in_common && gossip_socket.is_none() {
+    if directives.regions.failover && gossip_socket.is_none() {
         log::warn!("regions: routers cannot gossip; each decides on its own observations only");
     }
     let (probe_sender, probes) = mpsc::channel(latency_probes::PROBE_QUEUE_CAPACITY);
@@ -209,7 +209,10 @@
 }
 
 /// Forwards the results of disk operations until the disk's threads have ended.
-async fn forward_disk_results(mut results: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
+async fn forward_disk_results(
+    mut results: mpsc::Receiver<CompletedOperation>,
+    decider: mpsc::Sender<Message>,
+) {
     while let Some(end) = results.recv().await {
         let _ = decider.send(Message::DiskOperationEnded(end)).await;
     }
@@ -245,7 +248,7 @@
     directives: &Directives,
     configuration: &Configuration,
 ) -> Option<PeerExchange> {
-    if configuration.peers.is_none() || !directives.peers.tell {
+    if configuration.peers.is_none() || !directives.peers.gossip {
         return None;
     }
     let deployment = &configuration.deployment;
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -127,7 +127,7 @@
         // In tenths of a second, which overflow 32 bits after thirteen years.
         incarnation: (clock.unix_ms(now) / 100) as u32,
         seed: deployment.seed,
-        may_leave_zone: settings.abroad,
+        may_leave_zone: settings.cross_zone,
     };
     let planner = FailoverPlanner::start(now, config);
     if planner.is_none() {
@@ -170,7 +170,7 @@
         sender: GossipSender,
         probes: mpsc::Sender<Probe>,
     ) -> Result<Option<ZoneFailover>, UnknownZone> {
-        if !settings.in_common {
+        if !settings.failover {
             return Ok(None);
         }
         let drained = zone_indices(names, &settings.drained)?;
@@ -179,7 +179,7 @@
             return Ok(None);
         };
         planner.set_drained_zones(&drained);
-        let (abroad, measure) = (settings.abroad, settings.measure);
+        let (abroad, measure) = (settings.cross_zone, settings.measure);
         log::info!(
             abroad = abroad, measure = measure, places = names.len();
             "regions: failover enabled"
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,7 +9,7 @@
 //! use std::time::Duration;
 //!
 //! let s = Duration::from_secs;
-//! let scrub = Kind { name: "scrub", priority: 1, bytes: Some(Rate::a_second(1000.0)), ..Kind::default() };
+//! let scrub = Kind { name: "scrub", priority: 1, bytes: Some(Rate::per_second(1000.0)), ..Kind::default() };
 //! let mut work = Scheduler::new(vec![scrub], Duration::from_millis(5));
 //! work.offer(s(0), 0, Cost { bytes: 800.0, ..Cost::default() });
 //! work.offer(s(0), 0, Cost { bytes: 800.0, ..Cost::default() });
@@ -32,18 +32,18 @@
 /// Ratio of the shares of two adjacent priorities while both have waiting tasks.
 const WEIGHT_PER_PRIORITY: f64 = 4.0;
 
-/// A token-bucket rate: `a_second` tokens per second, with a capacity of `burst_seconds` of them.
+/// A token-bucket rate: `per_second` tokens per second, with a capacity of `burst_seconds` of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    pub a_second: f64,
+    pub per_second: f64,
     pub burst_seconds: f64,
 }
 
 impl Rate {
     /// A rate whose bucket holds one second's worth of tokens.
-    pub fn a_second(a_second: f64) -> Rate {
+    pub fn per_second(per_second: f64) -> Rate {
         Rate {
-            a_second,
+            per_second,
             burst_seconds: 1.0,
         }
     }
@@ -71,9 +71,9 @@
     /// A task that has waited this long runs before tasks that have not, whatever their priority.
     pub deadline: Duration,
     /// A task that has waited this long runs even past its budgets and while work is paused.
-    pub starves: Duration,
+    pub starvation_limit: Duration,
     /// Maximum number of tasks of this kind in flight.
-    pub at_once: usize,
+    pub max_in_flight: usize,
 }
 
 impl Default for Kind {
@@ -85,8 +85,8 @@
             operations: None,
             core: None,
             deadline: Duration::from_secs(60),
-            starves: Duration::from_secs(600),
-            at_once: usize::MAX,
+            starvation_limit: Duration::from_secs(600),
+            max_in_flight: usize::MAX,
         }
     }
 }
@@ -100,29 +100,29 @@
     fn new(rate: Rate) -> TokenBucket {
         TokenBucket {
             rate,
-            tokens: rate.a_second * rate.burst_seconds,
+            tokens: rate.per_second * rate.burst_seconds,
         }
     }
 
     fn refill(&mut self, seconds: f64) {
-        let capacity = self.rate.a_second * self.rate.burst_seconds;
-        self.tokens = (self.tokens + self.rate.a_second * seconds).min(capacity);
+        let capacity = self.rate.per_second * self.rate.burst_seconds;
+        self.tokens = (self.tokens + self.rate.per_second * seconds).min(capacity);
     }
 
     /// A task that costs more than the capacity runs when the bucket is full and leaves it in debt.
     fn can_afford(&self, cost: f64) -> bool {
-        self.tokens >= cost.min(self.rate.a_second * self.rate.burst_seconds) - 1e-9
+        self.tokens >= cost.min(self.rate.per_second * self.rate.burst_seconds) - 1e-9
     }
 }
 
 /// Counters of one kind of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Done {
-    pub pieces: u64,
+pub struct Counters {
+    pub tasks: u64,
     pub bytes: f64,
     pub core: f64,
     /// Tasks that started past their deadline, and past their starvation limit.
-    pub late: u64,
+    pub overdue: u64,
     pub starved: u64,
     pub refused: u64,
 }
@@ -135,7 +135,7 @@
     in_flight: VecDeque<Cost>,
     /// Number of tasks started, divided by the kind's weight (the virtual time of fair queueing).
     weighted_service: f64,
-    done: Done,
+    counters: Counters,
 }
 
 impl Queue {
@@ -189,7 +189,7 @@
             waiting: VecDeque::new(),
             in_flight: VecDeque::new(),
             weighted_service: 0.0,
-            done: Done::default(),
+            counters: Counters::default(),
         };
         let queues = kinds.into_iter().map(queue).collect();
         Scheduler {
@@ -202,7 +202,7 @@
     }
 
     /// Records that an iteration of the event loop started `late` after it was due.
-    pub fn turn(&mut self, now: Duration, late: Duration) {
+    pub fn record_loop_delay(&mut self, now: Duration, late: Duration) {
         let mean = self.loop_delay.1 + (late.as_secs_f64() - self.loop_delay.1) * DELAY_SMOOTHING;
         self.loop_delay = (now, mean);
         let limit = self.max_loop_delay.as_secs_f64();
@@ -225,7 +225,7 @@
             return false;
         };
         if queue.waiting.len() >= MAX_WAITING {
-            queue.done.refused += 1;
+            queue.counters.refused += 1;
             return false;
         }
         queue.waiting.push_back((now, cost));
@@ -233,13 +233,13 @@
     }
 
     /// Number of waiting tasks and of tasks in flight of a kind.
-    pub fn held(&self, kind: usize) -> (usize, usize) {
+    pub fn queue_lengths(&self, kind: usize) -> (usize, usize) {
         self.queues
             .get(kind)
             .map_or((0, 0), |queue| (queue.waiting.len(), queue.in_flight.len()))
     }
 
-    /// Starts the next task and returns its kind. Its estimated cost is charged; [`Scheduler::done`] corrects it.
+    /// Starts the next task and returns its kind. Its estimated cost is charged; [`Scheduler::complete`] corrects it.
     pub fn next(&mut self, now: Duration) -> Option<usize> {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
@@ -253,10 +253,10 @@
             let (offered, cost) = queue
                 .waiting
                 .front()
-                .filter(|_| queue.in_flight.len() < queue.kind.at_once)?;
+                .filter(|_| queue.in_flight.len() < queue.kind.max_in_flight)?;
             let waited = now.saturating_sub(*offered);
             let urgency = match waited {
-                waited if waited >= queue.kind.starves => Urgency::Starved,
+                waited if waited >= queue.kind.starvation_limit => Urgency::Starved,
                 waited if waited >= queue.kind.deadline => Urgency::Overdue,
                 _ => Urgency::Normal,
             };
@@ -270,8 +270,8 @@
         let (_, cost) = queue.waiting.pop_front()?;
         queue.charge(&cost, 1.0);
         queue.in_flight.push_back(cost);
-        queue.done.late += u64::from(urgency == Urgency::Overdue);
-        queue.done.starved += u64::from(urgency == Urgency::Starved);
+        queue.counters.overdue += u64::from(urgency == Urgency::Overdue);
+        queue.counters.starved += u64::from(urgency == Urgency::Starved);
         // A kind that was idle accumulates no credit: it starts level with the others.
         let min_service = self
             .queues
@@ -288,7 +288,7 @@
     }
 
     /// Records the completion of a task and replaces the estimate of the oldest task in flight by `cost`.
-    pub fn done(&mut self, kind: usize, cost: Cost) {
+    pub fn complete(&mut self, kind: usize, cost: Cost) {
         let Some(queue) = self.queues.get_mut(kind) else {
             return;
         };
@@ -297,19 +297,19 @@
         };
         queue.charge(&estimate, -1.0);
         queue.charge(&cost, 1.0);
-        queue.done.pieces += 1;
-        queue.done.bytes += cost.bytes;
-        queue.done.core += cost.core;
+        queue.counters.tasks += 1;
+        queue.counters.bytes += cost.bytes;
+        queue.counters.core += cost.core;
     }
 
     /// When to call [`Scheduler::next`] again if nothing else happens; `None` if no waiting task can start.
-    pub fn next_look(&self, now: Duration) -> Option<Duration> {
+    pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         let wakeup_of = |queue: &Queue| {
             let (offered, cost) = queue
                 .waiting
                 .front()
-                .filter(|_| queue.in_flight.len() < queue.kind.at_once)?;
-            let starves = *offered + queue.kind.starves;
+                .filter(|_| queue.in_flight.len() < queue.kind.max_in_flight)?;
+            let starves = *offered + queue.kind.starvation_limit;
             if self.is_paused(now) {
                 return Some(starves.min(self.loop_delay.0 + DELAY_MAX_AGE));
             }
@@ -320,12 +320,12 @@
                 .zip(costs)
                 .filter_map(|(bucket, cost)| {
                     let bucket = bucket.as_ref()?;
-                    let need =
-                        cost.min(bucket.rate.a_second * bucket.rate.burst_seconds) - bucket.tokens;
+                    let need = cost.min(bucket.rate.per_second * bucket.rate.burst_seconds)
+                        - bucket.tokens;
                     Some(if need <= 0.0 {
                         0.0
                     } else {
-                        (need / bucket.rate.a_second.max(1e-9)).min(3600.0)
+                        (need / bucket.rate.per_second.max(1e-9)).min(3600.0)
                     })
                 });
             let wait = Duration::from_secs_f64(waits.fold(0.0, f64::max));
@@ -339,13 +339,13 @@
     }
 
     /// For each kind: its name, the number of waiting tasks and of tasks in flight, and its counters.
-    pub fn report(&self) -> impl Iterator<Item = (&'static str, usize, usize, Done)> {
+    pub fn report(&self) -> impl Iterator<Item = (&'static str, usize, usize, Counters)> {
         self.queues.iter().map(|queue| {
             (
                 queue.kind.name,
                 queue.waiting.len(),
                 queue.in_flight.len(),
-                queue.done,
+                queue.counters,
             )
         })
     }
--- a/crates/scheduler/src/tests.rs
+++ b/crates/scheduler/src/tests.rs
@@ -9,7 +9,7 @@
     Kind {
         priority,
         deadline: ms(1000),
-        starves: ms(5000),
+        starvation_limit: ms(5000),
         ..Kind::default()
     }
 }
@@ -27,7 +27,7 @@
     let mut started = [0; 2];
     for _ in 0..500 {
         (0..2)
-            .filter(|n| work.held(*n).0 < 5)
+            .filter(|n| work.queue_lengths(*n).0 < 5)
             .collect::<Vec<_>>()
             .into_iter()
             .for_each(|n| {
@@ -35,7 +35,7 @@
             });
         let next = work.next(ms(0)).unwrap();
         started[next] += 1;
-        work.done(next, unit_cost());
+        work.complete(next, unit_cost());
     }
     assert_eq!(started, [100, 400]);
 }
@@ -61,15 +61,15 @@
     let mut work = Scheduler::new(vec![kind(1)], ms(5));
     work.offer(ms(0), 0, unit_cost());
     work.offer(ms(0), 0, unit_cost());
-    (0..20).for_each(|_| work.turn(ms(100), ms(20)));
+    (0..20).for_each(|_| work.record_loop_delay(ms(100), ms(20)));
     assert!(work.is_paused(ms(100)) && work.next(ms(100)).is_none());
-    assert_eq!(work.next_look(ms(100)), Some(ms(1100)));
+    assert_eq!(work.next_wakeup(ms(100)), Some(ms(1100)));
     // Work resumes only below half of the limit.
-    (0..50).for_each(|_| work.turn(ms(200), ms(4)));
+    (0..50).for_each(|_| work.record_loop_delay(ms(200), ms(4)));
     assert!(work.is_paused(ms(200)));
-    (0..50).for_each(|_| work.turn(ms(300), ms(2)));
+    (0..50).for_each(|_| work.record_loop_delay(ms(300), ms(2)));
     assert_eq!(work.next(ms(300)), Some(0));
-    (0..50).for_each(|_| work.turn(ms(4900), ms(20)));
+    (0..50).for_each(|_| work.record_loop_delay(ms(4900), ms(20)));
     assert_eq!((work.next(ms(4999)), work.next(ms(5000))), (None, Some(0)));
     // An outdated delay sample pauses nothing.
     work.offer(ms(5000), 0, unit_cost());
@@ -79,7 +79,7 @@
 #[test]
 fn overdue_work_precedes_a_higher_priority_within_the_concurrency_limit() {
     let mut low = kind(0);
-    low.at_once = 1;
+    low.max_in_flight = 1;
     let mut work = Scheduler::new(vec![low, kind(3)], ms(5));
     (0..2).for_each(|n| assert!(work.offer(ms(n), 0, unit_cost())));
     work.offer(ms(1500), 1, unit_cost());
@@ -91,13 +91,13 @@
         ],
         [Some(0), Some(1), None]
     );
-    work.done(0, unit_cost());
+    work.complete(0, unit_cost());
     assert_eq!(work.next(ms(1500)), Some(0));
 }
 
 #[test]
 fn a_wrong_cost_estimate_is_corrected_on_completion() {
-    let bytes = Some(Rate::a_second(100.0));
+    let bytes = Some(Rate::per_second(100.0));
     let mut work = Scheduler::new(vec![Kind { bytes, ..kind(0) }], ms(5));
     let cost = |bytes| Cost {
         bytes,
@@ -105,10 +105,10 @@
     };
     (0..3).for_each(|_| assert!(work.offer(ms(0), 0, cost(10.0))));
     assert_eq!(work.next(ms(0)), Some(0));
-    work.done(0, cost(290.0));
+    work.complete(0, cost(290.0));
     // 190 tokens in debt at 100 a second: ten tokens are available again after 2 s.
     assert_eq!((work.next(ms(1999)), work.next(ms(2000))), (None, Some(0)));
-    assert_eq!(work.next_look(ms(2000)), Some(ms(2100)));
+    assert_eq!(work.next_wakeup(ms(2000)), Some(ms(2100)));
 }
 
 #[test]
@@ -132,7 +132,7 @@
         rates in prop::collection::vec(10.0f64..1000.0, 1..4),
     ) {
         let kinds = rates.iter().enumerate().map(|(n, rate)| {
-            Kind { bytes: Some(Rate::a_second(*rate)), priority: n as u8, ..kind(0) }
+            Kind { bytes: Some(Rate::per_second(*rate)), priority: n as u8, ..kind(0) }
         });
         let mut work = Scheduler::new(kinds.collect(), ms(5));
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -145,13 +145,13 @@
             if rng.u8(..3) == 0 && work.offer(now, n, Cost { bytes, ..Cost::default() }) {
                 waiting[n].push_back((now, bytes));
             }
-            work.turn(now, ms(rng.u64(..12)));
+            work.record_loop_delay(now, ms(rng.u64(..12)));
             while let Some(n) = work.next(now) {
                 let (offered, bytes) = waiting[n].pop_front().unwrap();
                 let waited = now - offered;
                 prop_assert!(waited <= ms(5010), "{waited:?}");
                 if waited >= ms(5000) { starved[n] += bytes } else { used[n] += bytes }
-                work.done(n, Cost { bytes, ..Cost::default() });
+                work.complete(n, Cost { bytes, ..Cost::default() });
             }
         }
         for (n, rate) in rates.iter().enumerate() {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -23,11 +23,11 @@
 pub type Fields = Map<String, Value>;
 
 /// Converts milliseconds, as in the settings, to a duration. Negative values become zero.
-pub fn span(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms.max(0.0) / 1000.0).unwrap_or(Duration::MAX)
 }
 
-pub fn ms(span: Duration) -> f64 {
+pub fn duration_to_ms(span: Duration) -> f64 {
     span.as_nanos() as f64 / 1e6
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// Reads a non-negative integer; a missing or null field is 0.
-pub fn whole(fields: &Fields, name: &str) -> Result<u64, String> {
+pub fn unsigned(fields: &Fields, name: &str) -> Result<u64, String> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(0),
         Some(v) => v
@@ -70,7 +70,7 @@
 }
 
 /// Reads a string; a missing or null field is empty.
-pub fn text<'a>(fields: &'a Fields, name: &str) -> Result<&'a str, String> {
+pub fn string<'a>(fields: &'a Fields, name: &str) -> Result<&'a str, String> {
     match fields.get(name) {
         None | Some(Value::Null) => Ok(""),
         Some(v) => v.as_str().ok_or_else(|| format!("{name} is not a string")),
@@ -136,26 +136,26 @@
         |name| array(family, name).map(|l| l.get(i).and_then(Value::as_bool).unwrap_or(false));
     let fresh = class_number("ClassFresh")?;
     Ok(Class {
-        effect: match text(class, "Effect")? {
+        effect: match string(class, "Effect")? {
             "pure" => Effect::Idempotent,
             "token" => Effect::Deduplicated,
             "side_effect" => Effect::NonIdempotent,
             other => return Err(format!("unknown Effect {other:?}")),
         },
-        group: match text(class, "Group")? {
+        group: match string(class, "Group")? {
             "zone" => Group::Zone,
             "cell" => Group::Cohort,
             "all" | "" => Group::All,
             other => return Err(format!("unknown Group {other:?}")),
         },
-        dedup_window: span(number(class, "Window")?),
-        soft_deadline: span(number(class, "Aim")?),
+        dedup_window: duration_from_ms(number(class, "Window")?),
+        soft_deadline: duration_from_ms(number(class, "Aim")?),
         soft_deadline_multiple: number(class, "AimStretch")?,
-        deadline: span(number(class, "HardLimit")?),
+        deadline: duration_from_ms(number(class, "HardLimit")?),
         value: number(class, "Worth")?,
         late_value: number(class, "LateWorth")?,
-        fresh: (fresh > 0.0).then(|| span(fresh)),
-        max_staleness: span(class_number("StaleFor")?),
+        fresh: (fresh > 0.0).then(|| duration_from_ms(fresh)),
+        max_staleness: duration_from_ms(class_number("StaleFor")?),
         stale_value: class_number("StaleEarns")?,
         cacheable: !class_flag("ClassWrite")?,
         in_parts: class_flag("Segmented")?,
@@ -172,7 +172,7 @@
     let limits = object(options, "Limits")?;
     let rules = object(options, "Obligations")?;
     let classes = objects(options, "Classes")?;
-    let duration_of = |from: &Fields, name: &str| number(from, name).map(span);
+    let duration_of = |from: &Fields, name: &str| number(from, name).map(duration_from_ms);
     let counts = |name| {
         Ok::<_, String>(
             numbers(&family, name)?
@@ -183,10 +183,10 @@
     };
     let fall = duration_of(&rules, "Fall")?;
     Ok(Deployment {
-        router_index: whole(options, "MyNumber")?,
+        router_index: unsigned(options, "MyNumber")?,
         seed,
-        routers: whole(options, "PeersTotal")? as usize,
-        zone: whole(options, "Locality")? as usize,
+        routers: unsigned(options, "PeersTotal")? as usize,
+        zone: unsigned(options, "Locality")? as usize,
         routers_per_zone: counts("CrewByZone")?,
         hub_by_zone: counts("HomeHub")?,
         link_kb_per_s: numbers(&family, "PipeKbPerS")?,
@@ -207,7 +207,7 @@
         min_call_interval: duration_of(options, "Granularity")?,
 
         client_kb_per_s: number(&family, "ClientKbPerS")?,
-        max_attempts: whole(&limits, "MaxAttempts")? as usize,
+        max_attempts: unsigned(&limits, "MaxAttempts")? as usize,
         allows_hedging: flag(&limits, "SecondCopies")?,
         may_cancel: flag(&limits, "MayCancel")?,
         max_retry_after: flag(&limits, "RetryAfter")?
@@ -231,23 +231,23 @@
 
         pass_through: flag(&family, "PassThroughOk")?,
         joins_fills: flag(&family, "SharesFills")?,
-        siblings: match text(&family, "Neighbours")? {
+        siblings: match string(&family, "Neighbours")? {
             "location" => Siblings::Zone,
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
-        telling: match text(&family, "Says")? {
+        telling: match string(&family, "Says")? {
             "all" => ReportedDetails::All,
             "hit" => ReportedDetails::Hits,
             _ => ReportedDetails::Nothing,
         },
-        hints: match text(options, "Weights")? {
+        hints: match string(options, "Weights")? {
             "nominal" => CapacityHints::Nominal,
             "rough" => CapacityHints::Rough,
             "live" => CapacityHints::Live,
             _ => CapacityHints::None,
         },
-        list_on_request: text(options, "RegistryMode")? == "ask",
+        list_on_request: string(options, "RegistryMode")? == "ask",
         list_request_interval: duration_of(&rules, "AskWithin")?,
     })
 }
@@ -272,7 +272,7 @@
     let names_of = |name: &str| {
         let all = objects(options, name)?;
         all.iter()
-            .map(|one| text(one, "Name").map(str::to_owned))
+            .map(|one| string(one, "Name").map(str::to_owned))
             .collect::<Result<_, String>>()
     };
     Ok(Names {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -6,14 +6,16 @@
     ActionSink, AttemptResult, Fill, Id, IncomingRequest, ListKind, Load, Member, Outcome, Remark,
     ServerState, Tier,
 };
-use chalkhall_settings::{self as deployment, Fields, flag, ms, number, span, text, whole};
+use chalkhall_settings::{
+    self as deployment, Fields, duration_from_ms, duration_to_ms, flag, number, string, unsigned,
+};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 use std::time::Duration;
 
 fn id(fields: &Fields, name: &str) -> Result<Id, String> {
-    match text(fields, name)? {
+    match string(fields, name)? {
         "" => Err(format!("{name} is missing")),
         found => Ok(found.into()),
     }
@@ -41,12 +43,13 @@
             | u8::from(fill.only_held) << 1
             | u8::from(!fill.parent_keeps) << 2
             | u8::from(fill.revalidate) << 3;
-        let mut fields = json!({"OpId": &**request, "Server": &**server, "GiveUpAfter": ms(limit)});
+        let mut fields =
+            json!({"OpId": &**request, "Server": &**server, "GiveUpAfter": duration_to_ms(limit)});
         fields["Source"] = (*fill.source).into();
         fields["Rank"] = fill.priority.into();
         fields["Manner"] = manner.into();
         if let Some(oldest) = fill.max_age {
-            fields["HowOld"] = ms(oldest).into();
+            fields["HowOld"] = duration_to_ms(oldest).into();
         }
         self.write("ServeOrFill", fields);
     }
@@ -54,7 +57,7 @@
     fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
         self.write(
             "Refuse",
-            json!({"OpId": &**request, "HoldOff": retry_after.map_or(0.0, ms)}),
+            json!({"OpId": &**request, "HoldOff": retry_after.map_or(0.0, duration_to_ms)}),
         );
     }
 
@@ -67,7 +70,10 @@
     }
 
     fn set_timer(&mut self, at: Duration, timer_id: u64) {
-        self.write("NotifyMe", json!({"When": ms(at), "Mark": timer_id}));
+        self.write(
+            "NotifyMe",
+            json!({"When": duration_to_ms(at), "Mark": timer_id}),
+        );
     }
 
     fn subscribe_list(&mut self) {
@@ -84,20 +90,20 @@
     let started = number(f, "LastStart")?;
     let member = Member {
         server: id(f, "Server")?,
-        zone: whole(f, "Area")? as usize,
+        zone: unsigned(f, "Area")? as usize,
         tier: Tier::Cache,
-        cohort: whole(f, "Cohort")?,
-        standing: match text(f, "Mode")? {
+        cohort: unsigned(f, "Cohort")?,
+        standing: match string(f, "Mode")? {
             "active" => ServerState::Active,
             "leaving" => ServerState::Draining,
             "left" => ServerState::Removed,
             other => return Err(format!("unknown Mode {other:?}")),
         },
         capacity: number(f, "CapacityHint")?,
-        started: (started > 0.0).then(|| span(started)),
+        started: (started > 0.0).then(|| duration_from_ms(started)),
         ..Member::default()
     };
-    Ok((member, whole(f, "Sku")?))
+    Ok((member, unsigned(f, "Sku")?))
 }
 
 fn outcome(code: &str) -> Result<Outcome, String> {
@@ -163,11 +169,11 @@
     fn ended(&self, f: &Fields) -> Result<AttemptResult, String> {
         let first_byte = f.get("Ttfb").filter(|v| !v.is_null());
         Ok(AttemptResult {
-            outcome: outcome(text(f, "StateCode")?)?,
-            remark: remark(whole(f, "Remark")?),
-            duration: span(number(f, "Took")?),
+            outcome: outcome(string(f, "StateCode")?)?,
+            remark: remark(unsigned(f, "Remark")?),
+            duration: duration_from_ms(number(f, "Took")?),
             first_byte: first_byte
-                .map(|_| number(f, "Ttfb").map(span))
+                .map(|_| number(f, "Ttfb").map(duration_from_ms))
                 .transpose()?,
             is_complete: flag(f, "Last")?,
             load: self.load(f)?,
@@ -191,13 +197,13 @@
                 .and_then(Value::as_array)
                 .ok_or("Members is not an array")?;
             let entries = entries.iter().map(member).collect::<Result<_, _>>()?;
-            self.server_lists.insert(whole(f, "Sheet")?, entries);
+            self.server_lists.insert(unsigned(f, "Sheet")?, entries);
             return Ok(());
         }
         if !f.contains_key("Router") {
             return Err("Router is missing".into());
         }
-        let router_number = whole(f, "Router")?;
+        let router_number = unsigned(f, "Router")?;
         let out = &mut ReplyWriter {
             router: router_number,
             output,
@@ -209,7 +215,7 @@
                 .get("Options")
                 .and_then(Value::as_object)
                 .ok_or("Options is not an object")?;
-            let settings = deployment::deployment(whole(f, "Salt")?, options)?;
+            let settings = deployment::deployment(unsigned(f, "Salt")?, options)?;
             let router = Router::start(now, &settings, out);
             let (report, classes) = (deployment::report_fields(options), settings.classes.len());
             let parent_and_origin = deployment::parent_and_origin(options);
@@ -231,14 +237,14 @@
         match name {
             "Killed" => drop(self.routers.remove(&router_number)),
             "Discovery" => {
-                let kind = match text(f, "How")? {
+                let kind = match string(f, "How")? {
                     "incr" => ListKind::Changes,
                     "total" => ListKind::Snapshot,
                     "warm_copy" => ListKind::Restored,
                     "lost" => ListKind::Failed,
                     other => return Err(format!("unknown How {other:?}")),
                 };
-                let sheet = whole(f, "Sheet")?;
+                let sheet = unsigned(f, "Sheet")?;
                 let entries = match self.server_lists.get(&sheet) {
                     _ if kind == ListKind::Failed => &[],
                     Some(entries) => entries.as_slice(),
@@ -259,14 +265,14 @@
             "Accept" => {
                 let arrival = IncomingRequest {
                     id: id(f, "OpId")?,
-                    class: whole(f, "Priority")? as usize,
-                    customer: whole(f, "Customer")? as usize,
-                    object: text(f, "Item")?.into(),
-                    part: whole(f, "Segment")?,
-                    group: whole(f, "SetNo")?,
+                    class: unsigned(f, "Priority")? as usize,
+                    customer: unsigned(f, "Customer")? as usize,
+                    object: string(f, "Item")?.into(),
+                    part: unsigned(f, "Segment")?,
+                    group: unsigned(f, "SetNo")?,
                     kb: number(f, "Kb")?,
                     zone: None,
-                    time_left: span(number(f, "Ttl")?),
+                    time_left: duration_from_ms(number(f, "Ttl")?),
                     is_retry: flag(f, "Repeat")?,
                     cell: None,
                 };
@@ -280,23 +286,23 @@
                 hosted.router.attempt_ended(
                     now,
                     &id(f, "OpId")?,
-                    whole(f, "N")? as usize,
+                    unsigned(f, "N")? as usize,
                     &ended,
                     out,
                 );
             }
             "First" => hosted.router.answer_started(&id(f, "OpId")?),
             "TimedOutClient" => hosted.router.client_left(now, &id(f, "OpId")?, out),
-            "Timer" => hosted.router.wake(now, whole(f, "Mark")?, out),
+            "Timer" => hosted.router.wake(now, unsigned(f, "Mark")?, out),
             "ExpiredNow" => {
-                let object = Some(text(f, "Item")?)
+                let object = Some(string(f, "Item")?)
                     .filter(|item| !item.is_empty())
                     .map(Id::from);
                 hosted.router.record_purge(
                     now,
                     object,
-                    whole(f, "FamilyId")?,
-                    span(number(f, "HowOld")?),
+                    unsigned(f, "FamilyId")?,
+                    duration_from_ms(number(f, "HowOld")?),
                 );
             }
             // These routers neither send probes nor messages to one another.
@@ -345,7 +351,7 @@
         let in_message = |what: String| at_line(format!("{name}: {what}"));
         match (name.as_str(), &turn) {
             ("Turn", None) => {
-                host.now = span(number(fields, "Ts").map_err(in_message)?);
+                host.now = duration_from_ms(number(fields, "Ts").map_err(in_message)?);
                 turn = Some(
                     fields
                         .get("turn")
--- a/crates/stats/src/recent.rs
+++ b/crates/stats/src/recent_quantiles.rs
@@ -5,16 +5,16 @@
 /// The last `capacity` values. Adding one is linear in the capacity (it shifts a sorted vector); a
 /// quantile takes constant time.
 #[derive(Clone, Debug)]
-pub struct Recent {
+pub struct RecentQuantiles {
     capacity: usize,
     by_arrival: VecDeque<f64>,
     sorted: Vec<f64>,
 }
 
-impl Recent {
+impl RecentQuantiles {
     /// Keeps the last `capacity` values, at least one.
-    pub fn new(capacity: usize) -> Recent {
-        Recent {
+    pub fn new(capacity: usize) -> RecentQuantiles {
+        RecentQuantiles {
             capacity: capacity.max(1),
             by_arrival: VecDeque::new(),
             sorted: Vec::new(),
@@ -22,7 +22,7 @@
     }
 
     /// Adds a value and drops the oldest one beyond the capacity. NaN is ignored.
-    pub fn note(&mut self, value: f64) {
+    pub fn record(&mut self, value: f64) {
         if value.is_nan() {
             return;
         }
--- a/crates/stats/src/recent/tests.rs
+++ b/crates/stats/src/recent_quantiles/tests.rs
@@ -8,9 +8,9 @@
         capacity in 1usize..40,
         share in 0.0f64..1.0,
     ) {
-        let mut recent = Recent::new(capacity);
+        let mut recent = RecentQuantiles::new(capacity);
         for (n, value) in values.iter().enumerate() {
-            recent.note(*value);
+            recent.record(*value);
             let mut latest = values[(n + 1).saturating_sub(capacity)..=n].to_vec();
             latest.sort_by(f64::total_cmp);
             prop_assert_eq!(recent.len(), latest.len());
--- a/crates/stats/src/rendezvous/tests.rs
+++ b/crates/stats/src/rendezvous/tests.rs
@@ -4,7 +4,7 @@
 fn owner<'a>(nodes: &[(&'a str, f64)], key: &str) -> &'a str {
     let scores = nodes
         .iter()
-        .map(|(node, weight)| (draw(node, key, 0, *weight), *node));
+        .map(|(node, weight)| (rendezvous_score(node, key, 0, *weight), *node));
     scores.min_by(|a, b| a.0.total_cmp(&b.0)).expect("nodes").1
 }
 
--- a/crates/stats/src/window.rs
+++ b/crates/stats/src/window_sum.rs
@@ -6,14 +6,14 @@
 /// Weights in the order of their times. Each is visited once when it is added and once when it
 /// expires, so the cost of adding does not grow with the number of entries in the window.
 #[derive(Clone, Debug, Default)]
-pub struct Window {
+pub struct WindowSum {
     entries: VecDeque<(Duration, f64)>,
     sum: f64,
 }
 
-impl Window {
+impl WindowSum {
     /// Drops entries that are `span` old or older, and adds a weight. Times must not decrease.
-    pub fn note(&mut self, now: Duration, span: Duration, weight: f64) {
+    pub fn record(&mut self, now: Duration, span: Duration, weight: f64) {
         while let Some((_, expired)) = self
             .entries
             .front()
--- a/crates/stats/src/window/tests.rs
+++ b/crates/stats/src/window_sum/tests.rs
@@ -7,10 +7,10 @@
         steps in prop::collection::vec((0u64..400, 0.0f64..10.0), 1..200), later in 0u64..1500,
     ) {
         let (span, mut now) = (Duration::from_millis(1000), Duration::ZERO);
-        let (mut window, mut all) = (Window::default(), Vec::new());
+        let (mut window, mut all) = (WindowSum::default(), Vec::new());
         for (step, weight) in steps {
             now += Duration::from_millis(step);
-            window.note(now, span, weight);
+            window.record(now, span, weight);
             all.push((now, weight));
             for at in [now, now + Duration::from_millis(later)] {
                 let sum: f64 = all.iter().filter(|(noted, _)| *noted + span > at).map(|(_, w)| w).sum();
--- a/crates/store/examples/catalogues.rs
+++ b/crates/store/examples/catalogues.rs
@@ -4,8 +4,8 @@
 //! Parts are added in batches of 64, as many as a sync of 8 MB holds at 128 KB each; each batch is durable before
 //! the next one starts.
 
-use chalkhall_store::decide::index::{Index, Spot};
-use chalkhall_store::format::{Entry, decode_footer, encode_footer};
+use chalkhall_store::decide::index::{Index, IndexEntry};
+use chalkhall_store::format::{FooterEntry, decode_footer, encode_footer};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs;
 use std::io::Write;
@@ -16,48 +16,48 @@
 const PARTS_PER_SEGMENT: u64 = 256;
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("parts");
 
-fn entry(n: u64) -> Entry {
+fn entry(n: u64) -> FooterEntry {
     let key = n.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let at = 64 + (n % PARTS_PER_SEGMENT) as u32 * 131_072;
-    Entry {
+    let offset = 64 + (n % PARTS_PER_SEGMENT) as u32 * 131_072;
+    FooterEntry {
         key,
         object: key ^ 1,
-        at,
+        offset,
         length: 131_072,
-        made: 1_800_000_000_000 + n,
+        created_at_ms: 1_800_000_000_000 + n,
         group: 3,
         rank: 2,
         tag: n as u32,
     }
 }
 
-fn spot(entry: &Entry, segment: u32) -> Spot {
-    let Entry {
-        at,
+fn index_entry(entry: &FooterEntry, segment: u32) -> IndexEntry {
+    let FooterEntry {
+        offset,
         length,
         tag,
-        made,
+        created_at_ms,
         group,
         rank,
         ..
     } = *entry;
-    Spot {
+    IndexEntry {
         segment,
-        at,
+        offset,
         length,
         tag,
-        made,
+        created_at_ms,
         group,
         rank,
-        heat: 0,
+        read_count: 0,
         proven: true,
     }
 }
 
-fn row(entry: &Entry) -> [u8; 32] {
+fn row(entry: &FooterEntry) -> [u8; 32] {
     let mut row = [0; 32];
-    row[..8].copy_from_slice(&entry.made.to_le_bytes());
-    row[8..12].copy_from_slice(&entry.at.to_le_bytes());
+    row[..8].copy_from_slice(&entry.created_at_ms.to_le_bytes());
+    row[8..12].copy_from_slice(&entry.offset.to_le_bytes());
     row[12..16].copy_from_slice(&entry.length.to_le_bytes());
     row
 }
@@ -93,11 +93,11 @@
     let (before, wrote, started) = (resident_bytes(), written_bytes(), Instant::now());
     let mut index = Index::new(u64::MAX);
     for segment in 0..parts / PARTS_PER_SEGMENT {
-        let entries: Vec<Entry> = (0..PARTS_PER_SEGMENT)
+        let entries: Vec<FooterEntry> = (0..PARTS_PER_SEGMENT)
             .map(|n| entry(segment * PARTS_PER_SEGMENT + n))
             .collect();
         for entry in &entries {
-            let _ = index.put(entry.key, &spot(entry, segment as u32));
+            let _ = index.put(entry.key, &index_entry(entry, segment as u32));
         }
         let mut file = fs::File::create(folder.join(format!("{segment}"))).expect("a file");
         file.write_all(&encode_footer(&entries, 1, segment as u32, 0))
@@ -115,7 +115,7 @@
     for segment in 0..parts / PARTS_PER_SEGMENT {
         let bytes = fs::read(folder.join(format!("{segment}"))).expect("read");
         for entry in decode_footer(&bytes, 1, segment as u32, 0).expect("whole") {
-            let _ = index.put(entry.key, &spot(&entry, segment as u32));
+            let _ = index.put(entry.key, &index_entry(&entry, segment as u32));
         }
     }
     assert_eq!(index.len() as u64, parts);
--- a/crates/store/src/catalogue.rs
+++ b/crates/store/src/catalogue.rs
@@ -3,7 +3,7 @@
 //! over the same file layer as the segments, so that simulated crashes cover it too.
 
 use crate::boot_clock::BootClock;
-use crate::decide::purges::Mark;
+use crate::decide::purges::PurgeRecord;
 use crate::files::{File, Files, read_exact_at};
 use redb::backends::InMemoryBackend;
 use redb::{
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-pub const NAME: &str = "catalogue";
+pub const FILE_NAME: &str = "catalogue";
 const TEMPORARY_NAME: &str = "catalogue.begun";
 /// The version of a store's directory as a whole.
 const DIRECTORY_VERSION: u64 = 1;
@@ -31,8 +31,8 @@
 
 /// One change to the catalogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
-    Purge(Mark),
+pub enum CatalogueLine {
+    Purge(PurgeRecord),
     /// Discovery confirmed that every purge made up to this Unix millisecond was received; those purges are
     /// written before this line.
     ConfirmedUpTo(u64),
@@ -46,12 +46,12 @@
 
 /// The contents of the catalogue when it is opened.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
+pub struct CatalogueSnapshot {
     /// The store's ID, chosen at random when it was first opened.
-    pub store: u64,
-    pub marks: Vec<Mark>,
-    /// The last `Line::ConfirmedUpTo`. `None` if there was none since the last step of the clock.
-    pub heard: Option<u64>,
+    pub store_id: u64,
+    pub purges: Vec<PurgeRecord>,
+    /// The last `CatalogueLine::ConfirmedUpTo`. `None` if there was none since the last step of the clock.
+    pub confirmed_up_to_ms: Option<u64>,
     /// The last segment whose purges may have been missed, and the last one whose times are unreliable; 0:
     /// none.
     pub purges_missed_up_to: u32,
@@ -80,14 +80,14 @@
                     "directory version {found} is not supported (this program reads version {DIRECTORY_VERSION}); it is left unchanged"
                 )
             }
-            CatalogueError::Io(error) => write!(f, "{NAME}: {error}"),
+            CatalogueError::Io(error) => write!(f, "{FILE_NAME}: {error}"),
             CatalogueError::Invalid(message) => f.write_str(message),
         }
     }
 }
 
 fn invalid(message: impl fmt::Display) -> CatalogueError {
-    CatalogueError::Invalid(format!("{NAME}: {message}"))
+    CatalogueError::Invalid(format!("{FILE_NAME}: {message}"))
 }
 
 /// Converts a database error: I/O errors may be transient, all others mean that the file is not a valid
@@ -180,19 +180,23 @@
         })
     }
 
-    fn apply(&mut self, line: &Line) {
+    fn apply(&mut self, line: &CatalogueLine) {
         match line {
-            Line::Purge(Mark::Object(object, ms)) => drop(self.objects.insert(*object, *ms)),
-            Line::Purge(Mark::Group(slot, ms)) => drop(self.groups.insert(*slot as u64, *ms)),
-            Line::Purge(Mark::Folded(object, slot, ms)) => {
+            CatalogueLine::Purge(PurgeRecord::Object(object, ms)) => {
+                self.objects.insert(*object, *ms);
+            }
+            CatalogueLine::Purge(PurgeRecord::Group(slot, ms)) => {
+                self.groups.insert(*slot as u64, *ms);
+            }
+            CatalogueLine::Purge(PurgeRecord::Folded(object, slot, ms)) => {
                 self.objects.remove(object);
                 self.folded.insert(*slot as u64, *ms);
             }
-            Line::ConfirmedUpTo(ms) => self.confirmed_up_to = Some(*ms),
-            Line::PurgesMissedUpTo(segment) => {
+            CatalogueLine::ConfirmedUpTo(ms) => self.confirmed_up_to = Some(*ms),
+            CatalogueLine::PurgesMissedUpTo(segment) => {
                 self.purges_missed_up_to = self.purges_missed_up_to.max(*segment)
             }
-            Line::TimesUnreliableUpTo(segment) => {
+            CatalogueLine::TimesUnreliableUpTo(segment) => {
                 self.times_unreliable_up_to = self.times_unreliable_up_to.max(*segment)
             }
         }
@@ -207,8 +211,8 @@
             metadata.insert("store", self.store_id)?;
             metadata.insert("uncovered", u64::from(self.purges_missed_up_to))?;
             metadata.insert("undated", u64::from(self.times_unreliable_up_to))?;
-            if let Some(heard) = self.confirmed_up_to {
-                metadata.insert("heard", heard)?;
+            if let Some(confirmed_up_to_ms) = self.confirmed_up_to {
+                metadata.insert("heard", confirmed_up_to_ms)?;
             }
             if let Some(clock) = self.clock {
                 metadata.insert("boot", clock.boot)?;
@@ -228,23 +232,23 @@
         Ok(write.commit()?)
     }
 
-    fn known(&self) -> Known {
+    fn known(&self) -> CatalogueSnapshot {
         let folded = self
             .folded
             .iter()
-            .map(|(slot, ms)| Mark::Folded(0, *slot as usize, *ms));
+            .map(|(slot, ms)| PurgeRecord::Folded(0, *slot as usize, *ms));
         let groups = self
             .groups
             .iter()
-            .map(|(slot, ms)| Mark::Group(*slot as usize, *ms));
+            .map(|(slot, ms)| PurgeRecord::Group(*slot as usize, *ms));
         let objects = self
             .objects
             .iter()
-            .map(|(object, ms)| Mark::Object(*object, *ms));
-        Known {
-            store: self.store_id,
-            marks: folded.chain(groups).chain(objects).collect(),
-            heard: self.confirmed_up_to,
+            .map(|(object, ms)| PurgeRecord::Object(*object, *ms));
+        CatalogueSnapshot {
+            store_id: self.store_id,
+            purges: folded.chain(groups).chain(objects).collect(),
+            confirmed_up_to_ms: self.confirmed_up_to,
             purges_missed_up_to: self.purges_missed_up_to,
             times_unreliable_up_to: self.times_unreliable_up_to,
             clock_stepped: false,
@@ -289,10 +293,10 @@
         files: Arc<dyn Files>,
         store_id: u64,
         clock: Option<BootClock>,
-    ) -> Result<(Catalogue, Known), CatalogueError> {
+    ) -> Result<(Catalogue, CatalogueSnapshot), CatalogueError> {
         let names = files.list().map_err(CatalogueError::Io)?;
-        if names.iter().any(|name| name == NAME) {
-            let mut rows = Rows::read(&*files.open(NAME).map_err(CatalogueError::Io)?)?;
+        if names.iter().any(|name| name == FILE_NAME) {
+            let mut rows = Rows::read(&*files.open(FILE_NAME).map_err(CatalogueError::Io)?)?;
             // An earlier opening may have created the name without syncing it.
             files.sync_names().map_err(CatalogueError::Io)?;
             let clock_stepped = rows
@@ -303,7 +307,7 @@
                 // This time was read from the clock before the step and cannot be compared.
                 rows.confirmed_up_to = None;
             }
-            let known = Known {
+            let known = CatalogueSnapshot {
                 clock_stepped,
                 ..rows.known()
             };
@@ -334,7 +338,7 @@
 
     /// Writes lines in their order; they are durable once this returns. After an error it is unknown whether
     /// they are, and the next write includes them again.
-    pub fn write(&mut self, lines: &[Line]) -> Result<(), CatalogueError> {
+    pub fn write(&mut self, lines: &[CatalogueLine]) -> Result<(), CatalogueError> {
         lines.iter().for_each(|line| self.rows.apply(line));
         let Some(database) = &self.database else {
             return self.rewrite();
@@ -365,7 +369,7 @@
         })?;
         self.rows.write_all(&database).map_err(from_redb)?;
         self.files
-            .rename(TEMPORARY_NAME, NAME)
+            .rename(TEMPORARY_NAME, FILE_NAME)
             .and_then(|()| self.files.sync_names())
             .map_err(CatalogueError::Io)?;
         self.database = Some(database);
@@ -373,7 +377,7 @@
     }
 }
 
-fn append(database: &Database, lines: &[Line], rows: &Rows) -> Result<(), redb::Error> {
+fn append(database: &Database, lines: &[CatalogueLine], rows: &Rows) -> Result<(), redb::Error> {
     let write = database.begin_write()?;
     {
         let mut metadata = write.open_table(METADATA)?;
@@ -382,17 +386,21 @@
         let mut groups = write.open_table(GROUP_PURGES)?;
         for line in lines {
             match line {
-                Line::Purge(Mark::Object(object, ms)) => drop(objects.insert(object, ms)?),
-                Line::Purge(Mark::Group(slot, ms)) => drop(groups.insert(*slot as u64, ms)?),
-                Line::Purge(Mark::Folded(object, slot, ms)) => {
+                CatalogueLine::Purge(PurgeRecord::Object(object, ms)) => {
+                    drop(objects.insert(object, ms)?)
+                }
+                CatalogueLine::Purge(PurgeRecord::Group(slot, ms)) => {
+                    drop(groups.insert(*slot as u64, ms)?)
+                }
+                CatalogueLine::Purge(PurgeRecord::Folded(object, slot, ms)) => {
                     objects.remove(object)?;
                     folded.insert(*slot as u64, ms)?;
                 }
-                Line::ConfirmedUpTo(ms) => drop(metadata.insert("heard", ms)?),
-                Line::PurgesMissedUpTo(_) => {
+                CatalogueLine::ConfirmedUpTo(ms) => drop(metadata.insert("heard", ms)?),
+                CatalogueLine::PurgesMissedUpTo(_) => {
                     drop(metadata.insert("uncovered", u64::from(rows.purges_missed_up_to))?)
                 }
-                Line::TimesUnreliableUpTo(_) => {
+                CatalogueLine::TimesUnreliableUpTo(_) => {
                     drop(metadata.insert("undated", u64::from(rows.times_unreliable_up_to))?)
                 }
             }
@@ -420,7 +428,7 @@
 
 impl fmt::Debug for Backend {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str(NAME)
+        f.write_str(FILE_NAME)
     }
 }
 
--- a/crates/store/src/copy.rs
+++ b/crates/store/src/copy.rs
@@ -11,14 +11,14 @@
     /// The name of its class.
     pub class: Bytes,
     /// When the origin sent it.
-    pub made: u64,
-    /// Milliseconds after `made` for which it is fresh; 0: until it is purged.
-    pub fresh: u64,
+    pub created_at_ms: u64,
+    /// Milliseconds after `created_at_ms` for which it is fresh; 0: until it is purged.
+    pub fresh_for_ms: u64,
     /// The size that requests state, in KB.
     pub kb: f64,
     /// Whether its object consists of several parts.
-    pub in_parts: bool,
+    pub is_multipart: bool,
     /// The entity tag of this version, as its source sent it.
-    pub tag: Bytes,
+    pub etag: Bytes,
     pub body: Bytes,
 }
--- a/crates/store/src/decide/disk/catalogue_updates.rs
+++ b/crates/store/src/decide/disk/catalogue_updates.rs
@@ -6,19 +6,20 @@
     /// Queues a received purge for the catalogue, before any later confirmation of discovery.
     pub fn queue_purges(
         &mut self,
-        marks: impl IntoIterator<Item = Mark>,
+        records: impl IntoIterator<Item = PurgeRecord>,
         backend: &mut dyn DiskBackend,
     ) {
         if self.queued_lines.len() >= MAX_QUEUED_LINES {
             self.confirmations_stopped = true;
             return;
         }
-        self.queued_lines.extend(marks.into_iter().map(Line::Purge));
+        self.queued_lines
+            .extend(records.into_iter().map(CatalogueLine::Purge));
         self.write_queued_lines(backend);
     }
 
     /// Discovery confirmed that every purge made up to this Unix millisecond was received.
-    pub fn heard(&mut self, ms: u64) {
+    pub fn confirm_discovery_up_to(&mut self, ms: u64) {
         self.confirmed_up_to = Some(
             self.confirmed_up_to
                 .map_or(ms, |confirmed| confirmed.max(ms)),
@@ -53,7 +54,8 @@
             // confirmation, which must not be written before them.
             self.counts.write_faults += 1;
             self.catalogue_retry.failed();
-            let is_confirmation = |line: &Line| matches!(line, Line::ConfirmedUpTo(_));
+            let is_confirmation =
+                |line: &CatalogueLine| matches!(line, CatalogueLine::ConfirmedUpTo(_));
             let newer_lines = std::mem::replace(
                 &mut self.queued_lines,
                 lines.into_iter().filter(|l| !is_confirmation(l)).collect(),
@@ -78,8 +80,9 @@
             // Queued behind every purge received before; lines are written in this order or together. It
             // replaces an earlier confirmation that is still queued.
             self.queued_lines
-                .retain(|line| !matches!(line, Line::ConfirmedUpTo(_)));
-            self.queued_lines.push(Line::ConfirmedUpTo(confirmed));
+                .retain(|line| !matches!(line, CatalogueLine::ConfirmedUpTo(_)));
+            self.queued_lines
+                .push(CatalogueLine::ConfirmedUpTo(confirmed));
             self.write_queued_lines(backend);
         }
     }
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -15,18 +15,18 @@
 mod write;
 
 use super::admission::{Admission, Refusal};
-use super::index::{Index, IndexFull, Spot};
-use super::purges::{Mark, Purges, group_slot};
+use super::index::{Index, IndexEntry, IndexFull};
+use super::purges::{PurgeRecord, Purges, group_slot};
 use super::segments::{SIZE_CLASSES, Segments, State, size_class};
-use crate::catalogue::{Known, Line};
+use crate::catalogue::{CatalogueLine, CatalogueSnapshot};
 use crate::copy::Copy;
 use crate::format::{
-    self, Entry, FOOTER_TRAILER_LEN, SEGMENT_HEADER_LEN, fits_in_record, record_len, tag_hash,
+    self, FOOTER_TRAILER_LEN, FooterEntry, SEGMENT_HEADER_LEN, fits_in_record, record_len, tag_hash,
 };
 use crate::key::{self, Key};
 use crate::recovery::{Recovered, RecoveryError};
 use chalkhall::control::ServerHealth;
-use chalkhall_scheduler::{Cost, Done, Kind, Rate, Scheduler};
+use chalkhall_scheduler::{Cost, Counters, Kind, Rate, Scheduler};
 use retry::Retry;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 /// Segments kept free, so that writes need not wait for a reclaim.
 const RESERVED_SEGMENTS: usize = 2;
 /// The least number of segments that can hold an open one of each size class and others to reclaim.
-pub const SEGMENTS_LEAST: usize = 8;
+pub const MIN_SEGMENTS: usize = 8;
 /// The least ratio of a segment's size to the length of a record in it.
 const MIN_SEGMENT_TO_RECORD_RATIO: u32 = 4;
 /// Bytes of records being written, and of copies queued for admission to the disk.
@@ -75,15 +75,15 @@
 
 /// The settings of the disk tier.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct DiskSettings {
     /// The maximum bytes of all segments together, and of one segment.
     pub bytes: u64,
     pub segment: u32,
     /// The maximum memory of the index, in bytes.
     pub index: u64,
-    pub write_rate: Option<u64>,
-    pub write_day: Option<u64>,
-    pub least_fresh: Duration,
+    pub write_bytes_per_second: Option<u64>,
+    pub write_bytes_per_day: Option<u64>,
+    pub min_freshness: Duration,
     pub carry: f64,
     pub sync_after: Duration,
     pub sync_bytes: u64,
@@ -93,20 +93,20 @@
     pub revalidate: f64,
     pub read_ahead: usize,
     pub scrub: u64,
-    pub yield_over: Duration,
+    pub max_loop_delay: Duration,
     /// Baseline for measurements: copies are admitted regardless of rank, and none are carried over.
     pub admit_all: bool,
 }
 
-impl Default for Wanted {
-    fn default() -> Wanted {
-        Wanted {
+impl Default for DiskSettings {
+    fn default() -> DiskSettings {
+        DiskSettings {
             bytes: 1 << 30,
             segment: 32 << 20,
             index: 64 << 20,
-            write_rate: None,
-            write_day: None,
-            least_fresh: Duration::from_secs(60),
+            write_bytes_per_second: None,
+            write_bytes_per_day: None,
+            min_freshness: Duration::from_secs(60),
             carry: 0.2,
             sync_after: Duration::from_secs(1),
             sync_bytes: 8 << 20,
@@ -114,7 +114,7 @@
             revalidate: 0.0,
             read_ahead: 1,
             scrub: 1 << 20,
-            yield_over: Duration::from_millis(5),
+            max_loop_delay: Duration::from_millis(5),
             admit_all: false,
         }
     }
@@ -133,7 +133,7 @@
 
 /// The result of a read for a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fetched {
+pub enum ReadResult {
     Copy(Rc<Copy>),
     /// The copy is damaged or may no longer be served; the request treats it as a miss.
     Gone,
@@ -145,7 +145,7 @@
 /// and will not complete.
 pub trait DiskBackend {
     /// Reads the record at this position. Completes with `Store::complete_read`.
-    fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool;
+    fn read(&mut self, ticket: u64, segment: u32, offset: u32, length: u32) -> bool;
     /// Lists the records of a segment. Completes with `Store::complete_list`.
     fn list(&mut self, segment: u32) -> bool;
     /// Recovers a segment of an earlier run, sealing it if necessary. Completes with
@@ -154,22 +154,22 @@
     /// Creates the file of a segment of this size class. A failure also fails the later writes to the segment.
     fn create_segment(&mut self, segment: u32, class: u32) -> bool;
     /// Writes a record. Completes with `Store::complete_append`.
-    fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool;
+    fn append(&mut self, ticket: u64, segment: u32, offset: u32, record: Vec<u8>) -> bool;
     /// Syncs a segment. Completes with `Store::complete_sync`.
     fn sync(&mut self, segment: u32, up_to: u32) -> bool;
     /// Writes the footer and syncs. Completes with `Store::complete_seal`.
-    fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool;
+    fn seal(&mut self, segment: u32, offset: u32, footer: Vec<u8>) -> bool;
     /// Removes a segment's file. Completes with `Store::complete_removal`.
     fn remove(&mut self, segment: u32) -> bool;
     /// Writes lines to the catalogue, in their order. Completes with `Store::complete_catalogue_write`.
-    fn write_catalogue(&mut self, lines: Vec<Line>) -> bool;
-    /// Delivers the result of a read started with `Store::fetch`.
-    fn read_completed(&mut self, _ticket: u64, _fetched: Fetched) {}
-    /// Requests a revalidation of this copy with its source. Completes with `Store::proven` or `Store::keep`, or
+    fn write_catalogue(&mut self, lines: Vec<CatalogueLine>) -> bool;
+    /// Delivers the result of a read started with `Store::start_read`.
+    fn read_completed(&mut self, _ticket: u64, _fetched: ReadResult) {}
+    /// Requests a revalidation of this copy with its source. Completes with `Store::confirm_version` or `Store::insert`, or
     /// not at all.
     fn revalidate(&mut self, _copy: &Copy) {}
     /// Notifies that this copy is durable.
-    fn copy_durable(&mut self, _key: Key, _made: u64) {}
+    fn copy_durable(&mut self, _key: Key, _created_at_ms: u64) {}
     /// Notifies that this copy was dropped.
     fn copy_dropped(&mut self, _key: Key) {}
 }
@@ -220,25 +220,25 @@
 enum ReadPurpose {
     Request {
         key: Key,
-        spot: Spot,
+        index_entry: IndexEntry,
         object: Vec<u8>,
         part: u64,
         group: usize,
     },
     ReadAhead {
         key: Key,
-        spot: Spot,
+        index_entry: IndexEntry,
     },
     Carry {
-        entry: Entry,
+        entry: FooterEntry,
     },
     Scrub {
         key: Key,
-        spot: Spot,
+        index_entry: IndexEntry,
     },
     Revalidate {
         key: Key,
-        spot: Spot,
+        index_entry: IndexEntry,
     },
     /// The request that waited for it was cancelled.
     Cancelled,
@@ -248,7 +248,7 @@
 struct PendingAppend {
     key: Key,
     object: Key,
-    spot: Spot,
+    index_entry: IndexEntry,
     carried: bool,
 }
 
@@ -257,7 +257,7 @@
     segment: u32,
     /// The segment's state before, which is restored if it cannot be listed.
     previous_state: State,
-    to_carry: VecDeque<Entry>,
+    to_carry: VecDeque<FooterEntry>,
     /// Pending operations: the listing, and reads and writes of carried records.
     in_flight: usize,
     /// Segments to be synced before this one is removed; known once nothing more is carried over.
@@ -276,7 +276,7 @@
 
 /// The disk tier.
 pub struct Disk {
-    settings: Wanted,
+    settings: DiskSettings,
     phase: Phase,
     store_id: u64,
     start_ms: u64,
@@ -293,7 +293,7 @@
     demotion_queue: VecDeque<(Rc<Copy>, u8)>,
     demotion_queue_bytes: usize,
     /// Records and unsynced bytes of each segment that is not sealed.
-    unsealed: BTreeMap<u32, (Vec<Entry>, Unsynced)>,
+    unsealed: BTreeMap<u32, (Vec<FooterEntry>, Unsynced)>,
     reclaim: Option<Reclaim>,
     reclaim_retry: Retry,
     /// Segments whose files could not be removed, and segments that could not be recovered. Both are retried one
@@ -316,8 +316,8 @@
     times_unreliable_up_to: u32,
     /// The caller has detected that the wall clock was set back since an earlier start.
     earlier_starts_distrusted: bool,
-    queued_lines: Vec<Line>,
-    lines_in_flight: Option<Vec<Line>>,
+    queued_lines: Vec<CatalogueLine>,
+    lines_in_flight: Option<Vec<CatalogueLine>>,
     catalogue_retry: Retry,
     catalogue_retry_due: bool,
     /// A purge could not be queued for the catalogue, so no more confirmations are written in this run.
@@ -336,42 +336,45 @@
 
 impl Disk {
     /// `start_ms` is the Unix time of this start.
-    pub fn new(settings: Wanted, now: Duration, start_ms: u64) -> Disk {
-        let most = (settings.bytes / u64::from(settings.segment).max(1)) as usize;
+    pub fn new(settings: DiskSettings, now: Duration, start_ms: u64) -> Disk {
+        let max_segments = (settings.bytes / u64::from(settings.segment).max(1)) as usize;
         let s = Duration::from_secs;
         let kind = |name, priority| Kind {
             name,
             priority,
             ..Kind::default()
         };
-        let at_once = |n, kind: Kind| Kind { at_once: n, ..kind };
+        let at_once = |n, kind: Kind| Kind {
+            max_in_flight: n,
+            ..kind
+        };
         // Waiting demotions hold memory and waiting reclaims block writes, so both have short deadlines.
         let reclaim = Kind {
             deadline: s(1),
-            starves: s(5),
+            starvation_limit: s(5),
             ..at_once(1, kind("reclaim", 3))
         };
         let demote = Kind {
             deadline: s(2),
-            starves: s(10),
+            starvation_limit: s(10),
             ..kind("demote", 2)
         };
         let revalidate = Kind {
-            operations: (settings.revalidate > 0.0).then(|| Rate::a_second(settings.revalidate)),
+            operations: (settings.revalidate > 0.0).then(|| Rate::per_second(settings.revalidate)),
             ..at_once(MAX_CONCURRENT_REVALIDATIONS, kind("revalidate", 2))
         };
         let scrub = Kind {
-            bytes: (settings.scrub > 0).then(|| Rate::a_second(settings.scrub as f64)),
-            starves: Duration::MAX / 4,
+            bytes: (settings.scrub > 0).then(|| Rate::per_second(settings.scrub as f64)),
+            starvation_limit: Duration::MAX / 4,
             ..at_once(1, kind("scrub", 0))
         };
         let sweep = Kind {
-            operations: Some(Rate::a_second(50.0)),
+            operations: Some(Rate::per_second(50.0)),
             ..at_once(1, kind("sweep", 0))
         };
         let ahead = Kind {
             deadline: s(1),
-            starves: Duration::MAX / 4,
+            starvation_limit: Duration::MAX / 4,
             ..at_once(4, kind("read-ahead", 3))
         };
         let kinds = vec![reclaim, demote, revalidate, scrub, sweep, ahead];
@@ -380,11 +383,11 @@
             store_id: 0,
             start_ms,
             index: Index::new(settings.index),
-            segments: Segments::new(settings.segment, most),
+            segments: Segments::new(settings.segment, max_segments),
             admission: Admission::new(
-                settings.write_rate,
-                settings.write_day,
-                settings.least_fresh,
+                settings.write_bytes_per_second,
+                settings.write_bytes_per_day,
+                settings.min_freshness,
                 now,
             ),
             write_health: ServerHealth::default(),
@@ -424,7 +427,7 @@
             scrub_position: 0,
             last_parts: vec![(0, 0); SEQUENCE_SLOTS],
             sequential_read: None,
-            scheduler: Scheduler::new(kinds, settings.yield_over),
+            scheduler: Scheduler::new(kinds, settings.max_loop_delay),
             settings,
         }
     }
@@ -449,11 +452,11 @@
         &self.segments
     }
 
-    pub fn is_set_aside(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.write_health.is_ejected()
     }
 
-    pub fn work(&self) -> impl Iterator<Item = (&'static str, usize, usize, Done)> {
+    pub fn work_report(&self) -> impl Iterator<Item = (&'static str, usize, usize, Counters)> {
         self.scheduler.report()
     }
 
