--- a/crates/store/src/decide/disk/reclaim.rs
+++ b/crates/store/src/decide/disk/reclaim.rs
@@ -9,7 +9,7 @@
             .select_victim(now)
             .filter(|_| self.reclaim.is_none());
         let Some(segment) = victim.filter(|segment| backend.list(*segment)) else {
-            return self.scheduler.done(RECLAIM, Cost::default());
+            return self.scheduler.complete(RECLAIM, Cost::default());
         };
         let previous_state = self
             .segments
@@ -33,7 +33,7 @@
         &mut self,
         now: Duration,
         segment: u32,
-        result: Result<Vec<Entry>, Fault>,
+        result: Result<Vec<FooterEntry>, Fault>,
         purges: &Purges,
         backend: &mut dyn DiskBackend,
     ) {
@@ -46,24 +46,33 @@
                 // The error may be transient: the segment is kept, and listed again later.
                 self.counts.read_faults += 1;
                 self.segments.set_state(segment, reclaim.previous_state);
-                return self.scheduler.done(RECLAIM, Cost::default());
+                return self.scheduler.complete(RECLAIM, Cost::default());
             }
         }
         self.reclaim_retry.succeeded();
         reclaim.in_flight -= 1;
         let mut candidates = Vec::new();
         for entry in result.unwrap_or_default() {
-            if !self.index_refers_to(entry.key, segment, entry.at) {
+            if !self.index_refers_to(entry.key, segment, entry.offset) {
                 continue;
             }
-            let spot = self.index.get(entry.key).filter(|spot| {
-                let group = spot.group as usize;
-                spot.proven
-                    && purges.survives(entry.object, group, spot.made)
-                    && (spot.heat > 0 || spot.rank > 2)
+            let index_entry = self.index.get(entry.key).filter(|index_entry| {
+                let group = index_entry.group as usize;
+                index_entry.proven
+                    && purges.survives(entry.object, group, index_entry.created_at_ms)
+                    && (index_entry.read_count > 0 || index_entry.rank > 2)
             });
-            match spot.filter(|_| !self.settings.admit_all && self.write_health.is_available(now)) {
-                Some(spot) => candidates.push(((spot.heat > 0, spot.rank, spot.heat), entry)),
+            match index_entry
+                .filter(|_| !self.settings.admit_all && self.write_health.is_available(now))
+            {
+                Some(index_entry) => candidates.push((
+                    (
+                        index_entry.read_count > 0,
+                        index_entry.rank,
+                        index_entry.read_count,
+                    ),
+                    entry,
+                )),
                 None => self.forget(entry.key, backend),
             }
         }
@@ -85,25 +94,29 @@
     pub(super) fn complete_carry(
         &mut self,
         now: Duration,
-        entry: Entry,
+        entry: FooterEntry,
         result: Result<(Copy, u8), Fault>,
         purges: &Purges,
         backend: &mut dyn DiskBackend,
     ) {
         let segment = self.reclaim.as_ref().map_or(0, |reclaim| reclaim.segment);
-        let spot = self
-            .index
-            .get(entry.key)
-            .filter(|spot| (spot.segment, spot.at) == (segment, entry.at));
-        let valid =
-            spot.filter(|spot| purges.survives(entry.object, spot.group as usize, spot.made));
+        let index_entry = self.index.get(entry.key).filter(|index_entry| {
+            (index_entry.segment, index_entry.offset) == (segment, entry.offset)
+        });
+        let valid = index_entry.filter(|index_entry| {
+            purges.survives(
+                entry.object,
+                index_entry.group as usize,
+                index_entry.created_at_ms,
+            )
+        });
         let written = match (result, valid) {
-            (Ok((copy, _)), Some(spot)) if self.can_write(now, entry.length as usize) => {
+            (Ok((copy, _)), Some(index_entry)) if self.can_write(now, entry.length as usize) => {
                 let copy = Copy {
-                    made: spot.made,
+                    created_at_ms: index_entry.created_at_ms,
                     ..copy
                 };
-                self.append_record(now, &copy, spot.rank, true, backend)
+                self.append_record(now, &copy, index_entry.rank, true, backend)
             }
             _ => None,
         };
@@ -111,7 +124,7 @@
             // The pending append takes over the read's place among the operations in flight.
             (Some(_), Some(_)) => {}
             _ => {
-                self.forget_at(entry.key, segment, entry.at, backend);
+                self.forget_at(entry.key, segment, entry.offset, backend);
                 self.carry_ended(now, backend);
             }
         }
@@ -134,15 +147,15 @@
             let Some(entry) = reclaim.to_carry.pop_front() else {
                 break;
             };
-            let Some(spot) = self
+            let Some(index_entry) = self
                 .index
                 .get(entry.key)
-                .filter(|s| (s.segment, s.at) == (reclaim.segment, entry.at))
+                .filter(|s| (s.segment, s.offset) == (reclaim.segment, entry.offset))
             else {
                 continue;
             };
             if self
-                .start_read(spot, ReadPurpose::Carry { entry }, backend)
+                .start_read(index_entry, ReadPurpose::Carry { entry }, backend)
                 .is_none()
             {
                 reclaim.to_carry.push_front(entry);
@@ -201,7 +214,7 @@
             return;
         }
         let removed_bytes = self.segments.get(segment).map_or(0, |s| s.end);
-        self.scheduler.done(
+        self.scheduler.complete(
             RECLAIM,
             Cost {
                 bytes: f64::from(removed_bytes),
@@ -217,7 +230,7 @@
             // allowed until it is removed.
             Err(_) => {
                 self.counts.write_faults += 1;
-                self.segments.most = self.segments.most.saturating_sub(1);
+                self.segments.max_segments = self.segments.max_segments.saturating_sub(1);
                 self.failed_removals.push_back(segment);
                 self.remove_retry.failed();
             }
@@ -235,7 +248,7 @@
         }
         self.failed_removals.pop_front();
         self.remove_retry.succeeded();
-        self.segments.most += 1;
+        self.segments.max_segments += 1;
         self.counts.reclaimed += 1;
     }
 }
--- a/crates/store/src/decide/disk/start.rs
+++ b/crates/store/src/decide/disk/start.rs
@@ -6,14 +6,17 @@
     /// The directory is open: applies the catalogue's contents and starts to recover the segments.
     pub fn complete_open(
         &mut self,
-        known: &Known,
+        known: &CatalogueSnapshot,
         segments: Vec<u32>,
         purges: &mut Purges,
         backend: &mut dyn DiskBackend,
     ) {
-        self.store_id = known.store;
-        known.marks.iter().for_each(|mark| purges.restore(*mark));
-        self.confirmed_before_start = known.heard;
+        self.store_id = known.store_id;
+        known
+            .purges
+            .iter()
+            .for_each(|record| purges.restore(*record));
+        self.confirmed_before_start = known.confirmed_up_to_ms;
         (self.purges_missed_up_to, self.times_unreliable_up_to) =
             (known.purges_missed_up_to, known.times_unreliable_up_to);
         let mut segments = segments;
@@ -36,18 +39,20 @@
 
     /// Queues, before any confirmation of this run, up to which segment such confirmations do not apply, because
     /// purges may have been missed before this start or times were read from a clock that was stepped.
-    fn limit_trust(&mut self, known: &Known, last: u32) {
+    fn limit_trust(&mut self, known: &CatalogueSnapshot, last: u32) {
         // After a step of the clock, neither the age of copies nor the length of the gap is known.
         let is_confirmation_in_future = known
-            .heard
+            .confirmed_up_to_ms
             .is_some_and(|confirmed| confirmed > self.start_ms);
         if self.earlier_starts_distrusted || known.clock_stepped || is_confirmation_in_future {
             self.times_unreliable_up_to = self.times_unreliable_up_to.max(last);
-            self.queued_lines.insert(0, Line::TimesUnreliableUpTo(last));
+            self.queued_lines
+                .insert(0, CatalogueLine::TimesUnreliableUpTo(last));
         }
         if !self.is_gap_covered() {
             self.purges_missed_up_to = self.purges_missed_up_to.max(last);
-            self.queued_lines.insert(0, Line::PurgesMissedUpTo(last));
+            self.queued_lines
+                .insert(0, CatalogueLine::PurgesMissedUpTo(last));
         }
     }
 
@@ -88,10 +93,10 @@
     }
 
     /// Whether no purge can have been missed since this copy was made.
-    pub(super) fn is_proven(&self, segment: u32, made: u64) -> bool {
+    pub(super) fn is_proven(&self, segment: u32, created_at_ms: u64) -> bool {
         let covered = self.is_gap_covered() && segment > self.purges_missed_up_to
-            || made >= self.purges_known_since;
-        covered && segment > self.times_unreliable_up_to && made <= self.start_ms
+            || created_at_ms >= self.purges_known_since;
+        covered && segment > self.times_unreliable_up_to && created_at_ms <= self.start_ms
     }
 
     pub fn complete_recovery(
@@ -113,7 +118,7 @@
                 if is_retry {
                     self.failed_recoveries.pop_front();
                     self.recovery_retry.succeeded();
-                    self.segments.most += 1;
+                    self.segments.max_segments += 1;
                 }
                 self.segments
                     .add_recovered(segment, found.class as usize, found.end, now);
@@ -134,7 +139,7 @@
                 if is_retry {
                     self.failed_recoveries.pop_front();
                 } else {
-                    self.segments.most = self.segments.most.saturating_sub(1);
+                    self.segments.max_segments = self.segments.max_segments.saturating_sub(1);
                 }
             }
         }
@@ -154,7 +159,7 @@
             return;
         }
         self.counts.read_faults += 1;
-        self.segments.most = self.segments.most.saturating_sub(1);
+        self.segments.max_segments = self.segments.max_segments.saturating_sub(1);
         self.failed_recoveries.push_back(segment);
     }
 
@@ -179,43 +184,46 @@
     }
 
     /// Indexes a recovered record if it may be served or revalidated.
-    pub(super) fn index_recovered(&mut self, segment: u32, entry: Entry, purges: &Purges) -> bool {
-        if !purges.survives(entry.object, entry.group as usize, entry.made) {
+    pub(super) fn index_recovered(
+        &mut self,
+        segment: u32,
+        entry: FooterEntry,
+        purges: &Purges,
+    ) -> bool {
+        if !purges.survives(entry.object, entry.group as usize, entry.created_at_ms) {
             return false;
         }
-        let proven = self.is_proven(segment, entry.made);
+        let proven = self.is_proven(segment, entry.created_at_ms);
         if !proven && self.settings.revalidate <= 0.0 {
             self.counts.dropped_unproven += 1;
             return false;
         }
-        let Entry {
-            at,
+        let FooterEntry {
+            offset,
             length,
-            made,
+            created_at_ms,
             group,
             rank,
             tag,
             ..
         } = entry;
-        let spot = Spot {
+        let index_entry = IndexEntry {
             segment,
-            at,
+            offset,
             length,
             tag,
-            made,
+            created_at_ms,
             group,
             rank,
-            heat: 0,
+            read_count: 0,
             proven,
         };
-        if self
-            .index
-            .get(entry.key)
-            .is_some_and(|held| (held.made, held.segment, held.at) > (made, segment, at))
-        {
+        if self.index.get(entry.key).is_some_and(|held| {
+            (held.created_at_ms, held.segment, held.offset) > (created_at_ms, segment, offset)
+        }) {
             return false;
         }
-        let put = self.put(entry.key, spot);
+        let put = self.put(entry.key, index_entry);
         self.counts.recovered += u64::from(put);
         self.counts.unproven += u64::from(put && !proven);
         self.counts.unknown += u64::from(!put);
@@ -223,12 +231,13 @@
     }
 
     /// Inserts an entry into the index and updates the live bytes of segments. False: the index is full.
-    pub(super) fn put(&mut self, key: Key, spot: Spot) -> bool {
-        match self.index.put(key, &spot) {
+    pub(super) fn put(&mut self, key: Key, index_entry: IndexEntry) -> bool {
+        match self.index.put(key, &index_entry) {
             Ok(old) => {
                 old.into_iter()
                     .for_each(|old| self.segments.subtract_live_bytes(old.segment, old.length));
-                self.segments.add_live_bytes(spot.segment, spot.length);
+                self.segments
+                    .add_live_bytes(index_entry.segment, index_entry.length);
                 true
             }
             Err(IndexFull) => false,
@@ -248,17 +257,17 @@
         &mut self,
         key: Key,
         segment: u32,
-        at: u32,
+        offset: u32,
         backend: &mut dyn DiskBackend,
     ) {
-        if self.index_refers_to(key, segment, at) {
+        if self.index_refers_to(key, segment, offset) {
             self.forget(key, backend);
         }
     }
 
-    pub(super) fn index_refers_to(&self, key: Key, segment: u32, at: u32) -> bool {
-        self.index
-            .get(key)
-            .is_some_and(|spot| (spot.segment, spot.at) == (segment, at))
+    pub(super) fn index_refers_to(&self, key: Key, segment: u32, offset: u32) -> bool {
+        self.index.get(key).is_some_and(|index_entry| {
+            (index_entry.segment, index_entry.offset) == (segment, offset)
+        })
     }
 }
--- a/crates/store/src/decide/disk/work.rs
+++ b/crates/store/src/decide/disk/work.rs
@@ -4,8 +4,8 @@
 
 impl Disk {
     /// Reports by how much the event loop ran late; the scheduler pauses background work when it lags.
-    pub fn turn(&mut self, now: Duration, late: Duration) {
-        self.scheduler.turn(now, late);
+    pub fn record_loop_delay(&mut self, now: Duration, late: Duration) {
+        self.scheduler.record_loop_delay(now, late);
     }
 
     /// Does the background work that is due, in small steps. Call it often.
@@ -38,7 +38,7 @@
     }
 
     /// When `tick` must be called next if nothing else happens. `None` if no work is planned.
-    pub fn next_look(&self, now: Duration) -> Option<Duration> {
+    pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         // A sync that was due but rejected is retried after a short delay, not at once.
         let idle = self
             .unsealed
@@ -58,7 +58,7 @@
             .filter_map(|retry| retry.due())
             .map(|due| due.max(now + RETRY_DELAY));
         self.scheduler
-            .next_look(now)
+            .next_wakeup(now)
             .into_iter()
             .chain(syncs)
             .chain(retries)
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn offer_work(&mut self, now: Duration) {
-        let is_idle = |work: &Scheduler, kind| work.held(kind) == (0, 0);
+        let is_idle = |work: &Scheduler, kind| work.queue_lengths(kind) == (0, 0);
         let one_operation = Cost {
             operations: 1.0,
             ..Cost::default()
@@ -81,7 +81,9 @@
             self.scheduler.offer(now, RECLAIM, one_operation);
         }
         let has_unproven = !self.requested_unproven.is_empty() || self.unproven_scan.is_some();
-        if has_unproven && self.settings.revalidate > 0.0 && self.scheduler.held(REVALIDATE).0 == 0
+        if has_unproven
+            && self.settings.revalidate > 0.0
+            && self.scheduler.queue_lengths(REVALIDATE).0 == 0
         {
             self.scheduler.offer(now, REVALIDATE, one_operation);
         }
@@ -118,7 +120,7 @@
                     let _ = self.admit(now, &copy, rank, purges, backend);
                     copy.body.len()
                 });
-                self.scheduler.done(
+                self.scheduler.complete(
                     DEMOTE,
                     Cost {
                         bytes: bytes as f64,
@@ -128,38 +130,47 @@
             }
             RECLAIM => self.start_reclaim(now, backend),
             REVALIDATE => {
-                let started = self.next_unproven().and_then(|(key, spot)| {
-                    self.start_read(spot, ReadPurpose::Revalidate { key, spot }, backend)
+                let started = self.next_unproven().and_then(|(key, index_entry)| {
+                    self.start_read(
+                        index_entry,
+                        ReadPurpose::Revalidate { key, index_entry },
+                        backend,
+                    )
                 });
                 if started.is_none() {
-                    self.scheduler.done(REVALIDATE, Cost::default());
+                    self.scheduler.complete(REVALIDATE, Cost::default());
                 }
             }
             SCRUB => {
                 let (found, next) = self.index.buckets_from(self.scrub_position, 1);
-                let found: Vec<(Key, Spot)> = found.collect();
+                let found: Vec<(Key, IndexEntry)> = found.collect();
                 // One entry per bucket and round; the choice varies from round to round.
                 let picked = found
                     .get(self.last_ticket as usize % found.len().max(1))
                     .copied();
                 self.scrub_position = next.unwrap_or(0);
-                let started = picked.and_then(|(key, spot)| {
-                    self.start_read(spot, ReadPurpose::Scrub { key, spot }, backend)
+                let started = picked.and_then(|(key, index_entry)| {
+                    self.start_read(
+                        index_entry,
+                        ReadPurpose::Scrub { key, index_entry },
+                        backend,
+                    )
                 });
                 if started.is_none() {
-                    self.scheduler.done(SCRUB, Cost::default());
+                    self.scheduler.complete(SCRUB, Cost::default());
                 }
             }
             SWEEP => {
                 let (found, next) = self.index.buckets_from(self.sweep_position, SWEEP_BUCKETS);
-                let stale = |spot: &Spot| self.segments.get(spot.segment).is_none();
+                let stale =
+                    |index_entry: &IndexEntry| self.segments.get(index_entry.segment).is_none();
                 let stale: Vec<Key> = found
-                    .filter(|(_, spot)| stale(spot))
+                    .filter(|(_, index_entry)| stale(index_entry))
                     .map(|(key, _)| key)
                     .collect();
                 self.sweep_position = next.unwrap_or(0);
                 stale.into_iter().for_each(|key| self.forget(key, backend));
-                self.scheduler.done(
+                self.scheduler.complete(
                     SWEEP,
                     Cost {
                         operations: 1.0,
@@ -168,11 +179,17 @@
                 );
             }
             READ_AHEAD => {
-                let started = self.next_read_ahead(purges, in_memory).map(|(key, spot)| {
-                    self.start_read(spot, ReadPurpose::ReadAhead { key, spot }, backend)
-                });
+                let started = self
+                    .next_read_ahead(purges, in_memory)
+                    .map(|(key, index_entry)| {
+                        self.start_read(
+                            index_entry,
+                            ReadPurpose::ReadAhead { key, index_entry },
+                            backend,
+                        )
+                    });
                 if started.flatten().is_none() {
-                    self.scheduler.done(READ_AHEAD, Cost::default());
+                    self.scheduler.complete(READ_AHEAD, Cost::default());
                 }
             }
             _ => {}
@@ -184,24 +201,28 @@
         &mut self,
         purges: &Purges,
         in_memory: &dyn Fn(Key) -> bool,
-    ) -> Option<(Key, Spot)> {
+    ) -> Option<(Key, IndexEntry)> {
         let (object, part) = self.sequential_read?;
         (1..=self.settings.read_ahead as u64).find_map(|step| {
             let key = key::part(object, part.checked_add(step)?);
-            let spot = self.find(key, object, 0, purges)?;
+            let index_entry = self.find(key, object, 0, purges)?;
             let in_flight = self
                 .pending_reads
                 .values()
                 .any(|p| matches!(p, ReadPurpose::ReadAhead { key: k, .. } if *k == key));
-            (!in_flight && !in_memory(key)).then_some((key, spot))
+            (!in_flight && !in_memory(key)).then_some((key, index_entry))
         })
     }
 
     /// The next unproven copy to revalidate: a requested one, otherwise by rank.
-    pub(super) fn next_unproven(&mut self) -> Option<(Key, Spot)> {
+    pub(super) fn next_unproven(&mut self) -> Option<(Key, IndexEntry)> {
         while let Some(key) = self.requested_unproven.pop_front() {
-            if let Some(spot) = self.index.get(key).filter(|spot| !spot.proven) {
-                return Some((key, spot));
+            if let Some(index_entry) = self
+                .index
+                .get(key)
+                .filter(|index_entry| !index_entry.proven)
+            {
+                return Some((key, index_entry));
             }
         }
         let (rank, from) = self.unproven_scan?;
@@ -214,8 +235,9 @@
             })
             .collect();
         let (found, next) = self.index.buckets_from(from, SWEEP_BUCKETS);
-        let mut found = found
-            .filter(|(key, spot)| !spot.proven && spot.rank == rank && !in_flight.contains(key));
+        let mut found = found.filter(|(key, index_entry)| {
+            !index_entry.proven && index_entry.rank == rank && !in_flight.contains(key)
+        });
         let first = found.next();
         let more = found.next().is_some();
         drop(found);
@@ -229,23 +251,28 @@
         first
     }
 
-    /// The source confirmed that the version with this entity tag was current at `made`.
-    pub fn proven(&mut self, key: Key, tag: &[u8], made: u64) {
+    /// The source confirmed that the version with this entity tag was current at `created_at_ms`.
+    pub fn confirm_version(&mut self, key: Key, tag: &[u8], created_at_ms: u64) {
         let is_current = self
             .index
             .get(key)
-            .is_some_and(|spot| spot.tag == tag_hash(tag));
+            .is_some_and(|index_entry| index_entry.tag == tag_hash(tag));
         if is_current {
             self.counts.revalidated += 1;
-            self.index.update(key, |spot| {
-                (spot.proven, spot.made) = (true, spot.made.max(made))
+            self.index.update(key, |index_entry| {
+                (index_entry.proven, index_entry.created_at_ms) =
+                    (true, index_entry.created_at_ms.max(created_at_ms))
             });
         }
     }
 
     /// Drops a copy if it is still unproven: its source has another version or could not be reached.
-    pub fn disproven(&mut self, key: Key, backend: &mut dyn DiskBackend) {
-        if self.index.get(key).is_some_and(|spot| !spot.proven) {
+    pub fn drop_unproven(&mut self, key: Key, backend: &mut dyn DiskBackend) {
+        if self
+            .index
+            .get(key)
+            .is_some_and(|index_entry| !index_entry.proven)
+        {
             self.counts.dropped_unproven += 1;
             self.forget(key, backend);
         }
--- a/crates/store/src/decide/disk/write.rs
+++ b/crates/store/src/decide/disk/write.rs
@@ -57,23 +57,26 @@
         let object = key::object(&copy.object);
         let key = key::part(object, copy.part);
         let rank = if self.settings.admit_all { 1 } else { rank };
-        if !purges.survives(object, group_slot(copy.group), copy.made) {
+        if !purges.survives(object, group_slot(copy.group), copy.created_at_ms) {
             return Err(Refusal::Outdated);
         }
         let held = self
             .index
             .get(key)
-            .filter(|spot| self.segments.get(spot.segment).is_some());
-        let same =
-            |held: Spot| held.made == copy.made && held.tag == tag_hash(&copy.tag) && held.proven;
-        if held.is_some_and(|held| held.made > copy.made || same(held)) {
-            self.rank(key, rank);
+            .filter(|index_entry| self.segments.get(index_entry.segment).is_some());
+        let same = |held: IndexEntry| {
+            held.created_at_ms == copy.created_at_ms
+                && held.tag == tag_hash(&copy.etag)
+                && held.proven
+        };
+        if held.is_some_and(|held| held.created_at_ms > copy.created_at_ms || same(held)) {
+            self.set_rank(key, rank);
             return Err(Refusal::Outdated);
         }
         if self
             .pending_appends
             .values()
-            .any(|w| w.key == key && w.spot.made >= copy.made)
+            .any(|w| w.key == key && w.index_entry.created_at_ms >= copy.created_at_ms)
         {
             return Err(Refusal::Outdated);
         }
@@ -86,8 +89,9 @@
         if !self.can_write(now, length) || self.index.is_full() {
             return Err(Refusal::DiskUnavailable);
         }
-        let age = self.unix_ms(now).saturating_sub(copy.made);
-        let fresh = (copy.fresh > 0).then(|| Duration::from_millis(copy.fresh.saturating_sub(age)));
+        let age = self.unix_ms(now).saturating_sub(copy.created_at_ms);
+        let fresh = (copy.fresh_for_ms > 0)
+            .then(|| Duration::from_millis(copy.fresh_for_ms.saturating_sub(age)));
         self.admission.admits(
             now,
             length,
@@ -130,7 +134,7 @@
     ) -> Option<u32> {
         let length = record_len(copy);
         let class = size_class(length);
-        let (segment, at) = match self.append_position(class, length) {
+        let (segment, offset) = match self.append_position(class, length) {
             Some(target) => target,
             None => {
                 // Carried records may use the last free segment, since the reclaim frees one.
@@ -151,13 +155,13 @@
         let address = format::DiskAddress {
             store_id: self.store_id,
             segment,
-            at,
+            offset,
         };
         let mut record = Vec::with_capacity(length);
         format::encode_record(&mut record, copy, rank, address);
         debug_assert_eq!(record.len(), length);
         let ticket = self.last_ticket + 1;
-        if !backend.append(ticket, segment, at, record) {
+        if !backend.append(ticket, segment, offset, record) {
             return None;
         }
         self.last_ticket = ticket;
@@ -167,15 +171,15 @@
         let (key, group, tag) = (
             key::part(object, copy.part),
             group_slot(copy.group) as u16,
-            tag_hash(&copy.tag),
+            tag_hash(&copy.etag),
         );
-        let (length, made) = (length as u32, copy.made);
-        let entry = Entry {
+        let (length, created_at_ms) = (length as u32, copy.created_at_ms);
+        let entry = FooterEntry {
             key,
             object,
-            at,
+            offset,
             length,
-            made,
+            created_at_ms,
             group,
             rank,
             tag,
@@ -184,15 +188,15 @@
         entries.push(entry);
         unsynced.bytes += u64::from(length);
         unsynced.since.get_or_insert(now);
-        let spot = Spot {
+        let index_entry = IndexEntry {
             segment,
-            at,
+            offset,
             length,
             tag,
-            made,
+            created_at_ms,
             group,
             rank,
-            heat: 0,
+            read_count: 0,
             proven: true,
         };
         self.pending_appends.insert(
@@ -200,7 +204,7 @@
             PendingAppend {
                 key,
                 object,
-                spot,
+                index_entry,
                 carried,
             },
         );
@@ -254,25 +258,28 @@
         let Some(PendingAppend {
             key,
             object,
-            spot,
+            index_entry,
             carried,
         }) = self.pending_appends.remove(&ticket)
         else {
             return;
         };
-        self.pending_append_bytes -= spot.length as usize;
+        self.pending_append_bytes -= index_entry.length as usize;
         match result {
             Ok(()) => {
                 self.write_health.record_outcome(now, false, 1.0);
                 self.counts.written += u64::from(!carried);
                 self.counts.carried += u64::from(carried);
                 // The copy may have been purged or replaced while it was written.
-                let stale = !purges.survives(object, spot.group as usize, spot.made)
-                    || self
-                        .index
-                        .get(key)
-                        .is_some_and(|held| held.made > spot.made);
-                if !stale && !self.put(key, spot) {
+                let stale = !purges.survives(
+                    object,
+                    index_entry.group as usize,
+                    index_entry.created_at_ms,
+                ) || self
+                    .index
+                    .get(key)
+                    .is_some_and(|held| held.created_at_ms > index_entry.created_at_ms);
+                if !stale && !self.put(key, index_entry) {
                     self.counts.unknown += 1;
                 }
             }
@@ -283,10 +290,10 @@
                 // state of its end is unknown.
                 if self
                     .segments
-                    .get(spot.segment)
+                    .get(index_entry.segment)
                     .is_some_and(|s| s.state == State::Open)
                 {
-                    self.segments.set_state(spot.segment, State::Failed);
+                    self.segments.set_state(index_entry.segment, State::Failed);
                 }
             }
         }
@@ -338,22 +345,22 @@
             return;
         };
         unsynced.in_flight_up_to = None;
-        let synced_entries: Vec<Entry> = entries
+        let synced_entries: Vec<FooterEntry> = entries
             .iter()
-            .filter(|e| e.at >= before && e.at < up_to)
+            .filter(|e| e.offset >= before && e.offset < up_to)
             .copied()
             .collect();
         if synced {
             unsynced.bytes = entries
                 .iter()
-                .filter(|e| e.at >= up_to)
+                .filter(|e| e.offset >= up_to)
                 .map(|e| u64::from(e.length))
                 .sum();
             unsynced.since = (unsynced.bytes > 0).then_some(now);
             self.segments.record_sync(segment, up_to);
             for entry in synced_entries {
-                if self.index_refers_to(entry.key, segment, entry.at) {
-                    backend.copy_durable(entry.key, entry.made);
+                if self.index_refers_to(entry.key, segment, entry.offset) {
+                    backend.copy_durable(entry.key, entry.created_at_ms);
                 }
             }
             return;
@@ -361,11 +368,14 @@
         // After a failed sync, a later successful one does not prove that earlier writes are durable. All
         // unsynced records are dropped, and the segment is reclaimed first.
         self.counts.sync_faults += 1;
-        let unsynced_entries: Vec<Entry> =
-            entries.iter().filter(|e| e.at >= before).copied().collect();
+        let unsynced_entries: Vec<FooterEntry> = entries
+            .iter()
+            .filter(|e| e.offset >= before)
+            .copied()
+            .collect();
         (unsynced.bytes, unsynced.since) = (0, None);
         for entry in unsynced_entries {
-            self.forget_at(entry.key, segment, entry.at, backend);
+            self.forget_at(entry.key, segment, entry.offset, backend);
         }
         self.segments.set_state(segment, State::Failed);
     }
--- a/crates/store/src/decide/index.rs
+++ b/crates/store/src/decide/index.rs
@@ -16,21 +16,21 @@
 
 /// The index entry of a part: its record on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spot {
+pub struct IndexEntry {
     pub segment: u32,
-    pub at: u32,
+    pub offset: u32,
     /// The length of the record.
     pub length: u32,
     /// A hash of its entity tag.
     pub tag: u32,
     /// Unix milliseconds; 48 bits are stored.
-    pub made: u64,
+    pub created_at_ms: u64,
     /// The slot of its group; below 1024.
     pub group: u16,
     /// 1 to 3.
     pub rank: u8,
     /// The number of reads since it was written or recovered, up to 3.
-    pub heat: u8,
+    pub read_count: u8,
     /// Whether no purge that applies to it can have been missed.
     pub proven: bool,
 }
@@ -38,43 +38,43 @@
 #[derive(Clone, Copy)]
 struct PackedEntry {
     key: Key,
-    /// made: 48 bits, group: 10, rank: 2, heat: 2, proven: 1.
+    /// created_at_ms: 48 bits, group: 10, rank: 2, read_count: 2, proven: 1.
     metadata: u64,
     segment: u32,
-    at: u32,
+    offset: u32,
     length: u32,
     tag: u32,
 }
 
-const MADE_MASK: u64 = (1 << 48) - 1;
+const CREATED_AT_MASK: u64 = (1 << 48) - 1;
 
 impl PackedEntry {
-    fn new(key: Key, spot: &Spot) -> PackedEntry {
-        let metadata = spot.made.min(MADE_MASK)
-            | u64::from(spot.group & 1023) << 48
-            | u64::from(spot.rank.min(3)) << 58
-            | u64::from(spot.heat.min(3)) << 60
-            | u64::from(spot.proven) << 62;
+    fn new(key: Key, index_entry: &IndexEntry) -> PackedEntry {
+        let metadata = index_entry.created_at_ms.min(CREATED_AT_MASK)
+            | u64::from(index_entry.group & 1023) << 48
+            | u64::from(index_entry.rank.min(3)) << 58
+            | u64::from(index_entry.read_count.min(3)) << 60
+            | u64::from(index_entry.proven) << 62;
         PackedEntry {
             key,
             metadata,
-            segment: spot.segment,
-            at: spot.at,
-            length: spot.length,
-            tag: spot.tag,
+            segment: index_entry.segment,
+            offset: index_entry.offset,
+            length: index_entry.length,
+            tag: index_entry.tag,
         }
     }
 
-    fn spot(&self) -> Spot {
-        Spot {
+    fn index_entry(&self) -> IndexEntry {
+        IndexEntry {
             segment: self.segment,
-            at: self.at,
+            offset: self.offset,
             length: self.length,
             tag: self.tag,
-            made: self.metadata & MADE_MASK,
+            created_at_ms: self.metadata & CREATED_AT_MASK,
             group: (self.metadata >> 48 & 1023) as u16,
             rank: (self.metadata >> 58 & 3) as u8,
-            heat: (self.metadata >> 60 & 3) as u8,
+            read_count: (self.metadata >> 60 & 3) as u8,
             proven: self.metadata >> 62 & 1 == 1,
         }
     }
@@ -125,36 +125,44 @@
     }
 
     /// The approximate number of parts that fit into `limit` bytes.
-    pub fn parts_most(limit: u64) -> u64 {
+    pub fn max_parts(limit: u64) -> u64 {
         limit.saturating_sub(8192 * 24) / (ENTRY_BYTES + 6)
     }
 
     fn bucket(&self, key: Key) -> usize {
         let (n, level) = (self.buckets.len(), self.buckets.len().next_power_of_two());
         // The low bits select the bucket; if that bucket was not split off yet, one bit fewer is used.
-        let at = (key as usize) & (level - 1);
-        if at < n { at } else { at & (level / 2 - 1) }
+        let bucket_index = (key as usize) & (level - 1);
+        if bucket_index < n {
+            bucket_index
+        } else {
+            bucket_index & (level / 2 - 1)
+        }
     }
 
-    pub fn get(&self, key: Key) -> Option<Spot> {
+    pub fn get(&self, key: Key) -> Option<IndexEntry> {
         self.buckets[self.bucket(key)]
             .iter()
             .find(|e| e.key == key)
-            .map(PackedEntry::spot)
+            .map(PackedEntry::index_entry)
     }
 
     /// Inserts or replaces the entry of a part, and returns the old entry.
-    pub fn put(&mut self, key: Key, spot: &Spot) -> Result<Option<Spot>, IndexFull> {
-        let at = self.bucket(key);
-        if let Some(entry) = self.buckets[at].iter_mut().find(|e| e.key == key) {
-            let old = entry.spot();
-            *entry = PackedEntry::new(key, spot);
+    pub fn put(
+        &mut self,
+        key: Key,
+        index_entry: &IndexEntry,
+    ) -> Result<Option<IndexEntry>, IndexFull> {
+        let bucket_index = self.bucket(key);
+        if let Some(entry) = self.buckets[bucket_index].iter_mut().find(|e| e.key == key) {
+            let old = entry.index_entry();
+            *entry = PackedEntry::new(key, index_entry);
             return Ok(Some(old));
         }
         if self.is_full() {
             return Err(IndexFull);
         }
-        self.push(at, PackedEntry::new(key, spot));
+        self.push(bucket_index, PackedEntry::new(key, index_entry));
         self.parts += 1;
         if self.parts > self.buckets.len() * MEAN_BUCKET_ENTRIES {
             self.split();
@@ -162,8 +170,8 @@
         Ok(None)
     }
 
-    fn push(&mut self, at: usize, entry: PackedEntry) {
-        let bucket = &mut self.buckets[at];
+    fn push(&mut self, bucket_index: usize, entry: PackedEntry) {
+        let bucket = &mut self.buckets[bucket_index];
         if bucket.len() == bucket.capacity() {
             let before = bucket.capacity();
             bucket.reserve_exact(BUCKET_GROWTH);
@@ -184,24 +192,24 @@
         let bucket = std::mem::take(&mut self.buckets[from]);
         self.capacity_entries -= bucket.capacity();
         for entry in bucket {
-            let at = self.bucket(entry.key);
-            self.push(at, entry);
+            let bucket_index = self.bucket(entry.key);
+            self.push(bucket_index, entry);
         }
     }
 
     /// Updates the entry of a part, other than its position on disk.
-    pub fn update(&mut self, key: Key, update: impl FnOnce(&mut Spot)) {
-        let at = self.bucket(key);
-        if let Some(entry) = self.buckets[at].iter_mut().find(|e| e.key == key) {
-            let mut spot = entry.spot();
-            update(&mut spot);
-            *entry = PackedEntry::new(key, &spot);
+    pub fn update(&mut self, key: Key, update: impl FnOnce(&mut IndexEntry)) {
+        let bucket_index = self.bucket(key);
+        if let Some(entry) = self.buckets[bucket_index].iter_mut().find(|e| e.key == key) {
+            let mut index_entry = entry.index_entry();
+            update(&mut index_entry);
+            *entry = PackedEntry::new(key, &index_entry);
         }
     }
 
-    pub fn remove(&mut self, key: Key) -> Option<Spot> {
-        let at = self.bucket(key);
-        let bucket = &mut self.buckets[at];
+    pub fn remove(&mut self, key: Key) -> Option<IndexEntry> {
+        let bucket_index = self.bucket(key);
+        let bucket = &mut self.buckets[bucket_index];
         let entry = bucket.iter().position(|e| e.key == key)?;
         let removed = bucket.swap_remove(entry);
         self.parts -= 1;
@@ -211,12 +219,15 @@
             bucket.shrink_to(bucket.len() + BUCKET_GROWTH);
             self.capacity_entries -= before - bucket.capacity();
         }
-        Some(removed.spot())
+        Some(removed.index_entry())
     }
 
     /// All entries, in no particular order.
-    pub fn iter(&self) -> impl Iterator<Item = (Key, Spot)> {
-        self.buckets.iter().flatten().map(|e| (e.key, e.spot()))
+    pub fn iter(&self) -> impl Iterator<Item = (Key, IndexEntry)> {
+        self.buckets
+            .iter()
+            .flatten()
+            .map(|e| (e.key, e.index_entry()))
     }
 
     /// The entries of `buckets` buckets, starting with bucket `from`, and the bucket to continue with; `None` at
@@ -225,7 +236,7 @@
         &self,
         from: usize,
         buckets: usize,
-    ) -> (impl Iterator<Item = (Key, Spot)>, Option<usize>) {
+    ) -> (impl Iterator<Item = (Key, IndexEntry)>, Option<usize>) {
         let (from, end) = (
             from.min(self.buckets.len()),
             (from + buckets).min(self.buckets.len()),
@@ -233,7 +244,7 @@
         let found = self.buckets[from..end]
             .iter()
             .flatten()
-            .map(|e| (e.key, e.spot()));
+            .map(|e| (e.key, e.index_entry()));
         (found, (end < self.buckets.len()).then_some(end))
     }
 }
--- a/crates/store/src/decide/memory.rs
+++ b/crates/store/src/decide/memory.rs
@@ -22,7 +22,7 @@
 
 /// The bytes of memory counted for a copy.
 pub fn charged_bytes(copy: &Copy) -> u64 {
-    ENTRY_OVERHEAD_BYTES + (copy.object.len() + copy.tag.len() + copy.body.len()) as u64
+    ENTRY_OVERHEAD_BYTES + (copy.object.len() + copy.etag.len() + copy.body.len()) as u64
 }
 
 impl Memory {
@@ -38,7 +38,7 @@
         self.bytes
     }
 
-    pub fn most(&self) -> u64 {
+    pub fn limit(&self) -> u64 {
         self.limit
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Returns a copy for an answer and marks it as the most recently used of its rank.
-    pub fn take(&mut self, key: Key) -> Option<Rc<Copy>> {
+    pub fn get(&mut self, key: Key) -> Option<Rc<Copy>> {
         self.ranks
             .iter_mut()
             .find_map(|rank| rank.get(&key).cloned())
@@ -69,7 +69,7 @@
         self.ranks[rank_index(rank)].put(key, copy);
     }
 
-    pub fn drop(&mut self, key: Key) -> Option<Rc<Copy>> {
+    pub fn remove(&mut self, key: Key) -> Option<Rc<Copy>> {
         let removed = self.ranks.iter_mut().find_map(|rank| rank.pop(&key))?;
         self.bytes -= charged_bytes(&removed);
         Some(removed)
@@ -77,14 +77,14 @@
 
     /// Inserts a copy with a rank, replacing an older one of the same part. Returns false if there is no room.
     /// Evicted copies are passed to `evicted`, with their ranks.
-    pub fn keep(
+    pub fn insert(
         &mut self,
         key: Key,
         copy: Rc<Copy>,
         rank: u8,
         evicted: &mut dyn FnMut(Rc<Copy>, u8),
     ) -> bool {
-        self.drop(key);
+        self.remove(key);
         let (size, rank) = (charged_bytes(&copy), rank_index(rank));
         // Checked before anything is evicted, so that a copy that does not fit evicts nothing.
         let room = || {
--- a/crates/store/src/decide/memory/tests.rs
+++ b/crates/store/src/decide/memory/tests.rs
@@ -10,7 +10,7 @@
 
 fn keep(memory: &mut Memory, key: Key, bytes: usize, rank: u8) -> (bool, usize) {
     let mut evicted = 0;
-    let kept = memory.keep(key, copy(bytes), rank, &mut |_, _| evicted += 1);
+    let kept = memory.insert(key, copy(bytes), rank, &mut |_, _| evicted += 1);
     (kept, evicted)
 }
 
@@ -20,7 +20,7 @@
     for (key, rank) in [(1, 3), (2, 1), (3, 2), (4, 1)] {
         assert_eq!(keep(&mut memory, key, 1000, rank), (true, 0));
     }
-    assert!(memory.take(2).is_some(), "used last");
+    assert!(memory.get(2).is_some(), "used last");
     assert_eq!(keep(&mut memory, 5, 1000, 2), (true, 1));
     assert!(memory.peek(4).is_none() && memory.peek(2).is_some());
     assert_eq!(
@@ -54,7 +54,7 @@
         (memory.len(), memory.bytes()),
         (1, 2000 + ENTRY_OVERHEAD_BYTES)
     );
-    memory.drop(1);
+    memory.remove(1);
     assert_eq!((memory.len(), memory.bytes()), (0, 0));
 }
 
--- a/crates/store/src/decide/mod.rs
+++ b/crates/store/src/decide/mod.rs
@@ -7,9 +7,9 @@
 pub mod purges;
 pub mod segments;
 
-use crate::catalogue::Known;
+use crate::catalogue::CatalogueSnapshot;
 use crate::copy::Copy;
-use crate::format::{Entry, tag_hash};
+use crate::format::{FooterEntry, tag_hash};
 use crate::key::{self, Key};
 use crate::recovery::{Recovered, RecoveryError};
 use disk::{Disk, DiskBackend, Fault};
@@ -20,7 +20,7 @@
 
 /// The tier that holds a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum CacheTier {
     Memory,
     Disk,
 }
@@ -29,9 +29,9 @@
 /// has this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Found {
-    pub place: Place,
-    pub made: u64,
-    pub same: bool,
+    pub tier: CacheTier,
+    pub created_at_ms: u64,
+    pub is_same_version: bool,
 }
 
 /// A part as identified by a request.
@@ -53,9 +53,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     pub kept: u64,
-    pub not_kept: u64,
-    pub left: u64,
-    pub gave_way: u64,
+    pub rejected: u64,
+    pub evicted: u64,
+    pub evicted_for_memory: u64,
     pub purges: u64,
     pub outdated: u64,
     pub hits: u64,
@@ -110,31 +110,31 @@
             .peek(key)
             .filter(|copy| self.is_servable(copy, part, object))
         {
-            let same = have.is_some_and(|tag| *tag == *copy.tag);
+            let is_same_version = have.is_some_and(|tag| *tag == *copy.etag);
             return Some(Found {
-                place: Place::Memory,
-                made: copy.made,
-                same,
+                tier: CacheTier::Memory,
+                created_at_ms: copy.created_at_ms,
+                is_same_version,
             });
         }
-        let spot = self
-            .disk
-            .as_mut()?
-            .find(key, object, group_slot(part.group), &self.purges)?;
-        let same = have.is_some_and(|tag| tag_hash(tag) == spot.tag);
+        let index_entry =
+            self.disk
+                .as_mut()?
+                .find(key, object, group_slot(part.group), &self.purges)?;
+        let is_same_version = have.is_some_and(|tag| tag_hash(tag) == index_entry.tag);
         Some(Found {
-            place: Place::Disk,
-            made: spot.made,
-            same,
+            tier: CacheTier::Disk,
+            created_at_ms: index_entry.created_at_ms,
+            is_same_version,
         })
     }
 
     /// Returns the copy in memory for an answer.
-    pub fn take(&mut self, now: Duration, part: Part) -> Option<Rc<Copy>> {
+    pub fn get(&mut self, now: Duration, part: Part) -> Option<Rc<Copy>> {
         let (object, key) = part.hashes();
         let copy = self
             .memory
-            .take(key)
+            .get(key)
             .filter(|copy| self.is_servable(copy, part, object))?;
         self.counts.hits += 1;
         self.counts.hit_bytes += copy.body.len() as u64;
@@ -146,7 +146,7 @@
 
     /// Starts reading the copy on disk for an answer; the result arrives with `DiskBackend::read_completed`.
     /// `None` if there is no copy or the read queue is full.
-    pub fn fetch(
+    pub fn start_read(
         &mut self,
         now: Duration,
         part: Part,
@@ -155,9 +155,9 @@
         let (object, key) = part.hashes();
         let disk = self.disk.as_mut()?;
         let group = group_slot(part.group);
-        let spot = disk.find(key, object, group, &self.purges)?;
+        let index_entry = disk.find(key, object, group, &self.purges)?;
         disk.record_request(now, object, part.part);
-        disk.fetch(key, spot, part.object, part.part, group, backend)
+        disk.start_request_read(key, index_entry, part.object, part.part, group, backend)
     }
 
     /// Whether a copy is of the requested part and no purge received since it was made applies to it (rule 5).
@@ -166,19 +166,19 @@
             && copy.part == part.part
             && self
                 .purges
-                .survives(object, group_slot(copy.group), copy.made)
+                .survives(object, group_slot(copy.group), copy.created_at_ms)
             && self
                 .purges
-                .survives(object, group_slot(part.group), copy.made)
+                .survives(object, group_slot(part.group), copy.created_at_ms)
     }
 
     /// Keeps a copy with a rank from 1 to 3, unless it was purged or a newer copy is held.
-    pub fn keep(&mut self, now: Duration, copy: Copy, rank: u8, backend: &mut dyn DiskBackend) {
+    pub fn insert(&mut self, now: Duration, copy: Copy, rank: u8, backend: &mut dyn DiskBackend) {
         let object = key::object(&copy.object);
         let key = key::part(object, copy.part);
         if !self
             .purges
-            .survives(object, group_slot(copy.group), copy.made)
+            .survives(object, group_slot(copy.group), copy.created_at_ms)
         {
             self.counts.outdated += 1;
             return;
@@ -187,18 +187,18 @@
             .disk
             .as_ref()
             .and_then(|disk| disk.index().get(key))
-            .map(|spot| (spot.made, spot.tag));
+            .map(|index_entry| (index_entry.created_at_ms, index_entry.tag));
         let in_memory = self
             .memory
             .peek(key)
             .filter(|held| held.object == copy.object);
         let held = in_memory
-            .map(|held| (held.made, tag_hash(&held.tag)))
+            .map(|held| (held.created_at_ms, tag_hash(&held.etag)))
             .or(on_disk);
-        if let Some((made, tag)) = held {
-            if made > copy.made {
+        if let Some((created_at_ms, tag)) = held {
+            if created_at_ms > copy.created_at_ms {
                 self.counts.outdated += 1;
-                return self.rank(
+                return self.set_rank(
                     Part {
                         object: &copy.object,
                         part: copy.part,
@@ -207,15 +207,17 @@
                     rank,
                 );
             }
-            if tag != tag_hash(&copy.tag) && copy.in_parts {
+            if tag != tag_hash(&copy.etag) && copy.is_multipart {
                 // The object has changed: copies of its other parts that were made earlier are of an older
                 // version.
-                let marks = self.purges.object(object, copy.made.saturating_sub(1));
-                self.record_purges(marks, backend);
+                let records = self
+                    .purges
+                    .purge_object(object, copy.created_at_ms.saturating_sub(1));
+                self.record_purges(records, backend);
             }
         }
         if let Some(disk) = &mut self.disk {
-            disk.proven(key, &copy.tag, copy.made);
+            disk.confirm_version(key, &copy.etag, copy.created_at_ms);
             disk.record_request(now, object, copy.part);
         }
         self.insert_copy(now, key, Rc::new(copy), rank);
@@ -225,16 +227,16 @@
         let (evicted, counts) = (&mut self.evicted, &mut self.counts);
         let kept = self
             .memory
-            .keep(key, copy.clone(), rank, &mut |copy, rank| {
+            .insert(key, copy.clone(), rank, &mut |copy, rank| {
                 evicted.push((copy, rank))
             });
         if kept {
             counts.kept += 1;
         } else {
-            counts.not_kept += 1;
+            counts.rejected += 1;
             evicted.push((copy, rank));
         }
-        counts.left += evicted.len() as u64;
+        counts.evicted += evicted.len() as u64;
         self.demote(now);
     }
 
@@ -249,11 +251,11 @@
     }
 
     /// Changes the rank of a held copy after another request for it.
-    pub fn rank(&mut self, part: Part, rank: u8) {
+    pub fn set_rank(&mut self, part: Part, rank: u8) {
         let (_, key) = part.hashes();
         self.memory.set_rank(key, rank);
         if let Some(disk) = &mut self.disk {
-            disk.rank(key, rank);
+            disk.set_rank(key, rank);
         }
     }
 
@@ -266,24 +268,28 @@
         backend: &mut dyn DiskBackend,
     ) {
         self.counts.purges += 1;
-        let marks = match object {
-            Some(object) => self.purges.object(key::object(object), ms),
-            None => [Some(self.purges.group(group, ms)), None],
+        let records = match object {
+            Some(object) => self.purges.purge_object(key::object(object), ms),
+            None => [Some(self.purges.purge_group(group, ms)), None],
         };
-        self.record_purges(marks, backend);
+        self.record_purges(records, backend);
     }
 
-    fn record_purges(&mut self, marks: [Option<purges::Mark>; 2], backend: &mut dyn DiskBackend) {
+    fn record_purges(
+        &mut self,
+        records: [Option<purges::PurgeRecord>; 2],
+        backend: &mut dyn DiskBackend,
+    ) {
         if let Some(disk) = &mut self.disk {
-            disk.queue_purges(marks.into_iter().flatten(), backend);
+            disk.queue_purges(records.into_iter().flatten(), backend);
         }
     }
 
     /// Evicts copies until memory holds at most `to` bytes. They are not offered to the disk, because the queue
     /// of writes would take memory again.
-    pub fn give_way(&mut self, to: u64) {
-        let gave_way = &mut self.counts.gave_way;
-        self.memory.evict_to(to, &mut |_, _| *gave_way += 1);
+    pub fn evict_to(&mut self, to: u64) {
+        let evicted = &mut self.counts.evicted_for_memory;
+        self.memory.evict_to(to, &mut |_, _| *evicted += 1);
     }
 
     /// The memory that copies and tables take, in bytes.
@@ -295,7 +301,7 @@
 
     pub fn complete_open(
         &mut self,
-        known: &Known,
+        known: &CatalogueSnapshot,
         segments: Vec<u32>,
         backend: &mut dyn DiskBackend,
     ) {
@@ -334,7 +340,7 @@
         &mut self,
         now: Duration,
         segment: u32,
-        result: Result<Vec<Entry>, Fault>,
+        result: Result<Vec<FooterEntry>, Fault>,
         backend: &mut dyn DiskBackend,
     ) {
         if let Some(disk) = &mut self.disk {
@@ -415,17 +421,17 @@
         }
     }
 
-    /// The source confirmed that the version with this entity tag was current at `made`.
-    pub fn proven(&mut self, part: Part, tag: &[u8], made: u64) {
+    /// The source confirmed that the version with this entity tag was current at `created_at_ms`.
+    pub fn confirm_version(&mut self, part: Part, tag: &[u8], created_at_ms: u64) {
         if let Some(disk) = &mut self.disk {
-            disk.proven(part.hashes().1, tag, made);
+            disk.confirm_version(part.hashes().1, tag, created_at_ms);
         }
     }
 
     /// Drops the disk copy if it is still unproven: its source has another version or could not be reached.
-    pub fn disproven(&mut self, part: Part, backend: &mut dyn DiskBackend) {
+    pub fn drop_unproven(&mut self, part: Part, backend: &mut dyn DiskBackend) {
         if let Some(disk) = &mut self.disk {
-            disk.disproven(part.hashes().1, backend);
+            disk.drop_unproven(part.hashes().1, backend);
         }
     }
 }
--- a/crates/store/src/decide/purges.rs
+++ b/crates/store/src/decide/purges.rs
@@ -12,11 +12,11 @@
 /// Slots of the table of older purges.
 pub const FOLDED_SLOTS: usize = 65_536;
 /// Slots of groups; groups that share a slot are purged together.
-pub const GROUPS: usize = 1024;
+pub const GROUP_SLOTS: usize = 1024;
 
 /// A catalogue entry that makes a purge durable. Times are Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mark {
+pub enum PurgeRecord {
     Object(Key, u64),
     /// The object's purge is no longer kept exactly, but in its slot.
     Folded(Key, usize, u64),
@@ -34,14 +34,14 @@
         Purges {
             exact: LruCache::new(MAX_EXACT),
             folded: vec![0; FOLDED_SLOTS],
-            groups: vec![0; GROUPS],
+            groups: vec![0; GROUP_SLOTS],
         }
     }
 }
 
 impl Purges {
     /// Applies a purge of an object. Returns the entries to write to the catalogue.
-    pub fn object(&mut self, object: Key, ms: u64) -> [Option<Mark>; 2] {
+    pub fn purge_object(&mut self, object: Key, ms: u64) -> [Option<PurgeRecord>; 2] {
         let latest = self.exact.get(&object).copied().unwrap_or(0).max(ms);
         let evicted = self
             .exact
@@ -50,29 +50,29 @@
         let folded = evicted.map(|(old, purged_at)| {
             let slot = key::slot(old, FOLDED_SLOTS);
             self.folded[slot] = self.folded[slot].max(purged_at);
-            Mark::Folded(old, slot, self.folded[slot])
+            PurgeRecord::Folded(old, slot, self.folded[slot])
         });
-        [Some(Mark::Object(object, latest)), folded]
+        [Some(PurgeRecord::Object(object, latest)), folded]
     }
 
-    pub fn group(&mut self, group: u64, ms: u64) -> Mark {
+    pub fn purge_group(&mut self, group: u64, ms: u64) -> PurgeRecord {
         let slot = group_slot(group);
         self.groups[slot] = self.groups[slot].max(ms);
-        Mark::Group(slot, self.groups[slot])
+        PurgeRecord::Group(slot, self.groups[slot])
     }
 
     /// Applies an entry that was read from the catalogue.
-    pub fn restore(&mut self, mark: Mark) {
-        match mark {
-            Mark::Object(object, ms) => {
-                self.object(object, ms);
+    pub fn restore(&mut self, record: PurgeRecord) {
+        match record {
+            PurgeRecord::Object(object, ms) => {
+                self.purge_object(object, ms);
             }
-            Mark::Folded(_, slot, ms) => {
+            PurgeRecord::Folded(_, slot, ms) => {
                 let purged_at = &mut self.folded[slot % FOLDED_SLOTS];
                 *purged_at = ms.max(*purged_at);
             }
-            Mark::Group(slot, ms) => {
-                let purged_at = &mut self.groups[slot % GROUPS];
+            PurgeRecord::Group(slot, ms) => {
+                let purged_at = &mut self.groups[slot % GROUP_SLOTS];
                 *purged_at = ms.max(*purged_at);
             }
         }
@@ -83,19 +83,19 @@
         let exact = self.exact.peek(&object).copied().unwrap_or(0);
         exact
             .max(self.folded[key::slot(object, FOLDED_SLOTS)])
-            .max(self.groups[group_slot % GROUPS])
+            .max(self.groups[group_slot % GROUP_SLOTS])
     }
 
     /// Whether a copy made at this time is newer than every purge that may apply to it (rule 5). A copy made in
     /// the millisecond of a purge does not survive, since it may be the purged version.
-    pub fn survives(&self, object: Key, group_slot: usize, made: u64) -> bool {
-        made > self.last_purge_ms(object, group_slot)
+    pub fn survives(&self, object: Key, group_slot: usize, created_at_ms: u64) -> bool {
+        created_at_ms > self.last_purge_ms(object, group_slot)
     }
 }
 
 /// The slot of a group in the purge table.
 pub fn group_slot(group: u64) -> usize {
-    (group % GROUPS as u64) as usize
+    (group % GROUP_SLOTS as u64) as usize
 }
 
 #[cfg(test)]
--- a/crates/store/src/decide/purges/tests.rs
+++ b/crates/store/src/decide/purges/tests.rs
@@ -6,12 +6,17 @@
     let all: Vec<Key> = (0..20_000u64)
         .map(|n| key::object(&n.to_be_bytes()))
         .collect();
-    let mut marks = Vec::new();
+    let mut records = Vec::new();
     for (n, key) in all.iter().enumerate() {
-        marks.extend(purges.object(*key, 1000 + n as u64).into_iter().flatten());
+        records.extend(
+            purges
+                .purge_object(*key, 1000 + n as u64)
+                .into_iter()
+                .flatten(),
+        );
     }
     let mut restored = Purges::default();
-    marks.iter().for_each(|mark| restored.restore(*mark));
+    records.iter().for_each(|record| restored.restore(*record));
     for (n, key) in all.iter().enumerate() {
         for purges in [&purges, &restored] {
             assert!(
@@ -34,10 +39,10 @@
 fn a_late_earlier_purge_changes_nothing() {
     let mut purges = Purges::default();
     let object = key::object(b"a");
-    purges.object(object, 50);
-    purges.object(object, 40);
-    purges.group(17, 60);
-    purges.group(17, 30);
+    purges.purge_object(object, 50);
+    purges.purge_object(object, 40);
+    purges.purge_group(17, 60);
+    purges.purge_group(17, 30);
     assert_eq!(
         (
             purges.last_purge_ms(object, 0),
--- a/crates/store/src/decide/segments.rs
+++ b/crates/store/src/decide/segments.rs
@@ -66,17 +66,17 @@
     next: u32,
     /// The maximum length of a segment, and the maximum number of segments.
     pub segment_size: u32,
-    pub most: usize,
+    pub max_segments: usize,
 }
 
 impl Segments {
-    pub fn new(segment_size: u32, most: usize) -> Segments {
+    pub fn new(segment_size: u32, max_segments: usize) -> Segments {
         Segments {
             all: BTreeMap::new(),
             open: [None; SIZE_CLASSES],
             next: 1,
             segment_size,
-            most,
+            max_segments,
         }
     }
 
@@ -125,7 +125,7 @@
 
     /// How many more segments can be opened.
     pub fn free(&self) -> usize {
-        self.most.saturating_sub(self.all.len())
+        self.max_segments.saturating_sub(self.all.len())
     }
 
     /// The open segment of a size class and the offset of its next record, if `length` more bytes fit.
--- a/crates/store/src/decide/tests.rs
+++ b/crates/store/src/decide/tests.rs
@@ -7,17 +7,20 @@
     group: 17,
 };
 
-fn copy(made: u64, tag: &'static str, part: u64) -> Copy {
-    let (object, tag) = (Bytes::from_static(b"o"), Bytes::from_static(tag.as_bytes()));
+fn copy(created_at_ms: u64, etag: &'static str, part: u64) -> Copy {
+    let (object, etag) = (
+        Bytes::from_static(b"o"),
+        Bytes::from_static(etag.as_bytes()),
+    );
     let body = Bytes::from_static(b"body");
     Copy {
         object,
         part,
         group: 17,
-        made,
-        tag,
+        created_at_ms,
+        etag,
         body,
-        in_parts: true,
+        is_multipart: true,
         ..Copy::default()
     }
 }
@@ -50,7 +53,7 @@
     fn remove(&mut self, _: u32) -> bool {
         false
     }
-    fn write_catalogue(&mut self, _: Vec<crate::catalogue::Line>) -> bool {
+    fn write_catalogue(&mut self, _: Vec<crate::catalogue::CatalogueLine>) -> bool {
         false
     }
 }
@@ -60,42 +63,44 @@
 #[test]
 fn copies_older_than_a_purge_are_neither_found_nor_kept() {
     let mut store = Store::new(1 << 20, None);
-    store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(100, "a", 3), 2, &mut NoDisk);
     assert_eq!(
-        store.find(PART, Some(b"a")).map(|f| (f.made, f.same)),
+        store
+            .find(PART, Some(b"a"))
+            .map(|f| (f.created_at_ms, f.is_same_version)),
         Some((100, true))
     );
     store.purge(Some(b"o"), 0, 99, &mut NoDisk);
-    assert!(store.take(NOW, PART).is_some(), "made after the purge");
+    assert!(store.get(NOW, PART).is_some(), "made after the purge");
     store.purge(None, 17, 100, &mut NoDisk);
-    assert!(store.find(PART, None).is_none() && store.take(NOW, PART).is_none());
+    assert!(store.find(PART, None).is_none() && store.get(NOW, PART).is_none());
     // A fill that was in progress when the purge arrived.
-    store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(100, "a", 3), 2, &mut NoDisk);
     assert!(store.find(PART, None).is_none());
-    store.keep(NOW, copy(101, "b", 3), 2, &mut NoDisk);
-    assert!(store.find(PART, None).is_some_and(|f| !f.same));
+    store.insert(NOW, copy(101, "b", 3), 2, &mut NoDisk);
+    assert!(store.find(PART, None).is_some_and(|f| !f.is_same_version));
     assert!(store.find(Part { part: 4, ..PART }, None).is_none());
 }
 
 #[test]
 fn a_new_version_invalidates_older_parts_of_the_object() {
     let mut store = Store::new(1 << 20, None);
-    store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
-    store.keep(NOW, copy(150, "a", 3), 2, &mut NoDisk);
-    store.keep(NOW, copy(200, "b", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(100, "a", 2), 2, &mut NoDisk);
+    store.insert(NOW, copy(150, "a", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(200, "b", 3), 2, &mut NoDisk);
     assert!(
         store.find(Part { part: 2, ..PART }, None).is_none(),
         "of the older version"
     );
     assert!(store.find(PART, None).is_some());
-    store.keep(NOW, copy(180, "a", 2), 2, &mut NoDisk);
+    store.insert(NOW, copy(180, "a", 2), 2, &mut NoDisk);
     assert!(
         store.find(Part { part: 2, ..PART }, None).is_none(),
         "older than the newer version"
     );
-    store.keep(NOW, copy(190, "a", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(190, "a", 3), 2, &mut NoDisk);
     assert_eq!(
-        store.find(PART, None).map(|f| f.made),
+        store.find(PART, None).map(|f| f.created_at_ms),
         Some(200),
         "the newer one stays"
     );
@@ -104,8 +109,8 @@
 #[test]
 fn refreshing_the_same_version_keeps_the_other_parts() {
     let mut store = Store::new(1 << 20, None);
-    store.keep(NOW, copy(100, "a", 2), 2, &mut NoDisk);
-    store.keep(NOW, copy(100, "a", 3), 2, &mut NoDisk);
-    store.keep(NOW, copy(200, "a", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(100, "a", 2), 2, &mut NoDisk);
+    store.insert(NOW, copy(100, "a", 3), 2, &mut NoDisk);
+    store.insert(NOW, copy(200, "a", 3), 2, &mut NoDisk);
     assert!(store.find(Part { part: 2, ..PART }, None).is_some());
 }
--- a/crates/store/src/files/real.rs
+++ b/crates/store/src/files/real.rs
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     /// `ResourceBusy` if another process holds the lock; the message names that process.
-    pub fn take(path: &Path) -> io::Result<Directory> {
+    pub fn lock(path: &Path) -> io::Result<Directory> {
         create_dir_durably(path)?;
         let options = || {
             OpenOptions::new()
--- a/crates/store/src/files/real/tests.rs
+++ b/crates/store/src/files/real/tests.rs
@@ -3,14 +3,14 @@
 #[test]
 fn a_second_lock_attempt_names_the_holder() {
     let path = std::env::temp_dir().join(format!("chalkhall-lock-{}", std::process::id()));
-    let first = Directory::take(&path).unwrap();
-    let message = Directory::take(&path).err().unwrap().to_string();
+    let first = Directory::lock(&path).unwrap();
+    let message = Directory::lock(&path).err().unwrap().to_string();
     assert!(
         message.contains(&format!("is held by process {}", std::process::id())),
         "{message}"
     );
     drop(first);
-    assert!(Directory::take(&path).is_ok_and(|again| again.list().unwrap().is_empty()));
+    assert!(Directory::lock(&path).is_ok_and(|again| again.list().unwrap().is_empty()));
     fs::remove_dir_all(path).unwrap();
 }
 
@@ -18,11 +18,11 @@
 fn missing_parent_directories_are_created() {
     let top = std::env::temp_dir().join(format!("chalkhall-store-parents-{}", std::process::id()));
     let path = top.join("one").join("two");
-    drop(Directory::take(&path).expect("created"));
-    drop(Directory::take(&path).expect("exists already"));
+    drop(Directory::lock(&path).expect("created"));
+    drop(Directory::lock(&path).expect("exists already"));
     std::fs::write(top.join("file"), b"").expect("writable");
     assert!(
-        Directory::take(&top.join("file").join("three")).is_err(),
+        Directory::lock(&top.join("file").join("three")).is_err(),
         "below a file"
     );
     std::fs::remove_dir_all(&top).expect("removable");
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -60,12 +60,12 @@
 pub struct DiskAddress {
     pub store_id: u64,
     pub segment: u32,
-    pub at: u32,
+    pub offset: u32,
 }
 
 impl DiskAddress {
     fn checksum_seed(self) -> u64 {
-        self.store_id ^ (u64::from(self.segment) << 32 | u64::from(self.at)).rotate_left(17)
+        self.store_id ^ (u64::from(self.segment) << 32 | u64::from(self.offset)).rotate_left(17)
     }
 }
 
@@ -134,17 +134,17 @@
             && xxh3_64_with_seed(body, address.checksum_seed()) == self.body_checksum
     }
 
-    pub fn entry(&self, at: u32) -> Entry {
+    pub fn entry(&self, offset: u32) -> FooterEntry {
         let object = key::object(&self.copy.object);
-        Entry {
+        FooterEntry {
             key: key::part(object, self.copy.part),
             object,
-            at,
+            offset,
             length: self.record_len() as u32,
-            made: self.copy.made,
+            created_at_ms: self.copy.created_at_ms,
             group: group_slot(self.copy.group) as u16,
             rank: self.rank,
-            tag: tag_hash(&self.copy.tag),
+            tag: tag_hash(&self.copy.etag),
         }
     }
 }
@@ -159,31 +159,31 @@
 }
 
 fn record_header_len(copy: &Copy) -> usize {
-    MIN_RECORD_HEADER_LEN + padded_len(copy.object.len() + copy.tag.len() + copy.class.len())
+    MIN_RECORD_HEADER_LEN + padded_len(copy.object.len() + copy.etag.len() + copy.class.len())
 }
 
 /// Whether a copy's texts and body are short enough for a record.
 pub fn fits_in_record(copy: &Copy) -> bool {
-    let texts = [&copy.object, &copy.tag, &copy.class];
+    let texts = [&copy.object, &copy.etag, &copy.class];
     texts.iter().all(|text| text.len() <= 255) && copy.body.len() <= MAX_BODY_LEN
 }
 
 /// Appends the record of a copy, as stored at this address.
 pub fn encode_record(out: &mut Vec<u8>, copy: &Copy, rank: u8, address: DiskAddress) {
-    debug_assert!(fits_in_record(copy) && address.at.is_multiple_of(8));
+    debug_assert!(fits_in_record(copy) && address.offset.is_multiple_of(8));
     let (start, length) = (out.len(), record_header_len(copy));
     out.extend_from_slice(RECORD_MAGIC);
     out.extend_from_slice(&(length as u16).to_le_bytes());
-    out.extend_from_slice(&[rank, u8::from(copy.in_parts)]);
+    out.extend_from_slice(&[rank, u8::from(copy.is_multipart)]);
     out.extend_from_slice(&(copy.body.len() as u32).to_le_bytes());
-    let texts = [&copy.object, &copy.tag, &copy.class];
+    let texts = [&copy.object, &copy.etag, &copy.class];
     out.extend(texts.iter().map(|text| text.len() as u8));
     out.push(0);
     for number in [
         copy.part,
         copy.group,
-        copy.made,
-        copy.fresh,
+        copy.created_at_ms,
+        copy.fresh_for_ms,
         copy.kb.to_bits(),
     ] {
         out.extend_from_slice(&number.to_le_bytes());
@@ -209,7 +209,7 @@
         return Err(FormatError::Damaged);
     }
     let header_len = u16::from_le_bytes([fixed[4], fixed[5]]) as usize;
-    let texts = [12, 13, 14].map(|at| fixed[at] as usize);
+    let texts = [12, 13, 14].map(|offset| fixed[offset] as usize);
     if header_len != MIN_RECORD_HEADER_LEN + padded_len(texts.iter().sum()) {
         return Err(FormatError::Damaged);
     }
@@ -223,23 +223,24 @@
     {
         return Err(FormatError::Damaged);
     }
-    let mut at = 64;
-    let [object, tag, class] = texts.map(|length| {
-        at += length;
-        Bytes::copy_from_slice(&header[at - length..at])
+    let mut offset = 64;
+    let [object, etag, class] = texts.map(|length| {
+        offset += length;
+        Bytes::copy_from_slice(&header[offset - length..offset])
     });
-    let [part, group, made, fresh] = [16, 24, 32, 40].map(|at| u64_at(header, at));
-    let (in_parts, empty_body) = (header[7] & 1 == 1, Bytes::new());
+    let [part, group, created_at_ms, fresh_for_ms] =
+        [16, 24, 32, 40].map(|offset| u64_at(header, offset));
+    let (is_multipart, empty_body) = (header[7] & 1 == 1, Bytes::new());
     let copy = Copy {
         object,
         part,
         group,
         class,
-        made,
-        fresh,
+        created_at_ms,
+        fresh_for_ms,
         kb,
-        in_parts,
-        tag,
+        is_multipart,
+        etag,
         body: empty_body,
     };
     Ok(RecordHeader {
@@ -275,39 +276,39 @@
     let from = from.next_multiple_of(8);
     (from..bytes.len().saturating_sub(3))
         .step_by(8)
-        .find(|at| &bytes[*at..*at + 4] == RECORD_MAGIC)
+        .find(|offset| &bytes[*offset..*offset + 4] == RECORD_MAGIC)
 }
 
 /// A record's entry in the footer of its segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct FooterEntry {
     pub key: Key,
     pub object: Key,
-    pub at: u32,
+    pub offset: u32,
     /// The length of the whole record.
     pub length: u32,
-    pub made: u64,
+    pub created_at_ms: u64,
     /// The slot of its group in the purge table.
     pub group: u16,
     pub rank: u8,
     pub tag: u32,
 }
 
-/// Encodes the footer of a segment whose records end at `at`.
-pub fn encode_footer(entries: &[Entry], store_id: u64, segment: u32, at: u32) -> Vec<u8> {
+/// Encodes the footer of a segment whose records end at `offset`.
+pub fn encode_footer(entries: &[FooterEntry], store_id: u64, segment: u32, offset: u32) -> Vec<u8> {
     let mut out = Vec::with_capacity(entries.len() * FOOTER_ENTRY_LEN + FOOTER_TRAILER_LEN);
     for entry in entries {
         out.extend_from_slice(&entry.key.to_le_bytes());
         out.extend_from_slice(&entry.object.to_le_bytes());
-        out.extend_from_slice(&entry.made.to_le_bytes());
-        out.extend_from_slice(&entry.at.to_le_bytes());
+        out.extend_from_slice(&entry.created_at_ms.to_le_bytes());
+        out.extend_from_slice(&entry.offset.to_le_bytes());
         out.extend_from_slice(&entry.length.to_le_bytes());
         out.extend_from_slice(&entry.tag.to_le_bytes());
         out.extend_from_slice(&entry.group.to_le_bytes());
         out.extend_from_slice(&[entry.rank, 0]);
     }
     out.extend_from_slice(FOOTER_MAGIC);
-    out.extend_from_slice(&at.to_le_bytes());
+    out.extend_from_slice(&offset.to_le_bytes());
     out.extend_from_slice(&(entries.len() as u32).to_le_bytes());
     out.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     out.extend_from_slice(&[0; 12]);
@@ -316,7 +317,7 @@
         DiskAddress {
             store_id,
             segment,
-            at,
+            offset,
         }
         .checksum_seed(),
     );
@@ -330,20 +331,20 @@
     let trailer = trailer
         .get(..FOOTER_TRAILER_LEN)
         .filter(|t| &t[..8] == FOOTER_MAGIC)?;
-    let (at, count) = (u32_at(trailer, 8), u32_at(trailer, 12) as usize);
+    let (offset, count) = (u32_at(trailer, 8), u32_at(trailer, 12) as usize);
     let footer_len = count
         .checked_mul(FOOTER_ENTRY_LEN)?
         .checked_add(FOOTER_TRAILER_LEN)?;
-    (u64::from(at) + footer_len as u64 == length).then_some((at, footer_len))
+    (u64::from(offset) + footer_len as u64 == length).then_some((offset, footer_len))
 }
 
-/// Decodes a footer that starts at `at`.
+/// Decodes a footer that starts at `offset`.
 pub fn decode_footer(
     bytes: &[u8],
     store_id: u64,
     segment: u32,
-    at: u32,
-) -> Result<Vec<Entry>, FormatError> {
+    offset: u32,
+) -> Result<Vec<FooterEntry>, FormatError> {
     let (Some(end), true) = (
         bytes.len().checked_sub(8),
         bytes.len() >= FOOTER_TRAILER_LEN,
@@ -352,25 +353,29 @@
     };
     let listed = &bytes[..bytes.len() - FOOTER_TRAILER_LEN];
     let valid = listed.len().is_multiple_of(FOOTER_ENTRY_LEN)
-        && locate_footer(&bytes[listed.len()..], u64::from(at) + bytes.len() as u64).is_some()
+        && locate_footer(
+            &bytes[listed.len()..],
+            u64::from(offset) + bytes.len() as u64,
+        )
+        .is_some()
         && u64_at(bytes, end)
             == xxh3_64_with_seed(
                 &bytes[..end],
                 DiskAddress {
                     store_id,
                     segment,
-                    at,
+                    offset,
                 }
                 .checksum_seed(),
             );
     if !valid {
         return Err(FormatError::Damaged);
     }
-    let entries = listed.chunks_exact(FOOTER_ENTRY_LEN).map(|e| Entry {
+    let entries = listed.chunks_exact(FOOTER_ENTRY_LEN).map(|e| FooterEntry {
         key: u64_at(e, 0),
         object: u64_at(e, 8),
-        made: u64_at(e, 16),
-        at: u32_at(e, 24),
+        created_at_ms: u64_at(e, 16),
+        offset: u32_at(e, 24),
         length: u32_at(e, 28),
         tag: u32_at(e, 32),
         group: u16::from_le_bytes([e[36], e[37]]),
@@ -380,12 +385,12 @@
 }
 
 /// Panics if the bytes are missing; callers check the length first.
-fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(std::array::from_fn(|n| bytes[at + n]))
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(std::array::from_fn(|n| bytes[offset + n]))
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    u64::from_le_bytes(std::array::from_fn(|n| bytes[at + n]))
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_le_bytes(std::array::from_fn(|n| bytes[offset + n]))
 }
 
 #[cfg(test)]
--- a/crates/store/src/format/tests.rs
+++ b/crates/store/src/format/tests.rs
@@ -4,7 +4,7 @@
 const ADDRESS: DiskAddress = DiskAddress {
     store_id: 77,
     segment: 5,
-    at: 4096,
+    offset: 4096,
 };
 
 fn arbitrary_copy() -> impl Strategy<Value = Copy> {
@@ -18,18 +18,18 @@
         0.0f64..1e6,
         any::<bool>(),
     );
-    (text(), text(), text(), body, numbers).prop_map(|(object, tag, class, body, numbers)| {
-        let (part, group, made, fresh, kb, in_parts) = numbers;
+    (text(), text(), text(), body, numbers).prop_map(|(object, etag, class, body, numbers)| {
+        let (part, group, created_at_ms, fresh_for_ms, kb, is_multipart) = numbers;
         Copy {
             object,
             part,
             group,
             class,
-            made,
-            fresh,
+            created_at_ms,
+            fresh_for_ms,
             kb,
-            in_parts,
-            tag,
+            is_multipart,
+            etag,
             body,
         }
     })
@@ -48,7 +48,7 @@
         prop_assert_eq!(bytes.len(), record_len(&copy));
         prop_assert_eq!(decode_record(&bytes, ADDRESS), Ok((copy, rank)));
         for address in [
-            DiskAddress { at: 4104, ..ADDRESS },
+            DiskAddress { offset: 4104, ..ADDRESS },
             DiskAddress { segment: 6, ..ADDRESS },
             DiskAddress { store_id: 78, ..ADDRESS },
         ] {
@@ -57,22 +57,22 @@
     }
 
     #[test]
-    fn flipped_bits_and_truncation_are_detected(copy in arbitrary_copy(), at in any::<prop::sample::Index>(), bit in 0u8..8) {
+    fn flipped_bits_and_truncation_are_detected(copy in arbitrary_copy(), offset in any::<prop::sample::Index>(), bit in 0u8..8) {
         let whole = record(&copy, 2);
         let (header, body) = (record_header_len(&copy), copy.body.len());
         // The padding after a body is not covered by a checksum.
-        let at = at.index(header + body);
+        let offset = offset.index(header + body);
         let mut flipped = whole.clone();
-        flipped[at] ^= 1 << bit;
-        prop_assert!(decode_record(&Bytes::from(flipped), ADDRESS).is_err(), "bit {bit} of byte {at}");
-        prop_assert!(decode_record(&Bytes::from(whole[..at].to_vec()), ADDRESS).is_err(), "cut at {at}");
+        flipped[offset] ^= 1 << bit;
+        prop_assert!(decode_record(&Bytes::from(flipped), ADDRESS).is_err(), "bit {bit} of byte {offset}");
+        prop_assert!(decode_record(&Bytes::from(whole[..offset].to_vec()), ADDRESS).is_err(), "cut at {offset}");
     }
 
     #[test]
-    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400), at in any::<u32>()) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400), offset in any::<u32>()) {
         let _ = decode_segment_header(&bytes, 1, 1);
-        let _ = (decode_record_header(&bytes, DiskAddress { at, ..ADDRESS }), decode_footer(&bytes, 1, 1, at));
-        let _ = (locate_footer(&bytes, u64::from(at)), find_record_magic(&bytes, at as usize % 500));
+        let _ = (decode_record_header(&bytes, DiskAddress { offset, ..ADDRESS }), decode_footer(&bytes, 1, 1, offset));
+        let _ = (locate_footer(&bytes, u64::from(offset)), find_record_magic(&bytes, offset as usize % 500));
         // A magic number in front gets past the first check.
         let marked = [&RECORD_MAGIC[..], &bytes].concat();
         prop_assert!(decode_record(&Bytes::from(marked), ADDRESS).is_err());
@@ -81,19 +81,19 @@
     #[test]
     fn a_footer_decodes_and_flipped_bits_are_detected(
         keys in prop::collection::vec(any::<u64>(), 0..60),
-        at in any::<prop::sample::Index>(),
+        offset in any::<prop::sample::Index>(),
     ) {
-        let entry = |(n, key): (usize, &u64)| Entry {
-            key: *key, object: !key, at: 64 + n as u32 * 8, length: 8, made: key >> 3, group: 1023, rank: 3, tag: 9,
+        let entry = |(n, key): (usize, &u64)| FooterEntry {
+            key: *key, object: !key, offset: 64 + n as u32 * 8, length: 8, created_at_ms: key >> 3, group: 1023, rank: 3, tag: 9,
         };
-        let entries: Vec<Entry> = keys.iter().enumerate().map(entry).collect();
+        let entries: Vec<FooterEntry> = keys.iter().enumerate().map(entry).collect();
         let bytes = encode_footer(&entries, 1, 2, 640);
         let length = 640 + bytes.len() as u64;
         prop_assert_eq!(locate_footer(&bytes[bytes.len() - FOOTER_TRAILER_LEN..], length), Some((640, bytes.len())));
         prop_assert_eq!(decode_footer(&bytes, 1, 2, 640), Ok(entries.clone()));
         prop_assert!(decode_footer(&bytes, 1, 3, 640).is_err() && decode_footer(&bytes, 1, 2, 648).is_err());
         let mut flipped = bytes.clone();
-        flipped[at.index(bytes.len())] ^= 16;
+        flipped[offset.index(bytes.len())] ^= 16;
         prop_assert!(decode_footer(&flipped, 1, 2, 640).is_err());
     }
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -4,7 +4,7 @@
 
 use crate::files::{File, read_exact_at};
 use crate::format::{
-    DiskAddress, Entry, FOOTER_TRAILER_LEN, FormatError, MAX_RECORD_HEADER_LEN,
+    DiskAddress, FOOTER_TRAILER_LEN, FooterEntry, FormatError, MAX_RECORD_HEADER_LEN,
     MIN_RECORD_HEADER_LEN, SEGMENT_HEADER_LEN, decode_footer, decode_record_header,
     decode_segment_header, encode_footer, find_record_magic, locate_footer, padded_len,
 };
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovered {
     pub class: u32,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<FooterEntry>,
     /// Whether the segment had a valid footer, so that no scan was needed.
     pub sealed: bool,
     /// The offset at which the last intact record ends.
@@ -58,7 +58,7 @@
     if let Some(entries) = read_footer_entries(file, store_id, segment, length)? {
         let end = entries
             .iter()
-            .map(|e| e.at + e.length)
+            .map(|e| e.offset + e.length)
             .max()
             .unwrap_or(SEGMENT_HEADER_LEN as u32);
         return Ok(Recovered {
@@ -92,17 +92,17 @@
     store_id: u64,
     segment: u32,
     length: u64,
-) -> io::Result<Option<Vec<Entry>>> {
+) -> io::Result<Option<Vec<FooterEntry>>> {
     if length < (SEGMENT_HEADER_LEN + FOOTER_TRAILER_LEN) as u64 {
         return Ok(None);
     }
     let trailer = read_exact_at(file, length - FOOTER_TRAILER_LEN as u64, FOOTER_TRAILER_LEN)?
         .unwrap_or_default();
-    let Some((at, footer_len)) = locate_footer(&trailer, length) else {
+    let Some((offset, footer_len)) = locate_footer(&trailer, length) else {
         return Ok(None);
     };
-    let bytes = read_exact_at(file, u64::from(at), footer_len)?.unwrap_or_default();
-    Ok(decode_footer(&bytes, store_id, segment, at).ok())
+    let bytes = read_exact_at(file, u64::from(offset), footer_len)?.unwrap_or_default();
+    Ok(decode_footer(&bytes, store_id, segment, offset).ok())
 }
 
 /// Scans the records after the segment's header. Bodies are read too, because without a footer a body may not
@@ -114,29 +114,34 @@
     length: u64,
     found: &mut Recovered,
 ) -> io::Result<()> {
-    let (mut at, mut in_damage) = (SEGMENT_HEADER_LEN as u64, false);
-    while at + MIN_RECORD_HEADER_LEN as u64 <= length {
+    let (mut offset, mut in_damage) = (SEGMENT_HEADER_LEN as u64, false);
+    while offset + MIN_RECORD_HEADER_LEN as u64 <= length {
         let address = DiskAddress {
             store_id,
             segment,
-            at: at as u32,
+            offset: offset as u32,
         };
-        let header = read_up_to(file, at, MAX_RECORD_HEADER_LEN, length)?;
+        let header = read_up_to(file, offset, MAX_RECORD_HEADER_LEN, length)?;
         if let Ok(header) = decode_record_header(&header, address) {
             let record = header.record_len() as u64;
-            let body = read_up_to(file, at + header.header_len as u64, header.body_len, length)?;
-            if at + record <= length && header.verifies_body(&body, address) {
-                found.entries.push(header.entry(at as u32));
-                at += record;
-                found.end = at as u32;
+            let body = read_up_to(
+                file,
+                offset + header.header_len as u64,
+                header.body_len,
+                length,
+            )?;
+            if offset + record <= length && header.verifies_body(&body, address) {
+                found.entries.push(header.entry(offset as u32));
+                offset += record;
+                found.end = offset as u32;
                 in_damage = false;
                 continue;
             }
         }
         // A stretch of damage counts once. The scan resumes at the next magic number with a valid record.
         found.damaged += u64::from(!std::mem::replace(&mut in_damage, true));
-        match find_next_record(file, at + 8, length)? {
-            Some(next) => at = next,
+        match find_next_record(file, offset + 8, length)? {
+            Some(next) => offset = next,
             None => break,
         }
     }
@@ -147,18 +152,18 @@
     let mut from = from.next_multiple_of(8);
     while from < length {
         let window = read_up_to(file, from, SCAN_WINDOW_BYTES, length)?;
-        if let Some(at) = find_record_magic(&window, 0) {
-            return Ok(Some(from + at as u64));
+        if let Some(offset) = find_record_magic(&window, 0) {
+            return Ok(Some(from + offset as u64));
         }
         from += SCAN_WINDOW_BYTES as u64;
     }
     Ok(None)
 }
 
-fn read_up_to(file: &dyn File, at: u64, max_length: usize, length: u64) -> io::Result<Vec<u8>> {
-    let max_length = (max_length as u64).min(length.saturating_sub(at)) as usize;
+fn read_up_to(file: &dyn File, offset: u64, max_length: usize, length: u64) -> io::Result<Vec<u8>> {
+    let max_length = (max_length as u64).min(length.saturating_sub(offset)) as usize;
     let mut buffer = vec![0; max_length];
-    let read = file.read_at(&mut buffer, at)?;
+    let read = file.read_at(&mut buffer, offset)?;
     buffer.truncate(read);
     Ok(buffer)
 }
--- a/crates/store/src/recovery/tests.rs
+++ b/crates/store/src/recovery/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 use crate::files::Files;
 use crate::format::{encode_record, encode_segment_header};
-use crate::stand_ins::{Disk, Piece};
+use crate::stand_ins::{Disk, TestPart};
 use proptest::prelude::*;
 
 /// A segment of intact records, with the offset of each.
 fn segment(parts: u64, sizes: usize) -> (Vec<u8>, Vec<u32>) {
     let (mut bytes, mut offsets) = (encode_segment_header(9, 4, 1).to_vec(), Vec::new());
     for part in 0..parts {
-        let at = bytes.len() as u32;
-        offsets.push(at);
-        let copy = Piece { object: 5, part }.version(1, 1000 + part, sizes);
+        let offset = bytes.len() as u32;
+        offsets.push(offset);
+        let copy = TestPart { object: 5, part }.copy_of_version(1, 1000 + part, sizes);
         encode_record(
             &mut bytes,
             &copy,
@@ -18,7 +18,7 @@
             DiskAddress {
                 store_id: 9,
                 segment: 4,
-                at,
+                offset,
             },
         );
     }
@@ -41,22 +41,22 @@
     ) {
         let (mut bytes, offsets) = segment(20, sizes);
         let mut touched = std::collections::HashSet::new();
-        for (at, length) in holes {
-            let at = 64 + at.index(bytes.len() - 64);
-            let end = (at + length).min(bytes.len());
-            bytes[at..end].iter_mut().for_each(|byte| *byte = !*byte);
+        for (offset, length) in holes {
+            let offset = 64 + offset.index(bytes.len() - 64);
+            let end = (offset + length).min(bytes.len());
+            bytes[offset..end].iter_mut().for_each(|byte| *byte = !*byte);
             let ends = offsets.iter().skip(1).map(|p| *p as usize).chain([bytes.len()]);
             for (n, (from, to)) in offsets.iter().zip(ends).enumerate() {
                 // Two overlapping holes may cancel out, so a record in `touched` may still be intact.
-                if at < to && end > *from as usize {
+                if offset < to && end > *from as usize {
                     touched.insert(n as u64);
                 }
             }
         }
         let found = recover_bytes(&bytes);
-        let recovered: Vec<u32> = found.entries.iter().map(|e| e.at).collect();
-        for (n, at) in offsets.iter().enumerate() {
-            prop_assert!(recovered.contains(at) || touched.contains(&(n as u64)), "record {n} at {at} was lost");
+        let recovered: Vec<u32> = found.entries.iter().map(|e| e.offset).collect();
+        for (n, offset) in offsets.iter().enumerate() {
+            prop_assert!(recovered.contains(offset) || touched.contains(&(n as u64)), "record {n} at {offset} was lost");
         }
     }
 
--- a/crates/store/src/hands.rs
+++ b/crates/store/src/segment_files.rs
@@ -1,12 +1,12 @@
 //! Runs disk operations on segment files. Calls may block; they run on worker threads, or inside a test driver.
 
 use crate::boot_clock::BootClock;
-use crate::catalogue::{Catalogue, CatalogueError, Known, Line};
+use crate::catalogue::{Catalogue, CatalogueError, CatalogueLine, CatalogueSnapshot};
 use crate::copy::Copy;
 use crate::decide::disk::Fault;
 use crate::files::{File, Files, read_exact_at};
 use crate::format::{
-    DiskAddress, Entry, FormatError, SEGMENT_HEADER_LEN, decode_record, encode_segment_header,
+    DiskAddress, FooterEntry, FormatError, SEGMENT_HEADER_LEN, decode_record, encode_segment_header,
 };
 use crate::recovery::{Recovered, RecoveryError, read_footer_entries, recover, seal};
 use bytes::Bytes;
@@ -42,11 +42,11 @@
 
 /// Opens a directory: returns its catalogue, the catalogue's contents, and the numbers of its segments. For
 /// `clock` see `Catalogue::open`.
-pub fn open(
+pub fn open_store(
     files: &Arc<dyn Files>,
     store_id: u64,
     clock: Option<BootClock>,
-) -> Result<(Catalogue, Known, Vec<u32>), CatalogueError> {
+) -> Result<(Catalogue, CatalogueSnapshot, Vec<u32>), CatalogueError> {
     let (catalogue, known) = Catalogue::open(files.clone(), store_id, clock)?;
     let names = files.list().map_err(CatalogueError::Io)?;
     Ok((
@@ -60,7 +60,7 @@
 }
 
 /// Runs disk operations on the segment files of one store, on one thread.
-pub struct Hands {
+pub struct SegmentFiles {
     files: Arc<dyn Files>,
     store_id: u64,
     open_files: LruCache<u32, Arc<dyn File>>,
@@ -78,9 +78,9 @@
     SyncFailed,
 }
 
-impl Hands {
-    pub fn new(files: Arc<dyn Files>, store_id: u64) -> Hands {
-        Hands {
+impl SegmentFiles {
+    pub fn new(files: Arc<dyn Files>, store_id: u64) -> SegmentFiles {
+        SegmentFiles {
             files,
             store_id,
             open_files: LruCache::new(MAX_OPEN_FILES),
@@ -98,21 +98,21 @@
     }
 
     /// Reads and verifies a record.
-    pub fn read(&mut self, segment: u32, at: u32, length: u32) -> Result<(Copy, u8), Fault> {
+    pub fn read(&mut self, segment: u32, offset: u32, length: u32) -> Result<(Copy, u8), Fault> {
         let file = self.file(segment).map_err(fault_of)?;
-        let bytes = read_exact_at(&*file, u64::from(at), length as usize)
+        let bytes = read_exact_at(&*file, u64::from(offset), length as usize)
             .map_err(fault_of)?
             .ok_or(Fault::Damaged)?;
         let address = DiskAddress {
             store_id: self.store_id,
             segment,
-            at,
+            offset,
         };
         decode_record(&Bytes::from(bytes), address).map_err(|_: FormatError| Fault::Damaged)
     }
 
     /// Lists a segment's records, by scanning it if it has no valid footer.
-    pub fn list(&mut self, segment: u32) -> Result<Vec<Entry>, Fault> {
+    pub fn list(&mut self, segment: u32) -> Result<Vec<FooterEntry>, Fault> {
         let file = self.file(segment).map_err(fault_of)?;
         let length = file.length().map_err(fault_of)?;
         match read_footer_entries(&*file, self.store_id, segment, length).map_err(fault_of)? {
@@ -139,10 +139,10 @@
 
     /// Replaces the segment's footer by one that lists only these records, and truncates the file after the
     /// last of them.
-    pub fn rewrite(&mut self, segment: u32, entries: Vec<Entry>) -> Result<(), Fault> {
+    pub fn rewrite(&mut self, segment: u32, entries: Vec<FooterEntry>) -> Result<(), Fault> {
         let end = entries
             .iter()
-            .map(|e| e.at + e.length)
+            .map(|e| e.offset + e.length)
             .max()
             .unwrap_or(SEGMENT_HEADER_LEN as u32);
         let file = self.file(segment).map_err(fault_of)?;
@@ -168,14 +168,14 @@
         Ok(())
     }
 
-    pub fn append(&mut self, segment: u32, at: u32, record: &[u8]) -> Result<(), Fault> {
+    pub fn append(&mut self, segment: u32, offset: u32, record: &[u8]) -> Result<(), Fault> {
         self.check_not_faulty(
             segment,
             &[SegmentFault::WriteFailed, SegmentFault::SyncFailed],
         )?;
         let written = self
             .file(segment)
-            .and_then(|file| file.write_at(record, u64::from(at)));
+            .and_then(|file| file.write_at(record, u64::from(offset)));
         self.record_result(segment, SegmentFault::WriteFailed, written)
     }
 
@@ -187,13 +187,13 @@
 
     /// Writes the footer and syncs. Refused after a failed write: a footer that listed an unwritten record
     /// would hide an older copy of the same part at recovery.
-    pub fn seal(&mut self, segment: u32, at: u32, footer: &[u8]) -> Result<(), Fault> {
+    pub fn seal(&mut self, segment: u32, offset: u32, footer: &[u8]) -> Result<(), Fault> {
         self.check_not_faulty(
             segment,
             &[SegmentFault::WriteFailed, SegmentFault::SyncFailed],
         )?;
         let sealed = self.file(segment).and_then(|file| {
-            file.write_at(footer, u64::from(at))?;
+            file.write_at(footer, u64::from(offset))?;
             file.sync()
         });
         self.record_result(segment, SegmentFault::SyncFailed, sealed)
@@ -235,7 +235,7 @@
     }
 }
 
-pub fn mark(catalogue: &mut Catalogue, lines: &[Line]) -> Result<(), Fault> {
+pub fn write_lines(catalogue: &mut Catalogue, lines: &[CatalogueLine]) -> Result<(), Fault> {
     catalogue
         .write(lines)
         .map_err(|error| Fault::Io(error.to_string()))
--- a/crates/store/src/stand_ins/crashes.rs
+++ b/crates/store/src/stand_ins/crashes.rs
@@ -5,10 +5,10 @@
 //! was sent; and copies that the store reported as durable are found, unless they were dropped, purged or
 //! replaced.
 
-use super::{Disk, Driver, Faults, Piece, size_of};
+use super::{Disk, Driver, Faults, TestPart, body_len};
 use crate::copy::Copy;
 use crate::decide::Part;
-use crate::decide::disk::Wanted;
+use crate::decide::disk::DiskSettings;
 use crate::key::Key;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 
 /// The results of one run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct CrashTestResults {
     /// The crash came before the workload ended.
     pub crashed: bool,
     /// Answers checked, durable copies looked for, and segments reclaimed.
@@ -57,55 +57,68 @@
 }
 
 impl Workload {
-    fn piece(&mut self) -> Piece {
+    fn test_part(&mut self) -> TestPart {
         // A few objects are requested often, most rarely.
         let object = (self.random.f64().powi(3) * OBJECTS as f64) as u64;
-        Piece {
+        TestPart {
             object,
             part: self.random.u64(..PARTS),
         }
     }
 
-    fn last_purge_ms(&self, piece: Piece) -> u64 {
-        let object = self.object_purges.get(&piece.object).copied().unwrap_or(0);
-        object.max(self.group_purges.get(&piece.group()).copied().unwrap_or(0))
+    fn last_purge_ms(&self, test_part: TestPart) -> u64 {
+        let object = self
+            .object_purges
+            .get(&test_part.object)
+            .copied()
+            .unwrap_or(0);
+        object.max(
+            self.group_purges
+                .get(&test_part.group())
+                .copied()
+                .unwrap_or(0),
+        )
     }
 
-    fn run_action(&mut self, driver: &mut Driver, seen: &mut Seen) {
-        let piece = self.piece();
+    fn run_action(&mut self, driver: &mut Driver, seen: &mut CrashTestResults) {
+        let test_part = self.test_part();
         let now = driver.unix_ms();
         match self.random.u8(..100) {
             0..=54 => {
-                let version = *self.versions.entry(piece.object).or_insert(1);
-                let made = now - self.random.u64(..200);
-                let copy = piece.version(version, made, size_of(piece, BODY_BYTES_RANGE));
+                let version = *self.versions.entry(test_part.object).or_insert(1);
+                let created_at_ms = now - self.random.u64(..200);
+                let copy = test_part.copy_of_version(
+                    version,
+                    created_at_ms,
+                    body_len(test_part, BODY_BYTES_RANGE),
+                );
                 driver.keep(copy, 1 + self.random.u8(..3));
             }
-            55..=69 => get(driver, piece)
+            55..=69 => get(driver, test_part)
                 .iter()
-                .for_each(|copy| self.check_copy(piece, copy, seen)),
+                .for_each(|copy| self.check_copy(test_part, copy, seen)),
             70..=73 => {
-                let ms = driver.purge(Some(&piece.name()), 0);
-                self.object_purges.insert(piece.object, ms);
-                self.sent_purges.push((Some(piece.object), 0, ms));
+                let ms = driver.purge(Some(&test_part.name()), 0);
+                self.object_purges.insert(test_part.object, ms);
+                self.sent_purges.push((Some(test_part.object), 0, ms));
             }
             74 => {
-                let ms = driver.purge(None, piece.group());
-                self.group_purges.insert(piece.group(), ms);
-                self.sent_purges.push((None, piece.group(), ms));
+                let ms = driver.purge(None, test_part.group());
+                self.group_purges.insert(test_part.group(), ms);
+                self.sent_purges.push((None, test_part.group(), ms));
             }
             75..=78 => {
-                *self.versions.entry(piece.object).or_insert(1) += 1;
-                self.changed.insert(piece.object, now);
+                *self.versions.entry(test_part.object).or_insert(1) += 1;
+                self.changed.insert(test_part.object, now);
             }
             79..=84 => {
                 if let Some(disk) = driver.store.disk_mut() {
-                    disk.heard(now - 1);
+                    disk.confirm_discovery_up_to(now - 1);
                 }
             }
             _ => {
                 driver.now += Duration::from_millis(self.random.u64(1..400));
-                driver.store.tick(driver.now, &mut driver.orders);
+                driver.store.tick(driver.now, &mut driver.backend);
             }
         }
         // Some of the queued operations are run.
@@ -115,29 +128,29 @@
     }
 }
 
-fn get(driver: &mut Driver, piece: Piece) -> Option<Copy> {
-    let name = piece.name();
+fn get(driver: &mut Driver, test_part: TestPart) -> Option<Copy> {
+    let name = test_part.name();
     driver
         .get(Part {
             object: &name,
-            part: piece.part,
-            group: piece.group(),
+            part: test_part.part,
+            group: test_part.group(),
         })
         .map(|(_, copy)| copy)
 }
 
-fn settings() -> Wanted {
-    Wanted {
+fn settings() -> DiskSettings {
+    DiskSettings {
         bytes: 640 << 10,
         segment: 64 << 10,
         index: 1 << 20,
-        least_fresh: Duration::ZERO,
+        min_freshness: Duration::ZERO,
         carry: 0.3,
         sync_after: Duration::from_millis(300),
         sync_bytes: 30_000,
         known_purges: Duration::from_secs(100_000),
         revalidate: 50.0,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
@@ -154,7 +167,7 @@
 }
 
 /// Runs the workload of this seed, crashes it at an operation, and checks what is found.
-pub fn crash_point(seed: u64, crash_at: u64) -> Seen {
+pub fn crash_point(seed: u64, crash_at: u64) -> CrashTestResults {
     let faults = Faults {
         crash_at: Some(crash_at),
         ..Faults::default()
@@ -169,7 +182,7 @@
 }
 
 /// Runs a scenario, kills the program, and checks what the next start finds.
-pub fn run(scenario: &Scenario) -> Seen {
+pub fn run(scenario: &Scenario) -> CrashTestResults {
     let seed = scenario.seed;
     let random = fastrand::Rng::with_seed(seed);
     let (versions, changed) = (HashMap::new(), HashMap::new());
@@ -185,7 +198,7 @@
     let disk = Disk::new();
     disk.set_faults(scenario.faults.clone());
     let mut driver = Driver::start(Arc::new(disk.clone()), 30_000, settings(), START);
-    let mut seen = Seen::default();
+    let mut seen = CrashTestResults::default();
     for _ in 0..scenario.actions {
         workload.run_action(&mut driver, &mut seen);
         if scenario
@@ -201,7 +214,7 @@
         disk.set_faults(Faults::default());
         driver.advance(RECOVERY_TIME);
         seen.not_durable_after_faults = count_not_durable(&mut driver);
-        let durable = driver.orders.durable.clone();
+        let durable = driver.backend.durable.clone();
         workload.check_all_parts(&mut driver, &durable, true, &mut seen);
     }
     seen.calls = disk.calls();
@@ -210,7 +223,7 @@
         .disk()
         .map_or(0, |disk| disk.counts().reclaimed);
     let killed_at = driver.unix_ms();
-    let durable = std::mem::take(&mut driver.orders.durable);
+    let durable = std::mem::take(&mut driver.backend.durable);
     drop(driver);
     // The next start receives the purges of a random time before it; sometimes the clock was set back.
     let downtime = workload.random.u64(..20_000);
@@ -223,7 +236,7 @@
     } else {
         killed_at + downtime
     };
-    let mut restart_settings = Wanted {
+    let mut restart_settings = DiskSettings {
         known_purges: Duration::from_millis(window),
         ..settings()
     };
@@ -247,10 +260,10 @@
     );
     for (object, group, ms) in &workload.sent_purges {
         if *ms + window >= start {
-            let name = object.map(|object| Piece { object, part: 0 }.name());
+            let name = object.map(|object| TestPart { object, part: 0 }.name());
             restarted
                 .store
-                .purge(name.as_deref(), *group, *ms, &mut restarted.orders);
+                .purge(name.as_deref(), *group, *ms, &mut restarted.backend);
         }
     }
     let must_be_found = window == 10_000_000 && start >= killed_at;
@@ -270,20 +283,20 @@
 /// Offers new copies, one per second and more than memory holds, and counts those that do not become durable.
 /// The first few may be refused, because a tier that was ejected admits writes one at a time at first.
 fn count_not_durable(driver: &mut Driver) -> u64 {
-    let pieces: Vec<Piece> = (0..14)
-        .map(|object| Piece {
+    let test_parts: Vec<TestPart> = (0..14)
+        .map(|object| TestPart {
             object: 10_000 + object,
             part: 0,
         })
         .collect();
-    for piece in &pieces {
-        let made = driver.unix_ms();
-        driver.keep(piece.version(1, made, 10_000), 3);
+    for test_part in &test_parts {
+        let created_at_ms = driver.unix_ms();
+        driver.keep(test_part.copy_of_version(1, created_at_ms, 10_000), 3);
         driver.advance(Duration::from_secs(1));
     }
-    pieces[MAX_REFUSED_AFTER_FAULTS..10]
+    test_parts[MAX_REFUSED_AFTER_FAULTS..10]
         .iter()
-        .filter(|piece| !driver.orders.durable.contains_key(&piece.key()))
+        .filter(|test_part| !driver.backend.durable.contains_key(&test_part.key()))
         .count() as u64
 }
 
@@ -295,37 +308,44 @@
         driver: &mut Driver,
         durable: &HashMap<Key, u64>,
         must_be_found: bool,
-        seen: &mut Seen,
+        seen: &mut CrashTestResults,
     ) {
         for object in 0..OBJECTS {
             for part in 0..PARTS {
-                let piece = Piece { object, part };
-                let found = get(driver, piece);
+                let test_part = TestPart { object, part };
+                let found = get(driver, test_part);
                 found
                     .iter()
-                    .for_each(|copy| self.check_copy(piece, copy, seen));
-                let Some(made) = durable.get(&piece.key()).filter(|_| must_be_found) else {
+                    .for_each(|copy| self.check_copy(test_part, copy, seen));
+                let Some(created_at_ms) = durable.get(&test_part.key()).filter(|_| must_be_found)
+                else {
                     continue;
                 };
-                let invalidated =
-                    *made <= self.last_purge_ms(piece) || self.changed.contains_key(&object);
+                let invalidated = *created_at_ms <= self.last_purge_ms(test_part)
+                    || self.changed.contains_key(&object);
                 if !invalidated {
                     seen.durable += 1;
-                    seen.lost += u64::from(found.is_none_or(|copy| copy.made < *made));
+                    seen.lost +=
+                        u64::from(found.is_none_or(|copy| copy.created_at_ms < *created_at_ms));
                 }
             }
         }
     }
 
     /// Checks that an answer is intact, of the requested part, and newer than the last purge.
-    fn check_copy(&self, piece: Piece, copy: &Copy, seen: &mut Seen) {
+    fn check_copy(&self, test_part: TestPart, copy: &Copy, seen: &mut CrashTestResults) {
         seen.answers += 1;
-        let version = std::str::from_utf8(&copy.tag)
+        let version = std::str::from_utf8(&copy.etag)
             .ok()
             .and_then(|tag| u64::from_str_radix(tag, 16).ok());
-        let expected = version
-            .map(|version| piece.version(version, copy.made, size_of(piece, BODY_BYTES_RANGE)));
+        let expected = version.map(|version| {
+            test_part.copy_of_version(
+                version,
+                copy.created_at_ms,
+                body_len(test_part, BODY_BYTES_RANGE),
+            )
+        });
         seen.torn += u64::from(expected.as_ref() != Some(copy));
-        seen.stale += u64::from(copy.made <= self.last_purge_ms(piece));
+        seen.stale += u64::from(copy.created_at_ms <= self.last_purge_ms(test_part));
     }
 }
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -2,13 +2,13 @@
 //! The store's notifications are recorded, to be compared with what is found later.
 
 use crate::boot_clock::BootClock;
-use crate::catalogue::{Catalogue, CatalogueError, Line};
+use crate::catalogue::{Catalogue, CatalogueError, CatalogueLine};
 use crate::copy::Copy;
-use crate::decide::disk::{Disk as Tier, DiskBackend, Fetched, Wanted};
-use crate::decide::{Part, Place, Store};
+use crate::decide::disk::{Disk as Tier, DiskBackend, DiskSettings, ReadResult};
+use crate::decide::{CacheTier, Part, Store};
 use crate::files::Files;
-use crate::hands::{self, Hands};
 use crate::key::{self, Key};
+use crate::segment_files::{self, SegmentFiles};
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     Sync(u32, u32),
     Seal(u32, u32, Vec<u8>),
     Remove(u32),
-    WriteCatalogue(Vec<Line>),
+    WriteCatalogue(Vec<CatalogueLine>),
 }
 
 /// Queues a store's disk operations and records its notifications.
@@ -35,7 +35,7 @@
     queue: VecDeque<Operation>,
     /// Rejects all operations, as full queues do.
     pub rejects_all: bool,
-    pub completed_reads: HashMap<u64, Fetched>,
+    pub completed_reads: HashMap<u64, ReadResult>,
     pub revalidations: Vec<Copy>,
     /// By part: when the copy was made that is reported as durable.
     pub durable: HashMap<Key, u64>,
@@ -52,8 +52,8 @@
 }
 
 impl DiskBackend for RecordingBackend {
-    fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
-        self.enqueue(Operation::Read(ticket, segment, at, length))
+    fn read(&mut self, ticket: u64, segment: u32, offset: u32, length: u32) -> bool {
+        self.enqueue(Operation::Read(ticket, segment, offset, length))
     }
     fn list(&mut self, segment: u32) -> bool {
         self.enqueue(Operation::List(segment))
@@ -64,22 +64,22 @@
     fn create_segment(&mut self, segment: u32, class: u32) -> bool {
         self.enqueue(Operation::CreateSegment(segment, class))
     }
-    fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
-        self.enqueue(Operation::Append(ticket, segment, at, record))
+    fn append(&mut self, ticket: u64, segment: u32, offset: u32, record: Vec<u8>) -> bool {
+        self.enqueue(Operation::Append(ticket, segment, offset, record))
     }
     fn sync(&mut self, segment: u32, up_to: u32) -> bool {
         self.enqueue(Operation::Sync(segment, up_to))
     }
-    fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
-        self.enqueue(Operation::Seal(segment, at, footer))
+    fn seal(&mut self, segment: u32, offset: u32, footer: Vec<u8>) -> bool {
+        self.enqueue(Operation::Seal(segment, offset, footer))
     }
     fn remove(&mut self, segment: u32) -> bool {
         self.enqueue(Operation::Remove(segment))
     }
-    fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
+    fn write_catalogue(&mut self, lines: Vec<CatalogueLine>) -> bool {
         self.enqueue(Operation::WriteCatalogue(lines))
     }
-    fn read_completed(&mut self, ticket: u64, fetched: Fetched) {
+    fn read_completed(&mut self, ticket: u64, fetched: ReadResult) {
         self.completed_reads.insert(ticket, fetched);
     }
     fn revalidate(&mut self, copy: &Copy) {
@@ -88,8 +88,8 @@
             ..copy.clone()
         });
     }
-    fn copy_durable(&mut self, key: Key, made: u64) {
-        self.durable.insert(key, made);
+    fn copy_durable(&mut self, key: Key, created_at_ms: u64) {
+        self.durable.insert(key, created_at_ms);
     }
     fn copy_dropped(&mut self, key: Key) {
         self.durable.remove(&key);
@@ -100,10 +100,10 @@
 /// A store on files, with a simulated clock.
 pub struct Driver {
     pub store: Store,
-    pub orders: RecordingBackend,
+    pub backend: RecordingBackend,
     pub now: Duration,
     start_ms: u64,
-    hands: Option<(Hands, Catalogue)>,
+    segment_files: Option<(SegmentFiles, Catalogue)>,
     /// After a failed opening: what is opened again, and when.
     opening: Option<(Arc<dyn Files>, Option<BootClock>, Duration)>,
 }
@@ -111,7 +111,12 @@
 impl Driver {
     /// Starts a store at this Unix millisecond. The directory is opened at once; its segments are recovered as
     /// operations are run.
-    pub fn start(files: Arc<dyn Files>, memory: u64, settings: Wanted, start_ms: u64) -> Driver {
+    pub fn start(
+        files: Arc<dyn Files>,
+        memory: u64,
+        settings: DiskSettings,
+        start_ms: u64,
+    ) -> Driver {
         Driver::start_with_clock(files, memory, settings, start_ms, None)
     }
 
@@ -119,19 +124,19 @@
     pub fn start_with_clock(
         files: Arc<dyn Files>,
         memory: u64,
-        settings: Wanted,
+        settings: DiskSettings,
         start_ms: u64,
         clock: Option<BootClock>,
     ) -> Driver {
         let now = Duration::from_secs(1000);
         let store = Store::new(memory, Some(Tier::new(settings, now, start_ms)));
-        let orders = RecordingBackend::default();
+        let backend = RecordingBackend::default();
         let mut driver = Driver {
             store,
-            orders,
+            backend,
             now,
             start_ms,
-            hands: None,
+            segment_files: None,
             opening: None,
         };
         driver.open(files, clock);
@@ -140,10 +145,11 @@
 
     /// Opens the directory. After a transient error, opening is tried again later, as the threads do.
     fn open(&mut self, files: Arc<dyn Files>, clock: Option<BootClock>) {
-        match hands::open(&files, 0xc0ffee, clock) {
+        match segment_files::open_store(&files, 0xc0ffee, clock) {
             Ok((catalogue, known, segments)) => {
-                self.hands = Some((Hands::new(files, known.store), catalogue));
-                self.store.complete_open(&known, segments, &mut self.orders);
+                self.segment_files = Some((SegmentFiles::new(files, known.store_id), catalogue));
+                self.store
+                    .complete_open(&known, segments, &mut self.backend);
             }
             Err(CatalogueError::Io(_)) => {
                 self.opening = Some((files, clock, self.now + OPEN_RETRY))
@@ -162,38 +168,51 @@
 
     /// Runs the next operation. False: there is none.
     pub fn step(&mut self) -> bool {
-        let (Some(operation), Some((hands, catalogue))) =
-            (self.orders.queue.pop_front(), &mut self.hands)
+        let (Some(operation), Some((segment_files, catalogue))) =
+            (self.backend.queue.pop_front(), &mut self.segment_files)
         else {
             return false;
         };
-        let (now, store, backend) = (self.now, &mut self.store, &mut self.orders);
+        let (now, store, backend) = (self.now, &mut self.store, &mut self.backend);
         match operation {
-            Operation::Read(ticket, segment, at, length) => {
-                store.complete_read(now, ticket, hands.read(segment, at, length), backend)
-            }
+            Operation::Read(ticket, segment, offset, length) => store.complete_read(
+                now,
+                ticket,
+                segment_files.read(segment, offset, length),
+                backend,
+            ),
             Operation::List(segment) => {
-                store.complete_list(now, segment, hands.list(segment), backend)
+                store.complete_list(now, segment, segment_files.list(segment), backend)
             }
             Operation::Recover(segment) => {
-                store.complete_recovery(now, segment, hands.recover(segment), backend)
+                store.complete_recovery(now, segment, segment_files.recover(segment), backend)
             }
-            Operation::CreateSegment(segment, class) => drop(hands.create_segment(segment, class)),
-            Operation::Append(ticket, segment, at, record) => {
-                store.complete_append(now, ticket, hands.append(segment, at, &record), backend);
+            Operation::CreateSegment(segment, class) => {
+                drop(segment_files.create_segment(segment, class))
             }
-            Operation::Sync(segment, up_to) => {
-                store.complete_sync(now, segment, up_to, hands.sync(segment), backend)
+            Operation::Append(ticket, segment, offset, record) => {
+                store.complete_append(
+                    now,
+                    ticket,
+                    segment_files.append(segment, offset, &record),
+                    backend,
+                );
             }
-            Operation::Seal(segment, at, footer) => {
-                store.complete_seal(now, segment, at, hands.seal(segment, at, &footer), backend)
+            Operation::Sync(segment, up_to) => {
+                store.complete_sync(now, segment, up_to, segment_files.sync(segment), backend)
             }
+            Operation::Seal(segment, offset, footer) => store.complete_seal(
+                now,
+                segment,
+                offset,
+                segment_files.seal(segment, offset, &footer),
+                backend,
+            ),
             Operation::Remove(segment) => {
-                store.complete_removal(now, segment, hands.remove(segment), backend)
-            }
-            Operation::WriteCatalogue(lines) => {
-                store.complete_catalogue_write(hands::mark(catalogue, &lines), backend)
+                store.complete_removal(now, segment, segment_files.remove(segment), backend)
             }
+            Operation::WriteCatalogue(lines) => store
+                .complete_catalogue_write(segment_files::write_lines(catalogue, &lines), backend),
         }
         true
     }
@@ -212,34 +231,34 @@
             if let Some((files, clock, _)) = self.opening.take_if(|(_, _, due)| self.now >= *due) {
                 self.open(files, clock);
             }
-            self.store.tick(self.now, &mut self.orders);
+            self.store.tick(self.now, &mut self.backend);
             self.settle();
         }
     }
 
     pub fn keep(&mut self, copy: Copy, rank: u8) {
-        self.store.keep(self.now, copy, rank, &mut self.orders);
+        self.store.insert(self.now, copy, rank, &mut self.backend);
     }
 
     pub fn purge(&mut self, object: Option<&[u8]>, group: u64) -> u64 {
         let ms = self.unix_ms();
-        self.store.purge(object, group, ms, &mut self.orders);
+        self.store.purge(object, group, ms, &mut self.backend);
         ms
     }
 
     /// Answers a request for a part, and returns the tier and the copy.
-    pub fn get(&mut self, part: Part) -> Option<(Place, Copy)> {
+    pub fn get(&mut self, part: Part) -> Option<(CacheTier, Copy)> {
         let found = self.store.find(part, None)?;
-        match found.place {
-            Place::Memory => {
-                let copy = self.store.take(self.now, part).expect("found above");
-                Some((Place::Memory, (*copy).clone()))
+        match found.tier {
+            CacheTier::Memory => {
+                let copy = self.store.get(self.now, part).expect("found above");
+                Some((CacheTier::Memory, (*copy).clone()))
             }
-            Place::Disk => {
-                let ticket = self.store.fetch(self.now, part, &mut self.orders)?;
+            CacheTier::Disk => {
+                let ticket = self.store.start_read(self.now, part, &mut self.backend)?;
                 self.settle();
-                match self.orders.completed_reads.remove(&ticket) {
-                    Some(Fetched::Copy(copy)) => Some((Place::Disk, (*copy).clone())),
+                match self.backend.completed_reads.remove(&ticket) {
+                    Some(ReadResult::Copy(copy)) => Some((CacheTier::Disk, (*copy).clone())),
                     _ => None,
                 }
             }
@@ -249,7 +268,7 @@
     /// Shuts the store down gracefully.
     pub fn close(&mut self) {
         if let Some(disk) = self.store.disk_mut() {
-            disk.close(self.now, &mut self.orders);
+            disk.close(self.now, &mut self.backend);
         }
         self.settle();
     }
@@ -257,12 +276,12 @@
 
 /// A part of a numbered test object. Its bodies are unique for each part and version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Piece {
+pub struct TestPart {
     pub object: u64,
     pub part: u64,
 }
 
-impl Piece {
+impl TestPart {
     pub fn name(self) -> Bytes {
         Bytes::from(format!("{:016x}", self.object))
     }
@@ -276,12 +295,12 @@
     }
 
     /// A copy made at this Unix millisecond, which is also its version.
-    pub fn copy(self, made: u64, bytes: usize) -> Copy {
-        self.version(made, made, bytes)
+    pub fn copy(self, created_at_ms: u64, bytes: usize) -> Copy {
+        self.copy_of_version(created_at_ms, created_at_ms, bytes)
     }
 
     /// A copy of this version of the object. The body is pseudo-random, so that no part of it equals another's.
-    pub fn version(self, version: u64, made: u64, bytes: usize) -> Copy {
+    pub fn copy_of_version(self, version: u64, created_at_ms: u64, bytes: usize) -> Copy {
         let mut random = fastrand::Rng::with_seed(self.key() ^ version.rotate_left(40));
         let mut body = vec![0; bytes];
         random.fill(&mut body);
@@ -290,18 +309,18 @@
             part: self.part,
             group: self.group(),
             class: Bytes::from_static(b"clip"),
-            made,
+            created_at_ms,
             kb: bytes as f64 / 1000.0,
-            in_parts: true,
-            tag: Bytes::from(format!("{version:016x}")),
+            is_multipart: true,
+            etag: Bytes::from(format!("{version:016x}")),
             body: body.into(),
             ..Copy::default()
         }
     }
 }
 
-/// The body length of a part, from 64 to 64 + `most` bytes; always the same for the same part.
-pub fn size_of(piece: Piece, most: usize) -> usize {
-    let fraction = piece.key() as f64 / u64::MAX as f64;
-    64 + (most as f64 * fraction) as usize
+/// The body length of a part, from 64 to 64 + `range` bytes; always the same for the same part.
+pub fn body_len(test_part: TestPart, range: usize) -> usize {
+    let fraction = test_part.key() as f64 / u64::MAX as f64;
+    64 + (range as f64 * fraction) as usize
 }
--- a/crates/store/src/stand_ins/mod.rs
+++ b/crates/store/src/stand_ins/mod.rs
@@ -6,4 +6,4 @@
 mod driver;
 
 pub use disk::{Disk, Faults};
-pub use driver::{Driver, Piece, RecordingBackend, size_of};
+pub use driver::{Driver, RecordingBackend, TestPart, body_len};
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -2,15 +2,15 @@
 //! operations, so a disk that hangs blocks only its own threads.
 
 use crate::boot_clock::BootClock;
-use crate::catalogue::{Catalogue, CatalogueError, Known, Line};
+use crate::catalogue::{Catalogue, CatalogueError, CatalogueLine, CatalogueSnapshot};
 use crate::copy::Copy;
 use crate::decide::Store;
-use crate::decide::disk::{DiskBackend, Fault, Fetched, Phase};
+use crate::decide::disk::{DiskBackend, Fault, Phase, ReadResult};
 use crate::files::Files;
-use crate::format::Entry;
-use crate::hands::{self, Hands};
+use crate::format::FooterEntry;
 use crate::key::Key;
 use crate::recovery::{Recovered, RecoveryError};
+use crate::segment_files::{self, SegmentFiles};
 use bytes::Bytes;
 use std::io;
 use std::path::Path;
@@ -32,9 +32,9 @@
 const MAX_OPEN_RETRY: Duration = Duration::from_secs(30);
 
 /// A completed operation, with its result.
-pub enum End {
+pub enum CompletedOperation {
     Opened {
-        known: Known,
+        known: CatalogueSnapshot,
         segments: Vec<u32>,
     },
     /// A system call failed while opening; opening is tried again.
@@ -47,7 +47,7 @@
     },
     Listed {
         segment: u32,
-        result: Result<Vec<Entry>, Fault>,
+        result: Result<Vec<FooterEntry>, Fault>,
     },
     Recovered {
         segment: u32,
@@ -64,7 +64,7 @@
     },
     Sealed {
         segment: u32,
-        at: u32,
+        offset: u32,
         result: Result<(), Fault>,
     },
     Removed {
@@ -78,7 +78,7 @@
     Read {
         ticket: u64,
         segment: u32,
-        at: u32,
+        offset: u32,
         length: u32,
     },
     List(u32),
@@ -90,7 +90,7 @@
     Append {
         ticket: u64,
         segment: u32,
-        at: u32,
+        offset: u32,
         record: Vec<u8>,
     },
     Sync {
@@ -99,7 +99,7 @@
     },
     Seal {
         segment: u32,
-        at: u32,
+        offset: u32,
         footer: Vec<u8>,
     },
     Remove(u32),
@@ -110,28 +110,28 @@
     readers: Vec<SyncSender<Operation>>,
     writer: SyncSender<Operation>,
     recovery: SyncSender<Operation>,
-    catalogue_writer: SyncSender<Vec<Line>>,
+    catalogue_writer: SyncSender<Vec<CatalogueLine>>,
     next_reader: usize,
 }
 
 /// Why a store's directory cannot be opened.
 #[derive(Debug)]
-pub enum NotTaken {
+pub enum OpenError {
     /// The failure may be transient; opening is tried again.
     Io(String),
     /// Opening is not tried again.
     Refused(String),
 }
 
-impl NotTaken {
+impl OpenError {
     /// Classifies a system error: errors that need an operator's intervention are not retried.
-    pub fn of(path: &Path, error: &io::Error) -> NotTaken {
+    pub fn of(path: &Path, error: &io::Error) -> OpenError {
         let message = format!("{}: {error}", path.display());
         match error.kind() {
             io::ErrorKind::ResourceBusy
             | io::ErrorKind::PermissionDenied
-            | io::ErrorKind::NotADirectory => NotTaken::Refused(message),
-            _ => NotTaken::Io(message),
+            | io::ErrorKind::NotADirectory => OpenError::Refused(message),
+            _ => OpenError::Io(message),
         }
     }
 }
@@ -140,10 +140,10 @@
 /// it is retried with backoff after transient errors. The receiver gets the results of all operations, that of
 /// the opening first.
 pub fn start(
-    mut open_directory: impl FnMut() -> Result<Arc<dyn Files>, NotTaken> + Send + 'static,
+    mut open_directory: impl FnMut() -> Result<Arc<dyn Files>, OpenError> + Send + 'static,
     store_id: u64,
     readers: usize,
-) -> io::Result<(Threads, tokio::sync::mpsc::Receiver<End>)> {
+) -> io::Result<(Threads, tokio::sync::mpsc::Receiver<CompletedOperation>)> {
     let (results, receiver) = channel(RESULT_QUEUE_LEN);
     // Read here, as close as possible to the start time that the store compares its times with.
     let clock = BootClock::read();
@@ -173,12 +173,13 @@
             let Some((files, (catalogue, known, segments))) = opened else {
                 return;
             };
-            let store_id = known.store;
-            let _ = results.blocking_send(End::Opened { known, segments });
+            let store_id = known.store_id;
+            let _ = results.blocking_send(CompletedOperation::Opened { known, segments });
             let operations = reads.into_iter().chain([writes, recoveries]);
             for (n, operations) in operations.enumerate() {
-                let (hands, results) = (Hands::new(files.clone(), store_id), results.clone());
-                let run = move || run_worker(operations, results, hands);
+                let (segment_files, results) =
+                    (SegmentFiles::new(files.clone(), store_id), results.clone());
+                let run = move || run_worker(operations, results, segment_files);
                 let started = thread::Builder::new().name(format!("store-{n}")).spawn(run);
                 if let Err(error) = started {
                     log::error!("store: worker thread could not be started: {error}");
@@ -200,34 +201,37 @@
     ))
 }
 
-type OpenedStore = (Arc<dyn Files>, (Catalogue, Known, Vec<u32>));
+type OpenedStore = (Arc<dyn Files>, (Catalogue, CatalogueSnapshot, Vec<u32>));
 
 /// Opens the directory and the store in it, retrying after transient errors. `None` if opening was refused or
 /// the store's owner has gone.
 fn open(
-    open_directory: &mut dyn FnMut() -> Result<Arc<dyn Files>, NotTaken>,
+    open_directory: &mut dyn FnMut() -> Result<Arc<dyn Files>, OpenError>,
     store_id: u64,
     clock: Option<BootClock>,
-    catalogue_writes: &Receiver<Vec<Line>>,
-    results: &Sender<End>,
+    catalogue_writes: &Receiver<Vec<CatalogueLine>>,
+    results: &Sender<CompletedOperation>,
 ) -> Option<OpenedStore> {
     let mut wait = MIN_OPEN_RETRY;
     loop {
-        let opened =
-            open_directory().and_then(|files| match hands::open(&files, store_id, clock) {
+        let opened = open_directory().and_then(|files| {
+            match segment_files::open_store(&files, store_id, clock) {
                 Ok(found) => Ok((files, found)),
-                Err(CatalogueError::Io(error)) => Err(NotTaken::Io(error.to_string())),
-                Err(error) => Err(NotTaken::Refused(error.to_string())),
-            });
+                Err(CatalogueError::Io(error)) => Err(OpenError::Io(error.to_string())),
+                Err(error) => Err(OpenError::Refused(error.to_string())),
+            }
+        });
         let reason = match opened {
             Ok(opened) => return Some(opened),
-            Err(NotTaken::Io(reason)) => reason,
-            Err(NotTaken::Refused(reason)) => {
-                let _ = results.blocking_send(End::OpenRefused(reason));
+            Err(OpenError::Io(reason)) => reason,
+            Err(OpenError::Refused(reason)) => {
+                let _ = results.blocking_send(CompletedOperation::OpenRefused(reason));
                 return None;
             }
         };
-        results.blocking_send(End::OpenFailed(reason)).ok()?;
+        results
+            .blocking_send(CompletedOperation::OpenFailed(reason))
+            .ok()?;
         // No catalogue writes are sent before the store is open, so this wait ends early only when the owner
         // drops the sender.
         if catalogue_writes.recv_timeout(wait) != Err(RecvTimeoutError::Timeout) {
@@ -237,31 +241,35 @@
     }
 }
 
-/// Runs operations until the queue is closed. `hands` must be dropped before `results`: the closed channel
+/// Runs operations until the queue is closed. `segment_files` must be dropped before `results`: the closed channel
 /// signals that the directory is unlocked and can be opened again at once.
-fn run_worker(operations: Receiver<Operation>, results: Sender<End>, mut hands: Hands) {
+fn run_worker(
+    operations: Receiver<Operation>,
+    results: Sender<CompletedOperation>,
+    mut segment_files: SegmentFiles,
+) {
     while let Ok(operation) = operations.recv() {
         let completed = match operation {
             Operation::Read {
                 ticket,
                 segment,
-                at,
+                offset,
                 length,
-            } => End::Read {
+            } => CompletedOperation::Read {
                 ticket,
-                result: hands.read(segment, at, length),
+                result: segment_files.read(segment, offset, length),
             },
-            Operation::List(segment) => End::Listed {
+            Operation::List(segment) => CompletedOperation::Listed {
                 segment,
-                result: hands.list(segment),
+                result: segment_files.list(segment),
             },
-            Operation::Recover(segment) => End::Recovered {
+            Operation::Recover(segment) => CompletedOperation::Recovered {
                 segment,
-                result: hands.recover(segment),
+                result: segment_files.recover(segment),
             },
             Operation::CreateSegment { segment, class } => {
                 // A failure also fails the later writes to this segment.
-                if let Err(error) = hands.create_segment(segment, class) {
+                if let Err(error) = segment_files.create_segment(segment, class) {
                     log::debug!("segment {segment}: could not be created: {error:?}");
                 }
                 continue;
@@ -269,29 +277,29 @@
             Operation::Append {
                 ticket,
                 segment,
-                at,
+                offset,
                 record,
-            } => End::Appended {
+            } => CompletedOperation::Appended {
                 ticket,
-                result: hands.append(segment, at, &record),
+                result: segment_files.append(segment, offset, &record),
             },
-            Operation::Sync { segment, up_to } => End::Synced {
+            Operation::Sync { segment, up_to } => CompletedOperation::Synced {
                 segment,
                 up_to,
-                result: hands.sync(segment),
+                result: segment_files.sync(segment),
             },
             Operation::Seal {
                 segment,
-                at,
+                offset,
                 footer,
-            } => End::Sealed {
+            } => CompletedOperation::Sealed {
                 segment,
-                at,
-                result: hands.seal(segment, at, &footer),
+                offset,
+                result: segment_files.seal(segment, offset, &footer),
             },
-            Operation::Remove(segment) => End::Removed {
+            Operation::Remove(segment) => CompletedOperation::Removed {
                 segment,
-                result: hands.remove(segment),
+                result: segment_files.remove(segment),
             },
         };
         if results.blocking_send(completed).is_err() {
@@ -301,13 +309,15 @@
 }
 
 fn run_catalogue_writer(
-    catalogue_writes: Receiver<Vec<Line>>,
-    results: Sender<End>,
+    catalogue_writes: Receiver<Vec<CatalogueLine>>,
+    results: Sender<CompletedOperation>,
     mut catalogue: Catalogue,
 ) {
     while let Ok(lines) = catalogue_writes.recv() {
         if results
-            .blocking_send(End::CatalogueWritten(hands::mark(&mut catalogue, &lines)))
+            .blocking_send(CompletedOperation::CatalogueWritten(
+                segment_files::write_lines(&mut catalogue, &lines),
+            ))
             .is_err()
         {
             return;
@@ -318,13 +328,13 @@
 impl Threads {
     /// Sends the read to the next reader with room in its queue, so that a reader that hangs does not block
     /// the others.
-    pub fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
+    pub fn read(&mut self, ticket: u64, segment: u32, offset: u32, length: u32) -> bool {
         let count = self.readers.len();
         self.next_reader = (self.next_reader + 1) % count;
         let operation = || Operation::Read {
             ticket,
             segment,
-            at,
+            offset,
             length,
         };
         (0..count).any(|n| {
@@ -348,12 +358,12 @@
             .is_ok()
     }
 
-    pub fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
+    pub fn append(&mut self, ticket: u64, segment: u32, offset: u32, record: Vec<u8>) -> bool {
         self.writer
             .try_send(Operation::Append {
                 ticket,
                 segment,
-                at,
+                offset,
                 record,
             })
             .is_ok()
@@ -365,11 +375,11 @@
             .is_ok()
     }
 
-    pub fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
+    pub fn seal(&mut self, segment: u32, offset: u32, footer: Vec<u8>) -> bool {
         self.writer
             .try_send(Operation::Seal {
                 segment,
-                at,
+                offset,
                 footer,
             })
             .is_ok()
@@ -379,7 +389,7 @@
         self.writer.try_send(Operation::Remove(segment)).is_ok()
     }
 
-    pub fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
+    pub fn write_catalogue(&mut self, lines: Vec<CatalogueLine>) -> bool {
         self.catalogue_writer.try_send(lines).is_ok()
     }
 }
@@ -387,33 +397,33 @@
 /// Connects a store to its threads: forwards operations, and holds the store's notifications until they are
 /// taken.
 #[derive(Default)]
-pub struct Shelf {
+pub struct DiskConnector {
     /// `None` if there is no disk or it cannot be used.
     pub threads: Option<Threads>,
-    pub fetched: Vec<(u64, Fetched)>,
+    pub completed_reads: Vec<(u64, ReadResult)>,
     /// Copies to be revalidated with their source, without their bodies.
-    pub unproven: Vec<Copy>,
+    pub revalidations: Vec<Copy>,
     /// Copies that became durable (with the time they were made) or were dropped (`None`). Recorded only if
     /// this is `Some`.
-    pub said: Option<Vec<(Key, Option<u64>)>>,
+    pub durability_changes: Option<Vec<(Key, Option<u64>)>>,
 }
 
-impl Shelf {
+impl DiskConnector {
     fn send_operation(&mut self, send: impl FnOnce(&mut Threads) -> bool) -> bool {
         self.threads.as_mut().is_some_and(send)
     }
 
     /// Passes the result of an operation to the store.
-    pub fn ended(&mut self, store: &mut Store, now: Duration, completed: End) {
+    pub fn complete(&mut self, store: &mut Store, now: Duration, completed: CompletedOperation) {
         match completed {
-            End::Opened { known, segments } => {
+            CompletedOperation::Opened { known, segments } => {
                 log::info!(segments = segments.len(); "store: opened");
                 store.complete_open(&known, segments, self);
             }
-            End::OpenFailed(reason) => {
+            CompletedOperation::OpenFailed(reason) => {
                 log::warn!("store: opening the disk failed, retrying: {reason}")
             }
-            End::OpenRefused(reason) => {
+            CompletedOperation::OpenRefused(reason) => {
                 log::error!("store: the disk is not used: {reason}");
                 self.threads = None;
                 store
@@ -421,9 +431,13 @@
                     .into_iter()
                     .for_each(|disk| disk.disable(reason.clone()));
             }
-            End::Read { ticket, result } => store.complete_read(now, ticket, result, self),
-            End::Listed { segment, result } => store.complete_list(now, segment, result, self),
-            End::Recovered { segment, result } => {
+            CompletedOperation::Read { ticket, result } => {
+                store.complete_read(now, ticket, result, self)
+            }
+            CompletedOperation::Listed { segment, result } => {
+                store.complete_list(now, segment, result, self)
+            }
+            CompletedOperation::Recovered { segment, result } => {
                 if let Err(RecoveryError::UnsupportedVersion(found)) = &result {
                     log::warn!(
                         "store: segment {segment} has unsupported format version {found} and is left unchanged"
@@ -441,26 +455,32 @@
                     }
                 }
             }
-            End::Appended { ticket, result } => store.complete_append(now, ticket, result, self),
-            End::Synced {
+            CompletedOperation::Appended { ticket, result } => {
+                store.complete_append(now, ticket, result, self)
+            }
+            CompletedOperation::Synced {
                 segment,
                 up_to,
                 result,
             } => store.complete_sync(now, segment, up_to, result, self),
-            End::Sealed {
+            CompletedOperation::Sealed {
                 segment,
-                at,
+                offset,
                 result,
-            } => store.complete_seal(now, segment, at, result, self),
-            End::Removed { segment, result } => store.complete_removal(now, segment, result, self),
-            End::CatalogueWritten(result) => store.complete_catalogue_write(result, self),
+            } => store.complete_seal(now, segment, offset, result, self),
+            CompletedOperation::Removed { segment, result } => {
+                store.complete_removal(now, segment, result, self)
+            }
+            CompletedOperation::CatalogueWritten(result) => {
+                store.complete_catalogue_write(result, self)
+            }
         }
     }
 }
 
-impl DiskBackend for Shelf {
-    fn read(&mut self, ticket: u64, segment: u32, at: u32, length: u32) -> bool {
-        self.send_operation(|t| t.read(ticket, segment, at, length))
+impl DiskBackend for DiskConnector {
+    fn read(&mut self, ticket: u64, segment: u32, offset: u32, length: u32) -> bool {
+        self.send_operation(|t| t.read(ticket, segment, offset, length))
     }
     fn list(&mut self, segment: u32) -> bool {
         self.send_operation(|t| t.list(segment))
@@ -471,42 +491,44 @@
     fn create_segment(&mut self, segment: u32, class: u32) -> bool {
         self.send_operation(|t| t.create_segment(segment, class))
     }
-    fn append(&mut self, ticket: u64, segment: u32, at: u32, record: Vec<u8>) -> bool {
-        self.send_operation(|t| t.append(ticket, segment, at, record))
+    fn append(&mut self, ticket: u64, segment: u32, offset: u32, record: Vec<u8>) -> bool {
+        self.send_operation(|t| t.append(ticket, segment, offset, record))
     }
     fn sync(&mut self, segment: u32, up_to: u32) -> bool {
         self.send_operation(|t| t.sync(segment, up_to))
     }
-    fn seal(&mut self, segment: u32, at: u32, footer: Vec<u8>) -> bool {
-        self.send_operation(|t| t.seal(segment, at, footer))
+    fn seal(&mut self, segment: u32, offset: u32, footer: Vec<u8>) -> bool {
+        self.send_operation(|t| t.seal(segment, offset, footer))
     }
     fn remove(&mut self, segment: u32) -> bool {
         self.send_operation(|t| t.remove(segment))
     }
-    fn write_catalogue(&mut self, lines: Vec<Line>) -> bool {
+    fn write_catalogue(&mut self, lines: Vec<CatalogueLine>) -> bool {
         self.send_operation(|t| t.write_catalogue(lines))
     }
-    fn read_completed(&mut self, ticket: u64, fetched: Fetched) {
-        self.fetched.push((ticket, fetched));
+    fn read_completed(&mut self, ticket: u64, fetched: ReadResult) {
+        self.completed_reads.push((ticket, fetched));
     }
     fn revalidate(&mut self, copy: &Copy) {
         // The body is not needed and would keep the whole record in memory.
         let own = |bytes: &Bytes| Bytes::copy_from_slice(bytes);
-        let (object, tag, class) = (own(&copy.object), own(&copy.tag), own(&copy.class));
-        self.unproven.push(Copy {
+        let (object, etag, class) = (own(&copy.object), own(&copy.etag), own(&copy.class));
+        self.revalidations.push(Copy {
             object,
-            tag,
+            etag,
             class,
             body: Bytes::new(),
             ..copy.clone()
         });
     }
-    fn copy_durable(&mut self, key: Key, made: u64) {
-        self.said
+    fn copy_durable(&mut self, key: Key, created_at_ms: u64) {
+        self.durability_changes
             .iter_mut()
-            .for_each(|said| said.push((key, Some(made))));
+            .for_each(|changes| changes.push((key, Some(created_at_ms))));
     }
     fn copy_dropped(&mut self, key: Key) {
-        self.said.iter_mut().for_each(|said| said.push((key, None)));
+        self.durability_changes
+            .iter_mut()
+            .for_each(|changes| changes.push((key, None)));
     }
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_workloads_exercise_answers_durability_and_reclaims() {
-    let mut all = chalkhall_store::stand_ins::crashes::Seen::default();
+    let mut all = chalkhall_store::stand_ins::crashes::CrashTestResults::default();
     for seed in 0..60 {
         let results = crash_point(seed, 40 + seed * 12);
         all.answers += results.answers;
--- a/crates/store/tests/disk_faults.rs
+++ b/crates/store/tests/disk_faults.rs
@@ -3,11 +3,11 @@
 use chalkhall_store::boot_clock::BootClock;
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::Part;
-use chalkhall_store::decide::disk::Wanted;
+use chalkhall_store::decide::disk::DiskSettings;
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::crashes::{Scenario, Seen, run};
-use chalkhall_store::stand_ins::{Disk, Driver, Faults, Piece};
-use chalkhall_store::threads::{self, End, NotTaken};
+use chalkhall_store::stand_ins::crashes::{CrashTestResults, Scenario, run};
+use chalkhall_store::stand_ins::{Disk, Driver, Faults, TestPart};
+use chalkhall_store::threads::{self, CompletedOperation, OpenError};
 use proptest::prelude::*;
 use std::ops::Range;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 const EIO: i32 = 5;
 const ENOSPC: i32 = 28;
 
-fn settings(known_purges: Duration) -> Wanted {
-    Wanted {
+fn settings(known_purges: Duration) -> DiskSettings {
+    DiskSettings {
         bytes: 16 << 20,
         segment: 1 << 20,
         known_purges,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
@@ -33,39 +33,43 @@
     driver
 }
 
-fn piece(object: u64) -> Piece {
-    Piece { object, part: 0 }
+fn test_part(object: u64) -> TestPart {
+    TestPart { object, part: 0 }
 }
 
 fn name(object: u64) -> bytes::Bytes {
-    piece(object).name()
+    test_part(object).name()
 }
 
 /// Requests a part, checks the answer's bytes, and returns when the copy was made.
 fn get(driver: &mut Driver, object: u64) -> Option<u64> {
-    let (piece, name) = (piece(object), name(object));
+    let (test_part, name) = (test_part(object), name(object));
     let (_, copy) = driver.get(Part {
         object: &name,
         part: 0,
-        group: piece.group(),
+        group: test_part.group(),
     })?;
     assert_eq!(
         copy,
-        piece.copy(copy.made, copy.body.len()),
+        test_part.copy(copy.created_at_ms, copy.body.len()),
         "object {object}"
     );
-    Some(copy.made)
+    Some(copy.created_at_ms)
 }
 
 fn keep(driver: &mut Driver, object: u64) {
-    let made = driver.unix_ms();
-    driver.keep(piece(object).copy(made, 9000), 3);
+    let created_at_ms = driver.unix_ms();
+    driver.keep(test_part(object).copy(created_at_ms, 9000), 3);
     driver.advance(SECOND / 10);
 }
 
 fn confirm_discovery(driver: &mut Driver) {
     let confirmed = driver.unix_ms();
-    driver.store.disk_mut().expect("a disk").heard(confirmed);
+    driver
+        .store
+        .disk_mut()
+        .expect("a disk")
+        .confirm_discovery_up_to(confirmed);
     driver.advance(20 * SECOND);
 }
 
@@ -164,7 +168,7 @@
     }
 }
 
-fn assert_no_failures(scenario: &Scenario, results: &Seen) {
+fn assert_no_failures(scenario: &Scenario, results: &CrashTestResults) {
     let failures = (
         results.torn,
         results.stale,
@@ -185,7 +189,7 @@
 /// the faults or after them.
 #[test]
 fn any_call_of_a_workload_may_fail_once_or_for_a_while() {
-    let mut all = Seen::default();
+    let mut all = CrashTestResults::default();
     for call in 1..=run(&scenario_with_seed(0)).calls {
         let mut random = fastrand::Rng::with_seed(call);
         let (faults, faults_end_before_kill) = (random_faults(call, &mut random), random.bool());
@@ -206,7 +210,7 @@
 /// found once the faults end.
 #[test]
 fn any_call_of_a_restart_may_fail_once_or_for_a_while() {
-    let mut all = Seen::default();
+    let mut all = CrashTestResults::default();
     for call in 1..=80 {
         for seed in 0..4 {
             let mut random = fastrand::Rng::with_seed(call * 10 + seed);
@@ -338,25 +342,25 @@
 fn a_footer_does_not_hide_a_durable_copy_behind_an_unwritten_one() {
     let disk = Disk::new();
     let mut driver = start_with_objects(&disk, 1);
-    let first = driver.orders.durable[&piece(0).key()];
+    let first = driver.backend.durable[&test_part(0).key()];
     // With `in_parts` unset, a new version only replaces the old one and purges nothing.
     let second = Copy {
-        in_parts: false,
-        ..piece(0).copy(driver.unix_ms(), 9000)
+        is_multipart: false,
+        ..test_part(0).copy(driver.unix_ms(), 9000)
     };
     driver.keep(second, 3);
     let written_bytes =
         |driver: &Driver| driver.store.disk().expect("a disk").counts().written_bytes;
     let before = written_bytes(&driver);
     driver.now += SECOND / 10;
-    driver.store.tick(driver.now, &mut driver.orders);
+    driver.store.tick(driver.now, &mut driver.backend);
     assert!(written_bytes(&driver) > before, "the record was not queued");
     // The record is queued; shutting down queues the footer behind it.
     driver
         .store
         .disk_mut()
         .expect("a disk")
-        .close(driver.now, &mut driver.orders);
+        .close(driver.now, &mut driver.backend);
     disk.set_faults(Faults {
         writes_fail: true,
         ..Faults::default()
@@ -376,14 +380,14 @@
 fn segments_that_could_not_be_removed_are_removed_later() {
     let disk = Disk::new();
     let mut driver = start_driver(&disk, 1000 * SECOND, START);
-    let most = driver.store.disk().expect("a disk").segments().most;
+    let most = driver.store.disk().expect("a disk").segments().max_segments;
     let mut lowest = most;
     for object in 0..3000 {
-        let made = driver.unix_ms();
-        driver.keep(piece(object).copy(made, 100_000), 2);
+        let created_at_ms = driver.unix_ms();
+        driver.keep(test_part(object).copy(created_at_ms, 100_000), 2);
         driver.advance(SECOND / 10);
         let tier = driver.store.disk().expect("a disk");
-        lowest = lowest.min(tier.segments().most);
+        lowest = lowest.min(tier.segments().max_segments);
         if object == 150 {
             disk.set_faults(Faults {
                 removals_fail: true,
@@ -397,7 +401,10 @@
     assert!(lowest < most - 2, "no removal failed");
     disk.set_faults(Faults::default());
     driver.advance(120 * SECOND);
-    assert_eq!(driver.store.disk().expect("a disk").segments().most, most);
+    assert_eq!(
+        driver.store.disk().expect("a disk").segments().max_segments,
+        most
+    );
     let files = disk
         .list()
         .expect("names")
@@ -430,7 +437,10 @@
         "served again"
     );
     let tier = restarted.store.disk().expect("a disk");
-    assert_eq!((tier.segments().most, tier.counts().foreign), (16, 0));
+    assert_eq!(
+        (tier.segments().max_segments, tier.counts().foreign),
+        (16, 0)
+    );
 }
 
 /// While the disk fails for ten minutes, a purge is written about 120 times, not at each tick.
@@ -462,7 +472,11 @@
 
 fn confirm_without_waiting(driver: &mut Driver) {
     let confirmed = driver.unix_ms();
-    driver.store.disk_mut().expect("a disk").heard(confirmed);
+    driver
+        .store
+        .disk_mut()
+        .expect("a disk")
+        .confirm_discovery_up_to(confirmed);
 }
 
 /// Opening is retried after a transient error, but not if another process holds the directory.
@@ -474,24 +488,36 @@
         0 => Ok(Arc::new(disk.clone()) as Arc<dyn Files>),
         _ => {
             failures -= 1;
-            Err(NotTaken::Io("no space".into()))
+            Err(OpenError::Io("no space".into()))
         }
     };
     let (_threads, mut results) = threads::start(take, 1, 1).expect("threads");
-    assert!(matches!(results.blocking_recv(), Some(End::OpenFailed(_))));
-    assert!(matches!(results.blocking_recv(), Some(End::Opened { .. })));
-    let refuse = || Err(NotTaken::Refused("held by process 1".into()));
+    assert!(matches!(
+        results.blocking_recv(),
+        Some(CompletedOperation::OpenFailed(_))
+    ));
+    assert!(matches!(
+        results.blocking_recv(),
+        Some(CompletedOperation::Opened { .. })
+    ));
+    let refuse = || Err(OpenError::Refused("held by process 1".into()));
     let (_threads, mut results) = threads::start(refuse, 1, 1).expect("threads");
-    assert!(matches!(results.blocking_recv(), Some(End::OpenRefused(_))));
+    assert!(matches!(
+        results.blocking_recv(),
+        Some(CompletedOperation::OpenRefused(_))
+    ));
     assert!(results.blocking_recv().is_none(), "opening is not retried");
 }
 
 /// The owner need not wait for the next attempt.
 #[test]
 fn an_opening_that_waits_for_its_retry_ends_with_its_owner() {
-    let refuse = || Err(NotTaken::Io("no space".into()));
+    let refuse = || Err(OpenError::Io("no space".into()));
     let (threads, mut results) = threads::start(refuse, 1, 1).expect("threads");
-    assert!(matches!(results.blocking_recv(), Some(End::OpenFailed(_))));
+    assert!(matches!(
+        results.blocking_recv(),
+        Some(CompletedOperation::OpenFailed(_))
+    ));
     drop(threads);
     assert!(results.blocking_recv().is_none());
 }
@@ -501,7 +527,7 @@
 #[test]
 fn a_durable_copy_is_not_reclaimed_before_its_replacement_is_synced() {
     let disk = Disk::new();
-    let rarely_synced = Wanted {
+    let rarely_synced = DiskSettings {
         bytes: 10 << 20,
         sync_after: 1000 * SECOND,
         sync_bytes: u64::MAX,
@@ -512,16 +538,16 @@
     driver.settle();
     let offer = |driver: &mut Driver, object: u64, bytes: usize| {
         let copy = Copy {
-            in_parts: false,
-            ..piece(object).copy(driver.unix_ms(), bytes)
+            is_multipart: false,
+            ..test_part(object).copy(driver.unix_ms(), bytes)
         };
         driver.keep(copy, 2);
         driver.advance(SECOND / 10);
     };
     // Enough copies of one size class to fill and seal its segment.
     (0..40).for_each(|object| offer(&mut driver, object, 30_000));
-    let key = piece(0).key();
-    assert!(driver.orders.durable.contains_key(&key), "sealed");
+    let key = test_part(0).key();
+    assert!(driver.backend.durable.contains_key(&key), "sealed");
     offer(&mut driver, 0, 30_000);
     let first = disk
         .list()
@@ -535,7 +561,7 @@
         object += 1;
         assert!(object < 400, "never reclaimed");
     }
-    let durable = *driver.orders.durable.get(&key).expect("not dropped");
+    let durable = *driver.backend.durable.get(&key).expect("not dropped");
     for seed in 0..30 {
         let mut restarted = start_driver(
             &disk.after_crash(seed),
@@ -546,10 +572,10 @@
         let found = restarted.get(Part {
             object: &name,
             part: 0,
-            group: piece(0).group(),
+            group: test_part(0).group(),
         });
         assert!(
-            found.is_some_and(|(_, copy)| copy.made >= durable),
+            found.is_some_and(|(_, copy)| copy.created_at_ms >= durable),
             "lost, seed {seed}"
         );
     }
@@ -560,7 +586,7 @@
     let disk = Disk::new();
     let mut driver = start_with_objects(&disk, 1);
     let offer = |driver: &mut Driver, object: u64| {
-        driver.keep(piece(object).copy(driver.unix_ms(), 9000), 3);
+        driver.keep(test_part(object).copy(driver.unix_ms(), 9000), 3);
         driver.advance(SECOND / 10);
     };
     offer(&mut driver, 1);
@@ -571,14 +597,14 @@
     offer(&mut driver, 2);
     disk.set_faults(Faults::default());
     driver.advance(3 * SECOND);
-    assert!(driver.orders.durable.contains_key(&piece(1).key()));
+    assert!(driver.backend.durable.contains_key(&test_part(1).key()));
     let mut restarted = start_driver(&disk.after_crash(1), 1000 * SECOND, driver.unix_ms() + 1000);
     assert!(get(&mut restarted, 1).is_some() && get(&mut restarted, 2).is_none());
 }
 
 /// A store that is about to reclaim the segment of its first three copies, which are read often.
 fn store_short_of_space(disk: &Disk) -> Driver {
-    let settings = Wanted {
+    let settings = DiskSettings {
         bytes: 10 << 20,
         carry: 0.5,
         scrub: 0,
@@ -588,7 +614,7 @@
     driver.settle();
     let mut object = 0;
     while driver.store.disk().expect("a disk").segments().free() > 2 || object % 10 < 8 {
-        driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
+        driver.keep(test_part(object).copy(driver.unix_ms(), 100_000), 2);
         driver.advance(SECOND / 2);
         for hot in 0..3 {
             get(&mut driver, hot);
@@ -612,7 +638,7 @@
     });
     let failed = |driver: &Driver| driver.store.disk().expect("a disk").counts().read_faults > 0;
     for object in 1000..1030 {
-        driver.keep(piece(object).copy(driver.unix_ms(), 100_000), 2);
+        driver.keep(test_part(object).copy(driver.unix_ms(), 100_000), 2);
         driver.advance(SECOND / 20);
         if failed(&driver) {
             break;
--- a/crates/store/tests/guards.rs
+++ b/crates/store/tests/guards.rs
@@ -1,22 +1,22 @@
 //! Safeguards against wrong answers after faults, each provoked through the store and its driver: a damaged body
 //! behind an intact header, a clock that is set back and forward, a purge that only the catalogue knows.
 
-use chalkhall_store::decide::disk::Wanted;
-use chalkhall_store::decide::{Part, Place};
+use chalkhall_store::decide::disk::DiskSettings;
+use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::{Disk, Driver, Piece};
+use chalkhall_store::stand_ins::{Disk, Driver, TestPart};
 use std::sync::Arc;
 use std::time::Duration;
 
 const START: u64 = 1_800_000_000_000;
 const SECOND: Duration = Duration::from_secs(1);
 
-fn settings(known_purges: Duration) -> Wanted {
-    Wanted {
+fn settings(known_purges: Duration) -> DiskSettings {
+    DiskSettings {
         bytes: 16 << 20,
         segment: 1 << 20,
         known_purges,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
@@ -28,27 +28,30 @@
 
 /// Requests a part, checks the answer's bytes, and returns when the copy was made.
 fn get(driver: &mut Driver, object: u64) -> Option<u64> {
-    let piece = Piece { object, part: 0 };
-    let name = piece.name();
+    let test_part = TestPart { object, part: 0 };
+    let name = test_part.name();
     let (place, copy) = driver.get(Part {
         object: &name,
         part: 0,
-        group: piece.group(),
+        group: test_part.group(),
     })?;
     assert_eq!(
         (place, &copy),
-        (Place::Disk, &piece.copy(copy.made, copy.body.len())),
+        (
+            CacheTier::Disk,
+            &test_part.copy(copy.created_at_ms, copy.body.len())
+        ),
         "object {object}"
     );
-    Some(copy.made)
+    Some(copy.created_at_ms)
 }
 
 /// Starts a store with this many objects written and synced, and confirmed by discovery up to now.
 fn start_with_objects(disk: &Disk, objects: u64) -> Driver {
     let mut driver = start_driver(disk, 1000 * SECOND, START);
     for object in 0..objects {
-        let made = driver.unix_ms();
-        driver.keep(Piece { object, part: 0 }.copy(made, 9000), 3);
+        let created_at_ms = driver.unix_ms();
+        driver.keep(TestPart { object, part: 0 }.copy(created_at_ms, 9000), 3);
         driver.advance(SECOND / 10);
     }
     driver.advance(3 * SECOND);
@@ -58,7 +61,11 @@
 
 fn confirm_discovery(driver: &mut Driver) {
     let confirmed = driver.unix_ms();
-    driver.store.disk_mut().expect("a disk").heard(confirmed);
+    driver
+        .store
+        .disk_mut()
+        .expect("a disk")
+        .confirm_discovery_up_to(confirmed);
     driver.advance(20 * SECOND);
 }
 
@@ -103,8 +110,8 @@
             "set back by {back_by}"
         );
         // Copies written by that clock must not be served at the next start either.
-        let made = back.unix_ms();
-        back.keep(Piece { object: 9, part: 0 }.copy(made, 9000), 3);
+        let created_at_ms = back.unix_ms();
+        back.keep(TestPart { object: 9, part: 0 }.copy(created_at_ms, 9000), 3);
         back.advance(3 * SECOND);
         confirm_discovery(&mut back);
         back.close();
@@ -122,8 +129,8 @@
 fn copies_made_by_a_clock_that_ran_ahead_are_not_served_after_it_is_corrected() {
     let disk = Disk::new();
     let mut ahead = start_driver(&disk, 1000 * SECOND, START + 500_000);
-    let made = ahead.unix_ms();
-    ahead.keep(Piece { object: 1, part: 0 }.copy(made, 9000), 3);
+    let created_at_ms = ahead.unix_ms();
+    ahead.keep(TestPart { object: 1, part: 0 }.copy(created_at_ms, 9000), 3);
     ahead.advance(3 * SECOND);
     ahead.close();
     let mut right = start_driver(&disk, 1000 * SECOND, START);
@@ -139,8 +146,8 @@
     for steps in 0..40 {
         let disk = Disk::new();
         let mut driver = start_with_objects(&disk, 8);
-        let purged = driver.purge(Some(&Piece { object: 2, part: 0 }.name()), 0);
-        let group = Piece { object: 3, part: 0 }.group();
+        let purged = driver.purge(Some(&TestPart { object: 2, part: 0 }.name()), 0);
+        let group = TestPart { object: 3, part: 0 }.group();
         driver.purge(None, group);
         let done = (0..steps).take_while(|_| driver.step()).count();
         let completed = done < steps;
@@ -156,14 +163,14 @@
             // purge.
             if !completed {
                 restarted.store.purge(
-                    Some(&Piece { object: 2, part: 0 }.name()),
+                    Some(&TestPart { object: 2, part: 0 }.name()),
                     0,
                     purged,
-                    &mut restarted.orders,
+                    &mut restarted.backend,
                 );
                 restarted
                     .store
-                    .purge(None, group, purged, &mut restarted.orders);
+                    .purge(None, group, purged, &mut restarted.backend);
                 restarted.settle();
             }
             let is_purged = |object: u64| object == 2 || object % 7 == group;
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -3,7 +3,7 @@
 //! size, fill cost and access frequency.
 
 use crate::interface::{Id, IncomingRequest};
-use chalkhall_stats::Recent;
+use chalkhall_stats::RecentQuantiles;
 use lru::LruCache;
 use std::num::NonZeroUsize;
 use std::time::Duration;
@@ -66,8 +66,8 @@
 pub struct AccessHistory {
     parts: LruCache<u32, PartHistory>,
     request_count: u64,
-    scores: Recent,
-    values: Recent,
+    scores: RecentQuantiles,
+    values: RecentQuantiles,
     /// The recent share of first accesses that were hits, on copies that other routers of the zone
     /// had admitted.
     first_access_hit_share: f64,
@@ -78,8 +78,8 @@
         AccessHistory {
             parts: LruCache::new(HISTORY_CAPACITY),
             request_count: 0,
-            scores: Recent::new(RECENT_ACCESSES),
-            values: Recent::new(RECENT_ACCESSES),
+            scores: RecentQuantiles::new(RECENT_ACCESSES),
+            values: RecentQuantiles::new(RECENT_ACCESSES),
             first_access_hit_share: 0.0,
         }
     }
@@ -138,8 +138,8 @@
             _ if access.score < self.scores.quantile(2.0 / 3.0) => 2,
             _ => 1,
         };
-        self.values.note(access.value);
-        self.scores.note(access.score);
+        self.values.record(access.value);
+        self.scores.record(access.score);
         // A copy that expires before its next access is not admitted; if it is already kept, it
         // drops to the lowest priority.
         if access.is_expired {
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -229,7 +229,7 @@
             let Some(endpoint) = self.endpoints.get_mut(name) else {
                 continue;
             };
-            endpoint.sent_work.note(now, window, work);
+            endpoint.sent_work.record(now, window, work);
             endpoint.in_flight_kb += validated.kb;
             endpoint.in_flight += 1;
             endpoint.outliers.record_sent(now);
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::interface::{Id, Member, ServerState, Tier};
 use crate::outlier::OutlierDetector;
 use crate::selection::{Candidate, Pool};
-use chalkhall_stats::{NameMap, Window};
+use chalkhall_stats::{NameMap, WindowSum};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     /// The list entry.
     pub member: Member,
     /// The work recently sent to the server.
-    pub sent_work: Window,
+    pub sent_work: WindowSum,
     /// The total answer size of attempts in flight.
     pub in_flight_kb: f64,
     /// The number of attempts in flight.
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -11,7 +11,7 @@
 //! Between [`ONE_STEP_LIMIT`] servers and twice as many, a growing share of the parts is selected
 //! in two steps, so that no single server that joins or leaves moves many.
 
-use chalkhall_stats::{draw_seeded, name_seed};
+use chalkhall_stats::{name_seed, rendezvous_score_seeded};
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -58,7 +58,7 @@
     /// The candidate's draw for a part of an object; the lowest draw is preferred.
     #[inline]
     pub fn draw(&self, object: &str, part: u64) -> f64 {
-        draw_seeded(self.name_seed, object, part, self.weight)
+        rendezvous_score_seeded(self.name_seed, object, part, self.weight)
     }
 }
 
@@ -176,7 +176,8 @@
                 groups: Vec::new(),
             };
         }
-        let draw = |group: &Group| draw_seeded(group.name_seed, object, part, group.weight);
+        let draw =
+            |group: &Group| rendezvous_score_seeded(group.name_seed, object, part, group.weight);
         CandidateSets {
             one_step: None,
             groups: self
--- a/src/selection/tests.rs
+++ b/src/selection/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use chalkhall_stats::draw;
+use chalkhall_stats::rendezvous_score;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn name(n: usize) -> Rc<str> {
@@ -36,7 +36,7 @@
     for servers in [1, 2, 64, ONE_STEP_LIMIT] {
         let pool = pool(0..servers);
         for object in objects(200) {
-            let draws = (0..servers).map(|n| draw(&name(n), &object, 0, weight(n)));
+            let draws = (0..servers).map(|n| rendezvous_score(&name(n), &object, 0, weight(n)));
             let least = draws
                 .enumerate()
                 .min_by(|(_, a), (_, b)| a.total_cmp(b))
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -43,7 +43,7 @@
     let budget = BUDGET_MARGIN * 2.0 * 5.0;
     assert!(slow_start.admits(STARTED, &cache, budget));
     assert!(!slow_start.admits(STARTED, &cache, budget * 1.01));
-    cache.sent_work.note(STARTED, SECOND, budget);
+    cache.sent_work.record(STARTED, SECOND, budget);
     assert!(!slow_start.admits(STARTED, &cache, 1.0));
     assert!(slow_start.admits(STARTED + SECOND * 2, &cache, 1.0));
 }
