--- a/crates/cli/src/bin/demo/scenario.rs
+++ b/crates/cli/src/bin/demo/scenario.rs
@@ -8,7 +8,7 @@
 use crate::servers::{Fleet, Retrieval, ServerAnswer, Tier};
 use crate::summary::{Step, Summary};
 use chalkhall_cli::fleet::program;
-use chalkhall_harness::children::Router;
+use chalkhall_harness::processes::RouterProcess;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
 struct Demo {
     fleet: Rc<Fleet>,
     discovery: Rc<Discovery>,
-    router: Router,
+    router: RouterProcess,
     client: Client,
     requests: u64,
     summary: Summary,
@@ -79,7 +79,7 @@
         let begun = Instant::now();
         let executable = std::env::current_exe().map_err(DemoError::Start)?;
         let program = program(&executable.with_file_name("chalkhall"), None);
-        let started = Router::start(&program, file.path(), None, None);
+        let started = RouterProcess::start(&program, file.path(), None, None);
         let mut router = started.map_err(DemoError::Start)?;
         let client = connect_when_healthy(&mut router, address).await?;
         let mut demo = Demo {
@@ -199,7 +199,7 @@
             sleep(POLL_INTERVAL).await;
         }
         let status = loop {
-            match self.router.ended() {
+            match self.router.exit_status() {
                 Some(status) => break status,
                 None => sleep(POLL_INTERVAL).await,
             }
@@ -225,11 +225,11 @@
 }
 
 async fn connect_when_healthy(
-    router: &mut Router,
+    router: &mut RouterProcess,
     address: SocketAddr,
 ) -> Result<Client, DemoError> {
     loop {
-        if let Some(status) = router.ended() {
+        if let Some(status) = router.exit_status() {
             return Err(DemoError::ExitedEarly(status));
         }
         // Connections are refused until the router listens.
--- a/crates/cli/src/bin/proof-even/main.rs
+++ b/crates/cli/src/bin/proof-even/main.rs
@@ -3,10 +3,10 @@
 //! the line names it and the exit code is not zero. A run that is void because the machine was too busy is
 //! repeated once.
 
-use chalkhall_cli::fleet::{played, program};
-use chalkhall_harness::play::{Play, read_text};
+use chalkhall_cli::fleet::{program, run_scenario};
 use chalkhall_harness::report;
-use chalkhall_harness::run::{Setup, Shown};
+use chalkhall_harness::run::{RunOptions, RunResults};
+use chalkhall_harness::scenario::{Scenario, read_text};
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -73,42 +73,48 @@
     ),
 ];
 
-fn parse_scenario(faults: &str, bounds: &str, without_peers: bool) -> Result<Play, String> {
+fn parse_scenario(faults: &str, bounds: &str, without_peers: bool) -> Result<Scenario, String> {
     let text =
         format!("{FLEET_FILE}\n{WORK_SECTION}\nfaults {{\n {faults}\n}}\nmust {{\n {bounds}\n}}\n");
-    let (mut play, faults) = read_text(&text);
+    let (mut scenario, faults) = read_text(&text);
     if without_peers {
-        play.fleet.directives.clear();
+        scenario.fleet.directives.clear();
     }
     faults
         .first()
-        .map_or(Ok(play), |fault| Err(fault.to_string()))
+        .map_or(Ok(scenario), |fault| Err(fault.to_string()))
 }
 
-fn run_scenario(
+fn run_with_retry(
     name: &str,
-    play: &Play,
+    scenario: &Scenario,
     arguments: &Arguments,
     void_runs: &mut usize,
-) -> Result<Shown, String> {
+) -> Result<RunResults, String> {
     let executable = std::env::current_exe().map_err(|e| e.to_string())?;
     let chalkhall = executable.with_file_name("chalkhall");
     for may_repeat in [true, false] {
         let program = program(&chalkhall, None);
-        let setup = Setup {
+        let setup = RunOptions {
             program,
             seed: arguments.seed,
             logs: None,
             progress: false,
         };
-        let outcome = played(play, setup).map_err(|failure| format!("{name}: {}", failure.what))?;
-        println!("{name}: {}", report::line(&outcome));
+        let outcome = run_scenario(scenario, setup)
+            .map_err(|failure| format!("{name}: {}", failure.reason))?;
+        println!("{name}: {}", report::figures_line(&outcome));
         outcome
-            .words
+            .violation_descriptions
             .iter()
             .for_each(|reason| println!("{name}: rule violated: {reason}"));
         if let Some(directory) = &arguments.html {
-            let page = report::html(name, play, &outcome, &report::short(&outcome, &play.must))?;
+            let page = report::html(
+                name,
+                scenario,
+                &outcome,
+                &report::unmet_requirements(&outcome, &scenario.requirements),
+            )?;
             std::fs::write(directory.join(format!("{name}.html")), page)
                 .map_err(|e| e.to_string())?;
         }
@@ -125,15 +131,15 @@
 
 fn prove(arguments: &Arguments) -> Result<(String, Vec<String>), String> {
     let (mut shortfalls, mut void_runs, mut scenarios_run) = (Vec::new(), 0, 0);
-    let (mut all, mut calm_index): (Vec<Shown>, Option<usize>) = (Vec::new(), None);
+    let (mut all, mut calm_index): (Vec<RunResults>, Option<usize>) = (Vec::new(), None);
     for (name, faults, bounds) in SCENARIOS {
         if !arguments.only.is_empty() && !arguments.only.iter().any(|only| only == name) {
             continue;
         }
-        let play = parse_scenario(faults, bounds, false)?;
-        let outcome = run_scenario(name, &play, arguments, &mut void_runs)?;
+        let scenario = parse_scenario(faults, bounds, false)?;
+        let outcome = run_with_retry(name, &scenario, arguments, &mut void_runs)?;
         shortfalls.extend(
-            report::short(&outcome, &play.must)
+            report::unmet_requirements(&outcome, &scenario.requirements)
                 .into_iter()
                 .map(|reason| format!("{name}: {reason}")),
         );
@@ -143,7 +149,7 @@
     }
     // The calm scenario once more, without peers: shows that service does not depend on them.
     let without_peers = match calm_index {
-        Some(_) => Some(run_scenario(
+        Some(_) => Some(run_with_retry(
             "alone",
             &parse_scenario("", "", true)?,
             arguments,
@@ -151,15 +157,16 @@
         )?),
         None => None,
     };
-    let highest = |figure: &dyn Fn(&Shown) -> f64| all.iter().map(figure).fold(0.0, f64::max);
-    let lowest = |figure: &dyn Fn(&Shown) -> f64| all.iter().map(figure).fold(1.0, f64::min);
-    let total = |figure: &dyn Fn(&Shown) -> u64| -> u64 {
+    let highest = |figure: &dyn Fn(&RunResults) -> f64| all.iter().map(figure).fold(0.0, f64::max);
+    let lowest = |figure: &dyn Fn(&RunResults) -> f64| all.iter().map(figure).fold(1.0, f64::min);
+    let total = |figure: &dyn Fn(&RunResults) -> u64| -> u64 {
         all.iter().chain(&without_peers).map(figure).sum()
     };
     let first = all
         .get(calm_index.unwrap_or(0))
         .ok_or("no scenario has a name that --only gives")?;
-    let [peak, limit, hash] = ["real", "sees_all", "hash"].map(|rule| first.even[rule].peak);
+    let [peak, limit, hash] =
+        ["real", "sees_all", "hash"].map(|rule| first.load_balance[rule].peak);
     let line = [
         format!(
             "routers={} servers={} peak={peak:.3} peak_limit={limit:.3} peak_hash={hash:.3}",
@@ -172,34 +179,34 @@
         ),
         format!(
             "idle={:.4} idle_worst={:.4}",
-            first.even["real"].idle,
-            highest(&|s| s.even["real"].idle)
+            first.load_balance["real"].idle,
+            highest(&|s| s.load_balance["real"].idle)
         ),
         format!("herd={:.3}", highest(&|s| s.herd)),
         format!(
             "swing={} service={:.3}",
-            highest(&|s| s.even["real"].swing),
+            highest(&|s| s.load_balance["real"].swing),
             first.service
         ),
-        format!("service_worst={:.3}", lowest(&|s| s.service_after)),
+        format!("service_worst={:.3}", lowest(&|s| s.service_after_faults)),
         format!(
             "service_alone={:.3}",
             without_peers.as_ref().map_or(0.0, |s| s.service)
         ),
         format!(
             "strain={:.3} double_runs={}",
-            highest(&|s| s.strain),
-            total(&|s| s.breaks.double_runs)
+            highest(&|s| s.overload_ratio),
+            total(&|s| s.violations.double_runs)
         ),
         format!(
             "lost={}",
-            total(&|s| s.breaks.lost + s.breaks.twice + s.breaks.strange)
+            total(&|s| s.violations.lost + s.violations.twice + s.violations.strange)
         ),
-        format!("drain_breaks={}", total(&|s| s.breaks.drain)),
+        format!("drain_breaks={}", total(&|s| s.violations.drain)),
         format!(
             "cold_falls={} stale={}",
-            total(&|s| s.breaks.cold),
-            total(&|s| s.breaks.stale)
+            total(&|s| s.violations.cold),
+            total(&|s| s.violations.stale)
         ),
         format!("plays={scenarios_run} void={void_runs}"),
     ];
--- a/crates/cli/src/bin/proof-fleet-size/main.rs
+++ b/crates/cli/src/bin/proof-fleet-size/main.rs
@@ -13,7 +13,7 @@
 
 use bounds::{Growth, format_figures, violations};
 use chalkhall_cli::fleet::program;
-use chalkhall_harness::children::Program;
+use chalkhall_harness::processes::RouterCommand;
 use clap::Parser;
 use scenario::{Conditions, Figures, Scenario, Size};
 use std::path::PathBuf;
@@ -77,7 +77,7 @@
 /// Runs both sizes at the same time, so that other work on the machine affects both equally.
 async fn run_both_sizes(
     arguments: &Arguments,
-    program: &Program,
+    program: &RouterCommand,
     conditions: Conditions,
 ) -> Result<Growth, String> {
     let base = arguments.scenario(1, conditions);
--- a/crates/cli/src/bin/proof-fleet-size/scenario.rs
+++ b/crates/cli/src/bin/proof-fleet-size/scenario.rs
@@ -5,7 +5,7 @@
 use crate::settings::{AddressBlock, ListedServer, Tier, configuration, servers, unix_ms};
 use crate::traffic::{self, RequestCounts};
 use crate::usage;
-use chalkhall_harness::children::{Program, Router};
+use chalkhall_harness::processes::{RouterCommand, RouterProcess};
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -100,11 +100,11 @@
 
 fn start_routers(
     scenario: &Scenario,
-    program: &Program,
+    program: &RouterCommand,
     directory: &Path,
     block: &AddressBlock,
     listed_servers: &[ListedServer],
-) -> Result<Vec<Router>, String> {
+) -> Result<Vec<RouterProcess>, String> {
     let routers = (0..scenario.routers).map(|number| {
         let path = directory.join(format!("n{number}.json"));
         let text = configuration(
@@ -116,7 +116,7 @@
         )
         .to_string();
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-        Router::start(program, &path, None, None)
+        RouterProcess::start(program, &path, None, None)
             .map_err(|e| format!("a router could not be started: {e}"))
     });
     routers.collect()
@@ -164,12 +164,12 @@
 }
 
 /// Tells all routers to shut down, and waits until each has exited with code 0.
-async fn stop_routers(mut routers: Vec<Router>) -> Result<(), String> {
-    routers.iter_mut().for_each(Router::terminate);
+async fn stop_routers(mut routers: Vec<RouterProcess>) -> Result<(), String> {
+    routers.iter_mut().for_each(RouterProcess::terminate);
     let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
     for (number, router) in routers.iter_mut().enumerate() {
         let status = loop {
-            match router.ended() {
+            match router.exit_status() {
                 Some(status) => break status,
                 None if Instant::now() > deadline => {
                     return Err(format!("router n{number} did not exit within 20 s"));
@@ -200,7 +200,7 @@
 ///
 /// # Errors
 /// The reason why it could not run.
-pub async fn run(program: &Program, scenario: &Scenario) -> Result<Figures, String> {
+pub async fn run(program: &RouterCommand, scenario: &Scenario) -> Result<Figures, String> {
     let (block, directory) = (
         AddressBlock::reserve()?,
         ConfigurationDirectory::new(scenario.size.larger)?,
@@ -227,7 +227,7 @@
         discovery::listen(block.discovery(router), &events, &mut tasks).await?;
     }
     let routers = start_routers(scenario, program, &directory.0, &block, &listed_servers)?;
-    let processes: Vec<u32> = routers.iter().map(Router::id).collect();
+    let processes: Vec<u32> = routers.iter().map(RouterProcess::id).collect();
     for router in 0..scenario.routers {
         traffic::wait_until_ready(block.router(router)).await?;
     }
--- a/crates/cli/src/bin/proof-fleet-size/traffic.rs
+++ b/crates/cli/src/bin/proof-fleet-size/traffic.rs
@@ -1,6 +1,6 @@
 //! A router's clients: requests at random times, mostly for a few popular objects.
 
-use chalkhall_harness::wire;
+use chalkhall_harness::connections;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -70,7 +70,7 @@
 /// It is not ready in time.
 pub async fn wait_until_ready(router: SocketAddr) -> Result<(), String> {
     let green = async {
-        while !wire::green(router).await {
+        while !connections::is_serving(router).await {
             sleep(Duration::from_millis(20)).await;
         }
     };
--- a/crates/cli/src/bin/proof-regions/main.rs
+++ b/crates/cli/src/bin/proof-regions/main.rs
@@ -3,10 +3,10 @@
 //! Where a figure misses its bound, the line names it and the exit code is not zero. A run that is void because
 //! the machine was too busy is repeated once.
 
-use chalkhall_cli::fleet::{played, program};
-use chalkhall_harness::play::{Play, read_text};
+use chalkhall_cli::fleet::{program, run_scenario};
 use chalkhall_harness::report;
-use chalkhall_harness::run::{Setup, Shown};
+use chalkhall_harness::run::{RunOptions, RunResults};
+use chalkhall_harness::scenario::{Scenario, read_text};
 use clap::Parser;
 use std::process::ExitCode;
 
@@ -79,56 +79,58 @@
     faults: &str,
     bounds: &str,
     extra_section: &str,
-) -> Result<Play, String> {
+) -> Result<Scenario, String> {
     let text = format!(
         "{FLEET_FILE}\n{extra_section}\nwork {{\n seconds 19\n lead 5s\n rate {rate}\n uneven 6\n size 40\n}}\n\
          faults {{\n {faults}\n}}\nmust {{\n {bounds}\n}}\n"
     );
-    let (play, faults) = read_text(&text);
+    let (scenario, faults) = read_text(&text);
     faults
         .first()
-        .map_or(Ok(play), |fault| Err(fault.to_string()))
+        .map_or(Ok(scenario), |fault| Err(fault.to_string()))
 }
 
 /// Adds a directive, given as its section and line, to every router's operator's file. It replaces the directives
 /// of the same name in that section.
-fn replace_directive(play: &mut Play, directive: &str) {
+fn replace_directive(scenario: &mut Scenario, directive: &str) {
     let Some((section, rest)) = directive.split_once(' ') else {
         return;
     };
     let name = rest.split(' ').next().unwrap_or_default().to_owned();
-    play.fleet
+    scenario
+        .fleet
         .directives
         .retain(|(s, l)| s != section || l.split(' ').next() != Some(&name));
-    play.fleet
+    scenario
+        .fleet
         .directives
         .push((section.to_owned(), rest.to_owned()));
 }
 
-fn run_scenario(
+fn run_with_retry(
     name: &str,
-    mut play: Play,
+    mut scenario: Scenario,
     arguments: &Arguments,
     void_runs: &mut usize,
-) -> Result<Shown, String> {
+) -> Result<RunResults, String> {
     let executable = std::env::current_exe().map_err(|e| e.to_string())?;
     arguments
         .with
         .iter()
-        .for_each(|directive| replace_directive(&mut play, directive));
+        .for_each(|directive| replace_directive(&mut scenario, directive));
     for may_repeat in [true, false] {
         let program = program(&executable.with_file_name("chalkhall"), None);
-        let setup = Setup {
+        let setup = RunOptions {
             program,
             seed: arguments.seed,
             logs: None,
             progress: false,
         };
-        let outcome =
-            played(&play, setup).map_err(|failure| format!("{name}: {}", failure.what))?;
-        println!("{name}: {}", report::line(&outcome));
+        let outcome = run_scenario(&scenario, setup)
+            .map_err(|failure| format!("{name}: {}", failure.reason))?;
+        println!("{name}: {}", report::figures_line(&outcome));
         outcome
-            .words
+            .violation_descriptions
             .iter()
             .for_each(|reason| println!("{name}: rule violated: {reason}"));
         match &outcome.void {
@@ -144,9 +146,9 @@
 
 fn prove(arguments: &Arguments) -> Result<(String, Vec<String>), String> {
     let (mut shortfalls, mut void_runs, mut all) = (Vec::new(), 0, Vec::new());
-    let mut add_shortfalls = |name: &str, outcome: &Shown, play: &Play| {
+    let mut add_shortfalls = |name: &str, outcome: &RunResults, scenario: &Scenario| {
         shortfalls.extend(
-            report::short(outcome, &play.must)
+            report::unmet_requirements(outcome, &scenario.requirements)
                 .into_iter()
                 .map(|reason| format!("{name}: {reason}")),
         );
@@ -155,9 +157,9 @@
         |name: &str| arguments.only.is_empty() || arguments.only.iter().any(|only| only == name);
     for (name, rate, faults, bounds) in SCENARIOS.into_iter().filter(|(name, ..)| is_selected(name))
     {
-        let play = parse_scenario(rate, faults, bounds, "")?;
-        let outcome = run_scenario(name, play.clone(), arguments, &mut void_runs)?;
-        add_shortfalls(name, &outcome, &play);
+        let scenario = parse_scenario(rate, faults, bounds, "")?;
+        let outcome = run_with_retry(name, scenario.clone(), arguments, &mut void_runs)?;
+        add_shortfalls(name, &outcome, &scenario);
         all.push((name, outcome));
     }
     let outcome_of = |name: &str| {
@@ -174,7 +176,7 @@
         // baseline and the limit, at least two thirds must be won back.
         let mut baseline = parse_scenario(900.0, SCENARIOS[0].2, "", "")?;
         replace_directive(&mut baseline, "regions in-common off");
-        let baseline = run_scenario(
+        let baseline = run_with_retry(
             "today",
             baseline,
             &Arguments {
@@ -183,8 +185,8 @@
             },
             &mut void_runs,
         )?;
-        let (service, limit) = (lost.of_places.lost_service, lost.of_places.lost_limit);
-        let baseline = baseline.of_places.lost_service;
+        let (service, limit) = (lost.zone_metrics.lost_service, lost.zone_metrics.lost_limit);
+        let baseline = baseline.zone_metrics.lost_service;
         if service < baseline + (limit - baseline) * 2.0 / 3.0 {
             shortfalls.push(format!(
                 "service is {service:.3}, with service_today {baseline:.3} and service_limit {limit:.3}"
@@ -193,7 +195,10 @@
         line.push(format!(
             "service={service:.3} service_today={baseline:.3} service_limit={limit:.3}"
         ));
-        line.push(format!("abroad_needless={:.4}", lost.of_places.needless));
+        line.push(format!(
+            "abroad_needless={:.4}",
+            lost.zone_metrics.needless_redirects
+        ));
         // With ten times the routers, each may send at most 1.3 times as many bytes of datagrams a second.
         let run_with_routers = |name: &str, routers: usize, void_runs: &mut usize| {
             let extra_section = format!("fleet {{\n routers {routers}\n}}\n");
@@ -202,14 +207,14 @@
                 "{fleet}\n{extra_section}\nwork {{\n seconds 9\n lead 4s\n rate {}\n}}\n",
                 5 * routers
             );
-            let (play, faults) = read_text(&text);
+            let (scenario, faults) = read_text(&text);
             faults
                 .first()
                 .map_or(Ok(()), |fault| Err(fault.to_string()))?;
-            run_scenario(name, play, arguments, void_runs)
+            run_with_retry(name, scenario, arguments, void_runs)
         };
-        let bytes_s = run_with_routers("calm", 160, &mut void_runs)?.bytes_s();
-        let bytes_s_tenth = run_with_routers("tenth", 16, &mut void_runs)?.bytes_s();
+        let bytes_s = run_with_routers("calm", 160, &mut void_runs)?.datagram_bytes_per_s();
+        let bytes_s_tenth = run_with_routers("tenth", 16, &mut void_runs)?.datagram_bytes_per_s();
         if bytes_s > 1.3 * bytes_s_tenth {
             shortfalls.push(format!(
                 "bytes_s is {bytes_s:.0}, with {bytes_s_tenth:.0} for a tenth of the routers"
@@ -223,16 +228,20 @@
         .into_iter()
         .filter_map(outcome_of);
     let slowest_plan_s = plans
-        .map(|s| s.of_places.plan.map_or(f64::INFINITY, |p| p.as_secs_f64()))
+        .map(|s| {
+            s.zone_metrics
+                .time_to_redirect
+                .map_or(f64::INFINITY, |p| p.as_secs_f64())
+        })
         .fold(0.0, f64::max);
     let toppled: u64 = all
         .iter()
-        .map(|(_, outcome)| outcome.of_places.toppled)
+        .map(|(_, outcome)| outcome.zone_metrics.overloaded_zone_seconds)
         .sum();
     if toppled > 0 {
         shortfalls.push(format!("toppled is {toppled}, at most 0"));
     }
-    let total = |figure: &dyn Fn(&Shown) -> u64| -> u64 {
+    let total = |figure: &dyn Fn(&RunResults) -> u64| -> u64 {
         all.iter().map(|(_, outcome)| figure(outcome)).sum()
     };
     line.push(format!("plan_s={slowest_plan_s:.3} toppled={toppled}"));
@@ -240,16 +249,19 @@
         "alone_service={:.3}",
         outcome_of("alone").map_or(0.0, |outcome| outcome.service)
     ));
-    line.push(format!("double_runs={}", total(&|s| s.breaks.double_runs)));
+    line.push(format!(
+        "double_runs={}",
+        total(&|s| s.violations.double_runs)
+    ));
     line.push(format!(
         "lost={}",
-        total(&|s| s.breaks.lost + s.breaks.twice + s.breaks.strange)
+        total(&|s| s.violations.lost + s.violations.twice + s.violations.strange)
     ));
-    line.push(format!("drain_breaks={}", total(&|s| s.breaks.drain)));
+    line.push(format!("drain_breaks={}", total(&|s| s.violations.drain)));
     line.push(format!(
         "cold_falls={} stale={}",
-        total(&|s| s.breaks.cold),
-        total(&|s| s.breaks.stale)
+        total(&|s| s.violations.cold),
+        total(&|s| s.violations.stale)
     ));
     line.push(format!("plays={} void={void_runs}", all.len()));
     Ok((line.join(" "), shortfalls))
--- a/crates/cli/src/bin/proof-store/main.rs
+++ b/crates/cli/src/bin/proof-store/main.rs
@@ -139,7 +139,7 @@
                     .map_err(|e| e.to_string())?
                     .with_file_name("chalkhall");
                 torture(&program, &directory.join("torture"), arguments.kills, seed)
-                    .map_err(|f| f.what)
+                    .map_err(|f| f.reason)
             })
         });
         let days = [false, true].map(|scan| {
--- a/crates/cli/src/bin/proof-store/timings.rs
+++ b/crates/cli/src/bin/proof-store/timings.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use chalkhall::control::Router;
 use chalkhall::interface::*;
-use chalkhall_cli::rig::Rig;
+use chalkhall_cli::store_driver::StoreDriver;
 use chalkhall_store::copy::Copy;
 use chalkhall_store::decide::disk::DiskSettings;
 use chalkhall_store::decide::{CacheTier, Part};
@@ -35,7 +35,7 @@
 /// Writes `parts` parts of `size` bytes to a new store, which then stops without an orderly shutdown, as after a
 /// kill.
 fn fill_store(path: &Path, parts: u64, size: usize) -> Result<Vec<TestPart>, String> {
-    let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
+    let mut driver = StoreDriver::open(path, 0, disk_settings(4 << 30), 4)?;
     let test_parts: Vec<TestPart> = (0..parts)
         .map(|n| TestPart {
             object: n / 16,
@@ -43,32 +43,37 @@
         })
         .collect();
     for (n, test_part) in test_parts.iter().enumerate() {
-        let made = chalkhall_cli::rig::unix_ms();
-        let written_count = |rig: &Rig| rig.store.disk().map_or(0, |disk| disk.counts().written);
+        let created_at_ms = chalkhall_cli::store_driver::unix_ms();
+        let written_count =
+            |driver: &StoreDriver| driver.store.disk().map_or(0, |disk| disk.counts().written);
         // Limits the writes in flight to what the store's queues accept.
         let max_in_flight = (2 << 20) / size as u64;
-        if !rig.until(STORE_TIMEOUT, |rig| {
-            n as u64 - written_count(rig) < max_in_flight.clamp(4, 200)
+        if !driver.poll_until(STORE_TIMEOUT, |driver| {
+            n as u64 - written_count(driver) < max_in_flight.clamp(4, 200)
         }) {
             return Err("the disk did not catch up with the writes within 60 s".into());
         }
-        let now = rig.now();
-        rig.store.insert(
+        let now = driver.now();
+        driver.store.insert(
             now,
-            test_part.copy_of_version(1, made, size),
+            test_part.copy_of_version(1, created_at_ms, size),
             2,
-            &mut rig.connector,
+            &mut driver.connector,
         );
     }
-    let all = |rig: &mut Rig| {
-        rig.store
+    let all = |driver: &mut StoreDriver| {
+        driver
+            .store
             .disk()
             .is_some_and(|disk| disk.index().len() as u64 == parts)
     };
-    if !rig.until(STORE_TIMEOUT, all) {
-        return Err(format!("{:?}", rig.store.disk().map(|disk| disk.counts())));
+    if !driver.poll_until(STORE_TIMEOUT, all) {
+        return Err(format!(
+            "{:?}",
+            driver.store.disk().map(|disk| disk.counts())
+        ));
     }
-    rig.end(STORE_TIMEOUT);
+    driver.stop(STORE_TIMEOUT);
     Ok(test_parts)
 }
 
@@ -89,8 +94,8 @@
     const SIZE: usize = 200_000;
     let test_parts = fill_store(path, 400, SIZE)?;
     let files = segment_files(path)?;
-    let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
-    if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
+    let mut driver = StoreDriver::open(path, 0, disk_settings(4 << 30), 4)?;
+    if !driver.poll_until(STORE_TIMEOUT, |driver| driver.is_ready()) {
         return Err("the store was not ready within 60 s".into());
     }
     let names: Vec<_> = test_parts
@@ -125,14 +130,15 @@
                     part: test_parts[n].part,
                     group: test_parts[n].group(),
                 };
-                let now = rig.now();
-                rig.store
-                    .start_read(now, part, &mut rig.connector)
+                let now = driver.now();
+                driver
+                    .store
+                    .start_read(now, part, &mut driver.connector)
                     .ok_or("a part is missing from the store")?;
                 in_flight += 1;
             }
-            rig.turn();
-            for (_, fetched) in rig.connector.completed_reads.drain(..) {
+            driver.poll();
+            for (_, fetched) in driver.connector.completed_reads.drain(..) {
                 match fetched {
                     chalkhall_store::decide::disk::ReadResult::Copy(copy) => {
                         read += copy.body.len()
@@ -179,19 +185,19 @@
             ));
         }
         let begun = Instant::now();
-        let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
-        let is_complete = |rig: &mut Rig| {
-            rig.is_ready()
-                && rig
+        let mut driver = StoreDriver::open(path, 0, disk_settings(4 << 30), 4)?;
+        let is_complete = |driver: &mut StoreDriver| {
+            driver.is_ready()
+                && driver
                     .store
                     .disk()
                     .is_some_and(|d| d.index().len() == test_parts.len())
         };
-        if !rig.until(STORE_TIMEOUT, is_complete) {
+        if !driver.poll_until(STORE_TIMEOUT, is_complete) {
             return Err("the index was not complete within 60 s".into());
         }
         ratios.push(begun.elapsed().as_secs_f64() / plain);
-        rig.end(STORE_TIMEOUT);
+        driver.stop(STORE_TIMEOUT);
     }
     Ok(median(ratios))
 }
@@ -199,22 +205,22 @@
 /// Runs requests that are answered from memory through the router's decisions and the store.
 struct RequestRunner {
     router: Option<Router>,
-    rig: Rig,
+    driver: StoreDriver,
     name: Bytes,
     answer: Option<Rc<Copy>>,
     timers: Vec<u64>,
 }
 
 impl RequestRunner {
-    fn new(rig: Rig) -> RequestRunner {
+    fn new(driver: StoreDriver) -> RequestRunner {
         let mut runner = RequestRunner {
             router: None,
-            rig,
+            driver,
             name: Bytes::new(),
             answer: None,
             timers: Vec::new(),
         };
-        let now = runner.rig.now();
+        let now = runner.driver.now();
         let mut router = Router::start(now, &day::deployment(), &mut runner);
         router.update_list(now, ListKind::Snapshot, &day::members(), &mut runner);
         runner.router = Some(router);
@@ -240,7 +246,7 @@
             .take()
             .ok_or("the router is already handling a request")?;
         let begun = Instant::now();
-        let now = self.rig.now();
+        let now = self.driver.now();
         router.request(now, arrival, self);
         let (outcome, remark, is_complete) = (Outcome::Served, Remark::Hit, true);
         let (duration, load) = (Duration::ZERO, Load::default());
@@ -276,13 +282,13 @@
 
 impl ActionSink for RequestRunner {
     fn attempt(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
-        let now = self.rig.now();
+        let now = self.driver.now();
         let part = Part {
             object: &self.name,
             part: 0,
             group: 0,
         };
-        self.answer = self.rig.store.get(now, part);
+        self.answer = self.driver.store.get(now, part);
     }
     fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
@@ -297,7 +303,7 @@
             part: 0,
             group: 0,
         };
-        let found = self.rig.store.find(part, None)?;
+        let found = self.driver.store.find(part, None)?;
         // Nothing expires in this deployment, so the age does not matter.
         Some(LocalCopy {
             cache: "m1".into(),
@@ -308,7 +314,7 @@
     }
     fn keep_local_copy(&mut self, _request: &Id, rank: u8) {
         let name = self.name.clone();
-        self.rig.store.set_rank(
+        self.driver.store.set_rank(
             Part {
                 object: &name,
                 part: 0,
@@ -342,27 +348,27 @@
     let disk = Disk::new();
     let files = disk.clone();
     let take = move || Ok(Arc::new(files.clone()) as Arc<dyn Files>);
-    let mut rig = Rig::on(take, 64 << 20, disk_settings(1 << 30), 4)?;
-    if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
+    let mut driver = StoreDriver::open_files(take, 64 << 20, disk_settings(1 << 30), 4)?;
+    if !driver.poll_until(STORE_TIMEOUT, |driver| driver.is_ready()) {
         return Err("the store was not ready within 60 s".into());
     }
     let mut runners = [
-        RequestRunner::new(Rig::alone(64 << 20)),
-        RequestRunner::new(rig),
+        RequestRunner::new(StoreDriver::memory_only(64 << 20)),
+        RequestRunner::new(driver),
     ];
     if rng.bool() {
         runners.reverse();
     }
-    let hung_index = usize::from(runners[1].rig.store.disk().is_some());
-    let made = chalkhall_cli::rig::unix_ms();
+    let hung_index = usize::from(runners[1].driver.store.disk().is_some());
+    let created_at_ms = chalkhall_cli::store_driver::unix_ms();
     for runner in &mut runners {
         for test_part in &test_parts {
-            let now = runner.rig.now();
-            runner.rig.store.insert(
+            let now = runner.driver.now();
+            runner.driver.store.insert(
                 now,
-                test_part.copy_of_version(1, made, 2000),
+                test_part.copy_of_version(1, created_at_ms, 2000),
                 2,
-                &mut runner.rig.connector,
+                &mut runner.driver.connector,
             );
         }
     }
@@ -378,18 +384,18 @@
                 let runner = &mut runners[which];
                 if n % 1000 == 0 {
                     // Copies that the memory tier has no room for go on arriving, and with them writes to the disk.
-                    let now = runner.rig.now();
+                    let now = runner.driver.now();
                     let large = TestPart {
                         object: OBJECTS + round * 1000 + n,
                         part: 0,
                     };
-                    runner.rig.store.insert(
+                    runner.driver.store.insert(
                         now,
-                        large.copy_of_version(1, made, 1 << 20),
+                        large.copy_of_version(1, created_at_ms, 1 << 20),
                         1,
-                        &mut runner.rig.connector,
+                        &mut runner.driver.connector,
                     );
-                    runner.rig.turn();
+                    runner.driver.poll();
                 }
                 requests += 1;
                 let took = runner.request(requests, test_parts[at], &names[at])?;
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -180,7 +180,7 @@
         .map(|p| p / 100.0);
     let share = share.ok_or_else(|| Failure {
         code: 2,
-        what: format!("{most:?} is not a percentage such as 80%"),
+        reason: format!("{most:?} is not a percentage such as 80%"),
     })?;
     let (tenants, cells) = read_fleet(file).map_err(fail)?;
     let plan = plan_of(&tenants, &cells, share).map_err(fail)?;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -2,10 +2,10 @@
 
 use crate::Failure;
 use crate::arguments::RunOptions;
-use chalkhall_harness::children::{Program, become_child};
-use chalkhall_harness::play::{PLAY, Play};
-use chalkhall_harness::run::{Setup, Shown};
-use chalkhall_harness::{play as plays, report, run};
+use chalkhall_harness::processes::{RouterCommand, exec_as_child};
+use chalkhall_harness::run::{RunOptions as HarnessOptions, RunResults};
+use chalkhall_harness::scenario::{DIRECTIVES, Scenario};
+use chalkhall_harness::{report, run, scenario as scenarios};
 use serde_json::json;
 use std::ffi::OsString;
 use std::io::IsTerminal;
@@ -16,13 +16,13 @@
 
 /// The command that runs a router: `chalkhall serve`, or another program whose only argument is the operator's
 /// file.
-pub fn program(chalkhall: &Path, router: Option<&Path>) -> Program {
+pub fn program(chalkhall: &Path, router: Option<&Path>) -> RouterCommand {
     let own = chalkhall.as_os_str().to_owned();
     let command = match router {
         Some(router) => vec![router.as_os_str().to_owned()],
         None => vec![own.clone(), "serve".into()],
     };
-    Program {
+    RouterCommand {
         starter: vec![own, "fleet-child".into()],
         router: command,
     }
@@ -32,26 +32,26 @@
 ///
 /// # Errors
 /// The scenario could not be run.
-pub fn played(play: &Play, setup: Setup) -> Result<Shown, Failure> {
+pub fn run_scenario(scenario: &Scenario, setup: HarnessOptions) -> Result<RunResults, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Failure::new)?;
     tokio::task::LocalSet::new()
-        .block_on(&runtime, run::play(play, setup))
+        .block_on(&runtime, run::run(scenario, setup))
         .map_err(Failure::new)
 }
 
-fn setup(options: &RunOptions) -> Result<Setup, Failure> {
+fn setup(options: &RunOptions) -> Result<HarnessOptions, Failure> {
     options
         .logs
         .as_deref()
-        .map(run::logs)
+        .map(run::create_log_folder)
         .transpose()
         .map_err(Failure::new)?;
     let own = std::env::current_exe().map_err(Failure::new)?;
     let program = program(&own, options.router.as_deref());
-    Ok(Setup {
+    Ok(HarnessOptions {
         program,
         seed: options.seed,
         logs: options.logs.clone(),
@@ -59,10 +59,10 @@
     })
 }
 
-fn read(file: &Path) -> Result<Play, Failure> {
-    let (play, faults) = plays::read(file);
-    let semantic_faults = play
-        .faults_of_sense()
+fn read(file: &Path) -> Result<Scenario, Failure> {
+    let (scenario, faults) = scenarios::read(file);
+    let semantic_faults = scenario
+        .inconsistencies()
         .into_iter()
         .map(|what| format!("{}: {what}", file.display()));
     let all: Vec<String> = faults
@@ -71,7 +71,7 @@
         .chain(semantic_faults)
         .collect();
     if all.is_empty() {
-        Ok(play)
+        Ok(scenario)
     } else {
         Err(Failure::new(all.join("\nchalkhall: ")))
     }
@@ -87,29 +87,29 @@
     html: Option<&Path>,
     json: bool,
 ) -> Result<(), Failure> {
-    let play = read(file)?;
-    let result = played(&play, setup(options)?)?;
-    let missed = report::short(&result, &play.must);
+    let scenario = read(file)?;
+    let result = run_scenario(&scenario, setup(options)?)?;
+    let missed = report::unmet_requirements(&result, &scenario.requirements);
     if json {
         println!("{}", report::json(&result, &missed));
     } else {
-        println!("{}", report::line(&result));
+        println!("{}", report::figures_line(&result));
     }
     result
-        .words
+        .violation_descriptions
         .iter()
         .for_each(|what| eprintln!("rule: {what}"));
     if let Some(html) = html {
         let name = file
             .file_stem()
             .map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-        let page = report::html(&name, &play, &result, &missed).map_err(Failure::new)?;
+        let page = report::html(&name, &scenario, &result, &missed).map_err(Failure::new)?;
         std::fs::write(html, page).map_err(|e| Failure::new(format!("{}: {e}", html.display())))?;
     }
     match (result.void, missed.is_empty()) {
         (Some(what), _) => Err(Failure {
             code: VOID_EXIT_CODE,
-            what: format!("the run is inconclusive: {what}"),
+            reason: format!("the run is inconclusive: {what}"),
         }),
         (None, false) => Err(Failure::new(format!("falls short: {}", missed.join("; ")))),
         (None, true) => Ok(()),
@@ -124,7 +124,7 @@
     let faults: Vec<String> = files
         .iter()
         .filter_map(|file| read(file).err())
-        .map(|failure| failure.what)
+        .map(|failure| failure.reason)
         .collect();
     if faults.is_empty() {
         Ok(())
@@ -144,17 +144,17 @@
     and: &[PathBuf],
     seeds: u64,
 ) -> Result<(), Failure> {
-    let play = read(file)?;
-    let mut variants: Vec<(String, Play, Option<PathBuf>)> =
-        vec![("unchanged".into(), play.clone(), options.router.clone())];
+    let scenario = read(file)?;
+    let mut variants: Vec<(String, Scenario, Option<PathBuf>)> =
+        vec![("unchanged".into(), scenario.clone(), options.router.clone())];
     for line in with {
         let Some((section, rest)) = line.split_once(' ') else {
             return Err(Failure {
                 code: 2,
-                what: format!("{line:?} does not start with a section"),
+                reason: format!("{line:?} does not start with a section"),
             });
         };
-        let mut other = play.clone();
+        let mut other = scenario.clone();
         let name = rest.split(' ').next().unwrap_or_default();
         let is_same = |(s, l): &(String, String)| s == section && l.split(' ').next() == Some(name);
         other
@@ -167,23 +167,26 @@
             .push((section.to_owned(), rest.to_owned()));
         variants.push((line.clone(), other, options.router.clone()));
     }
-    variants.extend(
-        and.iter()
-            .map(|path| (path.display().to_string(), play.clone(), Some(path.clone()))),
-    );
+    variants.extend(and.iter().map(|path| {
+        (
+            path.display().to_string(),
+            scenario.clone(),
+            Some(path.clone()),
+        )
+    }));
     for seed in options.seed..options.seed + seeds {
-        for (name, play, router) in &variants {
+        for (name, scenario, router) in &variants {
             let options = RunOptions {
                 seed,
                 router: router.clone(),
                 logs: options.logs.clone(),
             };
-            let result = played(play, setup(&options)?)?;
+            let result = run_scenario(scenario, setup(&options)?)?;
             let void = result
                 .void
                 .as_ref()
                 .map_or(String::new(), |what| format!(" void: {what}"));
-            println!("{name}: {}{void}", report::line(&result));
+            println!("{name}: {}{void}", report::figures_line(&result));
         }
     }
     Ok(())
@@ -191,7 +194,7 @@
 
 /// Prints all directives of scenario files.
 pub fn words(json: bool) {
-    let entries = PLAY.entries().iter();
+    let entries = DIRECTIVES.entries().iter();
     if json {
         let all: Vec<_> = entries
             .map(
@@ -214,7 +217,7 @@
 /// # Errors
 /// The program could not be executed.
 pub fn child(parent: u32, command: &[OsString]) -> Result<(), Failure> {
-    become_child(parent, command)
+    exec_as_child(parent, command)
         .map(|never| match never {})
         .map_err(Failure::new)
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -4,23 +4,23 @@
 pub mod cells;
 pub mod check;
 pub mod fleet;
-pub mod rig;
 pub mod store;
+pub mod store_driver;
 pub mod torture;
 
 /// The error message and exit code of a failed command.
 #[derive(Debug)]
 pub struct Failure {
     pub code: u8,
-    pub what: String,
+    pub reason: String,
 }
 
 impl Failure {
     /// A failure with exit code 1.
-    pub fn new(what: impl std::fmt::Display) -> Failure {
+    pub fn new(reason: impl std::fmt::Display) -> Failure {
         Failure {
             code: 1,
-            what: what.to_string(),
+            reason: reason.to_string(),
         }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -83,8 +83,8 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure { code, what }) => {
-            eprintln!("chalkhall: {what}");
+        Err(Failure { code, reason }) => {
+            eprintln!("chalkhall: {reason}");
             ExitCode::from(code)
         }
     }
@@ -97,7 +97,7 @@
             (Some(path), None) => store::stat(&path, json),
             (None, None) => Err(Failure {
                 code: 2,
-                what: "neither a directory nor a socket was given".into(),
+                reason: "neither a directory nor a socket was given".into(),
             }),
         },
         Store::List { directory, object } => {
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -344,7 +344,9 @@
             .into_iter()
             .filter(|e| e.key == settings)
         {
-            if newest.is_none_or(|(made, of, _)| (made, of) <= (entry.created_at_ms, segment)) {
+            if newest.is_none_or(|(created_at_ms, of, _)| {
+                (created_at_ms, of) <= (entry.created_at_ms, segment)
+            }) {
                 newest = Some((entry.created_at_ms, segment, entry));
             }
         }
@@ -382,7 +384,7 @@
     as_json: bool,
 ) -> Result<(), Failure> {
     let mut opened = open_directory(path)?;
-    let now = crate::rig::unix_ms();
+    let now = crate::store_driver::unix_ms();
     let records = match (object, group) {
         (Some(object), _) => opened
             .purges
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/store_driver.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::Receiver;
 
 /// A store, its I/O threads and a clock.
-pub struct Rig {
+pub struct StoreDriver {
     pub store: Store,
     pub connector: DiskConnector,
     ends: Receiver<CompletedOperation>,
@@ -27,29 +27,29 @@
         .as_millis() as u64
 }
 
-impl Rig {
+impl StoreDriver {
     /// Opens a store on a directory that no other process holds.
     pub fn open(
         path: &Path,
         memory: u64,
         settings: DiskSettings,
         readers: usize,
-    ) -> Result<Rig, String> {
+    ) -> Result<StoreDriver, String> {
         let path = path.to_path_buf();
         let take = move || {
             let taken = Directory::lock(&path).map_err(|error| OpenError::of(&path, &error))?;
             Ok(Arc::new(taken) as Arc<dyn Files>)
         };
-        Rig::on(take, memory, settings, readers)
+        StoreDriver::open_files(take, memory, settings, readers)
     }
 
     /// Opens a store on any implementation of files.
-    pub fn on(
+    pub fn open_files(
         take: impl FnMut() -> Result<Arc<dyn Files>, OpenError> + Send + 'static,
         memory: u64,
         settings: DiskSettings,
         readers: usize,
-    ) -> Result<Rig, String> {
+    ) -> Result<StoreDriver, String> {
         let (threads, ends) =
             start(take, fastrand::u64(1..), readers).map_err(|e| e.to_string())?;
         let connector = DiskConnector {
@@ -59,7 +59,7 @@
         };
         // The clock starts well above zero, as a router's does.
         let disk = Disk::new(settings, CLOCK_START, unix_ms());
-        Ok(Rig {
+        Ok(StoreDriver {
             store: Store::new(memory, Some(disk)),
             connector,
             ends,
@@ -68,9 +68,9 @@
     }
 
     /// A store without a disk tier.
-    pub fn alone(memory: u64) -> Rig {
+    pub fn memory_only(memory: u64) -> StoreDriver {
         let (_, ends) = tokio::sync::mpsc::channel(1);
-        Rig {
+        StoreDriver {
             store: Store::new(memory, None),
             connector: DiskConnector::default(),
             ends,
@@ -83,7 +83,7 @@
     }
 
     /// Processes finished operations and due work. Returns true if an operation finished.
-    pub fn turn(&mut self) -> bool {
+    pub fn poll(&mut self) -> bool {
         let (now, mut completed) = (self.now(), false);
         while let Ok(end) = self.ends.try_recv() {
             self.connector.complete(&mut self.store, now, end);
@@ -93,14 +93,18 @@
         completed
     }
 
-    /// Calls [`Rig::turn`] until the condition holds. Returns false on a timeout.
-    pub fn until(&mut self, within: Duration, mut condition: impl FnMut(&mut Rig) -> bool) -> bool {
+    /// Calls [`StoreDriver::poll`] until the condition holds. Returns false on a timeout.
+    pub fn poll_until(
+        &mut self,
+        within: Duration,
+        mut condition: impl FnMut(&mut StoreDriver) -> bool,
+    ) -> bool {
         let end = Instant::now() + within;
         while !condition(self) {
             if Instant::now() >= end {
                 return false;
             }
-            if !self.turn() {
+            if !self.poll() {
                 yield_now();
             }
         }
@@ -115,7 +119,7 @@
     }
 
     /// Why the disk tier cannot be used, if so.
-    pub fn refusal(&self) -> Option<String> {
+    pub fn disk_error(&self) -> Option<String> {
         match self.store.disk()?.phase() {
             Phase::Refused(why) => Some(why.clone()),
             _ => None,
@@ -131,8 +135,8 @@
                     .store
                     .start_read(self.now(), part, &mut self.connector)?;
                 let mut found = None;
-                self.until(Duration::from_secs(10), |rig| {
-                    found = rig
+                self.poll_until(Duration::from_secs(10), |driver| {
+                    found = driver
                         .connector
                         .completed_reads
                         .iter()
@@ -153,11 +157,11 @@
         if let Some(disk) = self.store.disk_mut() {
             disk.close(now, &mut self.connector);
         }
-        self.end(within);
+        self.stop(within);
     }
 
     /// Stops without sealing anything, and waits until the threads have released the directory.
-    pub fn end(mut self, within: Duration) {
+    pub fn stop(mut self, within: Duration) {
         self.connector.threads = None;
         let end = Instant::now() + within;
         // The channel is disconnected when the last thread has ended.
--- a/crates/cli/src/torture.rs
+++ b/crates/cli/src/torture.rs
@@ -2,7 +2,7 @@
 //! kill the whole store is read and compared with what the writer had reported.
 
 use crate::Failure;
-use crate::rig::{Rig, unix_ms};
+use crate::store_driver::{StoreDriver, unix_ms};
 use chalkhall_store::decide::Part;
 use chalkhall_store::decide::disk::DiskSettings;
 use chalkhall_store::stand_ins::{TestPart, body_len};
@@ -38,7 +38,7 @@
 
 /// The results of a crash test.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Found {
+pub struct CrashTestResults {
     pub kills: u32,
     pub answers: u64,
     pub durable: u64,
@@ -54,7 +54,7 @@
 /// durable, after it was synced; `G` a copy that is dropped, before it is removed.
 pub fn writer(path: &Path, seed: u64) -> Result<(), Failure> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut rig = Rig::open(path, MEMORY_BYTES, settings(), 2).map_err(Failure::new)?;
+    let mut driver = StoreDriver::open(path, MEMORY_BYTES, settings(), 2).map_err(Failure::new)?;
     let mut out = std::io::stdout().lock();
     let mut log = String::new();
     let end = Instant::now() + Duration::from_secs(30);
@@ -64,10 +64,11 @@
                 object: rng.u64(..OBJECTS),
                 part: rng.u64(..PARTS),
             };
-            let now = rig.now();
+            let now = driver.now();
             let copy = test_part.copy_of_version(1, unix_ms(), body_len(test_part, MAX_BODY_BYTES));
-            rig.store
-                .insert(now, copy, 1 + rng.u8(..3), &mut rig.connector);
+            driver
+                .store
+                .insert(now, copy, 1 + rng.u8(..3), &mut driver.connector);
         }
         if rng.u8(..10) == 0 {
             let test_part = TestPart {
@@ -78,26 +79,27 @@
             writeln!(out, "P {} {ms}", test_part.object)
                 .and_then(|()| out.flush())
                 .map_err(Failure::new)?;
-            rig.store
-                .purge(Some(&test_part.name()), 0, ms, &mut rig.connector);
+            driver
+                .store
+                .purge(Some(&test_part.name()), 0, ms, &mut driver.connector);
         }
-        rig.turn();
+        driver.poll();
         log.clear();
-        for (key, made) in rig
+        for (key, created_at_ms) in driver
             .connector
             .durability_changes
             .iter_mut()
             .flat_map(|changes| changes.drain(..))
         {
-            let _ = match made {
-                Some(made) => writeln!(log, "D {key} {made}"),
+            let _ = match created_at_ms {
+                Some(created_at_ms) => writeln!(log, "D {key} {created_at_ms}"),
                 None => writeln!(log, "G {key}"),
             };
         }
         out.write_all(log.as_bytes())
             .and_then(|()| out.flush())
             .map_err(Failure::new)?;
-        if let Some(why) = rig.refusal() {
+        if let Some(why) = driver.disk_error() {
             return Err(Failure::new(why));
         }
         std::thread::sleep(Duration::from_micros(rng.u64(..800)));
@@ -121,22 +123,22 @@
             .collect();
         match (words[0], numbers.as_slice()) {
             ("P", [object, ms]) => drop(self.purged.insert(*object, *ms)),
-            ("D", [key, made]) => drop(self.durable.insert(*key, *made)),
+            ("D", [key, created_at_ms]) => drop(self.durable.insert(*key, *created_at_ms)),
             ("G", [key]) => drop(self.durable.remove(key)),
             // The kill may truncate the last line.
             _ => {}
         }
     }
 
-    fn read_reports(&mut self, rig: &mut Rig) {
-        for (key, made) in rig
+    fn read_reports(&mut self, driver: &mut StoreDriver) {
+        for (key, created_at_ms) in driver
             .connector
             .durability_changes
             .iter_mut()
             .flat_map(|changes| changes.drain(..))
         {
-            match made {
-                Some(made) => drop(self.durable.insert(key, made)),
+            match created_at_ms {
+                Some(created_at_ms) => drop(self.durable.insert(key, created_at_ms)),
                 None => drop(self.durable.remove(&key)),
             }
         }
@@ -162,9 +164,14 @@
 }
 
 /// Kills a writer `kills` times and verifies the store after each kill.
-pub fn torture(program: &Path, path: &Path, kills: u32, seed: u64) -> Result<Found, Failure> {
+pub fn torture(
+    program: &Path,
+    path: &Path,
+    kills: u32,
+    seed: u64,
+) -> Result<CrashTestResults, Failure> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut log, mut found) = (WriterLog::default(), Found::default());
+    let (mut log, mut found) = (WriterLog::default(), CrashTestResults::default());
     let bar = ProgressBar::new(u64::from(kills));
     for _ in 0..kills {
         let child = Command::new(program)
@@ -193,14 +200,15 @@
         known_purges: Duration::ZERO,
         ..settings()
     };
-    let mut rig = Rig::open(path, MEMORY_BYTES, without_purges, 2).map_err(Failure::new)?;
-    rig.until(Duration::from_secs(30), |rig| {
-        rig.is_ready() || rig.refusal().is_some()
+    let mut driver =
+        StoreDriver::open(path, MEMORY_BYTES, without_purges, 2).map_err(Failure::new)?;
+    driver.poll_until(Duration::from_secs(30), |driver| {
+        driver.is_ready() || driver.disk_error().is_some()
     });
     for test_part in test_parts() {
-        found.unproven_served += u64::from(get(&mut rig, test_part).is_some());
+        found.unproven_served += u64::from(get(&mut driver, test_part).is_some());
     }
-    rig.end(Duration::from_secs(5));
+    driver.stop(Duration::from_secs(5));
     Ok(found)
 }
 
@@ -208,29 +216,34 @@
     (0..OBJECTS).flat_map(|object| (0..PARTS).map(move |part| TestPart { object, part }))
 }
 
-fn get(rig: &mut Rig, test_part: TestPart) -> Option<std::rc::Rc<chalkhall_store::copy::Copy>> {
+fn get(
+    driver: &mut StoreDriver,
+    test_part: TestPart,
+) -> Option<std::rc::Rc<chalkhall_store::copy::Copy>> {
     let name = test_part.name();
-    rig.get(Part {
+    driver.get(Part {
         object: &name,
         part: test_part.part,
         group: test_part.group(),
     })
 }
 
-fn verify(path: &Path, log: &mut WriterLog, found: &mut Found) -> Result<(), Failure> {
-    let mut rig = Rig::open(path, MEMORY_BYTES, settings(), 2).map_err(Failure::new)?;
+fn verify(path: &Path, log: &mut WriterLog, found: &mut CrashTestResults) -> Result<(), Failure> {
+    let mut driver = StoreDriver::open(path, MEMORY_BYTES, settings(), 2).map_err(Failure::new)?;
     for (object, ms) in &log.purged {
         let name = TestPart {
             object: *object,
             part: 0,
         }
         .name();
-        rig.store.purge(Some(&name), 0, *ms, &mut rig.connector);
+        driver
+            .store
+            .purge(Some(&name), 0, *ms, &mut driver.connector);
     }
-    let ready = rig.until(Duration::from_secs(30), |rig| {
-        rig.is_ready() || rig.refusal().is_some()
+    let ready = driver.poll_until(Duration::from_secs(30), |driver| {
+        driver.is_ready() || driver.disk_error().is_some()
     });
-    if let Some(why) = rig.refusal() {
+    if let Some(why) = driver.disk_error() {
         return Err(Failure::new(why));
     }
     if !ready {
@@ -238,11 +251,11 @@
             "recovery of the store did not end within 30 s",
         ));
     }
-    log.read_reports(&mut rig);
+    log.read_reports(&mut driver);
     let durable = log.durable.clone();
     for test_part in test_parts() {
         let purged = log.purged.get(&test_part.object).copied().unwrap_or(0);
-        let copy = get(&mut rig, test_part);
+        let copy = get(&mut driver, test_part);
         if let Some(copy) = &copy {
             found.answers += 1;
             let expected = test_part.copy_of_version(
@@ -253,16 +266,23 @@
             found.torn += u64::from(expected != **copy);
             found.stale += u64::from(copy.created_at_ms <= purged);
         }
-        log.read_reports(&mut rig);
-        if let Some(made) = durable.get(&test_part.key()).filter(|made| **made > purged) {
+        log.read_reports(&mut driver);
+        if let Some(created_at_ms) = durable
+            .get(&test_part.key())
+            .filter(|created_at_ms| **created_at_ms > purged)
+        {
             let still_durable = log.durable.contains_key(&test_part.key());
             found.durable += 1;
-            found.lost_synced +=
-                u64::from(still_durable && copy.is_none_or(|copy| copy.created_at_ms < *made));
+            found.lost_synced += u64::from(
+                still_durable && copy.is_none_or(|copy| copy.created_at_ms < *created_at_ms),
+            );
         }
     }
-    found.reclaimed += rig.store.disk().map_or(0, |disk| disk.counts().reclaimed);
-    rig.close(Duration::from_secs(5));
+    found.reclaimed += driver
+        .store
+        .disk()
+        .map_or(0, |disk| disk.counts().reclaimed);
+    driver.close(Duration::from_secs(5));
     Ok(())
 }
 
@@ -270,7 +290,7 @@
 pub fn command(path: &Path, kills: u32, seed: u64, as_json: bool) -> Result<(), Failure> {
     let program = std::env::current_exe().map_err(Failure::new)?;
     let found = torture(&program, path, kills, seed)?;
-    let Found {
+    let CrashTestResults {
         kills,
         answers,
         durable,
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,6 +1,6 @@
 //! End-to-end tests of the commands.
 
-use chalkhall_cli::rig::{Rig, unix_ms};
+use chalkhall_cli::store_driver::{StoreDriver, unix_ms};
 use chalkhall_store::decide::disk::DiskSettings;
 use chalkhall_store::stand_ins::TestPart;
 use serde_json::Value;
@@ -71,23 +71,24 @@
         min_freshness: Duration::ZERO,
         ..DiskSettings::default()
     };
-    let mut rig = Rig::open(path, 0, settings, 1).unwrap();
+    let mut driver = StoreDriver::open(path, 0, settings, 1).unwrap();
     for n in 0..PARTS {
-        let now = rig.now();
-        rig.store.insert(
+        let now = driver.now();
+        driver.store.insert(
             now,
             test_part(n).copy_of_version(1, unix_ms() - 5, 9000),
             2,
-            &mut rig.connector,
+            &mut driver.connector,
         );
     }
-    let written = |rig: &mut Rig| {
-        rig.store
+    let written = |driver: &mut StoreDriver| {
+        driver
+            .store
             .disk()
             .is_some_and(|disk| disk.index().len() as u64 == PARTS)
     };
-    assert!(rig.until(Duration::from_secs(10), written));
-    rig.close(Duration::from_secs(10));
+    assert!(driver.poll_until(Duration::from_secs(10), written));
+    driver.close(Duration::from_secs(10));
     drop(lock_process_start());
     test_part(3).copy_of_version(1, 0, 9000).body.to_vec()
 }
--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -1,6 +1,6 @@
 //! A disk hangs under full load: the store does not block on it, and uses it again once it recovers.
 
-use chalkhall_cli::rig::{Rig, unix_ms};
+use chalkhall_cli::store_driver::{StoreDriver, unix_ms};
 use chalkhall_store::decide::disk::{DiskSettings, ReadResult};
 use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::files::Files;
@@ -20,27 +20,28 @@
         min_freshness: Duration::ZERO,
         ..DiskSettings::default()
     };
-    let mut rig = Rig::on(
+    let mut driver = StoreDriver::open_files(
         move || Ok(Arc::new(files.clone()) as Arc<dyn Files>),
         8 << 20,
         settings,
         2,
     )
     .unwrap();
-    assert!(rig.until(TIMEOUT, |rig| rig.is_ready()));
+    assert!(driver.poll_until(TIMEOUT, |driver| driver.is_ready()));
     let test_part = |object| TestPart { object, part: 0 };
-    let keep = |rig: &mut Rig, object| {
-        let now = rig.now();
-        rig.store.insert(
+    let keep = |driver: &mut StoreDriver, object| {
+        let now = driver.now();
+        driver.store.insert(
             now,
             test_part(object).copy_of_version(1, unix_ms(), 20_000),
             2,
-            &mut rig.connector,
+            &mut driver.connector,
         );
     };
-    let place = |rig: &mut Rig, object: u64| {
+    let place = |driver: &mut StoreDriver, object: u64| {
         let name = test_part(object).name();
-        rig.store
+        driver
+            .store
             .find(
                 Part {
                     object: &name,
@@ -53,65 +54,69 @@
     };
     // More than the memory tier holds: the first objects are only on disk.
     (0..600).for_each(|n| {
-        keep(&mut rig, n);
-        rig.turn();
+        keep(&mut driver, n);
+        driver.poll();
     });
     assert!(
-        rig.until(TIMEOUT, |rig| place(rig, 0) == Some(CacheTier::Disk)
-            && place(rig, 1) == Some(CacheTier::Disk))
+        driver.poll_until(TIMEOUT, |driver| place(driver, 0) == Some(CacheTier::Disk)
+            && place(driver, 1) == Some(CacheTier::Disk))
     );
     disk.hang(true);
     // Fetches until the queues of the I/O threads are full and refuse more.
     let (mut accepted, mut refused) = (Vec::new(), 0);
     for n in 0..2000 {
         let name = test_part(n % 2).name();
-        let now = rig.now();
+        let now = driver.now();
         let part = Part {
             object: &name,
             part: 0,
             group: test_part(n % 2).group(),
         };
-        match rig.store.start_read(now, part, &mut rig.connector) {
+        match driver.store.start_read(now, part, &mut driver.connector) {
             Some(ticket) => accepted.push(ticket),
             None => refused += 1,
         }
-        keep(&mut rig, 10_000 + n);
-        rig.turn();
+        keep(&mut driver, 10_000 + n);
+        driver.poll();
     }
     assert!(
         accepted.len() < 100 && refused > 1900,
         "{} accepted, {refused} refused",
         accepted.len()
     );
-    assert!(rig.connector.completed_reads.is_empty());
+    assert!(driver.connector.completed_reads.is_empty());
     assert_eq!(
-        place(&mut rig, 11_999),
+        place(&mut driver, 11_999),
         Some(CacheTier::Memory),
         "the memory tier still accepts copies"
     );
-    let waiting = rig.store.bytes()
-        - rig.store.memory().bytes()
-        - rig.store.disk().map_or(0, |d| d.index().bytes());
+    let waiting = driver.store.bytes()
+        - driver.store.memory().bytes()
+        - driver.store.disk().map_or(0, |d| d.index().bytes());
     assert!(
         waiting <= 12 << 20,
         "{waiting} bytes are waiting for the disk"
     );
     disk.hang(false);
-    assert!(rig.until(TIMEOUT, |rig| rig.connector.completed_reads.len()
-        == accepted.len()));
     assert!(
-        rig.connector
+        driver.poll_until(TIMEOUT, |driver| driver.connector.completed_reads.len()
+            == accepted.len())
+    );
+    assert!(
+        driver
+            .connector
             .completed_reads
             .iter()
             .all(|(_, fetched)| matches!(fetched, ReadResult::Copy(_)))
     );
-    keep(&mut rig, 50_000);
+    keep(&mut driver, 50_000);
     (0..500).for_each(|n| {
-        keep(&mut rig, 60_000 + n);
-        rig.turn();
+        keep(&mut driver, 60_000 + n);
+        driver.poll();
     });
     assert!(
-        rig.until(TIMEOUT, |rig| place(rig, 50_000) == Some(CacheTier::Disk)),
+        driver.poll_until(TIMEOUT, |driver| place(driver, 50_000)
+            == Some(CacheTier::Disk)),
         "the disk tier is not written to again"
     );
 }
--- a/crates/config/src/directives.rs
+++ b/crates/config/src/directives.rs
@@ -1,4 +1,5 @@
-//! The directives of the operator's file and what they set. The defaults are those of [`Directives`].
+//! The directives of the operator's file and what they set. The defaults are those of
+//! [`Directives`].
 
 use crate::values::{self, Amount};
 use std::ops::RangeInclusive;
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -2,9 +2,10 @@
 //! which cache has which part of an object, as one of them has found out or ordered.
 //!
 //! All of it is hints. Nothing here sends, rejects or answers a request. A peer's report only
-//! influences where the decisions look anyway (`chalkhall::control::Router::record_peer_finding`), and no rule
-//! depends on it: a part that is reported as cached counts as a repeated access and as an unlikely
-//! fill, no more. Without reports from peers a router decides as if there were no gossip.
+//! influences where the decisions look anyway (`chalkhall::control::Router::record_peer_finding`),
+//! and no rule depends on it: a part that is reported as cached counts as a repeated access and as
+//! an unlikely fill, no more. Without reports from peers a router decides as if there were no
+//! gossip.
 
 pub mod codec;
 pub mod gossip;
--- a/crates/gossip/src/peer_exchange.rs
+++ b/crates/gossip/src/peer_exchange.rs
@@ -1,6 +1,6 @@
 //! The exchange of hints between the routers of a zone: discovery of peers, what is sent to which
-//! of them and when, and what is accepted. No I/O: datagrams go out through a [`DatagramSender`], accepted
-//! hints through a [`HintReceiver`].
+//! of them and when, and what is accepted. No I/O: datagrams go out through a [`DatagramSender`],
+//! accepted hints through a [`HintReceiver`].
 //!
 //! Peers discover each other by a broadcast to all routers that carries the sender's zone: every
 //! router of the same zone adds the sender as a peer and sends it what it sends to the others. The
--- a/crates/harness/src/wire.rs
+++ b/crates/harness/src/connections.rs
@@ -85,7 +85,7 @@
     RouterStarted {
         router: usize,
         incarnation: u32,
-        child: Result<crate::children::Router, String>,
+        child: Result<crate::processes::RouterProcess, String>,
     },
     Responded {
         id: u64,
@@ -596,7 +596,7 @@
 }
 
 /// Whether the router reports that it serves (`GREEN`).
-pub async fn green(address: SocketAddr) -> bool {
+pub async fn is_serving(address: SocketAddr) -> bool {
     let check = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream
--- a/crates/harness/src/invariants.rs
+++ b/crates/harness/src/invariants.rs
@@ -7,6 +7,7 @@
 
 use crate::object_cache::Key;
 use std::collections::HashMap;
+use std::fmt;
 use std::time::Duration;
 
 /// Added to every time limit.
@@ -67,8 +68,8 @@
 }
 
 /// Violations per rule.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Breaks {
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+pub struct Violations {
     /// Rule 1: no valid final answer in time (`lost`), or two of them (`twice`).
     pub lost: u64,
     pub twice: u64,
@@ -84,7 +85,22 @@
     pub strange: u64,
 }
 
-impl Breaks {
+/// Printed under the name `Breaks`, which reports keep.
+impl fmt::Debug for Violations {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.debug_struct("Breaks")
+            .field("lost", &self.lost)
+            .field("twice", &self.twice)
+            .field("double_runs", &self.double_runs)
+            .field("drain", &self.drain)
+            .field("cold", &self.cold)
+            .field("stale", &self.stale)
+            .field("strange", &self.strange)
+            .finish()
+    }
+}
+
+impl Violations {
     pub fn all(&self) -> u64 {
         self.lost
             + self.twice
@@ -103,7 +119,7 @@
     drains: HashMap<(usize, usize), Duration>,
     /// By object: Unix millisecond of the last purge, and when each router learned of it.
     purges: HashMap<u64, (u64, HashMap<usize, Duration>)>,
-    pub breaks: Breaks,
+    pub violations: Violations,
     pub descriptions: Vec<String>,
 }
 
@@ -153,7 +169,7 @@
         source: Option<usize>,
     ) -> Option<usize> {
         let Some(request) = self.requests.get(&id) else {
-            self.breaks.strange += 1;
+            self.violations.strange += 1;
             self.describe(|| format!("{now:?}: attempt of unknown request {id:016x}"));
             return None;
         };
@@ -163,7 +179,7 @@
             if let Some(told_at) =
                 told_at.filter(|told_at| now > *told_at + DRAIN_GRACE + TIMING_TOLERANCE)
             {
-                self.breaks.drain += 1;
+                self.violations.drain += 1;
                 self.describe(|| {
                     format!(
                         "{now:?}: router {router} used server {end}, which it knew to be draining since {told_at:?}"
@@ -182,7 +198,7 @@
         request.executions += 1;
         if request.write && request.executions > 1 {
             let router = request.router;
-            self.breaks.double_runs += 1;
+            self.violations.double_runs += 1;
             self.describe(|| {
                 format!("{now:?}: request {id:016x} of router {router} was executed twice")
             });
@@ -198,7 +214,7 @@
             .get(&router)
             .is_some_and(|told_at| asked_at > *told_at + PURGE_GRACE + TIMING_TOLERANCE);
         if bound && created_ms < *unix_ms {
-            self.breaks.stale += 1;
+            self.violations.stale += 1;
             self.describe(|| {
                 format!(
                     "{asked_at:?}: router {router} served object {object:016x} from a copy created before its purge"
@@ -209,7 +225,7 @@
 
     /// A cold server was sent more work than it tolerates.
     pub fn server_overloaded(&mut self, now: Duration, server: usize, sent: f64, limit: f64) {
-        self.breaks.cold += 1;
+        self.violations.cold += 1;
         self.describe(|| {
             format!(
                 "{now:?}: cold server {server} was sent {sent:.2} s of work, its overload threshold is {limit:.2} s"
@@ -229,14 +245,14 @@
         request.answered = true;
         let router = before.router;
         if before.answered {
-            self.breaks.twice += 1;
+            self.violations.twice += 1;
             return self
                 .describe(|| format!("{now:?}: router {router} answered request {id:016x} twice"));
         }
         let wrong = matches!(end, Outcome::Wrong | Outcome::Nothing)
             || matches!(end, Outcome::Served(key, _) if key != before.key);
         if wrong || now > before.deadline + TIMING_TOLERANCE {
-            self.breaks.lost += 1;
+            self.violations.lost += 1;
             let (started_at, deadline) = (before.started_at, before.deadline);
             self.describe(|| {
                 format!(
@@ -245,7 +261,7 @@
             });
         }
         if end == Outcome::Rejected && before.write && before.executions > 0 {
-            self.breaks.double_runs += 1;
+            self.violations.double_runs += 1;
             self.describe(|| {
                 format!("{now:?}: router {router} rejected request {id:016x}, which was executed")
             });
--- a/crates/harness/src/invariants/tests.rs
+++ b/crates/harness/src/invariants/tests.rs
@@ -21,8 +21,8 @@
     let mut checker = sound();
     checker.close_all(ms(9000));
     assert_eq!(
-        (checker.breaks, checker.open_requests()),
-        (Breaks::default(), 0)
+        (checker.violations, checker.open_requests()),
+        (Violations::default(), 0)
     );
 }
 
@@ -46,19 +46,19 @@
         .for_each(|(id, at, end)| checker.request_ended(at, id, end));
     checker.close_all(ms(9000));
     assert_eq!(
-        checker.breaks,
-        Breaks {
+        checker.violations,
+        Violations {
             lost: 5,
-            ..Breaks::default()
+            ..Violations::default()
         }
     );
     let mut checker = sound();
     checker.request_ended(ms(1040), 1, Outcome::Failed);
     assert_eq!(
-        checker.breaks,
-        Breaks {
+        checker.violations,
+        Violations {
             twice: 1,
-            ..Breaks::default()
+            ..Violations::default()
         }
     );
 }
@@ -68,10 +68,10 @@
     let mut checker = sound();
     checker.request_executed(ms(1050), 1);
     assert_eq!(
-        checker.breaks,
-        Breaks {
+        checker.violations,
+        Violations {
             double_runs: 1,
-            ..Breaks::default()
+            ..Violations::default()
         }
     );
     let mut checker = InvariantChecker::default();
@@ -79,10 +79,10 @@
     checker.request_executed(ms(10), 1);
     checker.request_ended(ms(20), 1, Outcome::Rejected);
     assert_eq!(
-        checker.breaks,
-        Breaks {
+        checker.violations,
+        Violations {
             double_runs: 1,
-            ..Breaks::default()
+            ..Violations::default()
         }
     );
 }
@@ -94,18 +94,18 @@
         checker.request_started(1, TrackedRequest::new(3, false, KEY, ms(0), ms(9000)));
         checker.record_drain(ms(100), 3, 5);
         checker.attempt_arrived(ms(100) + DRAIN_GRACE, 1, server, source);
-        assert_eq!(checker.breaks.all(), 0, "within its grace period");
+        assert_eq!(checker.violations.all(), 0, "within its grace period");
         checker.attempt_arrived(ms(101) + DRAIN_GRACE + TIMING_TOLERANCE, 1, server, source);
         assert_eq!(
-            checker.breaks,
-            Breaks {
+            checker.violations,
+            Violations {
                 drain: 1,
-                ..Breaks::default()
+                ..Violations::default()
             }
         );
         checker.record_active(3, 5);
         checker.attempt_arrived(ms(5000), 1, server, source);
-        assert_eq!(checker.breaks.all(), 1);
+        assert_eq!(checker.violations.all(), 1);
     }
 }
 
@@ -117,7 +117,7 @@
     checker.copy_served(ms(9000), 3, 7, 5000);
     checker.copy_served(ms(9000), 4, 7, 4999);
     assert_eq!(
-        checker.breaks.all(),
+        checker.violations.all(),
         0,
         "within the grace period, created later, or purge unknown to the router"
     );
@@ -125,10 +125,10 @@
     checker.request_started(1, TrackedRequest::new(3, false, KEY, ms(8000), ms(9000)));
     checker.request_ended(ms(8100), 1, Outcome::Served(KEY, 4999));
     assert_eq!(
-        checker.breaks,
-        Breaks {
+        checker.violations,
+        Violations {
             stale: 2,
-            ..Breaks::default()
+            ..Violations::default()
         }
     );
 }
@@ -138,14 +138,14 @@
     let mut checker = InvariantChecker::default();
     assert_eq!(checker.attempt_arrived(ms(1), 99, 0, None), None);
     assert_eq!(
-        checker.breaks,
-        Breaks {
+        checker.violations,
+        Violations {
             strange: 1,
-            ..Breaks::default()
+            ..Violations::default()
         }
     );
     checker.request_started(1, TrackedRequest::new(3, false, KEY, ms(0), ms(100)));
     checker.router_stopped(3);
     checker.close_all(ms(9000));
-    assert_eq!(checker.breaks.lost, 0);
+    assert_eq!(checker.violations.lost, 0);
 }
--- a/crates/harness/src/lib.rs
+++ b/crates/harness/src/lib.rs
@@ -4,28 +4,28 @@
 //!
 //! | module | content |
 //! | --- | --- |
-//! | [`play`] | the scenario file |
+//! | [`scenario`] | the scenario file |
 //! | [`workload`] | requests drawn from the seed: when, at which router, for which object |
 //! | [`server_model`], [`processor_sharing`], [`object_cache`] | model of the servers; no I/O |
 //! | [`invariants`] | the five rules and request accounting over all routers; no I/O |
 //! | [`zone_network`] | network between zones; no I/O |
 //! | [`zone_metrics`] | service per zone during losses; no I/O |
 //! | [`load_balance`] | load balance as measured, and under other assignment rules; no I/O |
-//! | [`children`], [`datagram_relay`], [`wire`] | processes, datagrams, connections |
+//! | [`processes`], [`datagram_relay`], [`connections`] | processes, datagrams, connections |
 //! | [`run`] | runs a scenario |
 //! | [`report`] | figures, JSON, plots |
 
-pub mod children;
+pub mod connections;
 pub mod datagram_relay;
 pub mod invariants;
 pub mod load_balance;
 pub mod object_cache;
-pub mod play;
+pub mod processes;
 pub mod processor_sharing;
 pub mod report;
 pub mod run;
+pub mod scenario;
 pub mod server_model;
-pub mod wire;
 pub mod workload;
 pub mod zone_metrics;
 pub mod zone_network;
--- a/crates/harness/src/children.rs
+++ b/crates/harness/src/processes.rs
@@ -23,7 +23,10 @@
 ///
 /// # Errors
 /// Returns only if that failed.
-pub fn become_child(parent: u32, command: &[OsString]) -> Result<std::convert::Infallible, String> {
+pub fn exec_as_child(
+    parent: u32,
+    command: &[OsString],
+) -> Result<std::convert::Infallible, String> {
     let [program, arguments @ ..] = command else {
         return Err("no program given".into());
     };
@@ -65,27 +68,27 @@
 
 /// How a router is started: the starter command, followed by the router's own command.
 #[derive(Clone, Debug)]
-pub struct Program {
-    /// This program with the arguments that lead to [`become_child`].
+pub struct RouterCommand {
+    /// This program with the arguments that lead to [`exec_as_child`].
     pub starter: Vec<OsString>,
     pub router: Vec<OsString>,
 }
 
-pub struct Router {
+pub struct RouterProcess {
     child: Child,
-    ended: Option<ExitStatus>,
+    exit_status: Option<ExitStatus>,
     frozen: bool,
 }
 
-impl Router {
+impl RouterProcess {
     /// # Errors
     /// The operating system's error.
     pub fn start(
-        program: &Program,
+        program: &RouterCommand,
         config: &Path,
         directives: Option<&Path>,
         log: Option<File>,
-    ) -> std::io::Result<Router> {
+    ) -> std::io::Result<RouterProcess> {
         let (first, rest) = program
             .starter
             .split_first()
@@ -101,9 +104,9 @@
             .env_remove("ROUTER_LISTEN");
         command.stdin(Stdio::null()).stdout(Stdio::null());
         command.stderr(log.map_or_else(Stdio::null, Stdio::from));
-        Ok(Router {
+        Ok(RouterProcess {
             child: command.spawn()?,
-            ended: None,
+            exit_status: None,
             frozen: false,
         })
     }
@@ -114,7 +117,7 @@
     }
 
     fn signal(&self, signal: Signal) {
-        if self.ended.is_none()
+        if self.exit_status.is_none()
             && let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw)
         {
             // The process may have ended, but its id is not reused until it has been waited for.
@@ -124,7 +127,7 @@
 
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
-        self.ended = self.ended.or_else(|| self.child.wait().ok());
+        self.exit_status = self.exit_status.or_else(|| self.child.wait().ok());
     }
 
     pub fn terminate(&mut self) {
@@ -148,9 +151,11 @@
     }
 
     /// The exit status, if the process has ended.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
-        self.ended = self.ended.or_else(|| self.child.try_wait().ok().flatten());
-        self.ended
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
+        self.exit_status = self
+            .exit_status
+            .or_else(|| self.child.try_wait().ok().flatten());
+        self.exit_status
     }
 }
 
@@ -167,7 +172,7 @@
 
 enum Task {
     Start(Box<StartRequest>),
-    Reap(Router),
+    Reap(RouterProcess),
 }
 
 /// Starts and reaps processes on its own thread: writing files, starting processes and waiting for
@@ -181,8 +186,8 @@
 impl Starter {
     /// `started` is called with the result of each start.
     pub fn new(
-        program: Program,
-        started: impl Fn(usize, u32, Result<Router, String>) + Send + 'static,
+        program: RouterCommand,
+        started: impl Fn(usize, u32, Result<RouterProcess, String>) + Send + 'static,
     ) -> Starter {
         let (tasks, received) = mpsc::channel();
         let thread = thread::spawn(move || {
@@ -209,7 +214,7 @@
     }
 
     /// Kills the router now; the starter thread waits for its end.
-    pub fn kill(&self, router: Router) {
+    pub fn kill(&self, router: RouterProcess) {
         router.signal(Signal::KILL);
         let _ = self.tasks.send(Task::Reap(router));
     }
@@ -222,7 +227,7 @@
     }
 }
 
-fn start(program: &Program, wanted: &StartRequest) -> Result<Router, String> {
+fn start(program: &RouterCommand, wanted: &StartRequest) -> Result<RouterProcess, String> {
     let config = &wanted.config;
     std::fs::write(config, &wanted.config_text)
         .map_err(|e| format!("{}: {e}", config.display()))?;
@@ -232,11 +237,11 @@
         .map(|path| File::options().create(true).append(true).open(path))
         .transpose();
     let log = log.map_err(|e| format!("logs: {e}"))?;
-    let child = Router::start(program, config, Some(&wanted.directives), log);
+    let child = RouterProcess::start(program, config, Some(&wanted.directives), log);
     child.map_err(|e| format!("cannot start a router: {e}"))
 }
 
-impl Drop for Router {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/harness/src/report.rs
+++ b/crates/harness/src/report.rs
@@ -1,29 +1,29 @@
 //! Results of a run: one line of figures, JSON, and one self-contained page of plots.
 
-use crate::play::{Play, Requirements};
-use crate::run::Shown;
+use crate::run::RunResults;
+use crate::scenario::{Requirements, Scenario};
 use plotters::prelude::*;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 /// Describes every requirement that was not met; the rules are always required.
-pub fn short(shown: &Shown, must: &Requirements) -> Vec<String> {
+pub fn unmet_requirements(results: &RunResults, requirements: &Requirements) -> Vec<String> {
     let mut unmet = Vec::new();
-    let breaks = shown.breaks;
-    if breaks.all() > 0 {
-        unmet.push(format!("rules: {breaks:?}"));
+    let violations = results.violations;
+    if violations.all() > 0 {
+        unmet.push(format!("rules: {violations:?}"));
     }
-    if shown.crashed > 0 {
+    if results.crashed > 0 {
         unmet.push(format!(
             "{} routers crashed or could not be started",
-            shown.crashed
+            results.crashed
         ));
     }
-    if shown.datagrams.too_long > 0 {
+    if results.datagrams.too_long > 0 {
         unmet.push(format!(
             "{} datagrams longer than 256 bytes",
-            shown.datagrams.too_long
+            results.datagrams.too_long
         ));
     }
     let mut check_at_most = |name: &str, value: f64, limit: Option<f64>| {
@@ -35,118 +35,154 @@
     };
     check_at_most(
         "peak over peak with full knowledge",
-        peak_ratio(shown),
-        must.peak,
+        peak_ratio(results),
+        requirements.peak,
     );
-    check_at_most("idle", shown.even["real"].idle, must.idle);
-    check_at_most("herd", shown.herd, must.herd);
-    check_at_most("swing", shown.even["real"].swing, must.swing);
-    check_at_most("needless", shown.of_places.needless, must.needless);
-    let plan = shown
-        .of_places
-        .plan
+    check_at_most("idle", results.load_balance["real"].idle, requirements.idle);
+    check_at_most("herd", results.herd, requirements.herd);
+    check_at_most(
+        "swing",
+        results.load_balance["real"].swing,
+        requirements.swing,
+    );
+    check_at_most(
+        "needless",
+        results.zone_metrics.needless_redirects,
+        requirements.needless,
+    );
+    let plan = results
+        .zone_metrics
+        .time_to_redirect
         .map_or(f64::INFINITY, |plan| plan.as_secs_f64());
-    check_at_most("plan", plan, must.plan.map(|limit| limit.as_secs_f64()));
-    if let Some(least) = must
+    check_at_most(
+        "plan",
+        plan,
+        requirements.plan.map(|limit| limit.as_secs_f64()),
+    );
+    if let Some(least) = requirements
         .lost_service
-        .filter(|least| shown.of_places.lost_service < *least)
+        .filter(|least| results.zone_metrics.lost_service < *least)
     {
         unmet.push(format!(
             "lost service {:.3}, at least {least:.3}",
-            shown.of_places.lost_service
+            results.zone_metrics.lost_service
         ));
     }
-    if let Some(least) = must.service.filter(|least| shown.service_after < *least) {
+    if let Some(least) = requirements
+        .service
+        .filter(|least| results.service_after_faults < *least)
+    {
         unmet.push(format!(
             "service {:.3}, at least {least:.3}",
-            shown.service_after
+            results.service_after_faults
         ));
     }
     unmet
 }
 
 /// `peak` over that of the assignment with full knowledge.
-pub fn peak_ratio(shown: &Shown) -> f64 {
-    let limit = shown.even["sees_all"].peak;
+pub fn peak_ratio(results: &RunResults) -> f64 {
+    let limit = results.load_balance["sees_all"].peak;
     if limit > 0.0 {
-        shown.even["real"].peak / limit
+        results.load_balance["real"].peak / limit
     } else {
         0.0
     }
 }
 
-fn figures(shown: &Shown) -> Vec<(&'static str, String)> {
+fn figures(results: &RunResults) -> Vec<(&'static str, String)> {
     let three_decimals = |value: f64| format!("{value:.3}");
-    let real = shown.even["real"];
-    let breaks = shown.breaks;
+    let real = results.load_balance["real"];
+    let violations = results.violations;
     vec![
-        ("routers", shown.routers.to_string()),
-        ("servers", shown.servers.to_string()),
-        ("seed", shown.seed.to_string()),
-        ("service", three_decimals(shown.service)),
-        ("service_after", three_decimals(shown.service_after)),
-        ("hits", three_decimals(shown.hit_share)),
+        ("routers", results.routers.to_string()),
+        ("servers", results.servers.to_string()),
+        ("seed", results.seed.to_string()),
+        ("service", three_decimals(results.service)),
+        (
+            "service_after",
+            three_decimals(results.service_after_faults),
+        ),
+        ("hits", three_decimals(results.hit_share)),
         ("peak", three_decimals(real.peak)),
-        ("peak_limit", three_decimals(shown.even["sees_all"].peak)),
-        ("peak_hash", three_decimals(shown.even["hash"].peak)),
-        ("peak_two", three_decimals(shown.even["two"].peak)),
+        (
+            "peak_limit",
+            three_decimals(results.load_balance["sees_all"].peak),
+        ),
+        (
+            "peak_hash",
+            three_decimals(results.load_balance["hash"].peak),
+        ),
+        ("peak_two", three_decimals(results.load_balance["two"].peak)),
         ("idle", three_decimals(real.idle)),
         ("jain", three_decimals(real.jain)),
         ("swing", format!("{}", real.swing)),
-        ("herd", three_decimals(shown.herd)),
-        ("strain", three_decimals(shown.strain)),
-        ("lost_service", three_decimals(shown.of_places.lost_service)),
-        ("lost_limit", three_decimals(shown.of_places.lost_limit)),
+        ("herd", three_decimals(results.herd)),
+        ("strain", three_decimals(results.overload_ratio)),
+        (
+            "lost_service",
+            three_decimals(results.zone_metrics.lost_service),
+        ),
+        (
+            "lost_limit",
+            three_decimals(results.zone_metrics.lost_limit),
+        ),
         (
             "plan_s",
-            shown
-                .of_places
-                .plan
+            results
+                .zone_metrics
+                .time_to_redirect
                 .map_or_else(|| "-".into(), |plan| three_decimals(plan.as_secs_f64())),
         ),
-        ("abroad", three_decimals(shown.of_places.abroad)),
-        ("needless", three_decimals(shown.of_places.needless)),
-        ("toppled", shown.of_places.toppled.to_string()),
-        ("bytes_s", three_decimals(shown.bytes_s())),
+        ("abroad", three_decimals(results.zone_metrics.abroad)),
+        (
+            "needless",
+            three_decimals(results.zone_metrics.needless_redirects),
+        ),
+        (
+            "toppled",
+            results.zone_metrics.overloaded_zone_seconds.to_string(),
+        ),
+        ("bytes_s", three_decimals(results.datagram_bytes_per_s())),
         (
             "p50_ms",
-            shown.response_ms.value_at_quantile(0.5).to_string(),
+            results.response_ms.value_at_quantile(0.5).to_string(),
         ),
         (
             "p99_ms",
-            shown.response_ms.value_at_quantile(0.99).to_string(),
+            results.response_ms.value_at_quantile(0.99).to_string(),
         ),
-        ("retries", shown.retries.to_string()),
-        ("datagrams", shown.datagrams.datagrams.to_string()),
-        ("double_runs", breaks.double_runs.to_string()),
-        ("lost", (breaks.lost + breaks.twice).to_string()),
-        ("drain_breaks", breaks.drain.to_string()),
-        ("cold_falls", breaks.cold.to_string()),
-        ("stale", breaks.stale.to_string()),
-        ("strange", breaks.strange.to_string()),
-        ("crashed", shown.crashed.to_string()),
+        ("retries", results.retries.to_string()),
+        ("datagrams", results.datagrams.datagrams.to_string()),
+        ("double_runs", violations.double_runs.to_string()),
+        ("lost", (violations.lost + violations.twice).to_string()),
+        ("drain_breaks", violations.drain.to_string()),
+        ("cold_falls", violations.cold.to_string()),
+        ("stale", violations.stale.to_string()),
+        ("strange", violations.strange.to_string()),
+        ("crashed", results.crashed.to_string()),
         (
             "late_p99_ms",
-            shown.timer_delay_ms.value_at_quantile(0.99).to_string(),
+            results.timer_delay_ms.value_at_quantile(0.99).to_string(),
         ),
     ]
 }
 
 /// `name=value` pairs separated by spaces.
-pub fn line(shown: &Shown) -> String {
-    let all: Vec<String> = figures(shown)
+pub fn figures_line(results: &RunResults) -> String {
+    let all: Vec<String> = figures(results)
         .into_iter()
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
     all.join(" ")
 }
 
-pub fn json(shown: &Shown, short: &[String]) -> Value {
-    let figures: BTreeMap<&str, f64> = figures(shown)
+pub fn json(results: &RunResults, short: &[String]) -> Value {
+    let figures: BTreeMap<&str, f64> = figures(results)
         .into_iter()
         .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
         .collect();
-    let seconds: Vec<Value> = shown
+    let seconds: Vec<Value> = results
         .seconds
         .iter()
         .map(|s| {
@@ -154,13 +190,13 @@
                 "opened": s.connections_opened, "executions": s.attempts, "fills": s.fills})
         })
         .collect();
-    let events: Vec<Value> = shown
+    let events: Vec<Value> = results
         .events
         .iter()
         .map(|(at, what)| json!({"at": at.as_secs_f64(), "what": what}))
         .collect();
-    json!({"figures": figures, "seconds": seconds, "events": events, "short": short, "void": shown.void,
-        "words": shown.words})
+    json!({"figures": figures, "seconds": seconds, "events": events, "short": short, "void": results.void,
+        "words": results.violation_descriptions})
 }
 
 type DrawResult = Result<(), Box<dyn std::error::Error>>;
@@ -169,14 +205,14 @@
 
 /// Plots series over the seconds of the run, with its events as vertical lines.
 fn plot_series(
-    shown: &Shown,
+    results: &RunResults,
     title: &str,
     lines: &[(&str, Vec<f64>, RGBColor)],
     text: &mut String,
 ) -> DrawResult {
     let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let seconds = shown.server_loads.first().map_or(1, Vec::len).max(1);
+    let seconds = results.server_loads.first().map_or(1, Vec::len).max(1);
     let maximum = lines
         .iter()
         .flat_map(|(_, values, _)| values.iter().take(seconds).copied())
@@ -192,7 +228,7 @@
         .light_line_style(WHITE)
         .x_desc("seconds")
         .draw()?;
-    for (at, _) in &shown.events {
+    for (at, _) in &results.events {
         let x = at.as_secs_f64();
         chart.draw_series([PathElement::new(
             vec![(x, 0.0), (x, maximum * 1.1)],
@@ -221,12 +257,12 @@
 }
 
 /// Load of every cache by second: white is idle, red is over capacity.
-fn plot_heat_map(shown: &Shown, text: &mut String) -> DrawResult {
-    let mut rows: Vec<usize> = (0..shown.server_records.len())
-        .filter(|n| shown.server_records[*n].zone != usize::MAX)
+fn plot_heat_map(results: &RunResults, text: &mut String) -> DrawResult {
+    let mut rows: Vec<usize> = (0..results.server_records.len())
+        .filter(|n| results.server_records[*n].zone != usize::MAX)
         .collect();
-    rows.sort_by_key(|n| (shown.server_records[*n].zone, *n));
-    let seconds = shown.server_loads.first().map_or(1, Vec::len).max(1);
+    rows.sort_by_key(|n| (results.server_records[*n].zone, *n));
+    let seconds = results.server_loads.first().map_or(1, Vec::len).max(1);
     let area =
         SVGBackend::with_string(text, (SIZE.0, 60 + 9 * rows.len() as u32)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -246,7 +282,7 @@
         .x_desc("seconds")
         .draw()?;
     for (row, server) in rows.iter().enumerate() {
-        for (second, load) in shown.server_loads[*server].iter().enumerate() {
+        for (second, load) in results.server_loads[*server].iter().enumerate() {
             let load_share = load.min(1.5) / 1.5;
             let color = HSLColor(0.6 - 0.6 * load_share, 0.8, 1.0 - 0.5 * load_share.sqrt());
             let (x, y) = (second as f64, row as f64);
@@ -256,7 +292,7 @@
             )])?;
         }
     }
-    for (at, _) in &shown.events {
+    for (at, _) in &results.events {
         let x = at.as_secs_f64();
         chart.draw_series([PathElement::new(
             vec![(x, 0.0), (x, rows.len() as f64)],
@@ -277,9 +313,14 @@
 ///
 /// # Errors
 /// A plot could not be drawn.
-pub fn html(name: &str, play: &Play, shown: &Shown, short: &[String]) -> Result<String, String> {
+pub fn html(
+    name: &str,
+    scenario: &Scenario,
+    results: &RunResults,
+    short: &[String],
+) -> Result<String, String> {
     let per_second = |get: &dyn Fn(&crate::run::SecondTotals) -> f64| {
-        shown.seconds.iter().map(get).collect::<Vec<f64>>()
+        results.seconds.iter().map(get).collect::<Vec<f64>>()
     };
     let service = per_second(&|s| {
         if s.requested > 0.0 {
@@ -291,7 +332,7 @@
     let mut plots = vec![String::new(); 4];
     let draw = |plots: &mut [String]| -> DrawResult {
         plot_series(
-            shown,
+            results,
             "service (value earned over value requested)",
             &[("service", service, BLUE)],
             &mut plots[0],
@@ -299,7 +340,7 @@
         let rejected = ("rejected", per_second(&|s| s.rejected as f64), RED);
         let failed = ("failed", per_second(&|s| s.failed as f64), MAGENTA);
         plot_series(
-            shown,
+            results,
             "rejected and failed responses per second",
             &[rejected, failed],
             &mut plots[1],
@@ -312,12 +353,12 @@
             RED,
         );
         plot_series(
-            shown,
+            results,
             "attempts, fills and opened connections per second",
             &[sent, fills, opened],
             &mut plots[2],
         )?;
-        plot_heat_map(shown, &mut plots[3])
+        plot_heat_map(results, &mut plots[3])
     };
     draw(&mut plots).map_err(|error| format!("cannot draw the plots: {error}"))?;
     let mut page = format!(
@@ -327,7 +368,7 @@
     page.push_str(
         "<style>body{font:14px sans-serif;max-width:62em;margin:2em auto}td{padding:0 1em 0 0}</style>",
     );
-    let verdict = match (&shown.void, short) {
+    let verdict = match (&results.void, short) {
         (Some(reason), _) => format!("void: {reason}"),
         (None, []) => "all that must hold holds".to_owned(),
         (None, short) => format!("falls short: {}", short.join("; ")),
@@ -341,15 +382,19 @@
     let _ = write!(
         page,
         "<p>{} routers, {} servers, {} requests a second for {:?}, seed {}.</p><table>",
-        shown.routers, shown.servers, play.work.requests_per_s, play.work.duration, shown.seed
+        results.routers,
+        results.servers,
+        scenario.workload.requests_per_s,
+        scenario.workload.duration,
+        results.seed
     );
-    for (name, value) in figures(shown) {
+    for (name, value) in figures(results) {
         let _ = write!(page, "<tr><td>{name}<td>{value}");
     }
     page.push_str("</table>");
     plots.iter().for_each(|plot| page.push_str(plot));
     page.push_str("<h2>Events</h2><table>");
-    for (at, description) in &shown.events {
+    for (at, description) in &results.events {
         let _ = write!(
             page,
             "<tr><td>{:.1} s<td>{}",
@@ -358,9 +403,9 @@
         );
     }
     page.push_str("</table>");
-    if !shown.words.is_empty() {
+    if !results.violation_descriptions.is_empty() {
         page.push_str("<h2>Rules broken</h2><ul>");
-        for description in &shown.words {
+        for description in &results.violation_descriptions {
             let _ = write!(page, "<li>{}", escaped(description));
         }
         page.push_str("</ul>");
--- a/crates/harness/src/run.rs
+++ b/crates/harness/src/run.rs
@@ -8,13 +8,13 @@
 mod results;
 mod startup;
 
-use crate::children::{self, Program, Router, Starter};
+use crate::connections::{self, AttemptMessage, Event, Events, Request, ServerListener};
 use crate::datagram_relay::{DatagramCounters, DatagramFaults, DatagramRelay};
-use crate::invariants::Breaks;
+use crate::invariants::Violations;
 use crate::load_balance::{self, ServerRecord};
-use crate::play::{Fault, Play};
+use crate::processes::{self, RouterCommand, RouterProcess, Starter};
+use crate::scenario::{Fault, Scenario};
 use crate::server_model::{Attempt, ListStatus, Reply, ReplyCode, ServerModel, Tier};
-use crate::wire::{self, AttemptMessage, Event, Events, Request, ServerListener};
 use crate::workload::{self, Arrival};
 use crate::zone_metrics::{ZoneMetrics, ZoneValue};
 use crate::zone_network::{self, ZoneNetwork};
@@ -48,8 +48,8 @@
 
 /// Options of a run.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    pub program: Program,
+pub struct RunOptions {
+    pub program: RouterCommand,
     pub seed: u64,
     /// Folder of the routers' logs; without one they are discarded.
     pub logs: Option<PathBuf>,
@@ -72,7 +72,7 @@
 
 /// Results of a run.
 #[derive(Debug)]
-pub struct Shown {
+pub struct RunResults {
     pub seed: u64,
     pub routers: usize,
     pub servers: usize,
@@ -80,15 +80,15 @@
     /// Value earned over value requested, from the end of the warm-up.
     pub service: f64,
     /// The same, from the start of the second measurement.
-    pub service_after: f64,
-    pub even: BTreeMap<&'static str, load_balance::LoadBalance>,
+    pub service_after_faults: f64,
+    pub load_balance: BTreeMap<&'static str, load_balance::LoadBalance>,
     pub herd: f64,
-    pub breaks: Breaks,
-    pub words: Vec<String>,
+    pub violations: Violations,
+    pub violation_descriptions: Vec<String>,
     pub server_records: Vec<ServerRecord>,
     pub server_loads: Vec<Vec<f64>>,
     /// The highest share of its overload threshold that any cold server was sent.
-    pub strain: f64,
+    pub overload_ratio: f64,
     pub hit_share: f64,
     pub response_ms: Histogram<u64>,
     pub timer_delay_ms: Histogram<u64>,
@@ -99,14 +99,14 @@
     pub retries: u64,
     pub measured_from: Duration,
     /// Service per zone during losses.
-    pub of_places: ZoneMetrics,
+    pub zone_metrics: ZoneMetrics,
     /// Duration of the workload.
     pub elapsed: Duration,
 }
 
-impl Shown {
+impl RunResults {
     /// Mean bytes of datagrams that a router sent per second.
-    pub fn bytes_s(&self) -> f64 {
+    pub fn datagram_bytes_per_s(&self) -> f64 {
         self.datagrams.bytes as f64
             / self.routers.max(1) as f64
             / self.elapsed.as_secs_f64().max(1.0)
@@ -117,7 +117,7 @@
     zone: usize,
     group: usize,
     listen: SocketAddr,
-    child: Option<Router>,
+    child: Option<RouterProcess>,
     /// The load balancer in front sends clients to this router.
     receives_clients: bool,
     connections: Vec<mpsc::Sender<Request>>,
@@ -181,7 +181,7 @@
 }
 
 struct Runner {
-    play: Play,
+    scenario: Scenario,
     started_at: Instant,
     rng: fastrand::Rng,
     model: ServerModel,
@@ -205,7 +205,7 @@
     discovery_interrupted: bool,
     settings: Value,
     temp_dir: PathBuf,
-    setup: Setup,
+    options: RunOptions,
     starter: Starter,
     arrivals: Vec<Arrival>,
     requests: Vec<ClientRequest>,
@@ -231,15 +231,15 @@
 ///
 /// # Errors
 /// The scenario could not be run; the message says what to change.
-pub async fn play(play: &Play, setup: Setup) -> Result<Shown, String> {
-    let problems = play.faults_of_sense();
+pub async fn run(scenario: &Scenario, options: RunOptions) -> Result<RunResults, String> {
+    let problems = scenario.inconsistencies();
     if !problems.is_empty() {
         return Err(problems.join("; "));
     }
-    children::check_machine_limits(play.fleet.routers)?;
+    processes::check_machine_limits(scenario.fleet.routers)?;
     let temp_dir = TempDir::new()?;
-    let (events, mailbox) = mpsc::channel(wire::EVENT_QUEUE_LIMIT);
-    let mut runner = Runner::open(play.clone(), setup, temp_dir.0.clone(), events).await?;
+    let (events, mailbox) = mpsc::channel(connections::EVENT_QUEUE_LIMIT);
+    let mut runner = Runner::open(scenario.clone(), options, temp_dir.0.clone(), events).await?;
     let (counters, latest_counters) = watch::channel(DatagramCounters::default());
     runner
         .relay
@@ -276,7 +276,7 @@
         self.discovery_events
             .iter_mut()
             .for_each(|event| event.at = Duration::ZERO);
-        let faults = self.play.faults.clone();
+        let faults = self.scenario.faults.clone();
         faults
             .iter()
             .enumerate()
@@ -285,8 +285,9 @@
             self.schedule(self.arrivals[0].at, Timer::Arrive(0));
         }
         self.schedule(DISCOVERY_HEARTBEAT_INTERVAL, Timer::DiscoveryHeartbeat);
-        let end =
-            self.play.work.duration + self.play.work.client_timeout + Duration::from_millis(500);
+        let end = self.scenario.workload.duration
+            + self.scenario.workload.client_timeout
+            + Duration::from_millis(500);
         let progress = self.progress_bar("playing", end.as_secs() as usize);
         loop {
             let now = self.now();
@@ -354,7 +355,7 @@
         if let Tier::Cache(at) = self.model.servers[server].tier {
             at
         } else {
-            self.play.fleet.zones
+            self.scenario.fleet.zones
         }
     }
 
@@ -412,9 +413,9 @@
         } else {
             fields.join(",")
         };
-        let kb = workload::object_kb(reply.key.0, self.play.work.mean_object_kb);
+        let kb = workload::object_kb(reply.key.0, self.scenario.workload.mean_object_kb);
         let body = if ok {
-            wire::encode_body(reply.key, reply.created_ms, kb)
+            connections::encode_body(reply.key, reply.created_ms, kb)
         } else {
             Vec::new()
         };
@@ -510,7 +511,7 @@
                 self.model.cancel(connection, None);
             }
             Event::Malformed { description } => {
-                self.model.invariants.breaks.strange += 1;
+                self.model.invariants.violations.strange += 1;
                 self.model.invariants.descriptions.push(description);
             }
             Event::DiscoverySubscribed {
@@ -562,7 +563,7 @@
             .as_ref()
             .map(|name| self.server_numbers.get(name).copied());
         if source == Some(None) {
-            self.model.invariants.breaks.strange += 1;
+            self.model.invariants.violations.strange += 1;
             return;
         }
         let source = source.flatten();
@@ -586,7 +587,7 @@
             self.connections.remove(&connection);
             return;
         }
-        let default_max_age = self.play.work.max_age.as_millis() as u64;
+        let default_max_age = self.scenario.workload.max_age.as_millis() as u64;
         self.model.receive(
             now,
             server,
@@ -595,7 +596,7 @@
                 router,
                 id: message.id,
                 key: message.key,
-                kb: workload::object_kb(message.key.0, self.play.work.mean_object_kb),
+                kb: workload::object_kb(message.key.0, self.scenario.workload.mean_object_kb),
                 write: message.class == "confirm",
                 source,
                 priority: message.priority,
@@ -622,8 +623,8 @@
                 }
                 self.second_at(arrival.at).requested += 1.0;
                 self.zone_value
-                    .record_requested(arrival.router % self.play.fleet.zones, arrival.at);
-                let deadline = arrival.at + self.play.work.client_timeout;
+                    .record_requested(arrival.router % self.scenario.fleet.zones, arrival.at);
+                let deadline = arrival.at + self.scenario.workload.client_timeout;
                 self.requests.push(ClientRequest {
                     arrival,
                     deadline,
@@ -652,7 +653,7 @@
                     if router
                         .child
                         .as_mut()
-                        .is_some_and(|child| child.ended().is_some())
+                        .is_some_and(|child| child.exit_status().is_some())
                     {
                         // Routers that are killed or stopped on purpose are taken out beforehand, so
                         // this one crashed.
@@ -726,7 +727,7 @@
             Timer::SendForged(n) => {
                 let Fault {
                     start, duration, ..
-                } = self.play.faults[n];
+                } = self.scenario.faults[n];
                 for sender in self.fault_targets.get(&n).cloned().unwrap_or_default() {
                     let zone = self.routers[sender].zone;
                     let peers: Vec<usize> = (0..self.routers.len())
@@ -748,7 +749,7 @@
             .routers
             .iter_mut()
             .filter_map(|r| r.child.as_mut())
-            .filter_map(Router::ended)
+            .filter_map(RouterProcess::exit_status)
             .count();
         self.crashed += ended;
         for router in &mut self.routers {
@@ -760,7 +761,7 @@
                 .routers
                 .iter_mut()
                 .filter_map(|r| r.child.as_mut())
-                .all(|child| child.ended().is_some());
+                .all(|child| child.exit_status().is_some());
             if all_ended || Instant::now() > end {
                 break;
             }
@@ -777,6 +778,6 @@
 ///
 /// # Errors
 /// The folder could not be created.
-pub fn logs(folder: &Path) -> Result<(), String> {
+pub fn create_log_folder(folder: &Path) -> Result<(), String> {
     std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
--- a/crates/harness/src/run/clients.rs
+++ b/crates/harness/src/run/clients.rs
@@ -3,8 +3,8 @@
 use super::{
     FRONT_CHECK_INTERVAL, LATE_VALUE, MAX_OPEN_PER_CONNECTION, MAX_RETRY_DELAY, Runner, Timer,
 };
+use crate::connections::{Request, Response};
 use crate::invariants::{Outcome, TrackedRequest};
-use crate::wire::{Request, Response};
 use bytes::Bytes;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
         }
         let home = arrival.router;
         let zone = self.routers[home].zone;
-        let zones = self.play.fleet.zones;
+        let zones = self.scenario.fleet.zones;
         let available = (0..self.routers.len())
             .filter(|r| r % zones == zone && self.routers[*r].receives_clients);
         let chosen = if self.routers[home].receives_clients {
@@ -111,7 +111,7 @@
     pub(super) fn request_served(&mut self, request: usize, now: Duration) {
         let (at, soft_deadline, deadline) = (
             self.requests[request].arrival.at,
-            self.play.work.soft_deadline,
+            self.scenario.workload.soft_deadline,
             self.requests[request].deadline,
         );
         self.requests[request].done = true;
@@ -126,7 +126,7 @@
             .response_times
             .record(now.saturating_sub(at).as_millis().max(1) as u64);
         self.second_at(at).earned += earned;
-        let zone = self.play.fleet.zones;
+        let zone = self.scenario.fleet.zones;
         self.zone_value
             .record_earned(self.requests[request].arrival.router % zone, at, earned);
     }
@@ -149,7 +149,7 @@
         } else {
             own_delay
         };
-        if attempts > self.play.work.max_retries || now + wait >= deadline {
+        if attempts > self.scenario.workload.max_retries || now + wait >= deadline {
             return self.abandon(request);
         }
         self.retries += 1;
--- a/crates/harness/src/run/faults.rs
+++ b/crates/harness/src/run/faults.rs
@@ -1,8 +1,8 @@
 //! Faults of the scenario: their targets, start, steps and end.
 
 use super::{DiscoveryChange, FRONT_CHECK_INTERVAL, Runner, Timer};
-use crate::children::Router;
-use crate::play::{Amount, Fault, FaultKind, Target};
+use crate::processes::RouterProcess;
+use crate::scenario::{Amount, Fault, FaultKind, Target};
 use crate::server_model::{ListStatus, Tier};
 use crate::workload;
 use crate::zone_network::{self, ZoneNetwork};
@@ -56,7 +56,7 @@
 
     pub(super) fn start_fault(&mut self, n: usize) {
         let now = self.now();
-        let Fault { duration, kind, .. } = self.play.faults[n];
+        let Fault { duration, kind, .. } = self.scenario.faults[n];
         let targets = match kind {
             FaultKind::Slow(target, _)
             | FaultKind::Errors(target)
@@ -73,9 +73,9 @@
             | FaultKind::Deaf(target)
             | FaultKind::Lie(target) => self.pick_targets(target),
             FaultKind::LoseRegion(region) => {
-                let all = 0..self.play.fleet.zones;
+                let all = 0..self.scenario.fleet.zones;
                 let of: Vec<usize> = all
-                    .filter(|at| zone_network::region(*at, &self.play.fleet) == region)
+                    .filter(|at| zone_network::region(*at, &self.scenario.fleet) == region)
                     .collect();
                 of.into_iter()
                     .flat_map(|at| self.pick_targets(Target::Zone(at)))
@@ -96,7 +96,7 @@
                 .iter()
                 .for_each(|s| self.model.servers[*s].is_silent = true),
             FaultKind::Apart(_, of) => {
-                let groups = of.of(self.play.fleet.address_groups());
+                let groups = of.of(self.scenario.fleet.address_groups());
                 for server in targets {
                     self.model.servers[server].unreachable_from_group[..groups].fill(true);
                 }
@@ -127,7 +127,7 @@
             FaultKind::Join(count) => {
                 let first = self.added_servers;
                 let joined: Vec<usize> = (0..count)
-                    .filter_map(|k| self.add_cache((first + k) % self.play.fleet.zones))
+                    .filter_map(|k| self.add_cache((first + k) % self.scenario.fleet.zones))
                     .collect();
                 self.announce(DiscoveryChange::Servers(joined));
             }
@@ -148,20 +148,23 @@
                     self.routers[*router]
                         .child
                         .iter_mut()
-                        .for_each(Router::freeze);
+                        .for_each(RouterProcess::freeze);
                     // Requests sent to it while it is frozen are excused.
                     self.routers[*router].receives_clients = false;
                     self.model.invariants.router_stopped(*router);
                 }
             }
             FaultKind::Reload(_) => {
-                targets
-                    .iter()
-                    .for_each(|r| self.routers[*r].child.iter().for_each(Router::reload));
+                targets.iter().for_each(|r| {
+                    self.routers[*r]
+                        .child
+                        .iter()
+                        .for_each(RouterProcess::reload)
+                });
             }
             FaultKind::Purge(count) => {
                 for popularity_rank in 0..count {
-                    let object = workload::object_id(self.setup.seed, popularity_rank);
+                    let object = workload::object_id(self.options.seed, popularity_rank);
                     let ms = self.model.purge(now, object);
                     self.announce(DiscoveryChange::Purge(object, ms));
                 }
@@ -217,7 +220,7 @@
     pub(super) fn end_fault(&mut self, n: usize) {
         let now = self.now();
         let targets = self.fault_targets.get(&n).cloned().unwrap_or_default();
-        let kind = self.play.faults[n].kind;
+        let kind = self.scenario.faults[n].kind;
         self.log_event(format!("ended: {kind:?}"));
         match kind {
             FaultKind::Slow(..) => targets
@@ -255,7 +258,10 @@
             }
             FaultKind::Freeze(_) => {
                 for router in targets {
-                    self.routers[router].child.iter_mut().for_each(Router::thaw);
+                    self.routers[router]
+                        .child
+                        .iter_mut()
+                        .for_each(RouterProcess::thaw);
                     self.schedule(now + FRONT_CHECK_INTERVAL, Timer::CheckRouter(router));
                 }
             }
@@ -319,7 +325,7 @@
             start,
             duration,
             kind,
-        } = self.play.faults[n];
+        } = self.scenario.faults[n];
         let Some(next) = remaining.pop() else { return };
         match kind {
             FaultKind::Replace(_) => {
@@ -361,11 +367,11 @@
     }
 
     /// Kills the router if it has not ended before its successor starts.
-    pub(super) fn kill_after_grace(&mut self, child: Router) {
+    pub(super) fn kill_after_grace(&mut self, child: RouterProcess) {
         let mut child = child;
         tokio::task::spawn_local(async move {
             let end = Instant::now() + Duration::from_millis(850);
-            while child.ended().is_none() && Instant::now() < end {
+            while child.exit_status().is_none() && Instant::now() < end {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             child.kill();
--- a/crates/harness/src/run/results.rs
+++ b/crates/harness/src/run/results.rs
@@ -1,15 +1,18 @@
 //! Results of a finished run.
 
-use super::{MAX_TIMER_DELAY, Runner, Shown};
+use super::{MAX_TIMER_DELAY, RunResults, Runner};
 use crate::datagram_relay::DatagramCounters;
 use crate::load_balance::{self, Rule};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 impl Runner {
-    pub(super) fn into_results(self, datagrams: DatagramCounters) -> Shown {
-        let (warmup, duration) = (self.play.work.warmup, self.play.work.duration);
-        let second_start = self.play.second_measurement_start();
+    pub(super) fn into_results(self, datagrams: DatagramCounters) -> RunResults {
+        let (warmup, duration) = (
+            self.scenario.workload.warmup,
+            self.scenario.workload.duration,
+        );
+        let second_start = self.scenario.second_measurement_start();
         let service = |from: Duration, to: Duration| {
             let seconds = &self.seconds[from.as_secs() as usize..to.as_secs() as usize];
             let (requested, earned) = seconds
@@ -27,12 +30,12 @@
                 .max(Duration::from_secs(1)),
         );
         let sent = &self.model.sent;
-        let mut even = BTreeMap::new();
-        even.insert(
+        let mut load_balance = BTreeMap::new();
+        load_balance.insert(
             "real",
             load_balance::measure(sent, &self.server_records, second_start, duration, window),
         );
-        even.insert(
+        load_balance.insert(
             "real_1s",
             load_balance::measure(
                 sent,
@@ -49,7 +52,7 @@
         ] {
             let assigned =
                 load_balance::assign(sent, &self.server_records, rule, second_start, window);
-            even.insert(
+            load_balance.insert(
                 name,
                 load_balance::measure(
                     &assigned,
@@ -85,23 +88,23 @@
         let void = (timer_delay > MAX_TIMER_DELAY)
             .then(|| format!("timers of the harness fired {timer_delay:?} late"));
         let reads = (self.model.hits + self.model.fills).max(1);
-        let of_places = self
+        let zone_metrics = self
             .zone_value
-            .measure(&self.play, sent, &self.server_records);
-        Shown {
-            of_places,
+            .measure(&self.scenario, sent, &self.server_records);
+        RunResults {
+            zone_metrics,
             elapsed: duration,
-            seed: self.setup.seed,
+            seed: self.options.seed,
             routers: self.routers.len(),
             servers: self.model.servers.len(),
             service: service(warmup, duration),
-            service_after: service(second_start, duration),
-            even,
+            service_after_faults: service(second_start, duration),
+            load_balance,
             herd,
-            breaks: self.model.invariants.breaks,
-            words: self.model.invariants.descriptions.clone(),
+            violations: self.model.invariants.violations,
+            violation_descriptions: self.model.invariants.descriptions.clone(),
             server_loads,
-            strain: self.overload_ratio,
+            overload_ratio: self.overload_ratio,
             hit_share: self.model.hits as f64 / reads as f64,
             response_ms: self.response_times,
             timer_delay_ms: self.timer_delays,
--- a/crates/harness/src/run/startup.rs
+++ b/crates/harness/src/run/startup.rs
@@ -1,16 +1,16 @@
 //! Starts a fleet: addresses, servers and processes, until all routers are ready.
 
 use super::{
-    DiscoveryChange, LATE_VALUE, READY_TIMEOUT, RouterState, Runner, START_BATCH, SecondTotals,
-    Setup,
+    DiscoveryChange, LATE_VALUE, READY_TIMEOUT, RouterState, RunOptions, Runner, START_BATCH,
+    SecondTotals,
 };
-use crate::children::{Program, Router, StartRequest, Starter};
+use crate::connections::{self, Event, Events, ServerListener};
 use crate::datagram_relay::{DatagramFaults, DatagramRelay};
 use crate::load_balance::{self, ServerRecord};
 use crate::object_cache::CachedObject;
-use crate::play::Play;
+use crate::processes::{RouterCommand, RouterProcess, StartRequest, Starter};
+use crate::scenario::Scenario;
 use crate::server_model::{Server, ServerModel, SlowStart, Tier};
-use crate::wire::{self, Event, Events, ServerListener};
 use crate::workload;
 use crate::zone_metrics::ZoneValue;
 use crate::zone_network::ZoneNetwork;
@@ -58,7 +58,7 @@
     Err("no free loopback address block: 50 fleets already run on this machine".into())
 }
 
-pub(super) fn spawn_starter(program: &Program, events: &Events) -> Starter {
+pub(super) fn spawn_starter(program: &RouterCommand, events: &Events) -> Starter {
     let events = events.clone();
     Starter::new(program.clone(), move |router, incarnation, child| {
         // If the runner is gone the event is dropped, which kills the child.
@@ -71,13 +71,13 @@
 }
 
 /// The settings of all routers.
-pub(super) fn router_settings(play: &Play) -> Value {
-    let (fleet, work) = (&play.fleet, &play.work);
+pub(super) fn router_settings(scenario: &Scenario) -> Value {
+    let (fleet, workload) = (&scenario.fleet, &scenario.workload);
     let ms = |duration: Duration| duration.as_millis() as u64;
     let class = |name: &str, effect: &str, worth: f64| {
-        json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": ms(work.soft_deadline),
+        json!({"Name": name, "Effect": effect, "Group": "all", "Window": 5000, "Aim": ms(workload.soft_deadline),
             "AimStretch": 0,
-            "HardLimit": ms(work.client_timeout), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
+            "HardLimit": ms(workload.client_timeout), "Worth": worth, "LateWorth": LATE_VALUE, "Stream": false})
     };
     let zones = (0..fleet.zones)
         .map(|n| format!("z{n}"))
@@ -87,7 +87,7 @@
     let routers_by_zone: Vec<usize> = (0..fleet.zones).map(routers_in).chain([0]).collect();
     json!({
         "Classes": [class("page", "pure", 1.0), class("confirm", "side_effect", 1.0)],
-        "FamilyInfo": {"ClassFresh": [ms(work.max_age), 0], "ClassWrite": [false, true],
+        "FamilyInfo": {"ClassFresh": [ms(workload.max_age), 0], "ClassWrite": [false, true],
             "ClientKbPerS": fleet.client_kb_per_s,
             "CrewByZone": routers_by_zone, "HomeHub": vec![0; fleet.zones + 1], "ObeyAfter": 500,
             "PassThroughOk": fleet.pass_through,
@@ -105,8 +105,8 @@
 
 impl Runner {
     pub(super) async fn open(
-        play: Play,
-        setup: Setup,
+        scenario: Scenario,
+        options: RunOptions,
         temp_dir: PathBuf,
         events: Events,
     ) -> Result<Runner, String> {
@@ -116,7 +116,7 @@
         let unix_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
-        let fleet = play.fleet.clone();
+        let fleet = scenario.fleet.clone();
         let slow_start = SlowStart {
             initial_share: fleet.initial_capacity_share,
             duration: fleet.slow_start,
@@ -141,24 +141,24 @@
         let network = ZoneNetwork::new(&fleet);
         let faults = DatagramFaults {
             is_deaf: vec![false; fleet.routers],
-            seed: setup.seed,
+            seed: options.seed,
             network: network.clone().map(Rc::new),
             zones: fleet.zones,
             ..DatagramFaults::default()
         };
-        let arrivals = workload::arrivals(&play, setup.seed);
+        let arrivals = workload::arrivals(&scenario, options.seed);
         let router_shares =
-            workload::router_shares(fleet.routers, play.work.peak_to_mean, setup.seed);
+            workload::router_shares(fleet.routers, scenario.workload.peak_to_mean, options.seed);
         let routers = (0..fleet.routers).map(|i| {
             let connections = 1 + (router_shares[i] * fleet.routers as f64).round() as usize;
             RouterState {
-                zone: workload::zone_of(i, &play),
+                zone: workload::zone_of(i, &scenario),
                 group: fleet.address_group(i),
                 listen: listen(i, 5050),
                 child: None,
                 receives_clients: false,
                 connections: (0..connections.min(8))
-                    .map(|_| wire::client_connection(listen(i, 5050), i, events.clone()))
+                    .map(|_| connections::client_connection(listen(i, 5050), i, events.clone()))
                     .collect(),
                 open_requests: 0,
                 next_connection: 0,
@@ -170,12 +170,13 @@
                 config: temp_dir.join(format!("n{i}.json")),
             }
         });
-        let seconds =
-            play.work.duration.as_secs() as usize + play.work.client_timeout.as_secs() as usize + 3;
+        let seconds = scenario.workload.duration.as_secs() as usize
+            + scenario.workload.client_timeout.as_secs() as usize
+            + 3;
         let histogram = || Histogram::new_with_bounds(1, 600_000, 3).map_err(|e| e.to_string());
         let mut runner = Runner {
             started_at: Instant::now(),
-            rng: fastrand::Rng::with_seed(setup.seed ^ 0xfa17),
+            rng: fastrand::Rng::with_seed(options.seed ^ 0xfa17),
             model,
             listeners: Vec::new(),
             server_records: Vec::new(),
@@ -193,10 +194,10 @@
             discovery_delay: Duration::ZERO,
             discovery_duplicated: false,
             discovery_interrupted: false,
-            settings: router_settings(&play),
+            settings: router_settings(&scenario),
             temp_dir,
-            starter: spawn_starter(&setup.program, &events),
-            setup,
+            starter: spawn_starter(&options.program, &events),
+            options,
             arrivals,
             requests: Vec::new(),
             attempts: HashMap::new(),
@@ -215,7 +216,7 @@
             crashed: 0,
             added_servers: 0,
             events,
-            play,
+            scenario,
         };
         for n in 0..fleet.caches {
             runner.open_server(format!("c{n}"), Tier::Cache(n % fleet.zones))?;
@@ -231,7 +232,7 @@
 
     /// Adds a server with one listener per group of routers.
     pub(super) fn open_server(&mut self, name: String, tier: Tier) -> Result<usize, String> {
-        let fleet = &self.play.fleet;
+        let fleet = &self.scenario.fleet;
         let (capacity, memory) = match tier {
             Tier::Cache(_) => (fleet.cache_capacity, fleet.memory_kb),
             Tier::Parent => (fleet.parent_capacity, fleet.memory_kb * 20.0),
@@ -246,7 +247,7 @@
         ));
         let listeners = (0..fleet.address_groups())
             .map(|group| {
-                wire::start_listener(
+                connections::start_listener(
                     &self.server_address,
                     number,
                     group,
@@ -278,18 +279,19 @@
     /// it, as far as there is space.
     pub(super) fn preload_caches(&mut self) {
         let now_ms = self.model.unix_ms_at(Duration::ZERO);
-        let mut free_kb: Vec<f64> = vec![self.play.fleet.memory_kb * 0.9; self.model.servers.len()];
-        for popularity_rank in 0..self.play.work.objects {
-            let object = workload::object_id(self.setup.seed, popularity_rank);
+        let mut free_kb: Vec<f64> =
+            vec![self.scenario.fleet.memory_kb * 0.9; self.model.servers.len()];
+        for popularity_rank in 0..self.scenario.workload.objects {
+            let object = workload::object_id(self.options.seed, popularity_rank);
             let (key, kb) = (
                 (object, 0),
-                workload::object_kb(object, self.play.work.mean_object_kb),
+                workload::object_kb(object, self.scenario.workload.mean_object_kb),
             );
             let copy = CachedObject {
                 kb,
                 created_ms: now_ms.saturating_sub(1000),
             };
-            for zone in 0..self.play.fleet.zones {
+            for zone in 0..self.scenario.fleet.zones {
                 let Some(server) =
                     load_balance::ranked_servers(&self.server_records, zone, key, Duration::ZERO)
                         .first()
@@ -323,7 +325,8 @@
             .map(|n| self.event_json(n, group))
             .collect();
         let (peers, all) = self.relay.addresses();
-        let discovery = wire::serve_discovery(&self.server_address, router, self.events.clone())?;
+        let discovery =
+            connections::serve_discovery(&self.server_address, router, self.events.clone())?;
         let state = &mut self.routers[router];
         state.incarnation += 1;
         (state.discovery, state.events_sent) = (None, events.len());
@@ -339,7 +342,7 @@
         settings["Locality"] = json!(state.zone);
         settings["MyNumber"] = json!(router);
         let incarnation = u64::from(state.incarnation);
-        let seed = self.setup.seed.wrapping_mul(7919) ^ (router as u64) << 8 ^ incarnation;
+        let seed = self.options.seed.wrapping_mul(7919) ^ (router as u64) << 8 ^ incarnation;
         let listen = state.listen;
         let peer_address = SocketAddr::new(listen.ip(), 7946);
         let file = json!({"name": format!("n{router}"), "listen": listen.to_string(),
@@ -355,7 +358,7 @@
             config_text: file.to_string(),
             directives: self.temp_dir.join("chalkhall.conf"),
             log: self
-                .setup
+                .options
                 .logs
                 .as_ref()
                 .map(|folder| folder.join(format!("n{router}.log"))),
@@ -371,7 +374,7 @@
         mailbox: &mut mpsc::Receiver<Event>,
     ) -> Result<(), String> {
         let mut sections: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
-        for (section, line) in &self.play.fleet.directives {
+        for (section, line) in &self.scenario.fleet.directives {
             sections.entry(section).or_default().push(line);
         }
         let text: String = sections
@@ -392,11 +395,14 @@
                 self.start_router(router)?;
             }
             for router in wave {
-                while !wire::green(self.routers[router].listen).await {
+                while !connections::is_serving(self.routers[router].listen).await {
                     while let Ok(event) = mailbox.try_recv() {
                         self.deliver_event(event);
                     }
-                    let ended = self.routers[router].child.as_mut().and_then(Router::ended);
+                    let ended = self.routers[router]
+                        .child
+                        .as_mut()
+                        .and_then(RouterProcess::exit_status);
                     if let Some(ended) = ended {
                         return Err(format!(
                             "router n{router} ended during its start ({ended}); use --logs FOLDER to keep its log"
@@ -421,7 +427,7 @@
     }
 
     pub(super) fn progress_bar(&self, what: &'static str, length: usize) -> indicatif::ProgressBar {
-        let bar = if self.setup.progress {
+        let bar = if self.options.progress {
             indicatif::ProgressBar::new(length as u64)
         } else {
             indicatif::ProgressBar::hidden()
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/scenario.rs
@@ -4,11 +4,11 @@
 //!
 //! ```
 //! let text = "faults {\n at 2s for 3s slow caches 1/8 by 4\n}\n";
-//! let (play, faults) = chalkhall_harness::play::read_text(text);
+//! let (scenario, faults) = chalkhall_harness::scenario::read_text(text);
 //! assert!(faults.is_empty());
-//! assert_eq!(play.faults.len(), 1);
+//! assert_eq!(scenario.faults.len(), 1);
 //!
-//! let (_, faults) = chalkhall_harness::play::read_text("work {\n secnds 4\n}\n");
+//! let (_, faults) = chalkhall_harness::scenario::read_text("work {\n secnds 4\n}\n");
 //! assert_eq!(faults[0].to_string(), "2:2: secnds is not a directive of work; seconds is");
 //! ```
 
@@ -211,17 +211,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Play {
+pub struct Scenario {
     pub fleet: FleetSettings,
-    pub work: Workload,
+    pub workload: Workload,
     pub faults: Vec<Fault>,
-    pub must: Requirements,
+    pub requirements: Requirements,
 }
 
-impl Default for Play {
-    fn default() -> Play {
+impl Default for Scenario {
+    fn default() -> Scenario {
         let seconds = Duration::from_secs;
-        Play {
+        Scenario {
             fleet: FleetSettings {
                 routers: 40,
                 zones: 4,
@@ -243,7 +243,7 @@
                 jitter: 0.2,
                 pass_through: true,
             },
-            work: Workload {
+            workload: Workload {
                 duration: seconds(10),
                 warmup: seconds(2),
                 requests_per_s: 300.0,
@@ -259,17 +259,17 @@
                 max_age: seconds(60),
             },
             faults: Vec::new(),
-            must: Requirements::default(),
+            requirements: Requirements::default(),
         }
     }
 }
 
-impl Play {
+impl Scenario {
     /// Start of the second measurement: this long after the end of the last fault, or after the start
     /// of a fault that lasts to the end of the run.
     pub fn second_measurement_start(&self) -> Duration {
-        let (warmup, duration) = (self.work.warmup, self.work.duration);
-        let after = self.must.after.unwrap_or(Duration::from_secs(3));
+        let (warmup, duration) = (self.workload.warmup, self.workload.duration);
+        let after = self.requirements.after.unwrap_or(Duration::from_secs(3));
         let over = self
             .faults
             .iter()
@@ -282,7 +282,7 @@
     }
 
     /// Describes what cannot be played although it was parsed.
-    pub fn faults_of_sense(&self) -> Vec<String> {
+    pub fn inconsistencies(&self) -> Vec<String> {
         let (fleet, mut found) = (&self.fleet, Vec::new());
         let mut wrong = |is: bool, what: String| found.extend(is.then_some(what));
         wrong(
@@ -294,12 +294,12 @@
             format!("{} zones need at least as many caches", fleet.zones),
         );
         wrong(
-            self.work.warmup >= self.work.duration,
+            self.workload.warmup >= self.workload.duration,
             "lead is not shorter than seconds: nothing would be measured".into(),
         );
         for fault in &self.faults {
             wrong(
-                fault.start > self.work.duration,
+                fault.start > self.workload.duration,
                 format!(
                     "a fault at {:?} starts after the end of the run",
                     fault.start
@@ -335,12 +335,12 @@
     }
 }
 
-pub fn read(path: &Path) -> (Play, Vec<FileFault>) {
-    chalkhall_config::read_with(&PLAY, path)
+pub fn read(path: &Path) -> (Scenario, Vec<FileFault>) {
+    chalkhall_config::read_with(&DIRECTIVES, path)
 }
 
-pub fn read_text(text: &str) -> (Play, Vec<FileFault>) {
-    chalkhall_config::read_text_with(&PLAY, text)
+pub fn read_text(text: &str) -> (Scenario, Vec<FileFault>) {
+    chalkhall_config::read_text_with(&DIRECTIVES, text)
 }
 
 type ParseError = (usize, String);
@@ -505,8 +505,8 @@
     name: &'static str,
     usage: &'static str,
     help: &'static str,
-    set: fn(&mut Play, &[&str]) -> Result<(), ParseError>,
-) -> Directive<Play> {
+    set: fn(&mut Scenario, &[&str]) -> Result<(), ParseError>,
+) -> Directive<Scenario> {
     Directive {
         section,
         name,
@@ -536,7 +536,7 @@
 }
 
 /// All directives of a scenario file.
-pub const PLAY: Table<Play> = Table::new(
+pub const DIRECTIVES: Table<Scenario> = Table::new(
     &["fleet", "work", "faults", "must"],
     &[
         entry("fleet", "routers", "COUNT", "router processes", |p, w| {
@@ -719,7 +719,7 @@
             },
         },
         entry("work", "seconds", "COUNT", "how long it comes", |p, w| {
-            p.work.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
+            p.workload.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
             Ok(())
         }),
         entry(
@@ -728,7 +728,7 @@
             "SPAN",
             "before anything is measured",
             |p, w| {
-                p.work.warmup = at_word(0, values::duration(w[0]))?;
+                p.workload.warmup = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -738,7 +738,7 @@
             "NUMBER",
             "requests a second over all",
             |p, w| {
-                p.work.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
+                p.workload.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
                 Ok(())
             },
         ),
@@ -748,20 +748,20 @@
             "NUMBER",
             "the busiest router's rate over the mean",
             |p, w| {
-                p.work.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
+                p.workload.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
                 Ok(())
             },
         ),
         entry("work", "objects", "COUNT", "objects there are", |p, w| {
-            p.work.objects = parse_count(w[0], 1, 10_000_000)?;
+            p.workload.objects = parse_count(w[0], 1, 10_000_000)?;
             Ok(())
         }),
         entry("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
-            p.work.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
+            p.workload.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
             Ok(())
         }),
         entry("work", "size", "KB", "mean of an object", |p, w| {
-            p.work.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
+            p.workload.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
         entry(
@@ -770,7 +770,7 @@
             "SHARE",
             "of requests that must not run twice",
             |p, w| {
-                p.work.write_share = at_word(0, values::share(w[0]))?;
+                p.workload.write_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
@@ -780,7 +780,7 @@
             "SPAN",
             "how long a client waits, all tries together",
             |p, w| {
-                p.work.client_timeout = at_word(0, values::duration(w[0]))?;
+                p.workload.client_timeout = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -790,7 +790,7 @@
             "SPAN",
             "within which an answer earns all of its value",
             |p, w| {
-                p.work.soft_deadline = at_word(0, values::duration(w[0]))?;
+                p.workload.soft_deadline = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -800,7 +800,7 @@
             "COUNT",
             "how often a client asks again",
             |p, w| {
-                p.work.max_retries = parse_count(w[0], 0, 20)?;
+                p.workload.max_retries = parse_count(w[0], 0, 20)?;
                 Ok(())
             },
         ),
@@ -810,12 +810,12 @@
             "SHARE",
             "of clients that come back when they are told",
             |p, w| {
-                p.work.retry_after_share = at_word(0, values::share(w[0]))?;
+                p.workload.retry_after_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
         entry("work", "fresh", "SPAN", "how long a copy is", |p, w| {
-            p.work.max_age = at_word(0, values::duration(w[0]))?;
+            p.workload.max_age = at_word(0, values::duration(w[0]))?;
             Ok(())
         }),
         Directive {
@@ -837,7 +837,7 @@
             "SHARE",
             "of the value asked for, at least",
             |p, w| {
-                p.must.service = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -847,7 +847,7 @@
             "NUMBER",
             "busiest over mean, over that of who sees all, at most",
             |p, w| {
-                p.must.peak = Some(parse_number(w[0], 0.1, 100.0)?);
+                p.requirements.peak = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
@@ -857,7 +857,7 @@
             "SHARE",
             "of warm server-seconds under a quarter of the mean, at most",
             |p, w| {
-                p.must.idle = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.idle = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -867,7 +867,7 @@
             "NUMBER",
             "same next server over independence, at most",
             |p, w| {
-                p.must.herd = Some(parse_number(w[0], 0.1, 100.0)?);
+                p.requirements.herd = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
@@ -877,7 +877,7 @@
             "NUMBER",
             "servers from crowded to idle and back, at most",
             |p, w| {
-                p.must.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
+                p.requirements.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
                 Ok(())
             },
         ),
@@ -887,7 +887,7 @@
             "SHARE",
             "of what lost zones asked for, at least",
             |p, w| {
-                p.must.lost_service = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.lost_service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -897,7 +897,7 @@
             "SPAN",
             "from a loss until requests go elsewhere, at most",
             |p, w| {
-                p.must.plan = Some(at_word(0, values::duration(w[0]))?);
+                p.requirements.plan = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
             },
         ),
@@ -907,7 +907,7 @@
             "SHARE",
             "of requests that left without need, at most",
             |p, w| {
-                p.must.needless = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.needless = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -917,7 +917,7 @@
             "SPAN",
             "what is measured begins so long after the last fault",
             |p, w| {
-                p.must.after = Some(at_word(0, values::duration(w[0]))?);
+                p.requirements.after = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
             },
         ),
--- a/crates/harness/src/play/tests.rs
+++ b/crates/harness/src/scenario/tests.rs
@@ -25,9 +25,9 @@
     let text = "faults {\n at 5s for 4s silent caches 3 to routers 1/4\n at 1s kill routers 70%\n \
                 at 2s over 7s \
                 replace caches 3/10\n at 1s shift location 0 to 3\n}\n";
-    let (play, faults) = read_text(text);
+    let (scenario, faults) = read_text(text);
     assert_eq!(faults, []);
-    let kinds: Vec<FaultKind> = play.faults.iter().map(|f| f.kind).collect();
+    let kinds: Vec<FaultKind> = scenario.faults.iter().map(|f| f.kind).collect();
     assert_eq!(
         kinds[0],
         FaultKind::Apart(Target::Caches(Amount::Count(3)), Amount::Share(0.25))
@@ -38,11 +38,11 @@
     );
     assert_eq!(kinds[3], FaultKind::Shift(0, 3));
     assert_eq!(
-        play.second_measurement_start(),
+        scenario.second_measurement_start(),
         Duration::from_secs(9),
         "the fault that lasts to the end starts at 5 s"
     );
-    assert!(play.faults_of_sense().is_empty());
+    assert!(scenario.inconsistencies().is_empty());
 }
 
 proptest! {
--- a/crates/harness/src/server_model/tests.rs
+++ b/crates/harness/src/server_model/tests.rs
@@ -127,7 +127,7 @@
         },
     );
     assert_eq!(replies(&mut model, 500).len(), 2);
-    assert_eq!(model.invariants.breaks.double_runs, 1);
+    assert_eq!(model.invariants.violations.double_runs, 1);
 }
 
 #[test]
@@ -144,11 +144,14 @@
         };
         (0..most).for_each(|_| send(&mut model, 1));
         assert_eq!(
-            model.invariants.breaks.cold, 0,
+            model.invariants.violations.cold, 0,
             "{most} attempts are within the limit"
         );
         (0..3).for_each(|_| send(&mut model, 2));
-        assert_eq!(model.invariants.breaks.cold, 1, "one overload counts once");
+        assert_eq!(
+            model.invariants.violations.cold, 1,
+            "one overload counts once"
+        );
         let mut model = self::model();
         model.stop_server(ms(0), at);
         model.start_server(ms(0), at);
@@ -157,7 +160,7 @@
             model.receive(ms(n * 1200 / most), 0, attempt(n + 1, n + 1));
         });
         assert_eq!(
-            model.invariants.breaks.cold, 0,
+            model.invariants.violations.cold, 0,
             "the same work in twice the time"
         );
     }
@@ -201,7 +204,7 @@
         },
     );
     assert_eq!(replies(&mut model, 4000), [(1, "OK", "via_origin")]);
-    assert_eq!(model.invariants.breaks.stale, 0);
+    assert_eq!(model.invariants.violations.stale, 0);
     model.servers[0].cache.clear();
     model.servers[0].preload(
         (7, 0),
@@ -212,7 +215,7 @@
     );
     model.receive(ms(5000), 0, attempt(2, 7));
     assert_eq!(
-        (replies(&mut model, 6000), model.invariants.breaks.stale),
+        (replies(&mut model, 6000), model.invariants.violations.stale),
         (vec![(2, "OK", "hit")], 1)
     );
 }
--- a/crates/harness/src/workload.rs
+++ b/crates/harness/src/workload.rs
@@ -3,7 +3,7 @@
 //! coordinated omission.
 
 use crate::object_cache::Key;
-use crate::play::{FaultKind, Play};
+use crate::scenario::{FaultKind, Scenario};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -68,48 +68,49 @@
 }
 
 /// Zipf distribution over popularity ranks.
-pub fn popularity_weights(play: &Play) -> CumulativeWeights {
+pub fn popularity_weights(scenario: &Scenario) -> CumulativeWeights {
     CumulativeWeights::new(
-        (1..=play.work.objects)
-            .map(|popularity_rank| (popularity_rank as f64).powf(-play.work.zipf_exponent)),
+        (1..=scenario.workload.objects)
+            .map(|popularity_rank| (popularity_rank as f64).powf(-scenario.workload.zipf_exponent)),
     )
 }
 
 /// The zone of a router; routers are assigned round-robin.
-pub fn zone_of(router: usize, play: &Play) -> usize {
-    router % play.fleet.zones
+pub fn zone_of(router: usize, scenario: &Scenario) -> usize {
+    router % scenario.fleet.zones
 }
 
 /// All requests, ordered by time.
-pub fn arrivals(play: &Play, seed: u64) -> Vec<Arrival> {
+pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (work, fleet) = (&play.work, &play.fleet);
-    let routers =
-        CumulativeWeights::new(router_shares(fleet.routers, work.peak_to_mean, seed).into_iter());
-    let objects = popularity_weights(play);
+    let (workload, fleet) = (&scenario.workload, &scenario.fleet);
+    let routers = CumulativeWeights::new(
+        router_shares(fleet.routers, workload.peak_to_mean, seed).into_iter(),
+    );
+    let objects = popularity_weights(scenario);
     let (mut now, mut all) = (0.0, Vec::new());
     loop {
-        now += -(1.0 - rng.f64()).ln() / work.requests_per_s;
+        now += -(1.0 - rng.f64()).ln() / workload.requests_per_s;
         let at = Duration::from_secs_f64(now);
-        if at >= work.duration {
+        if at >= workload.duration {
             return all;
         }
         let (mut router, mut popularity_rank) = (routers.draw(&mut rng), objects.draw(&mut rng));
         let (write, honors_retry_after) = (
-            rng.f64() < work.write_share,
-            rng.f64() < work.retry_after_share,
+            rng.f64() < workload.write_share,
+            rng.f64() < workload.retry_after_share,
         );
         let hot_draw = rng.f64();
-        for fault in play
+        for fault in scenario
             .faults
             .iter()
             .filter(|f| (f.start..f.start + f.duration).contains(&at))
         {
             match fault.kind {
                 FaultKind::Hot(share) if hot_draw < share => {
-                    popularity_rank = work.objects + at.as_secs() as usize
+                    popularity_rank = workload.objects + at.as_secs() as usize
                 }
-                FaultKind::Shift(from, to) if zone_of(router, play) == from => {
+                FaultKind::Shift(from, to) if zone_of(router, scenario) == from => {
                     router = (router - from + to).min(fleet.routers - 1);
                 }
                 _ => {}
@@ -120,7 +121,7 @@
             at,
             router,
             key: (object_id, 0),
-            kb: object_kb(object_id, work.mean_object_kb),
+            kb: object_kb(object_id, workload.mean_object_kb),
             write,
             honors_retry_after,
         });
--- a/crates/harness/src/zone_metrics.rs
+++ b/crates/harness/src/zone_metrics.rs
@@ -9,7 +9,7 @@
 //! | `toppled` | seconds in which a zone that was not lost earned under half of what it requested |
 
 use crate::load_balance::ServerRecord;
-use crate::play::{FaultKind, Play, Target};
+use crate::scenario::{FaultKind, Scenario, Target};
 use crate::server_model::SentAttempt;
 use crate::zone_network;
 use std::time::Duration;
@@ -27,10 +27,10 @@
     pub lost_service: f64,
     pub lost_limit: f64,
     /// None if no zone was lost or its attempts were never redirected.
-    pub plan: Option<Duration>,
+    pub time_to_redirect: Option<Duration>,
     pub abroad: f64,
-    pub needless: f64,
-    pub toppled: u64,
+    pub needless_redirects: f64,
+    pub overloaded_zone_seconds: u64,
 }
 
 /// By zone and second: value requested and value earned.
@@ -67,17 +67,17 @@
 
     pub fn measure(
         &self,
-        play: &Play,
+        scenario: &Scenario,
         sent: &[SentAttempt],
         records: &[ServerRecord],
     ) -> ZoneMetrics {
-        let zones = play.fleet.zones;
+        let zones = scenario.fleet.zones;
         let mut losses: Vec<(usize, Duration, Duration)> = Vec::new();
-        for fault in &play.faults {
+        for fault in &scenario.faults {
             let affects: Vec<usize> = match fault.kind {
                 FaultKind::Lose(Target::Zone(at)) => vec![at],
                 FaultKind::LoseRegion(region) => (0..zones)
-                    .filter(|at| zone_network::region(*at, &play.fleet) == region)
+                    .filter(|at| zone_network::region(*at, &scenario.fleet) == region)
                     .collect(),
                 _ => Vec::new(),
             };
@@ -89,14 +89,14 @@
         }
         let home = |attempt: &SentAttempt| attempt.router % zones;
         let (mut requested, mut earned, mut limit, mut plan) = (0.0, 0.0, 0.0, Duration::ZERO);
-        let (mut was_redirected, duration) = (true, play.work.duration);
+        let (mut was_redirected, duration) = (true, scenario.workload.duration);
         for (at, from, to) in &losses {
             let (zone_requested, zone_earned) =
                 self.sum(*at, *from, (*to + RECOVERY_PERIOD).min(duration));
             (requested, earned) = (requested + zone_requested, earned + zone_earned);
             limit += zone_requested
                 * omniscient_limit(
-                    play,
+                    scenario,
                     records,
                     &losses,
                     *at,
@@ -121,7 +121,7 @@
                 None => was_redirected = false,
             }
         }
-        let warmup = play.work.warmup;
+        let warmup = scenario.workload.warmup;
         let counted = || {
             sent.iter()
                 .filter(|attempt| attempt.at >= warmup && attempt.at < duration)
@@ -169,10 +169,10 @@
             } else {
                 1.0
             },
-            plan: (was_redirected && !losses.is_empty()).then_some(plan),
+            time_to_redirect: (was_redirected && !losses.is_empty()).then_some(plan),
             abroad: abroad as f64 / all,
-            needless: needless as f64 / all,
-            toppled: toppled.sum(),
+            needless_redirects: needless as f64 / all,
+            overloaded_zone_seconds: toppled.sum(),
         }
     }
 }
@@ -180,15 +180,16 @@
 /// Share of a zone's requests that could be served with full knowledge: by its own caches, and by the
 /// capacity that other zones have beyond their own clients' work, divided among all lost zones.
 fn omniscient_limit(
-    play: &Play,
+    scenario: &Scenario,
     records: &[ServerRecord],
     losses: &[(usize, Duration, Duration)],
     at: usize,
     from: Duration,
     to: Duration,
 ) -> f64 {
-    let zone_work = play.work.requests_per_s / play.fleet.zones as f64 * play.work.mean_object_kb
-        / play.fleet.client_kb_per_s;
+    let zone_work = scenario.workload.requests_per_s / scenario.fleet.zones as f64
+        * scenario.workload.mean_object_kb
+        / scenario.fleet.client_kb_per_s;
     let capacity_of = |zone: usize, now: Duration| {
         let there = records
             .iter()
@@ -202,7 +203,7 @@
             .filter(|(_, a, b)| (*a..*b).contains(&now))
             .count()
             .max(1) as f64;
-        let others = (0..play.fleet.zones).filter(|other| *other != at);
+        let others = (0..scenario.fleet.zones).filter(|other| *other != at);
         let spare: f64 = others
             .map(|other| (capacity_of(other, now) - zone_work).max(0.0))
             .sum();
--- a/crates/harness/src/zone_metrics/tests.rs
+++ b/crates/harness/src/zone_metrics/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use crate::play::Fault;
+use crate::scenario::Fault;
 
 #[test]
 fn a_zone_loss_is_measured_from_the_attempts() {
     let s = Duration::from_secs;
-    let mut play = Play::default();
-    play.work.duration = s(10);
-    play.work.warmup = s(0);
-    play.work.requests_per_s = 60.0;
-    play.faults.push(Fault {
+    let mut scenario = Scenario::default();
+    scenario.workload.duration = s(10);
+    scenario.workload.warmup = s(0);
+    scenario.workload.requests_per_s = 60.0;
+    scenario.faults.push(Fault {
         start: s(2),
         duration: s(2),
         kind: FaultKind::Lose(Target::Zone(1)),
@@ -47,16 +47,16 @@
             hit: true,
         });
     }
-    let found = zone_value.measure(&play, &sent, &records);
+    let found = zone_value.measure(&scenario, &sent, &records);
     assert!((found.lost_service - 6.0 / 7.0).abs() < 1e-9, "{found:?}");
     assert!(
         found
-            .plan
+            .time_to_redirect
             .is_some_and(|plan| plan > Duration::from_millis(700) && plan <= s(1)),
         "{found:?}"
     );
     assert!(
-        (found.needless - 0.001).abs() < 1e-9 && found.toppled == 0,
+        (found.needless_redirects - 0.001).abs() < 1e-9 && found.overloaded_zone_seconds == 0,
         "{found:?}"
     );
     assert!(found.lost_limit > 0.9);
--- a/crates/harness/src/zone_network.rs
+++ b/crates/harness/src/zone_network.rs
@@ -5,7 +5,7 @@
 //! segment, and a cut holds them until it is over. Datagrams are lost. The parents and the origin form
 //! a node of their own (the hub), as close to each zone as zones of one region are to each other.
 
-use crate::play::FleetSettings;
+use crate::scenario::FleetSettings;
 use std::time::Duration;
 
 /// Delay of a retransmission, and the interval at which bytes held by a cut are retried.
--- a/crates/harness/src/zone_network/tests.rs
+++ b/crates/harness/src/zone_network/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::play::Play;
+use crate::scenario::Scenario;
 
 fn fleet() -> FleetSettings {
     let (intra_region_delay, inter_region_delay) =
@@ -10,7 +10,7 @@
         intra_region_delay,
         inter_region_delay,
         jitter: 0.2,
-        ..Play::default().fleet
+        ..Scenario::default().fleet
     }
 }
 
@@ -41,7 +41,7 @@
     });
     assert!(network.delay(1, 2, &mut rng).expect("not cut") >= Duration::from_millis(15));
     assert!(network.delay(2, 1, &mut rng).expect("not cut") < Duration::from_millis(4));
-    assert_eq!(ZoneNetwork::new(&Play::default().fleet), None);
+    assert_eq!(ZoneNetwork::new(&Scenario::default().fleet), None);
 }
 
 #[test]
--- a/crates/router/src/latency_probes.rs
+++ b/crates/router/src/latency_probes.rs
@@ -1,8 +1,8 @@
 //! Measures the round trip of network paths with probes to cache servers, on separate connections
 //! with one probe at a time.
 //!
-//! A probe without an answer within [`PROBE_TIMEOUT`] is reported as lost, and the next one uses a new
-//! connection. Probes never block, and those that exceed the limits are dropped.
+//! A probe without an answer within [`PROBE_TIMEOUT`] is reported as lost, and the next one uses a
+//! new connection. Probes never block, and those that exceed the limits are dropped.
 
 use crate::io_errors::{ConnectFailure, set_nodelay};
 use crate::messages::Message;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -239,7 +239,8 @@
             .map_or((0, 0), |queue| (queue.waiting.len(), queue.in_flight.len()))
     }
 
-    /// Starts the next task and returns its kind. Its estimated cost is charged; [`Scheduler::complete`] corrects it.
+    /// Starts the next task and returns its kind. Its estimated cost is charged; [`Scheduler::complete`] corrects
+    /// it.
     pub fn next(&mut self, now: Duration) -> Option<usize> {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/store/src/decide/disk/mod.rs
+++ b/crates/store/src/decide/disk/mod.rs
@@ -165,8 +165,8 @@
     fn write_catalogue(&mut self, lines: Vec<CatalogueLine>) -> bool;
     /// Delivers the result of a read started with `Store::start_read`.
     fn read_completed(&mut self, _ticket: u64, _fetched: ReadResult) {}
-    /// Requests a revalidation of this copy with its source. Completes with `Store::confirm_version` or `Store::insert`, or
-    /// not at all.
+    /// Requests a revalidation of this copy with its source. Completes with `Store::confirm_version` or
+    /// `Store::insert`, or not at all.
     fn revalidate(&mut self, _copy: &Copy) {}
     /// Notifies that this copy is durable.
     fn copy_durable(&mut self, _key: Key, _created_at_ms: u64) {}
--- a/crates/store/src/threads.rs
+++ b/crates/store/src/threads.rs
@@ -241,8 +241,8 @@
     }
 }
 
-/// Runs operations until the queue is closed. `segment_files` must be dropped before `results`: the closed channel
-/// signals that the directory is unlocked and can be opened again at once.
+/// Runs operations until the queue is closed. `segment_files` must be dropped before `results`: the closed
+/// channel signals that the directory is unlocked and can be opened again at once.
 fn run_worker(
     operations: Receiver<Operation>,
     results: Sender<CompletedOperation>,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -211,7 +211,7 @@
         Fill {
             source: route.source.clone(),
             priority: request.retention_priority * u8::from(is_for_cache),
-            max_age: max_age,
+            max_age,
             may_join: self.joins_fills,
             // While the origin fails, fetches from it would only delay the copies that parents
             // hold.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,13 +3,13 @@
 //! handles failures.
 //!
 //! [`control::Router`] makes the decisions; each concern has a module of its own. [`interface`]
-//! defines its input types and the [`interface::ActionSink`] trait, through which it acts. Any front
-//! end can drive it; `crates/simulator-adapter` is one.
+//! defines its input types and the [`interface::ActionSink`] trait, through which it acts. Any
+//! front end can drive it; `crates/simulator-adapter` is one.
 //!
 //! A front end implements [`interface::ActionSink`] to turn the router's actions into messages:
 //!
 //! ```
-//! use chalkhall::interface::{Fill, Id, ActionSink};
+//! use chalkhall::interface::{ActionSink, Fill, Id};
 //! use std::time::Duration;
 //!
 //! struct Printer(Vec<String>);
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,8 +1,8 @@
 //! The router: a state machine without I/O that makes every decision about requests.
 //!
 //! [`Router::start`] creates it; each kind of event has a method, which takes the time since the
-//! start and the [`ActionSink`] for the router's actions. The state is held by modules with one concern
-//! each. `lifecycle` decides the next step of a request, `routing` selects its destination,
+//! start and the [`ActionSink`] for the router's actions. The state is held by modules with one
+//! concern each. `lifecycle` decides the next step of a request, `routing` selects its destination,
 //! `dispatch` enforces the rules for sending it, and `completion` and `overdue` process results and
 //! missing results of attempts.
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -13,8 +13,8 @@
 /// The fraction of a server's budget that the routers use together, as capacity hints may be
 /// inaccurate.
 const BUDGET_MARGIN: f64 = 0.45;
-/// The number of windows for which a draw of the routers is valid. In the window after a new draw, the
-/// routers of both draws may send, so a longer period reduces that overlap.
+/// The number of windows for which a draw of the routers is valid. In the window after a new draw,
+/// the routers of both draws may send, so a longer period reduces that overlap.
 const DRAW_PERIOD_WINDOWS: f64 = 8.0;
 /// The maximum fraction of the budget that one transfer in the lottery may take.
 const MAX_DRAWN_SHARE: f64 = 1.0 / 8.0;
@@ -154,9 +154,9 @@
     }
 
     /// With many routers, no share covers one transfer. A few routers, selected by hash, may then
-    /// send one transfer per window, or several small ones that together fit in half of the mean. The
-    /// expected sum in any window equals the sum of the shares. The lottery rounds small sizes up:
-    /// with exact sizes, a router could win once for each size that it is asked for.
+    /// send one transfer per window, or several small ones that together fit in half of the mean.
+    /// The expected sum in any window equals the sum of the shares. The lottery rounds small sizes
+    /// up: with exact sizes, a router could win once for each size that it is asked for.
     fn is_drawn(&self, endpoint: &Endpoint, budget: &Budget, sent: f64, work: f64) -> bool {
         let (mean, share) = (self.mean_work.seconds, budget.share);
         let small = mean * SMALL_WORK_SHARE;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -149,8 +149,8 @@
             "router {router} sent two within a window: {pair:?}"
         );
     }
-    // The routers drawn change: those of the first four windows differ from those of four windows after
-    // their draws have ended.
+    // The routers drawn change: those of the first four windows differ from those of four windows
+    // after their draws have ended.
     let senders = |from: u64| {
         let (from, to) = (started + ms(from), started + ms(from + 4000));
         let sends_in_period =
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -20,7 +20,8 @@
 const STARTED: Duration = Duration::from_millis(6000);
 const WARMING: &str = "warming";
 
-/// The number of requests of mean work that may reach a server in one window when the settings allow
+/// The number of requests of mean work that may reach a server in one window when the settings
+/// allow
 /// `allowed`.
 fn bound(allowed: f64) -> f64 {
     let slack = if allowed < 30.0 { 3.0 } else { 2.0 };
