--- a/crates/cli/src/bin/proof-store/timings.rs
+++ b/crates/cli/src/bin/proof-store/timings.rs
@@ -4,12 +4,12 @@
 use bytes::Bytes;
 use chalkhall::control::Router;
 use chalkhall::interface::*;
-use chalkhall_cli::rig::Rig;
+use chalkhall_cli::store_driver::StoreDriver;
 use chalkhall_store::copy::Copy;
-use chalkhall_store::decide::disk::Wanted;
-use chalkhall_store::decide::{Part, Place};
+use chalkhall_store::decide::disk::DiskSettings;
+use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::{Disk, Piece};
+use chalkhall_store::stand_ins::{Disk, TestPart};
 use hdrhistogram::Histogram;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -20,52 +20,61 @@
 
 const STORE_TIMEOUT: Duration = Duration::from_secs(60);
 
-fn disk_settings(bytes: u64) -> Wanted {
-    Wanted {
+fn disk_settings(bytes: u64) -> DiskSettings {
+    DiskSettings {
         bytes,
         index: 64 << 20,
-        least_fresh: Duration::ZERO,
+        min_freshness: Duration::ZERO,
         known_purges: Duration::from_secs(100_000),
         scrub: 0,
         read_ahead: 0,
-        ..Wanted::default()
+        ..DiskSettings::default()
     }
 }
 
 /// Writes `parts` parts of `size` bytes to a new store, which then stops without an orderly shutdown, as after a
 /// kill.
-fn fill_store(path: &Path, parts: u64, size: usize) -> Result<Vec<Piece>, String> {
-    let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
-    let pieces: Vec<Piece> = (0..parts)
-        .map(|n| Piece {
+fn fill_store(path: &Path, parts: u64, size: usize) -> Result<Vec<TestPart>, String> {
+    let mut driver = StoreDriver::open(path, 0, disk_settings(4 << 30), 4)?;
+    let test_parts: Vec<TestPart> = (0..parts)
+        .map(|n| TestPart {
             object: n / 16,
             part: n % 16,
         })
         .collect();
-    for (n, piece) in pieces.iter().enumerate() {
-        let made = chalkhall_cli::rig::unix_ms();
-        let written_count = |rig: &Rig| rig.store.disk().map_or(0, |disk| disk.counts().written);
+    for (n, test_part) in test_parts.iter().enumerate() {
+        let created_at_ms = chalkhall_cli::store_driver::unix_ms();
+        let written_count =
+            |driver: &StoreDriver| driver.store.disk().map_or(0, |disk| disk.counts().written);
         // Limits the writes in flight to what the store's queues accept.
         let max_in_flight = (2 << 20) / size as u64;
-        if !rig.until(STORE_TIMEOUT, |rig| {
-            n as u64 - written_count(rig) < max_in_flight.clamp(4, 200)
+        if !driver.poll_until(STORE_TIMEOUT, |driver| {
+            n as u64 - written_count(driver) < max_in_flight.clamp(4, 200)
         }) {
             return Err("the disk did not catch up with the writes within 60 s".into());
         }
-        let now = rig.now();
-        rig.store
-            .keep(now, piece.version(1, made, size), 2, &mut rig.shelf);
+        let now = driver.now();
+        driver.store.insert(
+            now,
+            test_part.copy_of_version(1, created_at_ms, size),
+            2,
+            &mut driver.connector,
+        );
     }
-    let all = |rig: &mut Rig| {
-        rig.store
+    let all = |driver: &mut StoreDriver| {
+        driver
+            .store
             .disk()
             .is_some_and(|disk| disk.index().len() as u64 == parts)
     };
-    if !rig.until(STORE_TIMEOUT, all) {
-        return Err(format!("{:?}", rig.store.disk().map(|disk| disk.counts())));
+    if !driver.poll_until(STORE_TIMEOUT, all) {
+        return Err(format!(
+            "{:?}",
+            driver.store.disk().map(|disk| disk.counts())
+        ));
     }
-    rig.end(STORE_TIMEOUT);
-    Ok(pieces)
+    driver.stop(STORE_TIMEOUT);
+    Ok(test_parts)
 }
 
 fn segment_files(path: &Path) -> Result<Vec<PathBuf>, String> {
@@ -83,13 +92,16 @@
 /// blocks of the same size: the median of several rounds, one after the other.
 pub fn read_ratio(path: &Path, seed: u64) -> Result<f64, String> {
     const SIZE: usize = 200_000;
-    let pieces = fill_store(path, 400, SIZE)?;
+    let test_parts = fill_store(path, 400, SIZE)?;
     let files = segment_files(path)?;
-    let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
-    if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
+    let mut driver = StoreDriver::open(path, 0, disk_settings(4 << 30), 4)?;
+    if !driver.poll_until(STORE_TIMEOUT, |driver| driver.is_ready()) {
         return Err("the store was not ready within 60 s".into());
     }
-    let names: Vec<_> = pieces.iter().map(|piece| piece.name()).collect();
+    let names: Vec<_> = test_parts
+        .iter()
+        .map(|test_part| test_part.name())
+        .collect();
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut ratios = Vec::new();
     for _ in 0..7 {
@@ -105,29 +117,32 @@
             }
         }
         let plain = plain as f64 / begun.elapsed().as_secs_f64();
-        let mut order: Vec<usize> = (0..pieces.len()).collect();
+        let mut order: Vec<usize> = (0..test_parts.len()).collect();
         rng.shuffle(&mut order);
         let (begun, mut read) = (Instant::now(), 0);
         let mut order = order.into_iter();
-        let (mut in_flight, mut remaining) = (0usize, pieces.len());
+        let (mut in_flight, mut remaining) = (0usize, test_parts.len());
         while remaining > 0 {
             while in_flight < 16 {
                 let Some(n) = order.next() else { break };
                 let part = Part {
                     object: &names[n],
-                    part: pieces[n].part,
-                    group: pieces[n].group(),
+                    part: test_parts[n].part,
+                    group: test_parts[n].group(),
                 };
-                let now = rig.now();
-                rig.store
-                    .fetch(now, part, &mut rig.shelf)
+                let now = driver.now();
+                driver
+                    .store
+                    .start_read(now, part, &mut driver.connector)
                     .ok_or("a part is missing from the store")?;
                 in_flight += 1;
             }
-            rig.turn();
-            for (_, fetched) in rig.shelf.fetched.drain(..) {
+            driver.poll();
+            for (_, fetched) in driver.connector.completed_reads.drain(..) {
                 match fetched {
-                    chalkhall_store::decide::disk::Fetched::Copy(copy) => read += copy.body.len(),
+                    chalkhall_store::decide::disk::ReadResult::Copy(copy) => {
+                        read += copy.body.len()
+                    }
                     other => return Err(format!("{other:?}")),
                 }
                 (in_flight, remaining) = (in_flight - 1, remaining - 1);
@@ -140,7 +155,7 @@
 
 /// Time until the index is complete after a kill, over the time to read the headers of the same records in sequence.
 pub fn recovery_ratio(path: &Path) -> Result<f64, String> {
-    let pieces = fill_store(path, 100_000, 300)?;
+    let test_parts = fill_store(path, 100_000, 300)?;
     let files = segment_files(path)?;
     let mut ratios = Vec::new();
     for _ in 0..5 {
@@ -163,26 +178,26 @@
             }
         }
         let plain = begun.elapsed().as_secs_f64();
-        if headers != pieces.len() {
+        if headers != test_parts.len() {
             return Err(format!(
                 "read {headers} record headers of {} parts",
-                pieces.len()
+                test_parts.len()
             ));
         }
         let begun = Instant::now();
-        let mut rig = Rig::open(path, 0, disk_settings(4 << 30), 4)?;
-        let is_complete = |rig: &mut Rig| {
-            rig.is_ready()
-                && rig
+        let mut driver = StoreDriver::open(path, 0, disk_settings(4 << 30), 4)?;
+        let is_complete = |driver: &mut StoreDriver| {
+            driver.is_ready()
+                && driver
                     .store
                     .disk()
-                    .is_some_and(|d| d.index().len() == pieces.len())
+                    .is_some_and(|d| d.index().len() == test_parts.len())
         };
-        if !rig.until(STORE_TIMEOUT, is_complete) {
+        if !driver.poll_until(STORE_TIMEOUT, is_complete) {
             return Err("the index was not complete within 60 s".into());
         }
         ratios.push(begun.elapsed().as_secs_f64() / plain);
-        rig.end(STORE_TIMEOUT);
+        driver.stop(STORE_TIMEOUT);
     }
     Ok(median(ratios))
 }
@@ -190,40 +205,40 @@
 /// Runs requests that are answered from memory through the router's decisions and the store.
 struct RequestRunner {
     router: Option<Router>,
-    rig: Rig,
+    driver: StoreDriver,
     name: Bytes,
     answer: Option<Rc<Copy>>,
     timers: Vec<u64>,
 }
 
 impl RequestRunner {
-    fn new(rig: Rig) -> RequestRunner {
+    fn new(driver: StoreDriver) -> RequestRunner {
         let mut runner = RequestRunner {
             router: None,
-            rig,
+            driver,
             name: Bytes::new(),
             answer: None,
             timers: Vec::new(),
         };
-        let now = runner.rig.now();
+        let now = runner.driver.now();
         let mut router = Router::start(now, &day::deployment(), &mut runner);
-        router.list(now, ListKind::Whole, &day::members(), &mut runner);
+        router.update_list(now, ListKind::Snapshot, &day::members(), &mut runner);
         runner.router = Some(router);
         runner
     }
 
     /// Runs one request and returns its duration, from its arrival to its end.
-    fn request(&mut self, n: u64, piece: Piece, name: &Bytes) -> Result<Duration, String> {
+    fn request(&mut self, n: u64, test_part: TestPart, name: &Bytes) -> Result<Duration, String> {
         let id: Id = n.to_string().into();
         let object = std::str::from_utf8(name).map_err(|e| e.to_string())?;
-        let (kb, left) = (2.0, Duration::from_secs(5));
-        let arrival = Arrival {
+        let (kb, time_left) = (2.0, Duration::from_secs(5));
+        let arrival = IncomingRequest {
             id: id.clone(),
             object: object.into(),
-            part: piece.part,
+            part: test_part.part,
             kb,
-            left,
-            ..Arrival::default()
+            time_left,
+            ..IncomingRequest::default()
         };
         (self.name, self.answer) = (name.clone(), None);
         let mut router = self
@@ -231,75 +246,75 @@
             .take()
             .ok_or("the router is already handling a request")?;
         let begun = Instant::now();
-        let now = self.rig.now();
+        let now = self.driver.now();
         router.request(now, arrival, self);
-        let (outcome, remark, over) = (Outcome::Served, Remark::Hit, true);
-        let (took, load) = (Duration::ZERO, Load::default());
-        router.result(
+        let (outcome, remark, is_complete) = (Outcome::Served, Remark::Hit, true);
+        let (duration, load) = (Duration::ZERO, Load::default());
+        router.attempt_ended(
             now,
             &id,
             0,
-            &Ended {
+            &AttemptResult {
                 outcome,
                 remark,
-                took,
+                duration,
                 first_byte: None,
-                over,
+                is_complete,
                 load,
             },
             self,
         );
-        let took = begun.elapsed();
+        let duration = begun.elapsed();
         // Its timers fire after it has ended, outside of the measured duration.
         let timers = std::mem::take(&mut self.timers);
         timers
             .into_iter()
-            .for_each(|mark| router.wake(now, mark, self));
+            .for_each(|timer_id| router.wake(now, timer_id, self));
         self.router = Some(router);
         std::hint::black_box(
             self.answer
                 .take()
                 .ok_or("a request was not answered from memory")?,
         );
-        Ok(took)
+        Ok(duration)
     }
 }
 
-impl Outlet for RequestRunner {
+impl ActionSink for RequestRunner {
     fn attempt(&mut self, _request: &Id, _server: &Id, _limit: Duration, _fill: &Fill) {
-        let now = self.rig.now();
+        let now = self.driver.now();
         let part = Part {
             object: &self.name,
             part: 0,
             group: 0,
         };
-        self.answer = self.rig.store.take(now, part);
+        self.answer = self.driver.store.get(now, part);
     }
-    fn reject(&mut self, _request: &Id, _advice: Option<Duration>) {}
+    fn reject(&mut self, _request: &Id, _retry_after: Option<Duration>) {}
     fn fail(&mut self, _request: &Id) {}
     fn cancel(&mut self, _request: &Id, _attempt: usize) {}
-    fn wake_at(&mut self, _at: Duration, mark: u64) {
-        self.timers.push(mark);
+    fn set_timer(&mut self, _at: Duration, timer_id: u64) {
+        self.timers.push(timer_id);
     }
-    fn watch_list(&mut self) {}
-    fn held(&mut self, _request: &Id) -> Option<Held> {
+    fn subscribe_list(&mut self) {}
+    fn local_copy(&mut self, _request: &Id) -> Option<LocalCopy> {
         let part = Part {
             object: &self.name,
             part: 0,
             group: 0,
         };
-        let found = self.rig.store.find(part, None)?;
+        let found = self.driver.store.find(part, None)?;
         // Nothing expires in this deployment, so the age does not matter.
-        Some(Held {
-            place: "m1".into(),
-            made: Duration::ZERO,
-            same: false,
+        Some(LocalCopy {
+            cache: "m1".into(),
+            created_at: Duration::ZERO,
+            client_has_it: false,
         })
-        .filter(|_| found.place == Place::Memory)
+        .filter(|_| found.tier == CacheTier::Memory)
     }
-    fn keep(&mut self, _request: &Id, rank: u8) {
+    fn keep_local_copy(&mut self, _request: &Id, rank: u8) {
         let name = self.name.clone();
-        self.rig.store.rank(
+        self.driver.store.set_rank(
             Part {
                 object: &name,
                 part: 0,
@@ -323,33 +338,38 @@
 
 fn hung_ratio_of_new_stores(rng: &mut fastrand::Rng) -> Result<f64, String> {
     const OBJECTS: u64 = 500;
-    let pieces: Vec<Piece> = (0..OBJECTS)
-        .map(|object| Piece { object, part: 0 })
+    let test_parts: Vec<TestPart> = (0..OBJECTS)
+        .map(|object| TestPart { object, part: 0 })
+        .collect();
+    let names: Vec<Bytes> = test_parts
+        .iter()
+        .map(|test_part| test_part.name())
         .collect();
-    let names: Vec<Bytes> = pieces.iter().map(|piece| piece.name()).collect();
     let disk = Disk::new();
     let files = disk.clone();
     let take = move || Ok(Arc::new(files.clone()) as Arc<dyn Files>);
-    let mut rig = Rig::on(take, 64 << 20, disk_settings(1 << 30), 4)?;
-    if !rig.until(STORE_TIMEOUT, |rig| rig.is_ready()) {
+    let mut driver = StoreDriver::open_files(take, 64 << 20, disk_settings(1 << 30), 4)?;
+    if !driver.poll_until(STORE_TIMEOUT, |driver| driver.is_ready()) {
         return Err("the store was not ready within 60 s".into());
     }
     let mut runners = [
-        RequestRunner::new(Rig::alone(64 << 20)),
-        RequestRunner::new(rig),
+        RequestRunner::new(StoreDriver::memory_only(64 << 20)),
+        RequestRunner::new(driver),
     ];
     if rng.bool() {
         runners.reverse();
     }
-    let hung_index = usize::from(runners[1].rig.store.disk().is_some());
-    let made = chalkhall_cli::rig::unix_ms();
+    let hung_index = usize::from(runners[1].driver.store.disk().is_some());
+    let created_at_ms = chalkhall_cli::store_driver::unix_ms();
     for runner in &mut runners {
-        for piece in &pieces {
-            let now = runner.rig.now();
-            runner
-                .rig
-                .store
-                .keep(now, piece.version(1, made, 2000), 2, &mut runner.rig.shelf);
+        for test_part in &test_parts {
+            let now = runner.driver.now();
+            runner.driver.store.insert(
+                now,
+                test_part.copy_of_version(1, created_at_ms, 2000),
+                2,
+                &mut runner.driver.connector,
+            );
         }
     }
     disk.hang(true);
@@ -360,25 +380,25 @@
         for which in [round as usize % 2, 1 - round as usize % 2] {
             let mut times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
             for n in 0..10_000u64 {
-                let at = rng.usize(..pieces.len());
+                let at = rng.usize(..test_parts.len());
                 let runner = &mut runners[which];
                 if n % 1000 == 0 {
                     // Copies that the memory tier has no room for go on arriving, and with them writes to the disk.
-                    let now = runner.rig.now();
-                    let large = Piece {
+                    let now = runner.driver.now();
+                    let large = TestPart {
                         object: OBJECTS + round * 1000 + n,
                         part: 0,
                     };
-                    runner.rig.store.keep(
+                    runner.driver.store.insert(
                         now,
-                        large.version(1, made, 1 << 20),
+                        large.copy_of_version(1, created_at_ms, 1 << 20),
                         1,
-                        &mut runner.rig.shelf,
+                        &mut runner.driver.connector,
                     );
-                    runner.rig.turn();
+                    runner.driver.poll();
                 }
                 requests += 1;
-                let took = runner.request(requests, pieces[at], &names[at])?;
+                let took = runner.request(requests, test_parts[at], &names[at])?;
                 times
                     .record(took.as_nanos() as u64)
                     .map_err(|e| e.to_string())?;
--- a/crates/cli/src/cells.rs
+++ b/crates/cli/src/cells.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use chalkhall::interface::Id;
 use chalkhall_cells::plan::{CellCapacity, Reason, Tenant, plan as plan_of};
-use chalkhall_router::cell_routing::plan;
+use chalkhall_router::cell_routing::read_cell_plan;
 use chalkhall_settings as deployment;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
         .and_then(Value::as_object)
         .ok_or_else(|| fail(&"settings is missing"))?;
     let names = deployment::names(settings).map_err(|e| fail(&e))?;
-    let zone = deployment::whole(settings, "Locality").map_err(|e| fail(&e))? as usize;
+    let zone = deployment::unsigned(settings, "Locality").map_err(|e| fail(&e))? as usize;
     let not_caches = deployment::parent_and_origin(settings);
     let events = file["known"]["notices"]
         .as_array()
@@ -77,16 +77,16 @@
             .bindings
             .iter()
             .filter_map(|(bound, _)| match bound {
-                chalkhall_config::Bound::Class(name) => Some(name.clone()),
+                chalkhall_config::Scope::Class(name) => Some(name.clone()),
                 _ => None,
             })
             .collect();
         classes.dedup();
     }
-    let mut map = plan(&directives.cells, &classes)
+    let mut map = read_cell_plan(&directives.cells, &classes)
         .map_err(|error| Failure::new(error.to_string()))?
         .map;
-    map.place(&caches);
+    map.assign(&caches);
     let faults = map.faults();
     if as_json {
         let cells: Vec<Value> = map
@@ -180,7 +180,7 @@
         .map(|p| p / 100.0);
     let share = share.ok_or_else(|| Failure {
         code: 2,
-        what: format!("{most:?} is not a percentage such as 80%"),
+        reason: format!("{most:?} is not a percentage such as 80%"),
     })?;
     let (tenants, cells) = read_fleet(file).map_err(fail)?;
     let plan = plan_of(&tenants, &cells, share).map_err(fail)?;
--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -1,10 +1,10 @@
 //! A disk hangs under full load: the store does not block on it, and uses it again once it recovers.
 
-use chalkhall_cli::rig::{Rig, unix_ms};
-use chalkhall_store::decide::disk::{Fetched, Wanted};
-use chalkhall_store::decide::{Part, Place};
+use chalkhall_cli::store_driver::{StoreDriver, unix_ms};
+use chalkhall_store::decide::disk::{DiskSettings, ReadResult};
+use chalkhall_store::decide::{CacheTier, Part};
 use chalkhall_store::files::Files;
-use chalkhall_store::stand_ins::{Disk, Piece};
+use chalkhall_store::stand_ins::{Disk, TestPart};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -14,101 +14,109 @@
 fn a_hanging_disk_blocks_nothing_and_is_used_again() {
     let disk = Disk::new();
     let files = disk.clone();
-    let wanted = Wanted {
+    let settings = DiskSettings {
         bytes: 64 << 20,
         segment: 1 << 20,
-        least_fresh: Duration::ZERO,
-        ..Wanted::default()
+        min_freshness: Duration::ZERO,
+        ..DiskSettings::default()
     };
-    let mut rig = Rig::on(
+    let mut driver = StoreDriver::open_files(
         move || Ok(Arc::new(files.clone()) as Arc<dyn Files>),
         8 << 20,
-        wanted,
+        settings,
         2,
     )
     .unwrap();
-    assert!(rig.until(TIMEOUT, |rig| rig.is_ready()));
-    let piece = |object| Piece { object, part: 0 };
-    let keep = |rig: &mut Rig, object| {
-        let now = rig.now();
-        rig.store.keep(
+    assert!(driver.poll_until(TIMEOUT, |driver| driver.is_ready()));
+    let test_part = |object| TestPart { object, part: 0 };
+    let keep = |driver: &mut StoreDriver, object| {
+        let now = driver.now();
+        driver.store.insert(
             now,
-            piece(object).version(1, unix_ms(), 20_000),
+            test_part(object).copy_of_version(1, unix_ms(), 20_000),
             2,
-            &mut rig.shelf,
+            &mut driver.connector,
         );
     };
-    let place = |rig: &mut Rig, object: u64| {
-        let name = piece(object).name();
-        rig.store
+    let place = |driver: &mut StoreDriver, object: u64| {
+        let name = test_part(object).name();
+        driver
+            .store
             .find(
                 Part {
                     object: &name,
                     part: 0,
-                    group: piece(object).group(),
+                    group: test_part(object).group(),
                 },
                 None,
             )
-            .map(|found| found.place)
+            .map(|found| found.tier)
     };
     // More than the memory tier holds: the first objects are only on disk.
     (0..600).for_each(|n| {
-        keep(&mut rig, n);
-        rig.turn();
+        keep(&mut driver, n);
+        driver.poll();
     });
-    assert!(rig.until(TIMEOUT, |rig| place(rig, 0) == Some(Place::Disk)
-        && place(rig, 1) == Some(Place::Disk)));
+    assert!(
+        driver.poll_until(TIMEOUT, |driver| place(driver, 0) == Some(CacheTier::Disk)
+            && place(driver, 1) == Some(CacheTier::Disk))
+    );
     disk.hang(true);
     // Fetches until the queues of the I/O threads are full and refuse more.
     let (mut accepted, mut refused) = (Vec::new(), 0);
     for n in 0..2000 {
-        let name = piece(n % 2).name();
-        let now = rig.now();
+        let name = test_part(n % 2).name();
+        let now = driver.now();
         let part = Part {
             object: &name,
             part: 0,
-            group: piece(n % 2).group(),
+            group: test_part(n % 2).group(),
         };
-        match rig.store.fetch(now, part, &mut rig.shelf) {
+        match driver.store.start_read(now, part, &mut driver.connector) {
             Some(ticket) => accepted.push(ticket),
             None => refused += 1,
         }
-        keep(&mut rig, 10_000 + n);
-        rig.turn();
+        keep(&mut driver, 10_000 + n);
+        driver.poll();
     }
     assert!(
         accepted.len() < 100 && refused > 1900,
         "{} accepted, {refused} refused",
         accepted.len()
     );
-    assert!(rig.shelf.fetched.is_empty());
+    assert!(driver.connector.completed_reads.is_empty());
     assert_eq!(
-        place(&mut rig, 11_999),
-        Some(Place::Memory),
+        place(&mut driver, 11_999),
+        Some(CacheTier::Memory),
         "the memory tier still accepts copies"
     );
-    let waiting = rig.store.bytes()
-        - rig.store.memory().bytes()
-        - rig.store.disk().map_or(0, |d| d.index().bytes());
+    let waiting = driver.store.bytes()
+        - driver.store.memory().bytes()
+        - driver.store.disk().map_or(0, |d| d.index().bytes());
     assert!(
         waiting <= 12 << 20,
         "{waiting} bytes are waiting for the disk"
     );
     disk.hang(false);
-    assert!(rig.until(TIMEOUT, |rig| rig.shelf.fetched.len() == accepted.len()));
     assert!(
-        rig.shelf
-            .fetched
+        driver.poll_until(TIMEOUT, |driver| driver.connector.completed_reads.len()
+            == accepted.len())
+    );
+    assert!(
+        driver
+            .connector
+            .completed_reads
             .iter()
-            .all(|(_, fetched)| matches!(fetched, Fetched::Copy(_)))
+            .all(|(_, fetched)| matches!(fetched, ReadResult::Copy(_)))
     );
-    keep(&mut rig, 50_000);
+    keep(&mut driver, 50_000);
     (0..500).for_each(|n| {
-        keep(&mut rig, 60_000 + n);
-        rig.turn();
+        keep(&mut driver, 60_000 + n);
+        driver.poll();
     });
     assert!(
-        rig.until(TIMEOUT, |rig| place(rig, 50_000) == Some(Place::Disk)),
+        driver.poll_until(TIMEOUT, |driver| place(driver, 50_000)
+            == Some(CacheTier::Disk)),
         "the disk tier is not written to again"
     );
 }
--- a/crates/harness/src/play.rs
+++ b/crates/harness/src/scenario.rs
@@ -4,15 +4,15 @@
 //!
 //! ```
 //! let text = "faults {\n at 2s for 3s slow caches 1/8 by 4\n}\n";
-//! let (play, faults) = chalkhall_harness::play::read_text(text);
+//! let (scenario, faults) = chalkhall_harness::scenario::read_text(text);
 //! assert!(faults.is_empty());
-//! assert_eq!(play.faults.len(), 1);
+//! assert_eq!(scenario.faults.len(), 1);
 //!
-//! let (_, faults) = chalkhall_harness::play::read_text("work {\n secnds 4\n}\n");
+//! let (_, faults) = chalkhall_harness::scenario::read_text("work {\n secnds 4\n}\n");
 //! assert_eq!(faults[0].to_string(), "2:2: secnds is not a directive of work; seconds is");
 //! ```
 
-use chalkhall_config::{Entry, Fault as FileFault, Table, values};
+use chalkhall_config::{Directive, Fault as FileFault, Table, values};
 use std::path::Path;
 use std::time::Duration;
 
@@ -211,17 +211,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Play {
+pub struct Scenario {
     pub fleet: FleetSettings,
-    pub work: Workload,
+    pub workload: Workload,
     pub faults: Vec<Fault>,
-    pub must: Requirements,
+    pub requirements: Requirements,
 }
 
-impl Default for Play {
-    fn default() -> Play {
+impl Default for Scenario {
+    fn default() -> Scenario {
         let seconds = Duration::from_secs;
-        Play {
+        Scenario {
             fleet: FleetSettings {
                 routers: 40,
                 zones: 4,
@@ -243,7 +243,7 @@
                 jitter: 0.2,
                 pass_through: true,
             },
-            work: Workload {
+            workload: Workload {
                 duration: seconds(10),
                 warmup: seconds(2),
                 requests_per_s: 300.0,
@@ -259,17 +259,17 @@
                 max_age: seconds(60),
             },
             faults: Vec::new(),
-            must: Requirements::default(),
+            requirements: Requirements::default(),
         }
     }
 }
 
-impl Play {
+impl Scenario {
     /// Start of the second measurement: this long after the end of the last fault, or after the start
     /// of a fault that lasts to the end of the run.
     pub fn second_measurement_start(&self) -> Duration {
-        let (warmup, duration) = (self.work.warmup, self.work.duration);
-        let after = self.must.after.unwrap_or(Duration::from_secs(3));
+        let (warmup, duration) = (self.workload.warmup, self.workload.duration);
+        let after = self.requirements.after.unwrap_or(Duration::from_secs(3));
         let over = self
             .faults
             .iter()
@@ -282,7 +282,7 @@
     }
 
     /// Describes what cannot be played although it was parsed.
-    pub fn faults_of_sense(&self) -> Vec<String> {
+    pub fn inconsistencies(&self) -> Vec<String> {
         let (fleet, mut found) = (&self.fleet, Vec::new());
         let mut wrong = |is: bool, what: String| found.extend(is.then_some(what));
         wrong(
@@ -294,12 +294,12 @@
             format!("{} zones need at least as many caches", fleet.zones),
         );
         wrong(
-            self.work.warmup >= self.work.duration,
+            self.workload.warmup >= self.workload.duration,
             "lead is not shorter than seconds: nothing would be measured".into(),
         );
         for fault in &self.faults {
             wrong(
-                fault.start > self.work.duration,
+                fault.start > self.workload.duration,
                 format!(
                     "a fault at {:?} starts after the end of the run",
                     fault.start
@@ -335,12 +335,12 @@
     }
 }
 
-pub fn read(path: &Path) -> (Play, Vec<FileFault>) {
-    chalkhall_config::read_with(&PLAY, path)
+pub fn read(path: &Path) -> (Scenario, Vec<FileFault>) {
+    chalkhall_config::read_with(&DIRECTIVES, path)
 }
 
-pub fn read_text(text: &str) -> (Play, Vec<FileFault>) {
-    chalkhall_config::read_text_with(&PLAY, text)
+pub fn read_text(text: &str) -> (Scenario, Vec<FileFault>) {
+    chalkhall_config::read_text_with(&DIRECTIVES, text)
 }
 
 type ParseError = (usize, String);
@@ -352,7 +352,10 @@
 /// Parses `1/8`, `30%` or a count.
 fn parse_amount(word: &str) -> Result<Amount, String> {
     if let Some((a, b)) = word.split_once('/') {
-        let (a, b) = (values::whole(a, 1, 1 << 20)?, values::whole(b, 1, 1 << 20)?);
+        let (a, b) = (
+            values::integer(a, 1, 1 << 20)?,
+            values::integer(b, 1, 1 << 20)?,
+        );
         return if a <= b {
             Ok(Amount::Share(a as f64 / b as f64))
         } else {
@@ -362,7 +365,7 @@
     if word.ends_with('%') {
         return values::share(word).map(Amount::Share);
     }
-    let count = values::whole(word, 1, 1 << 20);
+    let count = values::integer(word, 1, 1 << 20);
     count
         .map(|n| Amount::Count(n as usize))
         .map_err(|_| format!("{word:?} is not a share or a count, such as 1/8, 30% or 3"))
@@ -382,7 +385,7 @@
         "parents" => Ok(Target::Parents(of_all?)),
         "routers" => Ok(Target::Routers(of_all?)),
         "location" => Ok(Target::Zone(
-            at_word(place + 1, values::whole(of, 0, 10_000))? as usize,
+            at_word(place + 1, values::integer(of, 0, 10_000))? as usize,
         )),
         other => Err((
             place,
@@ -401,11 +404,11 @@
 
 /// Parses `at SPAN [for|over SPAN] WHAT ...` without its first word.
 fn parse_fault(words: &[&str]) -> Result<Fault, ParseError> {
-    let starts_at = at_word(0, values::span(words[0]))?;
+    let starts_at = at_word(0, values::duration(words[0]))?;
     let (duration, next_word) = match words.get(1) {
         Some(&"for" | &"over") => {
             let span = words.get(2).ok_or((1, "expected a duration".to_owned()))?;
-            (at_word(2, values::span(span))?, 3)
+            (at_word(2, values::duration(span))?, 3)
         }
         _ => (Duration::ZERO, 1),
     };
@@ -429,13 +432,13 @@
             FaultKind::Resets(parse_target(place, w)?, share(place + 2, of)?)
         }
         ("lose", ["region", of]) => {
-            FaultKind::LoseRegion(at_word(place + 1, values::whole(of, 0, 100))? as usize)
+            FaultKind::LoseRegion(at_word(place + 1, values::integer(of, 0, 100))? as usize)
         }
         ("lose", w) => FaultKind::Lose(parse_target(place, w)?),
         ("ways", [from, to, effect @ ..]) => {
             let zone_or_all = |place: usize, word: &str| match word {
                 "all" => Ok(None),
-                word => at_word(place, values::whole(word, 0, 10_000)).map(|n| Some(n as usize)),
+                word => at_word(place, values::integer(word, 0, 10_000)).map(|n| Some(n as usize)),
             };
             let (from, to) = (zone_or_all(place, from)?, zone_or_all(place + 1, to)?);
             match effect {
@@ -453,27 +456,31 @@
         ("drain", w) => FaultKind::Drain(parse_target(place, w)?),
         ("replace", w) => FaultKind::Replace(parse_target(place, w)?),
         ("join", [count]) => {
-            FaultKind::Join(at_word(place, values::whole(count, 1, 1000))? as usize)
+            FaultKind::Join(at_word(place, values::integer(count, 1, 1000))? as usize)
         }
         ("kill", w) => FaultKind::Kill(parse_target(place, w)?),
         ("freeze", w) => FaultKind::Freeze(parse_target(place, w)?),
         ("restart", w) => FaultKind::Restart(parse_target(place, w)?),
         ("reload", w) => FaultKind::Reload(parse_target(place, w)?),
         ("purge", [count]) => {
-            FaultKind::Purge(at_word(place, values::whole(count, 1, 10_000))? as usize)
+            FaultKind::Purge(at_word(place, values::integer(count, 1, 10_000))? as usize)
+        }
+        ("lists", ["late", span]) => {
+            FaultKind::ListsLate(at_word(place + 1, values::duration(span))?)
         }
-        ("lists", ["late", span]) => FaultKind::ListsLate(at_word(place + 1, values::span(span))?),
         ("lists", ["doubled"]) => FaultKind::ListsDoubled,
         ("lists", ["cut"]) => FaultKind::ListsCut,
         ("datagrams", ["lost", of]) => FaultKind::Lost(share(place + 1, of)?),
         ("datagrams", ["doubled", of]) => FaultKind::Doubled(share(place + 1, of)?),
         ("datagrams", ["turned", of]) => FaultKind::Turned(share(place + 1, of)?),
-        ("datagrams", ["late", span]) => FaultKind::Late(at_word(place + 1, values::span(span))?),
+        ("datagrams", ["late", span]) => {
+            FaultKind::Late(at_word(place + 1, values::duration(span))?)
+        }
         ("deaf", w) => FaultKind::Deaf(parse_target(place, w)?),
         ("lie", w) => FaultKind::Lie(parse_target(place, w)?),
         ("hot", [of]) => FaultKind::Hot(share(place, of)?),
         ("shift", ["location", from, "to", to]) => {
-            let zone = |place, word| at_word(place, values::whole(word, 0, 10_000));
+            let zone = |place, word| at_word(place, values::integer(word, 0, 10_000));
             FaultKind::Shift(
                 zone(place + 1, from)? as usize,
                 zone(place + 3, to)? as usize,
@@ -496,23 +503,23 @@
 const fn entry(
     section: &'static str,
     name: &'static str,
-    takes: &'static str,
-    says: &'static str,
-    set: fn(&mut Play, &[&str]) -> Result<(), ParseError>,
-) -> Entry<Play> {
-    Entry {
+    usage: &'static str,
+    help: &'static str,
+    set: fn(&mut Scenario, &[&str]) -> Result<(), ParseError>,
+) -> Directive<Scenario> {
+    Directive {
         section,
         name,
-        takes,
+        usage,
         count: 1..=1,
-        many: false,
-        says,
+        repeatable: false,
+        help,
         set,
     }
 }
 
 fn parse_count(word: &str, least: u64, most: u64) -> Result<usize, ParseError> {
-    at_word(0, values::whole(word, least, most)).map(|n| n as usize)
+    at_word(0, values::integer(word, least, most)).map(|n| n as usize)
 }
 
 fn parse_number(word: &str, least: f64, most: f64) -> Result<f64, ParseError> {
@@ -529,7 +536,7 @@
 }
 
 /// All directives of a scenario file.
-pub const PLAY: Table<Play> = Table::new(
+pub const DIRECTIVES: Table<Scenario> = Table::new(
     &["fleet", "work", "faults", "must"],
     &[
         entry("fleet", "routers", "COUNT", "router processes", |p, w| {
@@ -631,7 +638,8 @@
             },
         ),
         entry("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
-            p.fleet.slow_start = at_word(0, values::span(w[0]))?.max(Duration::from_millis(100));
+            p.fleet.slow_start =
+                at_word(0, values::duration(w[0]))?.max(Duration::from_millis(100));
             Ok(())
         }),
         entry(
@@ -674,7 +682,7 @@
             "SPAN",
             "what a word takes one way between zones of a region",
             |p, w| {
-                p.fleet.intra_region_delay = at_word(0, values::span(w[0]))?;
+                p.fleet.intra_region_delay = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -684,7 +692,7 @@
             "SPAN",
             "the same between regions",
             |p, w| {
-                p.fleet.inter_region_delay = at_word(0, values::span(w[0]))?;
+                p.fleet.inter_region_delay = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -698,20 +706,20 @@
                 Ok(())
             },
         ),
-        Entry {
+        Directive {
             section: "fleet",
             name: "directive",
-            takes: "SECTION NAME VALUE..",
+            usage: "SECTION NAME VALUE..",
             count: 3..=8,
-            many: true,
-            says: "a line of every router's operator's file",
+            repeatable: true,
+            help: "a line of every router's operator's file",
             set: |p, w| {
                 p.fleet.directives.push((w[0].to_owned(), w[1..].join(" ")));
                 Ok(())
             },
         },
         entry("work", "seconds", "COUNT", "how long it comes", |p, w| {
-            p.work.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
+            p.workload.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
             Ok(())
         }),
         entry(
@@ -720,7 +728,7 @@
             "SPAN",
             "before anything is measured",
             |p, w| {
-                p.work.warmup = at_word(0, values::span(w[0]))?;
+                p.workload.warmup = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -730,7 +738,7 @@
             "NUMBER",
             "requests a second over all",
             |p, w| {
-                p.work.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
+                p.workload.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
                 Ok(())
             },
         ),
@@ -740,20 +748,20 @@
             "NUMBER",
             "the busiest router's rate over the mean",
             |p, w| {
-                p.work.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
+                p.workload.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
                 Ok(())
             },
         ),
         entry("work", "objects", "COUNT", "objects there are", |p, w| {
-            p.work.objects = parse_count(w[0], 1, 10_000_000)?;
+            p.workload.objects = parse_count(w[0], 1, 10_000_000)?;
             Ok(())
         }),
         entry("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
-            p.work.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
+            p.workload.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
             Ok(())
         }),
         entry("work", "size", "KB", "mean of an object", |p, w| {
-            p.work.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
+            p.workload.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
         entry(
@@ -762,7 +770,7 @@
             "SHARE",
             "of requests that must not run twice",
             |p, w| {
-                p.work.write_share = at_word(0, values::share(w[0]))?;
+                p.workload.write_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
@@ -772,7 +780,7 @@
             "SPAN",
             "how long a client waits, all tries together",
             |p, w| {
-                p.work.client_timeout = at_word(0, values::span(w[0]))?;
+                p.workload.client_timeout = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -782,7 +790,7 @@
             "SPAN",
             "within which an answer earns all of its value",
             |p, w| {
-                p.work.soft_deadline = at_word(0, values::span(w[0]))?;
+                p.workload.soft_deadline = at_word(0, values::duration(w[0]))?;
                 Ok(())
             },
         ),
@@ -792,7 +800,7 @@
             "COUNT",
             "how often a client asks again",
             |p, w| {
-                p.work.max_retries = parse_count(w[0], 0, 20)?;
+                p.workload.max_retries = parse_count(w[0], 0, 20)?;
                 Ok(())
             },
         ),
@@ -802,21 +810,21 @@
             "SHARE",
             "of clients that come back when they are told",
             |p, w| {
-                p.work.retry_after_share = at_word(0, values::share(w[0]))?;
+                p.workload.retry_after_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
         entry("work", "fresh", "SPAN", "how long a copy is", |p, w| {
-            p.work.max_age = at_word(0, values::span(w[0]))?;
+            p.workload.max_age = at_word(0, values::duration(w[0]))?;
             Ok(())
         }),
-        Entry {
+        Directive {
             section: "faults",
             name: "at",
-            takes: "SPAN [for|over SPAN] WHAT ..",
+            usage: "SPAN [for|over SPAN] WHAT ..",
             count: 2..=12,
-            many: true,
-            says: "what breaks, from when and for how long",
+            repeatable: true,
+            help: "what breaks, from when and for how long",
             set: |p, w| {
                 let found = parse_fault(w)?;
                 p.faults.push(found);
@@ -829,7 +837,7 @@
             "SHARE",
             "of the value asked for, at least",
             |p, w| {
-                p.must.service = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -839,7 +847,7 @@
             "NUMBER",
             "busiest over mean, over that of who sees all, at most",
             |p, w| {
-                p.must.peak = Some(parse_number(w[0], 0.1, 100.0)?);
+                p.requirements.peak = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
@@ -849,7 +857,7 @@
             "SHARE",
             "of warm server-seconds under a quarter of the mean, at most",
             |p, w| {
-                p.must.idle = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.idle = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -859,7 +867,7 @@
             "NUMBER",
             "same next server over independence, at most",
             |p, w| {
-                p.must.herd = Some(parse_number(w[0], 0.1, 100.0)?);
+                p.requirements.herd = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
             },
         ),
@@ -869,7 +877,7 @@
             "NUMBER",
             "servers from crowded to idle and back, at most",
             |p, w| {
-                p.must.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
+                p.requirements.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
                 Ok(())
             },
         ),
@@ -879,7 +887,7 @@
             "SHARE",
             "of what lost zones asked for, at least",
             |p, w| {
-                p.must.lost_service = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.lost_service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -889,7 +897,7 @@
             "SPAN",
             "from a loss until requests go elsewhere, at most",
             |p, w| {
-                p.must.plan = Some(at_word(0, values::span(w[0]))?);
+                p.requirements.plan = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
             },
         ),
@@ -899,7 +907,7 @@
             "SHARE",
             "of requests that left without need, at most",
             |p, w| {
-                p.must.needless = Some(at_word(0, values::share(w[0]))?);
+                p.requirements.needless = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
             },
         ),
@@ -909,7 +917,7 @@
             "SPAN",
             "what is measured begins so long after the last fault",
             |p, w| {
-                p.must.after = Some(at_word(0, values::span(w[0]))?);
+                p.requirements.after = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
             },
         ),
--- a/crates/router/src/configuration.rs
+++ b/crates/router/src/configuration.rs
@@ -123,7 +123,7 @@
     pub limits: Limits,
     /// How many responses at the client transfer rate the router's own link carries concurrently,
     /// if known.
-    pub link_answers: Option<f64>,
+    pub link_capacity: Option<f64>,
     /// The addresses for gossip. None: gossip is not allowed, or no addresses are configured.
     pub peers: Option<Peers>,
     /// The values of `RESTART_ONLY_KEYS`.
@@ -232,14 +232,14 @@
         name: name.value,
         listen,
         discovery,
-        last_event: deployment::whole(known, "rev").map_err(in_section("known"))?,
+        last_event: deployment::unsigned(known, "rev").map_err(in_section("known"))?,
         known_events: parse_known_events(known, &names, clock)?,
         names,
         deployment,
         classes: named.classes,
         tenants: named.customers,
         limits: parse_limits(file, settings)?,
-        link_answers: parse_link_answers(file)?,
+        link_capacity: parse_link_capacity(file)?,
         peers: parse_peers(file, settings)?,
         restart_only_values: RESTART_ONLY_KEYS
             .map(|key| file.get(key).cloned().unwrap_or_default())
@@ -255,7 +255,7 @@
 
 impl Setting {
     fn from_file(file: &Fields, key: &str) -> Result<Setting, ConfigurationError> {
-        let value = deployment::text(file, key).map_err(FieldError)?;
+        let value = deployment::string(file, key).map_err(FieldError)?;
         Ok(Setting {
             key: key.to_owned(),
             value: value.to_owned(),
@@ -353,7 +353,7 @@
 
 /// Reads a whole number, or the default if it is 0 or missing.
 fn whole_or_default(fields: &Fields, key: &str, default: u64) -> Result<u64, FieldError> {
-    let found = deployment::whole(fields, key).map_err(FieldError)?;
+    let found = deployment::unsigned(fields, key).map_err(FieldError)?;
     Ok(if found == 0 { default } else { found })
 }
 
@@ -365,7 +365,7 @@
 ) -> Result<Duration, FieldError> {
     let ms = deployment::number(fields, key).map_err(FieldError)?;
     Ok(if ms > 0.0 {
-        deployment::span(ms)
+        deployment::duration_from_ms(ms)
     } else {
         default
     })
@@ -387,7 +387,7 @@
         })
     };
     let address_of = |key: &str| {
-        let found = deployment::text(file, key).map_err(FieldError)?;
+        let found = deployment::string(file, key).map_err(FieldError)?;
         address(key, found)
     };
     let each = file.get("peers").and_then(Value::as_array);
@@ -405,7 +405,7 @@
     }))
 }
 
-fn parse_link_answers(file: &Fields) -> Result<Option<f64>, ConfigurationError> {
+fn parse_link_capacity(file: &Fields) -> Result<Option<f64>, ConfigurationError> {
     let rate = |key| deployment::number(file, key).map_err(FieldError);
     let (answer_rate, link_rate) = (rate("flow_bytes_per_s")?, rate("link_bytes_per_s")?);
     let is_known = answer_rate > 0.0 && link_rate > 0.0;
--- a/crates/router/src/decider/operator_queries.rs
+++ b/crates/router/src/decider/operator_queries.rs
@@ -50,10 +50,10 @@
 }
 
 fn report_peers(gossip: &Gossip, now: Duration) -> Value {
-    let (recent, known) = gossip.talk.peers(now);
-    let dropped = gossip.talk.dropped();
+    let (recent, known) = gossip.exchange.peers(now);
+    let dropped = gossip.exchange.dropped();
     let weights: BTreeMap<&str, f64> = gossip
-        .talk
+        .exchange
         .weights()
         .map(|(cache, weight)| (&**cache, weight))
         .collect();
@@ -61,10 +61,10 @@
         "weights": weights,
         "mates": recent,
         "known": known,
-        "strangers": dropped.strangers,
-        "faulty": dropped.faulty,
-        "flood": dropped.flood,
-        "untold": dropped.untold,
+        "strangers": dropped.unknown_senders,
+        "faulty": dropped.malformed,
+        "flood": dropped.over_quota,
+        "untold": dropped.unsent,
     })
 }
 
