--- a/crates/cli/src/bin/proof-store/allocations.rs
+++ b/crates/cli/src/bin/proof-store/allocations.rs
@@ -59,7 +59,7 @@
     let (mut index, mut highest) = (Index::new(u64::MAX), 0.0f64);
     for n in 0..parts {
         let (segment, offset) = (n as u32 >> 10, (n as u32 & 1023) * length);
-        let spot = IndexEntry {
+        let index_entry = IndexEntry {
             segment,
             offset,
             length,
@@ -70,7 +70,7 @@
             read_count: 0,
             proven: true,
         };
-        let _ = index.put(rng.u64(..), &spot);
+        let _ = index.put(rng.u64(..), &index_entry);
         if n > parts / 10 && n.is_multiple_of(997) {
             let allocated = ALLOCATED_BYTES.load(Ordering::Relaxed) - before;
             highest = highest.max(allocated as f64 / index.len() as f64);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -27,8 +27,8 @@
     Duration::try_from_secs_f64(ms.max(0.0) / 1000.0).unwrap_or(Duration::MAX)
 }
 
-pub fn duration_to_ms(span: Duration) -> f64 {
-    span.as_nanos() as f64 / 1e6
+pub fn duration_to_ms(duration: Duration) -> f64 {
+    duration.as_nanos() as f64 / 1e6
 }
 
 /// Upper bound of any number in the settings; durations made of larger ones could overflow when added.
--- a/crates/stats/src/window_sum.rs
+++ b/crates/stats/src/window_sum.rs
@@ -12,12 +12,12 @@
 }
 
 impl WindowSum {
-    /// Drops entries that are `span` old or older, and adds a weight. Times must not decrease.
-    pub fn record(&mut self, now: Duration, span: Duration, weight: f64) {
+    /// Drops entries that are `window` old or older, and adds a weight. Times must not decrease.
+    pub fn record(&mut self, now: Duration, window: Duration, weight: f64) {
         while let Some((_, expired)) = self
             .entries
             .front()
-            .filter(|(at, _)| *at + span <= now)
+            .filter(|(at, _)| *at + window <= now)
             .copied()
         {
             self.entries.pop_front();
@@ -32,9 +32,12 @@
         self.entries.push_back((now, weight));
     }
 
-    /// The sum of the weights added less than `span` ago.
-    pub fn sum(&self, now: Duration, span: Duration) -> f64 {
-        let expired = self.entries.iter().take_while(|(at, _)| *at + span <= now);
+    /// The sum of the weights added less than `window` ago.
+    pub fn sum(&self, now: Duration, window: Duration) -> f64 {
+        let expired = self
+            .entries
+            .iter()
+            .take_while(|(at, _)| *at + window <= now);
         (self.sum - expired.map(|(_, weight)| weight).sum::<f64>()).max(0.0)
     }
 
