--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -7,7 +7,7 @@
 //! attempt is sent. A request keeps the cell that it was assigned on arrival for all its attempts.
 
 use crate::map::Cell;
-use chalkhall::control::Judged;
+use chalkhall::control::ServerHealth;
 use chalkhall::interface::{Outcome, Remark};
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     hits: f64,
     /// Hit rate at the old cell; `None` before its first served request.
     old_hit_rate: Option<f64>,
-    detector: Judged,
+    detector: ServerHealth,
     settled_at: Duration,
     /// Time after which all requests in flight at the old cell have ended.
     settling_time: Duration,
@@ -59,7 +59,7 @@
     /// `settling_time`: the longest lifetime of a request or of its deduplication state.
     pub fn new(from: Cell, to: Cell, settling_time: Duration) -> Move {
         let (state, share, paused) = (State::Prepared, 0.0, false);
-        let (samples, hits, old_hit_rate, detector) = (0.0, 0.0, None, Judged::default());
+        let (samples, hits, old_hit_rate, detector) = (0.0, 0.0, None, ServerHealth::default());
         Move {
             from,
             to,
@@ -124,13 +124,13 @@
     fn enter(&mut self, state: State, share: f64) {
         (self.state, self.share, self.samples, self.hits) = (state, share, 0.0, 0.0);
         if matches!(state, State::Prepared | State::RolledBack) {
-            self.detector = Judged::default();
+            self.detector = ServerHealth::default();
         }
     }
 
     /// Reports which of the two cells have live servers. A new cell without any takes no requests; an old cell
     /// without any keeps none.
-    pub fn alive(&mut self, now: Duration, from: bool, to: bool) {
+    pub fn update_liveness(&mut self, now: Duration, from: bool, to: bool) {
         use State::*;
         match (self.state, from, to) {
             (Warming | Shifting | Settling, true, false) => self.enter(RolledBack, 0.0),
@@ -148,7 +148,7 @@
 
     /// Records the outcome of one of the tenant's attempts at a cell. Attempts that were rejected, cancelled or
     /// never sent, and missing objects, are no evidence about the cell.
-    pub fn ended(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
+    pub fn record_attempt(&mut self, now: Duration, cell: Cell, outcome: Outcome, remark: Remark) {
         use Outcome::{Broken, Error, Served, TimedOut, Unreachable};
         if matches!(outcome, Served | Error | TimedOut | Broken | Unreachable) {
             let hit = matches!(remark, Remark::Hit | Remark::Stale);
@@ -170,8 +170,8 @@
             return;
         }
         // A failing new cell rolls the move back, by the same outlier detection as for a server.
-        self.detector.judge(now, !served, 1.0);
-        if self.detector.is_aside() {
+        self.detector.record_outcome(now, !served, 1.0);
+        if self.detector.is_ejected() {
             return self.enter(RolledBack, 0.0);
         }
         if !served || self.paused || self.state == Settling {
--- a/crates/router/src/decider/attempt_results.rs
+++ b/crates/router/src/decider/attempt_results.rs
@@ -20,12 +20,12 @@
         let Some(attempt) = self.dispatcher.close_attempt(&id, number) else {
             return;
         };
-        let mut result = interface::Ended {
+        let mut result = interface::AttemptResult {
             outcome,
             remark: Remark::None,
-            took: attempt.took,
+            duration: attempt.took,
             first_byte: None,
-            over: false,
+            is_complete: false,
             load: interface::Load::default(),
         };
         if let Some(answer) = answer {
@@ -35,11 +35,11 @@
             self.report_attempt(&id, &attempt, &result);
         }
         let request = self.dispatcher.requests.get(&id);
-        result.over = request.is_some_and(|request| request.is_resolved());
+        result.is_complete = request.is_some_and(|request| request.is_resolved());
         self.dispatcher.maybe_finished.push(id.clone());
         let now = self.dispatcher.now;
         self.router
-            .result(now, &id, number, &result, &mut self.dispatcher);
+            .attempt_ended(now, &id, number, &result, &mut self.dispatcher);
         self.dispatcher.served_answer = None;
     }
 
@@ -49,7 +49,7 @@
         id: &Id,
         attempt: &ClosedAttempt,
         mut answer: Box<Answer>,
-        result: &mut interface::Ended,
+        result: &mut interface::AttemptResult,
     ) {
         if let (true, Some(local_cache)) = (attempt.is_at_server, &mut self.dispatcher.local_cache)
         {
@@ -62,7 +62,7 @@
         result.load = answer.load;
         // "Not modified" is forwarded only if it names the copy that the client has.
         let request = self.dispatcher.requests.get(id);
-        let client_etag = request.and_then(|request| request.forwarded.have.as_ref());
+        let client_etag = request.and_then(|request| request.forwarded.client_etag.as_ref());
         if answer.is_not_modified && (client_etag.is_none() || client_etag != answer.etag.as_ref())
         {
             self.protocol_errors
@@ -85,7 +85,7 @@
                 cell_routing.record_served(dispatcher.now, &request.arrival);
             }
             if let (true, Some(local_cache)) = (attempt.is_at_server, &mut dispatcher.local_cache) {
-                let client_etag = request.forwarded.have.as_ref();
+                let client_etag = request.forwarded.client_etag.as_ref();
                 local_cache.record_server_answer(&request.arrival, &answer, client_etag);
             }
         }
@@ -97,7 +97,12 @@
     }
 
     /// Reports the result of an attempt at a listed server to cell routing and zone failover.
-    fn report_attempt(&mut self, id: &Id, attempt: &ClosedAttempt, result: &interface::Ended) {
+    fn report_attempt(
+        &mut self,
+        id: &Id,
+        attempt: &ClosedAttempt,
+        result: &interface::AttemptResult,
+    ) {
         let now = self.dispatcher.now;
         let Some(request) = self.dispatcher.requests.get(id) else {
             return;
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -6,7 +6,7 @@
 use crate::cell_routing::CellPlan;
 use crate::discovery_events::{DiscoveredServer, DiscoveryEvent};
 use crate::local_cache::LocalCache;
-use chalkhall::interface::{Id, ListKind, Member, Standing};
+use chalkhall::interface::{Id, ListKind, Member, ServerState};
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -15,18 +15,25 @@
     pub fn apply_discovery_event(&mut self, event: DiscoveryEvent) {
         let now = self.dispatcher.clock.now();
         match event {
-            DiscoveryEvent::Drained(zones) => {
+            DiscoveryEvent::DrainedZones(zones) => {
                 if let Some(failover) = &mut self.zone_failover {
                     failover.drain_zones(&zones);
                 }
             }
-            DiscoveryEvent::Cells(plan) => self.replace_cell_map(now, *plan),
+            DiscoveryEvent::CellMap(plan) => self.replace_cell_map(now, *plan),
             DiscoveryEvent::UpToDate => {
                 let local_cache = self.dispatcher.local_cache.iter_mut();
                 local_cache.for_each(LocalCache::confirm_up_to_date);
             }
-            DiscoveryEvent::Purge { object, group, ms } => self.purge(now, object, group, ms),
-            DiscoveryEvent::List { whole, servers } => self.update_list(now, whole, servers),
+            DiscoveryEvent::Purge {
+                object,
+                group,
+                purged_at_unix_ms,
+            } => self.purge(now, object, group, purged_at_unix_ms),
+            DiscoveryEvent::List {
+                is_snapshot,
+                servers,
+            } => self.update_list(now, is_snapshot, servers),
         }
     }
 
@@ -45,7 +52,7 @@
         };
         log::info!(epoch = epoch, moved = moved.len(); "cells: map replaced");
         self.router
-            .list(now, ListKind::Changes, &moved, &mut self.dispatcher);
+            .update_list(now, ListKind::Changes, &moved, &mut self.dispatcher);
     }
 
     fn purge(&mut self, now: Duration, object: Option<Id>, group: u64, unix_ms: u64) {
@@ -53,7 +60,7 @@
         if let Some(local_cache) = &mut self.dispatcher.local_cache {
             local_cache.purge(object.as_ref(), group, unix_ms);
         }
-        self.router.purged(now, object, group, age);
+        self.router.record_purge(now, object, group, age);
     }
 
     fn update_list(&mut self, now: Duration, is_snapshot: bool, listed: Vec<DiscoveredServer>) {
@@ -64,11 +71,12 @@
         }
         members.append(&mut self.unlisted_local_members);
         let kind = if is_snapshot {
-            ListKind::Whole
+            ListKind::Snapshot
         } else {
             ListKind::Changes
         };
-        self.router.list(now, kind, &members, &mut self.dispatcher);
+        self.router
+            .update_list(now, kind, &members, &mut self.dispatcher);
         self.is_gossip_list_stale = true;
         if is_snapshot {
             self.refresh_gossip_members();
@@ -86,7 +94,7 @@
         let share = self.limits.sockets / 3 / (2 * server_count);
         let max_connections = share.clamp(1, MAX_CONNECTIONS_PER_SERVER);
         for DiscoveredServer { member, address } in listed {
-            if member.standing == Standing::Gone {
+            if member.standing == ServerState::Removed {
                 servers.remove(&member.server);
                 continue;
             }
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{CancellationFlag, ClientReply, ServerCommand};
 use crate::server_protocol::ForwardedFields;
-use chalkhall::interface::{Arrival, Id};
+use chalkhall::interface::{Id, IncomingRequest};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -21,7 +21,7 @@
     pub(super) requester: Option<Requester>,
     pub(super) tag: u64,
     pub(super) cancellation: CancellationFlag,
-    pub(super) arrival: Arrival,
+    pub(super) arrival: IncomingRequest,
     pub(super) forwarded: ForwardedFields,
     pub(super) is_non_idempotent: bool,
     pub(super) received_at: Duration,
@@ -31,7 +31,7 @@
 impl PendingRequest {
     /// Whether its final answer has been sent or is no longer awaited.
     pub(super) fn is_resolved(&self) -> bool {
-        self.requester.is_none() || !self.cancellation.still()
+        self.requester.is_none() || !self.cancellation.is_active()
     }
 
     /// Whether nothing waits for its final answer any more and all its attempts have ended.
@@ -109,7 +109,7 @@
         else {
             return false;
         };
-        request.cancellation.end();
+        request.cancellation.cancel();
         request.requester = None;
         true
     }
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -8,7 +8,7 @@
 use crate::discovery::{Discovery, NewDiscovery};
 use crate::discovery_events::DiscoveryEvent;
 use crate::error::RouterError;
-use crate::gossip_socket::{self, GossipSender, OutgoingDatagram};
+use crate::gossip_socket::{self, GossipSender, OutboundDatagram};
 use crate::latency_probes::{self, Probe};
 use crate::lifecycle::Phase;
 use crate::local_cache::{LocalCache, OpenedCache};
@@ -18,9 +18,9 @@
 use crate::zone_failover::ZoneFailover;
 use crate::{control_socket, discovery, listener, shutdown};
 use chalkhall::interface::Deployment;
-use chalkhall_config::Told as Directives;
-use chalkhall_gossip::{About, Talk};
-use chalkhall_store::threads::End;
+use chalkhall_config::Directives;
+use chalkhall_gossip::{ExchangeConfig, PeerExchange};
+use chalkhall_store::threads::CompletedOperation;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -128,7 +128,7 @@
     /// The task that forwards the results of disk operations.
     disk: Option<JoinHandle<()>>,
     gossip_socket: Option<UdpSocket>,
-    outgoing: mpsc::Receiver<OutgoingDatagram>,
+    outbound: mpsc::Receiver<OutboundDatagram>,
     probes: mpsc::Receiver<Probe>,
 }
 
@@ -141,7 +141,7 @@
     ) -> Option<JoinHandle<()>> {
         let peers = configuration.peers.clone();
         if let Some((socket, peers)) = self.gossip_socket.zip(peers) {
-            let run = gossip_socket::run(socket, peers, self.outgoing, decider.clone());
+            let run = gossip_socket::run(socket, peers, self.outbound, decider.clone());
             spawn_local(run);
         }
         spawn_local(latency_probes::run(self.probes, decider.clone()));
@@ -173,14 +173,14 @@
     let disk =
         disk_results.map(|results| spawn_local(forward_disk_results(results, decider.clone())));
     let cell_routing = open_cell_routing(directives, configuration)?;
-    let talk = start_gossip(clock, directives, configuration);
-    let (sender, outgoing) = gossip_socket::channel();
-    let is_gossip_wanted = talk.is_some() || directives.regions.in_common;
+    let exchange = start_gossip(clock, directives, configuration);
+    let (sender, outbound) = gossip_socket::channel();
+    let is_gossip_wanted = exchange.is_some() || directives.regions.failover;
     let gossip_socket = match &configuration.peers {
         Some(peers) if is_gossip_wanted => gossip_socket::bind(peers).await,
         _ => None,
     };
-    if directives.regions.in_common && gossip_socket.is_none() {
+    if directives.regions.failover && gossip_socket.is_none() {
         log::warn!("regions: routers cannot gossip; each decides on its own observations only");
     }
     let (probe_sender, probes) = mpsc::channel(latency_probes::PROBE_QUEUE_CAPACITY);
@@ -192,8 +192,8 @@
     };
     if gossip_socket.is_some() {
         let for_gossip = sender.clone();
-        subsystems.gossip = talk.map(|talk| Gossip {
-            talk,
+        subsystems.gossip = exchange.map(|exchange| Gossip {
+            exchange,
             sender: for_gossip,
         });
         subsystems.zone_failover =
@@ -202,16 +202,19 @@
     let tasks = SubsystemTasks {
         disk,
         gossip_socket,
-        outgoing,
+        outbound,
         probes,
     };
     Ok(OpenedSubsystems { subsystems, tasks })
 }
 
 /// Forwards the results of disk operations until the disk's threads have ended.
-async fn forward_disk_results(mut results: mpsc::Receiver<End>, decider: mpsc::Sender<Message>) {
+async fn forward_disk_results(
+    mut results: mpsc::Receiver<CompletedOperation>,
+    decider: mpsc::Sender<Message>,
+) {
     while let Some(end) = results.recv().await {
-        let _ = decider.send(Message::Disk(end)).await;
+        let _ = decider.send(Message::DiskOperationEnded(end)).await;
     }
 }
 
@@ -233,7 +236,9 @@
 /// The longest time for which a request may be open or its repeats are recognised.
 fn max_request_lifetime(deployment: &Deployment) -> Duration {
     let classes = deployment.classes.iter();
-    let longest = classes.map(|class| class.deadline.max(class.window)).max();
+    let longest = classes
+        .map(|class| class.deadline.max(class.dedup_window))
+        .max();
     longest.unwrap_or_default()
 }
 
@@ -242,24 +247,24 @@
     clock: Clock,
     directives: &Directives,
     configuration: &Configuration,
-) -> Option<Talk> {
-    if configuration.peers.is_none() || !directives.peers.tell {
+) -> Option<PeerExchange> {
+    if configuration.peers.is_none() || !directives.peers.gossip {
         return None;
     }
     let deployment = &configuration.deployment;
     let zone = deployment.zone;
-    let about = About {
-        number: deployment.number,
+    let config = ExchangeConfig {
+        number: deployment.router_index,
         routers: deployment.routers,
         zone,
-        routers_here: deployment.routers_at.get(zone).copied().unwrap_or(0),
+        routers_in_zone: deployment.routers_per_zone.get(zone).copied().unwrap_or(0),
         seed: deployment.seed,
     };
-    let mut talk = Talk::start(clock.now(), about)?;
+    let mut exchange = PeerExchange::start(clock.now(), config)?;
     if directives.peers.even_load {
-        talk.even_load();
+        exchange.enable_weight_balancing();
     }
-    Some(talk)
+    Some(exchange)
 }
 
 fn open_zone_failover(
@@ -351,7 +356,7 @@
         event_times,
         decider,
         random: fastrand::Rng::with_seed(configuration.deployment.seed),
-        spare_socket: discovery::socket(address).ok(),
+        reserved_socket: discovery::new_socket(address).ok(),
     };
     spawn_local(discovery.run(reconfigured));
     reconfigure
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,16 +3,19 @@
 
 use chalkhall::control::Router;
 use chalkhall::interface::{
-    Arrival, Ended, Fill, Id, ListKind, Load, Member, Outcome, Outlet, Remark, Standing, Tier,
+    ActionSink, AttemptResult, Fill, Id, IncomingRequest, ListKind, Load, Member, Outcome, Remark,
+    ServerState, Tier,
+};
+use chalkhall_settings::{
+    self as deployment, Fields, duration_from_ms, duration_to_ms, flag, number, string, unsigned,
 };
-use chalkhall_settings::{self as deployment, Fields, flag, ms, number, span, text, whole};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 use std::time::Duration;
 
 fn id(fields: &Fields, name: &str) -> Result<Id, String> {
-    match text(fields, name)? {
+    match string(fields, name)? {
         "" => Err(format!("{name} is missing")),
         found => Ok(found.into()),
     }
@@ -34,26 +37,27 @@
     }
 }
 
-impl<W: Write> Outlet for ReplyWriter<'_, W> {
+impl<W: Write> ActionSink for ReplyWriter<'_, W> {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        let manner = u8::from(fill.join)
+        let manner = u8::from(fill.may_join)
             | u8::from(fill.only_held) << 1
             | u8::from(!fill.parent_keeps) << 2
-            | u8::from(fill.renew) << 3;
-        let mut fields = json!({"OpId": &**request, "Server": &**server, "GiveUpAfter": ms(limit)});
+            | u8::from(fill.revalidate) << 3;
+        let mut fields =
+            json!({"OpId": &**request, "Server": &**server, "GiveUpAfter": duration_to_ms(limit)});
         fields["Source"] = (*fill.source).into();
-        fields["Rank"] = fill.rank.into();
+        fields["Rank"] = fill.priority.into();
         fields["Manner"] = manner.into();
-        if let Some(oldest) = fill.oldest {
-            fields["HowOld"] = ms(oldest).into();
+        if let Some(oldest) = fill.max_age {
+            fields["HowOld"] = duration_to_ms(oldest).into();
         }
         self.write("ServeOrFill", fields);
     }
 
-    fn reject(&mut self, request: &Id, advice: Option<Duration>) {
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
         self.write(
             "Refuse",
-            json!({"OpId": &**request, "HoldOff": advice.map_or(0.0, ms)}),
+            json!({"OpId": &**request, "HoldOff": retry_after.map_or(0.0, duration_to_ms)}),
         );
     }
 
@@ -65,11 +69,14 @@
         self.write("CallOff", json!({"OpId": &**request, "N": attempt}));
     }
 
-    fn wake_at(&mut self, at: Duration, mark: u64) {
-        self.write("NotifyMe", json!({"When": ms(at), "Mark": mark}));
+    fn set_timer(&mut self, at: Duration, timer_id: u64) {
+        self.write(
+            "NotifyMe",
+            json!({"When": duration_to_ms(at), "Mark": timer_id}),
+        );
     }
 
-    fn watch_list(&mut self) {
+    fn subscribe_list(&mut self) {
         self.write("Listen", json!({"Enable": true}));
     }
 }
@@ -83,20 +90,20 @@
     let started = number(f, "LastStart")?;
     let member = Member {
         server: id(f, "Server")?,
-        zone: whole(f, "Area")? as usize,
+        zone: unsigned(f, "Area")? as usize,
         tier: Tier::Cache,
-        cohort: whole(f, "Cohort")?,
-        standing: match text(f, "Mode")? {
-            "active" => Standing::Active,
-            "leaving" => Standing::Draining,
-            "left" => Standing::Gone,
+        cohort: unsigned(f, "Cohort")?,
+        standing: match string(f, "Mode")? {
+            "active" => ServerState::Active,
+            "leaving" => ServerState::Draining,
+            "left" => ServerState::Removed,
             other => return Err(format!("unknown Mode {other:?}")),
         },
         capacity: number(f, "CapacityHint")?,
-        started: (started > 0.0).then(|| span(started)),
+        started: (started > 0.0).then(|| duration_from_ms(started)),
         ..Member::default()
     };
-    Ok((member, whole(f, "Sku")?))
+    Ok((member, unsigned(f, "Sku")?))
 }
 
 fn outcome(code: &str) -> Result<Outcome, String> {
@@ -124,7 +131,7 @@
         6 => Remark::SourceRefused,
         7 => Remark::SourceUnreached,
         8 => Remark::SourceLacks,
-        9 => Remark::NoFillPlace,
+        9 => Remark::NoFillCapacity,
         10 => Remark::OriginFailed,
         _ => Remark::None,
     }
@@ -148,9 +155,9 @@
         let values = values.as_array().ok_or("Metrics is not an array")?;
         for (name, value) in self.report.iter().zip(values) {
             match name.as_str() {
-                "rif" => load.in_hand = value.as_f64(),
+                "rif" => load.in_service = value.as_f64(),
                 "q" => load.queued = value.as_f64(),
-                "busy" => load.busy = value.as_f64(),
+                "busy" => load.utilization = value.as_f64(),
                 "x0" => load.hit_share = value.as_f64(),
                 "x1" => load.link = value.as_f64(),
                 _ => {}
@@ -159,16 +166,16 @@
         Ok(load)
     }
 
-    fn ended(&self, f: &Fields) -> Result<Ended, String> {
+    fn ended(&self, f: &Fields) -> Result<AttemptResult, String> {
         let first_byte = f.get("Ttfb").filter(|v| !v.is_null());
-        Ok(Ended {
-            outcome: outcome(text(f, "StateCode")?)?,
-            remark: remark(whole(f, "Remark")?),
-            took: span(number(f, "Took")?),
+        Ok(AttemptResult {
+            outcome: outcome(string(f, "StateCode")?)?,
+            remark: remark(unsigned(f, "Remark")?),
+            duration: duration_from_ms(number(f, "Took")?),
             first_byte: first_byte
-                .map(|_| number(f, "Ttfb").map(span))
+                .map(|_| number(f, "Ttfb").map(duration_from_ms))
                 .transpose()?,
-            over: flag(f, "Last")?,
+            is_complete: flag(f, "Last")?,
             load: self.load(f)?,
         })
     }
@@ -190,13 +197,13 @@
                 .and_then(Value::as_array)
                 .ok_or("Members is not an array")?;
             let entries = entries.iter().map(member).collect::<Result<_, _>>()?;
-            self.server_lists.insert(whole(f, "Sheet")?, entries);
+            self.server_lists.insert(unsigned(f, "Sheet")?, entries);
             return Ok(());
         }
         if !f.contains_key("Router") {
             return Err("Router is missing".into());
         }
-        let router_number = whole(f, "Router")?;
+        let router_number = unsigned(f, "Router")?;
         let out = &mut ReplyWriter {
             router: router_number,
             output,
@@ -208,7 +215,7 @@
                 .get("Options")
                 .and_then(Value::as_object)
                 .ok_or("Options is not an object")?;
-            let settings = deployment::deployment(whole(f, "Salt")?, options)?;
+            let settings = deployment::deployment(unsigned(f, "Salt")?, options)?;
             let router = Router::start(now, &settings, out);
             let (report, classes) = (deployment::report_fields(options), settings.classes.len());
             let parent_and_origin = deployment::parent_and_origin(options);
@@ -230,14 +237,14 @@
         match name {
             "Killed" => drop(self.routers.remove(&router_number)),
             "Discovery" => {
-                let kind = match text(f, "How")? {
+                let kind = match string(f, "How")? {
                     "incr" => ListKind::Changes,
-                    "total" => ListKind::Whole,
-                    "warm_copy" => ListKind::Remembered,
+                    "total" => ListKind::Snapshot,
+                    "warm_copy" => ListKind::Restored,
                     "lost" => ListKind::Failed,
                     other => return Err(format!("unknown How {other:?}")),
                 };
-                let sheet = whole(f, "Sheet")?;
+                let sheet = unsigned(f, "Sheet")?;
                 let entries = match self.server_lists.get(&sheet) {
                     _ if kind == ListKind::Failed => &[],
                     Some(entries) => entries.as_slice(),
@@ -253,20 +260,20 @@
                     ..member.clone()
                 };
                 let entries: Vec<Member> = entries.iter().map(with_tier).collect();
-                hosted.router.list(now, kind, &entries, out);
+                hosted.router.update_list(now, kind, &entries, out);
             }
             "Accept" => {
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     id: id(f, "OpId")?,
-                    class: whole(f, "Priority")? as usize,
-                    customer: whole(f, "Customer")? as usize,
-                    object: text(f, "Item")?.into(),
-                    part: whole(f, "Segment")?,
-                    group: whole(f, "SetNo")?,
+                    class: unsigned(f, "Priority")? as usize,
+                    customer: unsigned(f, "Customer")? as usize,
+                    object: string(f, "Item")?.into(),
+                    part: unsigned(f, "Segment")?,
+                    group: unsigned(f, "SetNo")?,
                     kb: number(f, "Kb")?,
-                    at: None,
-                    left: span(number(f, "Ttl")?),
-                    repeated: flag(f, "Repeat")?,
+                    zone: None,
+                    time_left: duration_from_ms(number(f, "Ttl")?),
+                    is_retry: flag(f, "Repeat")?,
                     cell: None,
                 };
                 if arrival.class >= hosted.classes {
@@ -276,22 +283,26 @@
             }
             "Result" => {
                 let ended = hosted.ended(f)?;
-                hosted
-                    .router
-                    .result(now, &id(f, "OpId")?, whole(f, "N")? as usize, &ended, out);
+                hosted.router.attempt_ended(
+                    now,
+                    &id(f, "OpId")?,
+                    unsigned(f, "N")? as usize,
+                    &ended,
+                    out,
+                );
             }
-            "First" => hosted.router.begun(&id(f, "OpId")?),
-            "TimedOutClient" => hosted.router.left(now, &id(f, "OpId")?, out),
-            "Timer" => hosted.router.wake(now, whole(f, "Mark")?, out),
+            "First" => hosted.router.answer_started(&id(f, "OpId")?),
+            "TimedOutClient" => hosted.router.client_left(now, &id(f, "OpId")?, out),
+            "Timer" => hosted.router.wake(now, unsigned(f, "Mark")?, out),
             "ExpiredNow" => {
-                let object = Some(text(f, "Item")?)
+                let object = Some(string(f, "Item")?)
                     .filter(|item| !item.is_empty())
                     .map(Id::from);
-                hosted.router.purged(
+                hosted.router.record_purge(
                     now,
                     object,
-                    whole(f, "FamilyId")?,
-                    span(number(f, "HowOld")?),
+                    unsigned(f, "FamilyId")?,
+                    duration_from_ms(number(f, "HowOld")?),
                 );
             }
             // These routers neither send probes nor messages to one another.
@@ -340,7 +351,7 @@
         let in_message = |what: String| at_line(format!("{name}: {what}"));
         match (name.as_str(), &turn) {
             ("Turn", None) => {
-                host.now = span(number(fields, "Ts").map_err(in_message)?);
+                host.now = duration_from_ms(number(fields, "Ts").map_err(in_message)?);
                 turn = Some(
                     fields
                         .get("turn")
