--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -73,7 +73,7 @@
 pub struct Health {
     bad: bool,
     /// Time of the last change.
-    since: Duration,
+    changed_at: Duration,
     /// Minimum time in the bad state.
     hold: Duration,
     flaps: u32,
@@ -83,7 +83,7 @@
     fn default() -> Health {
         Health {
             bad: false,
-            since: Duration::ZERO,
+            changed_at: Duration::ZERO,
             hold: MIN_HOLD,
             flaps: 0,
         }
@@ -106,7 +106,7 @@
     pub fn update(&mut self, now: Duration, good: f64, bad: f64) -> bool {
         let share = bad / (good + bad).max(1e-9);
         let changes = if self.bad {
-            now >= self.since + self.hold && good >= MIN_GOOD_OUTCOMES && share < MAX_BAD_SHARE
+            now >= self.changed_at + self.hold && good >= MIN_GOOD_OUTCOMES && share < MAX_BAD_SHARE
         } else {
             bad >= MIN_BAD_OUTCOMES && share > MIN_BAD_SHARE
         };
@@ -115,7 +115,7 @@
         }
         if !self.bad {
             // A flapping fault is one fault: the zone stays bad for longer each time.
-            let was_calm = self.flaps == 0 || now >= self.since + CALM_PERIOD;
+            let was_calm = self.flaps == 0 || now >= self.changed_at + CALM_PERIOD;
             self.hold = if was_calm {
                 MIN_HOLD
             } else {
@@ -123,14 +123,14 @@
             };
             self.flaps += 1;
         }
-        (self.bad, self.since) = (!self.bad, now);
+        (self.bad, self.changed_at) = (!self.bad, now);
         true
     }
 
     /// Takes over a peer's state, for a router with too few outcomes of its own.
     pub fn adopt(&mut self, now: Duration, bad: bool) {
         if self.bad != bad {
-            (self.bad, self.since) = (bad, now);
+            (self.bad, self.changed_at) = (bad, now);
         }
     }
 }
--- a/crates/failover/src/messages.rs
+++ b/crates/failover/src/messages.rs
@@ -1,5 +1,5 @@
 //! Encoding and decoding of messages about a zone, as pure functions over bytes. Malformed bytes
-//! are no message.
+//! are decoded to `None`.
 //!
 //! | kind | recipients | bytes |
 //! | --- | --- | --- |
--- a/crates/failover/src/planner.rs
+++ b/crates/failover/src/planner.rs
@@ -3,7 +3,7 @@
 //! **Who decides.** The coordinator of a zone is the router with the lowest number of those with a
 //! recent load report. It computes which zones take the requests, and publishes the plan with a
 //! number that only grows. All routers follow the plan with the highest number that is younger than
-//! [`PLAN_LIFETIME`]; without a plan all requests stay in their zone. When a coordinator dies, the
+//! [`PLAN_LIFETIME`]; without a plan all requests stay in their zone. When a coordinator fails, the
 //! next router continues from the plan that it followed. In a partition each side has a coordinator
 //! of its own, which decides for the zones that it reaches: safety does not depend on there being
 //! only one, since a plan only selects among which caches requests are distributed that may run
@@ -34,7 +34,7 @@
 
 /// Lifetime of loads and states.
 const LIFETIME: Duration = Duration::from_millis(2500);
-/// Publishers of a zone's state that other zones keep: one of them may lie.
+/// Publishers of a zone's state that other zones keep: one of them may publish false values.
 const ZONE_STATE_PUBLISHERS: usize = 3;
 /// Lifetime of plans.
 pub const PLAN_LIFETIME: Duration = Duration::from_millis(2000);
@@ -83,7 +83,8 @@
 /// Share of a bad zone's requests that are still tried at its own caches, once it answers probes
 /// again.
 const TRIAL_SHARE: f64 = 1.0 / 8.0;
-/// The same while there are no results of probes.
+/// Share of a bad zone's requests that are tried at its own caches while there are no results of
+/// probes.
 const BLIND_TRIAL_SHARE: f64 = 1.0 / 32.0;
 /// Growth of a zone's spare capacity per second at most, as a share of its capacity; it shrinks at
 /// once. Additional load shows in the share of late answers only a second later, and parts that
@@ -115,7 +116,7 @@
 pub struct ZoneCapacity {
     /// Capacity of the active caches, in concurrent transfers.
     pub capacity: f64,
-    /// The part of it that is available, by how warm the caches are.
+    /// The part of `capacity` that is available, by how warm the caches are.
     pub available: f64,
     /// Capacity of the warm caches.
     pub warm: f64,
@@ -126,7 +127,7 @@
 pub enum TargetZone {
     Home,
     Remote(usize),
-    /// No zone has capacity for it.
+    /// No zone has capacity for the request.
     Unavailable,
 }
 
@@ -412,8 +413,8 @@
         let (sum, known) = self.loads(now).fold((0.0, 0.0), |(sum, known), (_, load)| {
             (sum + load.demand, known + 1.0)
         });
-        let alive = self.gossip.live_peers(now, PEER_TIMEOUT).count() as f64 + 1.0;
-        sum * (alive / known).max(1.0)
+        let live = self.gossip.live_peers(now, PEER_TIMEOUT).count() as f64 + 1.0;
+        sum * (live / known).max(1.0)
     }
 
     fn own_zone_state(&self, now: Duration) -> ZoneState {
@@ -776,7 +777,7 @@
         let zone_states = self.zone_states(now);
         let (offers, _) = self.offers(now, &zone_states);
         let own_zone = usize::from(self.config.zone);
-        let room = |edge: usize| {
+        let spare_capacity = |edge: usize| {
             offers
                 .iter()
                 .find(|o| o.edge == edge)
@@ -784,7 +785,7 @@
         };
         let summary = |(zone, state): (usize, &Option<ZoneState>)| {
             let state = state.unwrap_or_default();
-            (state.bad, state.drained, state.demand, room(zone))
+            (state.bad, state.drained, state.demand, spare_capacity(zone))
         };
         Report {
             bad: self.health.is_bad(),
--- a/crates/gossip/src/codec.rs
+++ b/crates/gossip/src/codec.rs
@@ -12,7 +12,7 @@
 //! Numbers are big-endian. A cache's tag is one byte of the hash of its name; 0 stands for no
 //! cache.
 //!
-//! Loads have datagrams of their own, so that a router that does not know them loses nothing else:
+//! Loads have datagrams of their own, so that a router that does not support them still reads the findings:
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -50,7 +50,7 @@
     pub findings: Vec<Finding>,
 }
 
-/// Why a datagram was rejected.
+/// The reason why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     /// The format is unknown, or a reserved bit is set.
@@ -110,7 +110,9 @@
 
 /// The zone and the loads of a datagram; `None` if it is not one of loads.
 ///
-/// # Errors Says what is wrong; nothing of such a datagram counts.
+/// # Errors
+///
+/// Returns the reason if the datagram is malformed; it is then rejected as a whole.
 pub fn decode_loads(bytes: &[u8]) -> Option<Result<(u16, Vec<Load>), DecodeError>> {
     let [LOADS_FORMAT, flags, high, low, rest @ ..] = bytes else {
         return None;
@@ -161,7 +163,9 @@
 
     /// Decodes a datagram of findings.
     ///
-    /// # Errors Says what is wrong; nothing of such a datagram counts.
+    /// # Errors
+    ///
+    /// Returns the reason if the datagram is malformed; it is then rejected as a whole.
     pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
         let [format, flags, high, low, rest @ ..] = bytes else {
             return Err(DecodeError::Length);
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -15,8 +15,8 @@
 //! with the messages that it has sent least often. A message is sent as many times as spread it to
 //! all (log2 of the fleet, and a few more for loss) and then no more. An urgent message is sent at
 //! once, within a limit per second. Of the messages of one kind and key from one zone only those of
-//! the freshest few publishers are kept: enough to outvote one that lies, and no table grows with
-//! the fleet.
+//! the freshest few publishers are kept: enough to outvote one that publishes false values, and no
+//! table grows with the fleet.
 //!
 //! Failures handled: datagrams lost, duplicated, late or reordered (versions, repeated sending); a
 //! publisher killed and restarted (incarnations); one that falls silent (ages); one that floods
@@ -118,7 +118,7 @@
     pub payload: Vec<u8>,
 }
 
-/// Why a datagram was rejected; nothing of such a datagram counts.
+/// The reason why a datagram was rejected; none of its messages is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     Length,
@@ -150,7 +150,9 @@
 
 /// The sender's zone and its messages; `None` if it is not a datagram of messages.
 ///
-/// # Errors Says what is wrong.
+/// # Errors
+///
+/// Returns the reason if the datagram is malformed; it is then rejected as a whole.
 pub fn decode(bytes: &[u8]) -> Option<Result<(u8, Vec<Message>), DecodeError>> {
     let [FORMAT, flags, zone, count, rest @ ..] = bytes else {
         return None;
@@ -224,9 +226,9 @@
 pub struct Dropped {
     /// Malformed datagrams.
     pub malformed: u64,
-    /// From or of an unknown router, or of an unknown kind.
+    /// Messages received from or published by an unknown router, or of an unknown kind.
     pub unknown: u64,
-    /// Expired, or no newer than what is held.
+    /// Messages that are expired, or no newer than what is held.
     pub stale: u64,
 }
 
@@ -235,7 +237,7 @@
 struct UrgentBurst {
     next_round_at: Duration,
     rounds_left: u32,
-    /// Some of the urgent messages are for other zones too.
+    /// Whether some of the urgent messages are for other zones too.
     fleet_wide: bool,
 }
 
@@ -246,10 +248,10 @@
     max_incarnation: u32,
     policies: Vec<KindPolicy>,
     messages: BTreeMap<Topic, StoredMessage>,
-    /// Routers of this zone by their own reports, and when each was last alive.
+    /// Routers of this zone by their own reports, with the time at which each was last alive.
     peers: BTreeMap<u16, Duration>,
     /// Sequence number of this router's last message.
-    last: u32,
+    last_sequence: u32,
     next_round_at: Duration,
     /// Start of the current window of one second, and the bursts in it.
     bursts_in_window: (Duration, u32),
@@ -279,7 +281,7 @@
             policies: policies.to_vec(),
             messages: BTreeMap::new(),
             peers: BTreeMap::new(),
-            last: 0,
+            last_sequence: 0,
             next_round_at,
             bursts_in_window: (now, 0),
             urgent_burst: None,
@@ -303,10 +305,10 @@
         if payload.len() > MAX_PAYLOAD_BYTES || self.policy(kind).is_none() {
             return;
         }
-        self.last += 1;
+        self.last_sequence += 1;
         let version = Version {
             incarnation: self.identity.incarnation,
-            sequence: self.last,
+            sequence: self.last_sequence,
         };
         let topic = Topic {
             kind,
@@ -496,8 +498,8 @@
 
     fn random_peer(&mut self) -> Option<u16> {
         let count = self.peers.len();
-        let at = (count > 0).then(|| self.rng.usize(..count))?;
-        self.peers.keys().nth(at).copied()
+        let index = (count > 0).then(|| self.rng.usize(..count))?;
+        self.peers.keys().nth(index).copied()
     }
 
     fn expire(&mut self, now: Duration) {
@@ -571,8 +573,8 @@
         );
     }
 
-    /// Receives a datagram from the router with this number. Returns false if it is no datagram
-    /// of messages.
+    /// Receives a datagram from the router with this number. Returns false if it is not a
+    /// datagram of messages.
     pub fn receive(&mut self, now: Duration, from: u64, bytes: &[u8]) -> bool {
         let Some(decoded) = decode(bytes) else {
             return false;
@@ -671,23 +673,23 @@
     fn refute(&mut self, claimed: Version) {
         let published = Version {
             incarnation: self.identity.incarnation,
-            sequence: self.last,
+            sequence: self.last_sequence,
         };
         if claimed <= published || claimed.incarnation >= self.max_incarnation {
             self.dropped.stale += u64::from(claimed > published);
             return;
         }
         self.identity.incarnation = claimed.incarnation + 1;
-        let (number, last) = (self.identity.number, &mut self.last);
+        let (number, last_sequence) = (self.identity.number, &mut self.last_sequence);
         for (_, message) in self
             .messages
             .iter_mut()
             .filter(|(topic, _)| topic.publisher == number)
         {
-            *last += 1;
+            *last_sequence += 1;
             message.version = Version {
                 incarnation: self.identity.incarnation,
-                sequence: *last,
+                sequence: *last_sequence,
             };
             message.transmissions = 0;
         }
--- a/crates/gossip/src/weight_balancer.rs
+++ b/crates/gossip/src/weight_balancer.rs
@@ -151,8 +151,8 @@
         reported
     }
 
-    /// Takes in what a peer sent in its last period. At most as much of it counts as the zone could
-    /// have done in ten periods.
+    /// Adds the loads that a peer reports for its last period, scaled down to at most the work that
+    /// the zone could have done in ten periods.
     pub fn receive(&mut self, loads: &[Load], period: f64) {
         let capacity: f64 = self
             .caches
@@ -161,8 +161,12 @@
             .map(|cache| cache.capacity)
             .sum();
         let max_work = 10.0 * period * capacity;
-        let all: f64 = loads.iter().map(Load::work_seconds).sum();
-        let scale = if all > max_work { max_work / all } else { 1.0 };
+        let total_work: f64 = loads.iter().map(Load::work_seconds).sum();
+        let scale = if total_work > max_work {
+            max_work / total_work
+        } else {
+            1.0
+        };
         self.add_loads(loads.iter().map(|load| {
             (
                 load.cache,
--- a/crates/latency/src/lib.rs
+++ b/crates/latency/src/lib.rs
@@ -1,5 +1,5 @@
-//! What each network path between zones costs: one model of the whole fleet, measured by few
-//! routers, sent to all, and forgotten with time. No I/O. `docs/latency.md` compares the
+//! The latency of each network path between zones: one model of the whole fleet, measured by a few
+//! routers, sent to all, and decaying with time. No I/O. `docs/latency.md` compares the
 //! alternatives.
 //!
 //! | module | content |
--- a/crates/latency/src/merge/tests.rs
+++ b/crates/latency/src/merge/tests.rs
@@ -23,14 +23,14 @@
         .map(|n| report(&[9.0, 10.0, 11.0, 10.0 + f64::from(n) * 0.2], 0))
         .collect();
     let expected = merge(&honest).expect("a report");
-    for lie in [
+    for false_report in [
         report(&[0.1; 200], 0),
         report(&[9000.0; 200], 0),
         report(&[1.0, 3000.0], 0),
     ] {
         for index in 0..=honest.len() {
             let mut all = honest.clone();
-            all.insert(index, lie);
+            all.insert(index, false_report);
             let merged = merge(&all).expect("a report");
             assert!(
                 (ms(merged.p50) / ms(expected.p50) - 1.0).abs() < 0.06,
@@ -42,7 +42,7 @@
             );
         }
     }
-    // With two reporters, one of them a liar, the lie cannot be outvoted.
+    // Of two reporters, one with false values cannot be outvoted.
     assert!(
         ms(merge(&[honest[0], report(&[9000.0; 9], 0)])
             .expect("a report")
--- a/crates/latency/src/model/tests.rs
+++ b/crates/latency/src/model/tests.rs
@@ -88,7 +88,7 @@
                     let (model, gossip) = &mut self.routers[n];
                     let mut messages = model.messages_to_publish(ms(now), gossip);
                     if self.liar == Some(n) {
-                        let lie = SketchSummary {
+                        let false_summary = SketchSummary {
                             count: 60.0,
                             lost: 0.0,
                             base: 100,
@@ -96,7 +96,7 @@
                             heights: [15; 16],
                         };
                         messages = (0..self.zones)
-                            .map(|e| (PATHS, e as u8, lie.encode().to_vec()))
+                            .map(|e| (PATHS, e as u8, false_summary.encode().to_vec()))
                             .collect();
                         let entry = MatrixEntry {
                             p50: Some(ms(1)),
--- a/crates/latency/src/share_table.rs
+++ b/crates/latency/src/share_table.rs
@@ -35,7 +35,7 @@
     pub edge: usize,
     /// `None` if unknown; such an edge comes after all known ones.
     pub path: Option<Estimate>,
-    /// What it can take besides its own load, in the unit of the demand. An edge without capacity
+    /// The load that the edge can take besides its own, in the unit of the demand. An edge without capacity
     /// takes nothing.
     pub capacity: f64,
 }
@@ -45,7 +45,7 @@
 pub struct ShareTable {
     /// Edges with their shares, in order of preference.
     shares: Vec<(usize, f64)>,
-    at: Option<Duration>,
+    updated_at: Option<Duration>,
 }
 
 fn bounds(offer: &Offer) -> (f64, f64) {
@@ -55,7 +55,7 @@
 }
 
 impl ShareTable {
-    /// Edges with their shares, in order; the sum is at most 1. What is missing is unassigned.
+    /// Edges with their shares, in order; the sum is at most 1. The remainder is unassigned.
     pub fn shares(&self) -> &[(usize, f64)] {
         &self.shares
     }
@@ -74,7 +74,7 @@
     /// Continues from the table of another router: its shares replace the current ones.
     pub fn adopt(&mut self, now: Duration, shares: &[(usize, f64)]) {
         self.shares = shares.to_vec();
-        self.at = Some(now);
+        self.updated_at = Some(now);
     }
 
     /// Updates the shares to a new time or new offers. Offers may be in any order, with each edge
@@ -97,16 +97,18 @@
         order.sort_by_key(|offer| (rank(offer.edge), median(offer), offer.edge));
         // An edge that is certainly better moves ahead, past as many others as it is better than.
         for end in 1..order.len() {
-            let mut at = end;
-            while at > 0 && bounds(order[at]).1 < bounds(order[at - 1]).0 {
-                order.swap(at, at - 1);
-                at -= 1;
+            let mut index = end;
+            while index > 0 && bounds(order[index]).1 < bounds(order[index - 1]).0 {
+                order.swap(index, index - 1);
+                index -= 1;
             }
         }
-        let elapsed = self.at.map_or(INITIAL_STEP / MAX_STEP_PER_SECOND, |at| {
-            now.saturating_sub(at).as_secs_f64()
-        });
-        self.at = Some(now);
+        let elapsed = self
+            .updated_at
+            .map_or(INITIAL_STEP / MAX_STEP_PER_SECOND, |updated_at| {
+                now.saturating_sub(updated_at).as_secs_f64()
+            });
+        self.updated_at = Some(now);
         let step = MAX_STEP_PER_SECOND * elapsed.min(1.0);
         let mut unassigned = 1.0;
         let mut next: Vec<(usize, f64, f64)> = Vec::new();
@@ -130,21 +132,21 @@
             ));
         }
         // Shares of unavailable edges are released at once; all others move by the step.
-        let is_unavailable = |at: usize| order[at].capacity <= 0.0;
+        let is_unavailable = |index: usize| order[index].capacity <= 0.0;
         let freed: f64 = (0..next.len())
-            .filter(|at| is_unavailable(*at))
-            .map(|at| next[at].1)
+            .filter(|index| is_unavailable(*index))
+            .map(|index| next[index].1)
             .sum();
         let step = step + freed * IMMEDIATE_FRACTION;
-        for (at, (_, share, target)) in next.iter_mut().enumerate() {
+        for (index, (_, share, target)) in next.iter_mut().enumerate() {
             let fitting_share = if demand > 0.0 {
-                order[at].capacity / demand
+                order[index].capacity / demand
             } else {
                 1.0
             };
             // Beyond its capacity an edge loses share even if no other can take it yet.
             let excess_over_capacity = (*share - fitting_share).clamp(0.0, step);
-            *share = if is_unavailable(at) {
+            *share = if is_unavailable(index) {
                 0.0
             } else {
                 *share - excess_over_capacity
--- a/crates/latency/src/sketch.rs
+++ b/crates/latency/src/sketch.rs
@@ -166,9 +166,9 @@
     pub lost: f64,
     /// Index of the first bucket covered by the heights.
     pub base: u8,
-    /// Each height covers two buckets.
+    /// Whether each height covers two buckets instead of one.
     pub wide: bool,
-    /// Relative to the highest, which is 15.
+    /// The heights, relative to the highest, which is 15.
     pub heights: [u8; SUMMARY_HEIGHTS],
 }
 
@@ -184,7 +184,7 @@
         bytes
     }
 
-    /// Returns `None` for malformed bytes, of which nothing counts.
+    /// Returns `None` for malformed bytes.
     pub fn decode(bytes: &[u8]) -> Option<SketchSummary> {
         let [count, lost, base, rest @ ..] = bytes else {
             return None;
--- a/tests/oracle/simulation.rs
+++ b/tests/oracle/simulation.rs
@@ -382,7 +382,7 @@
     /// Draws the duration and the result of an attempt.
     fn answer(&mut self, server: &str, limit: Duration) -> (Duration, AttemptResult) {
         use Outcome::*;
-        // Some servers are faulty for a while, so that outlier detection has work.
+        // Some servers are faulty for a while, so that outlier detection takes effect.
         let period = self.recorder.now.as_secs() / 7;
         let number = server.bytes().map(u64::from).sum::<u64>() + 31 * server.len() as u64;
         let is_faulty = (number + period).is_multiple_of(11);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -21,8 +21,7 @@
 const WARMING: &str = "warming";
 
 /// The number of requests of mean work that may reach a server in one window when the settings
-/// allow
-/// `allowed`.
+/// allow `allowed`.
 fn bound(allowed: f64) -> f64 {
     let slack = if allowed < 30.0 { 3.0 } else { 2.0 };
     allowed + slack * allowed.sqrt() + slack
@@ -378,7 +377,7 @@
     all
 }
 
-/// The number of seeds, which is larger in the whole form.
+/// The number of seeds, which is larger with `SLOW_START=whole`.
 fn seeds(quick: u64, whole: u64) -> u64 {
     if is_whole() { whole } else { quick }
 }
