--- a/crates/gossip/tests/stand_ins/mod.rs
+++ b/crates/gossip/tests/stand_ins/mod.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 const ZONES: usize = 40;
-const ROUTERS_HERE: usize = 5;
-const CACHES_HERE: usize = 4;
+const ROUTERS_PER_ZONE: usize = 5;
+const CACHES_PER_ZONE: usize = 4;
 pub const PARENTS: usize = 10;
-const ROUTERS: usize = ZONES * ROUTERS_HERE;
+const ROUTERS: usize = ZONES * ROUTERS_PER_ZONE;
 const END: Duration = Duration::from_secs(16);
 const PARTS: u64 = 16;
 
@@ -84,13 +84,13 @@
     cached: LruCache<u64, ()>,
 }
 
-/// The commands of a router in one call.
+/// The actions that a router requests in one call.
 #[derive(Default)]
 struct Commands {
     attempts: Vec<(Id, Id, Fill)>,
     answers: Vec<(Id, bool)>,
     cancels: Vec<(Id, usize)>,
-    wakes: Vec<(Duration, u64)>,
+    timers: Vec<(Duration, u64)>,
     found: Vec<(u32, Id)>,
 }
 
@@ -109,7 +109,7 @@
         self.cancels.push((request.clone(), attempt));
     }
     fn set_timer(&mut self, at: Duration, timer_id: u64) {
-        self.wakes.push((at, timer_id));
+        self.timers.push((at, timer_id));
     }
     fn subscribe_list(&mut self) {}
     fn holder_found(&mut self, part: u32, cache: &Id) {
@@ -130,9 +130,9 @@
 struct OpenRequest {
     arrival: IncomingRequest,
     key: u64,
-    soft: Duration,
+    soft_deadline: Duration,
     open: bool,
-    /// When each was sent; `None` once it has ended.
+    /// When each attempt was sent; `None` once it has ended.
     attempts: Vec<Option<Duration>>,
 }
 
@@ -148,7 +148,7 @@
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
     pending_events: HashMap<u64, Event>,
-    last: u64,
+    last_event_id: u64,
     nodes: Vec<Node>,
     servers: BTreeMap<Id, ServerModel>,
     list: Vec<Member>,
@@ -178,8 +178,8 @@
         router_index: number as u64,
         seed,
         routers: ROUTERS,
-        zone: number / ROUTERS_HERE,
-        routers_per_zone: vec![ROUTERS_HERE; ZONES],
+        zone: number / ROUTERS_PER_ZONE,
+        routers_per_zone: vec![ROUTERS_PER_ZONE; ZONES],
         classes: vec![page],
         min_call_interval: ms(1),
         client_kb_per_s: 5000.0,
@@ -228,7 +228,7 @@
             );
         };
         for zone in 0..ZONES {
-            for n in 0..CACHES_HERE {
+            for n in 0..CACHES_PER_ZONE {
                 let slowdown = if scenario.slow_cache && n == 0 {
                     4.0
                 } else {
@@ -257,7 +257,7 @@
             now: Duration::ZERO,
             events: BinaryHeap::new(),
             pending_events: HashMap::new(),
-            last: 0,
+            last_event_id: 0,
             nodes: nodes.collect(),
             servers,
             list,
@@ -277,9 +277,10 @@
     }
 
     fn schedule(&mut self, wait: Duration, event: Event) {
-        self.last += 1;
-        self.events.push(Reverse((self.now + wait, self.last)));
-        self.pending_events.insert(self.last, event);
+        self.last_event_id += 1;
+        self.events
+            .push(Reverse((self.now + wait, self.last_event_id)));
+        self.pending_events.insert(self.last_event_id, event);
     }
 
     fn start_router(&mut self, number: usize) {
@@ -295,7 +296,7 @@
             number: own_number,
             routers,
             zone,
-            routers_in_zone: ROUTERS_HERE,
+            routers_in_zone: ROUTERS_PER_ZONE,
             seed,
         };
         let mut exchange = self
@@ -314,7 +315,7 @@
         self.schedule(wait, Event::Tick(number));
     }
 
-    /// Calls the decisions of a running router, and executes their commands.
+    /// Calls a running router, and executes its commands.
     fn call(&mut self, number: usize, call: impl FnOnce(&mut Router, Duration, &mut Commands)) {
         let mut commands = Commands::default();
         let Some(router) = &mut self.nodes[number].router else {
@@ -322,7 +323,7 @@
         };
         call(router, self.now, &mut commands);
         let incarnation = self.nodes[number].incarnation;
-        for (at, timer) in std::mem::take(&mut commands.wakes) {
+        for (at, timer) in std::mem::take(&mut commands.timers) {
             self.schedule(
                 at.saturating_sub(self.now),
                 Event::Timer(number, incarnation, timer),
@@ -349,13 +350,20 @@
             self.attempt(number, id, server, fill);
         }
         for (id, attempt) in commands.cancels {
-            let out = self.nodes[number]
+            let open_attempt = self.nodes[number]
                 .open_requests
                 .get_mut(&id)
                 .and_then(|request| request.attempts.get_mut(attempt));
-            if let Some(sent) = out.and_then(Option::take) {
-                let took = self.now - sent;
-                self.end_attempt(number, &id, attempt, Outcome::Cancelled, Remark::None, took);
+            if let Some(sent) = open_attempt.and_then(Option::take) {
+                let duration = self.now - sent;
+                self.end_attempt(
+                    number,
+                    &id,
+                    attempt,
+                    Outcome::Cancelled,
+                    Remark::None,
+                    duration,
+                );
             }
         }
     }
@@ -375,16 +383,16 @@
         self.counts.attempts += 1;
         self.counts.attempts_at_first +=
             usize::from(server.ends_with("-0") && server.starts_with("cache"));
-        let at = self.servers.get_mut(&server).expect("a listed server");
-        at.in_flight += 1;
-        let hit = at.cached.get(&key).is_some();
-        let mut slow = (f64::from(at.in_flight) / at.capacity).max(1.0) * at.slowdown;
+        let model = self.servers.get_mut(&server).expect("a listed server");
+        model.in_flight += 1;
+        let hit = model.cached.get(&key).is_some();
+        let mut slowdown = (f64::from(model.in_flight) / model.capacity).max(1.0) * model.slowdown;
         let mut endpoints = [Some(server.clone()), None];
         let mut wait = 0.002;
         if !hit && fill.source != server {
             let source = self.servers.get_mut(&fill.source).expect("a listed source");
             source.in_flight += 1;
-            slow = slow.max(f64::from(source.in_flight) / source.capacity);
+            slowdown = slowdown.max(f64::from(source.in_flight) / source.capacity);
             wait += if source.cached.put(key, ()).is_some() {
                 0.010
             } else {
@@ -400,7 +408,7 @@
         }
         let stored_key = (fill.priority > 0).then_some(key);
         let incarnation = self.nodes[number].incarnation;
-        let took = Duration::from_secs_f64(wait + work * slow);
+        let duration = Duration::from_secs_f64(wait + work * slowdown);
         let is_silent = self.scenario.kills_routers
             && (ms(5000)..ms(7000)).contains(&self.now)
             && server.ends_with("-1");
@@ -411,7 +419,7 @@
             incarnation
         };
         self.schedule(
-            took,
+            duration,
             Event::AttemptEnd {
                 router: number,
                 incarnation,
@@ -437,7 +445,7 @@
             return;
         };
         if outcome == Outcome::Served && std::mem::replace(&mut request.open, false) {
-            self.counts.served_in_time += usize::from(self.now <= request.soft);
+            self.counts.served_in_time += usize::from(self.now <= request.soft_deadline);
             self.counts.hits += usize::from(remark == Remark::Hit);
         }
         let is_complete = !request.open;
@@ -466,7 +474,7 @@
         // Popularity falls with the rank; a third of the objects is requested in one zone only.
         let rank = (300f64.powf(self.rng.f64()) - 1.0) as u64;
         let local = if rank.is_multiple_of(3) {
-            1 + number as u64 / ROUTERS_HERE as u64
+            1 + number as u64 / ROUTERS_PER_ZONE as u64
         } else {
             0
         };
@@ -496,11 +504,11 @@
             time_left,
             ..IncomingRequest::default()
         };
-        let soft = self.now + ms(500) + Duration::from_secs_f64(2.0 * kb / 5000.0);
+        let soft_deadline = self.now + ms(500) + Duration::from_secs_f64(2.0 * kb / 5000.0);
         let request = OpenRequest {
             arrival: arrival.clone(),
             key,
-            soft,
+            soft_deadline,
             open: true,
             attempts: Vec::new(),
         };
@@ -601,12 +609,12 @@
                             .put(key, ());
                     }
                     let node = &mut simulation.nodes[router];
-                    let out = node
+                    let open_attempt = node
                         .open_requests
                         .get_mut(&request)
                         .and_then(|request| request.attempts.get_mut(attempt));
                     if node.incarnation == incarnation
-                        && let Some(sent) = out.and_then(Option::take)
+                        && let Some(sent) = open_attempt.and_then(Option::take)
                     {
                         let remark = if hit { Remark::Hit } else { Remark::Filled };
                         simulation.end_attempt(
@@ -641,10 +649,11 @@
                 }
                 Event::Kill => simulation.kill(),
                 Event::Restart => {
-                    let dead: Vec<usize> = (0..ROUTERS)
+                    let stopped: Vec<usize> = (0..ROUTERS)
                         .filter(|n| simulation.nodes[*n].router.is_none())
                         .collect();
-                    dead.into_iter()
+                    stopped
+                        .into_iter()
                         .for_each(|number| simulation.start_router(number));
                 }
             }
--- a/crates/latency/src/merge.rs
+++ b/crates/latency/src/merge.rs
@@ -43,11 +43,11 @@
 
 /// The span below which this share of all samples lies; `None` if too many probes were lost.
 fn quantile(below: &[f64; BUCKETS], share: f64) -> Option<Duration> {
-    let at = below.iter().position(|b| *b >= share)?;
-    let before = if at == 0 { 0.0 } else { below[at - 1] };
+    let index = below.iter().position(|b| *b >= share)?;
+    let before = if index == 0 { 0.0 } else { below[index - 1] };
     // Samples count as evenly spread within a bucket.
-    let fraction = (share - before) / (below[at] - before).max(1e-12);
-    Some(bucket_value(at as f64 + fraction - 0.5))
+    let fraction = (share - before) / (below[index] - before).max(1e-12);
+    Some(bucket_value(index as f64 + fraction - 0.5))
 }
 
 /// Merges reports, each with its age. Returns `None` if there is no report.
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -142,7 +142,7 @@
             self.update_member(member);
         }
         for member in members {
-            self.remove_if_gone(member);
+            self.remove_unlisted(member);
         }
         self.update_local_capacity();
     }
@@ -158,7 +158,7 @@
         self.add_to_indexes(&member.server);
     }
 
-    fn remove_if_gone(&mut self, member: &Member) {
+    fn remove_unlisted(&mut self, member: &Member) {
         let listed = self.endpoints.get(&member.server);
         if listed.is_some_and(|endpoint| endpoint.member.standing == ServerState::Removed) {
             self.remove_from_indexes(&member.server, member);
--- a/src/overdue.rs
+++ b/src/overdue.rs
@@ -38,13 +38,13 @@
         // uses a local cache, which never fills.
         let was_fill = request.attempts[number].is_fill;
         let is_filling = !route.is_local() && was_fill;
-        let silent = self.silent_hops(&route, sent_at);
+        let silent_hops = self.silent_hops(&route, sent_at);
         // A silent hop transfers nothing, so the attempt does not need a fill slot.
-        let holds_slot = !route.is_local() && silent.is_empty();
+        let holds_slot = !route.is_local() && silent_hops.is_empty();
         self.mark_as_fill(id, number, &route, holds_slot);
-        let log_odds = self.record_silence(context.now, &silent);
+        let log_odds = self.record_silence(context.now, &silent_hops);
         // At these odds one of the silent hops is faulty, even if it is unknown which.
-        let waits = if silent.is_empty() {
+        let waits = if silent_hops.is_empty() {
             context.now < sent_at + timeout * 2
         } else {
             is_filling && log_odds < EJECTION_LOG_ODDS
@@ -57,11 +57,11 @@
             self.set_timer(context, context.now - sent_at, callback);
             return self.dequeue_fills(context);
         }
-        self.give_up_attempt(context, id, number, &route, silent);
+        self.give_up_attempt(context, id, number, &route, silent_hops);
     }
 
     fn silent_hops(&self, route: &Route, sent_at: Duration) -> Vec<SilentHop> {
-        let silent = |server: &Id| {
+        let silent_hop = |server: &Id| {
             let last_answer_at = self.endpoints.get(server)?.last_answer_at;
             let silent_for = sent_at.checked_sub(last_answer_at)?.as_secs_f64();
             (silent_for > 0.0).then(|| SilentHop {
@@ -69,7 +69,7 @@
                 silent_for,
             })
         };
-        route.hops().filter_map(silent).collect()
+        route.hops().filter_map(silent_hop).collect()
     }
 
     /// Counts an overdue attempt as a fill, unless it uses a local cache.
@@ -89,10 +89,10 @@
 
     /// Records one failure, divided among the silent hops. Returns the sum of the log odds that
     /// they are faulty.
-    fn record_silence(&mut self, now: Duration, silent: &[SilentHop]) -> f64 {
-        let total = silent.iter().map(|hop| hop.silent_for).sum::<f64>();
+    fn record_silence(&mut self, now: Duration, silent_hops: &[SilentHop]) -> f64 {
+        let total = silent_hops.iter().map(|hop| hop.silent_for).sum::<f64>();
         let mut log_odds = 0.0;
-        for hop in silent {
+        for hop in silent_hops {
             let weight = hop.silent_for / total;
             self.endpoints
                 .record_outcome(&hop.server, now, true, weight);
@@ -110,16 +110,16 @@
         id: &Id,
         number: usize,
         route: &Route,
-        silent: Vec<SilentHop>,
+        silent_hops: Vec<SilentHop>,
     ) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if silent.is_empty() {
+        if silent_hops.is_empty() {
             request.failed_servers.push(route.server.clone());
         }
-        let silent = silent.into_iter().map(|hop| hop.server);
-        request.failed_servers.extend(silent);
+        let silent_hops = silent_hops.into_iter().map(|hop| hop.server);
+        request.failed_servers.extend(silent_hops);
         if !route.is_local() {
             self.attempt_timeout.lengthen();
         }
--- a/src/purge.rs
+++ b/src/purge.rs
@@ -70,8 +70,8 @@
     /// Never zero, which would mean any age.
     pub fn max_age(&self, now: Duration, arrival: &IncomingRequest) -> Option<Duration> {
         let purged_at = self.last_purge(arrival)?;
-        let is_open = now < purged_at + self.completes_within;
-        is_open.then(|| now.saturating_sub(purged_at).max(Duration::from_micros(1)))
+        let is_in_progress = now < purged_at + self.completes_within;
+        is_in_progress.then(|| now.saturating_sub(purged_at).max(Duration::from_micros(1)))
     }
 }
 
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -30,7 +30,7 @@
     latest: Duration,
 ) -> bool {
     let is_remembered = latest < execution.sent_at + class.dedup_window;
-    let shares = |group: fn(&Member) -> u64| match (target, executed_on) {
+    let is_same_group = |group: fn(&Member) -> u64| match (target, executed_on) {
         (RetryTarget::Server(next), Some(first)) => is_remembered && group(next) == group(first),
         _ => false,
     };
@@ -40,8 +40,8 @@
         (Effect::Deduplicated, Group::All) => {
             is_remembered || matches!(target, RetryTarget::Client)
         }
-        (Effect::Deduplicated, Group::Zone) => shares(|member| member.zone as u64),
-        (Effect::Deduplicated, Group::Cohort) => shares(|member| member.cohort),
+        (Effect::Deduplicated, Group::Zone) => is_same_group(|member| member.zone as u64),
+        (Effect::Deduplicated, Group::Cohort) => is_same_group(|member| member.cohort),
     }
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -90,7 +90,7 @@
             may_cancel: deployment.may_cancel,
             retry_after: deployment
                 .max_retry_after
-                .map(|longest| longest.min(MAX_RETRY_AFTER)),
+                .map(|max_retry_after| max_retry_after.min(MAX_RETRY_AFTER)),
             passes_through: deployment.pass_through,
             joins_fills: deployment.joins_fills,
             slow_start: SlowStart::new(now, deployment, routers_in_zone),
@@ -237,8 +237,8 @@
     }
 
     /// Sets the adjustment of a cache's selection weight, as agreed among the routers of its zone.
-    pub fn adjust_weight(&mut self, cache: &Id, by: f64) {
-        self.endpoints.adjust_weight(cache, by);
+    pub fn adjust_weight(&mut self, cache: &Id, adjustment: f64) {
+        self.endpoints.adjust_weight(cache, adjustment);
     }
 
     /// Handles a timer.
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -204,8 +204,8 @@
             return Some(all);
         }
         let draws = self.groups.iter().enumerate();
-        let (least, _) = draws.min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0))?;
-        Some(&self.groups.swap_remove(least).1.members)
+        let (lowest, _) = draws.min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0))?;
+        Some(&self.groups.swap_remove(lowest).1.members)
     }
 }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -193,13 +193,13 @@
 /// matches.
 fn matches(line: &str, pattern: &str, bound: &mut HashMap<String, String>) -> bool {
     let (mut found, mut words) = (bound.clone(), line.split(' '));
-    for want in pattern.split_whitespace() {
+    for expected in pattern.split_whitespace() {
         let Some(word) = words.next() else {
             return false;
         };
-        let same = match want.strip_prefix('$') {
+        let same = match expected.strip_prefix('$') {
             Some(name) => *found.entry(name.into()).or_insert(word.into()) == word,
-            None => want == "*" || want == word,
+            None => expected == "*" || expected == word,
         };
         if !same {
             return false;
@@ -452,14 +452,14 @@
 
     fn local_copies(&mut self, line: &Line) {
         let part = (line.object().to_owned(), line.number("part", 0));
-        let held = |place: &str| LocalCopy {
+        let copy = |place: &str| LocalCopy {
             cache: place.into(),
             created_at: self.now.saturating_sub(line.time("age", 0)),
             client_has_it: line.flag("same", 0),
         };
         match line.words[0] {
             "gone" => self.recorder.local_copies.remove(&part),
-            place => self.recorder.local_copies.insert(part, held(place)),
+            place => self.recorder.local_copies.insert(part, copy(place)),
         };
     }
 
