--- a/crates/failover/src/planner/tests.rs
+++ b/crates/failover/src/planner/tests.rs
@@ -29,11 +29,11 @@
     restored_at: Vec<Option<u64>>,
     /// Demand of each zone's clients, in concurrent transfers.
     demand: Vec<f64>,
-    /// Datagrams from one zone to another are lost.
+    /// Whether datagrams from one zone to another are lost, by zones.
     partitioned: Vec<Vec<bool>>,
     loss: f64,
     rng: fastrand::Rng,
-    /// All requests of a failed zone go to the next one, whatever its capacity.
+    /// Whether all requests of a failed zone go to the next one, whatever its capacity.
     naive: bool,
     /// By zone and step of 50 ms: requested, served, sent away, sent away although the own zone had
     /// capacity.
@@ -43,7 +43,7 @@
     /// steps of 50; and the longest time.
     disagreement_ms: Vec<u64>,
     max_disagreement_ms: u64,
-    /// A faulty router sees only failures.
+    /// The router, if any, that records each of its attempts as failed.
     faulty_router: Option<usize>,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    fn present(&self, zone: usize, now: u64) -> f64 {
+    fn current_capacity(&self, zone: usize, now: u64) -> f64 {
         if self.down[zone] {
             return 0.0;
         }
@@ -104,7 +104,7 @@
         self.capacity * (0.3 + 0.7 * warm)
     }
 
-    fn until(&mut self, from: u64, to: u64) {
+    fn run(&mut self, from: u64, to: u64) {
         for now in (from..to).step_by(50) {
             let routers_per_zone = self.routers.len() / self.zones;
             let listed: Vec<ZoneCapacity> = (0..self.zones)
@@ -113,7 +113,7 @@
                     let available = if self.down[p] {
                         self.capacity
                     } else {
-                        self.present(p, now)
+                        self.current_capacity(p, now)
                     };
                     let warm = if self.restored_at[p].is_none_or(|at| now >= at + WARM_UP_MS) {
                         self.capacity
@@ -167,7 +167,7 @@
                 .map(|p| {
                     // An overloaded zone serves less than its capacity: it works on requests that
                     // are already late.
-                    let available = self.present(p, now);
+                    let available = self.current_capacity(p, now);
                     let overload = total[p] / available.max(1e-9);
                     if overload > 1.3 {
                         0.3 / overload
@@ -178,7 +178,7 @@
                 .collect();
             for (p, share) in served.iter().enumerate() {
                 self.overloaded_s[p] += f64::from(
-                    !self.down[p] && *share < 0.5 && self.present(p, now) == self.capacity,
+                    !self.down[p] && *share < 0.5 && self.current_capacity(p, now) == self.capacity,
                 ) * 0.05;
             }
             for (n, destinations) in destinations.iter().enumerate() {
@@ -208,11 +208,12 @@
                     .filter(|to| *to != p)
                     .map(|to| sent[p][to])
                     .sum();
-                let needlessly_away = if !self.down[p] && self.present(p, now) >= self.demand[p] {
-                    sent_away
-                } else {
-                    0.0
-                };
+                let needlessly_away =
+                    if !self.down[p] && self.current_capacity(p, now) >= self.demand[p] {
+                        sent_away
+                    } else {
+                        0.0
+                    };
                 self.history[p].push([requested, served_work, sent_away, needlessly_away]);
                 let plans: std::collections::BTreeSet<Option<u32>> = self
                     .routers
@@ -273,14 +274,14 @@
 fn a_lost_zone_is_taken_over_within_two_seconds_and_restored_as_it_warms() {
     for seed in [1, 2, 3] {
         let mut simulation = Simulation::new(6, 60, 0.5, seed);
-        simulation.until(0, 5000);
+        simulation.run(0, 5000);
         let [served, sent_away, _] = simulation.shares(0, 2000, 5000);
         assert!(
             served > 0.99 && sent_away == 0.0,
             "before the failure: served {served}, sent away {sent_away}"
         );
         simulation.fail(1);
-        simulation.until(5000, 10_000);
+        simulation.run(5000, 10_000);
         let [first_two_seconds, _, _] = simulation.shares(1, 5000, 7000);
         let [after_detection, _, _] = simulation.shares(1, 7000, 10_000);
         assert!(
@@ -288,7 +289,7 @@
             "seed {seed}: served {first_two_seconds} in the first two seconds, {after_detection} after them"
         );
         simulation.restore(1, 10_000);
-        simulation.until(10_000, 22_000);
+        simulation.run(10_000, 22_000);
         let [after_restore, _, _] = simulation.shares(1, 10_000, 15_000);
         let [after_warm_up, sent_away, needlessly_away] = simulation.shares(1, 17_000, 22_000);
         assert!(
@@ -320,10 +321,10 @@
     let run = |naive: bool| {
         let mut simulation = Simulation::new(6, 60, 0.75, 7);
         simulation.naive = naive;
-        simulation.until(0, 4000);
+        simulation.run(0, 4000);
         simulation.fail(1);
         simulation.fail(4);
-        simulation.until(4000, 12_000);
+        simulation.run(4000, 12_000);
         let all: f64 = (0..6)
             .map(|p| simulation.shares(p, 6000, 12_000)[0])
             .sum::<f64>()
@@ -344,7 +345,7 @@
 #[test]
 fn a_zone_that_flaps_each_second_is_left_only_a_few_times() {
     let mut simulation = Simulation::new(6, 60, 0.5, 5);
-    simulation.until(0, 4000);
+    simulation.run(0, 4000);
     for n in 0..20u64 {
         let now = 4000 + n * 1000;
         if n.is_multiple_of(2) {
@@ -352,7 +353,7 @@
         } else {
             simulation.down[1] = false
         }
-        simulation.until(now, now + 1000);
+        simulation.run(now, now + 1000);
     }
     // Counts changes from mostly local to mostly sent away, from the first failure on.
     let mostly_local: Vec<bool> = simulation.history[1][80..]
@@ -366,26 +367,26 @@
 #[test]
 fn no_requests_move_when_all_zones_are_bad_and_a_faulty_router_is_outvoted() {
     let mut simulation = Simulation::new(6, 60, 0.5, 6);
-    simulation.until(0, 3000);
+    simulation.run(0, 3000);
     (0..6).for_each(|p| simulation.fail(p));
-    simulation.until(3000, 8000);
+    simulation.run(3000, 8000);
     let sent_away: f64 = (0..6).map(|p| simulation.shares(p, 6000, 8000)[1]).sum();
     assert!(sent_away < 0.01, "sent away {sent_away}");
     let mut simulation = Simulation::new(6, 60, 0.5, 6);
     simulation.faulty_router = Some(7);
-    simulation.until(0, 8000);
+    simulation.run(0, 8000);
     assert!((0..6).all(|p| simulation.shares(p, 0, 8000)[1] == 0.0));
 }
 
 #[test]
 fn each_side_of_a_partition_decides_and_a_failed_coordinator_is_succeeded() {
     let mut simulation = Simulation::new(6, 60, 0.5, 8);
-    simulation.until(0, 3000);
+    simulation.run(0, 3000);
     for a in 0..6 {
         (0..6).for_each(|b| simulation.partitioned[a][b] = (a < 3) != (b < 3));
     }
     simulation.fail(1);
-    simulation.until(3000, 9000);
+    simulation.run(3000, 9000);
     // Only zones on the same side take requests: nothing is known about the others.
     let [served, sent_away, _] = simulation.shares(1, 7000, 9000);
     assert!(
@@ -395,7 +396,7 @@
     // The coordinator fails, and then its successor.
     simulation.routers[1] = None;
     simulation.routers[7] = None;
-    simulation.until(9000, 15_000);
+    simulation.run(9000, 15_000);
     let [served, sent_away, _] = simulation.shares(1, 12_000, 15_000);
     assert!(
         served > 0.85 && sent_away > 0.85,
@@ -411,7 +412,7 @@
         .flatten()
         .for_each(|partitioned| *partitioned = false);
     simulation.restore(1, 15_000);
-    simulation.until(15_000, 28_000);
+    simulation.run(15_000, 28_000);
     let [served, sent_away, _] = simulation.shares(1, 24_000, 28_000);
     assert!(
         served > 0.98 && sent_away < 0.02,
@@ -422,13 +423,13 @@
 #[test]
 fn a_drained_zone_empties_without_errors_and_takes_no_requests() {
     let mut simulation = Simulation::new(6, 60, 0.5, 9);
-    simulation.until(0, 3000);
+    simulation.run(0, 3000);
     simulation
         .routers
         .iter_mut()
         .flatten()
         .for_each(|r| r.set_drained_zones(&[2]));
-    simulation.until(3000, 9000);
+    simulation.run(3000, 9000);
     let [served, sent_away, _] = simulation.shares(2, 7000, 9000);
     assert!(
         served > 0.97 && sent_away > 0.95,
@@ -443,7 +444,7 @@
         .iter_mut()
         .flatten()
         .for_each(|r| r.set_drained_zones(&[]));
-    simulation.until(9000, 16_000);
+    simulation.run(9000, 16_000);
     assert!(simulation.shares(2, 14_000, 16_000)[1] < 0.01);
 }
 
@@ -456,11 +457,11 @@
         .flatten()
         .for_each(|partitioned| *partitioned = true);
     simulation.fail(1);
-    simulation.until(0, 5000);
+    simulation.run(0, 5000);
     assert_eq!(simulation.shares(1, 0, 5000)[1], 0.0);
     let mut simulation = Simulation::new(6, 60, 0.5, 9);
     simulation.fail(1);
-    simulation.until(0, 5000);
+    simulation.run(0, 5000);
     let planner = simulation.routers[1].as_mut().expect("a running router");
     assert!(
         (0..100).all(|n| planner.select_zone(f64::from(n) / 100.0, false, 1.0) == TargetZone::Home)
--- a/tests/oracle/simulation.rs
+++ b/tests/oracle/simulation.rs
@@ -74,7 +74,7 @@
     ended: Vec<Id>,
     subscriptions: usize,
     requested: HashMap<Id, (Id, u64)>,
-    local: HashMap<(Id, u64), LocalCopy>,
+    local_copies: HashMap<(Id, u64), LocalCopy>,
 }
 
 impl Recorder {
@@ -90,11 +90,11 @@
             ended: Vec::new(),
             subscriptions: 0,
             requested: HashMap::new(),
-            local: HashMap::new(),
+            local_copies: HashMap::new(),
         }
     }
 
-    fn note(&mut self, kind: &'static str, line: std::fmt::Arguments) {
+    fn record(&mut self, kind: &'static str, line: std::fmt::Arguments) {
         let mut text = String::new();
         writeln!(text, "{} {kind} {line}", self.now.as_micros())
             .expect("writing to a string succeeds");
@@ -109,7 +109,7 @@
 
 impl ActionSink for Recorder {
     fn attempt(&mut self, request: &Id, server: &Id, limit: Duration, fill: &Fill) {
-        self.note(
+        self.record(
             "attempt",
             format_args!(
                 "{request} {server} {} {}",
@@ -120,33 +120,33 @@
         self.attempts.push((request.clone(), server.clone(), limit));
     }
     fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
-        self.note("reject", format_args!("{request} {retry_after:?}"));
+        self.record("reject", format_args!("{request} {retry_after:?}"));
         self.ended.push(request.clone());
     }
     fn fail(&mut self, request: &Id) {
-        self.note("fail", format_args!("{request}"));
+        self.record("fail", format_args!("{request}"));
         self.ended.push(request.clone());
     }
     fn cancel(&mut self, request: &Id, attempt: usize) {
-        self.note("cancel", format_args!("{request} {attempt}"));
+        self.record("cancel", format_args!("{request} {attempt}"));
         self.cancels.push((request.clone(), attempt));
     }
     fn set_timer(&mut self, at: Duration, timer_id: u64) {
-        self.note("wake", format_args!("{} {timer_id}", at.as_micros()));
+        self.record("wake", format_args!("{} {timer_id}", at.as_micros()));
         self.timers.insert((at, timer_id), ());
     }
     fn subscribe_list(&mut self) {
-        self.note("watch", format_args!(""));
+        self.record("watch", format_args!(""));
         self.subscriptions += 1;
     }
     fn local_copy(&mut self, request: &Id) -> Option<LocalCopy> {
-        self.local.get(self.requested.get(request)?).cloned()
+        self.local_copies.get(self.requested.get(request)?).cloned()
     }
     fn holder_found(&mut self, part: u32, cache: &Id) {
-        self.note("found", format_args!("{part} {cache}"));
+        self.record("found", format_args!("{part} {cache}"));
     }
     fn keep_local_copy(&mut self, request: &Id, priority: u8) {
-        self.note("keep", format_args!("{request} {priority}"));
+        self.record("keep", format_args!("{request} {priority}"));
         let Some(requested) = self.requested.get(request).cloned() else {
             return;
         };
@@ -156,7 +156,7 @@
             created_at: self.now,
             client_has_it: priority == 3,
         };
-        self.local.insert(requested, local_copy);
+        self.local_copies.insert(requested, local_copy);
     }
 }
 
@@ -577,7 +577,7 @@
             }
             _ => {
                 let (object, part, _) = self.part();
-                self.recorder.local.remove(&(object, part));
+                self.recorder.local_copies.remove(&(object, part));
             }
         }
     }
