--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -33,7 +33,7 @@
     }
 
     /// Records a failed connect. Failures of connects that were started together count as one.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         if !self.allows(now) {
             return;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Records a successful connect: the next failure starts with the initial delay.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.reset();
     }
 
--- a/crates/router/src/backoff/tests.rs
+++ b/crates/router/src/backoff/tests.rs
@@ -4,7 +4,7 @@
 fn delays(backoff: &mut Backoff, failures: usize) -> Vec<Duration> {
     let mut now = backoff.not_before.unwrap_or_else(Instant::now);
     let delay = |_| {
-        backoff.failed(now);
+        backoff.record_failure(now);
         let next = backoff.not_before.unwrap();
         assert!(!backoff.allows(next - Duration::from_nanos(1)) && backoff.allows(next));
         next - std::mem::replace(&mut now, next)
@@ -23,7 +23,7 @@
             "{n}: {delay:?}"
         );
     }
-    backoff.succeeded();
+    backoff.record_success();
     assert!(backoff.allows(Instant::now()));
     assert!(delays(&mut backoff, 1)[0] <= INITIAL_DELAY);
 }
@@ -31,9 +31,9 @@
 #[test]
 fn simultaneous_failures_count_once() {
     let (mut backoff, now) = (Backoff::default(), Instant::now());
-    backoff.failed(now);
+    backoff.record_failure(now);
     let first = backoff.not_before;
-    (0..9).for_each(|_| backoff.failed(now));
+    (0..9).for_each(|_| backoff.record_failure(now));
     assert_eq!(
         (backoff.not_before, backoff.next_delay),
         (first, INITIAL_DELAY * 2)
--- a/crates/router/src/boot_time.rs
+++ b/crates/router/src/boot_time.rs
@@ -29,9 +29,9 @@
 
 /// Whether the wall clock was set back since the directory was last used.
 #[derive(Debug)]
-pub struct StepBack {
+pub struct ClockStepBack {
     /// By how many milliseconds the clock was set back; 0 if it was not.
-    pub ms: u64,
+    pub step_ms: u64,
     /// Whether the directory holds a current boot time. If that could not be written, a later start
     /// may not detect a step.
     pub recorded: io::Result<()>,
@@ -71,20 +71,20 @@
     /// Computes by how much the wall clock at this start is behind that of an earlier start that
     /// used the directory since the same boot. The directory keeps the later boot time, since it
     /// still holds data with timestamps of that clock.
-    pub fn set_back_by(&self, directory: &Path) -> StepBack {
+    pub fn detect_step_back(&self, directory: &Path) -> ClockStepBack {
         let recorded = fs::read_to_string(directory.join(FILE_NAME))
             .ok()
             .and_then(|text| BootTime::parse(&text));
         match recorded.filter(|recorded| recorded.boot_id == self.boot_id) {
             Some(recorded) if recorded.unix_ms.saturating_add(TOLERANCE_MS) >= self.unix_ms => {
                 let behind = recorded.unix_ms.saturating_sub(self.unix_ms);
-                StepBack {
-                    ms: if behind > TOLERANCE_MS { behind } else { 0 },
+                ClockStepBack {
+                    step_ms: if behind > TOLERANCE_MS { behind } else { 0 },
                     recorded: Ok(()),
                 }
             }
-            _ => StepBack {
-                ms: 0,
+            _ => ClockStepBack {
+                step_ms: 0,
                 recorded: self.record(directory),
             },
         }
--- a/crates/router/src/boot_time/tests.rs
+++ b/crates/router/src/boot_time/tests.rs
@@ -40,7 +40,7 @@
 #[test]
 fn a_clock_set_back_since_an_earlier_start_is_detected_at_every_start() {
     let directory = TemporaryDirectory::new("boot-time-back");
-    let start = |unix_ms| at("one", unix_ms).set_back_by(&directory.0).ms;
+    let start = |unix_ms| at("one", unix_ms).detect_step_back(&directory.0).step_ms;
     let first = 50 * HOUR_MS;
     assert_eq!(start(first), 0, "first use of the directory");
     assert_eq!(start(first - TOLERANCE_MS), 0, "within the tolerance");
@@ -59,13 +59,23 @@
 #[test]
 fn another_boot_and_an_unreadable_file_are_no_evidence_of_a_step() {
     let directory = TemporaryDirectory::new("boot-time-other");
-    assert_eq!(at("one", 9 * HOUR_MS).set_back_by(&directory.0).ms, 0);
     assert_eq!(
-        at("two", 2 * HOUR_MS).set_back_by(&directory.0).ms,
+        at("one", 9 * HOUR_MS)
+            .detect_step_back(&directory.0)
+            .step_ms,
+        0
+    );
+    assert_eq!(
+        at("two", 2 * HOUR_MS)
+            .detect_step_back(&directory.0)
+            .step_ms,
         0,
         "another boot"
     );
-    assert_eq!(at("two", HOUR_MS).set_back_by(&directory.0).ms, HOUR_MS);
+    assert_eq!(
+        at("two", HOUR_MS).detect_step_back(&directory.0).step_ms,
+        HOUR_MS
+    );
     for text in [
         "",
         "two",
@@ -76,22 +86,25 @@
     ] {
         fs::write(directory.0.join(FILE_NAME), text).unwrap();
         assert_eq!(
-            at("two", HOUR_MS).set_back_by(&directory.0).ms,
+            at("two", HOUR_MS).detect_step_back(&directory.0).step_ms,
             0,
             "{text:?}"
         );
         assert_eq!(
-            at("two", 1).set_back_by(&directory.0).ms,
+            at("two", 1).detect_step_back(&directory.0).step_ms,
             HOUR_MS - 1,
             "the file was rewritten after {text:?}"
         );
     }
     fs::write(directory.0.join(FILE_NAME), format!("two {}", u64::MAX)).unwrap();
-    assert_eq!(at("two", 1).set_back_by(&directory.0).ms, u64::MAX - 1);
+    assert_eq!(
+        at("two", 1).detect_step_back(&directory.0).step_ms,
+        u64::MAX - 1
+    );
 }
 
 #[test]
 fn a_directory_that_cannot_be_written_is_reported() {
-    let step = at("one", 1).set_back_by(Path::new("/proc/nowhere"));
-    assert!(step.ms == 0 && step.recorded.is_err());
+    let step = at("one", 1).detect_step_back(Path::new("/proc/nowhere"));
+    assert!(step.step_ms == 0 && step.recorded.is_err());
 }
--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -96,8 +96,8 @@
 /// All faults of the map.
 pub fn read_cell_plan(settings: &Settings, classes: &[String]) -> Result<CellPlan, CellMapError> {
     let mut faults = Vec::new();
-    let mut read_binding = |(bound, cell): &(DirectiveScope, String)| {
-        let scope = read_scope(bound, classes, &mut faults);
+    let mut read_binding = |(directive, cell): &(DirectiveScope, String)| {
+        let scope = read_scope(directive, classes, &mut faults);
         (scope, cell.clone())
     };
     let bindings = settings.bindings.iter().map(&mut read_binding).collect();
@@ -106,7 +106,7 @@
     let map = Map::new(Definition {
         epoch: settings.epoch,
         cells: cells
-            .map(|(name, of)| (name.clone(), members(of)))
+            .map(|(name, cell)| (name.clone(), members(cell)))
             .collect(),
         bindings,
         // A scope that moves to a cell belongs to it as well.
@@ -137,8 +137,12 @@
 }
 
 /// Reads the scope of a binding. A class that is not in the settings is a fault.
-fn read_scope(bound: &DirectiveScope, classes: &[String], faults: &mut Vec<CellFault>) -> Scope {
-    match bound {
+fn read_scope(
+    directive: &DirectiveScope,
+    classes: &[String],
+    faults: &mut Vec<CellFault>,
+) -> Scope {
+    match directive {
         DirectiveScope::Prefix(prefix) => Scope::Prefix(prefix.clone()),
         DirectiveScope::Groups(range) => Scope::Groups(range.clone()),
         DirectiveScope::Customer(number) => Scope::Customer(*number),
--- a/crates/router/src/client_connection.rs
+++ b/crates/router/src/client_connection.rs
@@ -128,7 +128,7 @@
 struct Session {
     connection: ClientConnection,
     state: State,
-    /// By tag.
+    /// The open requests, by tag.
     open_requests: HashMap<u64, OpenRequest>,
     write_buffer: WriteBuffer,
     reply_sender: mpsc::Sender<ClientReply>,
--- a/crates/router/src/client_connection/admission.rs
+++ b/crates/router/src/client_connection/admission.rs
@@ -74,7 +74,7 @@
         let deadline = received_after + arrival.time_left;
         let deadline = self.connection.frontend.clock.instant(deadline);
         self.write_buffer.extend_deadline(deadline);
-        let client = self.reserve_reply().await?;
+        let reply_permit = self.reserve_reply().await?;
         let cancellation = CancellationFlag::default();
         let open = OpenRequest {
             id: arrival.id.clone(),
@@ -86,7 +86,7 @@
             forwarded,
             received_after,
             tag,
-            client,
+            reply_permit,
             cancellation,
         }));
         if self.connection.decider.send(request).await.is_err() {
--- a/crates/router/src/client_connection/closing.rs
+++ b/crates/router/src/client_connection/closing.rs
@@ -4,7 +4,7 @@
 use super::read_buffer::READ_CHUNK_BYTES;
 use crate::client_protocol::FrameError;
 use crate::messages::Message;
-use crate::uninterrupted::Uninterrupted;
+use crate::retrying_stream::RetryingStream;
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
@@ -64,7 +64,7 @@
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseMode {
-    /// At once: nobody reads the responses.
+    /// The connection is closed at once, because nobody reads the responses.
     Immediate,
     /// Everything has been written; data that still arrives is discarded.
     Graceful,
@@ -137,7 +137,7 @@
     let mut discarded = Vec::with_capacity(READ_CHUNK_BYTES);
     while bytes_left > 0 {
         discarded.clear();
-        let mut reader = Uninterrupted::new(&mut stream);
+        let mut reader = RetryingStream::new(&mut stream);
         match timeout_at(until, reader.read_buf(&mut discarded)).await {
             Ok(Ok(bytes)) if bytes > 0 => bytes_left = bytes_left.saturating_sub(bytes),
             _ => return,
--- a/crates/router/src/client_connection/read_buffer.rs
+++ b/crates/router/src/client_connection/read_buffer.rs
@@ -2,7 +2,7 @@
 
 use super::read_wait::ReadWait;
 use crate::client_protocol::{FrameDecoder, FrameError};
-use crate::uninterrupted::Uninterrupted;
+use crate::retrying_stream::RetryingStream;
 use bytes::{Bytes, BytesMut};
 use std::io;
 use std::time::Duration;
@@ -52,7 +52,7 @@
         if self.bytes.capacity() - self.bytes.len() < MIN_FREE_BYTES {
             self.bytes.reserve(READ_CHUNK_BYTES);
         }
-        Uninterrupted::new(&mut self.reader)
+        RetryingStream::new(&mut self.reader)
             .read_buf(&mut self.bytes)
             .await
     }
--- a/crates/router/src/client_connection/read_wait.rs
+++ b/crates/router/src/client_connection/read_wait.rs
@@ -18,7 +18,7 @@
 }
 
 impl ReadWait {
-    /// For a connection that has just been accepted: data may have arrived before that, during a
+    /// Starts with a connection that has just been accepted. Data may have arrived before, during a
     /// delay of the event loop.
     pub fn new() -> ReadWait {
         let now = Instant::now();
--- a/crates/router/src/client_connection/test_support.rs
+++ b/crates/router/src/client_connection/test_support.rs
@@ -43,7 +43,7 @@
     connect_with_capacity(4096, phase, received).await
 }
 
-/// As `connect`, with this capacity of the decider's channel.
+/// Like `connect`, with this capacity of the decider's channel.
 pub async fn connect_with_capacity(
     message_capacity: usize,
     phase: Phase,
@@ -176,7 +176,7 @@
 
 /// Sends the final answer to a request, as the decider does.
 pub fn reply(request: Box<NewRequest>, answer: FinalAnswer) {
-    drop(request.client.send(ClientReply {
+    drop(request.reply_permit.send(ClientReply {
         tag: request.tag,
         id: request.arrival.id,
         answer,
--- a/crates/router/src/client_connection/write_buffer.rs
+++ b/crates/router/src/client_connection/write_buffer.rs
@@ -2,7 +2,7 @@
 
 use crate::client_protocol::{RESPONSE_END, ResponseStatus, response_head};
 use crate::messages::FinalAnswer;
-use crate::uninterrupted::Uninterrupted;
+use crate::retrying_stream::RetryingStream;
 use bytes::{Buf, Bytes};
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -86,7 +86,7 @@
             .take(MAX_CHUNKS_PER_WRITE)
             .map(|chunk| IoSlice::new(chunk))
             .collect();
-        let written = Uninterrupted::new(writer).write_vectored(&slices).await?;
+        let written = RetryingStream::new(writer).write_vectored(&slices).await?;
         self.advance(written);
         Ok(())
     }
--- a/crates/router/src/control_socket.rs
+++ b/crates/router/src/control_socket.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Message, OperatorQuery};
 use crate::operator_query::Query;
 use crate::rate_limited_log::RateLimitedLog;
-use crate::uninterrupted::Uninterrupted;
+use crate::retrying_stream::RetryingStream;
 use serde_json::json;
 use std::fs::{self, Permissions};
 use std::io;
@@ -133,7 +133,7 @@
 /// Reads a query and writes its answer.
 async fn answer(stream: UnixStream, decider: mpsc::Sender<Message>) -> io::Result<()> {
     let (reader, writer) = stream.into_split();
-    let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
+    let (reader, mut writer) = (RetryingStream::new(reader), RetryingStream::new(writer));
     let mut line = String::new();
     BufReader::new(reader.take(MAX_LINE_BYTES))
         .read_line(&mut line)
--- a/crates/router/src/decider/admission.rs
+++ b/crates/router/src/decider/admission.rs
@@ -16,7 +16,7 @@
         }
         let waited = self.dispatcher.now.saturating_sub(new.received_after);
         if let Err(refusal) = self.admit(&mut new.arrival, waited) {
-            new.client.send(ClientReply {
+            new.reply_permit.send(ClientReply {
                 tag: new.tag,
                 id: new.arrival.id,
                 answer: refusal,
@@ -25,7 +25,7 @@
         }
         let now = self.dispatcher.now;
         self.dispatcher.requests.insert(PendingRequest {
-            requester: Some(Requester::Client(new.client)),
+            requester: Some(Requester::Client(new.reply_permit)),
             tag: new.tag,
             cancellation: new.cancellation,
             arrival: new.arrival.clone(),
--- a/crates/router/src/decider/attempt_results.rs
+++ b/crates/router/src/decider/attempt_results.rs
@@ -55,7 +55,7 @@
         {
             let created_at = answer.created_at_unix_ms;
             answer.created_at_unix_ms =
-                created_at.and_then(|created_at| local_cache.bound_created_at(created_at));
+                created_at.and_then(|created_at| local_cache.correct_created_at(created_at));
         }
         result.remark = answer.remark;
         result.first_byte = answer.first_byte;
--- a/crates/router/src/decider/dispatcher.rs
+++ b/crates/router/src/decider/dispatcher.rs
@@ -77,14 +77,14 @@
             return false;
         };
         request.cancellation.cancel();
-        if let Requester::Client(client) = requester {
+        if let Requester::Client(reply_permit) = requester {
             self.final_outcomes.push(FinalOutcome {
                 class: request.arrival.class,
                 received_at: request.received_at,
                 was_served: is_served(&answer),
             });
             self.unwritten_bytes += body_bytes(&answer);
-            client.send(ClientReply {
+            reply_permit.send(ClientReply {
                 tag: request.tag,
                 id: id.clone(),
                 answer,
--- a/crates/router/src/decider/event_loop.rs
+++ b/crates/router/src/decider/event_loop.rs
@@ -131,7 +131,7 @@
             Message::ServerActorStopped(server) => {
                 self.dispatcher.servers.forget_stopped_actor(&server)
             }
-            Message::DiskOperationEnded(end) => self.complete_disk_operation(end),
+            Message::DiskOperationEnded(operation) => self.complete_disk_operation(operation),
             Message::LatencyMeasured(edge, round_trip) => self.record_latency(edge, round_trip),
             Message::PeerDatagram(from, bytes) => self.receive_datagram(from, &bytes),
             Message::OperatorQuery(OperatorQuery { query, answer }) => {
--- a/crates/router/src/decider/requests.rs
+++ b/crates/router/src/decider/requests.rs
@@ -43,7 +43,7 @@
     fn belongs_to(&self, tag: u64, client: &mpsc::Sender<ClientReply>) -> bool {
         self.tag == tag
             && matches!(&self.requester,
-                Some(Requester::Client(reply)) if reply.same_channel_as_sender(client))
+                Some(Requester::Client(reply_permit)) if reply_permit.same_channel_as_sender(client))
     }
 }
 
--- a/crates/router/src/decider/shutdown.rs
+++ b/crates/router/src/decider/shutdown.rs
@@ -40,7 +40,7 @@
             let Message::Request(new) = message else {
                 continue;
             };
-            new.client.send(ClientReply {
+            new.reply_permit.send(ClientReply {
                 tag: new.tag,
                 id: new.arrival.id,
                 answer: FinalAnswer::Rejected(self.router.retry_after),
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -128,17 +128,17 @@
     }
 
     /// Handles the end of a disk operation, and reports the attempts that waited for it.
-    pub(super) fn complete_disk_operation(&mut self, end: CompletedOperation) {
+    pub(super) fn complete_disk_operation(&mut self, operation: CompletedOperation) {
         let Some(local_cache) = &mut self.dispatcher.local_cache else {
             return;
         };
-        local_cache.complete_disk_operation(end);
+        local_cache.complete_disk_operation(operation);
         for read in local_cache.take_completed_reads() {
             let Some(request) = self.dispatcher.requests.get(&read.attempt.request) else {
                 continue;
             };
             let etag = request.forwarded.client_etag.as_ref();
-            let result = local_cache.read_result(&read.fetched, &request.arrival, etag);
+            let result = local_cache.read_result(&read.result, &request.arrival, etag);
             self.dispatcher.local_results.push_back(AttemptEnded {
                 attempt: read.attempt,
                 outcome: result.outcome,
--- a/crates/router/src/decider/tests.rs
+++ b/crates/router/src/decider/tests.rs
@@ -56,13 +56,13 @@
         kb: 1.0,
         ..IncomingRequest::default()
     };
-    let client = client.clone().try_reserve_owned().unwrap();
+    let reply_permit = client.clone().try_reserve_owned().unwrap();
     NewRequest {
         arrival,
         forwarded: ForwardedFields::default(),
         received_after: Duration::ZERO,
         tag,
-        client,
+        reply_permit,
         cancellation: CancellationFlag::default(),
     }
 }
--- a/crates/router/src/discovery.rs
+++ b/crates/router/src/discovery.rs
@@ -5,9 +5,9 @@
 use crate::discovery_events::{
     DeploymentNames, DiscoveryEvent, EventError, NumberedEvent, parse_event,
 };
-use crate::io_errors::{retry_at_once, set_nodelay};
+use crate::io_errors::{retry_immediately, set_nodelay};
+use crate::retrying_stream::RetryingStream;
 use crate::timestamps::EventTimes;
-use crate::uninterrupted::Uninterrupted;
 use serde_json::Value;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     pub names: DeploymentNames,
     /// The router's clock.
     pub clock: Clock,
-    /// Bounds the timestamps of the events.
+    /// Corrects the timestamps of the events.
     pub event_times: EventTimes,
     /// The channel on which the decider receives events.
     pub decider: mpsc::Sender<DiscoveryEvent>,
@@ -90,7 +90,7 @@
 /// # Errors
 /// The system has no descriptor left.
 pub fn new_socket(address: SocketAddr) -> std::io::Result<TcpSocket> {
-    retry_at_once(|| {
+    retry_immediately(|| {
         if address.is_ipv4() {
             TcpSocket::new_v4()
         } else {
@@ -210,7 +210,7 @@
             self.reserved_socket = new_socket(new.address).ok();
         }
         self.address = new.address;
-        self.event_times.interrupted();
+        self.event_times.connection_lost();
         for event in new.known_events {
             // After a gap, the service itself sends the missing events.
             if event.number == self.last_event + 1 && self.forward(event).await.is_err() {
@@ -230,7 +230,7 @@
         let slot = slot.map_err(|_| WatchError::RouterEnded)?;
         self.last_event = event.number;
         if let Some(mut event) = event.event {
-            self.event_times.bound(&mut event);
+            self.event_times.correct(&mut event);
             slot.send(event);
         }
         self.event_times.event_forwarded();
@@ -244,7 +244,7 @@
     }
 
     async fn try_follow(&mut self, state: &mut WatchState) -> Result<Infallible, WatchError> {
-        self.event_times.interrupted();
+        self.event_times.connection_lost();
         let watch = self.watch().await?;
         let mut watch = Watch::first_to_respond(watch, &mut state.silent_watch).await?;
         // Only lines that show that no newer event is withheld count. A service that stays behind
@@ -266,7 +266,7 @@
         let connect = async {
             let stream = socket.connect(self.address).await?;
             set_nodelay(&stream);
-            let mut stream = Uninterrupted::new(stream);
+            let mut stream = RetryingStream::new(stream);
             let request = format!("watch {}\n", self.last_event);
             stream.write_all(request.as_bytes()).await?;
             std::io::Result::Ok(stream)
@@ -337,7 +337,7 @@
 
 /// A connection on which events have been requested from discovery.
 struct Watch {
-    lines: BufReader<Uninterrupted<TcpStream>>,
+    lines: BufReader<RetryingStream<TcpStream>>,
     /// The last line, or the received part of the next one.
     line: Vec<u8>,
     opened_at: Instant,
--- a/crates/router/src/gossip_socket.rs
+++ b/crates/router/src/gossip_socket.rs
@@ -6,7 +6,7 @@
 //! senders are dropped here.
 
 use crate::configuration::Peers;
-use crate::io_errors::{DatagramFailure, MAX_INTERRUPTIONS};
+use crate::io_errors::{DatagramFailure, MAX_INTERRUPTED_RETRIES};
 use crate::listener::bind_with;
 use crate::messages::Message;
 use crate::rate_limited_log::RateLimitedLog;
@@ -118,7 +118,7 @@
             () = sleep_until_opt(paused_until), if paused_until.is_some() => paused_until = None,
             received = socket.receive(&mut buffer), if paused_until.is_none() => match received {
                 Ok((length, sender)) => inbound.received(sender, &buffer[..length]),
-                Err(error) => paused_until = inbound.failed(Instant::now(), &error),
+                Err(error) => paused_until = inbound.record_failure(Instant::now(), &error),
             },
         }
     }
@@ -136,19 +136,19 @@
     let Some(address) = address else {
         return;
     };
-    if let Err(error) = send_uninterrupted(socket, &datagram.bytes, address) {
+    if let Err(error) = send_with_retries(socket, &datagram.bytes, address) {
         log::debug!(peer:% = address, reason:% = error; "sending a gossip datagram failed");
     }
 }
 
 /// Sends a datagram, with a retry after each interruption by a signal.
-fn send_uninterrupted(
+fn send_with_retries(
     socket: &impl DatagramSocket,
     bytes: &[u8],
     destination: SocketAddr,
 ) -> io::Result<usize> {
     let mut sent = socket.send(bytes, destination);
-    for _ in 1..MAX_INTERRUPTIONS {
+    for _ in 1..MAX_INTERRUPTED_RETRIES {
         match &sent {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {
                 sent = socket.send(bytes, destination)
@@ -190,7 +190,7 @@
     }
 
     /// Records a failure to receive. Returns the end of a pause, if one is necessary.
-    fn failed(&mut self, now: Instant, error: &io::Error) -> Option<Instant> {
+    fn record_failure(&mut self, now: Instant, error: &io::Error) -> Option<Instant> {
         log::debug!(reason:% = error; "receiving a gossip datagram failed");
         self.consecutive_failures += 1;
         let is_persistent = DatagramFailure::from(error) == DatagramFailure::Persistent;
--- a/crates/router/src/io_errors.rs
+++ b/crates/router/src/io_errors.rs
@@ -16,10 +16,10 @@
 
 /// An interrupted system call counts as failed after this many retries. A signal interrupts a call
 /// once; further interruptions have another cause, and must not lead to a busy loop.
-pub const MAX_INTERRUPTIONS: usize = 16;
+pub const MAX_INTERRUPTED_RETRIES: usize = 16;
 
 /// The delay before retrying a call that failed for lack of memory or buffers.
-pub const MEMORY_PAUSE: Duration = Duration::from_millis(5);
+pub const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Why a connect failed. In any case no request has reached the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -179,15 +179,15 @@
         .is_some_and(|errno| resources.contains(&errno))
 }
 
-/// Maximum number of calls made by `retry_at_once`.
+/// Maximum number of calls made by `retry_immediately`.
 const MAX_IMMEDIATE_TRIES: usize = 4;
 
-/// Retries a call at once if it failed for lack of a resource. For calls that must not wait because
-/// another task would take the descriptor meanwhile.
+/// Retries a call at once if it failed for lack of a resource. Used for calls that must not wait,
+/// because another task would take the descriptor meanwhile.
 ///
 /// # Errors
 /// The last failure.
-pub fn retry_at_once<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_immediately<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..MAX_IMMEDIATE_TRIES {
         match call() {
             Err(error) if is_retryable(&error) => {}
--- a/crates/router/src/io_errors/tests.rs
+++ b/crates/router/src/io_errors/tests.rs
@@ -171,7 +171,7 @@
 fn a_call_that_must_not_wait_is_retried_a_bounded_number_of_times() {
     let tries = |errno, failures| {
         let mut calls = 0;
-        let done = retry_at_once(|| {
+        let done = retry_immediately(|| {
             calls += 1;
             if calls > failures {
                 Ok(())
--- a/crates/router/src/latency_probes.rs
+++ b/crates/router/src/latency_probes.rs
@@ -6,7 +6,7 @@
 
 use crate::io_errors::{ConnectFailure, set_nodelay};
 use crate::messages::Message;
-use crate::uninterrupted::Uninterrupted;
+use crate::retrying_stream::RetryingStream;
 use chalkhall_latency::model::PROBE_TIMEOUT;
 use std::collections::HashMap;
 use std::io;
@@ -29,7 +29,7 @@
 /// The word for a request without effect in the server protocol.
 const PROBE_REQUEST: &str = "NOOP";
 
-type ProbeStream = BufReader<Uninterrupted<TcpStream>>;
+type ProbeStream = BufReader<RetryingStream<TcpStream>>;
 
 /// A probe to be sent to a cache server.
 #[derive(Clone, Copy, Debug)]
@@ -152,7 +152,7 @@
                 ConnectFailure::Server => ProbeError::Lost(error),
             })?;
     set_nodelay(&stream);
-    Ok(BufReader::new(Uninterrupted::new(stream)))
+    Ok(BufReader::new(RetryingStream::new(stream)))
 }
 
 async fn read_line(stream: &mut ProbeStream) -> Result<String, ProbeError> {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -23,6 +23,7 @@
 mod operator_query;
 mod rate_limited_log;
 mod reload;
+mod retrying_stream;
 mod scheduling_delay;
 mod server_connection;
 mod server_pool;
@@ -30,7 +31,6 @@
 mod shutdown;
 mod startup;
 mod timestamps;
-mod uninterrupted;
 mod zone_failover;
 
 pub use error::RouterError;
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -39,12 +39,11 @@
 /// ahead: a day.
 const MAX_CLOCK_LEAD_MS: u64 = 24 * 3600 * 1000;
 
-/// A purge of an object or a group as it was received. `ms` is in Unix milliseconds by the clock of
-/// this start.
+/// A purge of an object or a group as it was received. `unix_ms` is by the clock of this start.
 struct Purge {
     object: Option<Id>,
     group: u64,
-    ms: u64,
+    unix_ms: u64,
 }
 
 /// A class of requests and its name.
@@ -58,7 +57,7 @@
     store: Store,
     disk_io: DiskConnector,
     clock: Clock,
-    /// Bounds the times at which copies were created.
+    /// Corrects the times at which copies were created.
     copy_times: CopyTimes,
     /// The milliseconds by which the wall clock was set back since an earlier start wrote to the
     /// disk. Known once the disk is open.
@@ -100,7 +99,7 @@
     /// The attempt.
     pub attempt: AttemptId,
     /// The result of the read.
-    pub fetched: ReadResult,
+    pub result: ReadResult,
 }
 
 /// A request of the local cache itself that checks whether a copy is still current.
@@ -142,9 +141,9 @@
         let found = self
             .store
             .find(part(arrival), client_etag.map(|tag| &tag[..]))?;
-        let place = &self.tiers[usize::from(found.tier == CacheTier::Disk)];
+        let tier = &self.tiers[usize::from(found.tier == CacheTier::Disk)];
         Some(LocalCopy {
-            cache: place.clone(),
+            cache: tier.clone(),
             created_at: self.clock.at_unix_ms(found.created_at_ms),
             client_has_it: found.is_same_version,
         })
@@ -197,12 +196,12 @@
 
     /// Takes the completed reads from disk.
     pub fn take_completed_reads(&mut self) -> Vec<CompletedRead> {
-        let fetched = std::mem::take(&mut self.disk_io.completed_reads);
-        fetched
+        let completed = std::mem::take(&mut self.disk_io.completed_reads);
+        completed
             .into_iter()
-            .filter_map(|(ticket, fetched)| {
+            .filter_map(|(ticket, result)| {
                 let attempt = self.pending_reads.remove(&ticket)?;
-                Some(CompletedRead { attempt, fetched })
+                Some(CompletedRead { attempt, result })
             })
             .collect()
     }
@@ -210,11 +209,11 @@
     /// The result of the attempt that waited for a read.
     pub fn read_result(
         &self,
-        fetched: &ReadResult,
+        result: &ReadResult,
         arrival: &IncomingRequest,
         client_etag: Option<&Bytes>,
     ) -> AttemptResult {
-        match fetched {
+        match result {
             ReadResult::Copy(copy) => self.answer(copy, arrival, client_etag),
             ReadResult::Gone => AttemptResult::without_answer(Outcome::Missing),
             ReadResult::Failed => AttemptResult::without_answer(Outcome::Unreachable),
@@ -263,8 +262,8 @@
 
     /// The latest time at which a copy that a server has just sent can have been created; `None` if
     /// its age cannot be determined.
-    pub fn bound_created_at(&mut self, created_at_unix_ms: u64) -> Option<u64> {
-        self.copy_times.bound(&self.clock, created_at_unix_ms)
+    pub fn correct_created_at(&mut self, created_at_unix_ms: u64) -> Option<u64> {
+        self.copy_times.correct(&self.clock, created_at_unix_ms)
     }
 
     /// Stores a server's answer. An answer without a creation time is not stored, because its age
@@ -328,7 +327,7 @@
 
     /// Purges an object or a group. If the clock was set back, the purge also covers copies that
     /// were stamped while it was ahead, so that it still holds if the clock is set forward again.
-    pub fn purge(&mut self, object: Option<&Id>, group: u64, ms: u64) {
+    pub fn purge(&mut self, object: Option<&Id>, group: u64, unix_ms: u64) {
         let is_opening = self
             .store
             .disk()
@@ -337,27 +336,31 @@
             self.early_purges.push(Purge {
                 object: object.cloned(),
                 group,
-                ms,
+                unix_ms,
             });
         }
         let lead = self
             .set_back_ms
             .load(Ordering::Acquire)
             .min(MAX_CLOCK_LEAD_MS);
-        let ms = ms.saturating_add(lead);
-        self.store
-            .purge(object.map(|o| o.as_bytes()), group, ms, &mut self.disk_io);
+        let unix_ms = unix_ms.saturating_add(lead);
+        self.store.purge(
+            object.map(|o| o.as_bytes()),
+            group,
+            unix_ms,
+            &mut self.disk_io,
+        );
     }
 
     /// Records that discovery has sent all of its events.
     pub fn confirm_up_to_date(&mut self) {
-        let ms = self
+        let unix_ms = self
             .clock
             .unix_ms(self.clock.now().saturating_sub(MAX_PURGE_DELAY));
         self.store
             .disk_mut()
             .into_iter()
-            .for_each(|disk| disk.confirm_discovery_up_to(ms));
+            .for_each(|disk| disk.confirm_discovery_up_to(unix_ms));
     }
 
     /// Evicts copies from memory to free it for bodies, both present and expected.
@@ -372,12 +375,12 @@
     }
 
     /// Handles the end of a disk operation.
-    pub fn complete_disk_operation(&mut self, end: CompletedOperation) {
-        if let CompletedOperation::Opened { .. } = &end {
+    pub fn complete_disk_operation(&mut self, operation: CompletedOperation) {
+        if let CompletedOperation::Opened { .. } = &operation {
             self.apply_clock_step();
         }
         self.disk_io
-            .complete(&mut self.store, self.clock.now(), end);
+            .complete(&mut self.store, self.clock.now(), operation);
     }
 
     /// Called when the disk is open. If the clock was set back, copies from earlier starts are not
@@ -391,8 +394,13 @@
             .disk_mut()
             .into_iter()
             .for_each(Disk::distrust_earlier_starts);
-        for Purge { object, group, ms } in early_purges {
-            self.purge(object.as_ref(), group, ms);
+        for Purge {
+            object,
+            group,
+            unix_ms,
+        } in early_purges
+        {
+            self.purge(object.as_ref(), group, unix_ms);
         }
     }
 
--- a/crates/router/src/local_cache/open.rs
+++ b/crates/router/src/local_cache/open.rs
@@ -1,7 +1,7 @@
 //! Opens the local cache as configured by the operator's file.
 
 use super::{DISK_TIER, LocalCache, MEMORY_TIER, NamedClass};
-use crate::boot_time::{BootTime, StepBack};
+use crate::boot_time::{BootTime, ClockStepBack};
 use crate::clock::Clock;
 use crate::configuration::Configuration;
 use crate::timestamps::CopyTimes;
@@ -146,7 +146,7 @@
     let open_directory = move || {
         let directory = Directory::lock(&path).map_err(|error| OpenError::of(&path, &error))?;
         // Opening may be retried after a failure, so the largest value is kept.
-        let set_back = boot.as_ref().map_or(0, |boot| set_back_by(boot, &path));
+        let set_back = boot.as_ref().map_or(0, |boot| step_back_ms(boot, &path));
         set_back_ms.fetch_max(set_back, Ordering::Release);
         Ok(Arc::new(directory) as Arc<dyn Files>)
     };
@@ -163,11 +163,11 @@
 
 /// The milliseconds by which the wall clock was set back since an earlier start that used this
 /// directory.
-fn set_back_by(boot: &BootTime, directory: &Path) -> u64 {
-    let StepBack {
-        ms: set_back,
+fn step_back_ms(boot: &BootTime, directory: &Path) -> u64 {
+    let ClockStepBack {
+        step_ms: set_back,
         recorded,
-    } = boot.set_back_by(directory);
+    } = boot.detect_step_back(directory);
     if set_back > 0 {
         log::warn!(
             set_back_ms = set_back;
--- a/crates/router/src/messages.rs
+++ b/crates/router/src/messages.rs
@@ -47,7 +47,7 @@
     /// Identifies it on its connection.
     pub tag: u64,
     /// Reserved capacity for the final answer, so that sending it cannot fail.
-    pub client: mpsc::OwnedPermit<ClientReply>,
+    pub reply_permit: mpsc::OwnedPermit<ClientReply>,
     /// Ended by the client connection or by the decider.
     pub cancellation: CancellationFlag,
 }
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -4,7 +4,7 @@
 use crate::configuration::{self, Configuration, ConfigurationError};
 use crate::discovery::NewDiscovery;
 use crate::discovery_events::DiscoveryEvent;
-use crate::io_errors::retry_at_once;
+use crate::io_errors::retry_immediately;
 use crate::{cell_routing, zone_failover};
 use std::cell::Cell;
 use std::fs::File;
@@ -35,7 +35,7 @@
 
 /// Opens a descriptor that can be released when another one is needed.
 fn reserve_descriptor() -> Option<File> {
-    retry_at_once(|| File::open("/dev/null")).ok()
+    retry_immediately(|| File::open("/dev/null")).ok()
 }
 
 impl ConfigurationReloader {
--- a/crates/router/src/uninterrupted.rs
+++ b/crates/router/src/retrying_stream.rs
@@ -1,6 +1,6 @@
 //! A stream wrapper that retries calls that transferred nothing while the connection is usable.
 
-use crate::io_errors::{MAX_INTERRUPTIONS, MEMORY_PAUSE, StreamFailure};
+use crate::io_errors::{MAX_INTERRUPTED_RETRIES, MEMORY_RETRY_DELAY, StreamFailure};
 use std::future::Future;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -9,21 +9,21 @@
 use tokio::time::{Sleep, sleep};
 
 /// Wraps a stream. Interrupted reads and writes are retried at once, those that failed for lack of
-/// memory after a pause. All other errors are returned, and mean that the connection has ended.
+/// memory after a delay. All other errors are returned, and mean that the connection has ended.
 ///
 /// A call that is cancelled between two attempts has transferred nothing, so a new wrapper may be
 /// used for each call.
-pub struct Uninterrupted<S> {
+pub struct RetryingStream<S> {
     stream: S,
-    pause: Option<Pin<Box<Sleep>>>,
+    retry_delay: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S> Uninterrupted<S> {
+impl<S> RetryingStream<S> {
     /// Wraps a stream, or a reference to one.
-    pub fn new(stream: S) -> Uninterrupted<S> {
-        Uninterrupted {
+    pub fn new(stream: S) -> RetryingStream<S> {
+        RetryingStream {
             stream,
-            pause: None,
+            retry_delay: None,
         }
     }
 
@@ -34,10 +34,10 @@
         context: &mut Context<'_>,
         mut call: impl FnMut(&mut S, &mut Context<'_>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        for _ in 0..MAX_INTERRUPTIONS {
-            if let Some(pause) = &mut self.pause {
-                ready!(pause.as_mut().poll(context));
-                self.pause = None;
+        for _ in 0..MAX_INTERRUPTED_RETRIES {
+            if let Some(retry_delay) = &mut self.retry_delay {
+                ready!(retry_delay.as_mut().poll(context));
+                self.retry_delay = None;
             }
             let error = match ready!(call(&mut self.stream, context)) {
                 Ok(value) => return Poll::Ready(Ok(value)),
@@ -45,19 +45,21 @@
             };
             match StreamFailure::from(&error) {
                 StreamFailure::Retry => {}
-                StreamFailure::MemoryExhausted => self.pause = Some(Box::pin(sleep(MEMORY_PAUSE))),
+                StreamFailure::MemoryExhausted => {
+                    self.retry_delay = Some(Box::pin(sleep(MEMORY_RETRY_DELAY)))
+                }
                 StreamFailure::Broken => return Poll::Ready(Err(error)),
             }
         }
-        // The pause lets other tasks run, and prevents a busy loop if interruptions never end.
-        let pause = self.pause.insert(Box::pin(sleep(MEMORY_PAUSE)));
-        ready!(pause.as_mut().poll(context));
+        // The delay lets other tasks run, and prevents a busy loop if interruptions never end.
+        let retry_delay = self.retry_delay.insert(Box::pin(sleep(MEMORY_RETRY_DELAY)));
+        ready!(retry_delay.as_mut().poll(context));
         context.waker().wake_by_ref();
         Poll::Pending
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Uninterrupted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for RetryingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -69,7 +71,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Uninterrupted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for RetryingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/router/src/uninterrupted/tests.rs
+++ b/crates/router/src/retrying_stream/tests.rs
@@ -55,8 +55,8 @@
     }
 }
 
-fn scripted(script: &[i32]) -> Uninterrupted<Scripted> {
-    Uninterrupted::new(Scripted {
+fn scripted(script: &[i32]) -> RetryingStream<Scripted> {
+    RetryingStream::new(Scripted {
         script: script.iter().copied().collect(),
         ..Scripted::default()
     })
@@ -82,17 +82,21 @@
     let mut stream = scripted(&[ENOBUFS, ENOMEM]);
     stream.write_all(b"a").await.unwrap();
     assert_eq!(stream.stream.calls, 3);
-    assert!(begin.elapsed() >= MEMORY_PAUSE * 2, "{:?}", begin.elapsed());
+    assert!(
+        begin.elapsed() >= MEMORY_RETRY_DELAY * 2,
+        "{:?}",
+        begin.elapsed()
+    );
 }
 
 /// Linux does not interrupt calls endlessly; if it did, other tasks on this thread would still run.
 #[tokio::test(start_paused = true)]
 async fn endless_interruptions_cause_no_busy_loop() {
     let begin = Instant::now();
-    let mut stream = scripted(&vec![EINTR; MAX_INTERRUPTIONS * 10]);
+    let mut stream = scripted(&vec![EINTR; MAX_INTERRUPTED_RETRIES * 10]);
     stream.write_all(b"a").await.unwrap();
     assert!(
-        begin.elapsed() >= MEMORY_PAUSE * 10,
+        begin.elapsed() >= MEMORY_RETRY_DELAY * 10,
         "{:?}",
         begin.elapsed()
     );
--- a/crates/router/src/scheduling_delay.rs
+++ b/crates/router/src/scheduling_delay.rs
@@ -111,12 +111,12 @@
     EVENT_LOOP.set(Some(event_loop));
 }
 
-/// To be called by the runtime's thread before each wait for I/O.
+/// Called by the runtime's thread before each wait for I/O.
 pub fn before_wait() {
     update(EventLoop::before_wait);
 }
 
-/// To be called by the runtime's thread after each wait for I/O.
+/// Called by the runtime's thread after each wait for I/O.
 pub fn after_wait() {
     update(EventLoop::after_wait);
 }
--- a/crates/router/src/server_connection.rs
+++ b/crates/router/src/server_connection.rs
@@ -8,10 +8,10 @@
 mod disconnect;
 mod inbound;
 
-use crate::io_errors::{ConnectFailure, MEMORY_PAUSE, StreamFailure, set_nodelay};
+use crate::io_errors::{ConnectFailure, MEMORY_RETRY_DELAY, StreamFailure, set_nodelay};
 use crate::messages::{ConnectionCommand, ConnectionEvent, ServerCommand};
+use crate::retrying_stream::RetryingStream;
 use crate::scheduling_delay;
-use crate::uninterrupted::Uninterrupted;
 use attempts::Attempts;
 use bytes::BytesMut;
 use chalkhall::interface::{Id, Outcome};
@@ -183,7 +183,7 @@
         };
         match StreamFailure::from(&error) {
             StreamFailure::Retry => {}
-            StreamFailure::MemoryExhausted => sleep(MEMORY_PAUSE).await,
+            StreamFailure::MemoryExhausted => sleep(MEMORY_RETRY_DELAY).await,
             StreamFailure::Broken => return Err(DisconnectReason::Write(error)),
         }
         Ok(())
@@ -208,7 +208,7 @@
     if buffer.capacity() - buffer.len() < MIN_READ_BYTES {
         buffer.reserve(READ_BUFFER_BYTES);
     }
-    Uninterrupted::new(reader).read_buf(buffer).await
+    RetryingStream::new(reader).read_buf(buffer).await
 }
 
 /// Sleeps until a time, or forever if there is none.
--- a/crates/router/src/server_connection/connect.rs
+++ b/crates/router/src/server_connection/connect.rs
@@ -1,6 +1,6 @@
 //! Connecting to a server, with retries, and the outcome of attempts if that fails.
 
-use crate::io_errors::{ConnectFailure, MAX_INTERRUPTIONS};
+use crate::io_errors::{ConnectFailure, MAX_INTERRUPTED_RETRIES};
 use chalkhall::interface::Outcome;
 use std::future::Future;
 use std::io;
@@ -27,7 +27,9 @@
             Err(error) => error,
         };
         match ConnectFailure::from(&error) {
-            ConnectFailure::Interrupted if interruptions < MAX_INTERRUPTIONS => interruptions += 1,
+            ConnectFailure::Interrupted if interruptions < MAX_INTERRUPTED_RETRIES => {
+                interruptions += 1
+            }
             ConnectFailure::LocalResources if !is_retried => {
                 is_retried = true;
                 sleep(LOCAL_RETRY_DELAY).await;
--- a/crates/router/src/server_connection/connect/tests.rs
+++ b/crates/router/src/server_connection/connect/tests.rs
@@ -63,7 +63,7 @@
     );
     assert_eq!(
         connect_after(&[EINTR; 99]).await,
-        (false, 1 + MAX_INTERRUPTIONS, Duration::ZERO)
+        (false, 1 + MAX_INTERRUPTED_RETRIES, Duration::ZERO)
     );
     // One retry after a delay; the caller handles further failures.
     let (is_connected, tries, took) = connect_after(&[ENOBUFS]).await;
--- a/crates/router/src/server_pool.rs
+++ b/crates/router/src/server_pool.rs
@@ -217,14 +217,14 @@
                 if let Some(connection) = self.pool.connection_mut(number) {
                     connection.established();
                 }
-                self.pool.backoff.succeeded();
+                self.pool.backoff.record_success();
             }
             ConnectionEvent::LocalFailure => {
                 // It must not get attempts that arrive before its `Closed` event.
                 if let Some(connection) = self.pool.connection_mut(number) {
                     connection.retire();
                 }
-                self.pool.backoff.failed(Instant::now());
+                self.pool.backoff.record_failure(Instant::now());
             }
             ConnectionEvent::AttemptEnded(ended) => self.attempt_ended(number, ended).await,
             ConnectionEvent::Closed => self.pool.remove(number),
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -45,7 +45,7 @@
     directives: Directives,
     directives_path: Option<PathBuf>,
 ) -> Result<(), RouterError> {
-    // First of all: by default, either signal kills the process.
+    // Installed first, because by default either signal kills the process.
     let signals = Signals::install()?;
     let mut configuration = read_configuration(&clock)?;
     let (phase_sender, phase) = watch::channel(Phase::Starting);
@@ -213,8 +213,8 @@
     mut results: mpsc::Receiver<CompletedOperation>,
     decider: mpsc::Sender<Message>,
 ) {
-    while let Some(end) = results.recv().await {
-        let _ = decider.send(Message::DiskOperationEnded(end)).await;
+    while let Some(operation) = results.recv().await {
+        let _ = decider.send(Message::DiskOperationEnded(operation)).await;
     }
 }
 
@@ -298,8 +298,8 @@
     })
 }
 
-/// Applies the discovery events in the configuration. Returns the bounds for the timestamps of
-/// later events.
+/// Applies the discovery events in the configuration. Returns the state by which the timestamps of
+/// later events are corrected.
 fn apply_known_events(
     configuration: &mut Configuration,
     decisions: &mut Decider,
@@ -308,7 +308,7 @@
     let mut event_times = EventTimes::new(clock);
     for known in std::mem::take(&mut configuration.known_events) {
         if let Some(mut event) = known.event {
-            event_times.bound(&mut event);
+            event_times.correct(&mut event);
             decisions.apply_discovery_event(event);
         }
     }
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -63,14 +63,14 @@
     }
 
     /// The next events are from another connection or from a file, and may have happened earlier.
-    pub fn interrupted(&mut self) {
+    pub fn connection_lost(&mut self) {
         if self.evidence != Evidence::Startup {
             self.evidence = Evidence::Replayed;
         }
     }
 
     /// Replaces the timestamps of an event that arrives now where they are not possible.
-    pub fn bound(&mut self, event: &mut DiscoveryEvent) {
+    pub fn correct(&mut self, event: &mut DiscoveryEvent) {
         let now = self.clock.now();
         match event {
             DiscoveryEvent::List {
@@ -83,7 +83,7 @@
                         .for_each(|start| start.is_listed = false);
                 }
                 for server in servers {
-                    self.bound_start(now, &mut server.member);
+                    self.correct_start(now, &mut server.member);
                 }
             }
             DiscoveryEvent::Purge {
@@ -108,7 +108,7 @@
 
     /// A start that was received before keeps its effective time: only a new timestamp is a new
     /// start.
-    fn bound_start(&mut self, now: Duration, member: &mut Member) {
+    fn correct_start(&mut self, now: Duration, member: &mut Member) {
         let is_listed = member.standing != ServerState::Removed;
         let Some(timestamp) = member.started else {
             self.starts.remove(&member.server);
@@ -157,7 +157,7 @@
 impl CopyTimes {
     /// The latest time at which a copy that arrives now was created, in Unix milliseconds of this
     /// router's clock. None: its age is not known.
-    pub fn bound(&mut self, clock: &Clock, created_at_ms: u64) -> Option<u64> {
+    pub fn correct(&mut self, clock: &Clock, created_at_ms: u64) -> Option<u64> {
         let now = clock.now();
         if now >= self.window_start + OFFSET_WINDOW {
             let is_next_window = now < self.window_start + OFFSET_WINDOW * 2;
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -41,7 +41,7 @@
     times: &mut EventTimes,
     mut event: DiscoveryEvent,
 ) -> Option<Duration> {
-    times.bound(&mut event);
+    times.correct(&mut event);
     times.event_forwarded();
     let DiscoveryEvent::List { servers, .. } = event else {
         panic!("the event is not a list")
@@ -64,7 +64,7 @@
         group: 1,
         purged_at_unix_ms: timestamp,
     };
-    times.bound(&mut event);
+    times.correct(&mut event);
     times.event_forwarded();
     let DiscoveryEvent::Purge {
         purged_at_unix_ms, ..
@@ -145,7 +145,7 @@
     // server returns after it was gone.
     let repeated = started(&clock, timestamp);
     assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
-    times.interrupted();
+    times.connection_lost();
     let repeated = list(&clock, true, &[("c1", timestamp, ServerState::Active)]);
     assert_eq!(age_of_start(&clock, &mut times, repeated), Some(SECOND * 7));
     let left = list(&clock, false, &[("c1", timestamp, ServerState::Removed)]);
@@ -165,7 +165,7 @@
     let (clock, mut times) = event_times();
     times.confirm_up_to_date();
     advance(SECOND * 30).await;
-    times.interrupted();
+    times.connection_lost();
     let timestamp = now_ms(&clock) - 5000;
     assert_eq!(age_of_purge(&clock, &mut times, timestamp), 0);
     assert_eq!(
@@ -183,7 +183,7 @@
 async fn at_startup_timestamps_are_accepted_unless_they_are_in_the_future() {
     let (clock, mut times) = event_times();
     // The first connection does not follow a lost one.
-    times.interrupted();
+    times.connection_lost();
     let minute_ago = now_ms(&clock) - 60_000;
     assert_eq!(age_of_purge(&clock, &mut times, minute_ago), 60_000);
     let age = age_of_start(&clock, &mut times, started(&clock, minute_ago)).expect("a start");
@@ -211,12 +211,12 @@
     for number in 0..MAX_STARTS * 2 {
         let name = format!("c{number}");
         let timestamp = now_ms(&clock);
-        times.bound(&mut list(
+        times.correct(&mut list(
             &clock,
             false,
             &[(&name, timestamp, ServerState::Active)],
         ));
-        times.bound(&mut list(
+        times.correct(&mut list(
             &clock,
             false,
             &[(&name, timestamp, ServerState::Removed)],
@@ -231,48 +231,48 @@
     let mut times = CopyTimes::default();
     let now = now_ms(&clock);
     assert_eq!(
-        times.bound(&clock, now - 700),
+        times.correct(&clock, now - 700),
         Some(now - 700),
         "a plausible timestamp"
     );
     assert_eq!(
-        times.bound(&clock, now + 20),
+        times.correct(&clock, now + 20),
         Some(now),
         "within the normal clock skew"
     );
     assert_eq!(
-        times.bound(&clock, now + HOUR_MS),
+        times.correct(&clock, now + HOUR_MS),
         None,
         "its age is not known"
     );
     // The clock behind these timestamps is now known to be at least an hour ahead.
-    assert_eq!(times.bound(&clock, now + HOUR_MS - 300), Some(now - 300));
+    assert_eq!(times.correct(&clock, now + HOUR_MS - 300), Some(now - 300));
     assert_eq!(
-        times.bound(&clock, now),
+        times.correct(&clock, now),
         Some(now - HOUR_MS),
         "counted as older than it is, to be safe"
     );
     assert_eq!(
-        times.bound(&clock, now + HOUR_MS + 400),
+        times.correct(&clock, now + HOUR_MS + 400),
         None,
         "further ahead than the known offset"
     );
-    assert_eq!(times.bound(&clock, u64::MAX), None);
+    assert_eq!(times.correct(&clock, u64::MAX), None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_offset_that_is_not_observed_any_more_expires() {
     let clock = Clock::start();
     let mut times = CopyTimes::default();
-    assert_eq!(times.bound(&clock, now_ms(&clock) + HOUR_MS), None);
+    assert_eq!(times.correct(&clock, now_ms(&clock) + HOUR_MS), None);
     advance(OFFSET_WINDOW).await;
     let now = now_ms(&clock);
     assert_eq!(
-        times.bound(&clock, now),
+        times.correct(&clock, now),
         Some(now - HOUR_MS),
         "the offset still applies in the next window"
     );
     advance(OFFSET_WINDOW).await;
     let now = now_ms(&clock);
-    assert_eq!(times.bound(&clock, now), Some(now));
+    assert_eq!(times.correct(&clock, now), Some(now));
 }
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -124,7 +124,7 @@
         routers: deployment.routers,
         zone,
         zones: zone_count,
-        // In tenths of a second, which overflow 32 bits after thirteen years.
+        // Unix time in tenths of a second; in 32 bits it wraps around after thirteen years.
         incarnation: (clock.unix_ms(now) / 100) as u32,
         seed: deployment.seed,
         may_leave_zone: settings.cross_zone,
@@ -255,12 +255,16 @@
         let age = member
             .started
             .map(|at| now.saturating_sub(at).as_secs_f64());
-        let warm_within = self.slow_start.warm_up_time.as_secs_f64().max(1e-9);
-        let warmth = age.map_or(1.0, |age| (age / warm_within).min(1.0));
+        let warm_up_secs = self.slow_start.warm_up_time.as_secs_f64().max(1e-9);
+        let warm_fraction = age.map_or(1.0, |age| (age / warm_up_secs).min(1.0));
         let initial_share = self.slow_start.initial_capacity;
         zone.capacity += member.capacity;
-        zone.available += member.capacity * (initial_share + (1.0 - initial_share) * warmth);
-        zone.warm += if warmth >= 1.0 { member.capacity } else { 0.0 };
+        zone.available += member.capacity * (initial_share + (1.0 - initial_share) * warm_fraction);
+        zone.warm += if warm_fraction >= 1.0 {
+            member.capacity
+        } else {
+            0.0
+        };
     }
 
     fn send_probes(
