--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! The wall clock is read once, at the start, to convert external Unix timestamps to monotonic
 //! times. Later steps of it, or of the clocks of other machines, have no effect here: `timestamps`
-//! bounds external timestamps, and `boot_time` detects a step between two starts.
+//! corrects external timestamps, and `boot_time` detects a step between two starts.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -56,19 +56,19 @@
     }
 }
 
-/// Handles a failed accept, the last of `failures_in_a_row`. Idle connections are evicted if no
+/// Handles a failed accept, the last of `consecutive_failures`. Idle connections are evicted if no
 /// descriptor became free during an earlier pause. Returns how long to pause accepting.
 fn after_failed_accept(
     failure: AcceptFailure,
-    failures_in_a_row: usize,
+    consecutive_failures: usize,
     slots: &mut ConnectionSlots,
 ) -> Option<Duration> {
     match failure {
-        AcceptFailure::Interrupted | AcceptFailure::PerConnection => failures_in_a_row
+        AcceptFailure::Interrupted | AcceptFailure::PerConnection => consecutive_failures
             .is_multiple_of(PAUSE_AFTER_FAILURES)
             .then_some(ACCEPT_PAUSE),
         AcceptFailure::DescriptorsExhausted => {
-            if failures_in_a_row > 1 {
+            if consecutive_failures > 1 {
                 slots.evict_many();
             }
             Some(ACCEPT_PAUSE)
@@ -122,7 +122,7 @@
         status_sender,
         status_updates,
         failures_log: RateLimitedLog::default(),
-        failures_in_a_row: 0,
+        consecutive_failures: 0,
         paused_until: None,
     };
     accept_loop.run_until_end().await;
@@ -150,7 +150,7 @@
     status_sender: mpsc::Sender<SlotUpdate>,
     status_updates: mpsc::Receiver<SlotUpdate>,
     failures_log: RateLimitedLog,
-    failures_in_a_row: usize,
+    consecutive_failures: usize,
     /// Accepting is paused until this time. Status updates are still received, so that connections
     /// are not blocked.
     paused_until: Option<Instant>,
@@ -205,7 +205,7 @@
     }
 
     fn start_connection(&mut self, stream: TcpStream) {
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         let slot = self.slots.take(self.status_sender.clone());
         let slot_id = slot.id;
         let connection = ClientConnection {
@@ -219,9 +219,9 @@
     }
 
     fn handle_accept_failure(&mut self, error: &io::Error) {
-        self.failures_in_a_row += 1;
+        self.consecutive_failures += 1;
         let failure = AcceptFailure::from(error);
-        let pause = after_failed_accept(failure, self.failures_in_a_row, &mut self.slots);
+        let pause = after_failed_accept(failure, self.consecutive_failures, &mut self.slots);
         if pause.is_some() {
             self.failures_log
                 .log_error("accepting client connections failed", error);
--- a/crates/router/src/listener/binding.rs
+++ b/crates/router/src/listener/binding.rs
@@ -17,8 +17,8 @@
 /// Listens on an address.
 ///
 /// # Errors
-/// Binding fails at once if the address is in use or not permitted, and after a second if a resource
-/// is unavailable.
+/// The socket cannot be bound: at once if the address is in use or not permitted, after a second if
+/// a resource is unavailable.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     bind_with(|| try_bind(address)).await
 }
--- a/crates/router/src/listener/tests.rs
+++ b/crates/router/src/listener/tests.rs
@@ -172,13 +172,13 @@
 #[test]
 fn idle_connections_are_evicted_only_for_descriptors() {
     use AcceptFailure::*;
-    let evicted = |failure, failures_in_a_row| {
+    let evicted = |failure, consecutive_failures| {
         let (status_updates, _receiver) = mpsc::channel(8);
         let mut slots = ConnectionSlots::default();
         let _allocated: Vec<ConnectionSlot> = (0..60)
             .map(|_| slots.take(status_updates.clone()))
             .collect();
-        let pause = after_failed_accept(failure, failures_in_a_row, &mut slots);
+        let pause = after_failed_accept(failure, consecutive_failures, &mut slots);
         (pause, 60 - slots.not_evicting())
     };
     for failure in [Interrupted, PerConnection] {
