--- a/crates/router/src/client_connection/tests.rs
+++ b/crates/router/src/client_connection/tests.rs
@@ -230,7 +230,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Otherwise a cancellation would stay unread while attempts start.
+/// If the requests stayed open, a cancellation could stay unread while their attempts start.
 #[tokio::test(flavor = "current_thread")]
 async fn open_requests_fail_when_reading_from_their_client_stops() {
     let inside = async {
@@ -259,7 +259,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// Before that, the client gets complete responses however late it reads them.
+/// Before the deadlines, the client gets complete responses however late it reads them.
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_client_that_reads_no_responses_is_closed_only_after_its_deadlines() {
     let inside = async {
@@ -298,7 +298,7 @@
     LocalSet::new().run_until(inside).await;
 }
 
-/// The messages have been read, and the client waits for the responses.
+/// The messages after the violation have been read, and the client waits for the responses.
 #[tokio::test(flavor = "current_thread")]
 async fn complete_messages_after_a_protocol_violation_are_answered_once() {
     let inside = async {
