--- a/crates/cli/src/bin/proof-store/day.rs
+++ b/crates/cli/src/bin/proof-store/day.rs
@@ -481,7 +481,7 @@
             held.put(key, request.bytes);
             bytes += request.bytes;
             while bytes as u64 > MEMORY_BYTES + DISK_BYTES {
-                bytes -= held.pop_lru().map_or(0, |(_, gone)| gone);
+                bytes -= held.pop_lru().map_or(0, |(_, evicted_bytes)| evicted_bytes);
             }
         }
         if n as f64 >= WARMUP_SHARE * day.len() as f64 {
--- a/crates/cli/src/bin/proof-store/timings.rs
+++ b/crates/cli/src/bin/proof-store/timings.rs
@@ -398,9 +398,9 @@
                     runner.driver.poll();
                 }
                 requests += 1;
-                let took = runner.request(requests, test_parts[at], &names[at])?;
+                let duration = runner.request(requests, test_parts[at], &names[at])?;
                 times
-                    .record(took.as_nanos() as u64)
+                    .record(duration.as_nanos() as u64)
                     .map_err(|e| e.to_string())?;
             }
             p99[which] = times.value_at_quantile(0.99) as f64;
--- a/crates/cli/src/store.rs
+++ b/crates/cli/src/store.rs
@@ -73,11 +73,11 @@
     }
     let mut newest: HashMap<u64, (u64, u32, u32)> = HashMap::new();
     for (segment, entry) in &listed {
-        let (this, best) = (
+        let (candidate, newest_copy) = (
             (entry.created_at_ms, *segment, entry.offset),
             newest.entry(entry.key).or_default(),
         );
-        *best = this.max(*best);
+        *newest_copy = candidate.max(*newest_copy);
     }
     let bar = ProgressBar::new(
         listed
@@ -156,9 +156,9 @@
     }
     let mut newest: HashMap<u64, (u64, u32, u32)> = HashMap::new();
     for (segment, entry) in &listed {
-        let this = (entry.created_at_ms, *segment, entry.offset);
-        let best = newest.entry(entry.key).or_default();
-        *best = this.max(*best);
+        let candidate = (entry.created_at_ms, *segment, entry.offset);
+        let newest_copy = newest.entry(entry.key).or_default();
+        *newest_copy = candidate.max(*newest_copy);
     }
     for (segment, entry) in &listed {
         if newest.get(&entry.key) != Some(&(entry.created_at_ms, *segment, entry.offset)) {
@@ -227,11 +227,11 @@
                 "segment": found.segment, "at": at, "purged": found.purged, "older": found.older})
             .to_string()
         } else {
-            let mark = if found.purged { " purged" } else { "" }.to_owned()
+            let flags = if found.purged { " purged" } else { "" }.to_owned()
                 + if found.older { " older" } else { "" };
             let (object, tag, segment) = (text(&copy.object), text(&copy.etag), found.segment);
             format!(
-                "{object} {} {} {rank} {length} {} {tag} {segment}:{at}{mark}",
+                "{object} {} {} {rank} {length} {} {tag} {segment}:{at}{flags}",
                 copy.part, copy.group, copy.created_at_ms
             )
         };
--- a/crates/harness/src/invariants.rs
+++ b/crates/harness/src/invariants.rs
@@ -175,14 +175,14 @@
         };
         let router = request.router;
         for end in [Some(server), source].into_iter().flatten() {
-            let told_at = self.drains.get(&(router, end)).copied();
-            if let Some(told_at) =
-                told_at.filter(|told_at| now > *told_at + DRAIN_GRACE + TIMING_TOLERANCE)
+            let learned_at = self.drains.get(&(router, end)).copied();
+            if let Some(learned_at) =
+                learned_at.filter(|learned_at| now > *learned_at + DRAIN_GRACE + TIMING_TOLERANCE)
             {
                 self.violations.drain += 1;
                 self.describe(|| {
                     format!(
-                        "{now:?}: router {router} used server {end}, which it knew to be draining since {told_at:?}"
+                        "{now:?}: router {router} used server {end}, which it knew to be draining since {learned_at:?}"
                     )
                 });
             }
@@ -205,19 +205,25 @@
         }
     }
 
-    /// A request that `router` received at `asked_at` was served from a copy created at `created_ms`.
-    pub fn copy_served(&mut self, asked_at: Duration, router: usize, object: u64, created_ms: u64) {
-        let Some((unix_ms, told_at)) = self.purges.get(&object) else {
+    /// A request that `router` received at `received_at` was served from a copy created at `created_ms`.
+    pub fn copy_served(
+        &mut self,
+        received_at: Duration,
+        router: usize,
+        object: u64,
+        created_ms: u64,
+    ) {
+        let Some((unix_ms, learned_at)) = self.purges.get(&object) else {
             return;
         };
-        let bound = told_at
+        let bound = learned_at
             .get(&router)
-            .is_some_and(|told_at| asked_at > *told_at + PURGE_GRACE + TIMING_TOLERANCE);
+            .is_some_and(|learned_at| received_at > *learned_at + PURGE_GRACE + TIMING_TOLERANCE);
         if bound && created_ms < *unix_ms {
             self.violations.stale += 1;
             self.describe(|| {
                 format!(
-                    "{asked_at:?}: router {router} served object {object:016x} from a copy created before its purge"
+                    "{received_at:?}: router {router} served object {object:016x} from a copy created before its purge"
                 )
             });
         }
--- a/crates/harness/src/report.rs
+++ b/crates/harness/src/report.rs
@@ -177,7 +177,7 @@
     all.join(" ")
 }
 
-pub fn json(results: &RunResults, short: &[String]) -> Value {
+pub fn json(results: &RunResults, unmet: &[String]) -> Value {
     let figures: BTreeMap<&str, f64> = figures(results)
         .into_iter()
         .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
@@ -195,7 +195,7 @@
         .iter()
         .map(|(at, what)| json!({"at": at.as_secs_f64(), "what": what}))
         .collect();
-    json!({"figures": figures, "seconds": seconds, "events": events, "short": short, "void": results.void,
+    json!({"figures": figures, "seconds": seconds, "events": events, "short": unmet, "void": results.void,
         "words": results.violation_descriptions})
 }
 
@@ -317,7 +317,7 @@
     name: &str,
     scenario: &Scenario,
     results: &RunResults,
-    short: &[String],
+    unmet: &[String],
 ) -> Result<String, String> {
     let per_second = |get: &dyn Fn(&crate::run::SecondTotals) -> f64| {
         results.seconds.iter().map(get).collect::<Vec<f64>>()
@@ -368,10 +368,10 @@
     page.push_str(
         "<style>body{font:14px sans-serif;max-width:62em;margin:2em auto}td{padding:0 1em 0 0}</style>",
     );
-    let verdict = match (&results.void, short) {
+    let verdict = match (&results.void, unmet) {
         (Some(reason), _) => format!("void: {reason}"),
         (None, []) => "all that must hold holds".to_owned(),
-        (None, short) => format!("falls short: {}", short.join("; ")),
+        (None, unmet) => format!("requirements not met: {}", unmet.join("; ")),
     };
     let _ = write!(
         page,
--- a/crates/harness/src/scenario.rs
+++ b/crates/harness/src/scenario.rs
@@ -359,7 +359,7 @@
         return if a <= b {
             Ok(Amount::Share(a as f64 / b as f64))
         } else {
-            Err(format!("{word} is more than the whole"))
+            Err(format!("{word} is more than 1"))
         };
     }
     if word.ends_with('%') {
@@ -518,21 +518,13 @@
     }
 }
 
-fn parse_count(word: &str, least: u64, most: u64) -> Result<usize, ParseError> {
-    at_word(0, values::integer(word, least, most)).map(|n| n as usize)
+fn parse_count(word: &str, min: u64, max: u64) -> Result<usize, ParseError> {
+    at_word(0, values::integer(word, min, max)).map(|n| n as usize)
 }
 
-fn parse_number(word: &str, least: f64, most: f64) -> Result<f64, ParseError> {
-    let found = word
-        .parse::<f64>()
-        .ok()
-        .filter(|n| (least..=most).contains(n));
-    found.ok_or_else(|| {
-        (
-            0,
-            format!("{word:?} is not a number from {least} to {most}"),
-        )
-    })
+fn parse_number(word: &str, min: f64, max: f64) -> Result<f64, ParseError> {
+    let found = word.parse::<f64>().ok().filter(|n| (min..=max).contains(n));
+    found.ok_or_else(|| (0, format!("{word:?} is not a number from {min} to {max}")))
 }
 
 /// All directives of a scenario file.
@@ -547,7 +539,7 @@
             "fleet",
             "locations",
             "COUNT",
-            "among which routers and caches are dealt out",
+            "number of zones among which routers and caches are distributed",
             |p, w| {
                 p.fleet.zones = parse_count(w[0], 1, 100)?;
                 Ok(())
@@ -577,7 +569,7 @@
             "fleet",
             "cache-capacity",
             "NUMBER",
-            "transfers at a client's pace at once",
+            "concurrent transfers of a cache at the client rate",
             |p, w| {
                 p.fleet.cache_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
@@ -587,7 +579,7 @@
             "fleet",
             "parent-capacity",
             "NUMBER",
-            "the same of a parent",
+            "the same for a parent",
             |p, w| {
                 p.fleet.parent_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
@@ -597,7 +589,7 @@
             "fleet",
             "origin-capacity",
             "NUMBER",
-            "the same of the origin",
+            "the same for the origin",
             |p, w| {
                 p.fleet.origin_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
@@ -607,13 +599,13 @@
             "fleet",
             "link",
             "NUMBER",
-            "transfers that fills of one zone share",
+            "concurrent transfers that the fills of one zone share",
             |p, w| {
                 p.fleet.link_capacity = parse_number(w[0], 0.1, 1e6)?;
                 Ok(())
             },
         ),
-        entry("fleet", "memory", "KB", "what a cache holds", |p, w| {
+        entry("fleet", "memory", "KB", "memory of a cache", |p, w| {
             p.fleet.memory_kb = parse_number(w[0], 1.0, 1e9)?;
             Ok(())
         }),
@@ -621,7 +613,7 @@
             "fleet",
             "pace",
             "KB",
-            "a second of one transfer to a client",
+            "rate per second of one transfer to a client",
             |p, w| {
                 p.fleet.client_kb_per_s = parse_number(w[0], 1.0, 1e6)?;
                 Ok(())
@@ -631,22 +623,28 @@
             "fleet",
             "cold-from",
             "SHARE",
-            "of its capacity at a start",
+            "share of its capacity that a starting server has",
             |p, w| {
                 p.fleet.initial_capacity_share = at_word(0, values::share(w[0]))?.max(0.01);
                 Ok(())
             },
         ),
-        entry("fleet", "warm-within", "SPAN", "until all of it", |p, w| {
-            p.fleet.slow_start =
-                at_word(0, values::duration(w[0]))?.max(Duration::from_millis(100));
-            Ok(())
-        }),
+        entry(
+            "fleet",
+            "warm-within",
+            "SPAN",
+            "time until a starting server has all of its capacity",
+            |p, w| {
+                p.fleet.slow_start =
+                    at_word(0, values::duration(w[0]))?.max(Duration::from_millis(100));
+                Ok(())
+            },
+        ),
         entry(
             "fleet",
             "groups",
             "COUNT",
-            "groups of routers that reach servers by addresses of their own",
+            "groups of routers that reach servers by different addresses",
             |p, w| {
                 p.fleet.groups = parse_count(w[0], 1, 16)?;
                 Ok(())
@@ -656,7 +654,7 @@
             "fleet",
             "pass-through",
             "on|off",
-            "parents and origin take attempts too",
+            "whether parents and the origin accept attempts too",
             |p, w| {
                 p.fleet.pass_through = match w[0] {
                     "on" => true,
@@ -670,7 +668,7 @@
             "fleet",
             "regions",
             "COUNT",
-            "among which the zones lie, in blocks",
+            "number of regions; each consists of consecutive zones",
             |p, w| {
                 p.fleet.regions = parse_count(w[0], 1, 100)?;
                 Ok(())
@@ -680,7 +678,7 @@
             "fleet",
             "near",
             "SPAN",
-            "what a word takes one way between zones of a region",
+            "one-way delay between zones of a region",
             |p, w| {
                 p.fleet.intra_region_delay = at_word(0, values::duration(w[0]))?;
                 Ok(())
@@ -690,7 +688,7 @@
             "fleet",
             "far",
             "SPAN",
-            "the same between regions",
+            "one-way delay between regions",
             |p, w| {
                 p.fleet.inter_region_delay = at_word(0, values::duration(w[0]))?;
                 Ok(())
@@ -700,7 +698,7 @@
             "fleet",
             "jitter",
             "SHARE",
-            "up to how much more it takes",
+            "maximum share by which a delay is longer",
             |p, w| {
                 p.fleet.jitter = at_word(0, values::share(w[0]))?;
                 Ok(())
@@ -718,15 +716,21 @@
                 Ok(())
             },
         },
-        entry("work", "seconds", "COUNT", "how long it comes", |p, w| {
-            p.workload.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
-            Ok(())
-        }),
+        entry(
+            "work",
+            "seconds",
+            "COUNT",
+            "duration of the workload",
+            |p, w| {
+                p.workload.duration = Duration::from_secs(parse_count(w[0], 2, 3600)? as u64);
+                Ok(())
+            },
+        ),
         entry(
             "work",
             "lead",
             "SPAN",
-            "before anything is measured",
+            "warm-up before measurements begin",
             |p, w| {
                 p.workload.warmup = at_word(0, values::duration(w[0]))?;
                 Ok(())
@@ -736,7 +740,7 @@
             "work",
             "rate",
             "NUMBER",
-            "requests a second over all",
+            "requests per second over all routers",
             |p, w| {
                 p.workload.requests_per_s = parse_number(w[0], 1.0, 50_000.0)?;
                 Ok(())
@@ -746,21 +750,27 @@
             "work",
             "uneven",
             "NUMBER",
-            "the busiest router's rate over the mean",
+            "rate of the busiest router over the mean rate",
             |p, w| {
                 p.workload.peak_to_mean = parse_number(w[0], 1.0, 100.0)?;
                 Ok(())
             },
         ),
-        entry("work", "objects", "COUNT", "objects there are", |p, w| {
+        entry("work", "objects", "COUNT", "number of objects", |p, w| {
             p.workload.objects = parse_count(w[0], 1, 10_000_000)?;
             Ok(())
         }),
-        entry("work", "popularity", "NUMBER", "Zipf's exponent", |p, w| {
-            p.workload.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
-            Ok(())
-        }),
-        entry("work", "size", "KB", "mean of an object", |p, w| {
+        entry(
+            "work",
+            "popularity",
+            "NUMBER",
+            "Zipf exponent of object popularity",
+            |p, w| {
+                p.workload.zipf_exponent = parse_number(w[0], 0.0, 3.0)?;
+                Ok(())
+            },
+        ),
+        entry("work", "size", "KB", "mean object size", |p, w| {
             p.workload.mean_object_kb = parse_number(w[0], 0.1, 1e6)?;
             Ok(())
         }),
@@ -768,7 +778,7 @@
             "work",
             "writes",
             "SHARE",
-            "of requests that must not run twice",
+            "share of requests that must not be executed twice",
             |p, w| {
                 p.workload.write_share = at_word(0, values::share(w[0]))?;
                 Ok(())
@@ -778,7 +788,7 @@
             "work",
             "patience",
             "SPAN",
-            "how long a client waits, all tries together",
+            "how long a client waits, over all its attempts",
             |p, w| {
                 p.workload.client_timeout = at_word(0, values::duration(w[0]))?;
                 Ok(())
@@ -788,7 +798,7 @@
             "work",
             "soft",
             "SPAN",
-            "within which an answer earns all of its value",
+            "soft deadline, within which an answer earns its full value",
             |p, w| {
                 p.workload.soft_deadline = at_word(0, values::duration(w[0]))?;
                 Ok(())
@@ -798,7 +808,7 @@
             "work",
             "retries",
             "COUNT",
-            "how often a client asks again",
+            "maximum number of retries of a client",
             |p, w| {
                 p.workload.max_retries = parse_count(w[0], 0, 20)?;
                 Ok(())
@@ -808,23 +818,29 @@
             "work",
             "heed",
             "SHARE",
-            "of clients that come back when they are told",
+            "share of clients that honor the retry-after time",
             |p, w| {
                 p.workload.retry_after_share = at_word(0, values::share(w[0]))?;
                 Ok(())
             },
         ),
-        entry("work", "fresh", "SPAN", "how long a copy is", |p, w| {
-            p.workload.max_age = at_word(0, values::duration(w[0]))?;
-            Ok(())
-        }),
+        entry(
+            "work",
+            "fresh",
+            "SPAN",
+            "how long a copy stays fresh",
+            |p, w| {
+                p.workload.max_age = at_word(0, values::duration(w[0]))?;
+                Ok(())
+            },
+        ),
         Directive {
             section: "faults",
             name: "at",
             usage: "SPAN [for|over SPAN] WHAT ..",
             count: 2..=12,
             repeatable: true,
-            help: "what breaks, from when and for how long",
+            help: "a fault, its start and its duration",
             set: |p, w| {
                 let found = parse_fault(w)?;
                 p.faults.push(found);
@@ -835,7 +851,7 @@
             "must",
             "service",
             "SHARE",
-            "of the value asked for, at least",
+            "minimum share of the requested value that is earned",
             |p, w| {
                 p.requirements.service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
@@ -845,7 +861,7 @@
             "must",
             "peak",
             "NUMBER",
-            "busiest over mean, over that of who sees all, at most",
+            "maximum of `peak` over that of the assignment with full knowledge",
             |p, w| {
                 p.requirements.peak = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
@@ -855,7 +871,7 @@
             "must",
             "idle",
             "SHARE",
-            "of warm server-seconds under a quarter of the mean, at most",
+            "maximum share of warm server-windows under a quarter of the mean load",
             |p, w| {
                 p.requirements.idle = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
@@ -865,7 +881,7 @@
             "must",
             "herd",
             "NUMBER",
-            "same next server over independence, at most",
+            "maximum of `herd`: routers that choose the same next server, over the hash",
             |p, w| {
                 p.requirements.herd = Some(parse_number(w[0], 0.1, 100.0)?);
                 Ok(())
@@ -875,7 +891,7 @@
             "must",
             "swing",
             "NUMBER",
-            "servers from crowded to idle and back, at most",
+            "maximum number of servers that go from high to low load and back",
             |p, w| {
                 p.requirements.swing = Some(parse_number(w[0], 0.0, 1000.0)?);
                 Ok(())
@@ -885,7 +901,7 @@
             "must",
             "lost-service",
             "SHARE",
-            "of what lost zones asked for, at least",
+            "minimum share served of what lost zones requested",
             |p, w| {
                 p.requirements.lost_service = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
@@ -895,7 +911,7 @@
             "must",
             "plan",
             "SPAN",
-            "from a loss until requests go elsewhere, at most",
+            "maximum time from a zone's loss until its requests go to other zones",
             |p, w| {
                 p.requirements.plan = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
@@ -905,7 +921,7 @@
             "must",
             "needless",
             "SHARE",
-            "of requests that left without need, at most",
+            "maximum share of requests that left their zone without need",
             |p, w| {
                 p.requirements.needless = Some(at_word(0, values::share(w[0]))?);
                 Ok(())
@@ -915,7 +931,7 @@
             "must",
             "after",
             "SPAN",
-            "what is measured begins so long after the last fault",
+            "delay of the second measurement after the end of the last fault",
             |p, w| {
                 p.requirements.after = Some(at_word(0, values::duration(w[0]))?);
                 Ok(())
