--- a/crates/harness/src/processor_sharing.rs
+++ b/crates/harness/src/processor_sharing.rs
@@ -29,7 +29,7 @@
 }
 
 impl<K> Ord for Job<K> {
-    /// Reversed, so that the heap's top is the transfer that ends first.
+    /// The order is reversed, so that the heap's top is the transfer that ends first.
     fn cmp(&self, other: &Job<K>) -> Ordering {
         other
             .ends_at_service
--- a/crates/harness/src/run/faults.rs
+++ b/crates/harness/src/run/faults.rs
@@ -318,7 +318,7 @@
         Some(number)
     }
 
-    /// Handles the next target of a fault that goes step by step, and schedules the step after.
+    /// Applies a stepwise fault to its next target, and schedules the following step.
     pub(super) fn step_fault(&mut self, n: usize, mut remaining: Vec<usize>) {
         let now = self.now();
         let Fault {
--- a/crates/harness/src/scenario.rs
+++ b/crates/harness/src/scenario.rs
@@ -518,13 +518,21 @@
     }
 }
 
-fn parse_count(word: &str, min: u64, max: u64) -> Result<usize, ParseError> {
-    at_word(0, values::integer(word, min, max)).map(|n| n as usize)
+fn parse_count(word: &str, lower: u64, upper: u64) -> Result<usize, ParseError> {
+    at_word(0, values::integer(word, lower, upper)).map(|n| n as usize)
 }
 
-fn parse_number(word: &str, min: f64, max: f64) -> Result<f64, ParseError> {
-    let found = word.parse::<f64>().ok().filter(|n| (min..=max).contains(n));
-    found.ok_or_else(|| (0, format!("{word:?} is not a number from {min} to {max}")))
+fn parse_number(word: &str, lower: f64, upper: f64) -> Result<f64, ParseError> {
+    let found = word
+        .parse::<f64>()
+        .ok()
+        .filter(|n| (lower..=upper).contains(n));
+    found.ok_or_else(|| {
+        (
+            0,
+            format!("{word:?} is not a number from {lower} to {upper}"),
+        )
+    })
 }
 
 /// All directives of a scenario file.
--- a/crates/harness/src/server_model.rs
+++ b/crates/harness/src/server_model.rs
@@ -49,7 +49,7 @@
     /// None if it started long before the run.
     pub started_at: Option<Duration>,
     pub list_status: ListStatus,
-    /// It does not accept connections.
+    /// The server does not accept connections.
     pub is_down: bool,
     pub slow_factor: f64,
     pub returns_errors: bool,
--- a/crates/harness/src/zone_network.rs
+++ b/crates/harness/src/zone_network.rs
@@ -14,7 +14,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneNetwork {
     nodes: usize,
-    /// By from and to: base one-way delay, its multiplier, share lost, and whether the path is cut.
+    /// Per source and destination node: the base one-way delay, its multiplier, the share of messages lost, and
+    /// whether the path is cut.
     base_delay: Vec<Vec<Duration>>,
     pub slow_factor: Vec<Vec<f64>>,
     pub loss_share: Vec<Vec<f64>>,
--- a/crates/store/src/decide/index.rs
+++ b/crates/store/src/decide/index.rs
@@ -23,11 +23,11 @@
     pub length: u32,
     /// A hash of its entity tag.
     pub tag: u32,
-    /// Unix milliseconds; 48 bits are stored.
+    /// When the copy was made, in Unix milliseconds; 48 bits are stored.
     pub created_at_ms: u64,
     /// The slot of its group; below 1024.
     pub group: u16,
-    /// 1 to 3.
+    /// The retention rank, from 1 to 3.
     pub rank: u8,
     /// The number of reads since it was written or recovered, up to 3.
     pub read_count: u8,
--- a/crates/store/src/stand_ins/crashes.rs
+++ b/crates/store/src/stand_ins/crashes.rs
@@ -80,7 +80,7 @@
         )
     }
 
-    fn run_action(&mut self, driver: &mut Driver, seen: &mut CrashTestResults) {
+    fn run_action(&mut self, driver: &mut Driver, results: &mut CrashTestResults) {
         let test_part = self.test_part();
         let now = driver.unix_ms();
         match self.random.u8(..100) {
@@ -96,7 +96,7 @@
             }
             55..=69 => get(driver, test_part)
                 .iter()
-                .for_each(|copy| self.check_copy(test_part, copy, seen)),
+                .for_each(|copy| self.check_copy(test_part, copy, results)),
             70..=73 => {
                 let ms = driver.purge(Some(&test_part.name()), 0);
                 self.object_purges.insert(test_part.object, ms);
@@ -198,27 +198,27 @@
     let disk = Disk::new();
     disk.set_faults(scenario.faults.clone());
     let mut driver = Driver::start(Arc::new(disk.clone()), 30_000, settings(), START);
-    let mut seen = CrashTestResults::default();
+    let mut results = CrashTestResults::default();
     for _ in 0..scenario.actions {
-        workload.run_action(&mut driver, &mut seen);
+        workload.run_action(&mut driver, &mut results);
         if scenario
             .faults
             .crash_at
             .is_some_and(|crash_at| disk.operations().0 >= crash_at)
         {
-            seen.crashed = true;
+            results.crashed = true;
             break;
         }
     }
     if scenario.faults_end_before_kill {
         disk.set_faults(Faults::default());
         driver.advance(RECOVERY_TIME);
-        seen.not_durable_after_faults = count_not_durable(&mut driver);
+        results.not_durable_after_faults = count_not_durable(&mut driver);
         let durable = driver.backend.durable.clone();
-        workload.check_all_parts(&mut driver, &durable, true, &mut seen);
+        workload.check_all_parts(&mut driver, &durable, true, &mut results);
     }
-    seen.calls = disk.calls();
-    seen.reclaimed = driver
+    results.calls = disk.calls();
+    results.reclaimed = driver
         .store
         .disk()
         .map_or(0, |disk| disk.counts().reclaimed);
@@ -248,7 +248,7 @@
         seed ^ scenario
             .faults
             .crash_at
-            .unwrap_or(seen.calls)
+            .unwrap_or(results.calls)
             .rotate_left(32),
     );
     disk_after_crash.set_faults(scenario.restart_faults.clone());
@@ -268,16 +268,16 @@
     }
     let must_be_found = window == 10_000_000 && start >= killed_at;
     // Checked before the segments are recovered, and again after.
-    workload.check_all_parts(&mut restarted, &durable, false, &mut seen);
+    workload.check_all_parts(&mut restarted, &durable, false, &mut results);
     if !scenario.restart_faults.failing_calls.is_empty() {
         restarted.advance(Duration::from_secs(5));
         disk_after_crash.set_faults(Faults::default());
         restarted.advance(RECOVERY_TIME);
     }
     restarted.settle();
-    seen.restart_calls = disk_after_crash.calls();
-    workload.check_all_parts(&mut restarted, &durable, must_be_found, &mut seen);
-    seen
+    results.restart_calls = disk_after_crash.calls();
+    workload.check_all_parts(&mut restarted, &durable, must_be_found, &mut results);
+    results
 }
 
 /// Offers new copies, one per second and more than memory holds, and counts those that do not become durable.
@@ -308,7 +308,7 @@
         driver: &mut Driver,
         durable: &HashMap<Key, u64>,
         must_be_found: bool,
-        seen: &mut CrashTestResults,
+        results: &mut CrashTestResults,
     ) {
         for object in 0..OBJECTS {
             for part in 0..PARTS {
@@ -316,7 +316,7 @@
                 let found = get(driver, test_part);
                 found
                     .iter()
-                    .for_each(|copy| self.check_copy(test_part, copy, seen));
+                    .for_each(|copy| self.check_copy(test_part, copy, results));
                 let Some(created_at_ms) = durable.get(&test_part.key()).filter(|_| must_be_found)
                 else {
                     continue;
@@ -324,8 +324,8 @@
                 let invalidated = *created_at_ms <= self.last_purge_ms(test_part)
                     || self.changed.contains_key(&object);
                 if !invalidated {
-                    seen.durable += 1;
-                    seen.lost +=
+                    results.durable += 1;
+                    results.lost +=
                         u64::from(found.is_none_or(|copy| copy.created_at_ms < *created_at_ms));
                 }
             }
@@ -333,8 +333,8 @@
     }
 
     /// Checks that an answer is intact, of the requested part, and newer than the last purge.
-    fn check_copy(&self, test_part: TestPart, copy: &Copy, seen: &mut CrashTestResults) {
-        seen.answers += 1;
+    fn check_copy(&self, test_part: TestPart, copy: &Copy, results: &mut CrashTestResults) {
+        results.answers += 1;
         let version = std::str::from_utf8(&copy.etag)
             .ok()
             .and_then(|tag| u64::from_str_radix(tag, 16).ok());
@@ -345,7 +345,7 @@
                 body_len(test_part, BODY_BYTES_RANGE),
             )
         });
-        seen.torn += u64::from(expected.as_ref() != Some(copy));
-        seen.stale += u64::from(copy.created_at_ms <= self.last_purge_ms(test_part));
+        results.torn += u64::from(expected.as_ref() != Some(copy));
+        results.stale += u64::from(copy.created_at_ms <= self.last_purge_ms(test_part));
     }
 }
--- a/crates/store/src/stand_ins/driver.rs
+++ b/crates/store/src/stand_ins/driver.rs
@@ -104,7 +104,7 @@
     pub now: Duration,
     start_ms: u64,
     segment_files: Option<(SegmentFiles, Catalogue)>,
-    /// After a failed opening: what is opened again, and when.
+    /// The directory and clock to open again after a failed opening, and when.
     opening: Option<(Arc<dyn Files>, Option<BootClock>, Duration)>,
 }
 
