--- a/crates/cli/tests/hang.rs
+++ b/crates/cli/tests/hang.rs
@@ -9,6 +9,16 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
+/// With at most this many bytes waiting for the disk, the queue of the writer thread has space: it
+/// holds 256 records, and a record of this test has 20 kB.
+const DRAINED_BYTES: u64 = 1 << 20;
+
+/// Bytes of records on their way to the disk.
+fn waiting_bytes(driver: &StoreDriver) -> u64 {
+    driver.store.bytes()
+        - driver.store.memory().bytes()
+        - driver.store.disk().map_or(0, |d| d.index().bytes())
+}
 
 #[test]
 fn a_hanging_disk_blocks_nothing_and_is_used_again() {
@@ -90,9 +100,7 @@
         Some(CacheTier::Memory),
         "the memory tier still accepts copies"
     );
-    let waiting = driver.store.bytes()
-        - driver.store.memory().bytes()
-        - driver.store.disk().map_or(0, |d| d.index().bytes());
+    let waiting = waiting_bytes(&driver);
     assert!(
         waiting <= 12 << 20,
         "{waiting} bytes are waiting for the disk"
@@ -109,11 +117,16 @@
             .iter()
             .all(|(_, fetched)| matches!(fetched, ReadResult::Copy(_)))
     );
+    // A full queue refuses a copy for good, so that each is kept only once there is space.
+    let is_drained = |driver: &mut StoreDriver| waiting_bytes(driver) <= DRAINED_BYTES;
+    let message = "queued records are not written";
+    assert!(driver.poll_until(TIMEOUT, is_drained), "{message}");
     keep(&mut driver, 50_000);
-    (0..500).for_each(|n| {
+    for n in 0..500 {
         keep(&mut driver, 60_000 + n);
         driver.poll();
-    });
+        assert!(driver.poll_until(TIMEOUT, is_drained), "{message}");
+    }
     assert!(
         driver.poll_until(TIMEOUT, |driver| place(driver, 50_000)
             == Some(CacheTier::Disk)),
