--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -71,7 +71,7 @@
     /// Sent only to routers of the publisher's zone.
     pub zone_only: bool,
     /// Packed into a datagram before other kinds: messages on which routers act together.
-    pub first: bool,
+    pub has_priority: bool,
     /// Publishers that are kept for each key and zone.
     pub max_publishers: usize,
     /// Time after publication for which a message is valid.
@@ -534,7 +534,7 @@
                     && (!urgent || message.urgent)
             })
             .map(|(topic, message)| {
-                let first = if policy(topic.kind).is_some_and(|policy| policy.first) {
+                let first = if policy(topic.kind).is_some_and(|policy| policy.has_priority) {
                     -1e3
                 } else {
                     0.0
--- a/crates/gossip/src/gossip/tests.rs
+++ b/crates/gossip/src/gossip/tests.rs
@@ -9,14 +9,14 @@
     KindPolicy {
         kind: 1,
         zone_only: false,
-        first: false,
+        has_priority: false,
         max_publishers: 3,
         lifetime: Duration::from_secs(5),
     },
     KindPolicy {
         kind: 2,
         zone_only: true,
-        first: false,
+        has_priority: false,
         max_publishers: 64,
         lifetime: Duration::from_secs(5),
     },
--- a/crates/router/src/cell_routing.rs
+++ b/crates/router/src/cell_routing.rs
@@ -261,7 +261,7 @@
         let is_changed = |member: &&Member| is_snapshot || changed.contains(&member.server);
         let updated = self.members.values().filter(is_changed).cloned().collect();
         self.members
-            .retain(|_, member| member.standing != ServerState::Removed);
+            .retain(|_, member| member.state != ServerState::Removed);
         updated
     }
 
@@ -270,7 +270,7 @@
         let is_assigned = |member: &&Member| {
             member.tier == Tier::Cache
                 && member.zone == self.zone
-                && member.standing != ServerState::Removed
+                && member.state != ServerState::Removed
         };
         let assigned = self.members.values().filter(is_assigned);
         let servers = assigned.map(|member| member.server.clone()).collect();
@@ -296,7 +296,7 @@
     /// Informs the moves which cells have an active server.
     fn update_moves(&mut self, now: Duration) {
         let is_active =
-            |member: &&Member| member.tier == Tier::Cache && member.standing == ServerState::Active;
+            |member: &&Member| member.tier == Tier::Cache && member.state == ServerState::Active;
         let active = self.members.values().filter(is_active);
         let live_cells: BTreeSet<Cell> = active
             .flat_map(|member| member.cells.iter().copied())
--- a/crates/router/src/decider/discovery_updates.rs
+++ b/crates/router/src/decider/discovery_updates.rs
@@ -94,7 +94,7 @@
         let share = self.limits.sockets / 3 / (2 * server_count);
         let max_connections = share.clamp(1, MAX_CONNECTIONS_PER_SERVER);
         for DiscoveredServer { member, address } in listed {
-            if member.standing == ServerState::Removed {
+            if member.state == ServerState::Removed {
                 servers.remove(&member.server);
                 continue;
             }
--- a/crates/router/src/decider/subsystems.rs
+++ b/crates/router/src/decider/subsystems.rs
@@ -102,7 +102,7 @@
         let now = self.dispatcher.now;
         let is_warm = |started: Duration| now >= started + self.slow_start_window;
         let is_balanced = |member: &&Member| {
-            member.standing == ServerState::Active && member.started.is_none_or(is_warm)
+            member.state == ServerState::Active && member.started.is_none_or(is_warm)
         };
         let balanced = self.router.caches().filter(is_balanced);
         exchange
--- a/crates/router/src/discovery_events.rs
+++ b/crates/router/src/discovery_events.rs
@@ -158,7 +158,7 @@
             _ => Tier::Cache,
         },
         cohort: host.get("block").and_then(Value::as_u64).unwrap_or(0),
-        standing: parse_health(text(host, "health")?)?,
+        state: parse_health(text(host, "health")?)?,
         capacity: parse_capacity(host),
         started: parse_start(host, clock),
         ..Member::default()
--- a/crates/router/src/discovery_events/tests.rs
+++ b/crates/router/src/discovery_events/tests.rs
@@ -40,7 +40,7 @@
     assert_eq!((number, is_snapshot, servers.len()), (41, true, 1));
     let DiscoveredServer { member, address } = &servers[0];
     assert_eq!(
-        (member.zone, member.tier, member.standing),
+        (member.zone, member.tier, member.state),
         (1, Tier::Parent, ServerState::Draining)
     );
     assert_eq!(
--- a/crates/router/src/local_cache.rs
+++ b/crates/router/src/local_cache.rs
@@ -120,7 +120,7 @@
         let member = |server: &Id| Member {
             server: server.clone(),
             tier: Tier::Local,
-            standing: ServerState::Active,
+            state: ServerState::Active,
             capacity: self.link_capacity,
             ..Member::default()
         };
--- a/crates/router/src/timestamps.rs
+++ b/crates/router/src/timestamps.rs
@@ -109,7 +109,7 @@
     /// A start that was received before keeps its effective time: only a new timestamp is a new
     /// start.
     fn correct_start(&mut self, now: Duration, member: &mut Member) {
-        let is_listed = member.standing != ServerState::Removed;
+        let is_listed = member.state != ServerState::Removed;
         let Some(timestamp) = member.started else {
             self.starts.remove(&member.server);
             return;
--- a/crates/router/src/timestamps/tests.rs
+++ b/crates/router/src/timestamps/tests.rs
@@ -16,9 +16,9 @@
 }
 
 fn list(clock: &Clock, is_snapshot: bool, entries: &[(&str, u64, ServerState)]) -> DiscoveryEvent {
-    let member = |(name, timestamp, standing): &(&str, u64, ServerState)| Member {
+    let member = |(name, timestamp, state): &(&str, u64, ServerState)| Member {
         server: (*name).into(),
-        standing: *standing,
+        state: *state,
         started: (*timestamp > 0).then(|| clock.at_unix_ms(*timestamp)),
         ..Member::default()
     };
--- a/crates/router/src/zone_failover.rs
+++ b/crates/router/src/zone_failover.rs
@@ -236,7 +236,7 @@
         let mut capacities = vec![ZoneCapacity::default(); self.zone_names.len()];
         let mut caches: HashMap<usize, Vec<&Member>> = HashMap::new();
         let is_active =
-            |member: &&Member| member.tier == Tier::Cache && member.standing == ServerState::Active;
+            |member: &&Member| member.tier == Tier::Cache && member.state == ServerState::Active;
         for member in router.members().filter(is_active) {
             let Some(capacity) = capacities.get_mut(member.zone) else {
                 continue;
@@ -362,7 +362,7 @@
         let Some(member) = server.filter(|m| m.tier == Tier::Cache && m.zone == self.zone) else {
             return;
         };
-        if member.standing != ServerState::Active {
+        if member.state != ServerState::Active {
             return;
         }
         match outcome {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -236,7 +236,7 @@
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
-        telling: match string(&family, "Says")? {
+        reported_details: match string(&family, "Says")? {
             "all" => ReportedDetails::All,
             "hit" => ReportedDetails::Hits,
             _ => ReportedDetails::Nothing,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -93,7 +93,7 @@
         zone: unsigned(f, "Area")? as usize,
         tier: Tier::Cache,
         cohort: unsigned(f, "Cohort")?,
-        standing: match string(f, "Mode")? {
+        state: match string(f, "Mode")? {
             "active" => ServerState::Active,
             "leaving" => ServerState::Draining,
             "left" => ServerState::Removed,
--- a/examples/decision_cost.rs
+++ b/examples/decision_cost.rs
@@ -131,7 +131,7 @@
     let cache = |n: usize| Member {
         server: format!("cache-{n:04}.zone-0").into(),
         capacity: 8.0,
-        standing: if n % 100 < scene.draining {
+        state: if n % 100 < scene.draining {
             ServerState::Draining
         } else {
             ServerState::Active
--- a/src/dispatch/tests.rs
+++ b/src/dispatch/tests.rs
@@ -145,7 +145,7 @@
     let (mut router, id) = router(Effect::Idempotent);
     end_attempt(&mut router, &id, false);
     let draining = Member {
-        standing: ServerState::Draining,
+        state: ServerState::Draining,
         ..cache("cache-2")
     };
     router.update_list(NOW, ListKind::Changes, &[draining], &mut NoopOutlet);
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -42,7 +42,7 @@
     /// Whether the server accepts new requests.
     #[inline]
     pub fn is_active(&self) -> bool {
-        self.member.standing == ServerState::Active
+        self.member.state == ServerState::Active
     }
 
     fn candidate(&self, slot: usize) -> Candidate {
@@ -125,13 +125,13 @@
         self.pools.clear();
         let endpoints = self.endpoints.values_mut();
         for endpoint in endpoints.filter(|e| e.member.tier != Tier::Local) {
-            endpoint.member.standing = ServerState::Removed;
+            endpoint.member.state = ServerState::Removed;
         }
         for member in members {
             self.update_member(member);
         }
         self.endpoints
-            .retain(|endpoint| endpoint.member.standing != ServerState::Removed);
+            .retain(|endpoint| endpoint.member.state != ServerState::Removed);
         self.rebuild_indexes();
         self.update_local_capacity();
     }
@@ -160,7 +160,7 @@
 
     fn remove_unlisted(&mut self, member: &Member) {
         let listed = self.endpoints.get(&member.server);
-        if listed.is_some_and(|endpoint| endpoint.member.standing == ServerState::Removed) {
+        if listed.is_some_and(|endpoint| endpoint.member.state == ServerState::Removed) {
             self.remove_from_indexes(&member.server, member);
             self.endpoints.remove(&member.server);
         }
@@ -173,7 +173,7 @@
             return;
         };
         let member = &endpoint.member;
-        let remains_active = next.standing == ServerState::Active;
+        let remains_active = next.state == ServerState::Active;
         for key in PoolKey::of(member).filter(|key| !remains_active || !key.includes(next)) {
             let Some(pool) = self.pools.get_mut(&key) else {
                 continue;
@@ -189,7 +189,7 @@
         let ejected = usize::from(endpoint.outliers.is_ejected());
         health.ejected = health.ejected.saturating_sub(ejected);
         // The tier's maximum can only fall if this member had it.
-        if member.tier != next.tier || next.standing == ServerState::Removed {
+        if member.tier != next.tier || next.state == ServerState::Removed {
             let share = endpoint.on_time_fill_share;
             let best = health.best_on_time_share;
             health.best_on_time_share = best.filter(|best| share == 0.0 || share < *best);
--- a/src/endpoints/tests.rs
+++ b/src/endpoints/tests.rs
@@ -55,7 +55,7 @@
 }
 
 fn random_member(random: &mut fastrand::Rng) -> Member {
-    let standing = [
+    let states = [
         ServerState::Active,
         ServerState::Draining,
         ServerState::Removed,
@@ -70,7 +70,7 @@
             Tier::Cache
         },
         zone: usize::from(random.u8(..10) == 0),
-        standing: standing[random.usize(..9).saturating_sub(6)],
+        state: states[random.usize(..9).saturating_sub(6)],
         capacity: random.f64(),
         started: (random.u8(..3) == 0).then_some(NOW),
         cells: (0..3).filter(|_| random.bool()).collect(),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -177,7 +177,7 @@
     /// Which caches can be the source of a fill.
     pub siblings: Siblings,
     /// Which details of hits and fills answers report.
-    pub telling: ReportedDetails,
+    pub reported_details: ReportedDetails,
     /// The meaning of the capacity hints in the endpoint list.
     pub hints: CapacityHints,
     /// Whether the endpoint list is delivered only on request. A list counts as received once
@@ -226,7 +226,7 @@
     /// The server's cohort.
     pub cohort: u64,
     /// The server's administrative state.
-    pub standing: ServerState,
+    pub state: ServerState,
     /// The capacity hint. For a local cache, the number of answers that this router's link can
     /// transfer in parallel at the clients' rate.
     pub capacity: f64,
--- a/src/router/tests.rs
+++ b/src/router/tests.rs
@@ -218,8 +218,8 @@
 fn a_list_change_visits_no_more_of_3200_servers_than_of_200() {
     let changes: [fn(&mut Member); 5] = [
         |member| member.capacity = 5.0,
-        |member| member.standing = ServerState::Draining,
-        |member| member.standing = ServerState::Removed,
+        |member| member.state = ServerState::Draining,
+        |member| member.state = ServerState::Removed,
         |member| member.started = Some(NOW - Duration::from_secs(5)),
         |member| member.server = format!("new-{}", member.server).into(),
     ];
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -92,12 +92,12 @@
         attempts: BTreeMap::new(),
     };
     let mut router = Router::start(now, &deployment(seed), &mut simulation);
-    let member = |name: &str, tier, standing| Member {
+    let member = |name: &str, tier, state| Member {
         server: name.into(),
         zone: 1,
         tier,
         capacity: 4.0,
-        standing,
+        state,
         cells: cell.into_iter().collect(),
         ..Member::default()
     };
@@ -122,11 +122,11 @@
         }
         match rng.u8(..40) {
             0 => {
-                let (name, standing) = (
+                let (name, states) = (
                     caches[rng.usize(..5)],
                     [ServerState::Active, ServerState::Draining],
                 );
-                let changed = member(name, Tier::Cache, standing[rng.usize(..2)]);
+                let changed = member(name, Tier::Cache, states[rng.usize(..2)]);
                 router.update_list(now, ListKind::Changes, &[changed], &mut simulation);
             }
             1 => router.record_purge(
--- a/tests/oracle/simulation.rs
+++ b/tests/oracle/simulation.rs
@@ -593,12 +593,12 @@
         let changed = self.rng.usize(..listed_count);
         let kind = self.rng.u8(..12);
         let member = &mut self.members[changed];
-        member.standing = match member.standing {
+        member.state = match member.state {
             ServerState::Active => ServerState::Draining,
             ServerState::Draining => ServerState::Removed,
             ServerState::Removed => ServerState::Active,
         };
-        if member.standing == ServerState::Active && self.setup.cold_starts {
+        if member.state == ServerState::Active && self.setup.cold_starts {
             member.started = Some(now);
         }
         match kind {
@@ -606,7 +606,7 @@
                 let listed_members = self
                     .members
                     .iter()
-                    .filter(|m| m.standing != ServerState::Removed);
+                    .filter(|m| m.state != ServerState::Removed);
                 let listed_members: Vec<Member> = listed_members
                     .filter(|m| m.tier != Tier::Local)
                     .cloned()
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -162,7 +162,7 @@
             _ => Tier::Origin,
         },
         cohort: cohort.parse().expect("a cohort"),
-        standing: match state {
+        state: match state {
             "draining" => ServerState::Draining,
             "gone" => ServerState::Removed,
             _ => ServerState::Active,
